--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -617,7 +617,7 @@
                            && hzb_time_between (task->since, now) < 2 * d->settings->report_s;
           if (((cached || waits) && !g_hash_table_contains (m->images, spec->image)) || !hzb_machine_allowed (m, spec)
               || !hzb_machine_has_room (m, spec)
-              || (m->last_failed_job && g_str_equal (m->last_failed_job, task->job->uid)) || !startable (d, task, m))
+              || hzb_machine_avoids (m, task->job, now) || !startable (d, task, m))
             continue;
           best = task;
           most = u;
@@ -641,7 +641,7 @@
         /* The order is that of the last run: what has changed since is looked at here. */
         if (!job->pending || job->state != HZB_JOB_ACCEPTED || job->class != class || job->failures
             || !hzb_machine_has_room (m, job->spec) || !hzb_machine_allowed (m, job->spec)
-            || hzb_time_before (now, job->not_before) || (m->last_failed_job && g_str_equal (m->last_failed_job, job->uid))
+            || hzb_time_before (now, job->not_before) || hzb_machine_avoids (m, job, now)
             || (cached && !g_hash_table_contains (m->images, job->spec->image)) || !hzb_dispatch_team_may_use (d, job))
           continue;
         while (!has_its_one (job) && hzb_machine_has_room (m, job->spec) && (task = hzb_job_next_pending (job, now)))
--- a/src/gateway.c
+++ b/src/gateway.c
@@ -25,6 +25,7 @@
       gboolean same = g_strcmp0 (m->last_failed_job, job->uid) == 0, service = job->spec->service;
       task->tries = (guint8) MIN (task->tries + 1, 10);
       m->failures++;
+      m->last_failure = now;
       if (!same)
         {
           m->failed_jobs++;
--- a/src/machines.c
+++ b/src/machines.c
@@ -303,6 +303,16 @@
          && m->service_memory + m->listed_service_memory + spec->memory_gb <= m->type->memory_gb + 1e-6;
 }
 
+/* Guards against a job that failed once on every machine and could start nowhere any more, while the machines stood idle:
+ * only work that did well there used to lift it. */
+#define AVOID_S 30.0
+
+gboolean
+hzb_machine_avoids (const HzbMachine *m, const HzbJob *job, struct timespec now)
+{
+  return m->last_failed_job && g_str_equal (m->last_failed_job, job->uid) && hzb_time_between (m->last_failure, now) < AVOID_S;
+}
+
 gboolean
 hzb_machine_allowed (const HzbMachine *m, const HzbSpec *spec)
 {
--- a/src/machines.h
+++ b/src/machines.h
@@ -67,6 +67,7 @@
   guint round;                 /* counts reports, see HzbTask.seen */
   guint failures, failed_jobs; /* in a row */
   char *last_failed_job;
+  struct timespec last_failure;
 };
 
 typedef struct
@@ -112,6 +113,8 @@
 /* A replica of such a service fits beside those that are there or listed, whatever else would have to go. */
 gboolean hzb_machine_takes_replica (const HzbMachine *machine, const HzbSpec *spec);
 gboolean hzb_machine_allowed (const HzbMachine *machine, const HzbSpec *spec);
+/* The last failure on the machine was one of this job, not long ago: the job's tasks are tried on others first. */
+gboolean hzb_machine_avoids (const HzbMachine *machine, const HzbJob *job, struct timespec now);
 gboolean hzb_machine_has_room (const HzbMachine *machine, const HzbSpec *spec);
 guint hzb_machine_listed (const HzbMachine *machine);
 /* Its tasks are gone for certain: they go back to waiting. Its list is emptied too. */
--- a/src/search.c
+++ b/src/search.c
@@ -68,7 +68,7 @@
     return FALSE;
   return hzb_machine_usable (m) && search->speeds[m->type->index] >= 1 /* those that hold none are skipped */
          && (spec->spot || !m->spot) && (!spec->zone || g_str_equal (spec->zone, m->zone))
-         && !(m->last_failed_job && g_str_equal (m->last_failed_job, search->job->uid));
+         && !hzb_machine_avoids (m, search->job, search->now);
 }
 
 static gboolean
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -195,6 +195,30 @@
   world_free (w);
 }
 
+/* A job that fails on every machine for a while is not left waiting after that, though other work there goes on and on. */
+static void
+test_all_fail_a_while (void)
+{
+  for (guint32 seed = 60; seed < 64; seed++)
+    {
+      World *w = world_new (seed);
+      WorldJob *job;
+      world_add_job (w, 1, "blue", 6, 1, 260);
+      w->size.machines = 2;
+      world_run (w, 20);
+      job = world_add_job (w, 20, "red", 4, 1, 5);
+      job->bad = TRUE;
+      world_run (w, 60);
+      job->bad = FALSE;
+      w->calm_at = 60;
+      world_run (w, 160);
+      g_assert_true (job->told_done);
+      world_run (w, 500);
+      expect_all_over (w, "all fail a while", seed);
+      world_free (w);
+    }
+}
+
 /* A cancellation while starts are on their way: told only once durable, and soon nothing of the job is left. */
 static void
 test_cancel_in_flight (void)
@@ -566,6 +590,7 @@
   g_test_add_func ("/world/outage-keeps-tasks", test_outage_keeps_tasks);
   g_test_add_func ("/world/notice", test_notice);
   g_test_add_func ("/world/bad-job", test_bad_job);
+  g_test_add_func ("/world/all-fail-a-while", test_all_fail_a_while);
   g_test_add_func ("/world/cancel-in-flight", test_cancel_in_flight);
   g_test_add_func ("/world/surprise-machine", test_surprise_machine);
   g_test_add_func ("/world/gang-loses-machine", test_gang_loses_machine);
