--- a/src/admin.c
+++ b/src/admin.c
@@ -221,6 +221,16 @@
   return root;
 }
 
+/* null: the team has no limit. */
+static void
+add_limit (cJSON *item, const char *name, double limit)
+{
+  if (limit < HZB_NO_LIMIT)
+    cJSON_AddNumberToObject (item, name, limit);
+  else
+    cJSON_AddNullToObject (item, name);
+}
+
 static cJSON *
 teams (HzbController *c)
 {
@@ -231,9 +241,9 @@
       cJSON *item = cJSON_CreateObject ();
       cJSON_AddStringToObject (item, "name", team->name);
       cJSON_AddNumberToObject (item, "cpusGuaranteed", team->cpus);
-      cJSON_AddNumberToObject (item, "cpusMax", team->cpus_max);
+      add_limit (item, "cpusMax", team->cpus_max);
       cJSON_AddNumberToObject (item, "gpusGuaranteed", team->gpus);
-      cJSON_AddNumberToObject (item, "gpusMax", team->gpus_max);
+      add_limit (item, "gpusMax", team->gpus_max);
       cJSON_AddNumberToObject (item, "cpusUsed", c->block->cpus[i]);
       cJSON_AddNumberToObject (item, "gpusUsed", c->block->gpus[i]);
       cJSON_AddItemToArray (list, item);
--- a/src/settings.c
+++ b/src/settings.c
@@ -5,6 +5,8 @@
 #include <math.h>
 #include <stdlib.h>
 
+#define MOST_TXN_OPS 1e6 /* no transaction of ours comes near */
+
 GQuark
 hzb_settings_error_quark (void)
 {
@@ -52,6 +54,14 @@
   return 0;
 }
 
+/* A team's limit; 0, or none named, means that the team has none. */
+static double
+limit_at (const cJSON *team, const char *key, GString *faults)
+{
+  double limit = number_at (team, "cluster.teams", key, 0, 0, faults);
+  return limit > 0 ? limit : HZB_NO_LIMIT;
+}
+
 static const cJSON *
 table_at (const cJSON *table, const char *where, const char *key, GString *faults)
 {
@@ -105,7 +115,7 @@
   s->store_rps = MIN (s->store_rps, number_at (next, "cluster.state.next", "rps", 1, s->store_rps, faults));
   s->store_write_rps = MIN (s->store_write_rps, number_at (next, "cluster.state.next", "write_rps", 1, s->store_write_rps, faults));
   s->store_value_kb = MIN (s->store_value_kb, number_at (next, "cluster.state.next", "value_kb", 1, s->store_value_kb, faults));
-  s->store_txn_ops = MIN (s->store_txn_ops, (guint) number_at (next, "cluster.state.next", "txn_ops", 3, s->store_txn_ops, faults));
+  s->store_txn_ops = (guint) MIN (s->store_txn_ops, number_at (next, "cluster.state.next", "txn_ops", 3, s->store_txn_ops, faults));
 }
 
 static void
@@ -113,7 +123,7 @@
 {
   const cJSON *item, *table;
 
-  s->size = (guint) number_at (cluster, "cluster", "size", 1, NAN, faults);
+  s->size = (guint) MIN (number_at (cluster, "cluster", "size", 1, NAN, faults), G_MAXUINT16);
   s->skew_ms = number_at (cluster, "cluster", "skew_ms", 0, 0, faults);
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster, "zones"))
     if (cJSON_IsString (item))
@@ -126,8 +136,8 @@
       team->name = text_at (item, "cluster.teams", "name", faults);
       team->cpus = number_at (item, "cluster.teams", "cpus", 0, 0, faults);
       team->gpus = number_at (item, "cluster.teams", "gpus", 0, 0, faults);
-      team->cpus_max = number_at (item, "cluster.teams", "cpus_max", 0, 0, faults);
-      team->gpus_max = number_at (item, "cluster.teams", "gpus_max", 0, 0, faults);
+      team->cpus_max = limit_at (item, "cpus_max", faults);
+      team->gpus_max = limit_at (item, "gpus_max", faults);
       g_ptr_array_add (s->teams, team);
     }
   if (s->teams->len == 0)
@@ -156,7 +166,7 @@
       s->store_rps = number_at (table, "cluster.state", "rps", 1, NAN, faults);
       s->store_write_rps = number_at (table, "cluster.state", "write_rps", 1, NAN, faults);
       s->store_value_kb = number_at (table, "cluster.state", "value_kb", 1, NAN, faults);
-      s->store_txn_ops = (guint) number_at (table, "cluster.state", "txn_ops", 3, NAN, faults);
+      s->store_txn_ops = (guint) MIN (number_at (table, "cluster.state", "txn_ops", 3, NAN, faults), MOST_TXN_OPS);
       read_next_limits (s, table, faults);
     }
   if ((table = table_at (cluster, "cluster", "cloud", faults)))
@@ -168,7 +178,7 @@
     {
       s->cpu_share = number_at (table, "cluster.resources", "cpu_share", 0, 1, faults);
       s->mem_mb = number_at (table, "cluster.resources", "mem_mb", 0, 0, faults);
-      s->sockets = (guint) number_at (table, "cluster.resources", "sockets", 16, 1024, faults);
+      s->sockets = (guint) MIN (number_at (table, "cluster.resources", "sockets", 16, 1024, faults), G_MAXINT32);
     }
 }
 
--- a/src/settings.h
+++ b/src/settings.h
@@ -2,6 +2,8 @@
 #pragma once
 #include <glib.h>
 
+#define HZB_NO_LIMIT 1e12 /* CPUs or GPUs: more than any fleet has */
+
 typedef struct
 {
   char *node, *zone, *address;
@@ -11,7 +13,7 @@
 {
   char *name;
   double cpus, gpus;         /* guarantee */
-  double cpus_max, gpus_max; /* limit */
+  double cpus_max, gpus_max; /* limit, or HZB_NO_LIMIT */
 } HzbTeam;
 
 typedef struct
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -138,6 +138,29 @@
   g_assert_cmpint (hzb_settings_team (s, "green"), ==, -1);
 }
 
+/* 0 means none: neither a guarantee nor a limit. */
+static void
+test_team_without_limit (void)
+{
+  g_autoptr (GError) error = NULL;
+  g_autofree char *text = NULL;
+  g_autoptr (HzbSettings) s = NULL;
+  const HzbTeam *team;
+  text = g_strdup ("node = \"n0\"\nsite = \"za\"\napi_addr = \"10.0.0.1:80\"\ncluster_listen = \"10.0.0.1:81\"\n"
+                   "[external]\ncloud = \"10.0.0.2:1\"\nstate = \"10.0.0.3:1\"\n[cluster]\nsize = 1\nzones = [\"za\"]\n"
+                   "[[cluster.teams]]\nname = \"red\"\ncpus = 10\ncpus_max = 20\ngpus_max = 0.0\n[[cluster.teams]]\nname = \"guest\"\n"
+                   "[cluster.workers]\nreport_s = 2\nlease_s = 16\ncancel_s = 41\n[cluster.cloud]\nrps = 4\n"
+                   "[cluster.state]\nrps = 80\nwrite_rps = 30\nvalue_kb = 16\ntxn_ops = 24\n");
+  s = hzb_settings_parse (text, "test", &error);
+  g_assert_no_error (error);
+  team = s->teams->pdata[0];
+  g_assert_cmpfloat (team->cpus_max, ==, 20);
+  g_assert_cmpfloat (team->gpus_max, ==, HZB_NO_LIMIT);
+  team = s->teams->pdata[1];
+  g_assert_cmpfloat (team->cpus, ==, 0);
+  g_assert_cmpfloat (team->cpus_max, ==, HZB_NO_LIMIT);
+}
+
 static HzbSettings *
 settings_with_next (const char *next, GError **error)
 {
@@ -154,6 +177,17 @@
 test_next_limits (void)
 {
   g_autoptr (GError) error = NULL;
+  static const struct
+  {
+    const char *line, *named;
+  } malformed[] = {
+    { "txn_ops = 2", "cluster.state.next.txn_ops: expected a number of at least 3" },
+    { "txn_ops = -5", "cluster.state.next.txn_ops" },
+    { "txn_ops = true", "cluster.state.next.txn_ops" },
+    { "value_kb = 0", "cluster.state.next.value_kb" },
+    { "write_rps = nan", "cluster.state.next.write_rps" },
+    { "rps = [1]", "cluster.state.next.rps" },
+  };
   g_autoptr (HzbSettings) none = settings_with_next ("", &error), some = NULL, higher = NULL, all = NULL;
   g_assert_no_error (error);
   g_assert_cmpfloat (none->store_value_kb, ==, 16);
@@ -175,6 +209,20 @@
   g_clear_error (&error);
   g_assert_null (settings_with_next ("next = 5\n", &error));
   g_assert_nonnull (strstr (error->message, "cluster.state.next: expected a table"));
+  for (guint i = 0; i < G_N_ELEMENTS (malformed); i++)
+    {
+      g_autofree char *table = g_strdup_printf ("[cluster.state.next]\n%s\n", malformed[i].line);
+      g_clear_error (&error);
+      g_assert_null (settings_with_next (table, &error));
+      g_assert_nonnull (strstr (error->message, malformed[i].named));
+    }
+  /* What no machine counts to is as good as no limit. */
+  g_clear_pointer (&higher, hzb_settings_free);
+  g_clear_error (&error);
+  higher = settings_with_next ("[cluster.state.next]\ntxn_ops = 1e15\nrps = 1e15\n", &error);
+  g_assert_no_error (error);
+  g_assert_cmpuint (higher->store_txn_ops, ==, 24);
+  g_assert_cmpfloat (higher->store_rps, ==, 80);
 }
 
 int
@@ -187,6 +235,7 @@
   g_test_add_func ("/wire/report", test_report);
   g_test_add_func ("/wire/large-numbers", test_large_numbers);
   g_test_add_func ("/settings/faults", test_settings_faults);
+  g_test_add_func ("/settings/team-without-limit", test_team_without_limit);
   g_test_add_func ("/settings/next-limits", test_next_limits);
   g_test_add_func ("/settings/unknown-fields", test_unknown_fields);
   return g_test_run ();
--- a/tests/test-world.c
+++ b/tests/test-world.c
@@ -219,6 +219,32 @@
     }
 }
 
+/* A team without guarantee or limit takes what others leave, beyond what any of them may use, and no more: a huge array
+ * and a swarm of single tasks beside work of teams that have a guarantee. */
+static void
+test_guest_team (void)
+{
+  for (guint32 seed = 64; seed < 68; seed++)
+    {
+      World *w = world_new (seed);
+      WorldJob *huge = world_add_job (w, 2, "guest", 200, 0.5, 40), *late;
+      huge->lane = "sweep";
+      for (guint i = 0; i < 30; i++)
+        world_add_job (w, 10 + 0.3 * i, "guest", 1, 0.5, 4)->lane = "single";
+      world_run (w, 30);
+      g_assert_cmpfloat (0.5 * world_running (w, huge, NULL), >, w->size.team_max);
+      late = world_add_job (w, 30, "red", 6, 1, 5); /* urgent, within its team's guarantee */
+      for (guint i = 0; i < 4; i++)
+        world_add_job (w, 32 + i, i % 2 ? "red" : "blue", 4, 1, 8);
+      world_run (w, 80); /* other work is stopped for it after a part of what its aim allows */
+      g_assert_true (late->told_done);
+      w->calm_at = 60;
+      world_run (w, 300);
+      expect_all_over (w, "guest team", seed);
+      world_free (w);
+    }
+}
+
 /* A cancellation while starts are on their way: told only once durable, and soon nothing of the job is left. */
 static void
 test_cancel_in_flight (void)
@@ -591,6 +617,7 @@
   g_test_add_func ("/world/notice", test_notice);
   g_test_add_func ("/world/bad-job", test_bad_job);
   g_test_add_func ("/world/all-fail-a-while", test_all_fail_a_while);
+  g_test_add_func ("/world/guest-team", test_guest_team);
   g_test_add_func ("/world/cancel-in-flight", test_cancel_in_flight);
   g_test_add_func ("/world/surprise-machine", test_surprise_machine);
   g_test_add_func ("/world/gang-loses-machine", test_gang_loses_machine);
