--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -117,6 +117,129 @@
     }
 }
 
+/* The steps of a rollout in any order: two nodes at once, one that ends before its turn and comes back old after a new one
+ * has led, a step inside an outage; with cancellations, repeats and questions all along, and a service that asks from the
+ * beginning. */
+static void
+test_rollout_at_random (void)
+{
+  for (guint32 seed = 470; seed < 486; seed++)
+    {
+      World *w = world_new (seed);
+      guint order[WORLD_NODES] = { 0, 1, 2 }, retry = 0, second = seed % 3 == 1;
+      for (guint i = 0; i < WORLD_NODES; i++)
+        set_old (w, i, TRUE);
+      for (guint i = WORLD_NODES - 1; i > 0; i--)
+        {
+          guint k = (guint) g_rand_int_range (w->rand, 0, (gint32) i + 1), swap = order[i];
+          order[i] = order[k];
+          order[k] = swap;
+        }
+      for (guint i = 0; i < 16; i++)
+        world_add_job (w, 1 + 3 * i, i % 2 ? "red" : "blue", 1 + i % 7, 1.5, 15)->wants_cancel = i % 3 == 1;
+      add_service (w, 8, "red", 3, 1, 120);
+      world_run (w, 14);
+      g_assert_cmpuint (submit_service (w, 0, 50, "blue", 2, 1, "0", &retry), ==, 503);
+      g_assert_cmpuint (retry, >, 0);
+      for (guint i = 0; i < WORLD_NODES; i++)
+        {
+          w->outage = seed % 4 == 2 && i == 1;
+          set_old (w, order[i], FALSE);
+          if (second && i == 0)
+            set_old (w, order[++i], FALSE); /* two at once */
+          world_run (w, w->now + g_rand_double_range (w->rand, 1, 5));
+          w->outage = FALSE;
+          world_run (w, w->now + g_rand_double_range (w->rand, 5, 9));
+          if (i + 1 < WORLD_NODES && seed % 2)
+            {
+              int leader = world_leader (w);
+              set_old (w, order[WORLD_NODES - 1], TRUE); /* old once more, whoever led meanwhile */
+              if (leader >= 0 && !w->nodes[leader].old)
+                set_old (w, (guint) leader, FALSE); /* and then leads, perhaps */
+              world_run (w, w->now + 8);
+              g_assert_cmpint (hzb_election_format (w->nodes[order[0]].c->election), ==, 1);
+            }
+        }
+      world_run (w, w->now + 12);
+      for (guint i = 0; i < WORLD_NODES; i++)
+        g_assert_cmpint (hzb_election_format (w->nodes[i].c->election), ==, 2);
+      w->calm_at = w->now;
+      world_run (w, 300);
+      g_assert_cmpuint (w->refused_services, >, 0);
+      expect_all_over (w, "rollout at random", seed);
+      world_free (w);
+    }
+}
+
+typedef enum
+{
+  FALL_AT_TAKEOVER,
+  FALL_AT_HAND_OVER,
+  FALL_AT_A_STEP,
+  FALL_AFTER_A_RESTART,
+  FALL_N
+} Fall;
+
+/* The limits fall to 2 KiB and 5 changes, and the rate to a third, at the worst moments. Nothing that is sent since the
+ * start is larger, so nothing is refused; services, a large job and machines on many pages go on. */
+static void
+test_limits_fall (void)
+{
+  for (guint32 seed = 490; seed < 490 + 2 * FALL_N; seed++)
+    {
+      WorldSize size = world_size_little;
+      World *w;
+      Fall fall = (Fall) (seed % FALL_N);
+      size.txn_ops = 24;
+      size.next_txn_ops = 5;
+      size.next_write_rps = 20;
+      w = world_new_sized (seed, &size);
+      world_add_job (w, 1, "red", 900, 0.25, 5)->lane = "large";
+      for (guint i = 0; i < 24; i++)
+        world_add_job (w, 1 + 1.5 * i, i % 2 ? "red" : "blue", 1 + i % 5, 1, 8)->wants_cancel = i % 4 == 3;
+      add_service (w, 6, "blue", 3, 1, 120);
+      if (fall == FALL_AT_A_STEP)
+        for (guint i = 0; i < WORLD_NODES; i++)
+          set_old (w, i, TRUE);
+      world_run (w, 25);
+      if (fall == FALL_AT_TAKEOVER)
+        {
+          world_crash (w, (guint) MAX (world_leader (w), 0));
+          world_run (w, 25 + g_rand_double_range (w->rand, 3.5, 6));
+        }
+      else if (fall == FALL_AT_HAND_OVER)
+        run_until (w, HZB_MACHINE_LENT);
+      else if (fall == FALL_AT_A_STEP)
+        {
+          set_old (w, 0, FALSE);
+          set_old (w, 1, FALSE);
+          world_run (w, 25 + g_rand_double_range (w->rand, 3, 7));
+        }
+      else
+        {
+          for (guint i = 0; i < WORLD_NODES; i++)
+            world_crash (w, i);
+          start_all (w, NULL);
+          world_run (w, 25 + g_rand_double_range (w->rand, 0, 3));
+        }
+      w->most_value = 2048;
+      w->most_changes = 5;
+      w->write_rate = 20;
+      start_all (w, NULL);
+      for (guint i = 0; i < WORLD_NODES; i++)
+        if (w->nodes[i].old)
+          set_old (w, i, FALSE);
+      world_run (w, 60);
+      crash_one (w, NULL);
+      world_run (w, 66);
+      start_all (w, NULL);
+      w->calm_at = 80;
+      world_run (w, 420);
+      expect_all_over (w, "limits fall", seed);
+      world_free (w);
+    }
+}
+
 /* What version 1 wrote is read and, where it is too large, written anew in small pages, with no moment at which a node
  * that starts would read less. */
 static void
@@ -221,6 +344,8 @@
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
   g_test_add_func ("/world/rollout", test_rollout);
   g_test_add_func ("/world/rollout-and-troubles", test_rollout_and_troubles);
+  g_test_add_func ("/world/rollout-at-random", test_rollout_at_random);
+  g_test_add_func ("/world/limits-fall", test_limits_fall);
   g_test_add_func ("/world/malformed", test_malformed);
   g_test_add_func ("/world/large-records", test_large_records);
   return g_test_run ();
