--- a/src/controller.c
+++ b/src/controller.c
@@ -475,18 +475,24 @@
              up, lent, cpus, held, running, spare, booting, booting_cpus, other, waiting, c->dispatch->lag_s * 1e3);
 }
 
+/* A task waits only for machines that could have been told to start it: a replica, say, for no spot machine. */
 static void
 resolve_unknown (HzbController *c)
 {
   if (c->hold != HZB_HOLD_RECOVERING && !hzb_jobs_any_unknown (c->jobs))
     return;
   for (guint block = 0; block <= c->settings->peers->len; block++)
-    if (hzb_machines_all_heard (c->machines, block))
-      {
-        hzb_jobs_resolve_unknown (c->jobs, block);
-        if (block == HZB_SUSPECT_OF_LEADER && c->hold == HZB_HOLD_RECOVERING)
-          set_hold (c, HZB_HOLD_FULL, "every machine has answered or is gone");
-      }
+    {
+      g_autoptr (GPtrArray) unheard = hzb_machines_unheard_kinds (c->machines, block);
+      for (guint i = 0; i < c->jobs->active->len; i++)
+        {
+          HzbJob *job = c->jobs->active->pdata[i];
+          if (job->unknown && !hzb_job_may_be_unheard (job, unheard))
+            hzb_job_resolve_unknown (c->jobs, job, block);
+        }
+      if (block == HZB_SUSPECT_OF_LEADER && c->hold == HZB_HOLD_RECOVERING && !unheard->len)
+        set_hold (c, HZB_HOLD_FULL, "every machine has answered or is gone");
+    }
 }
 
 static void
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -484,18 +484,14 @@
 }
 
 void
-hzb_jobs_resolve_unknown (HzbJobs *jobs, guint lessee)
+hzb_job_resolve_unknown (HzbJobs *jobs, HzbJob *job, guint lessee)
 {
-  for (guint i = 0; i < jobs->active->len; i++)
-    {
-      HzbJob *job = jobs->active->pdata[i];
-      for (guint k = 0; job->unknown && k < job->n_tasks; k++)
-        if (job->tasks[k].state == HZB_TASK_UNKNOWN && job->tasks[k].lessee == lessee)
-          {
-            hzb_task_set_state (jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
-            job->tasks[k].lessee = 0;
-          }
-    }
+  for (guint k = 0; job->unknown && k < job->n_tasks; k++)
+    if (job->tasks[k].state == HZB_TASK_UNKNOWN && job->tasks[k].lessee == lessee)
+      {
+        hzb_task_set_state (jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
+        job->tasks[k].lessee = 0;
+      }
 }
 
 /* ---- run times ---- */
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -151,9 +151,9 @@
 gboolean hzb_job_read_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const cJSON *value, gboolean *ours);
 cJSON *hzb_job_pack_progress (const HzbJobs *jobs, const HzbJob *job, guint chunk);
 guint hzb_job_chunks (const HzbJobs *jobs, const HzbJob *job);
-/* Every machine that might hold them has answered or is gone: unknown tasks of a leader before us (0), or of the block
- * of a lessee that was taken back (1 and up), wait again. */
-void hzb_jobs_resolve_unknown (HzbJobs *jobs, guint lessee);
+/* Every machine that might hold them has answered or is gone: a job's unknown tasks of a leader before us (0), or of the
+ * block of a lessee that was taken back (1 and up), wait again. */
+void hzb_job_resolve_unknown (HzbJobs *jobs, HzbJob *job, guint lessee);
 gboolean hzb_jobs_any_unknown (HzbJobs *jobs);
 
 gboolean hzb_task_set_state (HzbJobs *jobs, HzbTask *task, HzbTaskState to, HzbMachine *machine);
--- a/src/machines.c
+++ b/src/machines.c
@@ -313,11 +313,18 @@
   return m->last_failed_job && g_str_equal (m->last_failed_job, job->uid) && hzb_time_between (m->last_failure, now) < AVOID_S;
 }
 
+/* By type, zone and kind, which is the same for every controller of every version. */
+static gboolean
+is_of_allowed_kind (const HzbMachine *m, const HzbSpec *spec)
+{
+  return m->type && hzb_type_holds (m->type, spec) && (spec->spot || !m->spot)
+         && (!spec->zone || g_str_equal (spec->zone, m->zone));
+}
+
 gboolean
 hzb_machine_allowed (const HzbMachine *m, const HzbSpec *spec)
 {
-  return m->type && hzb_type_holds (m->type, spec) && (spec->spot || !m->spot) && (spec->service || !m->kept)
-         && (!spec->zone || g_str_equal (spec->zone, m->zone));
+  return is_of_allowed_kind (m, spec) && (spec->service || !m->kept);
 }
 
 gboolean
@@ -358,15 +365,48 @@
   m->stale_estimate = TRUE;
 }
 
-gboolean
-hzb_machines_all_heard (const HzbMachines *machines, guint suspect)
+static gboolean
+is_unheard (const HzbMachine *m)
+{
+  return m->state == HZB_MACHINE_UNHEARD || (m->state == HZB_MACHINE_RETURNING && !m->confirmed && m->recorded);
+}
+
+static gboolean
+same_kind (const HzbMachine *a, const HzbMachine *b)
+{
+  return a->type == b->type && a->spot == b->spot && g_str_equal (a->zone, b->zone);
+}
+
+/* One for each kind is enough: there are few kinds, and many machines and jobs. */
+GPtrArray *
+hzb_machines_unheard_kinds (const HzbMachines *machines, guint suspect)
 {
+  GPtrArray *kinds = g_ptr_array_new ();
   for (guint i = 0; i < machines->all->len; i++)
     {
-      const HzbMachine *m = machines->all->pdata[i];
-      if (m->suspect == suspect
-          && (m->state == HZB_MACHINE_UNHEARD || (m->state == HZB_MACHINE_RETURNING && !m->confirmed && m->recorded)))
-        return FALSE;
+      HzbMachine *m = machines->all->pdata[i];
+      gboolean known = FALSE;
+      if (m->suspect != suspect || !is_unheard (m))
+        continue;
+      for (guint k = 0; k < kinds->len && !known; k++)
+        known = same_kind (m, kinds->pdata[k]);
+      if (!known)
+        g_ptr_array_add (kinds, m);
     }
-  return TRUE;
+  return kinds;
+}
+
+gboolean
+hzb_job_may_be_unheard (const HzbJob *job, const GPtrArray *unheard_kinds)
+{
+  /* Of a job that is over the records need not say where it might run. */
+  if (job->state != HZB_JOB_ACCEPTED)
+    return unheard_kinds->len > 0;
+  for (guint i = 0; i < unheard_kinds->len; i++)
+    {
+      const HzbMachine *m = unheard_kinds->pdata[i];
+      if (!m->type || is_of_allowed_kind (m, job->spec))
+        return TRUE;
+    }
+  return FALSE;
 }
--- a/src/machines.h
+++ b/src/machines.h
@@ -120,5 +120,8 @@
 /* Its tasks are gone for certain: they go back to waiting. Its list is emptied too. */
 void hzb_machine_lose_tasks (HzbJobs *jobs, HzbMachine *machine);
 void hzb_machine_empty_lists (HzbJobs *jobs, HzbMachine *machine);
-/* Every machine that may hold unknown tasks of this block has answered under our token or is gone. */
-gboolean hzb_machines_all_heard (const HzbMachines *machines, guint suspect);
+/* Of the machines that may hold unknown tasks of this block, and have neither answered under our token nor are gone, one
+ * (HzbMachine) of each type, zone and kind. */
+GPtrArray *hzb_machines_unheard_kinds (const HzbMachines *machines, guint suspect);
+/* One of these may hold an unknown task of the job: it could have been started there. */
+gboolean hzb_job_may_be_unheard (const HzbJob *job, const GPtrArray *unheard_kinds);
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -212,7 +212,8 @@
   g_assert_cmpuint (again->unknown, ==, 34);
   g_assert_cmpuint (again->pending, ==, 8);
   g_assert_cmpfloat (after.block->cpus[0], ==, 34);
-  hzb_jobs_resolve_unknown (after.jobs, 0);
+  for (guint i = 0; i < after.jobs->active->len; i++)
+    hzb_job_resolve_unknown (after.jobs, after.jobs->active->pdata[i], 0);
   g_assert_cmpuint (again->unknown, ==, 0);
   g_assert_cmpfloat (after.block->cpus[0], ==, 0);
   cJSON_Delete (value);
--- a/tests/test-services.c
+++ b/tests/test-services.c
@@ -376,6 +376,54 @@
     }
 }
 
+/* The leader ends just after it has released a service's replicas, and spot machines can't be reached from then on: the next
+ * leader waits for ordinary ones only, since the service may run on no other. What may run on spot machines waits for those. */
+static void
+test_takeover_waits_for_allowed_kinds (void)
+{
+  for (guint32 seed = 550; seed < 558; seed++)
+    {
+      World *w = world_new (seed);
+      WorldJob *service, *batch = world_add_job (w, 1, "blue", 10, 1, 200);
+      HzbController *c;
+      HzbJob *known = NULL;
+      guint leader;
+      double since;
+      add_service (w, 2, "red", 3, 1, 400); /* so that there are ordinary machines */
+      world_run (w, 40);
+      service = add_service (w, 40, "red", 4, 1, 400);
+      leader = (guint) world_leader (w);
+      c = w->nodes[leader].c;
+      while (!known || !known->released)
+        {
+          world_run (w, w->now + 0.05);
+          known = hzb_jobs_find (c->jobs, service->uid);
+        }
+      world_crash (w, leader);
+      for (guint i = 0; i < w->machines->len; i++)
+        {
+          WorldMachine *m = w->machines->pdata[i];
+          m->cut = m->spot;
+        }
+      since = w->now;
+      while (world_leader (w) < 0 || w->nodes[world_leader (w)].c->hold < HZB_HOLD_RECOVERING)
+        world_run (w, w->now + 0.1);
+      since = w->now;
+      world_run (w, since + 8); /* workers give a leader up after 4 s */
+      g_assert_cmpuint (world_running (w, service, NULL), ==, 4);
+      c = w->nodes[world_leader (w)].c;
+      g_assert_cmpint (c->hold, ==, HZB_HOLD_RECOVERING);
+      g_assert_cmpuint (hzb_jobs_find (c->jobs, batch->uid)->unknown, >, 0);
+      world_start (w, leader);
+      world_run (w, w->now + 5);
+      for (guint i = 0; i < w->machines->len; i++)
+        ((WorldMachine *) w->machines->pdata[i])->cut = FALSE;
+      world_run (w, 600);
+      expect_all_over (w, "takeover waits for allowed kinds", seed);
+      world_free (w);
+    }
+}
+
 int
 main (int argc, char **argv)
 {
@@ -393,5 +441,6 @@
   g_test_add_func ("/world/zone-of-service-goes", test_zone_of_service_goes);
   g_test_add_func ("/world/service-in-one-zone", test_service_in_one_zone);
   g_test_add_func ("/world/replicas-end-at-once", test_replicas_end_at_once);
+  g_test_add_func ("/world/takeover-waits-for-allowed-kinds", test_takeover_waits_for_allowed_kinds);
   return g_test_run ();
 }
