--- a/src/api.c
+++ b/src/api.c
@@ -23,7 +23,8 @@
   HzbExchange *exchange;
   char *uid;
   Ask ask;
-  char *refusal;   /* ASK_SUBMITTED: why it can't run, if it is not known */
+  char *refusal;   /* ASK_SUBMITTED: why it is not taken, if it is not known */
+  guint refusal_status;
   struct timespec deadline;
 } Check;
 
@@ -241,7 +242,7 @@
 settle_unknown (HzbApi *api, Check *check)
 {
   if (check->ask == ASK_SUBMITTED && check->refusal)
-    hzb_exchange_reply (check->exchange, 422, hzb_wire_error (check->refusal), 0);
+    hzb_exchange_reply (check->exchange, check->refusal_status, hzb_wire_error (check->refusal), 0);
   else if (check->ask == ASK_SUBMITTED)
     unable (check->exchange, "not decided"); /* a write without an answer may still come */
   else
@@ -433,7 +434,7 @@
 }
 
 static void
-add_check (HzbApi *api, HzbExchange *exchange, const char *uid, Ask ask, const char *refusal)
+add_check (HzbApi *api, HzbExchange *exchange, const char *uid, Ask ask, const char *refusal, guint refusal_status)
 {
   Check *check;
 
@@ -449,6 +450,7 @@
     }
   check = check_new (exchange, uid, ask);
   check->refusal = g_strdup (refusal);
+  check->refusal_status = refusal_status;
   check->deadline = hzb_time_plus (hzb_clock_now (api->c->clock), 3);
   if (!hzb_jobs_find (api->c->jobs, uid))
     {
@@ -674,7 +676,7 @@
       if (job->state != HZB_JOB_ACCEPTED)
         tell (api, check_new (exchange, spec->uid, ASK_SUBMITTED), job);
       else
-        add_check (api, exchange, spec->uid, ASK_SUBMITTED, NULL);
+        add_check (api, exchange, spec->uid, ASK_SUBMITTED, NULL, 0);
       return;
     }
   if (!hzb_controller_ready (c) || !c->machines->types || hzb_controller_store_silent (c))
@@ -682,10 +684,15 @@
       unable (exchange, "not ready yet");
       return;
     }
+  /* A repeat of an accepted job must not be refused, whatever has changed since; the version before took any estimate. */
+  if (spec->service && spec->estimate_s > 0)
+    {
+      add_check (api, exchange, spec->uid, ASK_SUBMITTED, "expectS: expected 0 for standing jobs", 400);
+      return;
+    }
   if ((refusal = never_runs (c, spec)))
     {
-      /* A repeat of an accepted job must not be refused, whatever has changed since. */
-      add_check (api, exchange, spec->uid, ASK_SUBMITTED, refusal);
+      add_check (api, exchange, spec->uid, ASK_SUBMITTED, refusal, 422);
       return;
     }
   /* A version 1 would take a replica that ends for a task that is done. */
@@ -727,7 +734,7 @@
   else if (job && job->state != HZB_JOB_ACCEPTED)
     tell (api, check_new (exchange, uid, ask), job);
   else
-    add_check (api, exchange, uid, ask, NULL);
+    add_check (api, exchange, uid, ask, NULL, 0);
 }
 
 void
--- a/tests/test-services.c
+++ b/tests/test-services.c
@@ -103,6 +103,30 @@
     }
 }
 
+/* What is wrong with a service gets its documented answer and is never accepted, on this node. */
+static void
+expect_refusals (World *w, guint node, guint uid)
+{
+  static const struct
+  {
+    const char *field, *value;
+    guint status;
+  } wrong[] = {
+    { "expectS", "5", 400 },           { "expectS", NULL, 400 },       { "pieces", "0", 400 },
+    { "pieces", "1.5", 400 },          { "shape", "\"standin\"", 400 }, { "urgency", NULL, 400 },
+    { "spread", "1", 400 },            { "flavors", "7", 400 },        { "flavors", "[\"huge\"]", 422 },
+    { "yard", "\"nowhere\"", 422 },  { "owner", "\"nobody\"", 422 }, { "pieces", "25", 422 },
+    { "cpus", "9", 422 },              { "gpus", "1", 422 },
+  };
+  for (guint i = 0; i < G_N_ELEMENTS (wrong); i++, uid++)
+    {
+      g_autofree char *path = g_strdup_printf ("/api/jobs/run-%06u", uid);
+      g_assert_cmpuint (submit_changed (w, node, uid, wrong[i].field, wrong[i].value), ==, wrong[i].status);
+      g_assert_nonnull (strstr (last_body, "\"error\""));
+      g_assert_cmpuint (ask (w, (node + 1) % WORLD_NODES, "GET", path, "", NULL), ==, 404);
+    }
+}
+
 /* Odd requests get their answer and are never accepted, on every node. */
 static void
 test_odd_requests (void)
@@ -117,6 +141,7 @@
   for (guint node = 0; node < WORLD_NODES; node++)
     {
       guint uid = 10 * (node + 1);
+      expect_refusals (w, node, 200 + 100 * node);
       g_assert_cmpuint (submit_service (w, node, uid, "red", 30, 1, "0", NULL), ==, 422); /* all replicas: over the limit of 24 */
       g_assert_cmpuint (submit_service (w, node, uid + 1, "red", 2, 20, "0", NULL), ==, 422); /* fits no machine */
       g_assert_cmpuint (submit_service (w, node, uid + 2, "nobody", 2, 1, "0", NULL), ==, 422);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -308,6 +308,51 @@
     }
 }
 
+/* What the version in production wrote (format 2, commit 0357c99), as its code writes it: a service that it took with an
+ * estimate goes on, a repeat of it is known, a job that was half done is finished, one that is over stays so. */
+static void
+test_records_of_production (void)
+{
+  static const char *const records[][2] = {
+    { "hzb/a/accepted/main/node-1-0a0b0c0d0e0f1011-1",
+      "{\"run-000777\":{\"state\":\"accepted\",\"at\":5.25,\"spec\":{\"uid\":\"run-000777\",\"lane\":\"web\",\"owner\":\"red\","
+      "\"shape\":\"standing\",\"urgency\":\"production\",\"pieces\":2,\"cpus\":1,\"gpus\":0,\"ramGb\":1,\"bundle\":\"img\","
+      "\"sizeGb\":0.5,\"samePlace\":false,\"spread\":true,\"loaners\":false,\"expectS\":5,\"snapshotEveryS\":0,\"snapshotS\":0}}}" },
+    { "hzb/a/jobs/main/run-000778", "{\"state\":\"cancelled\",\"n\":3}" },
+    { "hzb/o/ended/main/run-000779", "{\"state\":\"done\",\"n\":4}" },
+    { "hzb/a/term", "{\"term\":7,\"node\":\"node-1\"}" },
+    { "hzb/a/format", "{\"format\":2}" },
+    { "hzb/a/leader", "{\"node\":\"(none of version 1)\",\"term\":5}" },
+    { "hzb/x/flush", "{\"n\":31,\"term\":7,\"clear\":212}" },
+    { "hzb/x/machines/000002", "{\"i-900001\":{\"type\":\"big\",\"zone\":\"za\",\"spot\":false,\"at\":5}}" },
+    { "hzb/x/progress/main/000001", "{\"run-000777/0\":{\"released\":2,\"team\":\"red\",\"cpus\":1,\"gpus\":0}}" },
+  };
+  World *w = world_new (465);
+  const HzbJob *service;
+  for (guint i = 0; i < WORLD_NODES; i++)
+    world_crash (w, i);
+  for (guint i = 0; i < G_N_ELEMENTS (records); i++)
+    world_put_record (w, records[i][0], records[i][1]);
+  start_all (w, NULL);
+  world_run (w, 60);
+  for (guint i = 0; i < WORLD_NODES; i++)
+    {
+      g_assert_cmpint (hzb_election_format (w->nodes[i].c->election), ==, 2);
+      g_assert_cmpuint (submit_service (w, i, 777, "red", 2, 1, "5", NULL), ==, 200);
+      g_assert_cmpuint (submit_service (w, i, 778, "red", 2, 1, "0", NULL), ==, 200);
+      g_assert_nonnull (strstr (last_body, "cancelled"));
+      g_assert_cmpuint (ask (w, i, "GET", "/api/jobs/run-000779", "", NULL), ==, 200);
+      g_assert_nonnull (strstr (last_body, "done"));
+      g_assert_cmpuint (submit_service (w, i, 780, "red", 2, 1, "5", NULL), ==, 400);
+    }
+  g_assert_cmpint (world_leader (w), !=, -1);
+  service = hzb_jobs_find (w->nodes[world_leader (w)].c->jobs, "run-000777");
+  g_assert_cmpuint (service->placed, ==, 2);
+  g_assert_cmpuint (ask (w, 0, "POST", "/api/jobs/run-000777/cancel", "", NULL), ==, 200);
+  expect_no_fault (w, "records of production", 465);
+  world_free (w);
+}
+
 /* The state service calls every larger value malformed, also beyond what the settings say: the node neither loops nor
  * stops serving, and goes on once it can. */
 static void
@@ -346,6 +391,7 @@
   g_test_add_func ("/world/rollout-and-troubles", test_rollout_and_troubles);
   g_test_add_func ("/world/rollout-at-random", test_rollout_at_random);
   g_test_add_func ("/world/limits-fall", test_limits_fall);
+  g_test_add_func ("/world/records-of-production", test_records_of_production);
   g_test_add_func ("/world/malformed", test_malformed);
   g_test_add_func ("/world/large-records", test_large_records);
   return g_test_run ();
--- a/tests/troubles.c
+++ b/tests/troubles.c
@@ -230,3 +230,17 @@
   g_autofree char *body = g_strdup_printf (standing, uid, team, n, cpus, expect);
   return ask (w, node, "POST", "/api/jobs", body, retry);
 }
+
+guint
+submit_changed (World *w, guint node, guint uid, const char *field, const char *value)
+{
+  g_autofree char *body = g_strdup_printf (standing, uid, "red", 2, 1.0, "0");
+  g_autofree char *text = NULL;
+  cJSON *root = cJSON_Parse (body);
+  cJSON_DeleteItemFromObject (root, field);
+  if (value)
+    cJSON_AddRawToObject (root, field, value);
+  text = cJSON_PrintUnformatted (root);
+  cJSON_Delete (root);
+  return ask (w, node, "POST", "/api/jobs", text, NULL);
+}
--- a/tests/troubles.h
+++ b/tests/troubles.h
@@ -23,3 +23,5 @@
 /* A user's request to one node; the world runs on for 3 s. retry: its Retry-After, or NULL. */
 guint ask (World *w, guint node, const char *method, const char *path, const char *body, guint *retry);
 guint submit_service (World *w, guint node, guint uid, const char *team, guint n, double cpus, const char *expect, guint *retry);
+/* A service of two replicas with one field changed; value NULL: without the field. */
+guint submit_changed (World *w, guint node, guint uid, const char *field, const char *value);
