--- a/src/admin.c
+++ b/src/admin.c
@@ -63,8 +63,8 @@
   c->dispatch->h = v[0];
   c->dispatch->sample = (guint) v[1];
   c->dispatch->list_ahead_s = v[2];
-  c->fleet->idle_s = v[3];
-  c->fleet->patience = v[4];
+  c->autoscaler->idle_s = v[3];
+  c->autoscaler->patience = v[4];
   c->lease_blocks = v[5] >= 0.5;
   if (value)
     g_message ("the operators' settings of revision %" G_GUINT64_FORMAT " apply", version);
@@ -74,7 +74,7 @@
 pack_settings (HzbController *c)
 {
   const double v[G_N_ELEMENTS (settings)] = { c->dispatch->h,      c->dispatch->sample, c->dispatch->list_ahead_s,
-                                              c->fleet->idle_s, c->fleet->patience,     c->lease_blocks };
+                                              c->autoscaler->idle_s, c->autoscaler->patience,     c->lease_blocks };
   cJSON *root = cJSON_CreateObject (), *list;
   hzb_json_add_u64 (root, "version", c->settings_version);
   list = cJSON_AddObjectToObject (root, "settings");
@@ -121,16 +121,16 @@
 change_settings (HzbController *c, HzbExchange *exchange)
 {
   cJSON *root = cJSON_ParseWithLength (exchange->body, exchange->length);
-  const cJSON *wanted = cJSON_GetObjectItemCaseSensitive (root, "settings"), *item;
+  const cJSON *demanded_units = cJSON_GetObjectItemCaseSensitive (root, "settings"), *item;
   const cJSON *version = cJSON_GetObjectItemCaseSensitive (root, "version");
   cJSON *packed = pack_settings (c), *value = cJSON_DetachItemFromObject (packed, "settings"), *txn;
   g_autofree char *fault = NULL;
   Change *change;
 
   cJSON_Delete (packed);
-  if (!cJSON_IsObject (wanted) || !cJSON_IsNumber (version))
+  if (!cJSON_IsObject (demanded_units) || !cJSON_IsNumber (version))
     fault = g_strdup ("expected {\"version\": the one read, \"settings\": {…}}");
-  cJSON_ArrayForEach (item, wanted)
+  cJSON_ArrayForEach (item, demanded_units)
     {
       const Setting *known = NULL;
       for (guint i = 0; i < G_N_ELEMENTS (settings); i++)
@@ -191,7 +191,7 @@
   for (guint i = 0; i < c->settings->peers->len; i++)
     {
       const char *node = ((HzbPeer *) c->settings->peers->pdata[i])->node;
-      if (hzb_peers_silent (c->peers, node))
+      if (hzb_peers_unreachable (c->peers, node))
         cJSON_AddNullToObject (formats, node);
       else
         cJSON_AddNumberToObject (formats, node, hzb_peers_format (c->peers, node));
@@ -215,7 +215,7 @@
       cJSON_AddNumberToObject (item, "tasks", m->tasks->len);
       cJSON_AddNumberToObject (item, "listed", hzb_machine_listed (m));
       cJSON_AddNumberToObject (item, "cpusUsed", m->cpus);
-      cJSON_AddBoolToObject (item, "toBeReturned", m->wanted_back);
+      cJSON_AddBoolToObject (item, "toBeReturned", m->to_be_returned);
       cJSON_AddItemToArray (list, item);
     }
   return root;
@@ -260,14 +260,14 @@
   cJSON_AddNumberToObject (item, "tasks", job->n_tasks);
   if (job->tasks)
     {
-      cJSON_AddStringToObject (item, "class", job->spec->lane);
+      cJSON_AddStringToObject (item, "class", job->spec->job_class);
       cJSON_AddStringToObject (item, "team", job->spec->team);
       cJSON_AddNumberToObject (item, "waiting", job->pending + job->listed);
       cJSON_AddNumberToObject (item, "placed", job->placed);
       cJSON_AddNumberToObject (item, "unknown", job->unknown);
       cJSON_AddNumberToObject (item, "finished", job->finished);
       cJSON_AddNumberToObject (item, "done", job->done);
-      cJSON_AddNumberToObject (item, "servedAs", job->class);
+      cJSON_AddNumberToObject (item, "servedAs", job->level);
       cJSON_AddNumberToObject (item, "failuresInARow", job->failures);
     }
   return item;
@@ -299,7 +299,7 @@
       return;
     }
   /* It takes no new tasks and goes back once it is empty; on record, so that a new leader does the same. */
-  m->wanted_back = m->drain = TRUE;
+  m->to_be_returned = m->drain = TRUE;
   m->recorded = m->recording = FALSE;
   hzb_records_flush_soon (c->records);
   g_message ("machine %s: an operator wants it drained", m->name);
@@ -336,7 +336,7 @@
   };
   const char *what = exchange->path + strlen (PREFIX);
   gboolean get = g_str_equal (exchange->method, "GET");
-  gboolean holds = c->hold >= HZB_HOLD_RECOVERING && hzb_election_leading (c->election);
+  gboolean holds = c->ownership >= HZB_OWNERSHIP_RECOVERING && hzb_election_leading (c->election);
 
   if (!g_str_has_prefix (exchange->path, PREFIX))
     return FALSE;
--- a/src/fleet.c
+++ b/src/autoscaler.c
@@ -1,6 +1,6 @@
-#include "fleet.h"
+#include "autoscaler.h"
 
-#include "keep.h"
+#include "headroom.h"
 
 #include <math.h>
 #include <string.h>
@@ -30,12 +30,12 @@
   gboolean services; /* room kept for replicas, on machines that the cloud doesn't take back */
   GArray *parts; /* Part */
   double memory_per_cpu;
-} Need;
+} Demand;
 
-HzbFleet *
-hzb_fleet_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings)
+HzbAutoscaler *
+hzb_autoscaler_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings)
 {
-  HzbFleet *f = g_new0 (HzbFleet, 1);
+  HzbAutoscaler *f = g_new0 (HzbAutoscaler, 1);
   f->jobs = jobs;
   f->machines = machines;
   f->settings = settings;
@@ -46,7 +46,7 @@
 }
 
 void
-hzb_fleet_free (HzbFleet *f)
+hzb_autoscaler_free (HzbAutoscaler *f)
 {
   g_hash_table_unref (f->refused);
   g_free (f);
@@ -59,7 +59,7 @@
 }
 
 void
-hzb_fleet_refused (HzbFleet *f, const HzbRental *rental, struct timespec now)
+hzb_autoscaler_note_refused (HzbAutoscaler *f, const HzbRental *rental, struct timespec now)
 {
   char *name = offer_name (rental->type, rental->zone, rental->spot);
   Refusal *refusal = g_hash_table_lookup (f->refused, name);
@@ -74,17 +74,17 @@
 }
 
 void
-hzb_fleet_granted (HzbFleet *f, const HzbRental *rental)
+hzb_autoscaler_note_granted (HzbAutoscaler *f, const HzbRental *rental)
 {
   g_autofree char *name = offer_name (rental->type, rental->zone, rental->spot);
   g_hash_table_remove (f->refused, name);
 }
 
 static void
-need_free (gpointer data)
+demand_free (gpointer data)
 {
-  g_free (((Need *) data)->name);
-  g_array_unref (((Need *) data)->parts);
+  g_free (((Demand *) data)->name);
+  g_array_unref (((Demand *) data)->parts);
   g_free (data);
 }
 
@@ -92,20 +92,20 @@
 by_choice (gconstpointer a, gconstpointer b)
 {
   /* What fits fewer machines is served first: what is rented for it can serve the others too. */
-  const Need *x = *(Need *const *) a, *y = *(Need *const *) b;
+  const Demand *x = *(Demand *const *) a, *y = *(Demand *const *) b;
   return (int) strlen (y->name) - (int) strlen (x->name);
 }
 
 /* Within what time from now all of a job's tasks should have been started. */
 static double
-start_within_s (HzbFleet *f, const HzbJob *job, struct timespec now)
+start_within_s (HzbAutoscaler *f, const HzbJob *job, struct timespec now)
 {
   double slack = hzb_job_slack_s (f->settings, job, now, NULL);
   return CLAMP (f->patience * slack, 10, 150);
 }
 
 static char *
-types_holding (HzbFleet *f, const HzbSpec *spec)
+types_holding (HzbAutoscaler *f, const HzbSpec *spec)
 {
   GString *names = g_string_new (NULL);
   for (guint t = 0; f->machines->types && t < f->machines->types->len; t++)
@@ -116,7 +116,7 @@
 
 /* All tasks of the job go to one zone: the one that has most machines for it, or else the first that could. */
 static const char *
-zone_for (HzbFleet *f, const HzbSpec *spec)
+zone_for (HzbAutoscaler *f, const HzbSpec *spec)
 {
   const char *best = NULL;
   double most = -1;
@@ -132,7 +132,7 @@
           for (guint k = 0; k < f->machines->all->len; k++)
             {
               const HzbMachine *m = f->machines->all->pdata[k];
-              if (m->type && !m->wanted_back && g_str_equal (m->zone, type->zones[z]) && hzb_type_holds (m->type, spec))
+              if (m->type && !m->to_be_returned && g_str_equal (m->zone, type->zones[z]) && hzb_type_holds (m->type, spec))
                 cpus += m->type->cpus;
             }
           if (cpus > most)
@@ -149,7 +149,7 @@
 static guint
 leaving (const HzbJob *job)
 {
-  guint n = MIN (job->lent_leaving, job->placed);
+  guint n = MIN (job->delegated_leaving, job->placed);
   for (guint k = 0; job->placed && k < job->n_tasks; k++)
     n += hzb_task_on_machine (&job->tasks[k]) && job->tasks[k].machine->spare;
   return MIN (n, job->placed);
@@ -157,31 +157,31 @@
 
 /* Replicas never end: the room that they take is taken for good, and a little more is kept. */
 static void
-add_services (HzbFleet *f, GPtrArray *all)
+add_services (HzbAutoscaler *f, GPtrArray *all)
 {
-  HzbKeep keep = hzb_keep_plan (f->jobs, f->machines);
-  g_autofree char *types = keep.spec ? types_holding (f, keep.spec) : NULL;
+  HzbHeadroom headroom = hzb_headroom_plan (f->jobs, f->machines);
+  g_autofree char *types = headroom.spec ? types_holding (f, headroom.spec) : NULL;
 
-  for (guint z = 0; z < keep.n_zones; z++)
+  for (guint z = 0; z < headroom.n_zones; z++)
     {
-      Need *need = g_new0 (Need, 1);
-      Part part = { 0, keep.zones[z].placed + keep.zones[z].waiting + keep.zones[z].free, 0, keep.spec->cpus };
-      need->spec = keep.spec;
-      need->zone = keep.zones[z].zone;
-      need->name = g_strdup_printf ("%s@%s!ordinary!services", types, need->zone);
-      need->services = TRUE;
-      need->parts = g_array_new (FALSE, FALSE, sizeof (Part));
-      if (keep.spec->cpus > 0)
-        need->memory_per_cpu = keep.spec->memory_gb / keep.spec->cpus;
-      g_array_append_val (need->parts, part);
-      g_ptr_array_add (all, need);
+      Demand *demand = g_new0 (Demand, 1);
+      Part part = { 0, headroom.zones[z].placed + headroom.zones[z].waiting + headroom.zones[z].free, 0, headroom.spec->cpus };
+      demand->spec = headroom.spec;
+      demand->zone = headroom.zones[z].zone;
+      demand->name = g_strdup_printf ("%s@%s!ordinary!services", types, demand->zone);
+      demand->services = TRUE;
+      demand->parts = g_array_new (FALSE, FALSE, sizeof (Part));
+      if (headroom.spec->cpus > 0)
+        demand->memory_per_cpu = headroom.spec->memory_gb / headroom.spec->cpus;
+      g_array_append_val (demand->parts, part);
+      g_ptr_array_add (all, demand);
     }
 }
 
 static GPtrArray *
-needs (HzbFleet *f, struct timespec now)
+collect_demand (HzbAutoscaler *f, struct timespec now)
 {
-  GPtrArray *all = g_ptr_array_new_with_free_func (need_free);
+  GPtrArray *all = g_ptr_array_new_with_free_func (demand_free);
   guint n = f->settings->teams->len;
   g_autofree double *cpus_left = g_new0 (double, n), *gpus_left = g_new0 (double, n);
 
@@ -195,7 +195,7 @@
       HzbJob *job = f->jobs->active->pdata[i];
       const HzbSpec *spec = job->spec;
       g_autofree char *types = NULL, *name = NULL;
-      Need *need = NULL;
+      Demand *demand = NULL;
       Part part;
       double tasks, placed, at_once, unit;
       const char *zone;
@@ -224,28 +224,28 @@
       zone = zone_for (f, spec);
       name = g_strdup_printf ("%s%s%s%s%s", types, zone ? "@" : "", zone ? zone : "",
                               spec->spot ? "" : "!ordinary", spec->gpus > 0 ? "!gpus" : "");
-      for (guint k = 0; k < all->len && !need; k++)
-        if (g_str_equal (((Need *) all->pdata[k])->name, name))
-          need = all->pdata[k];
-      if (!need)
+      for (guint k = 0; k < all->len && !demand; k++)
+        if (g_str_equal (((Demand *) all->pdata[k])->name, name))
+          demand = all->pdata[k];
+      if (!demand)
         {
-          need = g_new0 (Need, 1);
-          need->spec = spec;
-          need->zone = zone;
-          need->name = g_steal_pointer (&name);
-          need->gpus = spec->gpus > 0;
-          need->parts = g_array_new (FALSE, FALSE, sizeof (Part));
-          g_ptr_array_add (all, need);
+          demand = g_new0 (Demand, 1);
+          demand->spec = spec;
+          demand->zone = zone;
+          demand->name = g_steal_pointer (&name);
+          demand->gpus = spec->gpus > 0;
+          demand->parts = g_array_new (FALSE, FALSE, sizeof (Part));
+          g_ptr_array_add (all, demand);
         }
-      unit = need->gpus ? spec->gpus : spec->cpus;
+      unit = demand->gpus ? spec->gpus : spec->cpus;
       part.unit = unit;
       part.at_once = at_once * unit;
       /* A task that runs is half over on the whole; a gang's tasks are needed together. */
       part.work_s = (tasks - placed * 0.5) * unit * hzb_job_mean_s (job);
       part.within_s = spec->gang || spec->service ? 0 : start_within_s (f, job, now);
-      g_array_append_val (need->parts, part);
+      g_array_append_val (demand->parts, part);
       if (spec->cpus > 0)
-        need->memory_per_cpu = MAX (need->memory_per_cpu, spec->memory_gb / spec->cpus);
+        demand->memory_per_cpu = MAX (demand->memory_per_cpu, spec->memory_gb / spec->cpus);
     }
   add_services (f, all);
   g_ptr_array_sort (all, by_choice);
@@ -255,12 +255,12 @@
 /* Units that are worth having at a price of so many times the lowest: dearer machines are taken only for
  * work that the cheap ones would leave waiting for longer. */
 static double
-wanted (const Need *need, double dearness)
+demanded_units (const Demand *demand, double dearness)
 {
   double sum = 0, slack = cbrt (MAX (dearness, 1)), least = 0;
-  for (guint i = 0; i < need->parts->len; i++)
+  for (guint i = 0; i < demand->parts->len; i++)
     {
-      const Part *part = &g_array_index (need->parts, Part, i);
+      const Part *part = &g_array_index (demand->parts, Part, i);
       sum += part->within_s > 0 ? MIN (part->at_once, part->work_s / (part->within_s * slack)) : part->at_once;
       least = MAX (least, part->unit);
     }
@@ -270,26 +270,26 @@
 
 /* What of a machine this work can use. */
 static double
-useful_units (const HzbMachineType *type, const Need *need)
+useful_units (const HzbMachineType *type, const Demand *demand)
 {
   double cpus = type->cpus;
-  if (need->gpus)
+  if (demand->gpus)
     return type->gpus;
-  if (need->memory_per_cpu > 0)
-    cpus = MIN (cpus, type->memory_gb / need->memory_per_cpu);
+  if (demand->memory_per_cpu > 0)
+    cpus = MIN (cpus, type->memory_gb / demand->memory_per_cpu);
   return cpus;
 }
 
 static gboolean
-kind_fits (const HzbMachineType *type, const char *zone, gboolean spot, const Need *need)
+kind_fits (const HzbMachineType *type, const char *zone, gboolean spot, const Demand *demand)
 {
-  return hzb_type_holds (type, need->spec) && ((need->spec->spot && !need->services) || !spot) && (!need->zone || g_str_equal (need->zone, zone));
+  return hzb_type_holds (type, demand->spec) && ((demand->spec->spot && !demand->services) || !spot) && (!demand->zone || g_str_equal (demand->zone, zone));
 }
 
 static double
-unit_price (const HzbMachineType *type, gboolean spot, const Need *need)
+unit_price (const HzbMachineType *type, gboolean spot, const Demand *demand)
 {
-  double units = useful_units (type, need);
+  double units = useful_units (type, demand);
   return units > 0 ? (spot ? type->spot_price : type->price) / units : INFINITY;
 }
 
@@ -301,7 +301,7 @@
 }
 
 static double
-cheapest (HzbFleet *f, const Need *need, gboolean boot)
+cheapest (HzbAutoscaler *f, const Demand *demand, gboolean boot)
 {
   double least = INFINITY;
   for (guint t = 0; t < f->machines->types->len; t++)
@@ -309,9 +309,9 @@
       const HzbMachineType *type = f->machines->types->pdata[t];
       for (guint z = 0; type->zones[z]; z++)
         for (gint spot = 0; spot < 2; spot++)
-          if (kind_fits (type, type->zones[z], spot, need))
+          if (kind_fits (type, type->zones[z], spot, demand))
             {
-              double price = unit_price (type, spot, need);
+              double price = unit_price (type, spot, demand);
               least = MIN (least, boot ? with_boot (type, price) : price);
             }
     }
@@ -320,52 +320,52 @@
 
 /* What there is for this work, and will be soon. */
 static double
-supply (HzbFleet *f, const Need *need, struct timespec now)
+supply (HzbAutoscaler *f, const Demand *demand, struct timespec now)
 {
   double have = 0;
   for (guint k = 0; k < f->machines->all->len; k++)
     {
       const HzbMachine *m = f->machines->all->pdata[k];
-      if (!m->type || m->wanted_back || m->spare || !kind_fits (m->type, m->zone, m->spot, need)
-          || (m->kept && !need->services))
+      if (!m->type || m->to_be_returned || m->spare || !kind_fits (m->type, m->zone, m->spot, demand)
+          || (m->reserved && !demand->services))
         continue;
-      if (m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_UNHEARD || m->state == HZB_MACHINE_LENT
+      if (m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_UNVERIFIED || m->state == HZB_MACHINE_LEASED
           || (m->state == HZB_MACHINE_BOOTING && hzb_time_between (m->rented, now) < MAX (30, 2.5 * m->type->boot_s)))
-        have += useful_units (m->type, need) - (need->services || need->gpus ? 0 : m->service_cpus);
+        have += useful_units (m->type, demand) - (demand->services || demand->gpus ? 0 : m->service_cpus);
     }
   return have;
 }
 
 GArray *
-hzb_fleet_rentals (HzbFleet *f, struct timespec now)
+hzb_autoscaler_rentals (HzbAutoscaler *f, struct timespec now)
 {
   GArray *out = g_array_new (FALSE, FALSE, sizeof (HzbRental));
-  g_autoptr (GPtrArray) all = needs (f, now);
+  g_autoptr (GPtrArray) all = collect_demand (f, now);
   GPtrArray *types = f->machines->types;
 
   for (guint i = 0; types && i < all->len; i++)
     {
-      const Need *need = all->pdata[i];
-      double have = supply (f, need, now), least_price = cheapest (f, need, TRUE);
+      const Demand *demand = all->pdata[i];
+      double have = supply (f, demand, now), least_price = cheapest (f, demand, TRUE);
       g_autoptr (GHashTable) tried = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 
       for (guint k = 0; k < out->len; k++)
         {
           const HzbRental *r = &g_array_index (out, HzbRental, k);
-          if (kind_fits (r->type, r->zone, r->spot, need))
-            have += r->count * useful_units (r->type, need);
+          if (kind_fits (r->type, r->zone, r->spot, demand))
+            have += r->count * useful_units (r->type, demand);
         }
       /* Spare machines that are still here come back before anything is rented. */
-      for (guint k = 0; k < f->machines->all->len && have + 1e-6 < wanted (need, 1); k++)
+      for (guint k = 0; k < f->machines->all->len && have + 1e-6 < demanded_units (demand, 1); k++)
         {
           HzbMachine *m = f->machines->all->pdata[k];
-          if (m->spare && !m->wanted_back && (m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_LENT) && m->type
-              && kind_fits (m->type, m->zone, m->spot, need)
-              && have + 1e-6 < wanted (need, unit_price (m->type, m->spot, need) / cheapest (f, need, FALSE)))
+          if (m->spare && !m->to_be_returned && (m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_LEASED) && m->type
+              && kind_fits (m->type, m->zone, m->spot, demand)
+              && have + 1e-6 < demanded_units (demand, unit_price (m->type, m->spot, demand) / cheapest (f, demand, FALSE)))
             {
               m->spare = FALSE;
               m->idle_since = now;
-              have += useful_units (m->type, need);
+              have += useful_units (m->type, demand);
             }
         }
       while (out->len < 8)
@@ -383,8 +383,8 @@
                   {
                     g_autofree char *name = offer_name (type, type->zones[z], spot);
                     const Refusal *refusal = g_hash_table_lookup (f->refused, name);
-                    double cost = with_boot (type, unit_price (type, spot, need));
-                    if (!kind_fits (type, type->zones[z], spot, need) || !isfinite (cost)
+                    double cost = with_boot (type, unit_price (type, spot, demand));
+                    if (!kind_fits (type, type->zones[z], spot, demand) || !isfinite (cost)
                         || g_hash_table_contains (tried, name) || (refusal && hzb_time_before (now, refusal->until)))
                       continue;
                     if (cost < least)
@@ -398,8 +398,8 @@
             }
           if (!best)
             break;
-          units = useful_units (best, need);
-          lack = wanted (need, least / least_price) - have;
+          units = useful_units (best, demand);
+          lack = demanded_units (demand, least / least_price) - have;
           if (lack < (have > 0 ? MIN (1, units * 0.25) : 1e-6))
             break; /* what is dearer is wanted still less */
           rental = (HzbRental){ best, best_zone, best_spot, (guint) CLAMP (ceil (lack / units - 0.25), 1, 50) };
@@ -429,9 +429,9 @@
 /* Machines beyond what is wanted take no new tasks, the dearest first; once empty they go back. Spreading work
  * evenly, as the dispatch rule does, would keep every one of them half full for as long as there is any work. */
 static void
-mark_spare (HzbFleet *f, struct timespec now)
+mark_spare (HzbAutoscaler *f, struct timespec now)
 {
-  g_autoptr (GPtrArray) all = needs (f, now);
+  g_autoptr (GPtrArray) all = collect_demand (f, now);
   g_autoptr (GArray) candidates = g_array_new (FALSE, FALSE, sizeof (Candidate));
   guint kinds = f->machines->types ? 2 * f->machines->types->len : 0;
   g_autofree double *have = g_new0 (double, all->len + 1), *want = g_new0 (double, all->len * kinds + 1);
@@ -441,21 +441,21 @@
     return; /* a node may lead before the cloud has told it of the types */
   for (guint i = 0; i < all->len; i++)
     {
-      const Need *need = all->pdata[i];
-      double least = cheapest (f, need, FALSE);
-      have[i] = supply (f, need, now);
-      total += wanted (need, 1);
+      const Demand *demand = all->pdata[i];
+      double least = cheapest (f, demand, FALSE);
+      have[i] = supply (f, demand, now);
+      total += demanded_units (demand, 1);
       /* There are few kinds of machines, but many machines: what is wanted is counted once a kind. */
       for (guint k = 0; k < kinds; k++)
-        want[i * kinds + k] = wanted (need, unit_price (f->machines->types->pdata[k / 2], k % 2, need) / least);
+        want[i * kinds + k] = demanded_units (demand, unit_price (f->machines->types->pdata[k / 2], k % 2, demand) / least);
     }
   f->usual += (total - f->usual) * ease; /* called once a second */
   for (guint i = 0; i < f->machines->all->len; i++)
     {
       HzbMachine *m = f->machines->all->pdata[i];
       Candidate c = { m, 0 };
-      if ((m->state != HZB_MACHINE_ACTIVE && m->state != HZB_MACHINE_LENT) || m->spare || m->wanted_back || !m->type
-          || m->kept || m->service_cpus > 0)
+      if ((m->state != HZB_MACHINE_ACTIVE && m->state != HZB_MACHINE_LEASED) || m->spare || m->to_be_returned || !m->type
+          || m->reserved || m->service_cpus > 0)
         continue;
       c.price = (m->spot ? m->type->spot_price : m->type->price) / MAX (m->type->cpus, 1e-3);
       g_array_append_val (candidates, c);
@@ -467,11 +467,11 @@
       gboolean surplus = TRUE;
       for (guint i = 0; i < all->len && surplus; i++)
         {
-          const Need *need = all->pdata[i];
-          if (!kind_fits (m->type, m->zone, m->spot, need))
+          const Demand *demand = all->pdata[i];
+          if (!kind_fits (m->type, m->zone, m->spot, demand))
             continue;
           /* More than the present need if there usually is more: jobs come in lumps. */
-          surplus = have[i] - useful_units (m->type, need)
+          surplus = have[i] - useful_units (m->type, demand)
                     >= want[i * kinds + 2 * m->type->index + !!m->spot] * MAX (1, f->usual / MAX (total, 1)) * 1.1 + 2;
         }
       if (!surplus)
@@ -490,18 +490,18 @@
 }
 
 GPtrArray *
-hzb_fleet_returns (HzbFleet *f, struct timespec now)
+hzb_autoscaler_returns (HzbAutoscaler *f, struct timespec now)
 {
   GPtrArray *out = g_ptr_array_new ();
-  HzbKeep keep = hzb_keep_plan (f->jobs, f->machines);
+  HzbHeadroom headroom = hzb_headroom_plan (f->jobs, f->machines);
 
-  hzb_keep_mark (&keep, f->jobs, f->machines);
+  hzb_headroom_reserve (&headroom, f->jobs, f->machines);
   mark_spare (f, now);
   for (guint i = 0; i < f->machines->all->len; i++)
     {
       HzbMachine *m = f->machines->all->pdata[i];
       double age = hzb_time_between (m->rented, now), idle = hzb_time_between (m->idle_since, now);
-      if (m->wanted_back || m->kept)
+      if (m->to_be_returned || m->reserved)
         continue;
       if (m->spare && hzb_machine_listed (m))
         hzb_machine_empty_lists (f->jobs, m);
--- a/src/fleet.h
+++ b/src/autoscaler.h
@@ -19,11 +19,11 @@
   double idle_s;       /* a machine without work is kept this long */
   double patience;        /* part of the time that aims leave in which waiting work should start */
   double usual;        /* units wanted, smoothed */
-} HzbFleet;
+} HzbAutoscaler;
 
-HzbFleet *hzb_fleet_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings);
-void hzb_fleet_free (HzbFleet *fleet);
-GArray *hzb_fleet_rentals (HzbFleet *fleet, struct timespec now);     /* HzbRental */
-GPtrArray *hzb_fleet_returns (HzbFleet *fleet, struct timespec now);  /* HzbMachine, to be taken out of use */
-void hzb_fleet_refused (HzbFleet *fleet, const HzbRental *rental, struct timespec now);
-void hzb_fleet_granted (HzbFleet *fleet, const HzbRental *rental);
+HzbAutoscaler *hzb_autoscaler_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings);
+void hzb_autoscaler_free (HzbAutoscaler *autoscaler);
+GArray *hzb_autoscaler_rentals (HzbAutoscaler *autoscaler, struct timespec now);     /* HzbRental */
+GPtrArray *hzb_autoscaler_returns (HzbAutoscaler *autoscaler, struct timespec now);  /* HzbMachine, to be taken out of use */
+void hzb_autoscaler_note_refused (HzbAutoscaler *autoscaler, const HzbRental *rental, struct timespec now);
+void hzb_autoscaler_note_granted (HzbAutoscaler *autoscaler, const HzbRental *rental);
--- a/src/block.c
+++ b/src/block.c
@@ -50,7 +50,7 @@
 }
 
 void
-hzb_block_hold (HzbBlock *block, int team, double cpus, double gpus)
+hzb_block_reserve (HzbBlock *block, int team, double cpus, double gpus)
 {
   block->cpus[team] += cpus;
   block->gpus[team] += gpus;
--- a/src/block.h
+++ b/src/block.h
@@ -30,5 +30,5 @@
 HzbBlock *hzb_block_new_leased (const HzbSettings *settings, guint64 token);
 void hzb_block_free (HzbBlock *block);
 gboolean hzb_block_fits (const HzbBlock *block, int team, double cpus, double gpus);
-void hzb_block_hold (HzbBlock *block, int team, double cpus, double gpus);
+void hzb_block_reserve (HzbBlock *block, int team, double cpus, double gpus);
 void hzb_block_release (HzbBlock *block, int team, double cpus, double gpus);
--- a/src/cancellations.c
+++ b/src/cancellations.c
@@ -14,8 +14,8 @@
  * Where the holder can't be reached, how far it has come can be read beside its flush record, which it writes anyway. */
 #include "controller.h"
 
-#define MOST_ASKED 64u
-#define LOOK_EVERY_S 1.0
+#define MAX_REQUESTS_PER_MESSAGE 64u
+#define READ_EVERY_S 1.0
 #define OLD_LEADER_S 4.5 /* a watch of version 1 is renewed within 4 s */
 
 typedef struct
@@ -23,20 +23,20 @@
   char *uid;
   struct timespec until; /* asked for so long */
   struct timespec known; /* when it was first asked about here */
-} Asked;
+} PendingRequest;
 
 struct _HzbCancellations
 {
   HzbController *c;
-  GQueue asked; /* Asked */
-  gboolean looking;
-  struct timespec next_look;
+  GQueue requests; /* Asked */
+  gboolean reading;
+  struct timespec next_read;
 };
 
 static void
-asked_free (gpointer data)
+pending_request_free (gpointer data)
 {
-  g_free (((Asked *) data)->uid);
+  g_free (((PendingRequest *) data)->uid);
   g_free (data);
 }
 
@@ -51,7 +51,7 @@
 void
 hzb_cancellations_free (HzbCancellations *s)
 {
-  g_queue_clear_full (&s->asked, asked_free);
+  g_queue_clear_full (&s->requests, pending_request_free);
   g_free (s);
 }
 
@@ -64,68 +64,68 @@
 
 /* The holder's own view: nothing of the job can be where this cancellation is not known. */
 static gboolean
-heard_by_all (HzbController *c, HzbJob *job)
+acknowledged_by_all (HzbController *c, HzbJob *job)
 {
-  if (c->hold < HZB_HOLD_RECOVERING || job->state != HZB_JOB_CANCELLED)
+  if (c->ownership < HZB_OWNERSHIP_RECOVERING || job->state != HZB_JOB_CANCELLED)
     return FALSE;
   if (!job->tasks)
     return TRUE; /* nothing of it was ever released, or all of it is gone */
-  hzb_leases_cancelled (c->leases, job);
-  return !job->unknown && hzb_leases_all_told (c->leases, job);
+  hzb_leases_announce_cancellation (c->leases, job);
+  return !job->unknown && hzb_leases_all_acknowledged (c->leases, job);
 }
 
 gboolean
-hzb_cancellations_effective (HzbCancellations *s, HzbJob *job)
+hzb_cancellations_acknowledged (HzbCancellations *s, HzbJob *job)
 {
   HzbController *c = s->c;
-  if (!job->effective && hzb_election_leading (c->election) && mirror_has (c, job) && heard_by_all (c, job))
-    job->effective = TRUE;
-  return job->effective;
+  if (!job->cancel_acknowledged && hzb_election_leading (c->election) && mirror_has (c, job) && acknowledged_by_all (c, job))
+    job->cancel_acknowledged = TRUE;
+  return job->cancel_acknowledged;
 }
 
 gboolean
-hzb_cancellations_ask (HzbCancellations *s, HzbJob *job)
+hzb_cancellations_request (HzbCancellations *s, HzbJob *job)
 {
   HzbController *c = s->c;
   struct timespec now = hzb_clock_now (c->clock);
-  Asked *asked = NULL;
+  PendingRequest *requests = NULL;
 
   if (hzb_election_leading (c->election))
-    return c->hold >= HZB_HOLD_RECOVERING;
-  for (GList *l = s->asked.head; l && !asked; l = l->next)
-    if (g_str_equal (((Asked *) l->data)->uid, job->uid))
-      asked = l->data;
-  if (!asked)
+    return c->ownership >= HZB_OWNERSHIP_RECOVERING;
+  for (GList *l = s->requests.head; l && !requests; l = l->next)
+    if (g_str_equal (((PendingRequest *) l->data)->uid, job->uid))
+      requests = l->data;
+  if (!requests)
     {
-      asked = g_new0 (Asked, 1);
-      asked->uid = g_strdup (job->uid);
-      asked->known = now;
-      g_queue_push_tail (&s->asked, asked);
+      requests = g_new0 (PendingRequest, 1);
+      requests->uid = g_strdup (job->uid);
+      requests->known = now;
+      g_queue_push_tail (&s->requests, requests);
     }
-  asked->until = hzb_time_plus (now, 10); /* its user comes back */
-  hzb_lessee_ask_soon (c->lessee);
-  return hzb_election_leader (c->election) && !hzb_peers_silent (c->peers, hzb_election_leader (c->election));
+  requests->until = hzb_time_plus (now, 10); /* its user comes back */
+  hzb_lessee_poll_soon (c->lessee);
+  return hzb_election_leader (c->election) && !hzb_peers_unreachable (c->peers, hzb_election_leader (c->election));
 }
 
 cJSON *
-hzb_cancellations_question (HzbCancellations *s)
+hzb_cancellations_pack_request (HzbCancellations *s)
 {
   HzbController *c = s->c;
   struct timespec now = hzb_clock_now (c->clock);
   cJSON *question = NULL;
   guint n = 0;
 
-  for (GList *l = s->asked.head; l;)
+  for (GList *l = s->requests.head; l;)
     {
       GList *next = l->next;
-      Asked *asked = l->data;
-      HzbJob *job = hzb_jobs_find (c->jobs, asked->uid);
-      if (!job || job->effective || hzb_time_before (asked->until, now))
+      PendingRequest *requests = l->data;
+      HzbJob *job = hzb_jobs_find (c->jobs, requests->uid);
+      if (!job || job->cancel_acknowledged || hzb_time_before (requests->until, now))
         {
-          asked_free (asked);
-          g_queue_delete_link (&s->asked, l);
+          pending_request_free (requests);
+          g_queue_delete_link (&s->requests, l);
         }
-      else if (n < MOST_ASKED && mirror_has (c, job))
+      else if (n < MAX_REQUESTS_PER_MESSAGE && mirror_has (c, job))
         {
           cJSON *of = cJSON_CreateObject ();
           hzb_json_add_u64 (of, "version", job->version);
@@ -141,10 +141,10 @@
 }
 
 cJSON *
-hzb_cancellations_answer (HzbCancellations *s, const cJSON *question)
+hzb_cancellations_handle_request (HzbCancellations *s, const cJSON *question)
 {
   HzbController *c = s->c;
-  cJSON *heard = cJSON_CreateArray ();
+  cJSON *last_report = cJSON_CreateArray ();
   const cJSON *of;
 
   cJSON_ArrayForEach (of, question)
@@ -161,39 +161,39 @@
           job = hzb_jobs_apply (c->jobs, of->string, record, version);
           cJSON_Delete (record);
         }
-      if (job && heard_by_all (c, job))
-        cJSON_AddItemToArray (heard, cJSON_CreateString (job->uid));
+      if (job && acknowledged_by_all (c, job))
+        cJSON_AddItemToArray (last_report, cJSON_CreateString (job->uid));
     }
-  return heard;
+  return last_report;
 }
 
 static void
-set_effective (HzbController *c, const char *uid)
+set_acknowledged (HzbController *c, const char *uid)
 {
   HzbJob *job = uid ? hzb_jobs_find (c->jobs, uid) : NULL;
   if (job && job->state == HZB_JOB_CANCELLED && mirror_has (c, job))
-    job->effective = TRUE;
+    job->cancel_acknowledged = TRUE;
 }
 
 void
-hzb_cancellations_answered (HzbCancellations *s, guint64 term, const cJSON *heard)
+hzb_cancellations_handle_response (HzbCancellations *s, guint64 term, const cJSON *last_report)
 {
   HzbController *c = s->c;
   const cJSON *uid;
   if (hzb_election_leading (c->election) || term < hzb_election_leader_term (c->election))
     return; /* there is a later holder */
-  cJSON_ArrayForEach (uid, heard)
+  cJSON_ArrayForEach (uid, last_report)
     if (cJSON_IsString (uid))
-      set_effective (c, uid->valuestring);
+      set_acknowledged (c, uid->valuestring);
 }
 
 guint64
-hzb_cancellations_clear (HzbCancellations *s)
+hzb_cancellations_acknowledged_revision (HzbCancellations *s)
 {
   HzbController *c = s->c;
   guint64 clear = c->revision;
 
-  if (c->hold < HZB_HOLD_RECOVERING)
+  if (c->ownership < HZB_OWNERSHIP_RECOVERING)
     return 0;
   for (guint i = 0; i < c->jobs->active->len; i++)
     {
@@ -202,29 +202,29 @@
         continue;
       if (!job->version)
         return 0;
-      if (!heard_by_all (c, job))
+      if (!acknowledged_by_all (c, job))
         clear = MIN (clear, job->version - 1);
     }
   return clear;
 }
 
 static void
-on_looked (HzbStoreResult result, const char *body, gpointer user)
+on_flush_record_read (HzbStoreResult result, const char *body, gpointer user)
 {
   HzbCancellations *s = user;
   HzbController *c = s->c;
   HzbItem item = { 0 };
 
-  s->looking = FALSE;
+  s->reading = FALSE;
   if (result != HZB_STORE_OK || !hzb_wire_parse_item (body, &item))
     return;
   if (!hzb_election_leading (c->election) && hzb_json_u64 (item.value, "term")
       && hzb_json_u64 (item.value, "term") >= hzb_election_leader_term (c->election))
-    for (GList *l = s->asked.head; l; l = l->next)
+    for (GList *l = s->requests.head; l; l = l->next)
       {
-        HzbJob *job = hzb_jobs_find (c->jobs, ((Asked *) l->data)->uid);
+        HzbJob *job = hzb_jobs_find (c->jobs, ((PendingRequest *) l->data)->uid);
         if (job && job->version <= hzb_json_u64 (item.value, "clear"))
-          set_effective (c, job->uid);
+          set_acknowledged (c, job->uid);
       }
   hzb_item_clear (&item);
 }
@@ -232,20 +232,20 @@
 /* A leader of version 1 acknowledges nothing. That it was served by the state service well after the record came here
  * shows that one of its watches has been renewed since, and so has brought it. */
 static void
-look_at_old_leader (HzbCancellations *s)
+check_old_leader (HzbCancellations *s)
 {
   HzbController *c = s->c;
   const char *leader = hzb_election_leader (c->election);
   struct timespec served;
 
-  if (!leader || hzb_peers_silent (c->peers, leader) || hzb_peers_format (c->peers, leader) > 1
-      || !hzb_peers_served_at (c->peers, leader, &served))
+  if (!leader || hzb_peers_unreachable (c->peers, leader) || hzb_peers_format (c->peers, leader) > 1
+      || !hzb_peers_last_store_contact (c->peers, leader, &served))
     return;
-  for (GList *l = s->asked.head; l; l = l->next)
+  for (GList *l = s->requests.head; l; l = l->next)
     {
-      const Asked *asked = l->data;
-      if (hzb_time_between (asked->known, served) > OLD_LEADER_S)
-        set_effective (c, asked->uid);
+      const PendingRequest *requests = l->data;
+      if (hzb_time_between (requests->known, served) > OLD_LEADER_S)
+        set_acknowledged (c, requests->uid);
     }
 }
 
@@ -255,13 +255,13 @@
   HzbController *c = s->c;
   const char *leader;
 
-  if (!s->asked.length || hzb_election_leading (c->election) || hzb_time_before (now, s->next_look))
+  if (!s->requests.length || hzb_election_leading (c->election) || hzb_time_before (now, s->next_read))
     return;
-  s->next_look = hzb_time_plus (now, LOOK_EVERY_S);
-  look_at_old_leader (s);
+  s->next_read = hzb_time_plus (now, READ_EVERY_S);
+  check_old_leader (s);
   leader = hzb_election_leader (c->election);
-  if (s->looking || !leader || !hzb_peers_silent (c->peers, leader) || hzb_controller_store_silent (c))
+  if (s->reading || !leader || !hzb_peers_unreachable (c->peers, leader) || hzb_controller_store_silent (c))
     return;
-  s->looking = TRUE;
-  hzb_store_get (c->store, HZB_STORE_READ, HZB_KEY_FLUSH, on_looked, s);
+  s->reading = TRUE;
+  hzb_store_get (c->store, HZB_STORE_READ, HZB_KEY_FLUSH, on_flush_record_read, s);
 }
--- a/src/controller.c
+++ b/src/controller.c
@@ -11,7 +11,7 @@
 static void mirror_step (HzbController *c);
 
 void
-hzb_controller_take_item (HzbController *c, const HzbItem *item)
+hzb_controller_apply_record (HzbController *c, const HzbItem *item)
 {
   if (g_str_has_prefix (item->key, HZB_KEY_JOBS))
     {
@@ -20,19 +20,19 @@
         hzb_jobs_apply (c->jobs, uid, item->value, item->version);
       else
         {
-          hzb_dispatch_forget (c->dispatch);
+          hzb_dispatch_clear_indexes (c->dispatch);
           hzb_jobs_forget (c->jobs, uid); /* its record has moved to where old ones are */
         }
     }
   else if (g_str_has_prefix (item->key, HZB_KEY_ACCEPTED))
     {
-      hzb_jobs_take_acceptance (c->jobs, item->key, item->value);
+      hzb_jobs_apply_acceptance (c->jobs, item->key, item->value);
       c->next_dispatch = (struct timespec){ 0 };
     }
   else if (g_str_equal (item->key, HZB_KEY_SETTINGS))
     hzb_admin_apply_settings (c, item->value, item->version);
   else
-    hzb_election_item (c->election, item);
+    hzb_election_apply_record (c->election, item);
 }
 
 static void
@@ -49,30 +49,30 @@
       c->mirror_next = hzb_time_plus (hzb_clock_now (c->clock), 0.4);
       return;
     }
-  if (!c->load_after)
-    c->load_revision = revision;
+  if (!c->mirror_load_cursor)
+    c->mirror_load_revision = revision;
   for (guint i = 0; i < items->len; i++)
     {
       HzbItem *item = &g_array_index (items, HzbItem, i);
       if (g_str_equal (item->key, HZB_KEY_LEADER) || g_str_equal (item->key, HZB_KEY_LEADER_2))
-        c->load_saw_leader = c->load_saw_leader || hzb_json_u64 (item->value, "lease");
-      hzb_controller_take_item (c, item);
-      g_free (c->load_after);
-      c->load_after = g_strdup (item->key);
+        c->mirror_load_saw_leader = c->mirror_load_saw_leader || hzb_json_u64 (item->value, "lease");
+      hzb_controller_apply_record (c, item);
+      g_free (c->mirror_load_cursor);
+      c->mirror_load_cursor = g_strdup (item->key);
     }
   if (more && items->len)
     {
-      hzb_store_range (c->store, HZB_KEY_MIRROR, c->load_after, on_loaded, c);
+      hzb_store_range (c->store, HZB_KEY_MIRROR, c->mirror_load_cursor, on_loaded, c);
       return;
     }
-  if (!c->load_saw_leader)
+  if (!c->mirror_load_saw_leader)
     {
-      HzbItem none = { (char *) HZB_KEY_LEADER, NULL, c->load_revision };
-      hzb_election_item (c->election, &none);
+      HzbItem none = { (char *) HZB_KEY_LEADER, NULL, c->mirror_load_revision };
+      hzb_election_apply_record (c->election, &none);
     }
-  hzb_dispatch_forget (c->dispatch);
+  hzb_dispatch_clear_indexes (c->dispatch);
   hzb_jobs_load_end (c->jobs);
-  c->revision = c->load_revision;
+  c->revision = c->mirror_load_revision;
   c->mirror = HZB_MIRROR_FOLLOWING;
   c->mirror_fresh = hzb_clock_now (c->clock);
   g_message ("the mirror has been read, at revision %" G_GUINT64_FORMAT, c->revision);
@@ -81,7 +81,7 @@
 
 /* Too far behind: all is read anew. Who has missed so much can't tell which of the jobs that it holds are over. */
 void
-hzb_controller_lose_mirror (HzbController *c)
+hzb_controller_reset_mirror (HzbController *c)
 {
   c->mirror = HZB_MIRROR_EMPTY;
   hzb_election_step_down (c->election, "the mirror is too far behind");
@@ -97,13 +97,13 @@
 
   c->watching = FALSE;
   if (result == HZB_STORE_ABSENT)
-    hzb_controller_lose_mirror (c);
+    hzb_controller_reset_mirror (c);
   else if (!items)
     c->mirror_next = hzb_time_plus (hzb_clock_now (c->clock), 0.3);
   else
     {
       for (guint i = 0; i < items->len; i++)
-        hzb_controller_take_item (c, &g_array_index (items, HzbItem, i));
+        hzb_controller_apply_record (c, &g_array_index (items, HzbItem, i));
       c->revision = MAX (c->revision, revision);
       c->mirror_fresh = hzb_clock_now (c->clock);
     }
@@ -126,7 +126,7 @@
   g_autoptr (GArray) items = result == HZB_STORE_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
 
   for (guint i = 0; items && i < items->len; i++)
-    hzb_controller_take_item (c, &g_array_index (items, HzbItem, i));
+    hzb_controller_apply_record (c, &g_array_index (items, HzbItem, i));
   if (items)
     c->revision = MAX (c->revision, revision);
   sync->done (items != NULL, sync->user);
@@ -156,12 +156,12 @@
     return;
   if (c->mirror == HZB_MIRROR_EMPTY)
     {
-      if (c->hold != HZB_HOLD_NONE)
+      if (c->ownership != HZB_OWNERSHIP_NONE)
         return; /* what is held is given up first: a job that is over must not be taken for open because of it */
       c->mirror = HZB_MIRROR_LOADING;
-      c->load_saw_leader = FALSE;
+      c->mirror_load_saw_leader = FALSE;
       hzb_jobs_load_begin (c->jobs);
-      g_clear_pointer (&c->load_after, g_free);
+      g_clear_pointer (&c->mirror_load_cursor, g_free);
       hzb_store_range (c->store, HZB_KEY_MIRROR, NULL, on_loaded, c);
     }
   else if (c->mirror == HZB_MIRROR_FOLLOWING && !c->watching)
@@ -194,94 +194,94 @@
     return FALSE;
   /* In an outage for all it makes no difference where users ask; alone, or cut off from the others as well, another
    * node serves them better. */
-  return !hzb_controller_store_silent (c) || (hzb_peers_any_heard (c->peers) && !hzb_peers_any_served (c->peers));
+  return !hzb_controller_store_silent (c) || (hzb_peers_any_reachable (c->peers) && !hzb_peers_any_reaches_store (c->peers));
 }
 
 /* ---- holding the block ---- */
 
-HzbHeld *
-hzb_held_new (HzbController *c, gpointer data)
+HzbEpochCall *
+hzb_epoch_call_new (HzbController *c, gpointer data)
 {
-  HzbHeld *held = g_new0 (HzbHeld, 1);
-  held->c = c;
-  held->epoch = c->hold_epoch;
-  held->data = data;
-  return held;
+  HzbEpochCall *epoch_call = g_new0 (HzbEpochCall, 1);
+  epoch_call->c = c;
+  epoch_call->epoch = c->ownership_epoch;
+  epoch_call->data = data;
+  return epoch_call;
 }
 
 static void
-set_hold (HzbController *c, HzbHoldState to, const char *why)
+set_ownership (HzbController *c, HzbOwnershipState to, const char *why)
 {
   static const char *const names[] = { "none", "leased", "loading", "recovering", "full" };
   static const guint legal[] = {
-    [HZB_HOLD_NONE] = 1 << HZB_HOLD_LOADING | 1 << HZB_HOLD_LEASED,
-    [HZB_HOLD_LEASED] = 1 << HZB_HOLD_NONE,
-    [HZB_HOLD_LOADING] = 1 << HZB_HOLD_NONE | 1 << HZB_HOLD_RECOVERING,
-    [HZB_HOLD_RECOVERING] = 1 << HZB_HOLD_NONE | 1 << HZB_HOLD_FULL,
-    [HZB_HOLD_FULL] = 1 << HZB_HOLD_NONE,
+    [HZB_OWNERSHIP_NONE] = 1 << HZB_OWNERSHIP_LOADING | 1 << HZB_OWNERSHIP_LESSEE,
+    [HZB_OWNERSHIP_LESSEE] = 1 << HZB_OWNERSHIP_NONE,
+    [HZB_OWNERSHIP_LOADING] = 1 << HZB_OWNERSHIP_NONE | 1 << HZB_OWNERSHIP_RECOVERING,
+    [HZB_OWNERSHIP_RECOVERING] = 1 << HZB_OWNERSHIP_NONE | 1 << HZB_OWNERSHIP_READY,
+    [HZB_OWNERSHIP_READY] = 1 << HZB_OWNERSHIP_NONE,
   };
-  if (!(legal[c->hold] & 1u << to))
+  if (!(legal[c->ownership] & 1u << to))
     {
-      g_critical ("hold: illegal change %s -> %s", names[c->hold], names[to]);
+      g_critical ("hold: illegal change %s -> %s", names[c->ownership], names[to]);
       return;
     }
-  g_message ("hold: %s -> %s: %s", names[c->hold], names[to], why);
-  c->hold = to;
+  g_message ("hold: %s -> %s: %s", names[c->ownership], names[to], why);
+  c->ownership = to;
 }
 
 static void
-on_hold_loaded (HzbStoreResult result, const char *body, gpointer user)
+on_owner_records_loaded (HzbStoreResult result, const char *body, gpointer user)
 {
-  g_autofree HzbHeld *held = user;
-  HzbController *c = held->c;
+  g_autofree HzbEpochCall *epoch_call = user;
+  HzbController *c = epoch_call->c;
   gboolean more = FALSE;
   guint64 revision = 0;
   g_autoptr (GArray) items = NULL;
 
-  if (held->epoch != c->hold_epoch || c->hold != HZB_HOLD_LOADING)
+  if (epoch_call->epoch != c->ownership_epoch || c->ownership != HZB_OWNERSHIP_LOADING)
     return;
   items = result == HZB_STORE_OK ? hzb_wire_parse_range (body, &more, &revision) : NULL;
   for (guint i = 0; items && i < items->len; i++)
     {
       HzbItem *item = &g_array_index (items, HzbItem, i);
-      hzb_records_take (c->records, item);
-      g_free (c->hold_after);
-      c->hold_after = g_strdup (item->key);
+      hzb_records_load (c->records, item);
+      g_free (c->owner_load_cursor);
+      c->owner_load_cursor = g_strdup (item->key);
     }
   if (!items || (more && items->len))
     {
-      hzb_store_range (c->store, HZB_KEY_HOLDER, c->hold_after, on_hold_loaded, hzb_held_new (c, NULL));
+      hzb_store_range (c->store, HZB_KEY_OWNER, c->owner_load_cursor, on_owner_records_loaded, hzb_epoch_call_new (c, NULL));
       return;
     }
-  hzb_records_loaded (c->records);
-  c->hold_since = hzb_clock_now (c->clock);
-  set_hold (c, HZB_HOLD_RECOVERING, "the records have been read");
+  hzb_records_load_finished (c->records);
+  c->owner_since = hzb_clock_now (c->clock);
+  set_ownership (c, HZB_OWNERSHIP_RECOVERING, "the records have been read");
 }
 
 /* Between being elected and reading what jobs there are, the mirror must have caught up with the term's
  * own record: a job that the predecessor could have started is in it then. */
 static void
-begin_hold (HzbController *c)
+begin_ownership (HzbController *c)
 {
-  c->hold_epoch++;
+  c->ownership_epoch++;
   c->block = hzb_block_new (c->settings, hzb_token (hzb_election_term (c->election), 0));
   hzb_leases_reset (c->leases);
   hzb_records_reset (c->records);
-  hzb_rentals_reset (c->rentals);
-  g_clear_pointer (&c->hold_after, g_free);
+  hzb_provisioning_reset (c->rentals);
+  g_clear_pointer (&c->owner_load_cursor, g_free);
   hzb_machines_clear (c->machines);
-  hzb_jobs_hold (c->jobs, c->block);
-  set_hold (c, HZB_HOLD_LOADING, "elected");
-  hzb_store_range (c->store, HZB_KEY_HOLDER, NULL, on_hold_loaded, hzb_held_new (c, NULL));
+  hzb_jobs_begin_ownership (c->jobs, c->block);
+  set_ownership (c, HZB_OWNERSHIP_LOADING, "elected");
+  hzb_store_range (c->store, HZB_KEY_OWNER, NULL, on_owner_records_loaded, hzb_epoch_call_new (c, NULL));
 }
 
 static void
-end_hold (HzbController *c)
+end_ownership (HzbController *c)
 {
-  c->hold_epoch++;
-  set_hold (c, HZB_HOLD_NONE, "not the leader any more");
+  c->ownership_epoch++;
+  set_ownership (c, HZB_OWNERSHIP_NONE, "not the leader any more");
   hzb_records_reset (c->records);
-  hzb_jobs_let_go (c->jobs);
+  hzb_jobs_end_ownership (c->jobs);
   hzb_machines_clear (c->machines);
   g_clear_pointer (&c->block, hzb_block_free);
 }
@@ -289,24 +289,24 @@
 void
 hzb_controller_begin_leased (HzbController *c, guint64 token)
 {
-  c->hold_epoch++;
+  c->ownership_epoch++;
   c->block = hzb_block_new_leased (c->settings, token);
   c->jobs->lessee = TRUE;
-  c->hold_since = hzb_clock_now (c->clock);
+  c->owner_since = hzb_clock_now (c->clock);
   hzb_machines_clear (c->machines);
   hzb_lessee_clear (c->lessee);
-  hzb_jobs_hold (c->jobs, c->block);
-  set_hold (c, HZB_HOLD_LEASED, "the leader leased us a block");
+  hzb_jobs_begin_ownership (c->jobs, c->block);
+  set_ownership (c, HZB_OWNERSHIP_LESSEE, "the leader leased us a block");
 }
 
 void
 hzb_controller_end_leased (HzbController *c, const char *why)
 {
-  if (c->hold != HZB_HOLD_LEASED)
+  if (c->ownership != HZB_OWNERSHIP_LESSEE)
     return;
-  c->hold_epoch++;
-  set_hold (c, HZB_HOLD_NONE, why);
-  hzb_jobs_let_go (c->jobs);
+  c->ownership_epoch++;
+  set_ownership (c, HZB_OWNERSHIP_NONE, why);
+  hzb_jobs_end_ownership (c->jobs);
   hzb_machines_clear (c->machines);
   hzb_lessee_clear (c->lessee);
   g_clear_pointer (&c->block, hzb_block_free);
@@ -317,9 +317,9 @@
 static void
 on_ended (HzbStoreResult result, const char *body, gpointer user)
 {
-  HzbHeld *held = user;
-  HzbController *c = held->c;
-  g_autofree char *uid = held->data;
+  HzbEpochCall *epoch_call = user;
+  HzbController *c = epoch_call->c;
+  g_autofree char *uid = epoch_call->data;
   HzbJob *job = hzb_jobs_find (c->jobs, uid);
   guint64 revision = 0;
 
@@ -330,7 +330,7 @@
       hzb_jobs_apply (c->jobs, uid, value, revision);
       cJSON_Delete (value);
     }
-  if (held->epoch == c->hold_epoch && job)
+  if (epoch_call->epoch == c->ownership_epoch && job)
     {
       job->ending = FALSE;
       if (result == HZB_STORE_OK && job->tasks)
@@ -340,11 +340,11 @@
           hzb_jobs_retire (c->jobs, job);
         }
     }
-  g_free (held);
+  g_free (epoch_call);
 }
 
 void
-hzb_controller_end_job (HzbController *c, HzbJob *job)
+hzb_controller_record_completion (HzbController *c, HzbJob *job)
 {
   g_autofree char *key = NULL;
   cJSON *txn;
@@ -354,10 +354,10 @@
   job->ending = TRUE;
   key = g_strconcat (HZB_KEY_JOBS, job->uid, NULL);
   txn = hzb_wire_txn ();
-  hzb_election_guard (c->election, txn);
+  hzb_election_add_condition (c->election, txn);
   hzb_jobs_txn_if_not_over (txn, job->uid); /* it has not been cancelled */
   hzb_wire_txn_put (txn, key, hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks), 0);
-  hzb_store_txn (c->store, HZB_STORE_ACCEPT, txn, on_ended, hzb_held_new (c, g_strdup (job->uid)));
+  hzb_store_txn (c->store, HZB_STORE_ACCEPT, txn, on_ended, hzb_epoch_call_new (c, g_strdup (job->uid)));
 }
 
 /* ---- over time ---- */
@@ -367,19 +367,19 @@
 {
   double over = c->settings->lease_s * 1.002 + LEASE_SLACK_S;
 
-  if (!hzb_election_proven (c->election))
+  if (!hzb_election_lease_valid (c->election))
     return; /* a newer holder could have renewed them */
   for (guint i = 0; i < c->machines->all->len; i++)
     {
       HzbMachine *m = c->machines->all->pdata[i];
-      if ((m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_DRAINING) && m->confirmed
-          && hzb_time_between (m->answered, now) > over)
+      if ((m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_DRAINING) && m->verified
+          && hzb_time_between (m->last_answer, now) > over)
         {
           hzb_machine_lose_tasks (c->jobs, m);
           m->over_session = m->session;
-          hzb_machine_set_state (c->machines, m, HZB_MACHINE_SILENT, "its lease is over");
+          hzb_machine_set_state (c->machines, m, HZB_MACHINE_LEASE_EXPIRED, "its lease is over");
         }
-      else if (m->state == HZB_MACHINE_ACTIVE && hzb_time_between (m->heard, now) > 3 * c->settings->report_s
+      else if (m->state == HZB_MACHINE_ACTIVE && hzb_time_between (m->last_report, now) > 3 * c->settings->report_s
                && hzb_machine_listed (m))
         hzb_machine_empty_lists (c->jobs, m); /* others may take what waits for a quiet machine */
     }
@@ -388,7 +388,7 @@
 /* A gang that has lost a task starts anew once all its tasks are gone: those that wait for the others are told
  * so, those that run notice it themselves. When one is done, all are, even one whose machine is lost. */
 static void
-tend_gang (HzbController *c, HzbJob *job)
+maintain_gang (HzbController *c, HzbJob *job)
 {
   gboolean over = job->finished + job->done > 0;
 
@@ -407,7 +407,7 @@
 }
 
 static void
-tend_jobs (HzbController *c, struct timespec now)
+maintain_jobs (HzbController *c, struct timespec now)
 {
   for (guint i = 0; i < c->jobs->active->len; i++)
     {
@@ -415,12 +415,12 @@
       if (job->state == HZB_JOB_ACCEPTED)
         {
           if (job->spec->gang)
-            tend_gang (c, job);
+            maintain_gang (c, job);
           if (job->finished + job->done == job->n_tasks)
-            hzb_controller_end_job (c, job);
+            hzb_controller_record_completion (c, job);
           continue;
         }
-      hzb_leases_cancelled (c->leases, job);
+      hzb_leases_announce_cancellation (c->leases, job);
       for (guint k = 0; job->listed && k < job->n_tasks; k++)
         if (job->tasks[k].state == HZB_TASK_LISTED)
           hzb_task_set_state (c->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
@@ -440,16 +440,16 @@
 static void
 log_summary (HzbController *c)
 {
-  guint up = 0, lent = 0, booting = 0, other = 0;
-  double cpus = 0, spare = 0, booting_cpus = 0, running = 0, held = 0, waiting = 0;
+  guint up = 0, leased = 0, booting = 0, other = 0;
+  double cpus = 0, spare = 0, booting_cpus = 0, running = 0, epoch_call = 0, waiting = 0;
 
   for (guint i = 0; i < c->machines->all->len; i++)
     {
       const HzbMachine *m = c->machines->all->pdata[i];
-      if ((m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_LENT) && m->type)
+      if ((m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_LEASED) && m->type)
         {
           up++;
-          lent += m->state == HZB_MACHINE_LENT;
+          leased += m->state == HZB_MACHINE_LEASED;
           cpus += m->type->cpus;
           spare += m->spare ? m->type->cpus : 0;
         }
@@ -467,40 +467,40 @@
       if (job->state != HZB_JOB_ACCEPTED)
         continue;
       waiting += (job->pending + job->listed) * job->spec->cpus;
-      held += job->placed * job->spec->cpus;
-      running += (job->running + job->lent_running) * job->spec->cpus;
+      epoch_call += job->placed * job->spec->cpus;
+      running += (job->running + job->delegated_running) * job->spec->cpus;
     }
   g_message ("fleet: %u up, %u of them lent (%g CPUs: %g held, %g running; %g spare), %u booting (%g CPUs), %u other; %g CPUs' "
              "worth wait; timers are %.0f ms late",
-             up, lent, cpus, held, running, spare, booting, booting_cpus, other, waiting, c->dispatch->lag_s * 1e3);
+             up, leased, cpus, epoch_call, running, spare, booting, booting_cpus, other, waiting, c->dispatch->lag_s * 1e3);
 }
 
 /* A task waits only for machines that could have been told to start it: a replica, say, for no spot machine. */
 static void
 resolve_unknown (HzbController *c)
 {
-  if (c->hold != HZB_HOLD_RECOVERING && !hzb_jobs_any_unknown (c->jobs))
+  if (c->ownership != HZB_OWNERSHIP_RECOVERING && !hzb_jobs_any_unknown (c->jobs))
     return;
   for (guint block = 0; block <= c->settings->peers->len; block++)
     {
-      g_autoptr (GPtrArray) unheard = hzb_machines_unheard_kinds (c->machines, block);
+      g_autoptr (GPtrArray) unverified = hzb_machines_unverified_kinds (c->machines, block);
       for (guint i = 0; i < c->jobs->active->len; i++)
         {
           HzbJob *job = c->jobs->active->pdata[i];
-          if (job->unknown && !hzb_job_may_be_unheard (job, unheard))
+          if (job->unknown && !hzb_job_may_run_on_unverified (job, unverified))
             hzb_job_resolve_unknown (c->jobs, job, block);
         }
-      if (block == HZB_SUSPECT_OF_LEADER && c->hold == HZB_HOLD_RECOVERING && !unheard->len)
-        set_hold (c, HZB_HOLD_FULL, "every machine has answered or is gone");
+      if (block == HZB_UNKNOWN_TASKS_OF_LEADER && c->ownership == HZB_OWNERSHIP_RECOVERING && !unverified->len)
+        set_ownership (c, HZB_OWNERSHIP_READY, "every machine has answered or is gone");
     }
 }
 
 static void
-hold_tick (HzbController *c, struct timespec now)
+owner_tick (HzbController *c, struct timespec now)
 {
   resolve_unknown (c);
   check_leases (c, now);
-  tend_jobs (c, now);
+  maintain_jobs (c, now);
   if (!hzb_time_before (now, c->next_plan))
     {
       c->next_plan = hzb_time_plus (now, 1);
@@ -527,7 +527,7 @@
  * of leader costs little. In a small fleet it does happen, again and again, and each leader would have to wait for their
  * leases: so after one change for this reason others must have sent workers here lately. */
 static gboolean
-hears_nobody (HzbController *c)
+no_worker_reports (HzbController *c)
 {
   struct timespec now = hzb_clock_now (c->clock);
   double quiet = 1.25 * c->settings->report_s + 1.5;
@@ -536,12 +536,12 @@
   for (guint i = 0; i < c->machines->all->len; i++)
     {
       const HzbMachine *m = c->machines->all->pdata[i];
-      if (!hzb_time_is_set (m->heard) || m->state == HZB_MACHINE_LENT || m->state == HZB_MACHINE_RETURNING
-          || m->state == HZB_MACHINE_SILENT)
+      if (!hzb_time_is_set (m->last_report) || m->state == HZB_MACHINE_LEASED || m->state == HZB_MACHINE_RETURNING
+          || m->state == HZB_MACHINE_LEASE_EXPIRED)
         continue;
-      if (hzb_time_between (m->heard, now) < quiet)
+      if (hzb_time_between (m->last_report, now) < quiet)
         return FALSE;
-      n += m->confirmed;
+      n += m->verified;
     }
   return n >= 3 && (!hzb_peers_any_lost_workers (c->peers) || hzb_peers_any_sends_workers (c->peers));
 }
@@ -549,22 +549,22 @@
 /* In an outage of the state service for all, a holder goes on answering workers, so that their leases live.
  * One that is refused alone, or cut off from everything, gives way to those that are not. */
 static void
-watch_own_standing (HzbController *c)
+check_own_connectivity (HzbController *c)
 {
   double silence = hzb_store_silence (c->store);
 
-  if (hzb_election_leading (c->election) && silence < 2.5 && hzb_peers_any_heard (c->peers) && c->settings->peers->len && hears_nobody (c))
+  if (hzb_election_leading (c->election) && silence < 2.5 && hzb_peers_any_reachable (c->peers) && c->settings->peers->len && no_worker_reports (c))
     {
       c->lost_workers = hzb_clock_now (c->clock);
       hzb_election_step_down (c->election, "no worker is heard any more, while all else can be reached");
-      hzb_election_stand_back (c->election, 20);
+      hzb_election_back_off (c->election, 20);
       return;
     }
   if (!hzb_election_leading (c->election) || silence < 5)
     return;
-  if (hzb_peers_any_served (c->peers))
+  if (hzb_peers_any_reaches_store (c->peers))
     hzb_election_step_down (c->election, "the state service refuses this node alone");
-  else if (!hzb_peers_any_heard (c->peers))
+  else if (!hzb_peers_any_reachable (c->peers))
     hzb_election_step_down (c->election, "neither the state service nor a peer can be reached");
 }
 
@@ -583,43 +583,43 @@
   hzb_cloud_pump (c->cloud);
   mirror_step (c);
   /* In a rollout the others are about to be replaced: whoever leads after them should be one that is not. */
-  hzb_election_press (c->election, c->format == HZB_FORMAT && hzb_election_format (c->election) < HZB_FORMAT
-                                       && hzb_peers_any_old (c->peers));
+  hzb_election_set_eager (c->election, c->format == HZB_FORMAT && hzb_election_format (c->election) < HZB_FORMAT
+                                       && hzb_peers_any_older_format (c->peers));
   hzb_election_tick (c->election, mirror_is_fresh (c));
-  watch_own_standing (c);
+  check_own_connectivity (c);
   if (hzb_election_leading (c->election))
     hzb_controller_end_leased (c, "this node leads now");
-  if (hzb_election_leading (c->election) && c->hold != HZB_HOLD_NONE
+  if (hzb_election_leading (c->election) && c->ownership != HZB_OWNERSHIP_NONE
       && hzb_token_leader (c->block->token) != hzb_election_term (c->election))
-    end_hold (c); /* elected anew before the loss was seen */
-  if (hzb_election_leading (c->election) && c->hold == HZB_HOLD_NONE && c->mirror == HZB_MIRROR_FOLLOWING
-      && hzb_election_leader_seen (c->election))
-    begin_hold (c);
-  else if (!hzb_election_leading (c->election) && c->hold > HZB_HOLD_LEASED)
-    end_hold (c);
-  if (c->hold == HZB_HOLD_FULL && c->format == HZB_FORMAT && hzb_election_format (c->election) < HZB_FORMAT
-      && hzb_peers_all_format (c->peers, HZB_FORMAT))
+    end_ownership (c); /* elected anew before the loss was seen */
+  if (hzb_election_leading (c->election) && c->ownership == HZB_OWNERSHIP_NONE && c->mirror == HZB_MIRROR_FOLLOWING
+      && hzb_election_term_mirrored (c->election))
+    begin_ownership (c);
+  else if (!hzb_election_leading (c->election) && c->ownership > HZB_OWNERSHIP_LESSEE)
+    end_ownership (c);
+  if (c->ownership == HZB_OWNERSHIP_READY && c->format == HZB_FORMAT && hzb_election_format (c->election) < HZB_FORMAT
+      && hzb_peers_all_have_format (c->peers, HZB_FORMAT))
     hzb_election_raise_format (c->election);
   if (hzb_election_leading (c->election))
     hzb_leases_tick (c->leases, now);
   else
     hzb_lessee_tick (c->lessee, now);
-  if (c->hold == HZB_HOLD_LEASED && !hzb_time_before (now, c->next_dispatch))
+  if (c->ownership == HZB_OWNERSHIP_LESSEE && !hzb_time_before (now, c->next_dispatch))
     {
       c->next_dispatch = hzb_time_plus (now, 0.2);
       hzb_dispatch_run (c->dispatch, now);
     }
-  if (c->hold == HZB_HOLD_LEASED && !hzb_time_before (now, c->next_plan))
+  if (c->ownership == HZB_OWNERSHIP_LESSEE && !hzb_time_before (now, c->next_plan))
     {
       c->next_plan = hzb_time_plus (now, 1);
       hzb_dispatch_consolidate (c->dispatch, now);
     }
-  if (c->hold >= HZB_HOLD_RECOVERING)
-    hold_tick (c, now);
-  hzb_rentals_tick (c->rentals, now);
+  if (c->ownership >= HZB_OWNERSHIP_RECOVERING)
+    owner_tick (c, now);
+  hzb_provisioning_tick (c->rentals, now);
   hzb_peers_tick (c->peers, now);
   hzb_cancellations_tick (c->cancellations, now);
-  hzb_api_tick (c->api);
+  hzb_user_api_tick (c->api);
 }
 
 static void
@@ -656,7 +656,7 @@
   if (g_str_equal (exchange->path, hzb_path_report))
     {
       if (g_str_equal (exchange->method, "POST"))
-        hzb_gateway_report (c, exchange);
+        hzb_worker_api_report (c, exchange);
       else
         hzb_exchange_reply (exchange, 405, hzb_wire_error ("POST a report here"), 0);
     }
@@ -670,7 +670,7 @@
         hzb_exchange_reply (exchange, 503, hzb_wire_error ("not ready"), 1);
     }
   else if (!hzb_admin_request (c, exchange))
-    hzb_api_request (c->api, exchange);
+    hzb_user_api_request (c->api, exchange);
 }
 
 HzbController *
@@ -687,8 +687,8 @@
   c->jobs = hzb_jobs_new (clock, settings);
   c->machines = hzb_machines_new (clock, settings);
   c->dispatch = hzb_dispatch_new (c->jobs, c->machines, settings, c->rand);
-  c->fleet = hzb_fleet_new (c->jobs, c->machines, settings);
-  c->api = hzb_api_new (c);
+  c->autoscaler = hzb_autoscaler_new (c->jobs, c->machines, settings);
+  c->api = hzb_user_api_new (c);
   c->peers = hzb_peers_new (c);
   c->cancellations = hzb_cancellations_new (c);
   c->leases = hzb_leases_new (c);
@@ -697,7 +697,7 @@
   c->lease_blocks = TRUE;
   c->format = HZB_FORMAT;
   c->incarnation = g_strdup_printf ("%08x%08x", g_rand_int (c->rand), g_rand_int (c->rand));
-  c->rentals = hzb_rentals_new (c);
+  c->rentals = hzb_provisioning_new (c);
   c->records = hzb_records_new (c);
   return c;
 }
@@ -705,7 +705,7 @@
 void
 hzb_controller_free (HzbController *c)
 {
-  hzb_api_free (c->api);
+  hzb_user_api_free (c->api);
   hzb_cancellations_free (c->cancellations);
   hzb_leases_free (c->leases);
   hzb_lessee_free (c->lessee);
@@ -713,9 +713,9 @@
   hzb_records_free (c->records);
   hzb_metrics_free (c->metrics);
   g_free (c->incarnation);
-  hzb_jobs_let_go (c->jobs);
+  hzb_jobs_end_ownership (c->jobs);
   hzb_machines_clear (c->machines);
-  hzb_fleet_free (c->fleet);
+  hzb_autoscaler_free (c->autoscaler);
   hzb_dispatch_free (c->dispatch);
   hzb_jobs_free (c->jobs);
   hzb_machines_free (c->machines);
@@ -723,9 +723,9 @@
   hzb_election_free (c->election);
   hzb_cloud_free (c->cloud);
   hzb_store_free (c->store);
-  hzb_rentals_free (c->rentals);
-  g_free (c->load_after);
-  g_free (c->hold_after);
+  hzb_provisioning_free (c->rentals);
+  g_free (c->mirror_load_cursor);
+  g_free (c->owner_load_cursor);
   g_rand_free (c->rand);
   g_free (c);
 }
--- a/src/controller.h
+++ b/src/controller.h
@@ -3,13 +3,13 @@
 #include "cloud.h"
 #include "dispatch.h"
 #include "election.h"
-#include "fleet.h"
+#include "autoscaler.h"
 #include "http.h"
 #include "metrics.h"
 #include "store.h"
 
 #define HZB_KEY_MIRROR "hzb/a/"
-#define HZB_KEY_HOLDER "hzb/x/"
+#define HZB_KEY_OWNER "hzb/x/"
 #define HZB_KEY_FLUSH "hzb/x/flush"
 #define HZB_KEY_SETTINGS "hzb/a/settings"
 
@@ -29,20 +29,20 @@
 /* What this node does as holder of the block. */
 typedef enum
 {
-  HZB_HOLD_NONE,
-  HZB_HOLD_LEASED,     /* holds a block that the leader leased to it */
-  HZB_HOLD_LOADING,    /* elected, reads progress and machines */
-  HZB_HOLD_RECOVERING, /* some machines have not answered under our term */
-  HZB_HOLD_FULL
-} HzbHoldState;
-
-typedef struct _HzbApi HzbApi;
+  HZB_OWNERSHIP_NONE,
+  HZB_OWNERSHIP_LESSEE,     /* holds a block that the leader leased to it */
+  HZB_OWNERSHIP_LOADING,    /* elected, reads progress and machines */
+  HZB_OWNERSHIP_RECOVERING, /* some machines have not answered under our term */
+  HZB_OWNERSHIP_READY
+} HzbOwnershipState;
+
+typedef struct _HzbUserApi HzbUserApi;
 typedef struct _HzbCancellations HzbCancellations;
 typedef struct _HzbLeases HzbLeases;
 typedef struct _HzbLessee HzbLessee;
 typedef struct _HzbRecords HzbRecords;
 typedef struct _HzbPeers HzbPeers;
-typedef struct _HzbRentals HzbRentals;
+typedef struct _HzbProvisioning HzbProvisioning;
 
 typedef struct
 {
@@ -56,9 +56,9 @@
   HzbJobs *jobs;
   HzbMachines *machines;
   HzbDispatch *dispatch;
-  HzbFleet *fleet;
+  HzbAutoscaler *autoscaler;
   HzbBlock *block;
-  HzbApi *api;
+  HzbUserApi *api;
   HzbCancellations *cancellations;
   HzbLeases *leases;
   HzbLessee *lessee;
@@ -69,21 +69,21 @@
   char *incarnation;
   guint format; /* of records and messages, that this process says it reads */
   HzbPeers *peers;
-  HzbRentals *rentals;
+  HzbProvisioning *rentals;
 
   HzbMirrorState mirror;
-  guint64 revision, load_revision;
-  char *load_after;
-  gboolean load_saw_leader, watching;
+  guint64 revision, mirror_load_revision;
+  char *mirror_load_cursor;
+  gboolean mirror_load_saw_leader, watching;
   struct timespec mirror_fresh, mirror_next;
 
-  HzbHoldState hold;
-  guint64 hold_epoch; /* told apart: answers to an earlier holding are dropped */
-  char *hold_after;
+  HzbOwnershipState ownership;
+  guint64 ownership_epoch; /* told apart: answers to an earlier holding are dropped */
+  char *owner_load_cursor;
   struct timespec last_tick; /* the timer's */
   struct timespec lost_workers; /* when this node last gave way because it heard no worker */
   struct timespec redirected; /* when a worker was last sent to the leader from here */
-  struct timespec hold_since, next_plan, next_dispatch, next_summary;
+  struct timespec owner_since, next_plan, next_dispatch, next_summary;
 } HzbController;
 
 HzbController *hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed);
@@ -95,9 +95,9 @@
 /* Brings the mirror up to this moment; FALSE: it could not be. */
 typedef void (*HzbSyncFunc) (gboolean fresh, gpointer user);
 void hzb_controller_sync (HzbController *c, HzbSyncFunc done, gpointer user);
-void hzb_controller_lose_mirror (HzbController *c);
-void hzb_controller_take_item (HzbController *c, const HzbItem *item);
-void hzb_controller_end_job (HzbController *c, HzbJob *job); /* all its tasks have finished */
+void hzb_controller_reset_mirror (HzbController *c);
+void hzb_controller_apply_record (HzbController *c, const HzbItem *item);
+void hzb_controller_record_completion (HzbController *c, HzbJob *job); /* all its tasks have finished */
 
 /* What an answer belongs to: of an earlier holding it is dropped. */
 typedef struct
@@ -105,16 +105,16 @@
   HzbController *c;
   guint64 epoch;
   gpointer data;
-} HzbHeld;
+} HzbEpochCall;
 
-HzbHeld *hzb_held_new (HzbController *c, gpointer data);
+HzbEpochCall *hzb_epoch_call_new (HzbController *c, gpointer data);
 
 /* records.c: the holder's records of progress and machines */
 HzbRecords *hzb_records_new (HzbController *c);
 void hzb_records_free (HzbRecords *records);
 void hzb_records_reset (HzbRecords *records);                    /* a holding begins or ends */
-void hzb_records_loaded (HzbRecords *records);                   /* all there is has been taken */
-void hzb_records_take (HzbRecords *records, const HzbItem *item); /* as the state service has it */
+void hzb_records_load_finished (HzbRecords *records);                   /* all there is has been taken */
+void hzb_records_load (HzbRecords *records, const HzbItem *item); /* as the state service has it */
 void hzb_records_flush_soon (HzbRecords *records);
 void hzb_records_drop_job (HzbRecords *records, HzbJob *job);
 void hzb_records_drop_machine (HzbRecords *records, HzbMachine *machine);
@@ -122,7 +122,7 @@
 /* peers.c: what the controllers tell each other */
 typedef enum
 {
-  HZB_PEER_WORD,
+  HZB_PEER_HEARTBEAT,
   HZB_PEER_BLOCK,
   HZB_PEER_N_KINDS
 } HzbPeerKind;
@@ -130,28 +130,28 @@
 HzbPeers *hzb_peers_new (HzbController *c);
 void hzb_peers_free (HzbPeers *peers);
 void hzb_peers_tick (HzbPeers *peers, struct timespec now);
-gboolean hzb_peers_any_heard (HzbPeers *peers);  /* lately; or there are none */
+gboolean hzb_peers_any_reachable (HzbPeers *peers);  /* lately; or there are none */
 gboolean hzb_peers_any_sends_workers (HzbPeers *peers); /* to the leader, lately */
 gboolean hzb_peers_any_lost_workers (HzbPeers *peers);  /* and gave way for it; this node too */
-gboolean hzb_peers_any_served (HzbPeers *peers); /* by the state service: an outage is ours alone */
-gboolean hzb_peers_silent (HzbPeers *peers, const char *node); /* not heard lately; or nobody of that name */
+gboolean hzb_peers_any_reaches_store (HzbPeers *peers); /* by the state service: an outage is ours alone */
+gboolean hzb_peers_unreachable (HzbPeers *peers, const char *node); /* not heard lately; or nobody of that name */
 guint hzb_peers_format (HzbPeers *peers, const char *node);    /* that it last said; 1: it said none, or is silent */
-gboolean hzb_peers_all_format (HzbPeers *peers, guint format); /* every other node has lately said so much */
-gboolean hzb_peers_any_old (HzbPeers *peers); /* one that is heard reads less than this process */
-gboolean hzb_peers_served_at (HzbPeers *peers, const char *node, struct timespec *at); /* by the state service */
-void hzb_peers_display (HzbPeers *peers, const char *uid, guint *done, guint *running);
+gboolean hzb_peers_all_have_format (HzbPeers *peers, guint format); /* every other node has lately said so much */
+gboolean hzb_peers_any_older_format (HzbPeers *peers); /* one that is heard reads less than this process */
+gboolean hzb_peers_last_store_contact (HzbPeers *peers, const char *node, struct timespec *at); /* by the state service */
+void hzb_peers_task_counts (HzbPeers *peers, const char *uid, guint *done, guint *running);
 cJSON *hzb_peers_message (HzbPeers *peers, HzbPeerKind kind); /* says who sends it, and which one it is */
 void hzb_controller_peer_request (HzbExchange *exchange, gpointer controller);
 
 /* rentals.c: what the holder has to do with the cloud */
-HzbRentals *hzb_rentals_new (HzbController *c);
-void hzb_rentals_free (HzbRentals *rentals);
-void hzb_rentals_reset (HzbRentals *rentals); /* a holding begins */
-void hzb_rentals_tick (HzbRentals *rentals, struct timespec now);
-gboolean hzb_rentals_returned (HzbRentals *rentals, const char *machine);
+HzbProvisioning *hzb_provisioning_new (HzbController *c);
+void hzb_provisioning_free (HzbProvisioning *rentals);
+void hzb_provisioning_reset (HzbProvisioning *rentals); /* a holding begins */
+void hzb_provisioning_tick (HzbProvisioning *rentals, struct timespec now);
+gboolean hzb_provisioning_was_returned (HzbProvisioning *rentals, const char *machine);
 
 /* gateway.c */
-void hzb_gateway_report (HzbController *c, HzbExchange *exchange);
+void hzb_worker_api_report (HzbController *c, HzbExchange *exchange);
 
 /* lease.c: blocks leased to other controllers, the leader's part */
 HzbLeases *hzb_leases_new (HzbController *c);
@@ -160,16 +160,16 @@
 void hzb_leases_reset (HzbLeases *leases); /* the leader's part is over, or begins */
 void hzb_leases_request (HzbLeases *leases, HzbExchange *exchange, const cJSON *root);
 /* A machine without tasks has reported for the first time: whom it is lent to, or NULL. */
-const char *hzb_leases_offer (HzbLeases *leases, HzbMachine *machine);
+const char *hzb_leases_lease_idle (HzbLeases *leases, HzbMachine *machine);
 /* A machine with tasks has just reported: whom it is handed over to, or NULL. */
 const char *hzb_leases_hand_over (HzbLeases *leases, HzbMachine *machine);
-const char *hzb_leases_lessee (HzbLeases *leases, const HzbMachine *machine);
+const char *hzb_leases_lessee_name (HzbLeases *leases, const HzbMachine *machine);
 guint64 hzb_leases_next_token (HzbLeases *leases);
-void hzb_leases_durable (HzbLeases *leases, HzbTask *task); /* of a task that a lessee has finished */
+void hzb_leases_announce_durable (HzbLeases *leases, HzbTask *task); /* of a task that a lessee has finished */
 cJSON *hzb_leases_pack (HzbLeases *leases);
-void hzb_leases_cancelled (HzbLeases *leases, HzbJob *job);
+void hzb_leases_announce_cancellation (HzbLeases *leases, HzbJob *job);
 /* Every lessee that was granted a task of this cancelled job has acknowledged that it is. */
-gboolean hzb_leases_all_told (HzbLeases *leases, const HzbJob *job);
+gboolean hzb_leases_all_acknowledged (HzbLeases *leases, const HzbJob *job);
 
 /* lessee.c: the block that was leased to this node */
 HzbLessee *hzb_lessee_new (HzbController *c);
@@ -177,9 +177,9 @@
 void hzb_lessee_tick (HzbLessee *lessee, struct timespec now);
 void hzb_lessee_clear (HzbLessee *lessee); /* a leased holding begins or ends */
 gboolean hzb_lessee_valid (HzbLessee *lessee);
-void hzb_lessee_ask_soon (HzbLessee *lessee); /* something waits for the leader's answer */
-void hzb_lessee_finished (HzbLessee *lessee, const HzbTask *task, double ran_s);
-void hzb_lessee_give_machine (HzbLessee *lessee, HzbMachine *machine, const char *why);
+void hzb_lessee_poll_soon (HzbLessee *lessee); /* something waits for the leader's answer */
+void hzb_lessee_report_finished (HzbLessee *lessee, const HzbTask *task, double ran_s);
+void hzb_lessee_return_machine (HzbLessee *lessee, HzbMachine *machine, const char *why);
 void hzb_controller_begin_leased (HzbController *c, guint64 token);
 void hzb_controller_end_leased (HzbController *c, const char *why);
 
@@ -188,19 +188,19 @@
 void hzb_cancellations_free (HzbCancellations *cancellations);
 void hzb_cancellations_tick (HzbCancellations *cancellations, struct timespec now);
 /* No holder can act without the job's cancellation any more. */
-gboolean hzb_cancellations_effective (HzbCancellations *cancellations, HzbJob *job);
-gboolean hzb_cancellations_ask (HzbCancellations *cancellations, HzbJob *job); /* FALSE: nobody to ask just now */
-cJSON *hzb_cancellations_question (HzbCancellations *cancellations);           /* to the leader; NULL: none */
-cJSON *hzb_cancellations_answer (HzbCancellations *cancellations, const cJSON *question); /* by the leader */
-void hzb_cancellations_answered (HzbCancellations *cancellations, guint64 term, const cJSON *heard);
+gboolean hzb_cancellations_acknowledged (HzbCancellations *cancellations, HzbJob *job);
+gboolean hzb_cancellations_request (HzbCancellations *cancellations, HzbJob *job); /* FALSE: nobody to ask just now */
+cJSON *hzb_cancellations_pack_request (HzbCancellations *cancellations);           /* to the leader; NULL: none */
+cJSON *hzb_cancellations_handle_request (HzbCancellations *cancellations, const cJSON *question); /* by the leader */
+void hzb_cancellations_handle_response (HzbCancellations *cancellations, guint64 term, const cJSON *last_report);
 /* The holder: all that were recorded up to this revision are effective. */
-guint64 hzb_cancellations_clear (HzbCancellations *cancellations);
+guint64 hzb_cancellations_acknowledged_revision (HzbCancellations *cancellations);
 
 /* api.c */
-HzbApi *hzb_api_new (HzbController *c);
-void hzb_api_free (HzbApi *api);
-void hzb_api_tick (HzbApi *api);
-void hzb_api_request (HzbApi *api, HzbExchange *exchange);
+HzbUserApi *hzb_user_api_new (HzbController *c);
+void hzb_user_api_free (HzbUserApi *api);
+void hzb_user_api_tick (HzbUserApi *api);
+void hzb_user_api_request (HzbUserApi *api, HzbExchange *exchange);
 
 /* admin.c */
 void hzb_admin_apply_settings (HzbController *c, const cJSON *value, guint64 version);
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -1,4 +1,4 @@
-#include "give-way.h"
+#include "preemption.h"
 #include "search.h"
 
 #include <math.h>
@@ -8,8 +8,8 @@
 #define PREEMPTIBLE_PART 0.3
 /* Where the least goes first, the largest would wait for as long as smaller ones keep coming. Users want the largest
  * to begin within four minutes: after half of that the first task of any job goes before all but urgent work. */
-#define BEGIN_BY_S 120.0
-#define BEGIN_CLASS 5u
+#define OVERDUE_AFTER_S 120.0
+#define OVERDUE_LEVEL 5u
 
 HzbDispatch *
 hzb_dispatch_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings, GRand *rand)
@@ -19,16 +19,16 @@
   d->machines = machines;
   d->settings = settings;
   d->rand = rand;
-  d->ahead_cpus = g_new0 (double, settings->teams->len * HZB_N_CLASSES);
-  d->ahead_gpus = g_new0 (double, settings->teams->len * HZB_N_CLASSES);
+  d->ahead_cpus = g_new0 (double, settings->teams->len * HZB_N_LEVELS);
+  d->ahead_gpus = g_new0 (double, settings->teams->len * HZB_N_LEVELS);
   d->h = 0.5;
   d->list_ahead_s = 8;
   d->sample = 8;
   d->usable = g_ptr_array_new ();
-  for (guint c = 0; c < HZB_N_CLASSES; c++)
+  for (guint c = 0; c < HZB_N_LEVELS; c++)
     {
       d->waiting[c] = g_ptr_array_new ();
-      d->listers[c] = g_ptr_array_new ();
+      d->machines_with_lists[c] = g_ptr_array_new ();
     }
   return d;
 }
@@ -36,10 +36,10 @@
 void
 hzb_dispatch_free (HzbDispatch *d)
 {
-  for (guint c = 0; c < HZB_N_CLASSES; c++)
+  for (guint c = 0; c < HZB_N_LEVELS; c++)
     {
       g_ptr_array_unref (d->waiting[c]);
-      g_ptr_array_unref (d->listers[c]);
+      g_ptr_array_unref (d->machines_with_lists[c]);
     }
   g_ptr_array_unref (d->usable);
   g_free (d->ahead_cpus);
@@ -48,13 +48,13 @@
 }
 
 void
-hzb_dispatch_forget (HzbDispatch *d)
+hzb_dispatch_clear_indexes (HzbDispatch *d)
 {
   g_ptr_array_set_size (d->usable, 0);
-  for (guint c = 0; c < HZB_N_CLASSES; c++)
+  for (guint c = 0; c < HZB_N_LEVELS; c++)
     {
       g_ptr_array_set_size (d->waiting[c], 0);
-      g_ptr_array_set_size (d->listers[c], 0);
+      g_ptr_array_set_size (d->machines_with_lists[c], 0);
     }
 }
 
@@ -83,9 +83,9 @@
 }
 
 void
-hzb_dispatch_rebook (HzbDispatch *d, HzbMachine *m, struct timespec now)
+hzb_dispatch_reset_estimates (HzbDispatch *d, HzbMachine *m, struct timespec now)
 {
-  double booked[HZB_N_CLASSES] = { 0 };
+  double booked[HZB_N_LEVELS] = { 0 };
 
   if (!m->type)
     return;
@@ -99,27 +99,27 @@
   for (guint i = 0; i < m->tasks->len; i++)
     {
       const HzbTask *task = m->tasks->pdata[i];
-      guint class = task->job->class, v = MAX (1, hzb_machine_speed (m, task->job->spec));
+      guint level = task->job->level, v = MAX (1, hzb_machine_speed (m, task->job->spec));
       double work = hzb_task_remaining_s (task, now) / v;
-      for (guint c = 0; c < HZB_N_CLASSES; c++)
-        booked[c] += c <= class ? work : work * PREEMPTIBLE_PART;
+      for (guint c = 0; c < HZB_N_LEVELS; c++)
+        booked[c] += c <= level ? work : work * PREEMPTIBLE_PART;
     }
-  for (guint class = 0; class < HZB_N_CLASSES; class++)
-    for (GList *l = m->lists[class].head; l; l = l->next)
+  for (guint level = 0; level < HZB_N_LEVELS; level++)
+    for (GList *l = m->lists[level].head; l; l = l->next)
       {
         const HzbTask *task = l->data;
         double work = hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (m->type, task->job->spec));
-        for (guint c = 0; c <= class; c++)
+        for (guint c = 0; c <= level; c++)
           booked[c] += work;
       }
-  for (guint c = 0; c < HZB_N_CLASSES; c++)
+  for (guint c = 0; c < HZB_N_LEVELS; c++)
     hzb_estimate_reset (&m->estimates[c], now, booked[c]);
-  m->stale_estimate = FALSE;
+  m->estimate_stale = FALSE;
 }
 
 /* A leader has lent most machines: samples are taken of those that can be chosen. */
 static void
-index_usable (HzbDispatch *d)
+index_usable_machines (HzbDispatch *d)
 {
   g_ptr_array_set_size (d->usable, 0);
   for (guint i = 0; i < d->machines->all->len; i++)
@@ -131,7 +131,7 @@
 hzb_dispatch_choose (HzbDispatch *d, HzbJob *job, struct timespec now)
 {
   g_auto (HzbSearch) search = { 0 };
-  index_usable (d);
+  index_usable_machines (d);
   hzb_search_begin (&search, d, job, now);
   hzb_search_look (&search, d->lagging ? d->sample : 0);
   return hzb_search_best (&search);
@@ -139,10 +139,10 @@
 
 /* Seconds that the tasks of this class and higher ones in the machine's list will take it. */
 static double
-listed_s (const HzbMachine *m, guint class)
+listed_s (const HzbMachine *m, guint level)
 {
   double work = 0;
-  for (guint c = class; c < HZB_N_CLASSES; c++)
+  for (guint c = level; c < HZB_N_LEVELS; c++)
     for (GList *l = m->lists[c].head; l; l = l->next)
       {
         const HzbTask *task = l->data;
@@ -154,13 +154,13 @@
 static void
 put_on_list (HzbDispatch *d, HzbTask *task, HzbMachine *m, struct timespec now)
 {
-  guint class = task->job->class;
+  guint level = task->job->level;
   double mean = hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (m->type, task->job->spec));
 
   hzb_task_set_state (d->jobs, task, HZB_TASK_LISTED, m);
   if (!g_hash_table_contains (m->images, task->job->spec->image))
     g_hash_table_add (m->expected, g_ref_string_acquire (task->job->spec->image));
-  for (guint c = 0; c <= class; c++)
+  for (guint c = 0; c <= level; c++)
     {
       hzb_estimate_shift (&m->estimates[c], now);
       hzb_estimate_send (&m->estimates[c], mean);
@@ -176,7 +176,7 @@
     {
       const HzbObjective *o = settings->objectives->pdata[i];
       double by;
-      if (g_strcmp0 (o->lane, job->spec->lane) != 0)
+      if (g_strcmp0 (o->job_class, job->spec->job_class) != 0)
         continue;
       if (g_str_equal (o->kind, "finished"))
         by = o->within_s - 1.3 * mean;
@@ -200,27 +200,27 @@
 /* High priorities come first, then what a team is guaranteed, then what will miss its aim unless it starts
  * soon, then the rest by priority. */
 static guint
-class_of (const HzbSettings *settings, const HzbJob *job, struct timespec now)
+level_of (const HzbSettings *settings, const HzbJob *job, struct timespec now)
 {
   double aim, slack = hzb_job_slack_s (settings, job, now, &aim);
-  switch (job->spec->urgency)
+  switch (job->spec->priority)
     {
-    case HZB_URGENCY_PRODUCTION:
+    case HZB_PRIORITY_PRODUCTION:
       return 7;
-    case HZB_URGENCY_HIGH:
+    case HZB_PRIORITY_HIGH:
       return job->guaranteed ? 6 : 5;
     default:
       if (job->guaranteed)
-        return job->spec->urgency == HZB_URGENCY_NORMAL ? 4 : 3;
+        return job->spec->priority == HZB_PRIORITY_NORMAL ? 4 : 3;
       /* Once pressing it stays so, or it would move back and forth as an aim is passed. */
-      if (job->class == 2 || slack < 0.25 * aim)
+      if (job->level == 2 || slack < 0.25 * aim)
         return 2;
-      return job->spec->urgency == HZB_URGENCY_NORMAL ? 1 : 0;
+      return job->spec->priority == HZB_PRIORITY_NORMAL ? 1 : 0;
     }
 }
 
 void
-hzb_dispatch_classes (HzbDispatch *d, struct timespec now)
+hzb_dispatch_update_levels (HzbDispatch *d, struct timespec now)
 {
   guint n = d->settings->teams->len;
   g_autofree double *cpus = g_new0 (double, n), *gpus = g_new0 (double, n);
@@ -229,7 +229,7 @@
     {
       HzbJob *job = d->jobs->active->pdata[i];
       const HzbTeam *team = d->settings->teams->pdata[job->team];
-      guint class;
+      guint level;
       if (job->state != HZB_JOB_ACCEPTED)
         continue;
       job->mean_s = hzb_jobs_mean_s (d->jobs, job);
@@ -237,27 +237,27 @@
       cpus[job->team] += job->spec->cpus * job->n_tasks;
       gpus[job->team] += job->spec->gpus * job->n_tasks;
       job->guaranteed = cpus[job->team] <= team->cpus + 1e-6 && gpus[job->team] <= team->gpus + 1e-6;
-      class = class_of (d->settings, job, now);
-      job->begin_due = !(job->placed || job->finished || job->done || job->unknown || job->spec->gang)
-                       && hzb_time_between (job->since, now) > BEGIN_BY_S;
-      if (job->begin_due)
-        class = MAX (class, BEGIN_CLASS);
-      if (class != job->class)
+      level = level_of (d->settings, job, now);
+      job->start_overdue = !(job->placed || job->finished || job->done || job->unknown || job->spec->gang)
+                       && hzb_time_between (job->since, now) > OVERDUE_AFTER_S;
+      if (job->start_overdue)
+        level = MAX (level, OVERDUE_LEVEL);
+      if (level != job->level)
         {
           /* What waits in lists goes through them anew. */
           for (guint k = 0; job->listed && k < job->n_tasks; k++)
             if (job->tasks[k].state == HZB_TASK_LISTED)
               hzb_task_set_state (d->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
-          job->class = (guint8) class;
+          job->level = (guint8) level;
         }
     }
 }
 
 /* Of a job that has to begin only one task goes first. */
 static gboolean
-has_its_one (const HzbJob *job)
+overdue_start_placed (const HzbJob *job)
 {
-  return job->begin_due && (job->listed || job->placed);
+  return job->start_overdue && (job->listed || job->placed);
 }
 
 static double
@@ -272,10 +272,10 @@
 hzb_dispatch_order (gconstpointer a, gconstpointer b)
 {
   const HzbJob *x = *(HzbJob *const *) a, *y = *(HzbJob *const *) b;
-  int order = (int) y->class - (int) x->class;
+  int order = (int) y->level - (int) x->level;
   if (order)
     return order;
-  if (x->class <= 2)
+  if (x->level <= 2)
     {
       double left = work_left (x), right = work_left (y);
       if (left != right)
@@ -334,8 +334,8 @@
                   || m->gpus + spec->gpus * (taken[i] + 1) > m->type->gpus + 1e-6
                   || m->memory + spec->memory_gb * (taken[i] + 1) > m->type->memory_gb + 1e-6)
                 continue;
-              hzb_estimate_shift (&m->estimates[job->class], now);
-              cost = hzb_estimate_mean (&m->estimates[job->class]) + hzb_fetch_s (m, spec);
+              hzb_estimate_shift (&m->estimates[job->level], now);
+              cost = hzb_estimate_mean (&m->estimates[job->level]) + hzb_fetch_s (m, spec);
               if (cost < least)
                 {
                   least = cost;
@@ -370,13 +370,13 @@
 
 /* A gang that waits halts list starts of lower classes on machines it could use. */
 static gboolean
-halted_by_gang (HzbDispatch *d, const HzbMachine *m, guint class, struct timespec now)
+halted_by_gang (HzbDispatch *d, const HzbMachine *m, guint level, struct timespec now)
 {
   for (guint i = 0; d->gang_waits && i < d->jobs->active->len; i++)
     {
       const HzbJob *job = d->jobs->active->pdata[i];
       if (job->spec->gang && job->state == HZB_JOB_ACCEPTED && job->pending == job->n_tasks
-          && job->class >= class && !hzb_time_before (now, job->not_before)
+          && job->level >= level && !hzb_time_before (now, job->not_before)
           && hzb_machine_allowed (m, job->spec) && hzb_time_between (job->since, now) > 5)
         return TRUE;
     }
@@ -390,7 +390,7 @@
   for (guint i = 0; i < d->machines->all->len; i++)
     {
       const HzbMachine *m = d->machines->all->pdata[i];
-      if ((m->state == HZB_MACHINE_LENT || hzb_machine_usable (m)) && hzb_machine_allowed (m, spec))
+      if ((m->state == HZB_MACHINE_LEASED || hzb_machine_usable (m)) && hzb_machine_allowed (m, spec))
         return TRUE;
     }
   return FALSE;
@@ -400,33 +400,33 @@
 #define LOOKS_PER_RUN 20000u
 
 static void
-index_listers (HzbDispatch *d)
+index_machines_with_lists (HzbDispatch *d)
 {
-  for (guint c = 0; c < HZB_N_CLASSES; c++)
-    g_ptr_array_set_size (d->listers[c], 0);
+  for (guint c = 0; c < HZB_N_LEVELS; c++)
+    g_ptr_array_set_size (d->machines_with_lists[c], 0);
   for (guint i = 0; i < d->machines->all->len; i++)
     {
       HzbMachine *m = d->machines->all->pdata[i];
-      for (guint c = 0; c < HZB_N_CLASSES; c++)
+      for (guint c = 0; c < HZB_N_LEVELS; c++)
         if (m->lists[c].length)
-          g_ptr_array_add (d->listers[c], m);
+          g_ptr_array_add (d->machines_with_lists[c], m);
     }
   d->generation = d->machines->generation;
 }
 
 /* Tasks of one job to lists: only as many as the team may use, since what waits for its limit holds nobody up. */
 static void
-list_tasks (HzbDispatch *d, HzbJob *job, double *cpus, double *gpus, guint *budget, guint *looks, struct timespec now)
+list_tasks (HzbDispatch *d, HzbJob *job, double *cpus, double *gpus, guint *budget, guint *examined, struct timespec now)
 {
   const HzbBlock *block = d->jobs->block;
   const HzbSpec *spec = job->spec;
   g_auto (HzbSearch) search = { 0 };
-  gboolean sampled = d->lagging || *looks < d->usable->len;
+  gboolean sampled = d->lagging || *examined < d->usable->len;
 
   hzb_search_begin (&search, d, job, now);
   if (!sampled)
     {
-      *looks -= d->usable->len;
+      *examined -= d->usable->len;
       hzb_search_look (&search, 0);
     }
   while (*budget && hzb_block_fits (block, job->team, cpus[job->team] + spec->cpus, gpus[job->team] + spec->gpus))
@@ -435,10 +435,10 @@
       HzbMachine *m;
       if (sampled)
         hzb_search_look (&search, d->sample);
-      m = has_its_one (job) ? NULL : hzb_search_best (&search);
+      m = overdue_start_placed (job) ? NULL : hzb_search_best (&search);
       /* No machine, or even the least loaded has work for a while: it waits here, where what comes later and is
        * more pressing can still go first. Only what a machine could take is asked for, and so released. */
-      if (!m || listed_s (m, job->class) > d->list_ahead_s || !(task = hzb_job_next_pending (job, now)))
+      if (!m || listed_s (m, job->level) > d->list_ahead_s || !(task = hzb_job_next_pending (job, now)))
         break;
       put_on_list (d, task, m, now);
       hzb_search_sent (&search);
@@ -457,21 +457,21 @@
   const HzbBlock *block = d->jobs->block;
   guint n = block->n_teams;
   g_autofree double *cpus = g_new0 (double, n), *gpus = g_new0 (double, n);
-  guint budget = d->lagging ? 50 : 400, looks = LOOKS_PER_RUN;
+  guint budget = d->lagging ? 50 : 400, examined = LOOKS_PER_RUN;
 
-  hzb_dispatch_classes (d, now);
-  index_usable (d);
+  hzb_dispatch_update_levels (d, now);
+  index_usable_machines (d);
   for (guint i = 0; i < d->usable->len; i++)
     {
       HzbMachine *m = d->usable->pdata[i];
-      if (m->stale_estimate)
-        hzb_dispatch_rebook (d, m, now);
+      if (m->estimate_stale)
+        hzb_dispatch_reset_estimates (d, m, now);
     }
-  memset (d->ahead_cpus, 0, n * HZB_N_CLASSES * sizeof (double));
-  memset (d->ahead_gpus, 0, n * HZB_N_CLASSES * sizeof (double));
+  memset (d->ahead_cpus, 0, n * HZB_N_LEVELS * sizeof (double));
+  memset (d->ahead_gpus, 0, n * HZB_N_LEVELS * sizeof (double));
   d->gang_waits = FALSE;
   d->least_cpus = INFINITY;
-  for (guint c = 0; c < HZB_N_CLASSES; c++)
+  for (guint c = 0; c < HZB_N_LEVELS; c++)
     g_ptr_array_set_size (d->waiting[c], 0);
   for (guint i = 0; i < d->jobs->active->len; i++)
     {
@@ -486,8 +486,8 @@
        * rented only once their work is over. */
       if (hzb_time_before (now, job->not_before) || job->failures || !has_machine (d, job->spec))
         continue;
-      at = (guint) job->team * HZB_N_CLASSES + job->class;
-      waiting = job->begin_due ? 1 : job->pending + job->listed;
+      at = (guint) job->team * HZB_N_LEVELS + job->level;
+      waiting = job->start_overdue ? 1 : job->pending + job->listed;
       d->ahead_cpus[at] += waiting * job->spec->cpus;
       d->ahead_gpus[at] += waiting * job->spec->gpus;
     }
@@ -496,7 +496,7 @@
     {
       HzbJob *job = order->pdata[i];
       if (!job->spec->gang)
-        g_ptr_array_add (d->waiting[job->class], job);
+        g_ptr_array_add (d->waiting[job->level], job);
     }
   for (guint i = 0; i < order->len && budget; i++)
     {
@@ -515,13 +515,13 @@
         }
       if (!hzb_block_fits (block, job->team, cpus[job->team] + spec->cpus, gpus[job->team] + spec->gpus))
         {
-          if (spec->urgency >= HZB_URGENCY_HIGH)
-            hzb_give_way_in_team (d, job, now);
+          if (spec->priority >= HZB_PRIORITY_HIGH)
+            hzb_preempt_within_team (d, job, now);
           continue;
         }
-      list_tasks (d, job, cpus, gpus, &budget, &looks, now);
+      list_tasks (d, job, cpus, gpus, &budget, &examined, now);
     }
-  index_listers (d);
+  index_machines_with_lists (d);
 }
 
 /* ---- at a report ---- */
@@ -531,9 +531,9 @@
 gboolean
 hzb_dispatch_team_may_use (HzbDispatch *d, const HzbJob *job)
 {
-  const double *cpus = d->ahead_cpus + job->team * HZB_N_CLASSES, *gpus = d->ahead_gpus + job->team * HZB_N_CLASSES;
+  const double *cpus = d->ahead_cpus + job->team * HZB_N_LEVELS, *gpus = d->ahead_gpus + job->team * HZB_N_LEVELS;
   double kept_cpus = 0, kept_gpus = 0;
-  for (guint c = job->class + 1; c < HZB_N_CLASSES; c++)
+  for (guint c = job->level + 1; c < HZB_N_LEVELS; c++)
     {
       kept_cpus += cpus[c];
       kept_gpus += gpus[c];
@@ -542,9 +542,9 @@
 }
 
 void
-hzb_dispatch_started (HzbDispatch *d, const HzbJob *job)
+hzb_dispatch_note_started (HzbDispatch *d, const HzbJob *job)
 {
-  guint at = (guint) job->team * HZB_N_CLASSES + job->class;
+  guint at = (guint) job->team * HZB_N_LEVELS + job->level;
   d->ahead_cpus[at] = MAX (0, d->ahead_cpus[at] - job->spec->cpus);
   d->ahead_gpus[at] = MAX (0, d->ahead_gpus[at] - job->spec->gpus);
 }
@@ -557,15 +557,15 @@
 }
 
 static gboolean
-startable (HzbDispatch *d, const HzbTask *task, const HzbMachine *m)
+may_start (HzbDispatch *d, const HzbTask *task, const HzbMachine *m)
 {
   return task->job->state == HZB_JOB_ACCEPTED && hzb_dispatch_team_may_use (d, task->job) && hzb_zone_allowed (task->job, m);
 }
 
 static void
-start (HzbDispatch *d, HzbTask *task, HzbMachine *m, GArray *orders)
+start (HzbDispatch *d, HzbTask *task, HzbMachine *m, GArray *commands)
 {
-  HzbOrder order = { HZB_ORDER_START, task->job->uid, task->index, 0, 0 };
+  HzbCommand order = { HZB_COMMAND_START, task->job->uid, task->index, 0, 0 };
 
   if (task->state == HZB_TASK_LISTED && task->machine != m)
     hzb_task_set_state (d->jobs, task, HZB_TASK_PENDING, NULL); /* moved: it was never sent there */
@@ -579,8 +579,8 @@
   order.attempt = task->attempt;
   if (hzb_task_set_state (d->jobs, task, HZB_TASK_STARTING, m))
     {
-      hzb_dispatch_started (d, task->job);
-      g_array_append_val (orders, order);
+      hzb_dispatch_note_started (d, task->job);
+      g_array_append_val (commands, order);
     }
 }
 
@@ -588,10 +588,10 @@
 
 /* The unstarted task that the machine should take from another's list: of a sample, that of the most loaded. */
 static HzbTask *
-find_move (HzbDispatch *d, HzbMachine *m, guint class, gboolean cached, struct timespec now)
+find_task_to_move (HzbDispatch *d, HzbMachine *m, guint level, gboolean cached, struct timespec now)
 {
-  GPtrArray *listers = d->listers[class];
-  guint n = listers->len, most_looks = MIN (n, d->lagging ? d->sample : MOVE_SAMPLE);
+  GPtrArray *machines_with_lists = d->machines_with_lists[level];
+  guint n = machines_with_lists->len, most_looks = MIN (n, d->lagging ? d->sample : MOVE_SAMPLE);
   guint first = most_looks < n ? (guint) g_rand_int_range (d->rand, 0, (gint32) n) : 0;
   guint step = most_looks ? n / most_looks : 1;
   HzbTask *best = NULL;
@@ -599,16 +599,16 @@
 
   for (guint i = 0; i < most_looks; i++)
     {
-      HzbMachine *other = listers->pdata[(first + i * step) % n];
-      guint looks = 0;
+      HzbMachine *other = machines_with_lists->pdata[(first + i * step) % n];
+      guint examined = 0;
       double u;
-      if (other == m || !other->lists[class].length)
+      if (other == m || !other->lists[level].length)
         continue;
-      d->looks++;
-      u = hzb_estimate_mean (&other->estimates[class]);
+      d->examined++;
+      u = hzb_estimate_mean (&other->estimates[level]);
       if (u <= most)
         continue;
-      for (GList *l = other->lists[class].head; l && looks < 8; l = l->next, looks++)
+      for (GList *l = other->lists[level].head; l && examined < 8; l = l->next, examined++)
         {
           HzbTask *task = l->data;
           const HzbSpec *spec = task->job->spec;
@@ -617,7 +617,7 @@
                            && hzb_time_between (task->since, now) < 2 * d->settings->report_s;
           if (((cached || waits) && !g_hash_table_contains (m->images, spec->image)) || !hzb_machine_allowed (m, spec)
               || !hzb_machine_has_room (m, spec)
-              || hzb_machine_avoids (m, task->job, now) || !startable (d, task, m))
+              || hzb_machine_avoids (m, task->job, now) || !may_start (d, task, m))
             continue;
           best = task;
           most = u;
@@ -629,9 +629,9 @@
 
 /* A machine with room and nothing in any list for it takes what still waits for a list. */
 static void
-start_waiting (HzbDispatch *d, HzbMachine *m, guint class, struct timespec now, GArray *orders)
+start_waiting (HzbDispatch *d, HzbMachine *m, guint level, struct timespec now, GArray *commands)
 {
-  GPtrArray *waiting = d->waiting[class];
+  GPtrArray *waiting = d->waiting[level];
 
   for (guint cached = 2; cached-- > 0;)
     for (guint i = 0; i < waiting->len && has_some_room (d, m); i++)
@@ -639,25 +639,25 @@
         HzbJob *job = waiting->pdata[i];
         HzbTask *task;
         /* The order is that of the last run: what has changed since is looked at here. */
-        if (!job->pending || job->state != HZB_JOB_ACCEPTED || job->class != class || job->failures
+        if (!job->pending || job->state != HZB_JOB_ACCEPTED || job->level != level || job->failures
             || !hzb_machine_has_room (m, job->spec) || !hzb_machine_allowed (m, job->spec)
             || hzb_time_before (now, job->not_before) || hzb_machine_avoids (m, job, now)
             || (cached && !g_hash_table_contains (m->images, job->spec->image)) || !hzb_dispatch_team_may_use (d, job))
           continue;
-        while (!has_its_one (job) && hzb_machine_has_room (m, job->spec) && (task = hzb_job_next_pending (job, now)))
+        while (!overdue_start_placed (job) && hzb_machine_has_room (m, job->spec) && (task = hzb_job_next_pending (job, now)))
           {
-            if (!startable (d, task, m))
+            if (!may_start (d, task, m))
               {
                 g_queue_push_head (&job->retry, task);
                 break;
               }
-            start (d, task, m, orders);
+            start (d, task, m, commands);
           }
       }
 }
 
 void
-hzb_dispatch_fill (HzbDispatch *d, HzbMachine *m, struct timespec now, GArray *orders)
+hzb_dispatch_start_tasks (HzbDispatch *d, HzbMachine *m, struct timespec now, GArray *commands)
 {
   if (!hzb_machine_usable (m))
     return;
@@ -667,39 +667,39 @@
       HzbTask *task = m->tasks->pdata[i];
       if (task->state == HZB_TASK_BOOKED)
         {
-          start (d, task, m, orders);
+          start (d, task, m, commands);
           i = G_MAXUINT; /* the array was changed */
         }
     }
   if (d->generation != d->machines->generation)
-    index_listers (d); /* some of them may be no more */
-  for (gint class = HZB_N_CLASSES - 1; class >= 0 && has_some_room (d, m); class--)
+    index_machines_with_lists (d); /* some of them may be no more */
+  for (gint level = HZB_N_LEVELS - 1; level >= 0 && has_some_room (d, m); level--)
     {
       gboolean held_up = FALSE;
-      if (halted_by_gang (d, m, (guint) class, now))
+      if (halted_by_gang (d, m, (guint) level, now))
         break;
-      for (GList *l = m->lists[class].head; l;)
+      for (GList *l = m->lists[level].head; l;)
         {
           HzbTask *task = l->data;
           l = l->next;
-          if (!startable (d, task, m))
+          if (!may_start (d, task, m))
             continue;
           if (!hzb_machine_has_room (m, task->job->spec))
             {
               held_up = TRUE; /* first come: nothing of this class or a lower one goes past it */
               break;
             }
-          start (d, task, m, orders);
+          start (d, task, m, commands);
         }
       if (held_up)
         break;
-      for (guint cached = 2; cached-- > 0 && d->listers[class]->len;)
+      for (guint cached = 2; cached-- > 0 && d->machines_with_lists[level]->len;)
         {
           HzbTask *task;
-          while (has_some_room (d, m) && (task = find_move (d, m, (guint) class, cached == 1, now)))
-            start (d, task, m, orders);
+          while (has_some_room (d, m) && (task = find_task_to_move (d, m, (guint) level, cached == 1, now)))
+            start (d, task, m, commands);
         }
-      start_waiting (d, m, (guint) class, now, orders);
+      start_waiting (d, m, (guint) level, now, commands);
     }
-  hzb_give_way_on (d, m, now, orders);
+  hzb_preempt_on_machine (d, m, now, commands);
 }
--- a/src/dispatch.h
+++ b/src/dispatch.h
@@ -16,13 +16,13 @@
   double lag_s;         /* how late timers fire, smoothed */
   double *ahead_cpus, *ahead_gpus; /* [team][class]: what waits and goes first */
   /* As of the last run, so that a report costs no look at every machine or job: */
-  GPtrArray *waiting[HZB_N_CLASSES]; /* HzbJob, in the order of service */
+  GPtrArray *waiting[HZB_N_LEVELS]; /* HzbJob, in the order of service */
   GPtrArray *usable;                 /* HzbMachine that may take work */
-  GPtrArray *listers[HZB_N_CLASSES]; /* HzbMachine that have such work in their lists */
+  GPtrArray *machines_with_lists[HZB_N_LEVELS]; /* HzbMachine that have such work in their lists */
   guint generation;                  /* of the machines, when listers were found */
   gboolean gang_waits;
   double least_cpus; /* of a waiting task: a machine with less than that free needs no look */
-  guint looks;       /* machines looked at so far, for tests */
+  guint examined;       /* machines looked at so far, for tests */
 } HzbDispatch;
 
 HzbDispatch *hzb_dispatch_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings, GRand *rand);
@@ -33,11 +33,11 @@
 /* Waiting tasks to lists, gangs to places. */
 void hzb_dispatch_run (HzbDispatch *dispatch, struct timespec now);
 /* Jobs or machines may be no more: what was found by the last run is dropped. */
-void hzb_dispatch_forget (HzbDispatch *dispatch);
+void hzb_dispatch_clear_indexes (HzbDispatch *dispatch);
 /* A report came: the distribution goes back to the booked work. */
-void hzb_dispatch_rebook (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now);
+void hzb_dispatch_reset_estimates (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now);
 /* Orders for a machine that has just reported. */
-void hzb_dispatch_fill (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *orders);
+void hzb_dispatch_start_tasks (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands);
 /* A timer fired this much late: what the processor's share does not cover shows there first. */
 void hzb_dispatch_note_lag (HzbDispatch *dispatch, double late_s);
 gint hzb_dispatch_order (gconstpointer a, gconstpointer b); /* HzbJob**, the first served first */
@@ -47,9 +47,9 @@
 double hzb_spec_grace_s (const HzbSpec *spec); /* with which a task that can save is stopped */
 /* One more task of the job may be started: its team's limit allows it, besides what goes first. */
 gboolean hzb_dispatch_team_may_use (HzbDispatch *dispatch, const HzbJob *job);
-void hzb_dispatch_started (HzbDispatch *dispatch, const HzbJob *job); /* one more was */
+void hzb_dispatch_note_started (HzbDispatch *dispatch, const HzbJob *job); /* one more was */
 /* The classes of waiting work, from priorities, guarantees and what the aims leave of time. */
-void hzb_dispatch_classes (HzbDispatch *dispatch, struct timespec now);
+void hzb_dispatch_update_levels (HzbDispatch *dispatch, struct timespec now);
 /* How long from now the job's tasks may start so that the nearest aim not yet missed is met; *aim gets what
  * the aim allows in all. Far ahead for a job without aims. */
 double hzb_job_slack_s (const HzbSettings *settings, const HzbJob *job, struct timespec now, double *aim);
--- a/src/election.c
+++ b/src/election.c
@@ -15,8 +15,8 @@
   guint64 seen_term, seen_term_version;
   char *leader, *leader_incarnation; /* by the mirror */
   guint64 leader_lease, leader_term, leader_version;
-  struct timespec next, asked, proven_until, renew_sent;
-  gboolean renewing, stands_back, raising, presses;
+  struct timespec next, requests, lease_valid_until, renew_sent;
+  gboolean renewing, backing_off, raising, eager;
   guint format;
 };
 
@@ -75,9 +75,9 @@
 }
 
 gboolean
-hzb_election_proven (HzbElection *e)
+hzb_election_lease_valid (HzbElection *e)
 {
-  return e->state == HZB_ELECTION_LEADING && hzb_time_before (hzb_clock_now (e->clock), e->proven_until);
+  return e->state == HZB_ELECTION_LEADING && hzb_time_before (hzb_clock_now (e->clock), e->lease_valid_until);
 }
 
 guint64
@@ -87,13 +87,13 @@
 }
 
 void
-hzb_election_guard (HzbElection *e, cJSON *txn)
+hzb_election_add_condition (HzbElection *e, cJSON *txn)
 {
   hzb_wire_txn_if (txn, HZB_KEY_TERM, e->term_version);
 }
 
 gboolean
-hzb_election_leader_seen (HzbElection *e)
+hzb_election_term_mirrored (HzbElection *e)
 {
   return e->state == HZB_ELECTION_LEADING && e->seen_term == e->term;
 }
@@ -123,7 +123,7 @@
 static double
 jitter (HzbElection *e)
 {
-  return e->presses ? g_rand_double_range (e->rand, 0, 0.03) : g_rand_double_range (e->rand, 0.05, 0.4);
+  return e->eager ? g_rand_double_range (e->rand, 0, 0.03) : g_rand_double_range (e->rand, 0.05, 0.4);
 }
 
 static void
@@ -165,16 +165,16 @@
 }
 
 void
-hzb_election_press (HzbElection *e, gboolean press)
+hzb_election_set_eager (HzbElection *e, gboolean eager)
 {
-  e->presses = press;
+  e->eager = eager;
 }
 
 void
-hzb_election_stand_back (HzbElection *e, double seconds)
+hzb_election_back_off (HzbElection *e, double seconds)
 {
   e->next = hzb_time_plus (hzb_clock_now (e->clock), seconds);
-  e->stands_back = TRUE;
+  e->backing_off = TRUE;
 }
 
 static void
@@ -189,8 +189,8 @@
       return;
     }
   hzb_wire_parse_txn (body, &e->term_version, NULL);
-  e->proven_until = hzb_time_plus (e->asked, TTL_MS / 1000.0 * 0.999 - 0.05);
-  e->renew_sent = e->asked;
+  e->lease_valid_until = hzb_time_plus (e->requests, TTL_MS / 1000.0 * 0.999 - 0.05);
+  e->renew_sent = e->requests;
   e->renewing = FALSE;
   set_state (e, HZB_ELECTION_LEADING, "elected");
 }
@@ -224,11 +224,11 @@
 {
   cJSON *txn, *value;
 
-  if (e->format >= 2 || e->raising || !hzb_election_proven (e))
+  if (e->format >= 2 || e->raising || !hzb_election_lease_valid (e))
     return;
   e->raising = TRUE;
   txn = hzb_wire_txn ();
-  hzb_election_guard (e, txn);
+  hzb_election_add_condition (e, txn);
   hzb_wire_txn_if (txn, HZB_KEY_FORMAT, 0);
   value = cJSON_CreateObject ();
   cJSON_AddNumberToObject (value, "format", 2);
@@ -276,7 +276,7 @@
     return;
   e->renewing = FALSE;
   if (result == HZB_STORE_OK)
-    e->proven_until = hzb_time_plus (e->renew_sent, TTL_MS / 1000.0 * 0.999 - 0.05);
+    e->lease_valid_until = hzb_time_plus (e->renew_sent, TTL_MS / 1000.0 * 0.999 - 0.05);
   else if (result == HZB_STORE_ABSENT)
     {
       e->lease = 0;
@@ -285,7 +285,7 @@
 }
 
 void
-hzb_election_item (HzbElection *e, const HzbItem *item)
+hzb_election_apply_record (HzbElection *e, const HzbItem *item)
 {
   if (g_str_equal (item->key, HZB_KEY_TERM))
     {
@@ -314,7 +314,7 @@
           e->leader_lease = hzb_json_u64 (item->value, "lease");
           e->leader_term = hzb_json_u64 (item->value, "term");
         }
-      else if (!e->stands_back)
+      else if (!e->backing_off)
         e->next = hzb_time_plus (hzb_clock_now (e->clock), jitter (e));
       if (e->state == HZB_ELECTION_LEADING
           && (e->leader ? e->leader_term > e->term : e->leader_term == e->term))
@@ -342,7 +342,7 @@
     }
   if (e->state != HZB_ELECTION_FOLLOWING || !mirror_fresh || hzb_time_before (now, e->next))
     return;
-  e->stands_back = FALSE;
+  e->backing_off = FALSE;
   if (e->leader && g_strcmp0 (e->leader, e->settings->node) == 0)
     {
       /* An earlier incarnation, or a campaign of ours whose answer was lost: it is ended, not trusted. */
@@ -352,7 +352,7 @@
   else if (!e->leader)
     {
       set_state (e, HZB_ELECTION_LEASING, "nobody leads");
-      e->asked = now;
+      e->requests = now;
       hzb_store_lease (e->store, TTL_MS, on_lease, e);
     }
 }
--- a/src/keep.c
+++ b/src/headroom.c
@@ -1,4 +1,4 @@
-#include "keep.h"
+#include "headroom.h"
 
 #include <math.h>
 
@@ -8,9 +8,9 @@
 static gboolean
 suits (const HzbMachine *m, const HzbSpec *spec, const char *zone)
 {
-  return m->type && !m->spot && !m->wanted_back && !m->deaf && hzb_type_holds (m->type, spec)
-         && (m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_LENT || m->state == HZB_MACHINE_BOOTING
-             || m->state == HZB_MACHINE_UNHEARD)
+  return m->type && !m->spot && !m->to_be_returned && !m->unreachable && hzb_type_holds (m->type, spec)
+         && (m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_LEASED || m->state == HZB_MACHINE_BOOTING
+             || m->state == HZB_MACHINE_UNVERIFIED)
          && (!zone || g_str_equal (zone, m->zone));
 }
 
@@ -30,52 +30,52 @@
     {
       const HzbMachine *m = machines->all->pdata[i];
       if (!m->type || m->spot || !g_str_equal (m->zone, zone) || !hzb_type_holds (m->type, spec)
-          || m->state == HZB_MACHINE_RETURNING || m->state == HZB_MACHINE_SILENT)
+          || m->state == HZB_MACHINE_RETURNING || m->state == HZB_MACHINE_LEASE_EXPIRED)
         continue;
-      rank += m->type->cpus + 100 * m->service_cpus + (m->kept ? 20 * m->type->cpus : 0);
+      rank += m->type->cpus + 100 * m->service_cpus + (m->reserved ? 20 * m->type->cpus : 0);
     }
   return rank;
 }
 
 static void
-choose_zones (HzbKeep *keep, const HzbMachines *machines)
+choose_zones (HzbHeadroom *headroom, const HzbMachines *machines)
 {
-  double ranks[HZB_KEEP_ZONES] = { 0 };
+  double ranks[HZB_HEADROOM_ZONES] = { 0 };
 
   for (guint t = 0; t < machines->types->len; t++)
     {
       const HzbMachineType *type = machines->types->pdata[t];
-      for (guint z = 0; hzb_type_holds (type, keep->spec) && type->zones[z]; z++)
+      for (guint z = 0; hzb_type_holds (type, headroom->spec) && type->zones[z]; z++)
         {
           const char *zone = type->zones[z];
-          double rank = zone_rank (machines, keep->spec, zone);
+          double rank = zone_rank (machines, headroom->spec, zone);
           gboolean known = FALSE;
           guint at;
-          for (guint k = 0; k < keep->n_zones; k++)
-            known = known || g_str_equal (keep->zones[k].zone, zone);
+          for (guint k = 0; k < headroom->n_zones; k++)
+            known = known || g_str_equal (headroom->zones[k].zone, zone);
           if (known)
             continue;
-          if (keep->n_zones < HZB_KEEP_ZONES)
-            at = keep->n_zones++;
+          if (headroom->n_zones < HZB_HEADROOM_ZONES)
+            at = headroom->n_zones++;
           else
             {
               at = 0;
-              for (guint k = 1; k < HZB_KEEP_ZONES; k++)
+              for (guint k = 1; k < HZB_HEADROOM_ZONES; k++)
                 if (ranks[k] < ranks[at])
                   at = k;
               if (ranks[at] >= rank)
                 continue;
             }
-          keep->zones[at].zone = zone;
+          headroom->zones[at].zone = zone;
           ranks[at] = rank;
         }
     }
 }
 
-HzbKeep
-hzb_keep_plan (const HzbJobs *jobs, const HzbMachines *machines)
+HzbHeadroom
+hzb_headroom_plan (const HzbJobs *jobs, const HzbMachines *machines)
 {
-  HzbKeep keep = { 0 };
+  HzbHeadroom headroom = { 0 };
   double waiting = 0, largest = 0;
 
   for (guint i = 0; i < jobs->active->len; i++)
@@ -86,24 +86,24 @@
         continue;
       waiting += (job->pending + job->listed + job->unknown) * spec->cpus;
       largest = MAX (largest, (job->n_tasks + 1) * spec->cpus);
-      if (!keep.spec || spec->cpus > keep.spec->cpus)
-        keep.spec = spec;
+      if (!headroom.spec || spec->cpus > headroom.spec->cpus)
+        headroom.spec = spec;
     }
-  if (!keep.spec || !machines->types)
-    return (HzbKeep){ 0 };
-  choose_zones (&keep, machines);
-  for (guint z = 0; z < keep.n_zones; z++)
+  if (!headroom.spec || !machines->types)
+    return (HzbHeadroom){ 0 };
+  choose_zones (&headroom, machines);
+  for (guint z = 0; z < headroom.n_zones; z++)
     {
-      keep.zones[z].waiting = waiting / keep.n_zones;
-      keep.zones[z].free = largest;
+      headroom.zones[z].waiting = waiting / headroom.n_zones;
+      headroom.zones[z].free = largest;
       for (guint i = 0; i < machines->all->len; i++)
         {
           const HzbMachine *m = machines->all->pdata[i];
-          if (m->service_cpus > 0 && g_str_equal (m->zone, keep.zones[z].zone))
-            keep.zones[z].placed += m->service_cpus;
+          if (m->service_cpus > 0 && g_str_equal (m->zone, headroom.zones[z].zone))
+            headroom.zones[z].placed += m->service_cpus;
         }
     }
-  return keep;
+  return headroom;
 }
 
 /* Guards against kept room that stands empty while other work waits and waits: replicas can have it stopped. */
@@ -132,15 +132,15 @@
 /* The one that can serve soonest: ours, with replicas already, and with the least other work to wait for. One that still
  * boots is kept from the start, or it would be lent as soon as it is up. */
 static HzbMachine *
-next_to_keep (const HzbKeep *keep, HzbMachines *machines, const char *zone)
+next_to_reserve (const HzbHeadroom *headroom, HzbMachines *machines, const char *zone)
 {
   HzbMachine *best = NULL;
   double least = INFINITY;
   for (guint i = 0; i < machines->all->len; i++)
     {
       HzbMachine *m = machines->all->pdata[i];
-      double cost = (m->state == HZB_MACHINE_LENT ? 1000 : m->state == HZB_MACHINE_ACTIVE ? 0 : 100) + m->cpus - 100 * m->service_cpus;
-      if (m->kept || !suits (m, keep->spec, zone) || free_for_replicas (m) < keep->spec->cpus || cost >= least)
+      double cost = (m->state == HZB_MACHINE_LEASED ? 1000 : m->state == HZB_MACHINE_ACTIVE ? 0 : 100) + m->cpus - 100 * m->service_cpus;
+      if (m->reserved || !suits (m, headroom->spec, zone) || free_for_replicas (m) < headroom->spec->cpus || cost >= least)
         continue;
       least = cost;
       best = m;
@@ -149,32 +149,32 @@
 }
 
 void
-hzb_keep_mark (const HzbKeep *keep, HzbJobs *jobs, HzbMachines *machines)
+hzb_headroom_reserve (const HzbHeadroom *headroom, HzbJobs *jobs, HzbMachines *machines)
 {
-  const HzbJob *waiting = keep->spec ? waits_long (jobs) : NULL;
+  const HzbJob *waiting = headroom->spec ? waits_long (jobs) : NULL;
 
   for (guint i = 0; i < machines->all->len; i++)
     {
       HzbMachine *m = machines->all->pdata[i];
       gboolean zone = FALSE;
-      for (guint z = 0; z < keep->n_zones; z++)
-        zone = zone || g_str_equal (m->zone, keep->zones[z].zone);
-      if (m->kept && (!keep->spec || waiting || !suits (m, keep->spec, NULL) || (!zone && m->service_cpus <= 0)))
-        m->kept = FALSE;
+      for (guint z = 0; z < headroom->n_zones; z++)
+        zone = zone || g_str_equal (m->zone, headroom->zones[z].zone);
+      if (m->reserved && (!headroom->spec || waiting || !suits (m, headroom->spec, NULL) || (!zone && m->service_cpus <= 0)))
+        m->reserved = FALSE;
     }
-  for (guint z = 0; z < keep->n_zones && !waiting; z++)
+  for (guint z = 0; z < headroom->n_zones && !waiting; z++)
     {
-      double free = 0, want = keep->zones[z].free + keep->zones[z].waiting;
+      double free = 0, want = headroom->zones[z].free + headroom->zones[z].waiting;
       HzbMachine *m;
       for (guint i = 0; i < machines->all->len; i++)
         {
           m = machines->all->pdata[i];
-          if (m->kept && g_str_equal (m->zone, keep->zones[z].zone))
+          if (m->reserved && g_str_equal (m->zone, headroom->zones[z].zone))
             free += free_for_replicas (m);
         }
-      while (free < want && (m = next_to_keep (keep, machines, keep->zones[z].zone)))
+      while (free < want && (m = next_to_reserve (headroom, machines, headroom->zones[z].zone)))
         {
-          m->kept = TRUE;
+          m->reserved = TRUE;
           m->spare = FALSE;
           if (m->state == HZB_MACHINE_ACTIVE)
             hzb_machine_empty_lists (jobs, m);
@@ -184,10 +184,10 @@
       for (guint i = 0; i < machines->all->len; i++)
         {
           m = machines->all->pdata[i];
-          if (m->kept && g_str_equal (m->zone, keep->zones[z].zone) && m->service_cpus + m->listed_service_cpus <= 0
+          if (m->reserved && g_str_equal (m->zone, headroom->zones[z].zone) && m->service_cpus + m->listed_service_cpus <= 0
               && free - m->type->cpus >= 1.5 * want)
             {
-              m->kept = FALSE;
+              m->reserved = FALSE;
               free -= m->type->cpus;
             }
         }
--- a/src/keep.h
+++ b/src/headroom.h
@@ -3,7 +3,7 @@
 #pragma once
 #include "machines.h"
 
-#define HZB_KEEP_ZONES 2u
+#define HZB_HEADROOM_ZONES 2u
 
 typedef struct
 {
@@ -13,9 +13,9 @@
   {
     const char *zone;
     double placed, waiting, free; /* CPUs: of replicas there, of those that wait, and to be kept free beyond */
-  } zones[HZB_KEEP_ZONES];
-} HzbKeep;
+  } zones[HZB_HEADROOM_ZONES];
+} HzbHeadroom;
 
-HzbKeep hzb_keep_plan (const HzbJobs *jobs, const HzbMachines *machines);
+HzbHeadroom hzb_headroom_plan (const HzbJobs *jobs, const HzbMachines *machines);
 /* Which machines take replicas only; once a second. */
-void hzb_keep_mark (const HzbKeep *keep, HzbJobs *jobs, HzbMachines *machines);
+void hzb_headroom_reserve (const HzbHeadroom *headroom, HzbJobs *jobs, HzbMachines *machines);
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -5,20 +5,20 @@
 #include <math.h>
 #include <string.h>
 
-#define KEEP_ENDED 2000u /* more than users ask about often; 600 bytes each */
+#define MAX_MIRRORED_ENDED 2000u /* more than users ask about often; 600 bytes each */
 
 static const char *const state_names[] = { "pending", "listed",  "unknown", "elsewhere", "granted", "booked",   "starting", "fetching",
                                            "waiting", "running", "saving",  "finished", "done" };
 
 static void
-drop_holding (HzbJob *job)
+clear_owner_state (HzbJob *job)
 {
   g_clear_pointer (&job->tasks, g_free);
   g_queue_clear (&job->retry);
-  job->elsewhere = job->lent_running = job->lent_leaving = 0;
+  job->other_owner = job->delegated_running = job->delegated_leaving = 0;
   job->cursor = job->pending = job->listed = job->unknown = job->placed = job->running = 0;
   job->finished = job->done = job->released = job->releasing = 0;
-  job->dirty = job->ending = job->on_pages = job->unsplit = job->wants_release = job->told_lessees = FALSE;
+  job->dirty = job->ending = job->on_pages = job->unsplit = job->release_requested = job->announced_to_lessees = FALSE;
   job->failures = job->begun = 0;
   job->waits_since = (struct timespec){ 0 };
 }
@@ -27,7 +27,7 @@
 job_free (gpointer data)
 {
   HzbJob *job = data;
-  drop_holding (job);
+  clear_owner_state (job);
   g_slist_free (job->acceptances);
   hzb_spec_free (job->spec);
   g_free (job->uid);
@@ -50,9 +50,9 @@
   jobs->by_uid = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, job_free);
   jobs->acceptances = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, acceptance_free);
   jobs->active = g_ptr_array_new ();
-  jobs->keep_ended = KEEP_ENDED;
+  jobs->max_mirrored_ended = MAX_MIRRORED_ENDED;
   jobs->chunk = settings->store_value_kb >= 2 ? 8192 : 4096;
-  jobs->leanings = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  jobs->estimate_biases = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   jobs->clock = clock;
   jobs->settings = settings;
   return jobs;
@@ -63,7 +63,7 @@
 {
   g_queue_clear (&jobs->ended);
   g_ptr_array_unref (jobs->active);
-  g_hash_table_unref (jobs->leanings);
+  g_hash_table_unref (jobs->estimate_biases);
   g_hash_table_unref (jobs->by_uid);
   g_hash_table_unref (jobs->acceptances);
   g_free (jobs);
@@ -80,7 +80,7 @@
 {
   return job->state == HZB_JOB_DONE        ? "done"
          : job->state == HZB_JOB_CANCELLED ? "cancelled"
-         : job->running + job->lent_running > 0 ? "running"
+         : job->running + job->delegated_running > 0 ? "running"
                                            : "queued";
 }
 
@@ -174,7 +174,7 @@
 }
 
 void
-hzb_jobs_take_acceptance (HzbJobs *jobs, const char *key, const cJSON *value)
+hzb_jobs_apply_acceptance (HzbJobs *jobs, const char *key, const cJSON *value)
 {
   HzbAcceptance *acceptance = g_hash_table_lookup (jobs->acceptances, key);
   const cJSON *entry;
@@ -217,7 +217,7 @@
 }
 
 HzbAcceptance *
-hzb_jobs_spent_acceptance (HzbJobs *jobs)
+hzb_jobs_completed_acceptance (HzbJobs *jobs)
 {
   GHashTableIter iter;
   gpointer value;
@@ -238,10 +238,10 @@
 }
 
 GPtrArray *
-hzb_jobs_old (HzbJobs *jobs, guint most)
+hzb_jobs_ended_long_ago (HzbJobs *jobs, guint most)
 {
   GPtrArray *old = g_ptr_array_new ();
-  guint beyond = jobs->ended.length > jobs->keep_ended ? jobs->ended.length - jobs->keep_ended : 0;
+  guint beyond = jobs->ended.length > jobs->max_mirrored_ended ? jobs->ended.length - jobs->max_mirrored_ended : 0;
 
   if (!beyond)
     return old;
@@ -320,7 +320,7 @@
 /* ---- holding ---- */
 
 void
-hzb_jobs_hold (HzbJobs *jobs, HzbBlock *block)
+hzb_jobs_begin_ownership (HzbJobs *jobs, HzbBlock *block)
 {
   GHashTableIter iter;
   gpointer value;
@@ -335,12 +335,12 @@
 }
 
 void
-hzb_jobs_let_go (HzbJobs *jobs)
+hzb_jobs_end_ownership (HzbJobs *jobs)
 {
   for (guint i = 0; i < jobs->active->len; i++)
     {
       HzbJob *job = jobs->active->pdata[i];
-      drop_holding (job);
+      clear_owner_state (job);
       if (job->state != HZB_JOB_ACCEPTED)
         g_clear_pointer (&job->spec, hzb_spec_free);
     }
@@ -374,23 +374,23 @@
       job->tasks[i].job = job;
       job->tasks[i].index = i;
       job->tasks[i].since = now;
-      job->tasks[i].state = jobs->lessee ? HZB_TASK_ELSEWHERE : HZB_TASK_PENDING;
+      job->tasks[i].state = jobs->lessee ? HZB_TASK_OTHER_OWNER : HZB_TASK_PENDING;
     }
   if (jobs->lessee)
     {
-      job->elsewhere = job->n_tasks;
+      job->other_owner = job->n_tasks;
       job->cursor = job->released = job->releasing = job->n_tasks;
     }
   else
     {
       job->pending = job->n_tasks;
-      job->wants_release = job->spec->gang || job->spec->service; /* which need all of them at once */
+      job->release_requested = job->spec->gang || job->spec->service; /* which need all of them at once */
     }
   /* Tokens are never used twice, so neither are attempts. */
   job->next_attempt = jobs->block->token << 17;
   waited = hzb_time_between (job->accepted, hzb_clock_wall (jobs->clock));
   job->since = hzb_time_plus (now, -CLAMP (waited, 0, 86400));
-  g_message ("job %s (%s, %s): %u tasks of %g CPUs, %g GB, %g s expected, image %s", job->uid, job->spec->lane,
+  g_message ("job %s (%s, %s): %u tasks of %g CPUs, %g GB, %g s expected, image %s", job->uid, job->spec->job_class,
              job->spec->team, job->n_tasks, job->spec->cpus, job->spec->memory_gb, job->spec->estimate_s, job->spec->image);
   g_ptr_array_add (jobs->active, job);
   g_ptr_array_sort (jobs->active, by_age);
@@ -400,7 +400,7 @@
 hzb_jobs_retire (HzbJobs *jobs, HzbJob *job)
 {
   g_ptr_array_remove (jobs->active, job);
-  drop_holding (job);
+  clear_owner_state (job);
   if (job->state != HZB_JOB_ACCEPTED)
     g_clear_pointer (&job->spec, hzb_spec_free);
 }
@@ -498,33 +498,33 @@
 
 /* One job's estimate is wrong in one way for all its tasks, so a job counts as one observation; and a smaller
  * leaning can not be told from chance. */
-#define LEANING_EASE 0.08
-#define LEANING_SURE 0.35
+#define BIAS_SMOOTHING 0.08
+#define BIAS_THRESHOLD 0.35
 #define MOST_CLASSES 200u
 
 void
-hzb_jobs_observe (HzbJobs *jobs, HzbJob *job, double seconds)
+hzb_jobs_record_run_time (HzbJobs *jobs, HzbJob *job, double seconds)
 {
-  double *leaning;
+  double *bias;
 
   if (!job->spec || job->spec->service || seconds <= 0 || job->spec->estimate_s <= 0)
     return;
-  leaning = g_hash_table_lookup (jobs->leanings, job->spec->lane);
-  if (!leaning)
+  bias = g_hash_table_lookup (jobs->estimate_biases, job->spec->job_class);
+  if (!bias)
     {
-      if (g_hash_table_size (jobs->leanings) >= MOST_CLASSES)
+      if (g_hash_table_size (jobs->estimate_biases) >= MOST_CLASSES)
         return;
-      leaning = g_new0 (double, 1);
-      g_hash_table_insert (jobs->leanings, g_strdup (job->spec->lane), leaning);
+      bias = g_new0 (double, 1);
+      g_hash_table_insert (jobs->estimate_biases, g_strdup (job->spec->job_class), bias);
     }
-  *leaning += (CLAMP (log (seconds / job->spec->estimate_s), -2, 2) - *leaning) * LEANING_EASE / job->n_tasks;
+  *bias += (CLAMP (log (seconds / job->spec->estimate_s), -2, 2) - *bias) * BIAS_SMOOTHING / job->n_tasks;
 }
 
 double
 hzb_jobs_mean_s (const HzbJobs *jobs, const HzbJob *job)
 {
-  const double *leaning = g_hash_table_lookup (jobs->leanings, job->spec->lane);
-  return job->spec->estimate_s * (leaning && fabs (*leaning) > LEANING_SURE ? exp (*leaning) : 1);
+  const double *bias = g_hash_table_lookup (jobs->estimate_biases, job->spec->job_class);
+  return job->spec->estimate_s * (bias && fabs (*bias) > BIAS_THRESHOLD ? exp (*bias) : 1);
 }
 
 /* ---- tasks ---- */
@@ -545,17 +545,17 @@
 #define SEEN (B (FETCHING) | B (WAITING) | B (RUNNING) | B (SAVING))
 
 static const guint legal[HZB_TASK_N_STATES] = {
-  [HZB_TASK_ELSEWHERE] = B (PENDING),
-  [HZB_TASK_GRANTED] = B (PENDING) | B (UNKNOWN) | B (STARTING) | B (FINISHED),
-  [HZB_TASK_PENDING] = B (ELSEWHERE) | B (GRANTED) | B (LISTED) | B (BOOKED) | B (UNKNOWN) | B (DONE) | SEEN | B (FINISHED),
+  [HZB_TASK_OTHER_OWNER] = B (PENDING),
+  [HZB_TASK_DELEGATED] = B (PENDING) | B (UNKNOWN) | B (STARTING) | B (FINISHED),
+  [HZB_TASK_PENDING] = B (OTHER_OWNER) | B (DELEGATED) | B (LISTED) | B (BOOKED) | B (UNKNOWN) | B (DONE) | SEEN | B (FINISHED),
   [HZB_TASK_LISTED] = B (PENDING) | B (BOOKED) | B (STARTING),
   [HZB_TASK_UNKNOWN] = B (PENDING) | SEEN | B (FINISHED) | B (DONE),
   [HZB_TASK_BOOKED] = B (PENDING) | B (STARTING),
-  [HZB_TASK_STARTING] = B (PENDING) | SEEN | B (FINISHED) | B (ELSEWHERE) | B (GRANTED),
-  [HZB_TASK_FETCHING] = B (PENDING) | SEEN | B (FINISHED) | B (ELSEWHERE) | B (GRANTED),
-  [HZB_TASK_WAITING] = B (PENDING) | SEEN | B (FINISHED) | B (ELSEWHERE) | B (GRANTED),
-  [HZB_TASK_RUNNING] = B (PENDING) | SEEN | B (FINISHED) | B (ELSEWHERE) | B (GRANTED),
-  [HZB_TASK_SAVING] = B (PENDING) | SEEN | B (FINISHED) | B (ELSEWHERE) | B (GRANTED),
+  [HZB_TASK_STARTING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
+  [HZB_TASK_FETCHING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
+  [HZB_TASK_WAITING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
+  [HZB_TASK_RUNNING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
+  [HZB_TASK_SAVING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
   [HZB_TASK_FINISHED] = B (DONE),
   [HZB_TASK_DONE] = 0,
 };
@@ -575,8 +575,8 @@
     case HZB_TASK_UNKNOWN:
       job->unknown += by;
       break;
-    case HZB_TASK_ELSEWHERE:
-      job->elsewhere += by;
+    case HZB_TASK_OTHER_OWNER:
+      job->other_owner += by;
       break;
     case HZB_TASK_FINISHED:
       job->finished += by;
@@ -596,7 +596,7 @@
 static gboolean
 holds_room (const HzbTask *task)
 {
-  return hzb_task_on_machine (task) || task->state == HZB_TASK_UNKNOWN || task->state == HZB_TASK_GRANTED;
+  return hzb_task_on_machine (task) || task->state == HZB_TASK_UNKNOWN || task->state == HZB_TASK_DELEGATED;
 }
 
 /* The only place where a task changes its state, its machine, and what its team has in use. */
@@ -632,7 +632,7 @@
   if (hzb_task_on_machine (task) && machine)
     hzb_machine_add (machine, task);
   if (holds && !held)
-    hzb_block_hold (jobs->block, job->team, spec->cpus, spec->gpus);
+    hzb_block_reserve (jobs->block, job->team, spec->cpus, spec->gpus);
   else if (held && !holds)
     hzb_block_release (jobs->block, job->team, spec->cpus, spec->gpus);
   if (to == HZB_TASK_PENDING)
@@ -661,6 +661,6 @@
   for (; job->cursor < job->released; job->cursor++)
     if (job->tasks[job->cursor].state == HZB_TASK_PENDING)
       return &job->tasks[job->cursor++];
-  job->wants_release = job->released < job->n_tasks;
+  job->release_requested = job->released < job->n_tasks;
   return NULL;
 }
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -29,8 +29,8 @@
   HZB_TASK_PENDING,  /* on no machine, in no list */
   HZB_TASK_LISTED,   /* in a machine's list */
   HZB_TASK_UNKNOWN,  /* may run on a machine that has not answered under our token */
-  HZB_TASK_ELSEWHERE, /* in another block (on a lessee only) */
-  HZB_TASK_GRANTED,   /* in a block that is leased to another controller, which may run it (on the leader only) */
+  HZB_TASK_OTHER_OWNER, /* in another block (on a lessee only) */
+  HZB_TASK_DELEGATED,   /* in a block that is leased to another controller, which may run it (on the leader only) */
   HZB_TASK_BOOKED,   /* a place is held for it; the start order has not been sent */
   HZB_TASK_STARTING, /* a start order was sent; no newer report yet */
   HZB_TASK_FETCHING,
@@ -76,7 +76,7 @@
   GSList *acceptances; /* while it is not over: all that name it */
   guint named;         /* records of acceptance that name it, over or not */
   guint load;          /* the last reading of all records that showed it */
-  gboolean effective;  /* cancelled, and no holder can act without that */
+  gboolean cancel_acknowledged;  /* cancelled, and no holder can act without that */
   gboolean moving;     /* its record is on the way to where old ones are */
   guint n_tasks;
   struct timespec accepted; /* time of day */
@@ -87,18 +87,18 @@
   HzbTask *tasks;
   guint cursor;  /* tasks from here on have never been placed */
   GQueue retry;  /* HzbTask, pending again */
-  guint elsewhere, lent_running;
-  guint lent_leaving; /* of those, on machines that the leader asked back */
+  guint other_owner, delegated_running;
+  guint delegated_leaving; /* of those, on machines that the leader asked back */
   guint pending; /* state PENDING, below the released mark or not */
   guint listed, unknown, placed, running, finished, done;
   guint released, releasing; /* tasks below may have been started: durable, and asked for */
   gboolean dirty, ending;    /* progress to be written; end being written */
   gboolean on_pages;         /* of the holder's records */
   gboolean unsplit;          /* in parts that only a version 1 writes; they can't be changed while one is about */
-  gboolean wants_release;    /* a machine could take more of it than is released */
-  gboolean guaranteed, told_lessees;
-  gboolean begin_due; /* nothing of it has started for long: its first task goes before others */
-  guint8 class; /* of waiting work, see hzb_dispatch_classes() */
+  gboolean release_requested;    /* a machine could take more of it than is released */
+  gboolean guaranteed, announced_to_lessees;
+  gboolean start_overdue; /* nothing of it has started for long: its first task goes before others */
+  guint8 level; /* of waiting work, see hzb_dispatch_classes() */
   guint64 next_attempt;
   guint failures; /* in a row, without a task of the job doing well */
   struct timespec not_before, since;
@@ -112,13 +112,13 @@
   GHashTable *by_uid; /* uid -> HzbJob */
   GHashTable *acceptances; /* key -> HzbAcceptance */
   GQueue ended;       /* HzbJob, over, about in the order of their ends */
-  guint keep_ended;   /* so many stay mirrored */
+  guint max_mirrored_ended;   /* so many stay mirrored */
   guint load;         /* counts readings of all records */
   GPtrArray *active;  /* the holder's: jobs with a part of it, by age */
   HzbClock *clock;
   const HzbSettings *settings;
   HzbBlock *block; /* NULL: not a holder */
-  GHashTable *leanings; /* class name -> double*, see hzb_jobs_observe() */
+  GHashTable *estimate_biases; /* class name -> double*, see hzb_jobs_observe() */
   guint chunk;     /* tasks of a part */
   gboolean lessee; /* of the jobs only what was granted is in the block */
 } HzbJobs;
@@ -128,10 +128,10 @@
 HzbJob *hzb_jobs_find (HzbJobs *jobs, const char *uid);
 /* A record as the state service has it; NULL if it makes no sense. Of a job that is over nothing changes any more. */
 HzbJob *hzb_jobs_apply (HzbJobs *jobs, const char *uid, const cJSON *value, guint64 version);
-void hzb_jobs_take_acceptance (HzbJobs *jobs, const char *key, const cJSON *value); /* NULL: it is removed */
-HzbAcceptance *hzb_jobs_spent_acceptance (HzbJobs *jobs); /* one whose jobs are all over; NULL: none */
+void hzb_jobs_apply_acceptance (HzbJobs *jobs, const char *key, const cJSON *value); /* NULL: it is removed */
+HzbAcceptance *hzb_jobs_completed_acceptance (HzbJobs *jobs); /* one whose jobs are all over; NULL: none */
 /* Of the oldest that are over, beyond those that stay mirrored: up to so many whose record may move away. */
-GPtrArray *hzb_jobs_old (HzbJobs *jobs, guint most);
+GPtrArray *hzb_jobs_ended_long_ago (HzbJobs *jobs, guint most);
 gboolean hzb_jobs_forget (HzbJobs *jobs, const char *uid); /* its record has moved away; FALSE: it is kept */
 /* All records are read anew: what they do not show any more is dropped at the end. */
 void hzb_jobs_load_begin (HzbJobs *jobs);
@@ -143,8 +143,8 @@
 const char *hzb_job_status (const HzbJob *job);
 
 /* Holding. */
-void hzb_jobs_hold (HzbJobs *jobs, HzbBlock *block);
-void hzb_jobs_let_go (HzbJobs *jobs);
+void hzb_jobs_begin_ownership (HzbJobs *jobs, HzbBlock *block);
+void hzb_jobs_end_ownership (HzbJobs *jobs);
 void hzb_jobs_activate (HzbJobs *jobs, HzbJob *job);
 void hzb_jobs_retire (HzbJobs *jobs, HzbJob *job); /* nothing of it is anywhere any more */
 /* FALSE: the value makes no sense for the job. *ours: the part is one of those that would be written now. */
@@ -160,7 +160,7 @@
 /* A task ran for so long. Owners' estimates of a class may all lean one way, which the paper's known distribution
  * leaves no room for: the mean run time of a job is its owner's estimate, corrected by how its class has been
  * leaning. What a job's own tasks took is not used: the short ones end first. */
-void hzb_jobs_observe (HzbJobs *jobs, HzbJob *job, double seconds);
+void hzb_jobs_record_run_time (HzbJobs *jobs, HzbJob *job, double seconds);
 double hzb_jobs_mean_s (const HzbJobs *jobs, const HzbJob *job);
 gboolean hzb_task_on_machine (const HzbTask *task); /* holds a machine's room */
 const char *hzb_task_state_name (HzbTaskState state);
--- a/src/lease.c
+++ b/src/lease.c
@@ -35,7 +35,7 @@
   const HzbPeer *peer;
   char *incarnation;
   guint64 token; /* 0: holds no block */
-  struct timespec asked, steady_since;
+  struct timespec requests, steady_since;
   HzbOutbox out;
   guint64 in_number;
   GHashTable *running, *leaving; /* uid -> count, as it last said */
@@ -82,7 +82,7 @@
       g_hash_table_remove_all (lessee->leaving);
       lessee->token = lessee->in_number = 0;
       lessee->holds = FALSE;
-      lessee->asked = lessee->steady_since = (struct timespec){ 0 };
+      lessee->requests = lessee->steady_since = (struct timespec){ 0 };
     }
   leases->tokens = 0;
   leases->counted = (struct timespec){ 0 };
@@ -115,7 +115,7 @@
 }
 
 const char *
-hzb_leases_lessee (HzbLeases *leases, const HzbMachine *machine)
+hzb_leases_lessee_name (HzbLeases *leases, const HzbMachine *machine)
 {
   return machine->lessee ? lessee_of (leases, machine->lessee)->peer->node : NULL;
 }
@@ -145,12 +145,12 @@
 static void
 set_running (HzbLeases *leases, Lessee *lessee, const cJSON *running, const cJSON *leaving)
 {
-  set_counts (leases, lessee->running, G_STRUCT_OFFSET (HzbJob, lent_running), running);
-  set_counts (leases, lessee->leaving, G_STRUCT_OFFSET (HzbJob, lent_leaving), leaving);
+  set_counts (leases, lessee->running, G_STRUCT_OFFSET (HzbJob, delegated_running), running);
+  set_counts (leases, lessee->leaving, G_STRUCT_OFFSET (HzbJob, delegated_leaving), leaving);
 }
 
 static void
-take_back (HzbLeases *leases, Lessee *lessee, const char *why)
+reclaim_block (HzbLeases *leases, Lessee *lessee, const char *why)
 {
   HzbController *c = leases->c;
   guint64 token = hzb_leases_next_token (leases);
@@ -159,17 +159,17 @@
   for (guint i = 0; i < c->machines->all->len; i++)
     {
       HzbMachine *m = c->machines->all->pdata[i];
-      if (m->state != HZB_MACHINE_LENT || m->lessee != lessee->id)
+      if (m->state != HZB_MACHINE_LEASED || m->lessee != lessee->id)
         continue;
-      hzb_machine_unhear (c->machines, m, token, why);
-      m->suspect = lessee->id;
+      hzb_machine_unverify (c->machines, m, token, why);
+      m->unknown_tasks_of = lessee->id;
       machines++;
     }
   for (guint i = 0; i < c->jobs->active->len; i++)
     {
       HzbJob *job = c->jobs->active->pdata[i];
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
-        if (job->tasks[k].state == HZB_TASK_GRANTED && job->tasks[k].lessee == lessee->id)
+        if (job->tasks[k].state == HZB_TASK_DELEGATED && job->tasks[k].lessee == lessee->id)
           {
             hzb_task_set_state (c->jobs, &job->tasks[k], HZB_TASK_UNKNOWN, NULL);
             tasks++;
@@ -207,7 +207,7 @@
   for (guint i = 0; i < c->machines->all->len; i++)
     {
       const HzbMachine *m = c->machines->all->pdata[i];
-      if (m->type && m->state == HZB_MACHINE_LENT)
+      if (m->type && m->state == HZB_MACHINE_LEASED)
         leases->cpus[m->lessee] += m->type->cpus;
       else if (m->type && m->state == HZB_MACHINE_ACTIVE)
         leases->cpus[0] += m->type->cpus;
@@ -216,7 +216,7 @@
 
 /* The lessee whose block has the fewest CPUs, if fewer than the leader would then have times so much; or NULL. */
 static Lessee *
-needy_lessee (HzbLeases *leases, const HzbMachine *machine, double part, struct timespec now)
+smallest_lessee (HzbLeases *leases, const HzbMachine *machine, double part, struct timespec now)
 {
   const double *cpus = leases->cpus;
   double own, least;
@@ -229,7 +229,7 @@
   for (guint i = 0; i < leases->lessees->len; i++)
     {
       Lessee *lessee = &g_array_index (leases->lessees, Lessee, i);
-      if (!hzb_time_is_set (lessee->asked) || hzb_time_between (lessee->asked, now) > 1.5
+      if (!hzb_time_is_set (lessee->requests) || hzb_time_between (lessee->requests, now) > 1.5
           || hzb_time_between (lessee->steady_since, now) < STEADY_S)
         continue;
       if (cpus[lessee->id] < least)
@@ -243,7 +243,7 @@
 
 /* Such a job may run in any block. Where all tasks have to be looked at together, or none may wait, the leader's it is. */
 static gboolean
-grantable (const HzbJob *job)
+is_delegable (const HzbJob *job)
 {
   const HzbSpec *spec = job->spec;
   return job->state == HZB_JOB_ACCEPTED && !spec->gang && !spec->service && !spec->same_zone && !spec->spread;
@@ -251,7 +251,7 @@
 
 /* Guards against machines that stand idle in other blocks while the only work that waits is bound to the leader's. */
 static gboolean
-only_own_work_waits (HzbController *c)
+only_leader_work_waits (HzbController *c)
 {
   gboolean any = FALSE;
   for (guint i = 0; i < c->jobs->active->len; i++)
@@ -259,7 +259,7 @@
       const HzbJob *job = c->jobs->active->pdata[i];
       if (job->state != HZB_JOB_ACCEPTED || !(job->pending || job->listed))
         continue;
-      if (grantable (job))
+      if (is_delegable (job))
         return FALSE;
       any = TRUE;
     }
@@ -267,14 +267,14 @@
 }
 
 static gboolean
-may_lend (HzbController *c, const HzbMachine *machine)
+may_lease (HzbController *c, const HzbMachine *machine)
 {
-  return c->lease_blocks && machine->type && !machine->wanted_back && !machine->spare && !machine->kept && !machine->deaf && machine->vouched
-         && c->hold >= HZB_HOLD_RECOVERING && !gang_waits (c) && !only_own_work_waits (c);
+  return c->lease_blocks && machine->type && !machine->to_be_returned && !machine->spare && !machine->reserved && !machine->unreachable && machine->known_to_cloud
+         && c->ownership >= HZB_OWNERSHIP_RECOVERING && !gang_waits (c) && !only_leader_work_waits (c);
 }
 
 static void
-lend (HzbLeases *leases, Lessee *lessee, HzbMachine *machine)
+lease_to (HzbLeases *leases, Lessee *lessee, HzbMachine *machine)
 {
   if (!lessee->token || machine->token >= lessee->token)
     lessee->token = hzb_leases_next_token (leases);
@@ -282,24 +282,24 @@
     leases->cpus[0] -= machine->type->cpus;
   leases->cpus[lessee->id] += machine->type->cpus;
   machine->lessee = lessee->id;
-  machine->lend_sent = FALSE;
-  hzb_machine_set_state (leases->c->machines, machine, HZB_MACHINE_LENT, lessee->peer->node);
+  machine->lease_sent = FALSE;
+  hzb_machine_set_state (leases->c->machines, machine, HZB_MACHINE_LEASED, lessee->peer->node);
 }
 
 /* Blocks are kept level: the leader feeds each with work as it has room, so waiting work is level as well. */
 const char *
-hzb_leases_offer (HzbLeases *leases, HzbMachine *machine)
+hzb_leases_lease_idle (HzbLeases *leases, HzbMachine *machine)
 {
   HzbController *c = leases->c;
   Lessee *best;
 
   if ((machine->state != HZB_MACHINE_BOOTING && machine->state != HZB_MACHINE_ACTIVE) || machine->tasks->len
-      || hzb_machine_listed (machine) || !may_lend (c, machine))
+      || hzb_machine_listed (machine) || !may_lease (c, machine))
     return NULL;
-  best = needy_lessee (leases, machine, 1, hzb_clock_now (c->clock));
+  best = smallest_lessee (leases, machine, 1, hzb_clock_now (c->clock));
   if (!best)
     return NULL;
-  lend (leases, best, machine);
+  lease_to (leases, best, machine);
   return best->peer->node;
 }
 
@@ -330,8 +330,8 @@
 
   /* Nothing waits for the takeover to be over: this machine has just shown all that is on it. */
   if (c->dispatch->lag_s < LATE_S || hzb_time_before (now, leases->next_hand_over)
-      || machine->state != HZB_MACHINE_ACTIVE || !machine->confirmed || !machine->recorded || machine->unobeyed
-      || !may_lend (c, machine) || !hzb_election_proven (c->election))
+      || machine->state != HZB_MACHINE_ACTIVE || !machine->verified || !machine->recorded || machine->ignored_answers
+      || !may_lease (c, machine) || !hzb_election_lease_valid (c->election))
     return NULL;
   for (guint i = 0; i < machine->tasks->len; i++)
     {
@@ -340,7 +340,7 @@
           || task->job->spec->service || task->job->spec->same_zone || task->job->spec->spread || task->job->state != HZB_JOB_ACCEPTED)
         return NULL;
     }
-  best = needy_lessee (leases, machine, UNLEVEL, now);
+  best = smallest_lessee (leases, machine, UNLEVEL, now);
   /* A higher token for the block would have all its machines wait for their next reports. */
   if (!best || (best->token && machine->token >= best->token))
     return NULL;
@@ -354,33 +354,33 @@
       guint before = machine->tasks->len;
       cJSON_AddItemToArray (holds, hzb_task_pack (task));
       task->lessee = best->id;
-      hzb_task_set_state (c->jobs, task, HZB_TASK_GRANTED, NULL);
+      hzb_task_set_state (c->jobs, task, HZB_TASK_DELEGATED, NULL);
       g_return_val_if_fail (machine->tasks->len < before, NULL);
     }
-  lend (leases, best, machine);
-  machine->lend_sent = TRUE;
+  lease_to (leases, best, machine);
+  machine->lease_sent = TRUE;
   hzb_outbox_push (&best->out, body);
   return best->peer->node;
 }
 
 /* A lessee may start tasks on a machine as soon as it knows of it, so the machine is on record before. */
 static void
-send_lent (HzbLeases *leases)
+send_leased (HzbLeases *leases)
 {
   HzbController *c = leases->c;
   for (guint i = 0; i < c->machines->all->len; i++)
     {
       HzbMachine *m = c->machines->all->pdata[i];
-      Lessee *lessee = m->state == HZB_MACHINE_LENT ? lessee_of (leases, m->lessee) : NULL;
-      if (!lessee || m->lend_sent || !m->recorded)
+      Lessee *lessee = m->state == HZB_MACHINE_LEASED ? lessee_of (leases, m->lessee) : NULL;
+      if (!lessee || m->lease_sent || !m->recorded)
         continue;
-      m->lend_sent = TRUE;
+      m->lease_sent = TRUE;
       hzb_outbox_push (&lessee->out, pack_machine (m));
     }
 }
 
 void
-hzb_leases_durable (HzbLeases *leases, HzbTask *task)
+hzb_leases_announce_durable (HzbLeases *leases, HzbTask *task)
 {
   Lessee *lessee = lessee_of (leases, task->lessee);
   cJSON *body;
@@ -400,11 +400,11 @@
 
 /* A lessee's own mirror may be behind, or cut off. */
 void
-hzb_leases_cancelled (HzbLeases *leases, HzbJob *job)
+hzb_leases_announce_cancellation (HzbLeases *leases, HzbJob *job)
 {
-  if (job->told_lessees)
+  if (job->announced_to_lessees)
     return;
-  job->told_lessees = TRUE;
+  job->announced_to_lessees = TRUE;
   for (guint i = 0; i < leases->lessees->len; i++)
     {
       Lessee *lessee = &g_array_index (leases->lessees, Lessee, i);
@@ -418,7 +418,7 @@
 }
 
 gboolean
-hzb_leases_all_told (HzbLeases *leases, const HzbJob *job)
+hzb_leases_all_acknowledged (HzbLeases *leases, const HzbJob *job)
 {
   for (guint i = 0; i < leases->lessees->len; i++)
     {
@@ -426,7 +426,7 @@
       if (!hzb_outbox_holds (&lessee->out, "cancelled", job->uid))
         continue;
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
-        if (job->tasks[k].state == HZB_TASK_GRANTED && job->tasks[k].lessee == lessee->id)
+        if (job->tasks[k].state == HZB_TASK_DELEGATED && job->tasks[k].lessee == lessee->id)
           return FALSE;
     }
   return TRUE;
@@ -434,12 +434,12 @@
 
 /* Some machine of the block may hold such a task. */
 static gboolean
-block_holds (HzbController *c, const Lessee *lessee, const HzbSpec *spec)
+block_accepts (HzbController *c, const Lessee *lessee, const HzbSpec *spec)
 {
   for (guint i = 0; i < c->machines->all->len; i++)
     {
       const HzbMachine *m = c->machines->all->pdata[i];
-      if (m->state == HZB_MACHINE_LENT && m->lessee == lessee->id && !m->asked_back && hzb_machine_allowed (m, spec))
+      if (m->state == HZB_MACHINE_LEASED && m->lessee == lessee->id && !m->recall_requested && hzb_machine_allowed (m, spec))
         return TRUE;
     }
   return FALSE;
@@ -447,7 +447,7 @@
 
 /* What waits for a list first, then what is in one; *at: how far those in lists have been looked for. */
 static HzbTask *
-next_to_grant (HzbController *c, HzbJob *job, guint *at, struct timespec now)
+next_to_delegate (HzbController *c, HzbJob *job, guint *at, struct timespec now)
 {
   HzbTask *task = job->pending ? hzb_job_next_pending (job, now) : NULL;
   for (; !task && job->listed && *at < job->n_tasks; (*at)++)
@@ -462,19 +462,19 @@
 
 /* A lessee with room is as an idle machine is to a list: unstarted tasks move there. */
 static void
-feed (HzbLeases *leases, Lessee *lessee, double room, struct timespec now)
+delegate_tasks (HzbLeases *leases, Lessee *lessee, double room, struct timespec now)
 {
   HzbController *c = leases->c;
   g_autoptr (GPtrArray) order = g_ptr_array_new ();
   cJSON *groups = NULL;
   guint n = 0;
 
-  if (room <= 0 || !hzb_election_proven (c->election))
+  if (room <= 0 || !hzb_election_lease_valid (c->election))
     return;
   for (guint i = 0; i < c->jobs->active->len; i++)
     {
       HzbJob *job = c->jobs->active->pdata[i];
-      if (grantable (job) && (job->pending || job->listed) && !job->failures && !hzb_time_before (now, job->not_before))
+      if (is_delegable (job) && (job->pending || job->listed) && !job->failures && !hzb_time_before (now, job->not_before))
         g_ptr_array_add (order, job);
     }
   g_ptr_array_sort (order, hzb_dispatch_order);
@@ -482,21 +482,21 @@
     {
       HzbJob *job = order->pdata[i];
       guint at = 0;
-      gboolean holds = block_holds (c, lessee, job->spec) && !(job->begin_due && (job->listed || job->placed));
+      gboolean holds = block_accepts (c, lessee, job->spec) && !(job->start_overdue && (job->listed || job->placed));
       if (holds && job->cursor >= job->released)
-        job->wants_release = TRUE;
+        job->release_requested = TRUE;
       while (holds && n < MOST_PER_ANSWER && job->spec->cpus <= room && hzb_dispatch_team_may_use (c->dispatch, job))
         {
-          HzbTask *task = next_to_grant (c, job, &at, now);
+          HzbTask *task = next_to_delegate (c, job, &at, now);
           if (!task)
             break;
-          if (!hzb_task_set_state (c->jobs, task, HZB_TASK_GRANTED, NULL))
+          if (!hzb_task_set_state (c->jobs, task, HZB_TASK_DELEGATED, NULL))
             continue;
           task->lessee = lessee->id;
-          hzb_dispatch_started (c->dispatch, job);
+          hzb_dispatch_note_started (c->dispatch, job);
           room -= MAX (job->spec->cpus, 0.01);
           n++;
-          if (job->begin_due)
+          if (job->start_overdue)
             holds = FALSE; /* only its first task goes before others */
           if (!groups)
             groups = cJSON_CreateObject ();
@@ -520,17 +520,17 @@
   if (task->state == HZB_TASK_DONE)
     {
       task->lessee = lessee->id; /* said again after a takeover: it may be reaped */
-      hzb_leases_durable (leases, task);
+      hzb_leases_announce_durable (leases, task);
     }
   else if (task->state == HZB_TASK_FINISHED)
     task->lessee = lessee->id; /* of a machine that was handed over with its result */
-  if (task->state != HZB_TASK_GRANTED || task->lessee != lessee->id)
+  if (task->state != HZB_TASK_DELEGATED || task->lessee != lessee->id)
     return;
-  hzb_jobs_observe (c->jobs, task->job, lessee->ran_s);
+  hzb_jobs_record_run_time (c->jobs, task->job, lessee->ran_s);
   hzb_task_set_state (c->jobs, task, HZB_TASK_FINISHED, NULL);
   task->job->dirty = TRUE;
   if (task->job->finished + task->job->done == task->job->n_tasks)
-    hzb_controller_end_job (c, task->job);
+    hzb_controller_record_completion (c, task->job);
   else
     hzb_records_flush_soon (c->records);
 }
@@ -539,7 +539,7 @@
 task_returned (HzbTask *task, gpointer user)
 {
   Lessee *lessee = user;
-  if (task->state == HZB_TASK_GRANTED && task->lessee == lessee->id)
+  if (task->state == HZB_TASK_DELEGATED && task->lessee == lessee->id)
     {
       hzb_task_set_state (lessee->leases->c->jobs, task, HZB_TASK_PENDING, NULL);
       task->lessee = 0;
@@ -549,16 +549,16 @@
 /* A machine that comes back with tasks: they are on it or nowhere, so nothing but its next report, or its end, is
  * waited for. */
 static void
-take_machine_back (HzbLeases *leases, Lessee *lessee, HzbMachine *m, const cJSON *event)
+accept_returned_machine (HzbLeases *leases, Lessee *lessee, HzbMachine *m, const cJSON *event)
 {
   HzbController *c = leases->c;
   const cJSON *item;
 
-  hzb_machine_unhear (c->machines, m, hzb_leases_next_token (leases), hzb_json_text (event, "why"));
-  m->suspect = HZB_SUSPECT_OF_OWN;
+  hzb_machine_unverify (c->machines, m, hzb_leases_next_token (leases), hzb_json_text (event, "why"));
+  m->unknown_tasks_of = HZB_UNKNOWN_TASKS_OF_NOBODY;
   m->idle_since = hzb_clock_now (c->clock);
   if (cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (event, "sick")))
-    m->wanted_back = TRUE;
+    m->to_be_returned = TRUE;
   /* The lessee's reports were newer than any copy of one that may still come here. */
   if (hzb_json_u64 (event, "session") >= m->session)
     {
@@ -568,7 +568,7 @@
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (event, "lost"))
     {
       HzbTask *task = hzb_tasks_find (c->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
-      if (!task || task->state != HZB_TASK_GRANTED || task->lessee != lessee->id)
+      if (!task || task->state != HZB_TASK_DELEGATED || task->lessee != lessee->id)
         continue;
       task->attempt = hzb_json_u64 (item, "attempt");
       task->lessee = 0;
@@ -577,7 +577,7 @@
 }
 
 static void
-take_event (HzbLeases *leases, Lessee *lessee, const cJSON *event)
+handle_event (HzbLeases *leases, Lessee *lessee, const cJSON *event)
 {
   HzbController *c = leases->c;
   const char *name = hzb_json_text (event, "machine");
@@ -588,28 +588,28 @@
   if (name)
     {
       HzbMachine *m = hzb_machines_find (c->machines, name);
-      if (m && m->state == HZB_MACHINE_LENT && m->lessee == lessee->id)
-        take_machine_back (leases, lessee, m, event);
+      if (m && m->state == HZB_MACHINE_LEASED && m->lessee == lessee->id)
+        accept_returned_machine (leases, lessee, m, event);
     }
 }
 
 /* Machines that are spare are asked back, and left where they are when there is work for them after all. */
 static void
-ask_back (HzbLeases *leases, Lessee *lessee, gboolean all)
+recall_machines (HzbLeases *leases, Lessee *lessee, gboolean all)
 {
   HzbController *c = leases->c;
   for (guint i = 0; i < c->machines->all->len; i++)
     {
       HzbMachine *m = c->machines->all->pdata[i];
-      gboolean back = all || m->spare || m->wanted_back || m->kept;
+      gboolean back = all || m->spare || m->to_be_returned || m->reserved;
       cJSON *body;
-      if (m->state != HZB_MACHINE_LENT || m->lessee != lessee->id || m->asked_back == back || !m->lend_sent)
+      if (m->state != HZB_MACHINE_LEASED || m->lessee != lessee->id || m->recall_requested == back || !m->lease_sent)
         continue;
-      m->asked_back = back;
+      m->recall_requested = back;
       body = cJSON_CreateObject ();
       cJSON_AddStringToObject (body, back ? "back" : "keep", m->name);
       /* Replicas wait for its room: what runs there comes along, and can give way here. */
-      if (back && m->kept)
+      if (back && m->reserved)
         cJSON_AddTrueToObject (body, "now");
       hzb_outbox_push (&lessee->out, body);
     }
@@ -627,11 +627,11 @@
   guint64 token = hzb_json_u64 (root, "token");
 
   if (hzb_election_leading (c->election))
-    send_lent (leases);
+    send_leased (leases);
   for (guint i = 0; node && i < leases->lessees->len; i++)
     if (g_str_equal (g_array_index (leases->lessees, Lessee, i).peer->node, node))
       lessee = &g_array_index (leases->lessees, Lessee, i);
-  if (!lessee || !incarnation || !hzb_election_leading (c->election) || c->hold < HZB_HOLD_RECOVERING)
+  if (!lessee || !incarnation || !hzb_election_leading (c->election) || c->ownership < HZB_OWNERSHIP_RECOVERING)
     {
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("no blocks to lease here"), 0);
       return;
@@ -639,23 +639,23 @@
   if (g_strcmp0 (lessee->incarnation, incarnation) != 0)
     {
       if (lessee->token)
-        take_back (leases, lessee, "its controller has started anew");
+        reclaim_block (leases, lessee, "its controller has started anew");
       g_free (lessee->incarnation);
       lessee->incarnation = g_strdup (incarnation);
       lessee->steady_since = now;
     }
-  if (hzb_time_is_set (lessee->asked) && hzb_time_between (lessee->asked, now) > MISSED_S)
+  if (hzb_time_is_set (lessee->requests) && hzb_time_between (lessee->requests, now) > MISSED_S)
     lessee->steady_since = now;
-  lessee->asked = now;
+  lessee->requests = now;
   if (token == lessee->token && token)
     lessee->holds = TRUE;
   else if (!token && lessee->holds)
-    take_back (leases, lessee, "it has let go");
+    reclaim_block (leases, lessee, "it has let go");
   reply = cJSON_CreateObject ();
   hzb_json_add_u64 (reply, "term", hzb_election_term (c->election));
   if (cJSON_HasObjectItem (root, "cancelled"))
     cJSON_AddItemToObject (reply, "heard",
-                           hzb_cancellations_answer (c->cancellations, cJSON_GetObjectItemCaseSensitive (root, "cancelled")));
+                           hzb_cancellations_handle_request (c->cancellations, cJSON_GetObjectItemCaseSensitive (root, "cancelled")));
   if (token && (!lessee->token || hzb_token_leader (token) != hzb_election_term (c->election)))
     cJSON_AddTrueToObject (reply, "end"); /* what it holds was taken back */
   else
@@ -668,14 +668,14 @@
             if (hzb_json_u64 (event, "n") == lessee->in_number + 1)
               {
                 lessee->in_number++;
-                take_event (leases, lessee, event);
+                handle_event (leases, lessee, event);
               }
           set_running (leases, lessee, cJSON_GetObjectItemCaseSensitive (root, "running"),
                        cJSON_GetObjectItemCaseSensitive (root, "leaving"));
-          ask_back (leases, lessee, gang_waits (c) || !c->lease_blocks);
+          recall_machines (leases, lessee, gang_waits (c) || !c->lease_blocks);
           /* Only once it has all that was sent before, or its room would be filled twice. */
           if (!lessee->out.waiting.length)
-            feed (leases, lessee, hzb_json_number (root, "room", 0), now);
+            delegate_tasks (leases, lessee, hzb_json_number (root, "room", 0), now);
         }
       hzb_json_add_u64 (reply, "token", lessee->token);
       hzb_json_add_u64 (reply, "have", lessee->in_number);
@@ -699,12 +699,12 @@
     {
       const Lessee *lessee = i ? &g_array_index (leases->lessees, Lessee, i - 1) : NULL;
       cJSON *block = cJSON_CreateObject ();
-      guint n = 0, granted = 0;
+      guint n = 0, delegated = 0;
       double cpus = 0;
       for (guint k = 0; k < c->machines->all->len; k++)
         {
           const HzbMachine *m = c->machines->all->pdata[k];
-          if (m->type && (lessee ? m->state == HZB_MACHINE_LENT && m->lessee == lessee->id : m->state == HZB_MACHINE_ACTIVE))
+          if (m->type && (lessee ? m->state == HZB_MACHINE_LEASED && m->lessee == lessee->id : m->state == HZB_MACHINE_ACTIVE))
             {
               n++;
               cpus += m->type->cpus;
@@ -714,14 +714,14 @@
         {
           const HzbJob *job = c->jobs->active->pdata[k];
           for (guint t = 0; job->placed && t < job->n_tasks; t++)
-            granted += job->tasks[t].state == HZB_TASK_GRANTED && job->tasks[t].lessee == lessee->id;
+            delegated += job->tasks[t].state == HZB_TASK_DELEGATED && job->tasks[t].lessee == lessee->id;
         }
       cJSON_AddStringToObject (block, "holder", lessee ? lessee->peer->node : c->settings->node);
       hzb_json_add_u64 (block, "token", lessee ? lessee->token : c->block->token);
       cJSON_AddNumberToObject (block, "machines", n);
       cJSON_AddNumberToObject (block, "cpus", cpus);
       if (lessee)
-        cJSON_AddNumberToObject (block, "tasksGranted", granted);
+        cJSON_AddNumberToObject (block, "tasksGranted", delegated);
       cJSON_AddItemToArray (list, block);
     }
   return root;
@@ -732,10 +732,10 @@
 {
   HzbController *c = leases->c;
 
-  for (guint i = 0; i < leases->lessees->len && c->hold >= HZB_HOLD_RECOVERING; i++)
+  for (guint i = 0; i < leases->lessees->len && c->ownership >= HZB_OWNERSHIP_RECOVERING; i++)
     {
       Lessee *lessee = &g_array_index (leases->lessees, Lessee, i);
-      if (lessee->token && hzb_time_between (lessee->asked, now) > MISSED_S)
-        take_back (leases, lessee, "its controller is silent");
+      if (lessee->token && hzb_time_between (lessee->requests, now) > MISSED_S)
+        reclaim_block (leases, lessee, "its controller is silent");
     }
 }
--- a/src/lessee.c
+++ b/src/lessee.c
@@ -8,10 +8,10 @@
 #define ASK_SOON_S 0.25 /* with news; a question costs both sides as much as a worker's report */
 #define ASK_TIMEOUT_MS 1500
 #define GIVE_UP_S 5.0   /* it lets go when the leader has not answered for so long: it sits on no machines */
-#define AHEAD 0.12      /* of the block's CPUs: tasks wanted beyond its room, so that no place waits for the next answer */
-#define KEEP_S 6.0      /* an unstarted task goes back to the leader after this */
+#define PREFETCH_PART 0.12      /* of the block's CPUs: tasks wanted beyond its room, so that no place waits for the next answer */
+#define UNSTARTED_TTL_S 6.0      /* an unstarted task goes back to the leader after this */
 #define IDLE_S 10.0     /* and an idle machine */
-#define TEND_S 0.5      /* tasks that may have to go back are looked for so often */
+#define MAINTAIN_EVERY_S 0.5      /* tasks that may have to go back are looked for so often */
 
 struct _HzbLessee
 {
@@ -19,7 +19,7 @@
   gboolean asking;
   guint64 token, in_number;
   HzbOutbox out;
-  struct timespec asked, next_ask, next_tend, answered, valid_until;
+  struct timespec requests, next_ask, next_maintenance, last_answer, valid_until;
 };
 
 HzbLessee *
@@ -40,42 +40,42 @@
 gboolean
 hzb_lessee_valid (HzbLessee *lessee)
 {
-  return lessee->c->hold == HZB_HOLD_LEASED && hzb_time_before (hzb_clock_now (lessee->c->clock), lessee->valid_until);
+  return lessee->c->ownership == HZB_OWNERSHIP_LESSEE && hzb_time_before (hzb_clock_now (lessee->c->clock), lessee->valid_until);
 }
 
 static void
-ask_soon (HzbLessee *lessee)
+poll_soon (HzbLessee *lessee)
 {
-  struct timespec soon = hzb_time_plus (lessee->asked, ASK_SOON_S);
+  struct timespec soon = hzb_time_plus (lessee->requests, ASK_SOON_S);
   if (hzb_time_before (soon, lessee->next_ask))
     lessee->next_ask = soon;
 }
 
 void
-hzb_lessee_ask_soon (HzbLessee *lessee)
+hzb_lessee_poll_soon (HzbLessee *lessee)
 {
-  ask_soon (lessee);
+  poll_soon (lessee);
 }
 
 void
-hzb_lessee_finished (HzbLessee *lessee, const HzbTask *task, double ran_s)
+hzb_lessee_report_finished (HzbLessee *lessee, const HzbTask *task, double ran_s)
 {
   cJSON *body = cJSON_CreateObject ();
   hzb_tasks_add (cJSON_AddObjectToObject (body, "finished"), task);
   cJSON_AddNumberToObject (body, "ranS", ran_s);
   hzb_outbox_push (&lessee->out, body);
-  ask_soon (lessee);
+  poll_soon (lessee);
 }
 
 void
-hzb_lessee_give_machine (HzbLessee *lessee, HzbMachine *m, const char *why)
+hzb_lessee_return_machine (HzbLessee *lessee, HzbMachine *m, const char *why)
 {
   HzbController *c = lessee->c;
   cJSON *body = cJSON_CreateObject (), *lost;
 
   cJSON_AddStringToObject (body, "machine", m->name);
   cJSON_AddStringToObject (body, "why", why);
-  cJSON_AddBoolToObject (body, "sick", m->wanted_back && !m->asked_back);
+  cJSON_AddBoolToObject (body, "sick", m->to_be_returned && !m->recall_requested);
   hzb_json_add_u64 (body, "session", m->session);
   hzb_json_add_u64 (body, "seq", m->seq);
   lost = cJSON_AddArrayToObject (body, "lost");
@@ -89,7 +89,7 @@
       else
         {
           cJSON_AddItemToArray (lost, hzb_task_pack (task));
-          hzb_task_set_state (c->jobs, task, HZB_TASK_ELSEWHERE, NULL);
+          hzb_task_set_state (c->jobs, task, HZB_TASK_OTHER_OWNER, NULL);
         }
       g_return_if_fail (m->tasks->len < before);
     }
@@ -100,9 +100,9 @@
 }
 
 static void
-task_granted (HzbTask *task, gpointer jobs)
+task_delegated (HzbTask *task, gpointer jobs)
 {
-  if (task->state == HZB_TASK_ELSEWHERE)
+  if (task->state == HZB_TASK_OTHER_OWNER)
     hzb_task_set_state (jobs, task, HZB_TASK_PENDING, NULL);
 }
 
@@ -115,7 +115,7 @@
 
 /* A machine, with the tasks that may be on it. Nothing is concluded from it until it has reported under our token. */
 static void
-take_machine (HzbLessee *lessee, const cJSON *batch, const char *name)
+receive_machine (HzbLessee *lessee, const cJSON *batch, const char *name)
 {
   HzbController *c = lessee->c;
   const cJSON *holds = cJSON_GetObjectItemCaseSensitive (batch, "holds"), *item;
@@ -130,7 +130,7 @@
       if (job && job->state == HZB_JOB_ACCEPTED)
         hzb_jobs_activate (c->jobs, job);
       task = hzb_tasks_find (c->jobs, uid, (int) hzb_json_number (item, "task", -1));
-      known = known && task && task->state == HZB_TASK_ELSEWHERE;
+      known = known && task && task->state == HZB_TASK_OTHER_OWNER;
     }
   if (!known)
     {
@@ -147,12 +147,12 @@
   m = hzb_machines_add (c->machines, name, hzb_json_text (batch, "addr"), hzb_json_text (batch, "type"),
                         hzb_json_text (batch, "zone"),
                         cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (batch, "spot")),
-                        holds ? HZB_MACHINE_UNHEARD : HZB_MACHINE_BOOTING);
-  m->recorded = m->vouched = TRUE;
+                        holds ? HZB_MACHINE_UNVERIFIED : HZB_MACHINE_BOOTING);
+  m->recorded = m->known_to_cloud = TRUE;
   hzb_machine_set_token (m, lessee->token);
   m->session = hzb_json_u64 (batch, "session");
   m->seq = hzb_json_u64 (batch, "seq");
-  m->heard = hzb_clock_now (c->clock);
+  m->last_report = hzb_clock_now (c->clock);
   cJSON_ArrayForEach (item, holds)
     {
       HzbTask *task = hzb_tasks_find (c->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
@@ -165,7 +165,7 @@
 }
 
 static void
-take_batch (HzbLessee *lessee, const cJSON *batch)
+apply_batch (HzbLessee *lessee, const cJSON *batch)
 {
   HzbController *c = lessee->c;
   const cJSON *tasks = cJSON_GetObjectItemCaseSensitive (batch, "tasks"), *group;
@@ -197,18 +197,18 @@
           cJSON_AddItemToObject (body, "returned", unknown);
           hzb_outbox_push (&lessee->out, body);
         }
-      hzb_tasks_each (c->jobs, tasks, task_granted, c->jobs);
+      hzb_tasks_each (c->jobs, tasks, task_delegated, c->jobs);
     }
   hzb_tasks_each (c->jobs, cJSON_GetObjectItemCaseSensitive (batch, "durable"), task_durable, c->jobs);
   if (name && !hzb_machines_find (c->machines, name) && hzb_json_text (batch, "type") && hzb_json_text (batch, "zone"))
-    take_machine (lessee, batch, name);
+    receive_machine (lessee, batch, name);
   if (back || keep)
     {
       HzbMachine *m = hzb_machines_find (c->machines, back ? back : keep);
       if (m)
         {
-          m->asked_back = m->spare = back != NULL;
-          m->asked_now = back && cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (batch, "now"));
+          m->recall_requested = m->spare = back != NULL;
+          m->recall_at_once = back && cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (batch, "now"));
         }
     }
 }
@@ -237,34 +237,34 @@
 
   lessee->asking = FALSE;
   if (root)
-    hzb_cancellations_answered (c->cancellations, term, cJSON_GetObjectItemCaseSensitive (root, "heard"));
+    hzb_cancellations_handle_response (c->cancellations, term, cJSON_GetObjectItemCaseSensitive (root, "heard"));
   if (root && !hzb_election_leading (c->election) && term == hzb_election_leader_term (c->election))
     {
       if (cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "end")))
         hzb_controller_end_leased (c, "the leader took the block back");
-      else if (token && (c->hold == HZB_HOLD_LEASED || (c->hold == HZB_HOLD_NONE && c->mirror == HZB_MIRROR_FOLLOWING)))
+      else if (token && (c->ownership == HZB_OWNERSHIP_LESSEE || (c->ownership == HZB_OWNERSHIP_NONE && c->mirror == HZB_MIRROR_FOLLOWING)))
         {
-          if (c->hold == HZB_HOLD_NONE)
+          if (c->ownership == HZB_OWNERSHIP_NONE)
             {
               lessee->token = token;
               hzb_controller_begin_leased (c, token);
             }
-          else if (c->hold == HZB_HOLD_LEASED && token > lessee->token)
+          else if (c->ownership == HZB_OWNERSHIP_LESSEE && token > lessee->token)
             raise_token (lessee, token);
-          lessee->answered = hzb_clock_now (c->clock);
+          lessee->last_answer = hzb_clock_now (c->clock);
           /* From when it was asked for: after standing still the answer may be old. */
-          lessee->valid_until = hzb_time_plus (lessee->asked, hzb_json_number (root, "leaseS", 0));
+          lessee->valid_until = hzb_time_plus (lessee->requests, hzb_json_number (root, "leaseS", 0));
           hzb_outbox_acknowledged (&lessee->out, hzb_json_u64 (root, "have"));
           cJSON_ArrayForEach (batch, cJSON_GetObjectItemCaseSensitive (root, "batches"))
             if (hzb_json_u64 (batch, "n") == lessee->in_number + 1)
               {
                 lessee->in_number++;
-                take_batch (lessee, batch);
+                apply_batch (lessee, batch);
               }
           if (cJSON_GetArraySize (cJSON_GetObjectItemCaseSensitive (root, "batches")))
             {
               hzb_dispatch_run (c->dispatch, hzb_clock_now (c->clock));
-              ask_soon (lessee);
+              poll_soon (lessee);
             }
         }
     }
@@ -289,7 +289,7 @@
       const HzbJob *job = c->jobs->active->pdata[i];
       listed += (job->listed + job->pending) * job->spec->cpus;
     }
-  return free + AHEAD * all - listed;
+  return free + PREFETCH_PART * all - listed;
 }
 
 /* How many tasks of each job are on machines that the leader asked back. */
@@ -304,7 +304,7 @@
   for (guint i = 0; i < c->machines->all->len; i++)
     {
       const HzbMachine *m = c->machines->all->pdata[i];
-      for (guint k = 0; m->asked_back && k < m->tasks->len; k++)
+      for (guint k = 0; m->recall_requested && k < m->tasks->len; k++)
         {
           job = ((HzbTask *) m->tasks->pdata[k])->job;
           g_hash_table_insert (counts, job, GUINT_TO_POINTER (GPOINTER_TO_UINT (g_hash_table_lookup (counts, job)) + 1));
@@ -317,7 +317,7 @@
 }
 
 static void
-ask (HzbLessee *lessee, struct timespec now)
+poll_leader (HzbLessee *lessee, struct timespec now)
 {
   HzbController *c = lessee->c;
   const char *leader = hzb_election_leader (c->election), *addr = NULL;
@@ -329,11 +329,11 @@
   if (!addr || c->mirror != HZB_MIRROR_FOLLOWING)
     return;
   lessee->asking = TRUE;
-  lessee->asked = now;
+  lessee->requests = now;
   root = hzb_peers_message (c->peers, HZB_PEER_BLOCK);
-  if ((cancelled = hzb_cancellations_question (c->cancellations)))
+  if ((cancelled = hzb_cancellations_pack_request (c->cancellations)))
     cJSON_AddItemToObject (root, "cancelled", cancelled);
-  if (c->hold == HZB_HOLD_LEASED)
+  if (c->ownership == HZB_OWNERSHIP_LESSEE)
     {
       hzb_json_add_u64 (root, "token", lessee->token);
       hzb_json_add_u64 (root, "have", lessee->in_number);
@@ -354,7 +354,7 @@
 
 /* Tasks that have not started for a while, and those of jobs that are over, go back. */
 static void
-give_tasks (HzbLessee *lessee, struct timespec now)
+return_unstarted_tasks (HzbLessee *lessee, struct timespec now)
 {
   HzbController *c = lessee->c;
   cJSON *groups = NULL;
@@ -368,12 +368,12 @@
           HzbTask *task = &job->tasks[k];
           if (task->state != HZB_TASK_PENDING && task->state != HZB_TASK_LISTED)
             continue;
-          if (!over && hzb_time_between (task->since, now) < KEEP_S)
+          if (!over && hzb_time_between (task->since, now) < UNSTARTED_TTL_S)
             continue;
           if (task->state == HZB_TASK_LISTED)
             hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
           g_queue_remove (&job->retry, task);
-          hzb_task_set_state (c->jobs, task, HZB_TASK_ELSEWHERE, NULL);
+          hzb_task_set_state (c->jobs, task, HZB_TASK_OTHER_OWNER, NULL);
           if (!groups)
             groups = cJSON_CreateObject ();
           hzb_tasks_add (groups, task);
@@ -393,29 +393,29 @@
 }
 
 static void
-tend_machines (HzbLessee *lessee, struct timespec now)
+maintain_machines (HzbLessee *lessee, struct timespec now)
 {
   HzbController *c = lessee->c;
   for (guint i = c->machines->all->len; i-- > 0;)
     {
       HzbMachine *m = c->machines->all->pdata[i];
-      double quiet = hzb_time_between (m->heard, now);
+      double quiet = hzb_time_between (m->last_report, now);
       if (quiet > 3 * c->settings->report_s)
-        hzb_lessee_give_machine (lessee, m, "it is silent");
-      else if (m->deaf)
-        hzb_lessee_give_machine (lessee, m, "it does not seem to hear its answers");
-      else if (m->wanted_back && m->tasks->len == 0)
-        hzb_lessee_give_machine (lessee, m, "it fails what it starts");
+        hzb_lessee_return_machine (lessee, m, "it is silent");
+      else if (m->unreachable)
+        hzb_lessee_return_machine (lessee, m, "it does not seem to hear its answers");
+      else if (m->to_be_returned && m->tasks->len == 0)
+        hzb_lessee_return_machine (lessee, m, "it fails what it starts");
       else if (m->state == HZB_MACHINE_DRAINING && m->tasks->len == 0)
         {
-          m->wanted_back = TRUE;
-          hzb_lessee_give_machine (lessee, m, "the cloud takes it back");
+          m->to_be_returned = TRUE;
+          hzb_lessee_return_machine (lessee, m, "the cloud takes it back");
         }
-      else if (m->asked_back && (m->tasks->len == 0 || (m->asked_now && m->state == HZB_MACHINE_ACTIVE)))
-        hzb_lessee_give_machine (lessee, m, "the leader asked for it");
+      else if (m->recall_requested && (m->tasks->len == 0 || (m->recall_at_once && m->state == HZB_MACHINE_ACTIVE)))
+        hzb_lessee_return_machine (lessee, m, "the leader asked for it");
       else if (m->state == HZB_MACHINE_ACTIVE && m->tasks->len == 0 && hzb_machine_listed (m) == 0
                && hzb_time_between (m->idle_since, now) > IDLE_S)
-        hzb_lessee_give_machine (lessee, m, "it has nothing to do");
+        hzb_lessee_return_machine (lessee, m, "it has nothing to do");
     }
 }
 
@@ -426,26 +426,26 @@
 
   if (hzb_election_leading (c->election))
     return;
-  if (c->hold == HZB_HOLD_LEASED
+  if (c->ownership == HZB_OWNERSHIP_LESSEE
       && (hzb_election_leader_term (c->election) != hzb_token_leader (lessee->token)))
     hzb_controller_end_leased (c, "another leads");
-  if (c->hold == HZB_HOLD_LEASED && !hzb_lessee_valid (lessee))
+  if (c->ownership == HZB_OWNERSHIP_LESSEE && !hzb_lessee_valid (lessee))
     hzb_controller_end_leased (c, "the lease is over");
-  if (c->hold == HZB_HOLD_LEASED && hzb_time_between (lessee->answered, now) > GIVE_UP_S)
+  if (c->ownership == HZB_OWNERSHIP_LESSEE && hzb_time_between (lessee->last_answer, now) > GIVE_UP_S)
     hzb_controller_end_leased (c, "the leader does not answer");
-  if (c->hold == HZB_HOLD_LEASED)
+  if (c->ownership == HZB_OWNERSHIP_LESSEE)
     {
-      tend_machines (lessee, now);
-      if (!hzb_time_before (now, lessee->next_tend))
+      maintain_machines (lessee, now);
+      if (!hzb_time_before (now, lessee->next_maintenance))
         {
-          lessee->next_tend = hzb_time_plus (now, TEND_S);
-          give_tasks (lessee, now);
+          lessee->next_maintenance = hzb_time_plus (now, MAINTAIN_EVERY_S);
+          return_unstarted_tasks (lessee, now);
         }
     }
   if (hzb_election_leader (c->election) && !lessee->asking && !hzb_time_before (now, lessee->next_ask))
     {
       lessee->next_ask = hzb_time_plus (now, ASK_S);
-      ask (lessee, now);
+      poll_leader (lessee, now);
     }
 }
 
--- a/src/machines.c
+++ b/src/machines.c
@@ -17,7 +17,7 @@
   g_ptr_array_unref (m->tasks);
   g_hash_table_unref (m->images);
   g_hash_table_unref (m->expected);
-  for (guint i = 0; i < HZB_N_CLASSES; i++)
+  for (guint i = 0; i < HZB_N_LEVELS; i++)
     {
       g_queue_clear (&m->lists[i]);
       hzb_estimate_clear (&m->estimates[i]);
@@ -100,7 +100,7 @@
   m->tasks = g_ptr_array_new ();
   m->images = g_hash_table_new_full (NULL, NULL, (GDestroyNotify) g_ref_string_release, NULL);
   m->expected = g_hash_table_new_full (NULL, NULL, (GDestroyNotify) g_ref_string_release, NULL);
-  m->stale_estimate = TRUE;
+  m->estimate_stale = TRUE;
   g_hash_table_insert (machines->by_name, m->name, m);
   g_ptr_array_add (machines->all, m);
   return m;
@@ -122,12 +122,12 @@
 hzb_machine_set_state (HzbMachines *machines, HzbMachine *machine, HzbMachineState to, const char *why)
 {
   static const guint legal[HZB_MACHINE_N_STATES] = {
-    [HZB_MACHINE_BOOTING] = B (ACTIVE) | B (RETURNING) | B (DRAINING) | B (UNHEARD) | B (LENT),
-    [HZB_MACHINE_LENT] = B (UNHEARD),
-    [HZB_MACHINE_UNHEARD] = B (ACTIVE) | B (RETURNING),
-    [HZB_MACHINE_ACTIVE] = B (LENT) | B (SILENT) | B (DRAINING) | B (RETURNING),
-    [HZB_MACHINE_SILENT] = B (ACTIVE) | B (RETURNING),
-    [HZB_MACHINE_DRAINING] = B (SILENT) | B (RETURNING) | B (ACTIVE),
+    [HZB_MACHINE_BOOTING] = B (ACTIVE) | B (RETURNING) | B (DRAINING) | B (UNVERIFIED) | B (LEASED),
+    [HZB_MACHINE_LEASED] = B (UNVERIFIED),
+    [HZB_MACHINE_UNVERIFIED] = B (ACTIVE) | B (RETURNING),
+    [HZB_MACHINE_ACTIVE] = B (LEASED) | B (LEASE_EXPIRED) | B (DRAINING) | B (RETURNING),
+    [HZB_MACHINE_LEASE_EXPIRED] = B (ACTIVE) | B (RETURNING),
+    [HZB_MACHINE_DRAINING] = B (LEASE_EXPIRED) | B (RETURNING) | B (ACTIVE),
     [HZB_MACHINE_RETURNING] = B (GONE),
     [HZB_MACHINE_GONE] = 0,
   };
@@ -150,26 +150,26 @@
 hzb_machine_set_token (HzbMachine *machine, guint64 token)
 {
   machine->token = machine->own_token = token;
-  machine->confirmed = machine->deaf = FALSE;
-  machine->unobeyed = 0;
+  machine->verified = machine->unreachable = FALSE;
+  machine->ignored_answers = 0;
 }
 
 void
-hzb_machine_doubt (HzbMachine *machine, guint64 token, struct timespec now)
+hzb_machine_mark_unreachable (HzbMachine *machine, guint64 token, struct timespec now)
 {
   g_message ("machine %s does not seem to hear its answers", machine->name);
   machine->token = token;
-  machine->deaf = TRUE;
-  machine->deaf_since = now;
+  machine->unreachable = TRUE;
+  machine->unreachable_since = now;
 }
 
 void
-hzb_machine_unhear (HzbMachines *machines, HzbMachine *machine, guint64 token, const char *why)
+hzb_machine_unverify (HzbMachines *machines, HzbMachine *machine, guint64 token, const char *why)
 {
   hzb_machine_set_token (machine, token);
-  machine->asked_back = FALSE;
+  machine->recall_requested = FALSE;
   machine->lessee = 0;
-  hzb_machine_set_state (machines, machine, HZB_MACHINE_UNHEARD, why);
+  hzb_machine_set_state (machines, machine, HZB_MACHINE_UNVERIFIED, why);
 }
 
 const char *
@@ -207,14 +207,14 @@
       machine->listed_service_cpus += spec->cpus;
       machine->listed_service_memory += spec->memory_gb;
     }
-  g_queue_push_tail (&machine->lists[task->job->class], task);
+  g_queue_push_tail (&machine->lists[task->job->level], task);
 }
 
 void
 hzb_machine_unlist (HzbMachine *machine, HzbTask *task)
 {
   const HzbSpec *spec = task->job->spec;
-  for (guint i = 0; i < HZB_N_CLASSES; i++)
+  for (guint i = 0; i < HZB_N_LEVELS; i++)
     if (g_queue_remove (&machine->lists[i], task))
       {
         if (spec->service)
@@ -260,7 +260,7 @@
 gboolean
 hzb_machine_usable (const HzbMachine *m)
 {
-  return m->state == HZB_MACHINE_ACTIVE && m->recorded && m->vouched && m->type && !m->wanted_back && !m->spare && !m->deaf;
+  return m->state == HZB_MACHINE_ACTIVE && m->recorded && m->known_to_cloud && m->type && !m->to_be_returned && !m->spare && !m->unreachable;
 }
 
 gboolean
@@ -324,7 +324,7 @@
 gboolean
 hzb_machine_allowed (const HzbMachine *m, const HzbSpec *spec)
 {
-  return is_of_allowed_kind (m, spec) && (spec->service || !m->kept);
+  return is_of_allowed_kind (m, spec) && (spec->service || !m->reserved);
 }
 
 gboolean
@@ -338,7 +338,7 @@
 hzb_machine_listed (const HzbMachine *m)
 {
   guint n = 0;
-  for (guint i = 0; i < HZB_N_CLASSES; i++)
+  for (guint i = 0; i < HZB_N_LEVELS; i++)
     n += m->lists[i].length;
   return n;
 }
@@ -359,16 +359,16 @@
 void
 hzb_machine_empty_lists (HzbJobs *jobs, HzbMachine *m)
 {
-  for (guint i = 0; i < HZB_N_CLASSES; i++)
+  for (guint i = 0; i < HZB_N_LEVELS; i++)
     while (m->lists[i].length)
       hzb_task_set_state (jobs, g_queue_peek_head (&m->lists[i]), HZB_TASK_PENDING, NULL);
-  m->stale_estimate = TRUE;
+  m->estimate_stale = TRUE;
 }
 
 static gboolean
-is_unheard (const HzbMachine *m)
+is_unverified (const HzbMachine *m)
 {
-  return m->state == HZB_MACHINE_UNHEARD || (m->state == HZB_MACHINE_RETURNING && !m->confirmed && m->recorded);
+  return m->state == HZB_MACHINE_UNVERIFIED || (m->state == HZB_MACHINE_RETURNING && !m->verified && m->recorded);
 }
 
 static gboolean
@@ -379,14 +379,14 @@
 
 /* One for each kind is enough: there are few kinds, and many machines and jobs. */
 GPtrArray *
-hzb_machines_unheard_kinds (const HzbMachines *machines, guint suspect)
+hzb_machines_unverified_kinds (const HzbMachines *machines, guint unknown_tasks_of)
 {
   GPtrArray *kinds = g_ptr_array_new ();
   for (guint i = 0; i < machines->all->len; i++)
     {
       HzbMachine *m = machines->all->pdata[i];
       gboolean known = FALSE;
-      if (m->suspect != suspect || !is_unheard (m))
+      if (m->unknown_tasks_of != unknown_tasks_of || !is_unverified (m))
         continue;
       for (guint k = 0; k < kinds->len && !known; k++)
         known = same_kind (m, kinds->pdata[k]);
@@ -397,14 +397,14 @@
 }
 
 gboolean
-hzb_job_may_be_unheard (const HzbJob *job, const GPtrArray *unheard_kinds)
+hzb_job_may_run_on_unverified (const HzbJob *job, const GPtrArray *unverified_kinds)
 {
   /* Of a job that is over the records need not say where it might run. */
   if (job->state != HZB_JOB_ACCEPTED)
-    return unheard_kinds->len > 0;
-  for (guint i = 0; i < unheard_kinds->len; i++)
+    return unverified_kinds->len > 0;
+  for (guint i = 0; i < unverified_kinds->len; i++)
     {
-      const HzbMachine *m = unheard_kinds->pdata[i];
+      const HzbMachine *m = unverified_kinds->pdata[i];
       if (!m->type || is_of_allowed_kind (m, job->spec))
         return TRUE;
     }
--- a/src/machines.h
+++ b/src/machines.h
@@ -9,10 +9,10 @@
 typedef enum
 {
   HZB_MACHINE_BOOTING,   /* rented, its worker has not reported */
-  HZB_MACHINE_UNHEARD,   /* an earlier holder may have started tasks on it; it has not answered under our token */
+  HZB_MACHINE_UNVERIFIED,   /* an earlier holder may have started tasks on it; it has not answered under our token */
   HZB_MACHINE_ACTIVE,    /* its last report was sent under our token */
-  HZB_MACHINE_LENT,      /* in a block that is leased to another controller */
-  HZB_MACHINE_SILENT,    /* its lease is over: it has no tasks */
+  HZB_MACHINE_LEASED,      /* in a block that is leased to another controller */
+  HZB_MACHINE_LEASE_EXPIRED,    /* its lease is over: it has no tasks */
   HZB_MACHINE_DRAINING,  /* takes no more tasks */
   HZB_MACHINE_RETURNING, /* the cloud has been told; until it confirms the machine may still run */
   HZB_MACHINE_GONE,
@@ -20,12 +20,12 @@
 } HzbMachineState;
 
 /* Classes of waiting work, the highest served first. See hzb_dispatch_classes(). */
-#define HZB_N_CLASSES 8
+#define HZB_N_LEVELS 8
 
 /* Until it has answered, an unheard machine may hold tasks of its own only, of the block of a lessee (1 and up) that
  * was taken back, or of an earlier leader. */
-#define HZB_SUSPECT_OF_LEADER 0u
-#define HZB_SUSPECT_OF_OWN 255u
+#define HZB_UNKNOWN_TASKS_OF_LEADER 0u
+#define HZB_UNKNOWN_TASKS_OF_NOBODY 255u
 
 struct _HzbMachine
 {
@@ -39,29 +39,29 @@
   guint64 own_token; /* from this one on nobody but this holder has given it orders: what it reports under it is all */
   guint64 over_session; /* this session has ended for certain: what still comes of it is late */
   guint8 lessee;  /* 1 and up: whom it is lent to */
-  guint8 suspect; /* while unheard: the block whose unknown tasks may be on it, or HZB_SUSPECT_… */
-  gboolean asked_back, lend_sent;
-  gboolean asked_now; /* with all that is on it */
+  guint8 unknown_tasks_of; /* while unheard: the block whose unknown tasks may be on it, or HZB_SUSPECT_… */
+  gboolean recall_requested, lease_sent;
+  gboolean recall_at_once; /* with all that is on it */
   struct timespec rented; /* or, of a machine found in the records, first known */
-  struct timespec since, answered, heard, idle_since, notice_at;
-  gboolean confirmed; /* a report sent under our token has come */
-  gboolean vouched;   /* rented by us, on record, or in the cloud's list: a report alone may be a copy of one long gone */
-  guint unobeyed;     /* reports in a row that show none of the starts that they should */
-  gboolean deaf;      /* answers do not seem to reach it; it takes no work until it shows the token raised since */
-  struct timespec deaf_since;
+  struct timespec since, last_answer, last_report, idle_since, notice_at;
+  gboolean verified; /* a report sent under our token has come */
+  gboolean known_to_cloud;   /* rented by us, on record, or in the cloud's list: a report alone may be a copy of one long gone */
+  guint ignored_answers;     /* reports in a row that show none of the starts that they should */
+  gboolean unreachable;      /* answers do not seem to reach it; it takes no work until it shows the token raised since */
+  struct timespec unreachable_since;
   gboolean recorded, recording;
   guint page; /* of the holder's records; 0: none */
-  gboolean wanted_back, drain; /* drain: by an operator */
+  gboolean to_be_returned, drain; /* drain: by an operator */
   gboolean spare; /* takes no new tasks: there are more machines than work */
   guint surplus;  /* for how many plans in a row it has been one too many */
-  gboolean kept;  /* for replicas of services: they find room there at once */
+  gboolean reserved;  /* for replicas of services: they find room there at once */
   double service_cpus, service_memory;               /* in use by replicas, which never end by themselves */
   double listed_service_cpus, listed_service_memory; /* and by those in its lists */
   double cpus, gpus, memory; /* in use by tasks that are on it, or may be */
   GPtrArray *tasks;          /* HzbTask on it */
-  GQueue lists[HZB_N_CLASSES];
-  HzbEstimate estimates[HZB_N_CLASSES]; /* work that a task of the class waits behind */
-  gboolean stale_estimate;
+  GQueue lists[HZB_N_LEVELS];
+  HzbEstimate estimates[HZB_N_LEVELS]; /* work that a task of the class waits behind */
+  gboolean estimate_stale;
   GHashTable *images;   /* names (interned) known to be on it */
   GHashTable *expected; /* names that tasks sent or listed here will bring, as of the last report */
   guint round;                 /* counts reports, see HzbTask.seen */
@@ -91,10 +91,10 @@
 void hzb_machines_remove (HzbMachines *machines, HzbMachine *machine); /* it must be gone */
 gboolean hzb_machine_set_state (HzbMachines *machines, HzbMachine *machine, HzbMachineState to, const char *why);
 /* Answers do not seem to reach it: it has to show that it has seen a token that was not used before. */
-void hzb_machine_doubt (HzbMachine *machine, guint64 token, struct timespec now);
+void hzb_machine_mark_unreachable (HzbMachine *machine, guint64 token, struct timespec now);
 /* From now on it is answered under this token, and nothing is known of it until it has reported under it. */
 void hzb_machine_set_token (HzbMachine *machine, guint64 token);
-void hzb_machine_unhear (HzbMachines *machines, HzbMachine *machine, guint64 token, const char *why);
+void hzb_machine_unverify (HzbMachines *machines, HzbMachine *machine, guint64 token, const char *why);
 const char *hzb_machine_state_name (HzbMachineState state);
 const char *hzb_machine_name (const HzbMachine *machine);
 cJSON *hzb_machine_pack (const HzbMachine *machine, struct timespec wall);
@@ -122,6 +122,6 @@
 void hzb_machine_empty_lists (HzbJobs *jobs, HzbMachine *machine);
 /* Of the machines that may hold unknown tasks of this block, and have neither answered under our token nor are gone, one
  * (HzbMachine) of each type, zone and kind. */
-GPtrArray *hzb_machines_unheard_kinds (const HzbMachines *machines, guint suspect);
+GPtrArray *hzb_machines_unverified_kinds (const HzbMachines *machines, guint unknown_tasks_of);
 /* One of these may hold an unknown task of the job: it could have been started there. */
-gboolean hzb_job_may_be_unheard (const HzbJob *job, const GPtrArray *unheard_kinds);
+gboolean hzb_job_may_run_on_unverified (const HzbJob *job, const GPtrArray *unverified_kinds);
--- a/src/peers.c
+++ b/src/peers.c
@@ -16,13 +16,13 @@
 {
   const HzbPeer *peer;
   gboolean asking;
-  struct timespec heard;
+  struct timespec last_report;
   double store_silence;
   guint64 term;
   gboolean leads;
   gboolean sends_workers; /* to the leader, lately */
   gboolean lost_workers;  /* and gave way for that, not long ago */
-  gboolean told_old;
+  gboolean logged_old_format;
   guint format; /* of records and messages, as it last said */
   /* by what it sent of its own accord */
   char *incarnation;
@@ -34,7 +34,7 @@
   HzbController *c;
   GArray *views;          /* View */
   GHashTable *retired;    /* incarnations that others have followed */
-  guint64 heard_term;     /* the highest that a peer knew of */
+  guint64 highest_known_term;     /* the highest that a peer knew of */
   GHashTable *display;    /* uid -> (done, running), by the holder's last word */
   guint64 born, number;
   struct timespec next;
@@ -72,11 +72,11 @@
 static double
 silence (HzbPeers *peers, const View *view)
 {
-  return hzb_time_is_set (view->heard) ? hzb_time_between (view->heard, hzb_clock_now (peers->c->clock)) : 1e9;
+  return hzb_time_is_set (view->last_report) ? hzb_time_between (view->last_report, hzb_clock_now (peers->c->clock)) : 1e9;
 }
 
 gboolean
-hzb_peers_any_served (HzbPeers *peers)
+hzb_peers_any_reaches_store (HzbPeers *peers)
 {
   for (guint i = 0; i < peers->views->len; i++)
     {
@@ -115,7 +115,7 @@
 }
 
 gboolean
-hzb_peers_any_heard (HzbPeers *peers)
+hzb_peers_any_reachable (HzbPeers *peers)
 {
   for (guint i = 0; i < peers->views->len; i++)
     if (silence (peers, &g_array_index (peers->views, View, i)) < 5)
@@ -133,7 +133,7 @@
 }
 
 gboolean
-hzb_peers_silent (HzbPeers *peers, const char *node)
+hzb_peers_unreachable (HzbPeers *peers, const char *node)
 {
   const View *view = view_of (peers, node);
   return !view || silence (peers, view) > 3;
@@ -142,11 +142,11 @@
 guint
 hzb_peers_format (HzbPeers *peers, const char *node)
 {
-  return hzb_peers_silent (peers, node) ? 1 : view_of (peers, node)->format;
+  return hzb_peers_unreachable (peers, node) ? 1 : view_of (peers, node)->format;
 }
 
 gboolean
-hzb_peers_all_format (HzbPeers *peers, guint format)
+hzb_peers_all_have_format (HzbPeers *peers, guint format)
 {
   for (guint i = 0; i < peers->views->len; i++)
     if (hzb_peers_format (peers, g_array_index (peers->views, View, i).peer->node) < format)
@@ -155,7 +155,7 @@
 }
 
 gboolean
-hzb_peers_any_old (HzbPeers *peers)
+hzb_peers_any_older_format (HzbPeers *peers)
 {
   for (guint i = 0; i < peers->views->len; i++)
     {
@@ -167,17 +167,17 @@
 }
 
 gboolean
-hzb_peers_served_at (HzbPeers *peers, const char *node, struct timespec *at)
+hzb_peers_last_store_contact (HzbPeers *peers, const char *node, struct timespec *at)
 {
   const View *view = view_of (peers, node);
-  if (!view || !hzb_time_is_set (view->heard) || view->store_silence > 1e5)
+  if (!view || !hzb_time_is_set (view->last_report) || view->store_silence > 1e5)
     return FALSE;
-  *at = hzb_time_plus (view->heard, -view->store_silence);
+  *at = hzb_time_plus (view->last_report, -view->store_silence);
   return TRUE;
 }
 
 void
-hzb_peers_display (HzbPeers *peers, const char *uid, guint *done, guint *running)
+hzb_peers_task_counts (HzbPeers *peers, const char *uid, guint *done, guint *running)
 {
   guint64 seen = GPOINTER_TO_SIZE (g_hash_table_lookup (peers->display, uid));
   *done = (guint) (seen >> 24);
@@ -212,9 +212,9 @@
   /* Guards against a return to version 1: it would misread what has been recorded since all read format 2. */
   if (hzb_election_format (peers->c->election) >= 2 && hzb_json_number (root, "format", 1) < 2)
     {
-      if (!view->told_old)
+      if (!view->logged_old_format)
         g_warning ("a message of %s is refused: it is of version 1, which is not served any more", node);
-      view->told_old = TRUE;
+      view->logged_old_format = TRUE;
       return NULL;
     }
   if (g_strcmp0 (view->incarnation, incarnation) != 0)
@@ -245,24 +245,24 @@
 /* ---- words ---- */
 
 static void
-say_standing (HzbPeers *peers, cJSON *root)
+pack_heartbeat (HzbPeers *peers, cJSON *root)
 {
   HzbController *c = peers->c;
 
   cJSON_AddBoolToObject (root, "leads", hzb_election_leading (c->election));
   /* Also what others told: a holder may reach only nodes that the state service does not reach either. */
-  hzb_json_add_u64 (root, "term", MAX (hzb_election_leader_term (c->election), peers->heard_term));
+  hzb_json_add_u64 (root, "term", MAX (hzb_election_leader_term (c->election), peers->highest_known_term));
   cJSON_AddBoolToObject (root, "sendsWorkers", hzb_time_is_set (c->redirected)
                                                    && hzb_time_between (c->redirected, hzb_clock_now (c->clock)) < REDIRECTS_S);
   cJSON_AddBoolToObject (root, "lostWorkers", lost_workers (c));
   cJSON_AddNumberToObject (root, "storeSilenceS", MIN (hzb_store_silence (c->store), 1e6));
-  if (c->hold >= HZB_HOLD_RECOVERING)
+  if (c->ownership >= HZB_OWNERSHIP_RECOVERING)
     {
       cJSON *list = cJSON_AddObjectToObject (root, "jobs");
       for (guint i = 0; i < MIN (c->jobs->active->len, MOST_SHOWN); i++)
         {
           const HzbJob *job = c->jobs->active->pdata[i];
-          int counts[2] = { (int) (job->done + job->finished), (int) (job->running + job->lent_running) };
+          int counts[2] = { (int) (job->done + job->finished), (int) (job->running + job->delegated_running) };
           if (counts[0] || counts[1])
             cJSON_AddItemToObject (list, job->uid, cJSON_CreateIntArray (counts, 2));
         }
@@ -270,11 +270,11 @@
 }
 
 static void
-take_standing (HzbPeers *peers, View *view, const cJSON *root)
+apply_heartbeat (HzbPeers *peers, View *view, const cJSON *root)
 {
   HzbController *c = peers->c;
   const cJSON *item;
-  view->heard = hzb_clock_now (c->clock);
+  view->last_report = hzb_clock_now (c->clock);
   view->store_silence = hzb_json_number (root, "storeSilenceS", 1e6);
   view->term = hzb_json_u64 (root, "term");
   view->sends_workers = !cJSON_IsFalse (cJSON_GetObjectItemCaseSensitive (root, "sendsWorkers")); /* version 1 doesn't say */
@@ -292,7 +292,7 @@
                                  GSIZE_TO_POINTER (((gsize) done->valueint << 24) | (gsize) running->valueint));
         }
     }
-  peers->heard_term = MAX (peers->heard_term, view->term);
+  peers->highest_known_term = MAX (peers->highest_known_term, view->term);
   /* A holder that the state service does not reach learns here that it has been replaced. */
   if (view->term > hzb_election_term (c->election))
     hzb_election_step_down (c->election, "a peer knows a newer term");
@@ -305,7 +305,7 @@
 } Call;
 
 static void
-on_word (guint status, const char *body, gsize length, gpointer user)
+on_heartbeat (guint status, const char *body, gsize length, gpointer user)
 {
   g_autofree Call *call = user;
   View *view = &g_array_index (call->peers->views, View, call->at);
@@ -313,7 +313,7 @@
 
   view->asking = FALSE;
   if (root)
-    take_standing (call->peers, view, root);
+    apply_heartbeat (call->peers, view, root);
   cJSON_Delete (root);
 }
 
@@ -335,10 +335,10 @@
       call = g_new0 (Call, 1);
       call->peers = peers;
       call->at = i;
-      root = hzb_peers_message (peers, HZB_PEER_WORD);
-      say_standing (peers, root);
+      root = hzb_peers_message (peers, HZB_PEER_HEARTBEAT);
+      pack_heartbeat (peers, root);
       hzb_send (peers->c->transport, "POST", view->peer->address, "/peer/v1/word", cJSON_PrintUnformatted (root), 1500,
-                on_word, call);
+                on_heartbeat, call);
       cJSON_Delete (root);
     }
 }
@@ -349,7 +349,7 @@
   HzbController *c = user;
   gboolean block = g_str_equal (exchange->path, "/peer/v1/block");
   cJSON *root = cJSON_ParseWithLength (exchange->body, exchange->length);
-  View *view = sender (c->peers, block ? HZB_PEER_BLOCK : HZB_PEER_WORD, root);
+  View *view = sender (c->peers, block ? HZB_PEER_BLOCK : HZB_PEER_HEARTBEAT, root);
 
   if (!view)
     hzb_exchange_reply (exchange, 400, hzb_wire_error ("not a message of a peer, or an old one"), 0);
@@ -359,8 +359,8 @@
     {
       cJSON *word = cJSON_CreateObject ();
       cJSON_AddNumberToObject (word, "format", c->format);
-      take_standing (c->peers, view, root);
-      say_standing (c->peers, word);
+      apply_heartbeat (c->peers, view, root);
+      pack_heartbeat (c->peers, word);
       hzb_exchange_reply (exchange, 200, cJSON_PrintUnformatted (word), 0);
       cJSON_Delete (word);
     }
