--- a/src/give-way.c
+++ b/src/preemption.c
@@ -1,4 +1,4 @@
-#include "give-way.h"
+#include "preemption.h"
 
 #include <math.h>
 
@@ -40,15 +40,15 @@
 }
 
 static gboolean
-may_preempt (HzbDispatch *d, const HzbJob *needy, const HzbTask *victim)
+may_preempt (HzbDispatch *d, const HzbJob *preemptor, const HzbTask *victim)
 {
   const HzbBlock *block = d->jobs->block;
   const HzbJob *other = victim->job;
   const HzbTeam *team;
 
-  if (other->spec->urgency < needy->spec->urgency)
+  if (other->spec->priority < preemptor->spec->priority)
     return TRUE;
-  if (!needy->guaranteed || other->team == needy->team || other->guaranteed)
+  if (!preemptor->guaranteed || other->team == preemptor->team || other->guaranteed)
     return FALSE;
   team = d->settings->teams->pdata[other->team];
   return block->cpus[other->team] - other->spec->cpus >= team->cpus - 1e-6
@@ -64,7 +64,7 @@
   for (guint i = 0; i < d->settings->objectives->len; i++)
     {
       const HzbObjective *o = d->settings->objectives->pdata[i];
-      if ((g_strcmp0 (o->kind, "wait") == 0 && g_strcmp0 (o->lane, job->spec->lane) == 0)
+      if ((g_strcmp0 (o->kind, "wait") == 0 && g_strcmp0 (o->job_class, job->spec->job_class) == 0)
           || (g_strcmp0 (o->kind, "guarantee") == 0 && job->guaranteed))
         after = MIN (after, o->within_s * 0.45);
     }
@@ -101,16 +101,16 @@
 /* Urgent tasks that their own team's limit keeps waiting: lower work of the team gives way. Its stop is sent
  * with the answer to its machine's next report. */
 void
-hzb_give_way_in_team (HzbDispatch *d, const HzbJob *needy, struct timespec now)
+hzb_preempt_within_team (HzbDispatch *d, const HzbJob *preemptor, struct timespec now)
 {
   const HzbBlock *block = d->jobs->block;
-  int team = needy->team;
+  int team = preemptor->team;
   double lack, limit = block->cpus_allowed[team];
   g_autoptr (GArray) victims = g_array_new (FALSE, FALSE, sizeof (Victim));
 
-  if (needy->spec->gang || hzb_time_between (needy->since, now) < preempt_after_s (d, needy))
+  if (preemptor->spec->gang || hzb_time_between (preemptor->since, now) < preempt_after_s (d, preemptor))
     return;
-  lack = block->cpus[team] + MIN ((needy->pending + needy->listed) * needy->spec->cpus, limit) - limit;
+  lack = block->cpus[team] + MIN ((preemptor->pending + preemptor->listed) * preemptor->spec->cpus, limit) - limit;
   for (guint i = 0; i < d->jobs->active->len && lack > 1e-6; i++)
     {
       const HzbJob *job = d->jobs->active->pdata[i];
@@ -123,14 +123,14 @@
   for (guint i = 0; i < d->jobs->active->len; i++)
     {
       const HzbJob *job = d->jobs->active->pdata[i];
-      if (job->team != team || job->spec->urgency >= needy->spec->urgency)
+      if (job->team != team || job->spec->priority >= preemptor->spec->priority)
         continue;
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
         {
           Victim victim = { stop_cost (&job->tasks[k], now), &job->tasks[k] };
           if (!isfinite (victim.cost))
             continue;
-          victim.cost = victim.cost / MAX (job->spec->cpus, 1e-3) + job->spec->urgency * 1e4;
+          victim.cost = victim.cost / MAX (job->spec->cpus, 1e-3) + job->spec->priority * 1e4;
           g_array_append_val (victims, victim);
         }
     }
@@ -144,10 +144,10 @@
 }
 
 void
-hzb_give_way_on (HzbDispatch *d, HzbMachine *m, struct timespec now, GArray *orders)
+hzb_preempt_on_machine (HzbDispatch *d, HzbMachine *m, struct timespec now, GArray *commands)
 {
   double cpus = m->type->cpus - m->cpus, gpus = m->type->gpus - m->gpus, memory = m->type->memory_gb - m->memory;
-  guint looks = 0;
+  guint examined = 0;
 
   for (guint i = 0; i < m->tasks->len; i++)
     {
@@ -159,15 +159,15 @@
           memory += task->job->spec->memory_gb;
         }
     }
-  for (guint class = HZB_N_CLASSES - 1; class >= 3; class--)
-    for (GList *l = m->lists[class].head; l && looks < 32; l = l->next, looks++)
+  for (guint level = HZB_N_LEVELS - 1; level >= 3; level--)
+    for (GList *l = m->lists[level].head; l && examined < 32; l = l->next, examined++)
       {
-        HzbTask *needy = l->data;
-        const HzbSpec *spec = needy->job->spec;
+        HzbTask *preemptor = l->data;
+        const HzbSpec *spec = preemptor->job->spec;
         /* Over the team's limit only the team's own lower work can make room. */
-        gboolean own = !hzb_block_fits (d->jobs->block, needy->job->team, spec->cpus, spec->gpus);
-        if (needy->job->state != HZB_JOB_ACCEPTED || !hzb_zone_allowed (needy->job, m)
-            || hzb_time_between (needy->job->since, now) < preempt_after_s (d, needy->job))
+        gboolean own = !hzb_block_fits (d->jobs->block, preemptor->job->team, spec->cpus, spec->gpus);
+        if (preemptor->job->state != HZB_JOB_ACCEPTED || !hzb_zone_allowed (preemptor->job, m)
+            || hzb_time_between (preemptor->job->since, now) < preempt_after_s (d, preemptor->job))
           continue;
         if (own && cpus + 1e-6 >= spec->cpus)
           continue;
@@ -175,14 +175,14 @@
           {
             HzbTask *victim = NULL;
             double least = INFINITY;
-            HzbOrder order = { HZB_ORDER_STOP, NULL, 0, 0, 0 };
+            HzbCommand command = { HZB_COMMAND_STOP, NULL, 0, 0, 0 };
             for (guint i = 0; i < m->tasks->len; i++)
               {
                 HzbTask *task = m->tasks->pdata[i];
                 double cost = stop_cost (task, now);
-                if (!isfinite (cost) || (own && task->job->team != needy->job->team) || !may_preempt (d, needy->job, task))
+                if (!isfinite (cost) || (own && task->job->team != preemptor->job->team) || !may_preempt (d, preemptor->job, task))
                   continue;
-                cost += task->job->spec->urgency * 1e4;
+                cost += task->job->spec->priority * 1e4;
                 if (cost < least)
                   {
                     least = cost;
@@ -192,11 +192,11 @@
             if (!victim)
               return;
             victim->stopping = TRUE;
-            order.uid = victim->job->uid;
-            order.task = victim->index;
-            order.attempt = victim->attempt;
-            order.grace_s = hzb_spec_grace_s (victim->job->spec);
-            g_array_append_val (orders, order);
+            command.uid = victim->job->uid;
+            command.task = victim->index;
+            command.attempt = victim->attempt;
+            command.grace_s = hzb_spec_grace_s (victim->job->spec);
+            g_array_append_val (commands, command);
             cpus += victim->job->spec->cpus;
             gpus += victim->job->spec->gpus;
             memory += victim->job->spec->memory_gb;
--- a/src/give-way.h
+++ b/src/preemption.h
@@ -5,6 +5,6 @@
 double hzb_task_remaining_s (const HzbTask *task, struct timespec now);
 gboolean hzb_zone_allowed (const HzbJob *job, const HzbMachine *machine); /* samePlace and spread */
 /* Lower work of the team is stopped for a job that the team's limit keeps waiting. */
-void hzb_give_way_in_team (HzbDispatch *dispatch, const HzbJob *needy, struct timespec now);
+void hzb_preempt_within_team (HzbDispatch *dispatch, const HzbJob *preemptor, struct timespec now);
 /* Stops lower work for tasks of this machine's list that have waited long enough. */
-void hzb_give_way_on (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *orders);
+void hzb_preempt_on_machine (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands);
--- a/src/rentals.c
+++ b/src/provisioning.c
@@ -6,7 +6,7 @@
 #define FORGET_SILENT_S 12.0
 #define REMEMBER_GONE_S 900.0 /* lists lag by seconds, copies of reports may come minutes late */
 
-struct _HzbRentals
+struct _HzbProvisioning
 {
   HzbController *c;
   gboolean asking_types, listing;
@@ -22,7 +22,7 @@
 on_types (guint status, const char *body, gsize length, gpointer user)
 {
   HzbController *c = user;
-  HzbRentals *r = c->rentals;
+  HzbProvisioning *r = c->rentals;
   GPtrArray *types = status == 200 ? hzb_wire_parse_types (body) : NULL;
 
   r->asking_types = FALSE;
@@ -34,7 +34,7 @@
 
 typedef struct
 {
-  HzbHeld held;
+  HzbEpochCall epoch_call;
   char *request, *type, *zone;
   gboolean spot;
   guint count, tries;
@@ -53,13 +53,13 @@
 on_rented (guint status, const char *body, gsize length, gpointer user)
 {
   RentCall *call = user;
-  HzbController *c = call->held.c;
-  HzbRentals *r = c->rentals;
+  HzbController *c = call->epoch_call.c;
+  HzbProvisioning *r = c->rentals;
   struct timespec now = hzb_clock_now (c->clock);
   g_autoptr (GPtrArray) names = status == 200 ? hzb_wire_parse_names (body) : NULL;
   HzbRental rental = { NULL, call->zone, call->spot, call->count };
 
-  if (call->held.epoch != c->hold_epoch)
+  if (call->epoch_call.epoch != c->ownership_epoch)
     {
       rent_call_free (call); /* what it rented shows in the list and by its workers */
       return;
@@ -73,15 +73,15 @@
   r->renting--;
   rental.type = hzb_machines_type (c->machines, call->type);
   if (rental.type && (!names || names->len < call->count))
-    hzb_fleet_refused (c->fleet, &rental, now);
+    hzb_autoscaler_note_refused (c->autoscaler, &rental, now);
   else if (rental.type)
-    hzb_fleet_granted (c->fleet, &rental);
+    hzb_autoscaler_note_granted (c->autoscaler, &rental);
   for (guint i = 0; names && i < names->len; i++)
     {
       HzbMachine *m = hzb_machines_find (c->machines, names->pdata[i]);
       if (!m)
         m = hzb_machines_add (c->machines, names->pdata[i], NULL, call->type, call->zone, call->spot, HZB_MACHINE_BOOTING);
-      m->vouched = TRUE;
+      m->known_to_cloud = TRUE;
     }
   g_message ("asked for %u %s%s in %s: got %u", call->count, call->type, call->spot ? " (spot)" : "", call->zone,
              names ? names->len : 0);
@@ -91,18 +91,18 @@
 static void
 rent (HzbController *c, struct timespec now)
 {
-  HzbRentals *r = c->rentals;
+  HzbProvisioning *r = c->rentals;
   g_autoptr (GArray) rentals = NULL;
 
-  if (r->renting || !hzb_election_proven (c->election) || !c->machines->types)
+  if (r->renting || !hzb_election_lease_valid (c->election) || !c->machines->types)
     return;
-  rentals = hzb_fleet_rentals (c->fleet, now);
+  rentals = hzb_autoscaler_rentals (c->autoscaler, now);
   for (guint i = 0; i < rentals->len; i++)
     {
       const HzbRental *rental = &g_array_index (rentals, HzbRental, i);
       RentCall *call = g_new0 (RentCall, 1);
-      call->held.c = c;
-      call->held.epoch = c->hold_epoch;
+      call->epoch_call.c = c;
+      call->epoch_call.epoch = c->ownership_epoch;
       /* Terms are never used twice, so neither is a name. */
       call->request = g_strdup_printf ("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, hzb_election_term (c->election), ++r->rent_number);
       call->type = g_strdup (rental->type->name);
@@ -117,7 +117,7 @@
 static void
 machine_is_gone (HzbController *c, HzbMachine *m)
 {
-  HzbRentals *r = c->rentals;
+  HzbProvisioning *r = c->rentals;
   struct timespec *now;
   hzb_records_drop_machine (c->records, m);
   hzb_machine_lose_tasks (c->jobs, m);
@@ -131,12 +131,12 @@
 static void
 on_returned (guint status, const char *body, gsize length, gpointer user)
 {
-  HzbHeld *held = user;
-  HzbController *c = held->c;
-  HzbRentals *r = c->rentals;
-  g_autoptr (GPtrArray) names = held->data;
+  HzbEpochCall *epoch_call = user;
+  HzbController *c = epoch_call->c;
+  HzbProvisioning *r = c->rentals;
+  g_autoptr (GPtrArray) names = epoch_call->data;
 
-  if (held->epoch == c->hold_epoch)
+  if (epoch_call->epoch == c->ownership_epoch)
     {
       r->returning--;
       for (guint i = 0; status == 200 && i < names->len; i++)
@@ -148,33 +148,33 @@
       if (status != 200)
         r->next_return = hzb_time_plus (hzb_clock_now (c->clock), 1);
     }
-  g_free (held);
+  g_free (epoch_call);
 }
 
 /* Machines that are to go back: first they take nothing new, then they are emptied, then the cloud is told. */
 static void
 give_back (HzbController *c, struct timespec now)
 {
-  HzbRentals *r = c->rentals;
+  HzbProvisioning *r = c->rentals;
   GPtrArray *names;
 
   for (guint i = 0; i < c->machines->all->len; i++)
     {
       HzbMachine *m = c->machines->all->pdata[i];
       double in_state = hzb_time_between (m->since, now);
-      if (m->state == HZB_MACHINE_LENT)
+      if (m->state == HZB_MACHINE_LEASED)
         continue; /* its lessee is asked for it */
-      if (m->state == HZB_MACHINE_UNHEARD && in_state > c->settings->lease_s + 2)
-        m->wanted_back = TRUE; /* silence proves nothing: only the cloud can say that it is gone */
-      if (m->state == HZB_MACHINE_SILENT && in_state > FORGET_SILENT_S)
-        m->wanted_back = TRUE;
+      if (m->state == HZB_MACHINE_UNVERIFIED && in_state > c->settings->lease_s + 2)
+        m->to_be_returned = TRUE; /* silence proves nothing: only the cloud can say that it is gone */
+      if (m->state == HZB_MACHINE_LEASE_EXPIRED && in_state > FORGET_SILENT_S)
+        m->to_be_returned = TRUE;
       /* It is paid for as long as it is there. */
       if (m->state == HZB_MACHINE_DRAINING && !m->tasks->len)
-        m->wanted_back = TRUE;
+        m->to_be_returned = TRUE;
       /* A short deafness costs no machine; one that stays deaf longer than its lease is of no use. */
-      if (m->deaf && hzb_time_between (m->deaf_since, now) > c->settings->lease_s + FORGET_SILENT_S)
-        m->wanted_back = TRUE;
-      if (!m->wanted_back || m->state == HZB_MACHINE_RETURNING)
+      if (m->unreachable && hzb_time_between (m->unreachable_since, now) > c->settings->lease_s + FORGET_SILENT_S)
+        m->to_be_returned = TRUE;
+      if (!m->to_be_returned || m->state == HZB_MACHINE_RETURNING)
         continue;
       if (hzb_machine_listed (m))
         hzb_machine_empty_lists (c->jobs, m);
@@ -186,7 +186,7 @@
           HzbTask *task = m->tasks->pdata[k];
           task->stopping = task->stopping || task->job->spec->service;
         }
-      if (m->state == HZB_MACHINE_UNHEARD ? in_state > c->settings->lease_s + 2 : m->tasks->len == 0 || in_state > 120)
+      if (m->state == HZB_MACHINE_UNVERIFIED ? in_state > c->settings->lease_s + 2 : m->tasks->len == 0 || in_state > 120)
         hzb_machine_set_state (c->machines, m, HZB_MACHINE_RETURNING, "to be returned");
     }
   if (r->returning || hzb_time_before (now, r->next_return))
@@ -204,7 +204,7 @@
       return;
     }
   r->returning++;
-  hzb_cloud_return (c->cloud, names, on_returned, hzb_held_new (c, names));
+  hzb_cloud_return (c->cloud, names, on_returned, hzb_epoch_call_new (c, names));
 }
 
 /* Once listed, a machine stays listed until it is gone, and a list is at most twice the lag old: what has been
@@ -212,17 +212,17 @@
 static void
 drop_unlisted (HzbController *c, struct timespec now)
 {
-  HzbRentals *r = c->rentals;
+  HzbProvisioning *r = c->rentals;
   double known = 3 * c->settings->list_lag_s + 5;
 
   for (guint i = c->machines->all->len; i-- > 0;)
     {
       HzbMachine *m = c->machines->all->pdata[i];
-      if (g_hash_table_contains (r->listed, m->name) || m->state == HZB_MACHINE_RETURNING || m->state == HZB_MACHINE_LENT
+      if (g_hash_table_contains (r->listed, m->name) || m->state == HZB_MACHINE_RETURNING || m->state == HZB_MACHINE_LEASED
           || hzb_time_between (m->rented, r->list_began) < known)
         continue;
       /* One that has just reported is there, whatever the list says. */
-      if (hzb_time_is_set (m->heard) && hzb_time_between (m->heard, now) < 1.5 * c->settings->report_s + 1)
+      if (hzb_time_is_set (m->last_report) && hzb_time_between (m->last_report, now) < 1.5 * c->settings->report_s + 1)
         continue;
       hzb_machine_set_state (c->machines, m, HZB_MACHINE_RETURNING, "the cloud lists it no more");
       machine_is_gone (c, m);
@@ -238,14 +238,14 @@
 static void
 on_listed (guint status, const char *body, gsize length, gpointer user)
 {
-  g_autofree HzbHeld *held = user;
-  HzbController *c = held->c;
-  HzbRentals *r = c->rentals;
+  g_autofree HzbEpochCall *epoch_call = user;
+  HzbController *c = epoch_call->c;
+  HzbProvisioning *r = c->rentals;
   gboolean more = FALSE;
   g_autoptr (GPtrArray) listed = status == 200 ? hzb_wire_parse_list (body, &more) : NULL;
   struct timespec now = hzb_clock_now (c->clock);
 
-  if (held->epoch != c->hold_epoch)
+  if (epoch_call->epoch != c->ownership_epoch)
     return;
   r->listing = FALSE;
   if (!r->list_after)
@@ -265,12 +265,12 @@
           m = hzb_machines_add (c->machines, l->name, l->addr, l->type, l->zone, l->spot, HZB_MACHINE_BOOTING);
           m->rented = hzb_time_plus (now, -l->age_s);
         }
-      m->vouched = TRUE;
-      if (l->state == HZB_LISTED_FAILED && m->state == HZB_MACHINE_LENT)
-        m->wanted_back = TRUE;
+      m->known_to_cloud = TRUE;
+      if (l->state == HZB_LISTED_FAILED && m->state == HZB_MACHINE_LEASED)
+        m->to_be_returned = TRUE;
       else if (l->state == HZB_LISTED_FAILED && m->state != HZB_MACHINE_RETURNING)
         {
-          m->wanted_back = TRUE;
+          m->to_be_returned = TRUE;
           hzb_machine_set_state (c->machines, m, HZB_MACHINE_RETURNING, "the cloud calls it failed");
         }
     }
@@ -285,7 +285,7 @@
 }
 
 void
-hzb_rentals_tick (HzbRentals *r, struct timespec now)
+hzb_provisioning_tick (HzbProvisioning *r, struct timespec now)
 {
   HzbController *c = r->c;
 
@@ -295,17 +295,17 @@
       r->asking_types = TRUE;
       hzb_cloud_types (c->cloud, on_types, c);
     }
-  if (c->hold < HZB_HOLD_RECOVERING)
+  if (c->ownership < HZB_OWNERSHIP_RECOVERING)
     return;
   give_back (c, now);
   if (!hzb_time_before (now, r->next_plan))
     {
       r->next_plan = hzb_time_plus (now, 1);
-      if (hzb_election_proven (c->election))
+      if (hzb_election_lease_valid (c->election))
         {
-          g_autoptr (GPtrArray) back = hzb_fleet_returns (c->fleet, now);
+          g_autoptr (GPtrArray) back = hzb_autoscaler_returns (c->autoscaler, now);
           for (guint i = 0; i < back->len; i++)
-            ((HzbMachine *) back->pdata[i])->wanted_back = TRUE;
+            ((HzbMachine *) back->pdata[i])->to_be_returned = TRUE;
         }
       rent (c, now);
     }
@@ -315,12 +315,12 @@
       if (!r->list_after)
         r->list_began = now;
       r->next_list = hzb_time_plus (now, 10);
-      hzb_cloud_list (c->cloud, r->list_after, on_listed, hzb_held_new (c, NULL));
+      hzb_cloud_list (c->cloud, r->list_after, on_listed, hzb_epoch_call_new (c, NULL));
     }
 }
 
 void
-hzb_rentals_reset (HzbRentals *r)
+hzb_provisioning_reset (HzbProvisioning *r)
 {
   r->rent_number = 0;
   r->renting = r->returning = 0;
@@ -330,15 +330,15 @@
 }
 
 gboolean
-hzb_rentals_returned (HzbRentals *r, const char *machine)
+hzb_provisioning_was_returned (HzbProvisioning *r, const char *machine)
 {
   return g_hash_table_contains (r->gone, machine);
 }
 
-HzbRentals *
-hzb_rentals_new (HzbController *c)
+HzbProvisioning *
+hzb_provisioning_new (HzbController *c)
 {
-  HzbRentals *r = g_new0 (HzbRentals, 1);
+  HzbProvisioning *r = g_new0 (HzbProvisioning, 1);
   r->c = c;
   r->listed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   r->gone = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -346,7 +346,7 @@
 }
 
 void
-hzb_rentals_free (HzbRentals *r)
+hzb_provisioning_free (HzbProvisioning *r)
 {
   g_hash_table_unref (r->gone);
   g_hash_table_unref (r->listed);
--- a/src/records.c
+++ b/src/records.c
@@ -42,10 +42,10 @@
   GPtrArray *machines; /* HzbMachine, of a page of machines */
   gsize bytes;         /* about what the value takes */
   gboolean exists;
-  gboolean waited_for; /* as of the last look */
+  gboolean urgent; /* as of the last look */
   gboolean dirty; /* a job on it has news */
   gboolean stale; /* it still names what is gone */
-  gboolean must;     /* it takes over what another page names, which goes once it is written */
+  gboolean replaces_retired;     /* it takes over what another page names, which goes once it is written */
   gboolean retiring; /* the other: too large, or with parts as version 1 has them */
   struct timespec written;
 } Page;
@@ -58,7 +58,7 @@
   guint64 version, flushes; /* of the flush record */
   gboolean flushing, moving;
   guint retiring;    /* pages */
-  gboolean any_must;
+  gboolean any_replacement;
   struct timespec next, next_clean, next_move;
 };
 
@@ -143,7 +143,7 @@
   g_ptr_array_set_size (r->pages, 0);
   r->numbers = 0;
   r->version = r->flushes = 0;
-  r->flushing = r->moving = r->any_must = FALSE;
+  r->flushing = r->moving = r->any_replacement = FALSE;
   r->retiring = 0;
 }
 
@@ -195,8 +195,8 @@
     {
       Page *page = page_with_room (r, FALSE, part_bytes (r, job, k));
       add_part (r, page, job, k);
-      page->must = page->must || job->unsplit;
-      r->any_must = r->any_must || job->unsplit;
+      page->replaces_retired = page->replaces_retired || job->unsplit;
+      r->any_replacement = r->any_replacement || job->unsplit;
     }
   job->on_pages = TRUE;
   job->unsplit = FALSE;
@@ -238,7 +238,7 @@
 {
   HzbSpec *spec = g_new0 (HzbSpec, 1);
   spec->uid = g_strdup (uid);
-  spec->lane = g_strdup ("");
+  spec->job_class = g_strdup ("");
   spec->image = g_ref_string_new_intern ("");
   spec->team = g_strdup (hzb_json_text (value, "team"));
   spec->cpus = hzb_json_number (value, "cpus", 0);
@@ -249,7 +249,7 @@
 }
 
 static void
-take_progress (HzbRecords *r, Page *page, const cJSON *value)
+load_progress (HzbRecords *r, Page *page, const cJSON *value)
 {
   HzbController *c = r->c;
   const char *slash = strrchr (value->string, '/');
@@ -286,7 +286,7 @@
 }
 
 static void
-take_machine (HzbRecords *r, Page *page, const cJSON *value)
+load_machine (HzbRecords *r, Page *page, const cJSON *value)
 {
   HzbController *c = r->c;
   const char *type = hzb_json_text (value, "type"), *zone = hzb_json_text (value, "zone");
@@ -296,16 +296,16 @@
   if (hzb_machines_find (c->machines, value->string) || !type || !zone)
     return;
   m = hzb_machines_add (c->machines, value->string, hzb_json_text (value, "addr"), type, zone,
-                        cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (value, "spot")), HZB_MACHINE_UNHEARD);
-  m->recorded = m->vouched = TRUE;
-  m->drain = m->wanted_back = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (value, "drain"));
+                        cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (value, "spot")), HZB_MACHINE_UNVERIFIED);
+  m->recorded = m->known_to_cloud = TRUE;
+  m->drain = m->to_be_returned = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (value, "drain"));
   if (age > 1)
     m->rented = hzb_time_plus (m->rented, -(age - 1)); /* times of day differ a little */
   add_machine (page, m);
 }
 
 void
-hzb_records_take (HzbRecords *r, const HzbItem *item)
+hzb_records_load (HzbRecords *r, const HzbItem *item)
 {
   gboolean of_machines = g_str_has_prefix (item->key, HZB_KEY_MACHINES);
   const cJSON *entry;
@@ -327,14 +327,14 @@
   cJSON_free (text);
   cJSON_ArrayForEach (entry, item->value)
     if (of_machines)
-      take_machine (r, page, entry);
+      load_machine (r, page, entry);
     else
-      take_progress (r, page, entry);
+      load_progress (r, page, entry);
 }
 
 /* All has been read: what stands on pages that are to go is put on others. */
 void
-hzb_records_loaded (HzbRecords *r)
+hzb_records_load_finished (HzbRecords *r)
 {
   guint read = r->pages->len;
 
@@ -354,13 +354,13 @@
           const Part *part = &g_array_index (parts, Part, k);
           Page *to = page_with_room (r, FALSE, part->bytes);
           add_part (r, to, part->job, part->chunk);
-          to->must = r->any_must = TRUE;
+          to->replaces_retired = r->any_replacement = TRUE;
         }
       for (guint k = 0; k < machines->len; k++)
         {
           Page *to = page_with_room (r, TRUE, machine_bytes (machines->pdata[k]));
           add_machine (to, machines->pdata[k]);
-          to->must = r->any_must = TRUE;
+          to->replaces_retired = r->any_replacement = TRUE;
         }
     }
   if (r->retiring)
@@ -381,7 +381,7 @@
   guint64 number;
   GPtrArray *parts;    /* FlushedPart */
   GPtrArray *machines; /* char*, names recorded */
-  GPtrArray *spent;    /* char*, keys of acceptances removed */
+  GPtrArray *completed;    /* char*, keys of acceptances removed */
 } Flush;
 
 static void
@@ -398,7 +398,7 @@
 {
   g_ptr_array_unref (flush->parts);
   g_ptr_array_unref (flush->machines);
-  g_ptr_array_unref (flush->spent);
+  g_ptr_array_unref (flush->completed);
   g_free (flush);
 }
 
@@ -419,7 +419,7 @@
           if (task->state == HZB_TASK_FINISHED)
             {
               hzb_task_set_state (c->jobs, task, HZB_TASK_DONE, NULL);
-              hzb_leases_durable (c->leases, task);
+              hzb_leases_announce_durable (c->leases, task);
             }
         }
     }
@@ -429,8 +429,8 @@
       if (m)
         m->recorded = TRUE;
     }
-  for (guint i = 0; i < flush->spent->len; i++)
-    hzb_jobs_take_acceptance (c->jobs, flush->spent->pdata[i], NULL);
+  for (guint i = 0; i < flush->completed->len; i++)
+    hzb_jobs_apply_acceptance (c->jobs, flush->completed->pdata[i], NULL);
 }
 
 /* Not applied, or it will never be: all of it is written again. */
@@ -450,9 +450,9 @@
       if (m)
         m->recording = FALSE;
     }
-  for (guint i = 0; i < flush->spent->len; i++)
+  for (guint i = 0; i < flush->completed->len; i++)
     {
-      HzbAcceptance *acceptance = g_hash_table_lookup (c->jobs->acceptances, flush->spent->pdata[i]);
+      HzbAcceptance *acceptance = g_hash_table_lookup (c->jobs->acceptances, flush->completed->pdata[i]);
       if (acceptance)
         acceptance->removing = FALSE;
     }
@@ -460,24 +460,24 @@
     {
       Page *page = r->pages->pdata[i];
       page->stale = TRUE;
-      page->must = r->retiring && !page->retiring;
+      page->replaces_retired = r->retiring && !page->retiring;
     }
-  r->any_must = r->retiring > 0;
+  r->any_replacement = r->retiring > 0;
 }
 
 /* What became of a flush without an answer: its number is in the flush record, or not. */
 static void
 on_flush_read (HzbStoreResult result, const char *body, gpointer user)
 {
-  HzbHeld *held = user;
-  HzbRecords *r = held->c->records;
-  Flush *flush = held->data;
+  HzbEpochCall *epoch_call = user;
+  HzbRecords *r = epoch_call->c->records;
+  Flush *flush = epoch_call->data;
   HzbItem item = { 0 };
 
-  if (held->epoch != held->c->hold_epoch)
+  if (epoch_call->epoch != epoch_call->c->ownership_epoch)
     {
       flush_free (flush);
-      g_free (held);
+      g_free (epoch_call);
       return;
     }
   if (result == HZB_STORE_ABSENT || (result == HZB_STORE_OK && hzb_wire_parse_item (body, &item)))
@@ -490,43 +490,43 @@
       hzb_item_clear (&item);
       flush_free (flush);
       r->flushing = FALSE;
-      g_free (held);
+      g_free (epoch_call);
       return;
     }
-  hzb_store_get (held->c->store, HZB_STORE_RECORD, HZB_KEY_FLUSH, on_flush_read, held);
+  hzb_store_get (epoch_call->c->store, HZB_STORE_RECORD, HZB_KEY_FLUSH, on_flush_read, epoch_call);
 }
 
 static void
 on_flushed (HzbStoreResult result, const char *body, gpointer user)
 {
-  HzbHeld *held = user;
-  HzbRecords *r = held->c->records;
-  Flush *flush = held->data;
+  HzbEpochCall *epoch_call = user;
+  HzbRecords *r = epoch_call->c->records;
+  Flush *flush = epoch_call->data;
 
-  if (held->epoch != held->c->hold_epoch)
+  if (epoch_call->epoch != epoch_call->c->ownership_epoch)
     {
       flush_free (flush);
-      g_free (held);
+      g_free (epoch_call);
       return;
     }
   if (result == HZB_STORE_UNKNOWN || result == HZB_STORE_CONFLICT)
     {
-      hzb_store_get (held->c->store, HZB_STORE_RECORD, HZB_KEY_FLUSH, on_flush_read, held);
+      hzb_store_get (epoch_call->c->store, HZB_STORE_RECORD, HZB_KEY_FLUSH, on_flush_read, epoch_call);
       return;
     }
   if (result == HZB_STORE_OK)
     {
       hzb_wire_parse_txn (body, &r->version, NULL);
       flush_applied (r, flush);
-      held->c->next_dispatch = (struct timespec){ 0 }; /* what was released, and recorded, can be used */
+      epoch_call->c->next_dispatch = (struct timespec){ 0 }; /* what was released, and recorded, can be used */
     }
   else
     {
       flush_failed (r, flush);
-      r->next = hzb_time_plus (hzb_clock_now (held->c->clock), REFUSED_PAUSE_S);
+      r->next = hzb_time_plus (hzb_clock_now (epoch_call->c->clock), REFUSED_PAUSE_S);
     }
   flush_free (flush);
-  g_free (held);
+  g_free (epoch_call);
   r->flushing = FALSE;
 }
 
@@ -538,9 +538,9 @@
 }
 
 static gboolean
-wants_release (const HzbJob *job)
+release_requested (const HzbJob *job)
 {
-  return job->state == HZB_JOB_ACCEPTED && job->wants_release && job->releasing < job->n_tasks;
+  return job->state == HZB_JOB_ACCEPTED && job->release_requested && job->releasing < job->n_tasks;
 }
 
 static cJSON *
@@ -554,9 +554,9 @@
       FlushedPart *fp = g_new0 (FlushedPart, 1);
       g_autofree char *name = g_strdup_printf ("%s/%u", job->uid, part->chunk);
       guint size = r->c->jobs->chunk, first = part->chunk * size;
-      if (wants_release (job))
+      if (release_requested (job))
         job->releasing = MIN (job->n_tasks, job->releasing + release_step (job));
-      job->wants_release = FALSE;
+      job->release_requested = FALSE;
       fp->uid = g_strdup (job->uid);
       fp->releasing = job->releasing;
       fp->finished = g_array_new (FALSE, FALSE, sizeof (guint));
@@ -587,9 +587,9 @@
 
 /* What is on a page that is to go is on others by now, durably. */
 static gboolean
-may_go (const HzbRecords *r)
+may_remove_retired (const HzbRecords *r)
 {
-  if (r->any_must)
+  if (r->any_replacement)
     return FALSE;
   for (guint i = 0; i < r->c->jobs->active->len; i++)
     if (((HzbJob *) r->c->jobs->active->pdata[i])->unsplit)
@@ -599,10 +599,10 @@
 
 /* How long the page may wait, as of its last writing; below 0: it need not be written. */
 static double
-may_wait_s (const HzbRecords *r, const Page *page, double progress_s)
+max_delay_s (const HzbRecords *r, const Page *page, double progress_s)
 {
   if (page->retiring)
-    return page->exists && may_go (r) ? CLEAN_EVERY_S : -1;
+    return page->exists && may_remove_retired (r) ? CLEAN_EVERY_S : -1;
   for (guint i = 0; i < page->machines->len; i++)
     {
       const HzbMachine *m = page->machines->pdata[i];
@@ -610,9 +610,9 @@
         return 0;
     }
   for (guint i = 0; i < page->parts->len; i++)
-    if (wants_release (g_array_index (page->parts, Part, i).job))
+    if (release_requested (g_array_index (page->parts, Part, i).job))
       return 0;
-  if (page->must)
+  if (page->replaces_retired)
     return FLUSH_EVERY_S;
   if (page->dirty)
     return progress_s;
@@ -624,8 +624,8 @@
 longest_unwritten (gconstpointer a, gconstpointer b)
 {
   const Page *x = *(Page *const *) a, *y = *(Page *const *) b;
-  if (x->waited_for != y->waited_for)
-    return x->waited_for ? -1 : 1;
+  if (x->urgent != y->urgent)
+    return x->urgent ? -1 : 1;
   return hzb_time_before (x->written, y->written) ? -1 : hzb_time_before (y->written, x->written);
 }
 
@@ -634,7 +634,7 @@
 {
   g_autofree char *key = page_key (page);
 
-  page->stale = page->dirty = page->must = FALSE;
+  page->stale = page->dirty = page->replaces_retired = FALSE;
   page->written = now;
   if (!page->parts->len && !page->machines->len)
     {
@@ -654,8 +654,8 @@
   g_autoptr (GPtrArray) due = g_ptr_array_new ();
   guint room = c->settings->store_txn_ops - 1;
   gsize bytes = 0;
-  HzbAcceptance *spent;
-  gboolean clean, any_must = FALSE;
+  HzbAcceptance *completed;
+  gboolean clean, any_replacement = FALSE;
   double progress_s = 0;
   Flush *out;
   cJSON *txn, *value;
@@ -663,7 +663,7 @@
   for (guint i = 0; i < c->jobs->active->len; i++)
     {
       HzbJob *job = c->jobs->active->pdata[i];
-      if (!job->on_pages && (job->dirty || wants_release (job) || (job->unsplit && writable (r, job))))
+      if (!job->on_pages && (job->dirty || release_requested (job) || (job->unsplit && writable (r, job))))
         put_on_pages (r, job);
     }
   for (guint i = 0; i < r->pages->len; i++)
@@ -677,9 +677,9 @@
   for (guint i = 0; i < r->pages->len; i++)
     {
       progress_s += ((Page *) r->pages->pdata[i])->dirty;
-      any_must = any_must || ((Page *) r->pages->pdata[i])->must;
+      any_replacement = any_replacement || ((Page *) r->pages->pdata[i])->replaces_retired;
     }
-  r->any_must = any_must; /* the flushes before have been applied, or set it again */
+  r->any_replacement = any_replacement; /* the flushes before have been applied, or set it again */
   progress_s = MAX (PROGRESS_EVERY_S, progress_s / (PROGRESS_PART * c->settings->store_write_rps));
   for (guint i = 0; i < c->machines->all->len; i++)
     {
@@ -690,12 +690,12 @@
   for (guint i = 0; i < r->pages->len; i++)
     {
       Page *page = r->pages->pdata[i];
-      double wait = may_wait_s (r, page, progress_s);
-      page->waited_for = wait == 0;
+      double wait = max_delay_s (r, page, progress_s);
+      page->urgent = wait == 0;
       if (wait >= 0 && hzb_time_between (page->written, now) >= wait)
         g_ptr_array_add (due, page);
     }
-  clean = !hzb_time_before (now, r->next_clean) && hzb_jobs_spent_acceptance (c->jobs);
+  clean = !hzb_time_before (now, r->next_clean) && hzb_jobs_completed_acceptance (c->jobs);
   if (!due->len && !clean)
     return;
   /* Guards against pages at the end of the row never being written while those before them always have news. */
@@ -703,15 +703,15 @@
   out = g_new0 (Flush, 1);
   out->parts = g_ptr_array_new_with_free_func (flushed_part_free);
   out->machines = g_ptr_array_new_with_free_func (g_free);
-  out->spent = g_ptr_array_new_with_free_func (g_free);
+  out->completed = g_ptr_array_new_with_free_func (g_free);
   out->number = ++r->flushes;
   txn = hzb_wire_txn ();
-  hzb_election_guard (c->election, txn);
+  hzb_election_add_condition (c->election, txn);
   hzb_wire_txn_if (txn, HZB_KEY_FLUSH, r->version);
   value = cJSON_CreateObject ();
   hzb_json_add_u64 (value, "n", out->number);
   hzb_json_add_u64 (value, "term", hzb_election_term (c->election));
-  hzb_json_add_u64 (value, "clear", hzb_cancellations_clear (c->cancellations));
+  hzb_json_add_u64 (value, "clear", hzb_cancellations_acknowledged_revision (c->cancellations));
   hzb_wire_txn_put (txn, HZB_KEY_FLUSH, value, 0);
   for (guint i = 0; i < due->len && room && (!i || bytes + ((Page *) due->pdata[i])->bytes <= TXN_BYTES); i++, room--)
     {
@@ -719,16 +719,16 @@
       bytes += page->bytes;
       put_page (r, page, txn, out, now);
     }
-  for (; clean && room && (spent = hzb_jobs_spent_acceptance (c->jobs)); room--)
+  for (; clean && room && (completed = hzb_jobs_completed_acceptance (c->jobs)); room--)
     {
-      spent->removing = TRUE;
-      hzb_wire_txn_delete (txn, spent->key);
-      g_ptr_array_add (out->spent, g_strdup (spent->key));
+      completed->removing = TRUE;
+      hzb_wire_txn_delete (txn, completed->key);
+      g_ptr_array_add (out->completed, g_strdup (completed->key));
     }
   if (clean)
     r->next_clean = hzb_time_plus (now, CLEAN_EVERY_S);
   r->flushing = TRUE;
-  hzb_store_txn (c->store, HZB_STORE_RECORD, txn, on_flushed, hzb_held_new (c, out));
+  hzb_store_txn (c->store, HZB_STORE_RECORD, txn, on_flushed, hzb_epoch_call_new (c, out));
 }
 
 /* ---- records of old jobs ---- */
@@ -736,14 +736,14 @@
 static void
 on_moved (HzbStoreResult result, const char *body, gpointer user)
 {
-  HzbHeld *held = user;
-  HzbController *c = held->c;
-  g_autoptr (GPtrArray) uids = held->data;
+  HzbEpochCall *epoch_call = user;
+  HzbController *c = epoch_call->c;
+  g_autoptr (GPtrArray) uids = epoch_call->data;
   g_autoptr (GPtrArray) failed = NULL;
 
   if (result == HZB_STORE_CONFLICT)
     hzb_wire_parse_txn (body, NULL, &failed);
-  for (guint i = 0; i < uids->len && held->epoch == c->hold_epoch; i++)
+  for (guint i = 0; i < uids->len && epoch_call->epoch == c->ownership_epoch; i++)
     {
       HzbJob *job = hzb_jobs_find (c->jobs, uids->pdata[i]);
       if (!job)
@@ -753,9 +753,9 @@
       for (guint k = 0; failed && k < failed->len; k++)
         job->moving = job->moving || g_str_has_suffix (failed->pdata[k], job->uid);
     }
-  if (held->epoch == c->hold_epoch)
+  if (epoch_call->epoch == c->ownership_epoch)
     c->records->moving = FALSE;
-  g_free (held);
+  g_free (epoch_call);
 }
 
 /* Each is in one of the two places at any time: it moves in one transaction. */
@@ -769,13 +769,13 @@
 
   if (r->moving || hzb_time_before (now, r->next_move))
     return;
-  old = hzb_jobs_old (c->jobs, MAX (1, c->settings->store_txn_ops / 2));
+  old = hzb_jobs_ended_long_ago (c->jobs, MAX (1, c->settings->store_txn_ops / 2));
   r->next_move = hzb_time_plus (now, MAX (MOVE_EVERY_S, old->len * 2 / (MOVE_PART * c->settings->store_write_rps)));
   if (!old->len)
     return;
   uids = g_ptr_array_new_with_free_func (g_free);
   txn = hzb_wire_txn ();
-  hzb_election_guard (c->election, txn);
+  hzb_election_add_condition (c->election, txn);
   for (guint i = 0; i < old->len; i++)
     {
       HzbJob *job = old->pdata[i];
@@ -787,7 +787,7 @@
       g_ptr_array_add (uids, g_strdup (job->uid));
     }
   r->moving = TRUE;
-  hzb_store_txn (c->store, HZB_STORE_RECORD, txn, on_moved, hzb_held_new (c, uids));
+  hzb_store_txn (c->store, HZB_STORE_RECORD, txn, on_moved, hzb_epoch_call_new (c, uids));
 }
 
 void
@@ -795,7 +795,7 @@
 {
   HzbController *c = r->c;
   struct timespec now = hzb_clock_now (c->clock);
-  if (c->hold < HZB_HOLD_RECOVERING || !hzb_election_leading (c->election))
+  if (c->ownership < HZB_OWNERSHIP_RECOVERING || !hzb_election_leading (c->election))
     return;
   move_old (r, now);
   if (r->flushing || hzb_time_before (now, r->next))
--- a/src/search.c
+++ b/src/search.c
@@ -29,7 +29,7 @@
 replica_cost (const HzbSearch *search, const HzbMachine *m)
 {
   const HzbSpec *spec = search->job->spec;
-  double until_report = search->d->settings->report_s - hzb_time_between (m->heard, search->now);
+  double until_report = search->d->settings->report_s - hzb_time_between (m->last_report, search->now);
   gboolean room = m->cpus + m->listed_service_cpus + spec->cpus <= m->type->cpus + 1e-6
                   && m->memory + m->listed_service_memory + spec->memory_gb <= m->type->memory_gb + 1e-6;
   return MAX (until_report, 0) + hzb_fetch_s (m, spec) + (room ? 0 : NO_ROOM_S);
@@ -39,7 +39,7 @@
 offer_cost (const HzbSearch *search, HzbMachine *m)
 {
   guint v = m->service_cpus > 0 ? hzb_machine_speed (m, search->job->spec) : (guint) search->speeds[m->type->index];
-  HzbEstimate *estimate = &m->estimates[search->job->class];
+  HzbEstimate *estimate = &m->estimates[search->job->level];
   if (search->job->spec->service)
     return replica_cost (search, m);
   hzb_estimate_shift (estimate, search->now);
@@ -63,7 +63,7 @@
 may_take (const HzbSearch *search, const HzbMachine *m)
 {
   const HzbSpec *spec = search->job->spec;
-  if (!zone_is_open (search, m) || (spec->service ? !hzb_machine_takes_replica (m, spec) : m->kept)
+  if (!zone_is_open (search, m) || (spec->service ? !hzb_machine_takes_replica (m, spec) : m->reserved)
       || (m->service_cpus > 0 && hzb_machine_speed (m, spec) < 1))
     return FALSE;
   return hzb_machine_usable (m) && search->speeds[m->type->index] >= 1 /* those that hold none are skipped */
@@ -132,18 +132,18 @@
 }
 
 void
-hzb_search_look (HzbSearch *search, guint looks)
+hzb_search_look (HzbSearch *search, guint examined)
 {
   HzbDispatch *d = search->d;
   guint n = d->usable->len;
-  gboolean some = looks && looks < n; /* all, if that is no more */
-  guint first = some ? (guint) g_rand_int_range (d->rand, 0, (gint32) n) : 0, step = some ? n / looks : 1;
+  gboolean some = examined && examined < n; /* all, if that is no more */
+  guint first = some ? (guint) g_rand_int_range (d->rand, 0, (gint32) n) : 0, step = some ? n / examined : 1;
 
   g_array_set_size (search->heap, 0);
   if (!some)
-    looks = n;
-  d->looks += looks;
-  for (guint i = 0; i < looks; i++)
+    examined = n;
+  d->examined += examined;
+  for (guint i = 0; i < examined; i++)
     {
       Offer offer = { 0, (first + i * step) % n, NULL };
       offer.m = d->usable->pdata[offer.at];
--- a/src/search.h
+++ b/src/search.h
@@ -18,7 +18,7 @@
 void hzb_search_begin (HzbSearch *search, HzbDispatch *dispatch, HzbJob *job, struct timespec now);
 void hzb_search_clear (HzbSearch *search);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HzbSearch, hzb_search_clear)
-void hzb_search_look (HzbSearch *search, guint looks); /* at so many usable machines, or at all (0) */
+void hzb_search_look (HzbSearch *search, guint examined); /* at so many usable machines, or at all (0) */
 HzbMachine *hzb_search_best (const HzbSearch *search); /* NULL: no machine may hold it */
 void hzb_search_sent (HzbSearch *search);              /* a task was sent to the best */
 double hzb_fetch_s (const HzbMachine *machine, const HzbSpec *spec);
--- a/src/settings.c
+++ b/src/settings.c
@@ -94,7 +94,7 @@
 {
   HzbObjective *objective = data;
   g_free (objective->kind);
-  g_free (objective->lane);
+  g_free (objective->job_class);
   g_free (objective);
 }
 
@@ -145,9 +145,9 @@
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster, "objectives"))
     {
       HzbObjective *objective = g_new0 (HzbObjective, 1);
-      const cJSON *lane = cJSON_GetObjectItemCaseSensitive (item, "class");
+      const cJSON *job_class = cJSON_GetObjectItemCaseSensitive (item, "class");
       objective->kind = text_at (item, "cluster.objectives", "kind", faults);
-      objective->lane = cJSON_IsString (lane) ? g_strdup (lane->valuestring) : NULL;
+      objective->job_class = cJSON_IsString (job_class) ? g_strdup (job_class->valuestring) : NULL;
       objective->within_s = number_at (item, "cluster.objectives", "within_s", 0, 0, faults);
       objective->share = number_at (item, "cluster.objectives", "share", 0, 0, faults);
       objective->times = number_at (item, "cluster.objectives", "times", 0, 0, faults);
--- a/src/settings.h
+++ b/src/settings.h
@@ -18,7 +18,7 @@
 
 typedef struct
 {
-  char *kind, *lane;
+  char *kind, *job_class;
   double within_s, share, times;
 } HzbObjective;
 
--- a/src/api.c
+++ b/src/user-api.c
@@ -5,10 +5,10 @@
 
 #include <string.h>
 
-#define MOST_ACCEPTS 256u
-#define MOST_CHECKS 512u
+#define MAX_QUEUED_SUBMISSIONS 256u
+#define MAX_QUEUED_CHECKS 512u
 #define CHECK_EVERY_S 0.03
-#define HEAR_S 1.2 /* the holder, and its lessees, have so long to hear of a cancellation; then its user is told to come back */
+#define CANCEL_ACKNOWLEDGE_S 1.2 /* the holder, and its lessees, have so long to hear of a cancellation; then its user is told to come back */
 
 /* What a request waits for. */
 typedef enum
@@ -22,7 +22,7 @@
 {
   HzbExchange *exchange;
   char *uid;
-  Ask ask;
+  Ask poll_leader;
   char *refusal;   /* ASK_SUBMITTED: why it is not taken, if it is not known */
   guint refusal_status;
   struct timespec deadline;
@@ -36,11 +36,11 @@
   struct timespec deadline;
 } Accept;
 
-struct _HzbApi
+struct _HzbUserApi
 {
   HzbController *c;
   GQueue checks, syncs, accepts; /* waiting to be sent */
-  GQueue hearings;               /* Check: of cancelled jobs, until every holder has heard of it */
+  GQueue pending_cancellations;               /* Check: of cancelled jobs, until every holder has heard of it */
   guint checking, syncing, accepting;
   guint records; /* of acceptances, by this process */
   struct timespec next_check;
@@ -48,22 +48,22 @@
 
 typedef struct
 {
-  HzbApi *api;
+  HzbUserApi *api;
   GPtrArray *entries;
   char *key; /* of a record of acceptances */
   cJSON *record;
 } Batch;
 
-static void flush_accepts (HzbApi *api);
-static void flush_checks (HzbApi *api);
-static void flush_syncs (HzbApi *api);
-static void read_check (HzbApi *api, Check *check);
-static void send_cancel (HzbApi *api, Check *check);
+static void flush_accepts (HzbUserApi *api);
+static void flush_checks (HzbUserApi *api);
+static void flush_syncs (HzbUserApi *api);
+static void read_check (HzbUserApi *api, Check *check);
+static void send_cancel (HzbUserApi *api, Check *check);
 
-HzbApi *
-hzb_api_new (HzbController *c)
+HzbUserApi *
+hzb_user_api_new (HzbController *c)
 {
-  HzbApi *api = g_new0 (HzbApi, 1);
+  HzbUserApi *api = g_new0 (HzbUserApi, 1);
   api->c = c;
   return api;
 }
@@ -85,7 +85,7 @@
 }
 
 static Batch *
-batch_new (HzbApi *api)
+batch_new (HzbUserApi *api)
 {
   Batch *batch = g_new0 (Batch, 1);
   batch->api = api;
@@ -103,12 +103,12 @@
 }
 
 void
-hzb_api_free (HzbApi *api)
+hzb_user_api_free (HzbUserApi *api)
 {
   Check *check;
   Accept *accept;
   while ((check = g_queue_pop_head (&api->checks)) || (check = g_queue_pop_head (&api->syncs))
-         || (check = g_queue_pop_head (&api->hearings)))
+         || (check = g_queue_pop_head (&api->pending_cancellations)))
     {
       hzb_exchange_reply (check->exchange, 503, NULL, 1);
       check_free (check);
@@ -122,7 +122,7 @@
 }
 
 static void
-unable (HzbExchange *exchange, const char *why)
+reply_unavailable (HzbExchange *exchange, const char *why)
 {
   hzb_exchange_reply (exchange, 503, hzb_wire_error (why), 1);
 }
@@ -130,7 +130,7 @@
 static void
 give_up (Check *check, const char *why)
 {
-  unable (check->exchange, why);
+  reply_unavailable (check->exchange, why);
   check_free (check);
 }
 
@@ -148,9 +148,9 @@
 }
 
 static void
-reply_status (HzbApi *api, HzbExchange *exchange, const HzbJob *job, guint status, gboolean counts)
+reply_status (HzbUserApi *api, HzbExchange *exchange, const HzbJob *job, guint status, gboolean counts)
 {
-  guint done = job->done + job->finished, running = job->running + job->lent_running;
+  guint done = job->done + job->finished, running = job->running + job->delegated_running;
   const char *text = hzb_job_status (job);
 
   if (job->state == HZB_JOB_DONE)
@@ -160,7 +160,7 @@
   else if (!job->tasks || api->c->jobs->lessee)
     {
       /* Only for display: what the holder last told its peers. */
-      hzb_peers_display (api->c->peers, job->uid, &done, &running);
+      hzb_peers_task_counts (api->c->peers, job->uid, &done, &running);
       text = running ? "running" : "queued";
     }
   hzb_exchange_reply (exchange, status, hzb_wire_job_status (job->uid, text, counts, done, running), 0);
@@ -169,46 +169,46 @@
 /* A job's final state, or one that is proven fresh. Of a cancelled one nothing is told before no holder can act without
  * its cancellation: whoever is told so counts on it. */
 static void
-tell (HzbApi *api, Check *check, HzbJob *job)
+reply_final (HzbUserApi *api, Check *check, HzbJob *job)
 {
   HzbController *c = api->c;
 
-  if (job->state != HZB_JOB_CANCELLED || hzb_cancellations_effective (c->cancellations, job))
+  if (job->state != HZB_JOB_CANCELLED || hzb_cancellations_acknowledged (c->cancellations, job))
     {
-      reply_status (api, check->exchange, job, 200, check->ask == ASK_STATUS);
+      reply_status (api, check->exchange, job, 200, check->poll_leader == ASK_STATUS);
       check_free (check);
     }
-  else if (!hzb_cancellations_ask (c->cancellations, job) || api->hearings.length >= MOST_CHECKS)
+  else if (!hzb_cancellations_request (c->cancellations, job) || api->pending_cancellations.length >= MAX_QUEUED_CHECKS)
     give_up (check, "not every controller has heard of the cancellation");
   else
     {
-      check->deadline = hzb_time_plus (hzb_clock_now (c->clock), HEAR_S);
-      g_queue_push_tail (&api->hearings, check);
+      check->deadline = hzb_time_plus (hzb_clock_now (c->clock), CANCEL_ACKNOWLEDGE_S);
+      g_queue_push_tail (&api->pending_cancellations, check);
     }
 }
 
 static void
-tend_hearings (HzbApi *api)
+check_pending_cancellations (HzbUserApi *api)
 {
   HzbController *c = api->c;
   struct timespec now = hzb_clock_now (c->clock);
 
-  for (GList *l = api->hearings.head; l;)
+  for (GList *l = api->pending_cancellations.head; l;)
     {
       GList *next = l->next;
       Check *check = l->data;
       HzbJob *job = hzb_jobs_find (c->jobs, check->uid);
-      if (!job || hzb_cancellations_effective (c->cancellations, job))
+      if (!job || hzb_cancellations_acknowledged (c->cancellations, job))
         {
-          g_queue_delete_link (&api->hearings, l);
+          g_queue_delete_link (&api->pending_cancellations, l);
           if (job)
-            tell (api, check, job);
+            reply_final (api, check, job);
           else
             give_up (check, "not decided"); /* its record has moved away meanwhile */
         }
       else if (!hzb_time_before (now, check->deadline))
         {
-          g_queue_delete_link (&api->hearings, l);
+          g_queue_delete_link (&api->pending_cancellations, l);
           give_up (check, "not every controller has heard of the cancellation");
         }
       l = next;
@@ -216,12 +216,12 @@
 }
 
 static Check *
-check_new (HzbExchange *exchange, const char *uid, Ask ask)
+check_new (HzbExchange *exchange, const char *uid, Ask poll_leader)
 {
   Check *check = g_new0 (Check, 1);
   check->exchange = exchange;
   check->uid = g_strdup (uid);
-  check->ask = ask;
+  check->poll_leader = poll_leader;
   return check;
 }
 
@@ -229,7 +229,7 @@
 
 /* done gets a batch of this one check. */
 static void
-read_record (HzbApi *api, Check *check, const char *prefix, HzbStoreFunc done)
+read_record (HzbUserApi *api, Check *check, const char *prefix, HzbStoreFunc done)
 {
   Batch *batch = batch_new (api);
   g_autofree char *key = g_strconcat (prefix, check->uid, NULL);
@@ -239,12 +239,12 @@
 
 /* Neither the mirror nor the place of old records has it. */
 static void
-settle_unknown (HzbApi *api, Check *check)
+settle_unknown (HzbUserApi *api, Check *check)
 {
-  if (check->ask == ASK_SUBMITTED && check->refusal)
+  if (check->poll_leader == ASK_SUBMITTED && check->refusal)
     hzb_exchange_reply (check->exchange, check->refusal_status, hzb_wire_error (check->refusal), 0);
-  else if (check->ask == ASK_SUBMITTED)
-    unable (check->exchange, "not decided"); /* a write without an answer may still come */
+  else if (check->poll_leader == ASK_SUBMITTED)
+    reply_unavailable (check->exchange, "not decided"); /* a write without an answer may still come */
   else
     hzb_exchange_reply (check->exchange, 404, hzb_wire_error ("no such job"), 0);
   check_free (check);
@@ -254,7 +254,7 @@
 on_read_old (HzbStoreResult result, const char *body, gpointer user)
 {
   Batch *batch = user;
-  HzbApi *api = batch->api;
+  HzbUserApi *api = batch->api;
   Check *check = batch->entries->pdata[0];
   HzbItem item = { 0 };
 
@@ -263,7 +263,7 @@
       const char *state = hzb_json_text (item.value, "state");
       guint n = (guint) hzb_json_number (item.value, "n", 0);
       hzb_exchange_reply (check->exchange, 200,
-                          hzb_wire_job_status (check->uid, state, check->ask == ASK_STATUS,
+                          hzb_wire_job_status (check->uid, state, check->poll_leader == ASK_STATUS,
                                                g_strcmp0 (state, "done") == 0 ? n : 0, 0), 0);
       check_free (check);
       hzb_item_clear (&item);
@@ -278,18 +278,18 @@
 /* The mirror, brought up to this moment, does not know the job; what is over moves away from it in one transaction, so
  * a job that was ever accepted is found in one of the two places, in this order. */
 static void
-read_old (HzbApi *api, Check *check)
+read_old (HzbUserApi *api, Check *check)
 {
   read_record (api, check, HZB_KEY_ENDED, on_read_old);
 }
 
 /* The record is known to be the newest: what was asked can be answered. */
 static void
-settle (HzbApi *api, Check *check)
+settle (HzbUserApi *api, Check *check)
 {
   HzbJob *job = hzb_jobs_find (api->c->jobs, check->uid);
 
-  if (check->ask == ASK_CANCEL && job && job->state == HZB_JOB_ACCEPTED)
+  if (check->poll_leader == ASK_CANCEL && job && job->state == HZB_JOB_ACCEPTED)
     {
       send_cancel (api, check);
       return;
@@ -299,20 +299,20 @@
       read_old (api, check);
       return;
     }
-  tell (api, check, job);
+  reply_final (api, check, job);
 }
 
 static void
 on_read (HzbStoreResult result, const char *body, gpointer user)
 {
   Batch *batch = user;
-  HzbApi *api = batch->api;
+  HzbUserApi *api = batch->api;
   Check *check = batch->entries->pdata[0];
   HzbItem item = { 0 };
 
   if (result == HZB_STORE_OK && hzb_wire_parse_item (body, &item))
     {
-      hzb_controller_take_item (api->c, &item);
+      hzb_controller_apply_record (api->c, &item);
       hzb_item_clear (&item);
       settle (api, check);
     }
@@ -324,7 +324,7 @@
 }
 
 static void
-read_check (HzbApi *api, Check *check)
+read_check (HzbUserApi *api, Check *check)
 {
   read_record (api, check, HZB_KEY_JOBS, on_read);
 }
@@ -333,7 +333,7 @@
 on_synced (gboolean fresh, gpointer user)
 {
   Batch *batch = user;
-  HzbApi *api = batch->api;
+  HzbUserApi *api = batch->api;
 
   api->syncing--;
   for (guint i = 0; i < batch->entries->len; i++)
@@ -349,7 +349,7 @@
 }
 
 static void
-flush_syncs (HzbApi *api)
+flush_syncs (HzbUserApi *api)
 {
   Batch *batch;
   Check *check;
@@ -365,7 +365,7 @@
 
 /* Resolved by reading, never guessed. */
 static void
-sync_check (HzbApi *api, Check *check)
+sync_check (HzbUserApi *api, Check *check)
 {
   g_queue_push_tail (&api->syncs, check);
   flush_syncs (api);
@@ -375,7 +375,7 @@
 on_checked (HzbStoreResult result, const char *body, gpointer user)
 {
   Batch *batch = user;
-  HzbApi *api = batch->api;
+  HzbUserApi *api = batch->api;
   g_autoptr (GPtrArray) failed = NULL;
 
   api->checking--;
@@ -410,7 +410,7 @@
 }
 
 static void
-flush_checks (HzbApi *api)
+flush_checks (HzbUserApi *api)
 {
   HzbController *c = api->c;
   struct timespec now = hzb_clock_now (c->clock);
@@ -434,21 +434,21 @@
 }
 
 static void
-add_check (HzbApi *api, HzbExchange *exchange, const char *uid, Ask ask, const char *refusal, guint refusal_status)
+add_check (HzbUserApi *api, HzbExchange *exchange, const char *uid, Ask poll_leader, const char *refusal, guint refusal_status)
 {
   Check *check;
 
   if (hzb_controller_store_silent (api->c))
     {
-      unable (exchange, "the state service does not answer");
+      reply_unavailable (exchange, "the state service does not answer");
       return;
     }
-  if (api->checks.length + api->syncs.length >= MOST_CHECKS)
+  if (api->checks.length + api->syncs.length >= MAX_QUEUED_CHECKS)
     {
-      hzb_exchange_reply (exchange, ask == ASK_SUBMITTED ? 429 : 503, hzb_wire_error ("too much is asked at once"), 2);
+      hzb_exchange_reply (exchange, poll_leader == ASK_SUBMITTED ? 429 : 503, hzb_wire_error ("too much is asked at once"), 2);
       return;
     }
-  check = check_new (exchange, uid, ask);
+  check = check_new (exchange, uid, poll_leader);
   check->refusal = g_strdup (refusal);
   check->refusal_status = refusal_status;
   check->deadline = hzb_time_plus (hzb_clock_now (api->c->clock), 3);
@@ -467,7 +467,7 @@
 on_cancelled (HzbStoreResult result, const char *body, gpointer user)
 {
   Batch *batch = user;
-  HzbApi *api = batch->api;
+  HzbUserApi *api = batch->api;
   Check *check = batch->entries->pdata[0];
   HzbJob *job = hzb_jobs_find (api->c->jobs, check->uid);
 
@@ -488,7 +488,7 @@
 }
 
 static void
-send_cancel (HzbApi *api, Check *check)
+send_cancel (HzbUserApi *api, Check *check)
 {
   HzbJob *job = hzb_jobs_find (api->c->jobs, check->uid);
   g_autofree char *key = g_strconcat (HZB_KEY_JOBS, check->uid, NULL);
@@ -497,7 +497,7 @@
 
   if (!hzb_time_before (hzb_clock_now (api->c->clock), check->deadline))
     {
-      unable (check->exchange, "not decided in time");
+      reply_unavailable (check->exchange, "not decided in time");
       check_free (check);
       return;
     }
@@ -515,7 +515,7 @@
 on_accepted (HzbStoreResult result, const char *body, gpointer user)
 {
   Batch *batch = user;
-  HzbApi *api = batch->api;
+  HzbUserApi *api = batch->api;
   HzbController *c = api->c;
   g_autoptr (GPtrArray) failed = NULL;
 
@@ -523,7 +523,7 @@
   if (result == HZB_STORE_CONFLICT)
     hzb_wire_parse_txn (body, NULL, &failed);
   if (result == HZB_STORE_OK)
-    hzb_jobs_take_acceptance (c->jobs, batch->key, batch->record);
+    hzb_jobs_apply_acceptance (c->jobs, batch->key, batch->record);
   for (guint i = 0; i < batch->entries->len; i++)
     {
       Accept *accept = batch->entries->pdata[i];
@@ -533,7 +533,7 @@
         {
           HzbJob *job = hzb_jobs_find (c->jobs, uid);
           if (job && job->state == HZB_JOB_CANCELLED)
-            tell (api, check_new (accept->exchange, uid, ASK_SUBMITTED), job);
+            reply_final (api, check_new (accept->exchange, uid, ASK_SUBMITTED), job);
           else
             hzb_exchange_reply (accept->exchange, 201, hzb_wire_job_status (uid, job ? hzb_job_status (job) : "queued", FALSE, 0, 0), 0);
         }
@@ -552,7 +552,7 @@
             sync_check (api, check);
         }
       else
-        unable (accept->exchange, "the state service can't be asked");
+        reply_unavailable (accept->exchange, "the state service can't be asked");
       accept_free (accept);
     }
   batch_free (batch);
@@ -560,7 +560,7 @@
 }
 
 static void
-flush_accepts (HzbApi *api)
+flush_accepts (HzbUserApi *api)
 {
   HzbController *c = api->c;
   struct timespec now = hzb_clock_now (c->clock);
@@ -579,7 +579,7 @@
           if (hzb_time_before (accept->deadline, now))
             {
               g_queue_pop_head (&api->accepts);
-              unable (accept->exchange, "not decided in time");
+              reply_unavailable (accept->exchange, "not decided in time");
               accept_free (accept);
               continue;
             }
@@ -607,7 +607,7 @@
 
 /* NULL: it can run. */
 static const char *
-never_runs (HzbController *c, const HzbSpec *spec)
+reason_it_never_runs (HzbController *c, const HzbSpec *spec)
 {
   int at = hzb_settings_team (c->settings, spec->team);
   const HzbTeam *team;
@@ -641,21 +641,21 @@
 static void
 drop_unknown_types (HzbController *c, HzbSpec *spec)
 {
-  g_autoptr (GStrvBuilder) kept = g_strv_builder_new ();
+  g_autoptr (GStrvBuilder) reserved = g_strv_builder_new ();
   if (!spec->types)
     return;
   for (guint i = 0; i < c->machines->types->len; i++)
     {
       const HzbMachineType *type = c->machines->types->pdata[i];
       if (g_strv_contains ((const char *const *) spec->types, type->name))
-        g_strv_builder_add (kept, type->name);
+        g_strv_builder_add (reserved, type->name);
     }
   g_strfreev (spec->types);
-  spec->types = g_strv_builder_end (kept);
+  spec->types = g_strv_builder_end (reserved);
 }
 
 static void
-submit (HzbApi *api, HzbExchange *exchange)
+submit (HzbUserApi *api, HzbExchange *exchange)
 {
   HzbController *c = api->c;
   g_autoptr (GError) error = NULL;
@@ -674,14 +674,14 @@
   if ((job = hzb_jobs_find (c->jobs, spec->uid)))
     {
       if (job->state != HZB_JOB_ACCEPTED)
-        tell (api, check_new (exchange, spec->uid, ASK_SUBMITTED), job);
+        reply_final (api, check_new (exchange, spec->uid, ASK_SUBMITTED), job);
       else
         add_check (api, exchange, spec->uid, ASK_SUBMITTED, NULL, 0);
       return;
     }
   if (!hzb_controller_ready (c) || !c->machines->types || hzb_controller_store_silent (c))
     {
-      unable (exchange, "not ready yet");
+      reply_unavailable (exchange, "not ready yet");
       return;
     }
   /* A repeat of an accepted job must not be refused, whatever has changed since; the version before took any estimate. */
@@ -690,7 +690,7 @@
       add_check (api, exchange, spec->uid, ASK_SUBMITTED, "expectS: expected 0 for standing jobs", 400);
       return;
     }
-  if ((refusal = never_runs (c, spec)))
+  if ((refusal = reason_it_never_runs (c, spec)))
     {
       add_check (api, exchange, spec->uid, ASK_SUBMITTED, refusal, 422);
       return;
@@ -701,7 +701,7 @@
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("services are taken once every controller runs this version"), 2);
       return;
     }
-  if (api->accepts.length >= MOST_ACCEPTS)
+  if (api->accepts.length >= MAX_QUEUED_SUBMISSIONS)
     {
       hzb_exchange_reply (exchange, 429, hzb_wire_error ("more submissions than can be taken"), 2);
       return;
@@ -725,20 +725,20 @@
 }
 
 static void
-ask_about (HzbApi *api, HzbExchange *exchange, const char *uid, Ask ask)
+ask_about (HzbUserApi *api, HzbExchange *exchange, const char *uid, Ask poll_leader)
 {
   HzbJob *job = hzb_jobs_find (api->c->jobs, uid);
 
   if (!hzb_wire_uid_ok (uid))
     hzb_exchange_reply (exchange, 404, hzb_wire_error ("no such job"), 0);
   else if (job && job->state != HZB_JOB_ACCEPTED)
-    tell (api, check_new (exchange, uid, ask), job);
+    reply_final (api, check_new (exchange, uid, poll_leader), job);
   else
-    add_check (api, exchange, uid, ask, NULL, 0);
+    add_check (api, exchange, uid, poll_leader, NULL, 0);
 }
 
 void
-hzb_api_request (HzbApi *api, HzbExchange *exchange)
+hzb_user_api_request (HzbUserApi *api, HzbExchange *exchange)
 {
   const char *rest;
   gboolean post = g_str_equal (exchange->method, "POST"), get = g_str_equal (exchange->method, "GET");
@@ -770,10 +770,10 @@
 }
 
 void
-hzb_api_tick (HzbApi *api)
+hzb_user_api_tick (HzbUserApi *api)
 {
   flush_accepts (api);
   flush_checks (api);
   flush_syncs (api);
-  tend_hearings (api);
+  check_pending_cancellations (api);
 }
--- a/src/wire.c
+++ b/src/wire.c
@@ -13,7 +13,7 @@
 const char hzb_path_txn[] = "/multi";
 const char hzb_path_leases[] = "/leases";
 
-static const char *const urgencies[] = { "idle", "normal", "urgent", "production" };
+static const char *const priority_names[] = { "idle", "normal", "urgent", "production" };
 static const char *const piece_states[] = { "fetching", "gathering", "running", "saving", "ended" };
 static const char *const whys[] = { "", "done", "stopped", "mates_gone", "alone", "error", "full", "in_use", "no_such" };
 
@@ -82,7 +82,7 @@
   if (!spec)
     return;
   g_free (spec->uid);
-  g_free (spec->lane);
+  g_free (spec->job_class);
   g_free (spec->team);
   g_clear_pointer (&spec->image, g_ref_string_release);
   g_strfreev (spec->types);
@@ -107,7 +107,7 @@
   g_free (report->addr);
   g_free (report->type);
   g_free (report->zone);
-  g_array_unref (report->pieces);
+  g_array_unref (report->task_reports);
   g_free (report);
 }
 
@@ -180,13 +180,13 @@
 }
 
 static gboolean
-take_urgency (const cJSON *root, HzbUrgency *out, GError **error)
+take_priority (const cJSON *root, HzbPriority *out, GError **error)
 {
   const char *text = hzb_json_text (root, "urgency");
-  for (guint i = 0; i < HZB_N_URGENCIES; i++)
-    if (g_strcmp0 (text, urgencies[i]) == 0)
+  for (guint i = 0; i < HZB_N_PRIORITIES; i++)
+    if (g_strcmp0 (text, priority_names[i]) == 0)
       {
-        *out = (HzbUrgency) i;
+        *out = (HzbPriority) i;
         return TRUE;
       }
   return bad (error, "urgency", "production, urgent, normal or idle");
@@ -208,8 +208,8 @@
     return bad (error, "shape", "sweep, ensemble or standing");
   spec->gang = g_str_equal (shape, "ensemble");
   spec->service = g_str_equal (shape, "standing");
-  if (!take_text (root, "lane", &spec->lane, error) || !take_text (root, "owner", &spec->team, error)
-      || !take_urgency (root, &spec->urgency, error) || !take_number (root, "pieces", 0, TRUE, &tasks, error)
+  if (!take_text (root, "lane", &spec->job_class, error) || !take_text (root, "owner", &spec->team, error)
+      || !take_priority (root, &spec->priority, error) || !take_number (root, "pieces", 0, TRUE, &tasks, error)
       || !take_number (root, "cpus", 0, FALSE, &spec->cpus, error)
       || !take_number (root, "gpus", 0, FALSE, &spec->gpus, error)
       || !take_number (root, "ramGb", 0, FALSE, &spec->memory_gb, error)
@@ -297,10 +297,10 @@
 {
   cJSON *root = cJSON_CreateObject ();
   cJSON_AddStringToObject (root, "uid", spec->uid);
-  cJSON_AddStringToObject (root, "lane", spec->lane);
+  cJSON_AddStringToObject (root, "lane", spec->job_class);
   cJSON_AddStringToObject (root, "owner", spec->team);
   cJSON_AddStringToObject (root, "shape", spec->gang ? "ensemble" : spec->service ? "standing" : "sweep");
-  cJSON_AddStringToObject (root, "urgency", urgencies[spec->urgency]);
+  cJSON_AddStringToObject (root, "urgency", priority_names[spec->priority]);
   cJSON_AddNumberToObject (root, "pieces", spec->tasks);
   cJSON_AddNumberToObject (root, "cpus", spec->cpus);
   cJSON_AddNumberToObject (root, "gpus", spec->gpus);
@@ -337,7 +337,7 @@
 static void
 piece_clear (gpointer data)
 {
-  g_free (((HzbPiece *) data)->uid);
+  g_free (((HzbTaskReport *) data)->uid);
 }
 
 static int
@@ -356,8 +356,8 @@
   cJSON *root = body ? cJSON_ParseWithLength (body, length) : NULL;
   const cJSON *item;
 
-  report->pieces = g_array_new (FALSE, TRUE, sizeof (HzbPiece));
-  g_array_set_clear_func (report->pieces, piece_clear);
+  report->task_reports = g_array_new (FALSE, TRUE, sizeof (HzbTaskReport));
+  g_array_set_clear_func (report->task_reports, piece_clear);
   report->host = g_strdup (hzb_json_text (root, "host"));
   report->addr = g_strdup (hzb_json_text (root, "addr"));
   report->type = g_strdup (hzb_json_text (root, "flavor"));
@@ -369,7 +369,7 @@
   report->notice_s = hzb_json_number (root, "reclaimInS", -1);
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, "pieces"))
     {
-      HzbPiece piece = { 0 };
+      HzbTaskReport task_report = { 0 };
       const char *name = hzb_json_text (item, "piece");
       const char *slash = name ? strrchr (name, '/') : NULL;
       int state = index_of (hzb_json_text (item, "status"), piece_states, G_N_ELEMENTS (piece_states));
@@ -377,13 +377,13 @@
       guint64 task;
       if (!slash || state < 0 || !g_ascii_string_to_unsigned (slash + 1, 10, 0, G_MAXUINT32, &task, NULL))
         continue;
-      piece.uid = g_strndup (name, (gsize) (slash - name));
-      piece.task = (guint) task;
-      piece.attempt = hzb_json_u64 (item, "try");
-      piece.state = (HzbPieceState) state;
-      piece.why = why < 0 ? HZB_WHY_NONE : (HzbWhy) why;
-      piece.saved = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "stored"));
-      g_array_append_val (report->pieces, piece);
+      task_report.uid = g_strndup (name, (gsize) (slash - name));
+      task_report.task = (guint) task;
+      task_report.attempt = hzb_json_u64 (item, "try");
+      task_report.state = (HzbTaskReportState) state;
+      task_report.exit_cause = why < 0 ? HZB_EXIT_NONE : (HzbExitCause) why;
+      task_report.saved = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "stored"));
+      g_array_append_val (report->task_reports, task_report);
     }
   cJSON_Delete (root);
   if (!report->host || !report->addr || !report->type || !report->zone || !report->session)
@@ -395,24 +395,24 @@
 }
 
 char *
-hzb_wire_orders (guint64 token, const GArray *orders)
+hzb_wire_commands (guint64 token, const GArray *commands)
 {
   static const char *const verbs[] = { "run", "kill", "reap" };
   cJSON *root = cJSON_CreateObject (), *list;
 
   hzb_json_add_u64 (root, "baton", token);
   list = cJSON_AddArrayToObject (root, "orders");
-  for (guint i = 0; orders && i < orders->len; i++)
+  for (guint i = 0; commands && i < commands->len; i++)
     {
-      const HzbOrder *order = &g_array_index (orders, HzbOrder, i);
+      const HzbCommand *command = &g_array_index (commands, HzbCommand, i);
       cJSON *item = cJSON_CreateObject ();
       char name[64];
-      g_snprintf (name, sizeof name, "%s/%u", order->uid, order->task);
-      cJSON_AddStringToObject (item, "verb", verbs[order->kind]);
+      g_snprintf (name, sizeof name, "%s/%u", command->uid, command->task);
+      cJSON_AddStringToObject (item, "verb", verbs[command->kind]);
       cJSON_AddStringToObject (item, "piece", name);
-      hzb_json_add_u64 (item, "try", order->attempt);
-      if (order->kind == HZB_ORDER_STOP)
-        cJSON_AddNumberToObject (item, "windDownS", order->grace_s);
+      hzb_json_add_u64 (item, "try", command->attempt);
+      if (command->kind == HZB_COMMAND_STOP)
+        cJSON_AddNumberToObject (item, "windDownS", command->grace_s);
       cJSON_AddItemToArray (list, item);
     }
   return print (root);
--- a/src/wire.h
+++ b/src/wire.h
@@ -8,20 +8,20 @@
 
 typedef enum
 {
-  HZB_URGENCY_IDLE,
-  HZB_URGENCY_NORMAL,
-  HZB_URGENCY_HIGH,
-  HZB_URGENCY_PRODUCTION,
-  HZB_N_URGENCIES
-} HzbUrgency;
+  HZB_PRIORITY_IDLE,
+  HZB_PRIORITY_NORMAL,
+  HZB_PRIORITY_HIGH,
+  HZB_PRIORITY_PRODUCTION,
+  HZB_N_PRIORITIES
+} HzbPriority;
 
 /* What a user asks for. */
 typedef struct
 {
-  char *uid, *lane, *team;
+  char *uid, *job_class, *team;
   gboolean gang;
   gboolean service; /* its tasks run until it is cancelled */
-  HzbUrgency urgency;
+  HzbPriority priority;
   guint tasks;
   double cpus, gpus, memory_gb;
   GRefString *image; /* interned: equal names are equal pointers */
@@ -47,25 +47,25 @@
 
 typedef enum
 {
-  HZB_PIECE_FETCHING,
-  HZB_PIECE_WAITING,
-  HZB_PIECE_RUNNING,
-  HZB_PIECE_SAVING,
-  HZB_PIECE_EXITED
-} HzbPieceState;
+  HZB_TASK_REPORT_FETCHING,
+  HZB_TASK_REPORT_WAITING,
+  HZB_TASK_REPORT_RUNNING,
+  HZB_TASK_REPORT_SAVING,
+  HZB_TASK_REPORT_EXITED
+} HzbTaskReportState;
 
 typedef enum
 {
-  HZB_WHY_NONE,
-  HZB_WHY_DONE,
-  HZB_WHY_STOPPED,
-  HZB_WHY_PEERS,
-  HZB_WHY_ALONE,
-  HZB_WHY_ERROR,
-  HZB_WHY_NO_ROOM,
-  HZB_WHY_BUSY,
-  HZB_WHY_UNKNOWN
-} HzbWhy;
+  HZB_EXIT_NONE,
+  HZB_EXIT_DONE,
+  HZB_EXIT_STOPPED,
+  HZB_EXIT_GANG_PEER_LOST,
+  HZB_EXIT_GANG_INCOMPLETE,
+  HZB_EXIT_ERROR,
+  HZB_EXIT_REFUSED_FULL,
+  HZB_EXIT_REFUSED_IN_USE,
+  HZB_EXIT_REFUSED_UNKNOWN
+} HzbExitCause;
 
 /* One line of a worker's report. */
 typedef struct
@@ -73,10 +73,10 @@
   char *uid;
   guint task;
   guint64 attempt;
-  HzbPieceState state;
-  HzbWhy why;
+  HzbTaskReportState state;
+  HzbExitCause exit_cause;
   gboolean saved;
-} HzbPiece;
+} HzbTaskReport;
 
 typedef struct
 {
@@ -84,7 +84,7 @@
   gboolean spot;
   guint64 session, seq, token;
   double notice_s; /* below 0: none */
-  GArray *pieces;  /* HzbPiece */
+  GArray *task_reports;  /* HzbPiece */
 } HzbReport;
 
 void hzb_report_free (HzbReport *report);
@@ -92,19 +92,19 @@
 
 typedef enum
 {
-  HZB_ORDER_START,
-  HZB_ORDER_STOP,
-  HZB_ORDER_FORGET
-} HzbOrderKind;
+  HZB_COMMAND_START,
+  HZB_COMMAND_STOP,
+  HZB_COMMAND_REAP
+} HzbCommandKind;
 
 typedef struct
 {
-  HzbOrderKind kind;
+  HzbCommandKind kind;
   const char *uid; /* not owned */
   guint task;
   guint64 attempt;
   double grace_s;
-} HzbOrder;
+} HzbCommand;
 
 typedef struct
 {
@@ -144,7 +144,7 @@
 
 /* workers */
 HzbReport *hzb_wire_parse_report (const char *body, gsize length, GError **error);
-char *hzb_wire_orders (guint64 token, const GArray *orders); /* HzbOrder */
+char *hzb_wire_commands (guint64 token, const GArray *commands); /* HzbOrder */
 char *hzb_wire_redirect (const char *node);                  /* NULL: nobody known */
 
 /* cloud */
--- a/src/gateway.c
+++ b/src/worker-api.c
@@ -9,21 +9,21 @@
 #define QUICK_END_S 5.0 /* a replica that ends by itself sooner is tried ever more seldom: */
 #define QUICK_END_PAUSE_S 0.5
 #define QUICK_END_MOST_S 30.0
-#define HOPELESS 1.3 /* estimates are often wrong: only what should need so many times what is left is given up */
+#define HOPELESS_FACTOR 1.3 /* estimates are often wrong: only what should need so many times what is left is given up */
 
 static void
-order (GArray *orders, HzbOrderKind kind, const char *uid, guint task, guint64 attempt, double grace_s)
+command (GArray *commands, HzbCommandKind kind, const char *uid, guint task, guint64 attempt, double grace_s)
 {
-  HzbOrder o = { kind, uid, task, attempt, grace_s };
-  g_array_append_val (orders, o);
+  HzbCommand o = { kind, uid, task, attempt, grace_s };
+  g_array_append_val (commands, o);
 }
 
 static void
-task_failed (HzbController *c, HzbMachine *m, HzbTask *task, HzbWhy why, struct timespec now)
+task_failed (HzbController *c, HzbMachine *m, HzbTask *task, HzbExitCause cause, struct timespec now)
 {
   HzbJob *job = task->job;
 
-  if (why == HZB_WHY_ERROR)
+  if (cause == HZB_EXIT_ERROR)
     {
       gboolean same = g_strcmp0 (m->last_failed_job, job->uid) == 0, service = job->spec->service;
       task->tries = (guint8) MIN (task->tries + 1, 10);
@@ -38,9 +38,9 @@
       /* One machine that fails all it starts must not pass for a job that fails everywhere. */
       if (m->failures >= SICK_AFTER && (m->failed_jobs >= 2 || job->running + job->done + job->finished > 0))
         {
-          if (!m->wanted_back)
+          if (!m->to_be_returned)
             g_message ("machine %s fails what it starts and is set aside", m->name);
-          m->wanted_back = TRUE;
+          m->to_be_returned = TRUE;
         }
       /* One machine that fails all replicas of a service says no more of the service than one that fails one. */
       else if (job->running + job->done + job->finished == 0 && !(service && same))
@@ -51,9 +51,9 @@
       /* A replica is sound until its service fails everywhere: it is tried elsewhere at once. */
       task->not_before = hzb_time_plus (now, service ? 0.2 : MIN (60, 1 << MIN (task->tries, 6)) * 0.5);
     }
-  else if (why == HZB_WHY_NO_ROOM || why == HZB_WHY_UNKNOWN || why == HZB_WHY_BUSY)
+  else if (cause == HZB_EXIT_REFUSED_FULL || cause == HZB_EXIT_REFUSED_UNKNOWN || cause == HZB_EXIT_REFUSED_IN_USE)
     {
-      g_message ("task %s/%u was refused by %s (%d)", job->uid, task->index, m->name, why);
+      g_message ("task %s/%u was refused by %s (%d)", job->uid, task->index, m->name, cause);
       task->not_before = hzb_time_plus (now, 1);
     }
 }
@@ -68,41 +68,41 @@
 }
 
 static HzbTaskState
-task_state_of (HzbPieceState state)
+task_state_of (HzbTaskReportState state)
 {
-  return state == HZB_PIECE_FETCHING  ? HZB_TASK_FETCHING
-         : state == HZB_PIECE_WAITING ? HZB_TASK_WAITING
-         : state == HZB_PIECE_SAVING  ? HZB_TASK_SAVING
+  return state == HZB_TASK_REPORT_FETCHING  ? HZB_TASK_FETCHING
+         : state == HZB_TASK_REPORT_WAITING ? HZB_TASK_WAITING
+         : state == HZB_TASK_REPORT_SAVING  ? HZB_TASK_SAVING
                                       : HZB_TASK_RUNNING;
 }
 
 static void
-take_exited (HzbController *c, HzbMachine *m, HzbTask *task, const HzbPiece *piece, struct timespec now, GArray *orders)
+handle_exited (HzbController *c, HzbMachine *m, HzbTask *task, const HzbTaskReport *task_report, struct timespec now, GArray *commands)
 {
   HzbJob *job = task->job;
-  gboolean here = hzb_task_on_machine (task) && task->machine == m && task->attempt == piece->attempt;
+  gboolean here = hzb_task_on_machine (task) && task->machine == m && task->attempt == task_report->attempt;
 
   /* A replica that ends, for whatever cause, has no result: it runs again. */
-  if (piece->why == HZB_WHY_DONE && !job->spec->service)
+  if (task_report->exit_cause == HZB_EXIT_DONE && !job->spec->service)
     {
       if (task->state == HZB_TASK_DONE)
-        order (orders, HZB_ORDER_FORGET, job->uid, task->index, piece->attempt, 0);
+        command (commands, HZB_COMMAND_REAP, job->uid, task->index, task_report->attempt, 0);
       else if (here || task->state == HZB_TASK_UNKNOWN || task->state == HZB_TASK_PENDING || task->state == HZB_TASK_LISTED
-               || task->state == HZB_TASK_ELSEWHERE)
+               || task->state == HZB_TASK_OTHER_OWNER)
         {
           double ran = here && task->state == HZB_TASK_RUNNING ? hzb_time_between (task->since, now) : 0;
-          if (task->state == HZB_TASK_LISTED || task->state == HZB_TASK_ELSEWHERE)
+          if (task->state == HZB_TASK_LISTED || task->state == HZB_TASK_OTHER_OWNER)
             hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
-          hzb_jobs_observe (c->jobs, job, ran);
+          hzb_jobs_record_run_time (c->jobs, job, ran);
           hzb_task_set_state (c->jobs, task, HZB_TASK_FINISHED, NULL);
           job->dirty = TRUE;
           job->failures = 0;
           m->failures = m->failed_jobs = 0;
           g_clear_pointer (&m->last_failed_job, g_free);
-          if (c->hold == HZB_HOLD_LEASED)
-            hzb_lessee_finished (c->lessee, task, ran);
+          if (c->ownership == HZB_OWNERSHIP_LESSEE)
+            hzb_lessee_report_finished (c->lessee, task, ran);
           else if (job->finished + job->done == job->n_tasks)
-            hzb_controller_end_job (c, job);
+            hzb_controller_record_completion (c, job);
           else
             hzb_records_flush_soon (c->records);
         }
@@ -113,43 +113,43 @@
     {
       gboolean ran_well = task->state == HZB_TASK_RUNNING && hzb_time_between (task->since, now) > QUICK_END_S;
       hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
-      task_failed (c, m, task, piece->why, now);
-      if (piece->why == HZB_WHY_DONE)
+      task_failed (c, m, task, task_report->exit_cause, now);
+      if (task_report->exit_cause == HZB_EXIT_DONE)
         replica_ended (task, ran_well, now);
     }
-  order (orders, HZB_ORDER_FORGET, job->uid, task->index, piece->attempt, 0);
+  command (commands, HZB_COMMAND_REAP, job->uid, task->index, task_report->attempt, 0);
 }
 
 static void
-take_piece (HzbController *c, HzbMachine *m, const HzbPiece *piece, struct timespec now, GArray *orders)
+apply_task_report (HzbController *c, HzbMachine *m, const HzbTaskReport *task_report, struct timespec now, GArray *commands)
 {
-  HzbJob *job = hzb_jobs_find (c->jobs, piece->uid);
+  HzbJob *job = hzb_jobs_find (c->jobs, task_report->uid);
   HzbTask *task;
-  HzbTaskState state = task_state_of (piece->state);
+  HzbTaskState state = task_state_of (task_report->state);
   gboolean over = job && job->state != HZB_JOB_ACCEPTED;
 
-  if (job && !over && !job->tasks && c->hold == HZB_HOLD_LEASED)
+  if (job && !over && !job->tasks && c->ownership == HZB_OWNERSHIP_LESSEE)
     hzb_jobs_activate (c->jobs, job); /* a result that came with a machine that was handed over */
-  task = job && job->tasks && piece->task < job->n_tasks ? &job->tasks[piece->task] : NULL;
+  task = job && job->tasks && task_report->task < job->n_tasks ? &job->tasks[task_report->task] : NULL;
   if (!job || (!task && !over))
     {
       /* The mirror may be a moment behind; only after a while it is nobody's. */
-      if (hzb_time_between (c->hold_since, now) > 15)
-        order (orders, piece->state == HZB_PIECE_EXITED ? HZB_ORDER_FORGET : HZB_ORDER_STOP, piece->uid, piece->task,
-               piece->attempt, 0);
+      if (hzb_time_between (c->owner_since, now) > 15)
+        command (commands, task_report->state == HZB_TASK_REPORT_EXITED ? HZB_COMMAND_REAP : HZB_COMMAND_STOP, task_report->uid, task_report->task,
+               task_report->attempt, 0);
       return;
     }
-  if (task && hzb_task_on_machine (task) && task->machine == m && task->attempt == piece->attempt)
+  if (task && hzb_task_on_machine (task) && task->machine == m && task->attempt == task_report->attempt)
     task->seen = m->round;
-  if (piece->state == HZB_PIECE_EXITED)
+  if (task_report->state == HZB_TASK_REPORT_EXITED)
     {
       if (task && !over)
-        take_exited (c, m, task, piece, now, orders);
+        handle_exited (c, m, task, task_report, now, commands);
       else
         {
-          if (task && hzb_task_on_machine (task) && task->machine == m && task->attempt == piece->attempt)
+          if (task && hzb_task_on_machine (task) && task->machine == m && task->attempt == task_report->attempt)
             hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
-          order (orders, HZB_ORDER_FORGET, job->uid, piece->task, piece->attempt, 0);
+          command (commands, HZB_COMMAND_REAP, job->uid, task_report->task, task_report->attempt, 0);
         }
       return;
     }
@@ -158,48 +158,48 @@
       /* Found where an earlier holder had started it. */
       if (task->state == HZB_TASK_LISTED)
         hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
-      task->attempt = piece->attempt;
-      job->next_attempt = MAX (job->next_attempt, piece->attempt);
+      task->attempt = task_report->attempt;
+      job->next_attempt = MAX (job->next_attempt, task_report->attempt);
       hzb_task_set_state (c->jobs, task, state, m);
       task->seen = m->round;
     }
-  else if (task && (task->state == HZB_TASK_ELSEWHERE || task->state == HZB_TASK_GRANTED))
+  else if (task && (task->state == HZB_TASK_OTHER_OWNER || task->state == HZB_TASK_DELEGATED))
     {
-      g_critical ("task %s/%u is on %s although it is in another block", job->uid, piece->task, m->name);
+      g_critical ("task %s/%u is on %s although it is in another block", job->uid, task_report->task, m->name);
       return;
     }
   else if (task && hzb_task_on_machine (task) && task->machine == m)
     {
-      if (task->attempt != piece->attempt && task->seen != m->round)
-        task->attempt = piece->attempt; /* ours was refused: this one is still here */
+      if (task->attempt != task_report->attempt && task->seen != m->round)
+        task->attempt = task_report->attempt; /* ours was refused: this one is still here */
       task->seen = m->round;
-      if (task->attempt == piece->attempt)
+      if (task->attempt == task_report->attempt)
         hzb_task_set_state (c->jobs, task, state, m);
     }
   else if (task)
     {
-      g_critical ("task %s/%u is on %s although it is %s%s%s", job->uid, piece->task, m->name,
+      g_critical ("task %s/%u is on %s although it is %s%s%s", job->uid, task_report->task, m->name,
                   hzb_task_state_name (task->state), task->machine ? " on " : "", task->machine ? task->machine->name : "");
-      order (orders, HZB_ORDER_STOP, job->uid, piece->task, piece->attempt, 0);
+      command (commands, HZB_COMMAND_STOP, job->uid, task_report->task, task_report->attempt, 0);
       return;
     }
-  if (job->spec && piece->state != HZB_PIECE_FETCHING && !g_hash_table_contains (m->images, job->spec->image))
+  if (job->spec && task_report->state != HZB_TASK_REPORT_FETCHING && !g_hash_table_contains (m->images, job->spec->image))
     g_hash_table_add (m->images, g_ref_string_acquire (job->spec->image));
-  if (piece->state == HZB_PIECE_RUNNING && task)
+  if (task_report->state == HZB_TASK_REPORT_RUNNING && task)
     {
       m->failures = m->failures > 0 && hzb_time_between (task->since, now) > 5 ? 0 : m->failures;
       job->failures = hzb_time_between (task->since, now) > 5 ? 0 : job->failures;
     }
   if (over)
-    order (orders, HZB_ORDER_STOP, job->uid, piece->task, piece->attempt, 0);
+    command (commands, HZB_COMMAND_STOP, job->uid, task_report->task, task_report->attempt, 0);
   else if (task && task->stopping && state != HZB_TASK_SAVING)
-    order (orders, HZB_ORDER_STOP, job->uid, piece->task, piece->attempt, hzb_spec_grace_s (job->spec));
+    command (commands, HZB_COMMAND_STOP, job->uid, task_report->task, task_report->attempt, hzb_spec_grace_s (job->spec));
 }
 
 /* The cloud takes the machine soon: nothing new goes there, what can save does so in time, and what can neither save
  * nor end before then is stopped, so that it starts elsewhere at once. */
 static void
-take_notice (HzbController *c, HzbMachine *m, double notice_s, struct timespec now, GArray *orders)
+handle_reclaim_notice (HzbController *c, HzbMachine *m, double notice_s, struct timespec now, GArray *commands)
 {
   if (m->state == HZB_MACHINE_ACTIVE)
     {
@@ -224,40 +224,40 @@
           continue;
         }
       /* What should end by itself before then runs on. */
-      if (runs && spec->checkpoint_s > 0 ? left <= notice_s - spec->save_s - 1 : left <= HOPELESS * notice_s)
+      if (runs && spec->checkpoint_s > 0 ? left <= notice_s - spec->save_s - 1 : left <= HOPELESS_FACTOR * notice_s)
         continue;
       task->stopping = TRUE;
-      order (orders, HZB_ORDER_STOP, task->job->uid, task->index, task->attempt, hzb_spec_grace_s (spec));
+      command (commands, HZB_COMMAND_STOP, task->job->uid, task->index, task->attempt, hzb_spec_grace_s (spec));
     }
 }
 
 /* Guards against a machine whose reports arrive while no answer reaches it: that a report came, and was answered, does
  * not show that the answer did. It has to show a token that was not used before, until then it gets no work. */
 static void
-doubt (HzbController *c, HzbMachine *m, struct timespec now)
+mark_unreachable (HzbController *c, HzbMachine *m, struct timespec now)
 {
-  if (m->deaf)
+  if (m->unreachable)
     return;
-  if (c->hold == HZB_HOLD_LEASED)
-    m->deaf = TRUE; /* it goes back to the leader, who can raise its token */
+  if (c->ownership == HZB_OWNERSHIP_LESSEE)
+    m->unreachable = TRUE; /* it goes back to the leader, who can raise its token */
   else
-    hzb_machine_doubt (m, hzb_leases_next_token (c->leases), now);
+    hzb_machine_mark_unreachable (m, hzb_leases_next_token (c->leases), now);
   hzb_machine_empty_lists (c->jobs, m);
 }
 
 static void
-take_report (HzbController *c, HzbMachine *m, const HzbReport *report, struct timespec now, GArray *orders)
+apply_report (HzbController *c, HzbMachine *m, const HzbReport *report, struct timespec now, GArray *commands)
 {
   guint starts = 0, missing = 0;
 
   m->round++;
-  if (m->state == HZB_MACHINE_UNHEARD || m->state == HZB_MACHINE_BOOTING || m->state == HZB_MACHINE_SILENT)
+  if (m->state == HZB_MACHINE_UNVERIFIED || m->state == HZB_MACHINE_BOOTING || m->state == HZB_MACHINE_LEASE_EXPIRED)
     hzb_machine_set_state (c->machines, m, HZB_MACHINE_ACTIVE, "reports under our token");
-  m->confirmed = TRUE;
+  m->verified = TRUE;
   for (guint i = 0; i < m->tasks->len; i++)
     starts += ((HzbTask *) m->tasks->pdata[i])->state == HZB_TASK_STARTING;
-  for (guint i = 0; i < report->pieces->len; i++)
-    take_piece (c, m, &g_array_index (report->pieces, HzbPiece, i), now, orders);
+  for (guint i = 0; i < report->task_reports->len; i++)
+    apply_task_report (c, m, &g_array_index (report->task_reports, HzbTaskReport, i), now, commands);
   /* What a newer report does not show is not there, whether its start was lost or it is forgotten. */
   for (guint i = 0; i < m->tasks->len;)
     {
@@ -270,12 +270,12 @@
         hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
     }
   if (starts)
-    m->unobeyed = missing < starts ? 0 : m->unobeyed + 1;
+    m->ignored_answers = missing < starts ? 0 : m->ignored_answers + 1;
   if (m->tasks->len)
     m->idle_since = now;
   if (report->notice_s >= 0)
-    take_notice (c, m, report->notice_s, now, orders);
-  hzb_dispatch_rebook (c->dispatch, m, now);
+    handle_reclaim_notice (c, m, report->notice_s, now, commands);
+  hzb_dispatch_reset_estimates (c->dispatch, m, now);
 }
 
 static void
@@ -307,7 +307,7 @@
   HzbMachine *m = hzb_lessee_valid (c->lessee) ? hzb_machines_find (c->machines, report->host) : NULL;
   if (m && report->token > m->token)
     {
-      hzb_lessee_give_machine (c->lessee, m, "it has seen a newer token");
+      hzb_lessee_return_machine (c->lessee, m, "it has seen a newer token");
       return NULL;
     }
   return m;
@@ -327,14 +327,14 @@
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("superseded"), 0);
       return NULL;
     }
-  if (c->hold < HZB_HOLD_RECOVERING)
+  if (c->ownership < HZB_OWNERSHIP_RECOVERING)
     {
       /* Its lease should live while the records are read. A token that it has seen already is not lowered. */
-      hzb_exchange_reply (exchange, 200, hzb_wire_orders (MAX (hzb_token (term, 0), report->token), NULL), 0);
+      hzb_exchange_reply (exchange, 200, hzb_wire_commands (MAX (hzb_token (term, 0), report->token), NULL), 0);
       return NULL;
     }
   m = hzb_machines_find (c->machines, report->host);
-  if (!m && hzb_rentals_returned (c->rentals, report->host))
+  if (!m && hzb_provisioning_was_returned (c->rentals, report->host))
     {
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("this machine was returned"), 0);
       return NULL;
@@ -344,18 +344,18 @@
                           HZB_MACHINE_BOOTING);
   if (!m->token)
     hzb_machine_set_token (m, c->block->token);
-  if (is_late (m, report) && m->state != HZB_MACHINE_LENT)
+  if (is_late (m, report) && m->state != HZB_MACHINE_LEASED)
     {
       refuse_late (exchange);
       return NULL;
     }
   /* A token that a worker has seen beyond what we know of: ours for it must not be lower. */
-  if (report->token > m->token && m->state != HZB_MACHINE_LENT)
+  if (report->token > m->token && m->state != HZB_MACHINE_LEASED)
     hzb_machine_set_token (m, hzb_leases_next_token (c->leases));
-  if (m->state == HZB_MACHINE_LENT)
-    lessee = hzb_leases_lessee (c->leases, m);
-  else if (report->pieces->len == 0 && report->notice_s < 0)
-    lessee = hzb_leases_offer (c->leases, m);
+  if (m->state == HZB_MACHINE_LEASED)
+    lessee = hzb_leases_lessee_name (c->leases, m);
+  else if (report->task_reports->len == 0 && report->notice_s < 0)
+    lessee = hzb_leases_lease_idle (c->leases, m);
   if (lessee)
     {
       /* The lessee is told how far its reports have come, and only once it is on record. */
@@ -373,17 +373,17 @@
 }
 
 void
-hzb_gateway_report (HzbController *c, HzbExchange *exchange)
+hzb_worker_api_report (HzbController *c, HzbExchange *exchange)
 {
   struct timespec now = hzb_clock_now (c->clock);
   g_autoptr (GError) error = NULL;
   g_autoptr (HzbReport) report = NULL;
-  g_autoptr (GArray) orders = g_array_new (FALSE, FALSE, sizeof (HzbOrder));
+  g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
   gboolean leads = hzb_election_leading (c->election);
   const char *lessee;
   HzbMachine *m = NULL;
 
-  if (!leads && c->hold != HZB_HOLD_LEASED)
+  if (!leads && c->ownership != HZB_OWNERSHIP_LESSEE)
     {
       redirect (c, exchange);
       return;
@@ -406,15 +406,15 @@
       refuse_late (exchange);
       return;
     }
-  if (report->session > m->session && m->session && m->confirmed)
+  if (report->session > m->session && m->session && m->verified)
     {
       /* Its lease ended, and with it all its tasks; perhaps although every report was answered. */
       hzb_machine_lose_tasks (c->jobs, m);
-      doubt (c, m, now);
+      mark_unreachable (c, m, now);
     }
   m->session = report->session;
   m->seq = report->seq;
-  m->heard = m->answered = now;
+  m->last_report = m->last_answer = now;
   if (!m->addr || !*m->addr)
     {
       g_free (m->addr);
@@ -422,29 +422,29 @@
     }
   if (!m->recorded)
     hzb_records_flush_soon (c->records);
-  if (m->deaf && report->token == m->token)
+  if (m->unreachable && report->token == m->token)
     {
-      m->deaf = FALSE;
-      m->unobeyed = 0;
+      m->unreachable = FALSE;
+      m->ignored_answers = 0;
     }
   /* A machine that nobody has ever recorded, and that has seen no token, holds nothing and obeys nobody yet: its
    * report is as good as one under ours. (After a takeover every recorded machine is unheard, not booting.) */
   if ((report->token >= m->own_token && report->token <= m->token)
-      || (report->token == 0 && m->state == HZB_MACHINE_BOOTING && m->vouched && !report->pieces->len))
+      || (report->token == 0 && m->state == HZB_MACHINE_BOOTING && m->known_to_cloud && !report->task_reports->len))
     {
-      take_report (c, m, report, now, orders);
+      apply_report (c, m, report, now, commands);
       if (leads && report->notice_s < 0 && report->token == m->token && (lessee = hzb_leases_hand_over (c->leases, m)))
         {
           hzb_exchange_reply (exchange, 421, hzb_wire_redirect (lessee), 0);
           return;
         }
       /* Starts only while nobody else can have been elected, or the lease is good; see docs/safety.md. */
-      if (m->unobeyed < DEAF_AFTER && (leads ? hzb_election_proven (c->election) : hzb_lessee_valid (c->lessee)))
-        hzb_dispatch_fill (c->dispatch, m, now, orders);
+      if (m->ignored_answers < DEAF_AFTER && (leads ? hzb_election_lease_valid (c->election) : hzb_lessee_valid (c->lessee)))
+        hzb_dispatch_start_tasks (c->dispatch, m, now, commands);
     }
   else if (m->state == HZB_MACHINE_ACTIVE)
-    m->unobeyed++; /* it has not seen the token that it was answered under */
-  if (m->unobeyed >= DEAF_AFTER)
-    doubt (c, m, now);
-  hzb_exchange_reply (exchange, 200, hzb_wire_orders (m->token, orders), 0);
+    m->ignored_answers++; /* it has not seen the token that it was answered under */
+  if (m->ignored_answers >= DEAF_AFTER)
+    mark_unreachable (c, m, now);
+  hzb_exchange_reply (exchange, 200, hzb_wire_commands (m->token, commands), 0);
 }
--- a/tests/world.c
+++ b/tests/sim-cluster.c
@@ -1,4 +1,4 @@
-#include "world.h"
+#include "sim-cluster.h"
 
 #include <math.h>
 #include <string.h>
@@ -13,7 +13,7 @@
 {
   double at;
   guint64 number;
-  void (*run) (World *w, gpointer data);
+  void (*run) (Sim *sim, gpointer data);
   gpointer data;
 } Event;
 
@@ -25,60 +25,60 @@
 }
 
 void
-world_at (World *w, double at, void (*run) (World *w, gpointer data), gpointer data)
+sim_at (Sim *sim, double at, void (*run) (Sim *sim, gpointer data), gpointer data)
 {
   Event *e = g_new0 (Event, 1);
-  e->at = MAX (at, w->now);
-  e->number = w->event_number++;
+  e->at = MAX (at, sim->now);
+  e->number = sim->event_number++;
   e->run = run;
   e->data = data;
-  g_sequence_insert_sorted (w->events, e, compare_events, NULL);
+  g_sequence_insert_sorted (sim->events, e, compare_events, NULL);
 }
 
 void
-world_run (World *w, double until)
+sim_run (Sim *sim, double until)
 {
-  while (!g_sequence_is_empty (w->events))
+  while (!g_sequence_is_empty (sim->events))
     {
-      GSequenceIter *first = g_sequence_get_begin_iter (w->events);
+      GSequenceIter *first = g_sequence_get_begin_iter (sim->events);
       Event e = *(Event *) g_sequence_get (first);
       if (e.at > until)
         break;
       g_sequence_remove (first);
-      hzb_clock_advance (w->clock, e.at - w->now);
-      w->now = e.at;
-      e.run (w, e.data);
-      if (w->now >= w->next_check)
+      hzb_clock_advance (sim->clock, e.at - sim->now);
+      sim->now = e.at;
+      e.run (sim, e.data);
+      if (sim->now >= sim->next_check)
         {
-          world_check (w);
-          w->next_check = w->now + w->size.check_s;
+          sim_check (sim);
+          sim->next_check = sim->now + sim->size.check_s;
         }
     }
-  hzb_clock_advance (w->clock, until - w->now);
-  w->now = until;
+  hzb_clock_advance (sim->clock, until - sim->now);
+  sim->now = until;
 }
 
 static void
-broken (World *w, const char *rule, const char *format, ...)
+broken (Sim *sim, const char *rule, const char *format, ...)
 {
   va_list args;
   g_autofree char *text = NULL;
   va_start (args, format);
   text = g_strdup_vprintf (format, args);
   va_end (args);
-  g_ptr_array_add (w->broken, g_strdup_printf ("%s at %.2f: %s", rule, w->now, text));
+  g_ptr_array_add (sim->broken, g_strdup_printf ("%s at %.2f: %s", rule, sim->now, text));
 }
 
 static gboolean
-chance (World *w, double p)
+chance (Sim *sim, double p)
 {
-  return g_rand_double (w->rand) < p;
+  return g_rand_double (sim->rand) < p;
 }
 
-static WorldJob *
-find_job (World *w, const char *uid)
+static SimJob *
+find_job (Sim *sim, const char *uid)
 {
-  return g_hash_table_lookup (w->by_uid, uid);
+  return g_hash_table_lookup (sim->by_uid, uid);
 }
 
 /* ---- state service ---- */
@@ -122,7 +122,7 @@
   guint status;
   char *reply;
 } Call;
-static void answer (World *w, Call *call, guint status, char *body);
+static void answer (Sim *sim, Call *call, guint status, char *body);
 
 typedef struct
 {
@@ -133,19 +133,19 @@
 } Watcher;
 
 static char *
-watch_body (World *w, const char *prefix, guint64 after, gboolean *any)
+watch_body (Sim *sim, const char *prefix, guint64 after, gboolean *any)
 {
   cJSON *root = cJSON_CreateObject (), *list;
-  guint first = w->history->len;
+  guint first = sim->history->len;
   char *text;
-  hzb_json_add_u64 (root, "epoch", w->revision);
+  hzb_json_add_u64 (root, "epoch", sim->revision);
   list = cJSON_AddArrayToObject (root, "news");
   *any = FALSE;
-  while (first && ((Change *) w->history->pdata[first - 1])->version > after)
+  while (first && ((Change *) sim->history->pdata[first - 1])->version > after)
     first--;
-  for (guint i = first; i < w->history->len; i++)
+  for (guint i = first; i < sim->history->len; i++)
     {
-      const Change *change = w->history->pdata[i];
+      const Change *change = sim->history->pdata[i];
       cJSON *item;
       if (!g_str_has_prefix (change->key, prefix))
         continue;
@@ -163,24 +163,24 @@
 }
 
 static void
-wake_watchers (World *w)
+wake_watchers (Sim *sim)
 {
-  for (guint i = 0; i < w->watchers->len; i++)
+  for (guint i = 0; i < sim->watchers->len; i++)
     {
-      Watcher *watcher = w->watchers->pdata[i];
+      Watcher *watcher = sim->watchers->pdata[i];
       gboolean any;
       char *body;
-      if (w->outage)
+      if (sim->outage)
         return;
-      if (w->nodes[watcher->call->node].refused)
+      if (sim->nodes[watcher->call->node].refused)
         continue; /* it waits, as in an outage */
-      body = watch_body (w, watcher->prefix, watcher->after, &any);
-      if (any || w->now >= watcher->until)
+      body = watch_body (sim, watcher->prefix, watcher->after, &any);
+      if (any || sim->now >= watcher->until)
         {
-          answer (w, watcher->call, 200, body);
+          answer (sim, watcher->call, 200, body);
           g_free (watcher->prefix);
           g_free (watcher);
-          g_ptr_array_remove_index (w->watchers, i--);
+          g_ptr_array_remove_index (sim->watchers, i--);
         }
       else
         g_free (body);
@@ -188,14 +188,14 @@
 }
 
 static void
-watch_over (World *w, gpointer data)
+watch_over (Sim *sim, gpointer data)
 {
-  wake_watchers (w);
+  wake_watchers (sim);
 }
 
 /* What is recorded of a job's progress can only grow until it is removed. */
 static void
-check_progress (World *w, const char *key, const char *from, const char *to)
+check_progress (Sim *sim, const char *key, const char *from, const char *to)
 {
   cJSON *before = cJSON_Parse (from), *after = cJSON_Parse (to);
   const cJSON *old;
@@ -211,54 +211,54 @@
       for (gsize i = 0; i < n; i++)
         back = back || (x[i] & ~(i < m ? y[i] : 0));
       if (back)
-        broken (w, "progress_went_back", "%s, %s: %s -> %s", key, old->string, from, to);
+        broken (sim, "progress_went_back", "%s, %s: %s -> %s", key, old->string, from, to);
     }
   cJSON_Delete (before);
   cJSON_Delete (after);
 }
 
 static void
-record (World *w, const char *key, const char *text, guint64 lease)
+record (Sim *sim, const char *key, const char *text, guint64 lease)
 {
-  const Value *known = g_hash_table_lookup (w->kv, key);
+  const Value *known = g_hash_table_lookup (sim->kv, key);
   if (known && text && strstr (key, "/progress/"))
-    check_progress (w, key, known->text, text);
+    check_progress (sim, key, known->text, text);
   {
   Change *change = g_new0 (Change, 1);
   change->key = g_strdup (key);
   change->text = g_strdup (text);
-  change->version = w->revision;
-  g_ptr_array_add (w->history, change);
+  change->version = sim->revision;
+  g_ptr_array_add (sim->history, change);
   if (text)
     {
       Value *value = g_new0 (Value, 1);
       value->text = g_strdup (text);
-      value->version = w->revision;
+      value->version = sim->revision;
       value->lease = lease;
-      g_hash_table_insert (w->kv, g_strdup (key), value);
+      g_hash_table_insert (sim->kv, g_strdup (key), value);
     }
   else
-    g_hash_table_remove (w->kv, key);
+    g_hash_table_remove (sim->kv, key);
   }
 }
 
 static void
-end_lease (World *w, guint64 lease)
+end_lease (Sim *sim, guint64 lease)
 {
   g_autoptr (GPtrArray) keys = g_ptr_array_new_with_free_func (g_free);
   GHashTableIter iter;
   gpointer key, value;
-  g_hash_table_remove (w->leases, GSIZE_TO_POINTER (lease));
-  g_hash_table_iter_init (&iter, w->kv);
+  g_hash_table_remove (sim->leases, GSIZE_TO_POINTER (lease));
+  g_hash_table_iter_init (&iter, sim->kv);
   while (g_hash_table_iter_next (&iter, &key, &value))
     if (((Value *) value)->lease == lease)
       g_ptr_array_add (keys, g_strdup (key));
   for (guint i = 0; i < keys->len; i++)
     {
-      w->revision++;
-      record (w, keys->pdata[i], NULL, 0);
+      sim->revision++;
+      record (sim, keys->pdata[i], NULL, 0);
     }
-  wake_watchers (w);
+  wake_watchers (sim);
 }
 
 typedef struct
@@ -267,104 +267,104 @@
 } Lease;
 
 static void
-lease_tick (World *w, gpointer data)
+lease_tick (Sim *sim, gpointer data)
 {
   guint64 id = GPOINTER_TO_SIZE (data);
-  Lease *lease = g_hash_table_lookup (w->leases, data);
+  Lease *lease = g_hash_table_lookup (sim->leases, data);
   if (!lease)
     return;
-  if (w->outage)
-    lease->until = w->now + lease->ttl; /* every lease has its full time again */
-  if (w->now >= lease->until)
-    end_lease (w, id);
+  if (sim->outage)
+    lease->until = sim->now + lease->ttl; /* every lease has its full time again */
+  if (sim->now >= lease->until)
+    end_lease (sim, id);
   else
-    world_at (w, w->outage ? w->now + 0.1 : lease->until + 0.05, lease_tick, data);
+    sim_at (sim, sim->outage ? sim->now + 0.1 : lease->until + 0.05, lease_tick, data);
 }
 
 static guint
-store_txn (World *w, const char *body, char **out)
+store_txn (Sim *sim, const char *body, char **out)
 {
   cJSON *txn = cJSON_Parse (body ? body : ""), *root = cJSON_CreateObject (), *failed = cJSON_CreateArray ();
   const cJSON *item;
   guint status = 200, changes = (guint) cJSON_GetArraySize (cJSON_GetObjectItem (txn, "then"));
   if (!txn)
-    broken (w, "malformed", "a transaction: %s", body ? body : "no body");
-  w->write_budget = MIN (w->write_budget + (w->now - w->write_filled) * w->write_rate, w->write_rate);
-  w->write_filled = w->now;
-  if (w->write_rate > 0 && changes > w->write_budget)
+    broken (sim, "malformed", "a transaction: %s", body ? body : "no body");
+  sim->write_budget = MIN (sim->write_budget + (sim->now - sim->write_filled) * sim->write_rate, sim->write_rate);
+  sim->write_filled = sim->now;
+  if (sim->write_rate > 0 && changes > sim->write_budget)
     {
       cJSON_Delete (txn);
       cJSON_Delete (root);
       cJSON_Delete (failed);
       return 429;
     }
-  if (w->most_changes && changes > w->most_changes)
+  if (sim->most_changes && changes > sim->most_changes)
     {
-      broken (w, "too_large", "%u changes in a transaction", changes);
+      broken (sim, "too_large", "%u changes in a transaction", changes);
       status = 400;
     }
   cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then"))
     {
       char *value = cJSON_PrintUnformatted (cJSON_GetObjectItem (item, "value"));
-      if (w->most_value && value && strlen (value) > w->most_value)
+      if (sim->most_value && value && strlen (value) > sim->most_value)
         {
-          broken (w, "too_large", "%s has %u bytes", hzb_json_text (item, "put"), (guint) strlen (value));
+          broken (sim, "too_large", "%s has %u bytes", hzb_json_text (item, "put"), (guint) strlen (value));
           status = 400;
         }
       cJSON_free (value);
     }
-  w->write_budget -= changes;
-  w->written += changes;
+  sim->write_budget -= changes;
+  sim->written += changes;
   cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "when"))
     {
-      const Value *value = g_hash_table_lookup (w->kv, hzb_json_text (item, "path"));
+      const Value *value = g_hash_table_lookup (sim->kv, hzb_json_text (item, "path"));
       if ((value ? value->version : 0) != hzb_json_u64 (item, "stamp"))
         cJSON_AddItemToArray (failed, cJSON_CreateString (hzb_json_text (item, "path")));
     }
   cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then"))
     {
       guint64 lease = hzb_json_u64 (item, "permit");
-      if (lease && !g_hash_table_contains (w->leases, GSIZE_TO_POINTER (lease)))
+      if (lease && !g_hash_table_contains (sim->leases, GSIZE_TO_POINTER (lease)))
         status = 400;
     }
   if (status == 200 && cJSON_GetArraySize (failed))
     status = 409;
   if (status == 200 && cJSON_GetArraySize (cJSON_GetObjectItem (txn, "then")))
     {
-      w->revision++;
+      sim->revision++;
       cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then"))
         if (hzb_json_text (item, "put"))
           {
             char *text = cJSON_PrintUnformatted (cJSON_GetObjectItem (item, "value"));
-            record (w, hzb_json_text (item, "put"), text, hzb_json_u64 (item, "permit"));
+            record (sim, hzb_json_text (item, "put"), text, hzb_json_u64 (item, "permit"));
             cJSON_free (text);
           }
-        else if (g_hash_table_contains (w->kv, hzb_json_text (item, "remove")))
-          record (w, hzb_json_text (item, "remove"), NULL, 0);
+        else if (g_hash_table_contains (sim->kv, hzb_json_text (item, "remove")))
+          record (sim, hzb_json_text (item, "remove"), NULL, 0);
     }
   cJSON_AddItemToObject (root, "failed", failed);
-  hzb_json_add_u64 (root, "epoch", w->revision);
+  hzb_json_add_u64 (root, "epoch", sim->revision);
   *out = cJSON_PrintUnformatted (root);
   cJSON_Delete (root);
   cJSON_Delete (txn);
-  wake_watchers (w);
+  wake_watchers (sim);
   return status;
 }
 
 void
-world_put_record (World *w, const char *key, const char *text)
+sim_put_record (Sim *sim, const char *key, const char *text)
 {
-  w->revision++;
-  record (w, key, text, 0);
+  sim->revision++;
+  record (sim, key, text, 0);
 }
 
 guint
-world_largest_record (World *w, const char *prefix)
+sim_largest_record (Sim *sim, const char *prefix)
 {
   GHashTableIter iter;
   gpointer key, value;
   gsize most = 0;
-  g_hash_table_iter_init (&iter, w->kv);
+  g_hash_table_iter_init (&iter, sim->kv);
   while (g_hash_table_iter_next (&iter, &key, &value))
     if (g_str_has_prefix (key, prefix))
       most = MAX (most, strlen (((Value *) value)->text));
@@ -391,7 +391,7 @@
 }
 
 static char *
-store_range (World *w, const char *path)
+store_range (Sim *sim, const char *path)
 {
   g_autofree char *prefix = query (path, "starts"), *after = query (path, "since");
   g_autoptr (GPtrArray) keys = g_ptr_array_new ();
@@ -400,21 +400,21 @@
   gpointer key;
   gboolean more = FALSE;
   char *text;
-  g_hash_table_iter_init (&iter, w->kv);
+  g_hash_table_iter_init (&iter, sim->kv);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     if (g_str_has_prefix (key, prefix) && (!after || strcmp (key, after) > 0))
       g_ptr_array_add (keys, key);
   g_ptr_array_sort (keys, compare_keys);
   for (guint i = 0; i < keys->len; i++)
     {
-      const Value *value = g_hash_table_lookup (w->kv, keys->pdata[i]);
+      const Value *value = g_hash_table_lookup (sim->kv, keys->pdata[i]);
       cJSON *row;
-      if (i == w->size.rows)
+      if (i == sim->size.rows)
         {
           more = TRUE;
           break;
         }
-      w->rows_read++;
+      sim->rows_read++;
       row = cJSON_CreateObject ();
       cJSON_AddStringToObject (row, "path", keys->pdata[i]);
       cJSON_AddRawToObject (row, "value", value->text);
@@ -422,16 +422,16 @@
       cJSON_AddItemToArray (rows, row);
     }
   cJSON_AddBoolToObject (root, "hasNext", more);
-  hzb_json_add_u64 (root, "epoch", w->revision);
+  hzb_json_add_u64 (root, "epoch", sim->revision);
   text = cJSON_PrintUnformatted (root);
   cJSON_Delete (root);
   return text;
 }
 
 static char *
-store_item (World *w, const char *key)
+store_item (Sim *sim, const char *key)
 {
-  const Value *value = g_hash_table_lookup (w->kv, key);
+  const Value *value = g_hash_table_lookup (sim->kv, key);
   cJSON *root;
   char *text;
   if (!value)
@@ -461,9 +461,9 @@
 }
 
 static void
-call_finish (World *w, Call *call, guint status, const char *body)
+call_finish (Sim *sim, Call *call, guint status, const char *body)
 {
-  Node *node = &w->nodes[call->node];
+  SimNode *node = &sim->nodes[call->node];
   if (call->over)
     return;
   call->over = TRUE;
@@ -471,20 +471,20 @@
     call->done (status, body ? body : "", body ? strlen (body) : 0, call->user);
 }
 
-static gboolean stands (Node *node, void (*run) (World *w, gpointer data), gpointer data);
+static gboolean stands (SimNode *node, void (*run) (Sim *sim, gpointer data), gpointer data);
 
 static void
-on_timeout (World *w, gpointer data)
+on_timeout (Sim *sim, gpointer data)
 {
-  if (stands (&w->nodes[((Call *) data)->node], on_timeout, data))
+  if (stands (&sim->nodes[((Call *) data)->node], on_timeout, data))
     return;
-  call_finish (w, data, 0, NULL);
+  call_finish (sim, data, 0, NULL);
   call_unref (data);
 }
 
 /* Kept until the node wakes; TRUE: it stands. */
 static gboolean
-stands (Node *node, void (*run) (World *w, gpointer data), gpointer data)
+stands (SimNode *node, void (*run) (Sim *sim, gpointer data), gpointer data)
 {
   Event *late;
   if (!node->c || !node->stands)
@@ -497,57 +497,57 @@
 }
 
 void
-world_wake (World *w, guint at)
+sim_wake (Sim *sim, guint at)
 {
-  Node *node = &w->nodes[at];
+  SimNode *node = &sim->nodes[at];
   g_autoptr (GPtrArray) late = node->late;
   node->late = g_ptr_array_new_with_free_func (g_free);
   node->stands = FALSE;
   for (guint i = 0; i < late->len; i++)
-    ((Event *) late->pdata[i])->run (w, ((Event *) late->pdata[i])->data);
+    ((Event *) late->pdata[i])->run (sim, ((Event *) late->pdata[i])->data);
 }
 
 static void
-on_answer (World *w, gpointer data)
+on_answer (Sim *sim, gpointer data)
 {
   Call *call = data;
-  if (stands (&w->nodes[call->node], on_answer, call))
+  if (stands (&sim->nodes[call->node], on_answer, call))
     return;
-  call_finish (w, call, call->status, call->reply);
+  call_finish (sim, call, call->status, call->reply);
   call_unref (call);
 }
 
 static double
-delay (World *w)
+delay (Sim *sim)
 {
-  return g_rand_double_range (w->rand, 0.001, 0.01);
+  return g_rand_double_range (sim->rand, 0.001, 0.01);
 }
 
 static gboolean
-is_cut (World *w, const Call *call)
+is_cut (Sim *sim, const Call *call)
 {
-  const Node *node = &w->nodes[call->node];
+  const SimNode *node = &sim->nodes[call->node];
   gboolean store = g_str_equal (call->addr, "10.9.0.1:1"), cloud = g_str_equal (call->addr, "10.9.0.2:1");
   if (store)
     return node->cut_store;
   if (cloud)
     return FALSE;
-  return node->cut_peers || w->nodes[call->addr[7] - '1'].cut_peers;
+  return node->cut_peers || sim->nodes[call->addr[7] - '1'].cut_peers;
 }
 
 /* Takes body and the call's part of the way back. */
 static void
-answer (World *w, Call *call, guint status, char *body)
+answer (Sim *sim, Call *call, guint status, char *body)
 {
   call->status = status;
   call->reply = body;
-  if (chance (w, w->lose) || is_cut (w, call))
+  if (chance (sim, sim->lose) || is_cut (sim, call))
     call_unref (call);
   else
-    world_at (w, w->now + delay (w), on_answer, call);
+    sim_at (sim, sim->now + delay (sim), on_answer, call);
 }
 
-static void cloud_request (World *w, Call *call);
+static void cloud_request (Sim *sim, Call *call);
 
 /* What a process of version 1 never said. */
 static char *
@@ -568,36 +568,36 @@
 {
   gpointer *pair = exchange->impl;
   {
-    World *w = pair[0];
+    Sim *sim = pair[0];
     Call *call = pair[1];
-    gboolean old = w->nodes[call->addr[7] - '1'].old;
-    answer (w, call, status, old ? as_version_1 (body) : g_strdup (body));
+    gboolean old = sim->nodes[call->addr[7] - '1'].old;
+    answer (sim, call, status, old ? as_version_1 (body) : g_strdup (body));
   }
   g_free (pair);
 }
 
 static void
-on_arrival (World *w, gpointer data)
+on_arrival (Sim *sim, gpointer data)
 {
   Call *call = data;
   char *body = NULL;
   if (g_str_equal (call->addr, "10.9.0.1:1"))
     {
-      w->requests++;
-      if (w->outage || w->nodes[call->node].refused)
-        answer (w, call, 503, NULL);
+      sim->requests++;
+      if (sim->outage || sim->nodes[call->node].refused)
+        answer (sim, call, 503, NULL);
       else if (g_str_equal (call->path, "/multi"))
         {
-          guint status = store_txn (w, call->body, &body);
-          answer (w, call, status, body);
+          guint status = store_txn (sim, call->body, &body);
+          answer (sim, call, status, body);
         }
       else if (g_str_has_prefix (call->path, "/kv/"))
         {
-          body = store_item (w, call->path + 4);
-          answer (w, call, body ? 200 : 404, body);
+          body = store_item (sim, call->path + 4);
+          answer (sim, call, body ? 200 : 404, body);
         }
       else if (g_str_has_prefix (call->path, "/kv?"))
-        answer (w, call, 200, store_range (w, call->path));
+        answer (sim, call, 200, store_range (sim, call->path));
       else if (g_str_has_prefix (call->path, "/follow"))
         {
           Watcher *watcher = g_new0 (Watcher, 1);
@@ -605,52 +605,52 @@
           watcher->call = call;
           watcher->prefix = query (call->path, "starts");
           watcher->after = g_ascii_strtoull (after, NULL, 10);
-          watcher->until = w->now + g_ascii_strtod (wait, NULL) / 1000;
-          g_ptr_array_add (w->watchers, watcher);
-          world_at (w, watcher->until, watch_over, NULL);
-          wake_watchers (w);
+          watcher->until = sim->now + g_ascii_strtod (wait, NULL) / 1000;
+          g_ptr_array_add (sim->watchers, watcher);
+          sim_at (sim, watcher->until, watch_over, NULL);
+          wake_watchers (sim);
         }
       else if (g_str_equal (call->path, "/leases"))
         {
           Lease *lease = g_new0 (Lease, 1);
           cJSON *root = cJSON_Parse (call->body);
           lease->ttl = hzb_json_number (root, "ttlMs", 0) / 1000;
-          lease->until = w->now + lease->ttl;
+          lease->until = sim->now + lease->ttl;
           cJSON_Delete (root);
-          w->lease_number++;
-          g_hash_table_insert (w->leases, GSIZE_TO_POINTER (w->lease_number), lease);
-          world_at (w, lease->until, lease_tick, GSIZE_TO_POINTER (w->lease_number));
-          answer (w, call, 200, g_strdup_printf ("{\"permit\":%" G_GUINT64_FORMAT "}", w->lease_number));
+          sim->lease_number++;
+          g_hash_table_insert (sim->leases, GSIZE_TO_POINTER (sim->lease_number), lease);
+          sim_at (sim, lease->until, lease_tick, GSIZE_TO_POINTER (sim->lease_number));
+          answer (sim, call, 200, g_strdup_printf ("{\"permit\":%" G_GUINT64_FORMAT "}", sim->lease_number));
         }
       else
         {
           guint64 id = g_ascii_strtoull (call->path + strlen ("/leases/"), NULL, 10);
-          Lease *lease = g_hash_table_lookup (w->leases, GSIZE_TO_POINTER (id));
+          Lease *lease = g_hash_table_lookup (sim->leases, GSIZE_TO_POINTER (id));
           guint status = lease ? 200 : 404;
           if (lease && g_str_equal (call->method, "DELETE"))
-            end_lease (w, id);
+            end_lease (sim, id);
           else if (lease)
-            lease->until = w->now + lease->ttl;
-          answer (w, call, status, NULL);
+            lease->until = sim->now + lease->ttl;
+          answer (sim, call, status, NULL);
         }
     }
   else if (g_str_equal (call->addr, "10.9.0.2:1"))
-    cloud_request (w, call);
+    cloud_request (sim, call);
   else
     {
-      Node *target = &w->nodes[call->addr[7] - '1'];
+      SimNode *target = &sim->nodes[call->addr[7] - '1'];
       HzbExchange *exchange;
       gpointer *pair;
       if (!target->c)
         {
-          answer (w, call, 0, NULL);
+          answer (sim, call, 0, NULL);
           return;
         }
       if (stands (target, on_arrival, call))
         return;
       exchange = g_new0 (HzbExchange, 1);
       pair = g_new0 (gpointer, 2);
-      pair[0] = w;
+      pair[0] = sim;
       pair[1] = call;
       exchange->method = g_strdup (call->method);
       exchange->path = g_strdup (call->path);
@@ -681,8 +681,8 @@
 node_send (HzbTransport *transport, const char *method, const char *addr, const char *path, char *body,
            guint timeout_ms, HzbReplyFunc done, gpointer user)
 {
-  NodeTransport *from = (NodeTransport *) transport;
-  World *w = from->world;
+  SimTransport *from = (SimTransport *) transport;
+  Sim *sim = from->world;
   Call *call = g_new0 (Call, 1);
   call->node = from->at;
   call->life = from->life;
@@ -690,7 +690,7 @@
   call->addr = g_strdup (addr);
   call->path = g_strdup (path);
   call->body = body;
-  if (w->nodes[from->at].old && !g_str_has_prefix (addr, "10.9."))
+  if (sim->nodes[from->at].old && !g_str_has_prefix (addr, "10.9."))
     {
       call->body = as_version_1 (body);
       g_free (body);
@@ -698,52 +698,52 @@
   call->done = done;
   call->user = user;
   call->refs = 1;
-  world_at (w, w->now + timeout_ms / 1000.0, on_timeout, call);
-  if (chance (w, w->lose) || is_cut (w, call))
+  sim_at (sim, sim->now + timeout_ms / 1000.0, on_timeout, call);
+  if (chance (sim, sim->lose) || is_cut (sim, call))
     return;
-  if (!g_str_has_prefix (addr, "10.9.") && chance (w, w->peer_copies))
-    world_at (w, w->now + g_rand_double_range (w->rand, 0.2, 30), on_arrival, unheard_copy (call));
-  if (g_str_equal (path, "/multi") && chance (w, w->late_writes))
+  if (!g_str_has_prefix (addr, "10.9.") && chance (sim, sim->peer_copies))
+    sim_at (sim, sim->now + g_rand_double_range (sim->rand, 0.2, 30), on_arrival, unheard_copy (call));
+  if (g_str_equal (path, "/multi") && chance (sim, sim->late_writes))
     {
-      world_at (w, w->now + g_rand_double_range (w->rand, 2, 12), on_arrival, unheard_copy (call));
+      sim_at (sim, sim->now + g_rand_double_range (sim->rand, 2, 12), on_arrival, unheard_copy (call));
       return;
     }
   call->refs++;
   /* Held back: it is carried out long after its sender has given up. */
-  world_at (w, w->now + (chance (w, w->late) ? g_rand_double_range (w->rand, 1, 9) : delay (w)), on_arrival, call);
+  sim_at (sim, sim->now + (chance (sim, sim->late) ? g_rand_double_range (sim->rand, 1, 9) : delay (sim)), on_arrival, call);
 }
 
 /* ---- cloud ---- */
 
-static void machine_tick (World *w, gpointer data);
+static void machine_tick (Sim *sim, gpointer data);
 
-WorldMachine *
-world_add_machine (World *w, const char *type, const char *zone, gboolean spot, double up_after)
+SimMachine *
+sim_add_machine (Sim *sim, const char *type, const char *zone, gboolean spot, double up_after)
 {
-  WorldMachine *m = g_new0 (WorldMachine, 1);
-  m->name = g_strdup_printf ("i-%06u", ++w->machine_number);
+  SimMachine *m = g_new0 (SimMachine, 1);
+  m->name = g_strdup_printf ("i-%06u", ++sim->machine_number);
   m->type = g_strdup (type);
   m->zone = g_strdup (zone);
   m->spot = spot;
   m->cpus = *type == 'b' ? 8 : 4;
-  m->rented = w->now;
-  m->up_at = w->now + up_after;
-  m->listed_at = w->now + g_rand_double_range (w->rand, 1, 4);
+  m->rented = sim->now;
+  m->up_at = sim->now + up_after;
+  m->listed_at = sim->now + g_rand_double_range (sim->rand, 1, 4);
   m->gone_at = INFINITY;
   m->session = 1;
   m->tasks = g_ptr_array_new ();
-  m->node = (guint) g_rand_int_range (w->rand, 0, WORLD_NODES);
-  g_ptr_array_add (w->machines, m);
-  if (!w->boot_never || !chance (w, 0.2))
-    world_at (w, m->up_at, machine_tick, m);
+  m->node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
+  g_ptr_array_add (sim->machines, m);
+  if (!sim->boot_never || !chance (sim, 0.2))
+    sim_at (sim, m->up_at, machine_tick, m);
   return m;
 }
 
 static void
-cloud_request (World *w, Call *call)
+cloud_request (Sim *sim, Call *call)
 {
   if (g_str_equal (call->path, "/machine_types"))
-    answer (w, call, 200,
+    answer (sim, call, 200,
             g_strdup ("{\"flavors\":[{\"sku\":\"big\",\"cpus\":8,\"gpus\":0,\"ramGb\":32,\"localGb\":50,\"pullGbPerS\":1,"
                       "\"price\":1.0,\"lowPrice\":0.4,\"readyS\":4,\"yards\":[\"za\",\"zb\"]},"
                       "{\"sku\":\"small\",\"cpus\":4,\"gpus\":0,\"ramGb\":16,\"localGb\":50,\"pullGbPerS\":1,"
@@ -752,55 +752,55 @@
     {
       cJSON *root = cJSON_Parse (call->body), *out, *list;
       const char *request = hzb_json_text (root, "hire");
-      const char *known = g_hash_table_lookup (w->requested, request);
+      const char *known = g_hash_table_lookup (sim->requested, request);
       if (!known)
         {
           guint alive = 0, count = (guint) hzb_json_number (root, "count", 1);
           char *text;
-          for (guint i = 0; i < w->machines->len; i++)
-            alive += !((WorldMachine *) w->machines->pdata[i])->gone;
+          for (guint i = 0; i < sim->machines->len; i++)
+            alive += !((SimMachine *) sim->machines->pdata[i])->gone;
           out = cJSON_CreateObject ();
           list = cJSON_AddArrayToObject (out, "hosts");
-          w->rentals++;
-          if (g_strcmp0 (w->closed_zone, hzb_json_text (root, "yard")) == 0)
+          sim->rentals++;
+          if (g_strcmp0 (sim->closed_zone, hzb_json_text (root, "yard")) == 0)
             count = 0;
-          for (; count && alive < w->size.machines; count--, alive++)
-            cJSON_AddItemToArray (list, cJSON_CreateString (world_add_machine (w, hzb_json_text (root, "flavor"), hzb_json_text (root, "yard"),
+          for (; count && alive < sim->size.machines; count--, alive++)
+            cJSON_AddItemToArray (list, cJSON_CreateString (sim_add_machine (sim, hzb_json_text (root, "flavor"), hzb_json_text (root, "yard"),
                                                              cJSON_IsTrue (cJSON_GetObjectItem (root, "loaners")),
-                                                             g_rand_double_range (w->rand, 1, 6))->name));
+                                                             g_rand_double_range (sim->rand, 1, 6))->name));
           if (cJSON_GetArraySize (list))
             {
               text = cJSON_PrintUnformatted (out);
               known = g_strdup (text);
               cJSON_free (text);
-              g_hash_table_insert (w->requested, g_strdup (request), (gpointer) known);
+              g_hash_table_insert (sim->requested, g_strdup (request), (gpointer) known);
             }
           cJSON_Delete (out);
         }
       cJSON_Delete (root);
       if (known)
-        answer (w, call, 200, g_strdup (known));
+        answer (sim, call, 200, g_strdup (known));
       else
-        answer (w, call, 503, g_strdup ("{\"error\":\"no capacity\"}"));
+        answer (sim, call, 503, g_strdup ("{\"error\":\"no capacity\"}"));
     }
   else if (g_str_equal (call->path, "/hosts/return"))
     {
       cJSON *root = cJSON_Parse (call->body);
       const cJSON *item;
-      w->most_returned = MAX (w->most_returned, (guint) cJSON_GetArraySize (cJSON_GetObjectItem (root, "hosts")));
+      sim->most_returned = MAX (sim->most_returned, (guint) cJSON_GetArraySize (cJSON_GetObjectItem (root, "hosts")));
       cJSON_ArrayForEach (item, cJSON_GetObjectItem (root, "hosts"))
-        for (guint i = 0; i < w->machines->len; i++)
+        for (guint i = 0; i < sim->machines->len; i++)
           {
-            WorldMachine *m = w->machines->pdata[i];
+            SimMachine *m = sim->machines->pdata[i];
             if (g_str_equal (m->name, item->valuestring) && !m->gone)
               {
                 m->gone = TRUE;
-                m->gone_at = w->now;
+                m->gone_at = sim->now;
                 g_ptr_array_set_size (m->tasks, 0);
               }
           }
       cJSON_Delete (root);
-      answer (w, call, 200, g_strdup ("{}"));
+      answer (sim, call, 200, g_strdup ("{}"));
     }
   else
     {
@@ -809,11 +809,11 @@
       gboolean more = FALSE;
       guint n = 0;
       char *text;
-      for (guint i = 0; i < w->machines->len; i++)
+      for (guint i = 0; i < sim->machines->len; i++)
         {
-          const WorldMachine *m = w->machines->pdata[i];
+          const SimMachine *m = sim->machines->pdata[i];
           cJSON *item;
-          if (w->now < m->listed_at || w->now > m->gone_at + 3 || (since && strcmp (m->name, since) <= 0))
+          if (sim->now < m->listed_at || sim->now > m->gone_at + 3 || (since && strcmp (m->name, since) <= 0))
             continue;
           if (n++ == 500)
             {
@@ -827,13 +827,13 @@
           cJSON_AddStringToObject (item, "yard", m->zone);
           cJSON_AddBoolToObject (item, "loaners", m->spot);
           cJSON_AddStringToObject (item, "status", m->failed ? "failed" : m->up ? "running" : "starting");
-          cJSON_AddNumberToObject (item, "ageS", w->now - m->rented);
+          cJSON_AddNumberToObject (item, "ageS", sim->now - m->rented);
           cJSON_AddItemToArray (list, item);
         }
       cJSON_AddBoolToObject (root, "hasNext", more);
       text = cJSON_PrintUnformatted (root);
       cJSON_Delete (root);
-      answer (w, call, 200, text);
+      answer (sim, call, 200, text);
     }
 }
 
@@ -842,50 +842,50 @@
 static const char *const state_names[] = { "fetching", "gathering", "running", "saving", "ended" };
 
 static void
-forget_tasks (WorldMachine *m)
+forget_tasks (SimMachine *m)
 {
   for (guint i = 0; i < m->tasks->len; i++)
     {
-      g_free (((WorldTask *) m->tasks->pdata[i])->uid);
+      g_free (((SimTask *) m->tasks->pdata[i])->uid);
       g_free (m->tasks->pdata[i]);
     }
   g_ptr_array_set_size (m->tasks, 0);
 }
 
 static void
-end_task (WorldTask *task, const char *why)
+end_task (SimTask *task, const char *why)
 {
   task->state = 4;
   g_strlcpy (task->why, why, sizeof task->why);
 }
 
-WorldTask *
-world_put_task (World *w, WorldMachine *m, WorldJob *job, guint number, guint64 attempt)
+SimTask *
+sim_put_task (Sim *sim, SimMachine *m, SimJob *job, guint number, guint64 attempt)
 {
-  WorldTask *task = g_new0 (WorldTask, 1);
+  SimTask *task = g_new0 (SimTask, 1);
   task->uid = g_strdup (job->uid);
   task->task = number;
   task->attempt = attempt;
-  task->ready_at = w->now + 0.5;
-  task->end_at = task->ready_at + job->run_s * g_rand_double_range (w->rand, 0.6, 1.5);
+  task->ready_at = sim->now + 0.5;
+  task->end_at = task->ready_at + job->run_s * g_rand_double_range (sim->rand, 0.6, 1.5);
   g_ptr_array_add (m->tasks, task);
-  w->started++;
+  sim->started++;
   if (job->began_at <= 0)
-    job->began_at = w->now;
+    job->began_at = sim->now;
   return task;
 }
 
 /* spread: at most half of the tasks, rounded up, in one zone; the one just put there is counted. */
 static gboolean
-zone_has_place (World *w, const WorldJob *job, const WorldMachine *m)
+zone_has_place (Sim *sim, const SimJob *job, const SimMachine *m)
 {
   guint here = 0;
-  for (guint i = 0; i < w->machines->len; i++)
+  for (guint i = 0; i < sim->machines->len; i++)
     {
-      const WorldMachine *other = w->machines->pdata[i];
+      const SimMachine *other = sim->machines->pdata[i];
       for (guint k = 0; k < other->tasks->len && !other->gone; k++)
         {
-          const WorldTask *task = other->tasks->pdata[k];
+          const SimTask *task = other->tasks->pdata[k];
           here += task->state < 4 && g_str_equal (task->uid, job->uid) && g_str_equal (other->zone, m->zone);
         }
     }
@@ -894,14 +894,14 @@
 
 /* samePlace: all tasks that are on a machine, or may be, are in one zone. */
 static gboolean
-in_one_zone (World *w, const WorldJob *job, const WorldMachine *m)
+in_one_zone (Sim *sim, const SimJob *job, const SimMachine *m)
 {
-  for (guint i = 0; i < w->machines->len; i++)
+  for (guint i = 0; i < sim->machines->len; i++)
     {
-      const WorldMachine *other = w->machines->pdata[i];
+      const SimMachine *other = sim->machines->pdata[i];
       for (guint k = 0; k < other->tasks->len && !other->gone && !g_str_equal (other->zone, m->zone); k++)
         {
-          const WorldTask *task = other->tasks->pdata[k];
+          const SimTask *task = other->tasks->pdata[k];
           if (task->state < 4 && g_str_equal (task->uid, job->uid))
             return FALSE;
         }
@@ -910,64 +910,64 @@
 }
 
 void
-world_start_task (World *w, WorldMachine *m, const char *piece, guint64 attempt)
+sim_start_task (Sim *sim, SimMachine *m, const char *task_report, guint64 attempt)
 {
-  const char *slash = strrchr (piece, '/');
-  g_autofree char *uid = g_strndup (piece, (gsize) (slash - piece));
+  const char *slash = strrchr (task_report, '/');
+  g_autofree char *uid = g_strndup (task_report, (gsize) (slash - task_report));
   guint number = (guint) g_ascii_strtoull (slash + 1, NULL, 10);
-  WorldJob *job = find_job (w, uid);
+  SimJob *job = find_job (sim, uid);
   double used = 0;
   gboolean same = FALSE;
-  WorldTask *task;
+  SimTask *task;
   for (guint i = 0; i < m->tasks->len; i++)
     {
-      const WorldTask *other = m->tasks->pdata[i];
+      const SimTask *other = m->tasks->pdata[i];
       gboolean this_one = g_str_equal (other->uid, uid) && other->task == number;
       if (this_one && other->attempt == attempt)
         return;
       if (other->state < 4)
         {
-          used += find_job (w, other->uid)->cpus;
+          used += find_job (sim, other->uid)->cpus;
           same = same || this_one;
         }
     }
   if (!job)
     return;
-  if (job->told_cancelled && w->now > job->cancelled_at + IN_FLIGHT_S)
-    broken (w, "started_cancelled", "%s on %s", piece, m->name);
-  task = world_put_task (w, m, job, number, attempt);
+  if (job->told_cancelled && sim->now > job->cancelled_at + IN_FLIGHT_S)
+    broken (sim, "started_cancelled", "%s on %s", task_report, m->name);
+  task = sim_put_task (sim, m, job, number, attempt);
   if (same)
     end_task (task, "in_use");
   else if (used + job->cpus > m->cpus)
     end_task (task, "full");
   else if (job->spot == FALSE && m->spot)
-    broken (w, "wrong_place", "%s on a spot machine", piece);
-  else if (job->spread && !zone_has_place (w, job, m))
-    broken (w, "wrong_place", "%s: too many in %s", piece, m->zone);
-  else if (job->same_zone && !in_one_zone (w, job, m))
-    broken (w, "wrong_place", "%s in %s, others are in another zone", piece, m->zone);
+    broken (sim, "wrong_place", "%s on a spot machine", task_report);
+  else if (job->spread && !zone_has_place (sim, job, m))
+    broken (sim, "wrong_place", "%s: too many in %s", task_report, m->zone);
+  else if (job->same_zone && !in_one_zone (sim, job, m))
+    broken (sim, "wrong_place", "%s in %s, others are in another zone", task_report, m->zone);
   else if ((job->zone && !g_str_equal (job->zone, m->zone)) || (job->type && !g_str_equal (job->type, m->type)))
-    broken (w, "wrong_place", "%s on %s in %s", piece, m->type, m->zone);
+    broken (sim, "wrong_place", "%s on %s in %s", task_report, m->type, m->zone);
 }
 
 static void
-carry_out (World *w, WorldMachine *m, const cJSON *orders)
+carry_out (Sim *sim, SimMachine *m, const cJSON *commands)
 {
   const cJSON *order;
-  cJSON_ArrayForEach (order, orders)
+  cJSON_ArrayForEach (order, commands)
     {
-      const char *verb = hzb_json_text (order, "verb"), *piece = hzb_json_text (order, "piece");
+      const char *verb = hzb_json_text (order, "verb"), *task_report = hzb_json_text (order, "piece");
       guint64 attempt = hzb_json_u64 (order, "try");
       if (g_str_equal (verb, "run"))
         {
-          world_start_task (w, m, piece, attempt);
+          sim_start_task (sim, m, task_report, attempt);
           continue;
         }
       for (guint i = 0; i < m->tasks->len; i++)
         {
-          WorldTask *task = m->tasks->pdata[i];
+          SimTask *task = m->tasks->pdata[i];
           g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
-          if (!g_str_equal (name, piece) || task->attempt != attempt)
+          if (!g_str_equal (name, task_report) || task->attempt != attempt)
             continue;
           if (g_str_equal (verb, "kill") && task->state < 4)
             end_task (task, "stopped");
@@ -983,7 +983,7 @@
 }
 
 static char *
-report_of (World *w, WorldMachine *m)
+report_of (Sim *sim, SimMachine *m)
 {
   cJSON *root = cJSON_CreateObject (), *list;
   char *text;
@@ -996,11 +996,11 @@
   hzb_json_add_u64 (root, "tick", ++m->seq);
   hzb_json_add_u64 (root, "baton", m->token);
   if (m->taken_at > 0)
-    cJSON_AddNumberToObject (root, "reclaimInS", m->taken_at - w->now);
+    cJSON_AddNumberToObject (root, "reclaimInS", m->taken_at - sim->now);
   list = cJSON_AddArrayToObject (root, "pieces");
   for (guint i = 0; i < m->tasks->len; i++)
     {
-      const WorldTask *task = m->tasks->pdata[i];
+      const SimTask *task = m->tasks->pdata[i];
       cJSON *item = cJSON_CreateObject ();
       g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
       cJSON_AddStringToObject (item, "piece", name);
@@ -1017,7 +1017,7 @@
 
 typedef struct
 {
-  WorldMachine *m;
+  SimMachine *m;
   char *body;
   guint number, node;
   guint64 session;
@@ -1028,10 +1028,10 @@
 
 /* The answer, or that none came within 4 s. */
 static void
-report_over (World *w, gpointer data)
+report_over (Sim *sim, gpointer data)
 {
   Report *r = data;
-  WorldMachine *m = r->m;
+  SimMachine *m = r->m;
   cJSON *root;
   if (m->gone || m->hung || !m->asking || m->report_number != r->number)
     return; /* given up already: the late answer is dropped */
@@ -1045,18 +1045,18 @@
       if (token >= m->token && token > 0 && r->session == m->session)
         {
           if (token > m->token)
-            m->next_report = MIN (m->next_report, w->now + 0.5);
+            m->next_report = MIN (m->next_report, sim->now + 0.5);
           m->token = token;
           m->lease_from = r->sent;
-          carry_out (w, m, cJSON_GetObjectItem (root, "orders"));
+          carry_out (sim, m, cJSON_GetObjectItem (root, "orders"));
         }
     }
   else
     {
       const char *steward = r->status == 421 ? hzb_json_text (root, "steward") : NULL;
       guint to = steward ? (guint) (steward[strlen (steward) - 1] - '0') : r->node;
-      m->node = to != r->node ? to : (r->node + 1) % WORLD_NODES;
-      m->next_report = w->now + (to != r->node ? 0.2 : 1);
+      m->node = to != r->node ? to : (r->node + 1) % SIM_NODES;
+      m->next_report = sim->now + (to != r->node ? 0.2 : 1);
     }
   cJSON_Delete (root);
 }
@@ -1065,27 +1065,27 @@
 worker_reply (HzbExchange *exchange, guint status, const char *body, guint retry)
 {
   gpointer *pair = exchange->impl;
-  World *w = pair[0];
+  Sim *sim = pair[0];
   Report *r = pair[1];
   g_free (pair);
   r->status = status;
   r->body = g_strdup (body);
-  if (!r->copy && !r->m->deaf && !chance (w, w->lose) && !w->nodes[r->node].cut_workers)
-    world_at (w, w->now + delay (w), report_over, r);
+  if (!r->copy && !r->m->deaf && !chance (sim, sim->lose) && !sim->nodes[r->node].cut_workers)
+    sim_at (sim, sim->now + delay (sim), report_over, r);
 }
 
 static void
-report_arrives (World *w, gpointer data)
+report_arrives (Sim *sim, gpointer data)
 {
   Report *r = data;
-  Node *node = &w->nodes[r->node];
+  SimNode *node = &sim->nodes[r->node];
   HzbExchange *exchange;
   gpointer *pair;
   if (!node->c || node->cut_workers || stands (node, report_arrives, r))
     return;
   exchange = g_new0 (HzbExchange, 1);
   pair = g_new0 (gpointer, 2);
-  pair[0] = w;
+  pair[0] = sim;
   pair[1] = r;
   exchange->method = g_strdup ("POST");
   exchange->path = g_strdup ("/hello");
@@ -1097,76 +1097,76 @@
 }
 
 static void
-report_gives_up (World *w, gpointer data)
+report_gives_up (Sim *sim, gpointer data)
 {
   Report *r = data;
   r->status = 0;
-  report_over (w, r);
+  report_over (sim, r);
 }
 
 static void
-send_report (World *w, WorldMachine *m)
+send_report (Sim *sim, SimMachine *m)
 {
   Report *r = g_new0 (Report, 1);
   r->m = m;
-  r->body = report_of (w, m);
+  r->body = report_of (sim, m);
   r->number = ++m->report_number;
   r->node = m->node;
   r->session = m->session;
-  r->sent = w->now;
+  r->sent = sim->now;
   m->asking = TRUE;
-  m->next_report = w->now + w->size.report_s * g_rand_double_range (w->rand, 0.75, 1.25);
-  world_at (w, w->now + 4, report_gives_up, r);
-  if (chance (w, w->copies))
+  m->next_report = sim->now + sim->size.report_s * g_rand_double_range (sim->rand, 0.75, 1.25);
+  sim_at (sim, sim->now + 4, report_gives_up, r);
+  if (chance (sim, sim->copies))
     {
       /* From seconds to well over a lease. */
       Report *copy = g_new0 (Report, 1);
       *copy = *r;
       copy->body = g_strdup (r->body);
       copy->copy = TRUE;
-      copy->node = (guint) g_rand_int_range (w->rand, 0, WORLD_NODES);
-      world_at (w, w->now + g_rand_double_range (w->rand, 1, 4 * w->size.lease_s), report_arrives, copy);
+      copy->node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
+      sim_at (sim, sim->now + g_rand_double_range (sim->rand, 1, 4 * sim->size.lease_s), report_arrives, copy);
     }
-  if (!m->cut && !chance (w, w->lose))
-    world_at (w, w->now + (chance (w, w->late) ? g_rand_double_range (w->rand, 1, 9) : delay (w)), report_arrives, r);
+  if (!m->cut && !chance (sim, sim->lose))
+    sim_at (sim, sim->now + (chance (sim, sim->late) ? g_rand_double_range (sim->rand, 1, 9) : delay (sim)), report_arrives, r);
 }
 
 static void
-machine_tick (World *w, gpointer data)
+machine_tick (Sim *sim, gpointer data)
 {
-  WorldMachine *m = data;
+  SimMachine *m = data;
   gboolean changed = FALSE;
   if (m->gone || m->failed)
     return;
-  world_at (w, w->now + 0.25, machine_tick, m);
+  sim_at (sim, sim->now + 0.25, machine_tick, m);
   if (!m->up)
     {
       m->up = TRUE;
-      m->lease_from = m->next_report = w->now;
+      m->lease_from = m->next_report = sim->now;
     }
-  if (w->now - m->lease_from > w->size.lease_s)
+  if (sim->now - m->lease_from > sim->size.lease_s)
     {
       forget_tasks (m); /* a hung machine's lease ends as well */
       m->session++;
       m->seq = 0;
       m->asking = FALSE;
-      m->lease_from = w->now;
+      m->lease_from = sim->now;
     }
   if (m->hung)
     return;
   for (guint i = 0; i < m->tasks->len; i++)
     {
-      WorldTask *task = m->tasks->pdata[i];
-      WorldJob *job = find_job (w, task->uid);
+      SimTask *task = m->tasks->pdata[i];
+      SimJob *job = find_job (sim, task->uid);
       if (job->gang && task->state >= 1 && task->state <= 2)
         {
           guint here = 0;
-          for (guint a = 0; a < w->machines->len; a++)
+          for (guint a = 0; a < sim->machines->len; a++)
             {
-              const WorldMachine *other = w->machines->pdata[a];
+              const SimMachine *other = sim->machines->pdata[a];
               for (guint k = 0; k < other->tasks->len && !other->gone; k++)
                 {
-                  const WorldTask *mate = other->tasks->pdata[k];
+                  const SimTask *mate = other->tasks->pdata[k];
                   here += g_str_equal (mate->uid, task->uid) && mate->attempt == task->attempt
                           && ((mate->state >= 1 && mate->state <= 2) || (mate->state == 4 && g_str_equal (mate->why, "done")));
                 }
@@ -1174,38 +1174,38 @@
           if (task->state == 1 && here == job->n)
             {
               task->state = 2;
-              task->end_at = w->now + job->run_s;
+              task->end_at = sim->now + job->run_s;
             }
           else if (task->state == 2 && here < job->n)
             end_task (task, "mates_gone");
         }
-      if (task->state == 0 && w->now >= task->ready_at)
+      if (task->state == 0 && sim->now >= task->ready_at)
         {
           task->state = job->gang ? 1 : 2;
           if (m->sick || job->bad)
             end_task (task, "error");
         }
-      else if (task->state == 2 && w->now >= task->end_at)
+      else if (task->state == 2 && sim->now >= task->end_at)
         {
           end_task (task, "done");
           job->finished[task->task] = !job->service;
-          w->ran++;
+          sim->ran++;
         }
       else
         continue;
       changed = TRUE;
     }
   if (changed)
-    m->next_report = MIN (m->next_report, w->now + 0.3);
-  if (!m->asking && w->now >= m->next_report)
-    send_report (w, m);
+    m->next_report = MIN (m->next_report, sim->now + 0.3);
+  if (!m->asking && sim->now >= m->next_report)
+    send_report (sim, m);
 }
 
 /* ---- users ---- */
 
 typedef struct
 {
-  WorldJob *job;
+  SimJob *job;
   enum
   {
     USER_SUBMITS,
@@ -1214,40 +1214,40 @@
   } what;
 } UserCall;
 
-static void user_step (World *w, gpointer data);
+static void user_step (Sim *sim, gpointer data);
 
 void
-world_told (World *w, WorldJob *job, guint status, const char *state)
+sim_told (Sim *sim, SimJob *job, guint status, const char *state)
 {
   gboolean all = TRUE;
   for (guint i = 0; i < job->n; i++)
     all = all && job->finished[i];
   if (status == 200 || status == 201 || status == 400 || status == 404 || status == 422)
-    job->answered_at = w->now;
+    job->answered_at = sim->now;
   if (status == 200 || status == 201)
     {
       gboolean done = g_strcmp0 (state, "done") == 0, cancelled = g_strcmp0 (state, "cancelled") == 0;
       if (!job->accepted)
-        job->accepted_at = w->now;
+        job->accepted_at = sim->now;
       job->accepted = TRUE;
       if (!job->submitted)
-        broken (w, "invented", "%s", job->uid);
+        broken (sim, "invented", "%s", job->uid);
       if (done && !all)
-        broken (w, "not_done", "%s is called done", job->uid);
+        broken (sim, "not_done", "%s is called done", job->uid);
       if ((job->told_done && !done) || (job->told_cancelled && !cancelled) || (cancelled && !job->asked_cancel))
-        broken (w, "went_back", "%s is called %s", job->uid, state);
+        broken (sim, "went_back", "%s is called %s", job->uid, state);
       if (cancelled && !job->told_cancelled)
-        job->cancelled_at = w->now;
+        job->cancelled_at = sim->now;
       job->told_done = job->told_done || done;
       job->told_cancelled = job->told_cancelled || cancelled;
     }
   else if (status == 503 || status == 429)
     {
-      w->refused_services += job->service && !job->accepted;
+      sim->refused_services += job->service && !job->accepted;
       return;
     }
   else if (job->accepted && (status == 404 || status == 400 || status == 422))
-    broken (w, "forgotten", "%s got %u", job->uid, status);
+    broken (sim, "forgotten", "%s got %u", job->uid, status);
 }
 
 static void
@@ -1256,33 +1256,33 @@
   gpointer *pair = exchange->impl;
   UserCall *call = pair[1];
   cJSON *root = cJSON_Parse (body ? body : "");
-  world_told (pair[0], call->job, status, hzb_json_text (root, "status"));
+  sim_told (pair[0], call->job, status, hzb_json_text (root, "status"));
   cJSON_Delete (root);
   g_free (call);
   g_free (pair);
 }
 
 static void
-user_arrives (World *w, gpointer data)
+user_arrives (Sim *sim, gpointer data)
 {
   UserCall *call = data;
-  WorldJob *job = call->job;
-  guint at = (guint) g_rand_int_range (w->rand, 0, WORLD_NODES);
+  SimJob *job = call->job;
+  guint at = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
   HzbExchange *exchange;
   gpointer *pair;
-  if (!w->nodes[at].c)
+  if (!sim->nodes[at].c)
     {
       g_free (call);
       return;
     }
-  if (w->nodes[at].stands)
+  if (sim->nodes[at].stands)
     {
       g_free (call); /* the user gives it up */
       return;
     }
   exchange = g_new0 (HzbExchange, 1);
   pair = g_new0 (gpointer, 2);
-  pair[0] = w;
+  pair[0] = sim;
   pair[1] = call;
   exchange->reply = user_reply;
   exchange->impl = pair;
@@ -1298,8 +1298,8 @@
           "{\"uid\":\"%s\",\"lane\":\"%s\",\"owner\":\"%s\",\"shape\":\"%s\",\"urgency\":\"%s\",\"pieces\":%u,"
           "\"cpus\":%g,\"gpus\":0,\"ramGb\":1,\"bundle\":\"img\",\"sizeGb\":0.5,\"flavors\":%s,\"yard\":%s,"
           "\"samePlace\":%s,\"spread\":%s,\"loaners\":%s,\"expectS\":%g,\"snapshotEveryS\":0,\"snapshotS\":0}",
-          job->uid, job->lane, job->team, job->gang ? "ensemble" : job->service ? "standing" : "sweep",
-          job->service ? "production" : g_str_equal (job->lane, "pressing") ? "urgent" : "normal", job->n, job->cpus,
+          job->uid, job->job_class, job->team, job->gang ? "ensemble" : job->service ? "standing" : "sweep",
+          job->service ? "production" : g_str_equal (job->job_class, "pressing") ? "urgent" : "normal", job->n, job->cpus,
           types, zone, job->same_zone ? "true" : "false", job->spread ? "true" : "false", job->spot ? "true" : "false", job->service ? 0 : job->run_s);
       job->submitted = TRUE;
     }
@@ -1308,66 +1308,66 @@
   if (call->what == USER_CANCELS)
     job->asked_cancel = TRUE;
   exchange->length = strlen (exchange->body);
-  hzb_controller_request (exchange, w->nodes[at].c);
+  hzb_controller_request (exchange, sim->nodes[at].c);
 }
 
 static void
-user_step (World *w, gpointer data)
+user_step (Sim *sim, gpointer data)
 {
-  WorldJob *job = data;
+  SimJob *job = data;
   UserCall *call = g_new0 (UserCall, 1);
   call->job = job;
   call->what = !job->accepted                                                        ? USER_SUBMITS
-               : job->wants_cancel && !job->told_cancelled && w->now > (job->cancel_at > 0 ? job->cancel_at : job->submit_at + 8)
+               : job->wants_cancel && !job->told_cancelled && sim->now > (job->cancel_at > 0 ? job->cancel_at : job->submit_at + 8)
                          && !(job->polls_only && job->asked_cancel)
                    ? USER_CANCELS
-               : chance (w, 0.1)                                                     ? USER_SUBMITS
+               : chance (sim, 0.1)                                                     ? USER_SUBMITS
                                                                                      : USER_POLLS;
-  world_at (w, w->now + delay (w), user_arrives, call);
-  world_at (w, w->now + g_rand_double_range (w->rand, 1, 3), user_step, job);
+  sim_at (sim, sim->now + delay (sim), user_arrives, call);
+  sim_at (sim, sim->now + g_rand_double_range (sim->rand, 1, 3), user_step, job);
 }
 
-WorldJob *
-world_add_job (World *w, double at, const char *team, guint n, double cpus, double run_s)
+SimJob *
+sim_add_job (Sim *sim, double at, const char *team, guint n, double cpus, double run_s)
 {
-  WorldJob *job = g_new0 (WorldJob, 1);
-  job->uid = g_strdup_printf ("run-%06u", 100000 + w->jobs->len);
+  SimJob *job = g_new0 (SimJob, 1);
+  job->uid = g_strdup_printf ("run-%06u", 100000 + sim->jobs->len);
   job->team = g_strdup (team);
   job->n = n;
-  job->lane = n % 3 == 0 ? "pressing" : "batch";
+  job->job_class = n % 3 == 0 ? "pressing" : "batch";
   job->cpus = cpus;
   job->run_s = run_s;
   job->spot = TRUE;
   job->submit_at = at;
   job->finished = g_new0 (guchar, n);
-  g_ptr_array_add (w->jobs, job);
-  g_hash_table_insert (w->by_uid, job->uid, job);
-  world_at (w, at, user_step, job);
+  g_ptr_array_add (sim->jobs, job);
+  g_hash_table_insert (sim->by_uid, job->uid, job);
+  sim_at (sim, at, user_step, job);
   return job;
 }
 
 guint
-world_unfinished (World *w)
+sim_unfinished (Sim *sim)
 {
   guint n = 0;
-  for (guint i = 0; i < w->jobs->len; i++)
+  for (guint i = 0; i < sim->jobs->len; i++)
     {
-      const WorldJob *job = w->jobs->pdata[i];
+      const SimJob *job = sim->jobs->pdata[i];
       n += !job->told_done && !job->told_cancelled;
     }
   return n;
 }
 
 guint
-world_running (World *w, const WorldJob *job, const char *zone)
+sim_running (Sim *sim, const SimJob *job, const char *zone)
 {
   guint n = 0;
-  for (guint i = 0; i < w->machines->len; i++)
+  for (guint i = 0; i < sim->machines->len; i++)
     {
-      const WorldMachine *m = w->machines->pdata[i];
+      const SimMachine *m = sim->machines->pdata[i];
       for (guint k = 0; k < m->tasks->len && !m->gone && !m->failed && (!zone || g_str_equal (m->zone, zone)); k++)
         {
-          const WorldTask *task = m->tasks->pdata[k];
+          const SimTask *task = m->tasks->pdata[k];
           n += task->state == 2 && g_str_equal (task->uid, job->uid);
         }
     }
@@ -1377,29 +1377,29 @@
 /* ---- rules ---- */
 
 static gboolean
-on_machine (const WorldTask *task)
+on_machine (const SimTask *task)
 {
   return task->state >= 1 && task->state <= 3;
 }
 
 /* What is looked at once all troubles are over. */
 void
-world_check_end (World *w)
+sim_check_end (Sim *sim)
 {
-  for (guint i = 0; i < w->jobs->len; i++)
+  for (guint i = 0; i < sim->jobs->len; i++)
     {
-      const WorldJob *job = w->jobs->pdata[i];
-      if (job->accepted && w->now - job->answered_at > FORGOTTEN_S)
-        broken (w, "forgotten", "no question about %s is answered since %.0f", job->uid, job->answered_at);
+      const SimJob *job = sim->jobs->pdata[i];
+      if (job->accepted && sim->now - job->answered_at > FORGOTTEN_S)
+        broken (sim, "forgotten", "no question about %s is answered since %.0f", job->uid, job->answered_at);
     }
-  for (guint i = 0; i < w->jobs->len; i++)
+  for (guint i = 0; i < sim->jobs->len; i++)
     {
-      const WorldJob *job = w->jobs->pdata[i];
+      const SimJob *job = sim->jobs->pdata[i];
       guint of_team = 0, of_class = 0, team_served = 0, class_served = 0, largest = 0, n_largest = 0, largest_served = 0;
-      for (guint k = 0; k < w->jobs->len; k++)
+      for (guint k = 0; k < sim->jobs->len; k++)
         {
-          const WorldJob *other = w->jobs->pdata[k];
-          gboolean same_class = g_str_equal (other->lane, job->lane), same_team = g_str_equal (other->team, job->team);
+          const SimJob *other = sim->jobs->pdata[k];
+          gboolean same_class = g_str_equal (other->job_class, job->job_class), same_team = g_str_equal (other->team, job->team);
           if (other->bad || other->told_cancelled)
             continue;
           of_team += same_team;
@@ -1418,44 +1418,44 @@
             }
         }
       if (2 * team_served < of_team)
-        broken (w, "starved", "of team %s %u of %u jobs are over", job->team, team_served, of_team);
+        broken (sim, "starved", "of team %s %u of %u jobs are over", job->team, team_served, of_team);
       if (2 * class_served < of_class)
-        broken (w, "starved", "of class %s %u of %u jobs are over", job->lane, class_served, of_class);
+        broken (sim, "starved", "of class %s %u of %u jobs are over", job->job_class, class_served, of_class);
       if (2 * largest_served < n_largest)
-        broken (w, "starved", "of the largest of class %s %u of %u are over", job->lane, largest_served, n_largest);
+        broken (sim, "starved", "of the largest of class %s %u of %u are over", job->job_class, largest_served, n_largest);
       if (job->n == largest && !job->bad && !job->told_cancelled && (job->began_at <= 0 || job->began_at - job->submit_at > 240))
-        broken (w, "starved", "%s, the largest of class %s, began at %.0f", job->uid, job->lane, job->began_at);
+        broken (sim, "starved", "%s, the largest of class %s, began at %.0f", job->uid, job->job_class, job->began_at);
     }
 }
 
 /* The team "guest" has no guarantee and no limit. */
 static double
-team_limit (const World *w, const char *team)
+team_limit (const Sim *sim, const char *team)
 {
-  return g_str_equal (team, "guest") ? INFINITY : w->size.team_max;
+  return g_str_equal (team, "guest") ? INFINITY : sim->size.team_max;
 }
 
 /* Once all troubles are over no job is left waiting while a machine that fits has room and its team is under its limit. */
 static void
-check_waiting (World *w, GHashTable *teams)
+check_waiting (Sim *sim, GHashTable *teams)
 {
-  for (guint i = 0; i < w->jobs->len; i++)
+  for (guint i = 0; i < sim->jobs->len; i++)
     {
-      WorldJob *job = w->jobs->pdata[i];
+      SimJob *job = sim->jobs->pdata[i];
       const double *used = g_hash_table_lookup (teams, job->team);
       guint placed = 0, finished = 0;
       gboolean room = FALSE;
       for (guint k = 0; k < job->n; k++)
         finished += job->finished[k];
-      for (guint k = 0; k < w->machines->len; k++)
+      for (guint k = 0; k < sim->machines->len; k++)
         {
-          const WorldMachine *m = w->machines->pdata[k];
+          const SimMachine *m = sim->machines->pdata[k];
           double free = m->cpus;
           for (guint t = 0; t < m->tasks->len && !m->gone; t++)
             {
-              const WorldTask *task = m->tasks->pdata[t];
+              const SimTask *task = m->tasks->pdata[t];
               placed += task->state < 4 && g_str_equal (task->uid, job->uid);
-              free -= task->state < 4 ? find_job (w, task->uid)->cpus : 0;
+              free -= task->state < 4 ? find_job (sim, task->uid)->cpus : 0;
             }
           room = room
                  || (m->up && !m->gone && !m->failed && !m->cut && !m->hung && !m->sick && !m->deaf && free >= job->cpus
@@ -1463,36 +1463,36 @@
                      && (!job->type || g_str_equal (job->type, m->type)));
         }
       if (!job->accepted || job->told_cancelled || job->told_done || job->asked_cancel || job->bad || job->gang || !room
-          || placed + finished >= job->n || (used ? *used : 0) + job->cpus > team_limit (w, job->team))
+          || placed + finished >= job->n || (used ? *used : 0) + job->cpus > team_limit (sim, job->team))
         job->waits_since = 0;
       else if (job->waits_since <= 0)
-        job->waits_since = w->now;
-      else if (w->now - job->waits_since > LEFT_WAITING_S)
+        job->waits_since = sim->now;
+      else if (sim->now - job->waits_since > LEFT_WAITING_S)
         {
-          broken (w, "left_waiting", "%s since %.0f", job->uid, job->waits_since);
-          job->waits_since = w->now;
+          broken (sim, "left_waiting", "%s since %.0f", job->uid, job->waits_since);
+          job->waits_since = sim->now;
         }
     }
 }
 
 /* The plain count of what services are asked for: replica time, and how much of it was served. */
 static void
-count_replicas (World *w)
+count_replicas (Sim *sim)
 {
-  double step = w->now - w->counted_at;
-  w->counted_at = w->now;
-  for (guint i = 0; i < w->jobs->len; i++)
+  double step = sim->now - sim->counted_at;
+  sim->counted_at = sim->now;
+  for (guint i = 0; i < sim->jobs->len; i++)
     {
-      WorldJob *job = w->jobs->pdata[i];
+      SimJob *job = sim->jobs->pdata[i];
       guint running = 0;
-      if (!job->service || !job->accepted || job->asked_cancel || w->now < job->accepted_at + 10)
+      if (!job->service || !job->accepted || job->asked_cancel || sim->now < job->accepted_at + 10)
         continue;
-      for (guint k = 0; k < w->machines->len; k++)
+      for (guint k = 0; k < sim->machines->len; k++)
         {
-          const WorldMachine *m = w->machines->pdata[k];
+          const SimMachine *m = sim->machines->pdata[k];
           for (guint t = 0; t < m->tasks->len && !m->gone && !m->failed && !m->hung; t++)
             {
-              const WorldTask *task = m->tasks->pdata[t];
+              const SimTask *task = m->tasks->pdata[t];
               running += task->state == 2 && g_str_equal (task->uid, job->uid);
             }
         }
@@ -1502,27 +1502,27 @@
 }
 
 void
-world_check (World *w)
+sim_check (Sim *sim)
 {
   g_autoptr (GHashTable) places = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   g_autoptr (GHashTable) teams = g_hash_table_new (g_str_hash, g_str_equal);
-  for (guint i = 0; i < w->machines->len; i++)
+  for (guint i = 0; i < sim->machines->len; i++)
     {
-      const WorldMachine *m = w->machines->pdata[i];
+      const SimMachine *m = sim->machines->pdata[i];
       for (guint k = 0; k < m->tasks->len && !m->gone; k++)
         {
-          const WorldTask *task = m->tasks->pdata[k];
-          WorldJob *job = find_job (w, task->uid);
+          const SimTask *task = m->tasks->pdata[k];
+          SimJob *job = find_job (sim, task->uid);
           char *name;
           double *used;
           if (!on_machine (task))
             continue;
           name = g_strdup_printf ("%s/%u", task->uid, task->task);
           if (g_hash_table_contains (places, name))
-            broken (w, "ran_twice", "%s on %s and another", name, m->name);
+            broken (sim, "ran_twice", "%s on %s and another", name, m->name);
           g_hash_table_add (places, name);
-          if (job->told_cancelled && w->now > job->cancelled_at + w->size.cancel_s)
-            broken (w, "ran_cancelled", "%s on %s", name, m->name);
+          if (job->told_cancelled && sim->now > job->cancelled_at + sim->size.cancel_s)
+            broken (sim, "ran_cancelled", "%s on %s", name, m->name);
           used = g_hash_table_lookup (teams, job->team);
           if (!used)
             {
@@ -1530,15 +1530,15 @@
               g_hash_table_insert (teams, job->team, used);
             }
           *used += job->cpus;
-          if (*used > team_limit (w, job->team) + 1e-9)
-            broken (w, "quota", "%s uses %g", job->team, *used);
+          if (*used > team_limit (sim, job->team) + 1e-9)
+            broken (sim, "quota", "%s uses %g", job->team, *used);
         }
     }
-  count_replicas (w);
-  if (w->calm_at > 0 && w->now >= w->calm_at && w->now >= w->next_wait_check)
+  count_replicas (sim);
+  if (sim->calm_at > 0 && sim->now >= sim->calm_at && sim->now >= sim->next_wait_check)
     {
-      check_waiting (w, teams);
-      w->next_wait_check = w->now + 1;
+      check_waiting (sim, teams);
+      sim->next_wait_check = sim->now + 1;
     }
   {
     GHashTableIter iter;
@@ -1552,26 +1552,26 @@
 /* ---- nodes ---- */
 
 static void
-node_tick (World *w, gpointer data)
+node_tick (Sim *sim, gpointer data)
 {
-  Node *node = data;
+  SimNode *node = data;
   if (node->c && !node->stands)
     hzb_controller_tick (node->c);
-  world_at (w, w->now + 0.1, node_tick, node);
+  sim_at (sim, sim->now + 0.1, node_tick, node);
 }
 
 void
-world_start (World *w, guint at)
+sim_start (Sim *sim, guint at)
 {
-  Node *node = &w->nodes[at];
+  SimNode *node = &sim->nodes[at];
   GString *text = g_string_new (NULL);
-  g_autofree char *ops = w->size.next_txn_ops ? g_strdup_printf ("txn_ops = %u\n", w->size.next_txn_ops) : g_strdup ("");
-  g_autofree char *rate = w->size.next_write_rps > 0 ? g_strdup_printf ("write_rps = %g\n", w->size.next_write_rps) : g_strdup ("");
+  g_autofree char *ops = sim->size.next_txn_ops ? g_strdup_printf ("txn_ops = %u\n", sim->size.next_txn_ops) : g_strdup ("");
+  g_autofree char *rate = sim->size.next_write_rps > 0 ? g_strdup_printf ("write_rps = %g\n", sim->size.next_write_rps) : g_strdup ("");
   g_autofree char *next = g_strconcat (ops, rate, NULL);
   g_autoptr (GError) error = NULL;
   HzbSettings *settings;
   g_string_printf (text, "node = \"node-%u\"\nsite = \"za\"\napi_addr = \"10.0.0.%u:80\"\ncluster_listen = \"10.0.0.%u:81\"\n", at, at + 1, at + 1);
-  for (guint i = 0; i < WORLD_NODES; i++)
+  for (guint i = 0; i < SIM_NODES; i++)
     if (i != at)
       g_string_append_printf (text, "[[peers]]\nnode = \"node-%u\"\nsite = \"za\"\naddress = \"10.0.0.%u:81\"\n", i, i + 1);
   g_string_append_printf (text,
@@ -1580,96 +1580,96 @@
                           "[cluster.workers]\nreport_s = %g\nlease_s = %g\ngang_wait_s = 20\ngang_peer_s = 4\ncancel_s = %g\n"
                           "[cluster.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = 16\ntxn_ops = %u\n[cluster.state.next]\nvalue_kb = 2\n%s"
                           "[cluster.cloud]\nrps = %g\nlist_lag_s = 3\n",
-                          w->size.report_s, w->size.lease_s, w->size.cancel_s, w->size.store_rps, w->size.store_write_rps,
-                          w->size.txn_ops, next, w->size.cloud_rps);
-  for (guint i = 0; i < w->size.teams; i++)
+                          sim->size.report_s, sim->size.lease_s, sim->size.cancel_s, sim->size.store_rps, sim->size.store_write_rps,
+                          sim->size.txn_ops, next, sim->size.cloud_rps);
+  for (guint i = 0; i < sim->size.teams; i++)
     {
       g_autofree char *name = i < 2 ? g_strdup (i ? "blue" : "red") : g_strdup_printf ("team-%02u", i);
       g_string_append_printf (text, "[[cluster.teams]]\nname = \"%s\"\ncpus = %g\ncpus_max = %g\n", name,
-                              w->size.team_guarantee, w->size.team_max);
+                              sim->size.team_guarantee, sim->size.team_max);
     }
   g_string_append (text, "[[cluster.teams]]\nname = \"guest\"\ncpus = 0\ncpus_max = 0\n");
   settings = hzb_settings_parse (text->str, "world", &error);
   g_assert_no_error (error);
   g_string_free (text, TRUE);
   node->life++;
-  node->transport = g_new0 (NodeTransport, 1);
+  node->transport = g_new0 (SimTransport, 1);
   node->transport->parent.send = node_send;
-  node->transport->world = w;
+  node->transport->world = sim;
   node->transport->at = at;
   node->transport->life = node->life;
-  node->c = hzb_controller_new (settings, w->clock, &node->transport->parent, g_rand_int (w->rand));
+  node->c = hzb_controller_new (settings, sim->clock, &node->transport->parent, g_rand_int (sim->rand));
   if (node->old)
     node->c->format = 1;
-  if (w->size.keep_ended)
-    node->c->jobs->keep_ended = w->size.keep_ended;
+  if (sim->size.max_mirrored_ended)
+    node->c->jobs->max_mirrored_ended = sim->size.max_mirrored_ended;
 }
 
 /* What the process held is gone with it; its memory is left alone, as calls on their way still name it. */
 void
-world_crash (World *w, guint at)
+sim_crash (Sim *sim, guint at)
 {
-  w->nodes[at].c = NULL;
-  w->nodes[at].stands = FALSE;
+  sim->nodes[at].c = NULL;
+  sim->nodes[at].stands = FALSE;
 }
 
 int
-world_leader (World *w)
+sim_leader (Sim *sim)
 {
-  for (guint i = 0; i < WORLD_NODES; i++)
-    if (w->nodes[i].c && hzb_election_leading (w->nodes[i].c->election))
+  for (guint i = 0; i < SIM_NODES; i++)
+    if (sim->nodes[i].c && hzb_election_leading (sim->nodes[i].c->election))
       return (int) i;
   return -1;
 }
 
 /* The usual little world; small pages, so that reading on is tried. */
-const WorldSize world_size_little = { .machines = 12, .teams = 2, .team_max = 24, .team_guarantee = 8, .report_s = 1.5,
+const SimSize sim_size_little = { .machines = 12, .teams = 2, .team_max = 24, .team_guarantee = 8, .report_s = 1.5,
                                       .lease_s = 10, .cancel_s = 30, .store_rps = 200, .store_write_rps = 60, .txn_ops = 8,
                                       .cloud_rps = 6, .rows = 5 };
 
-World *
-world_new (guint32 seed)
-{
-  return world_new_sized (seed, &world_size_little);
-}
-
-World *
-world_new_sized (guint32 seed, const WorldSize *size)
-{
-  World *w = g_new0 (World, 1);
-  w->size = *size;
-  w->by_uid = g_hash_table_new (g_str_hash, g_str_equal);
-  w->clock = hzb_clock_new_manual ();
-  w->rand = g_rand_new_with_seed (seed);
-  w->events = g_sequence_new (g_free);
-  w->kv = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, value_free);
-  w->leases = g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, g_free);
-  w->history = g_ptr_array_new_with_free_func (change_free);
-  w->watchers = g_ptr_array_new ();
-  w->requested = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  w->machines = g_ptr_array_new ();
-  w->jobs = g_ptr_array_new ();
-  w->broken = g_ptr_array_new_with_free_func (g_free);
-  for (guint i = 0; i < WORLD_NODES; i++)
+Sim *
+sim_new (guint32 seed)
+{
+  return sim_new_sized (seed, &sim_size_little);
+}
+
+Sim *
+sim_new_sized (guint32 seed, const SimSize *size)
+{
+  Sim *sim = g_new0 (Sim, 1);
+  sim->size = *size;
+  sim->by_uid = g_hash_table_new (g_str_hash, g_str_equal);
+  sim->clock = hzb_clock_new_manual ();
+  sim->rand = g_rand_new_with_seed (seed);
+  sim->events = g_sequence_new (g_free);
+  sim->kv = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, value_free);
+  sim->leases = g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, g_free);
+  sim->history = g_ptr_array_new_with_free_func (change_free);
+  sim->watchers = g_ptr_array_new ();
+  sim->requested = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  sim->machines = g_ptr_array_new ();
+  sim->jobs = g_ptr_array_new ();
+  sim->broken = g_ptr_array_new_with_free_func (g_free);
+  for (guint i = 0; i < SIM_NODES; i++)
     {
-      w->nodes[i].late = g_ptr_array_new_with_free_func (g_free);
-      world_start (w, i);
-      world_at (w, 0.03 * (i + 1), node_tick, &w->nodes[i]);
+      sim->nodes[i].late = g_ptr_array_new_with_free_func (g_free);
+      sim_start (sim, i);
+      sim_at (sim, 0.03 * (i + 1), node_tick, &sim->nodes[i]);
     }
-  return w;
+  return sim;
 }
 
 void
-world_free (World *w)
-{
-  g_sequence_free (w->events);
-  g_hash_table_unref (w->kv);
-  g_hash_table_unref (w->leases);
-  g_ptr_array_unref (w->history);
-  g_hash_table_unref (w->requested);
-  g_hash_table_unref (w->by_uid);
-  g_ptr_array_unref (w->broken);
-  g_rand_free (w->rand);
-  hzb_clock_free (w->clock);
-  g_free (w);
+sim_free (Sim *sim)
+{
+  g_sequence_free (sim->events);
+  g_hash_table_unref (sim->kv);
+  g_hash_table_unref (sim->leases);
+  g_ptr_array_unref (sim->history);
+  g_hash_table_unref (sim->requested);
+  g_hash_table_unref (sim->by_uid);
+  g_ptr_array_unref (sim->broken);
+  g_rand_free (sim->rand);
+  hzb_clock_free (sim->clock);
+  g_free (sim);
 }
--- a/tests/world.h
+++ b/tests/sim-cluster.h
@@ -3,28 +3,28 @@
 #pragma once
 #include "controller.h"
 
-#define WORLD_NODES 3
+#define SIM_NODES 3
 
-typedef struct _World World;
+typedef struct _Sim Sim;
 
 typedef struct
 {
   HzbTransport parent;
-  World *world;
+  Sim *world;
   guint at, life; /* life: counts processes */
-} NodeTransport;
+} SimTransport;
 
 typedef struct
 {
   HzbController *c; /* NULL: down */
   HzbClock *clock;  /* the world's */
-  NodeTransport *transport;
+  SimTransport *transport;
   guint life;
   gboolean cut_store, cut_peers, cut_workers, refused;
   gboolean old; /* says and answers nothing that version 1 did not */
   gboolean stands;  /* still, while its clock runs on; what comes meanwhile it takes up on waking */
   GPtrArray *late;  /* what came */
-} Node;
+} SimNode;
 
 typedef struct
 {
@@ -35,7 +35,7 @@
   char why[12];
   double ready_at, end_at;
   gboolean stored;
-} WorldTask;
+} SimTask;
 
 typedef struct
 {
@@ -49,12 +49,12 @@
   guint node, report_number;
   gboolean asking;
   GPtrArray *tasks; /* WorldTask */
-} WorldMachine;
+} SimMachine;
 
 typedef struct
 {
   char *uid, *team;
-  const char *lane; /* its class */
+  const char *job_class; /* its class */
   guint n;
   double cpus, run_s;
   const char *zone, *type;
@@ -68,7 +68,7 @@
   double submit_at, cancelled_at, answered_at, began_at;
   double waits_since; /* calm, and something of it waits though a machine that fits has room; 0: not */
   guchar *finished; /* a task has ended well somewhere */
-} WorldJob;
+} SimJob;
 
 /* What a larger deployment than the usual little one differs in. */
 typedef struct
@@ -81,18 +81,18 @@
   guint txn_ops;
   double cloud_rps;
   guint rows;        /* of a range read */
-  guint keep_ended;  /* jobs that are over stay mirrored; 0: as usual */
+  guint max_mirrored_ended;  /* jobs that are over stay mirrored; 0: as usual */
   double check_s;    /* the rules are checked so often; 0: after every event */
   guint next_txn_ops; /* limits of the state service that will come, as the settings say; 0: not named */
   double next_write_rps;
-} WorldSize;
+} SimSize;
 
-struct _World
+struct _Sim
 {
   HzbClock *clock;
   double now;
   GRand *rand;
-  Node nodes[WORLD_NODES];
+  SimNode nodes[SIM_NODES];
   GSequence *events;
   guint64 event_number;
   /* state service */
@@ -116,7 +116,7 @@
   const char *closed_zone; /* no machines are to be had there; NULL: everywhere */
   GPtrArray *broken; /* rules broken, as texts */
   guint started, ran;
-  WorldSize size;
+  SimSize size;
   double next_check, next_wait_check, counted_at;
   double calm_at; /* all troubles are over; 0: nobody said */
   GHashTable *by_uid;           /* WorldJob */
@@ -124,24 +124,24 @@
   guint rentals, most_returned; /* calls */
 };
 
-extern const WorldSize world_size_little; /* what world_new() takes */
-World *world_new (guint32 seed);
-World *world_new_sized (guint32 seed, const WorldSize *size);
-void world_free (World *w);
-void world_run (World *w, double until);
-void world_crash (World *w, guint node);
-void world_start (World *w, guint node);
-void world_wake (World *w, guint node); /* of a node that stands */
-WorldJob *world_add_job (World *w, double at, const char *team, guint n, double cpus, double run_s);
-WorldMachine *world_add_machine (World *w, const char *type, const char *zone, gboolean spot, double up_after);
-WorldTask *world_put_task (World *w, WorldMachine *m, WorldJob *job, guint task, guint64 attempt);
-void world_start_task (World *w, WorldMachine *m, const char *piece, guint64 attempt); /* as an order does */
-void world_told (World *w, WorldJob *job, guint status, const char *state);            /* an answer to its user */
-void world_check (World *w);
-void world_put_record (World *w, const char *key, const char *text); /* as somebody wrote it before */
-guint world_largest_record (World *w, const char *prefix);           /* bytes; 0: there is none */
-void world_check_end (World *w); /* nothing forgotten, no one starved */
-guint world_unfinished (World *w);
-guint world_running (World *w, const WorldJob *job, const char *zone); /* tasks that run; zone NULL: anywhere */
-int world_leader (World *w); /* -1: none */
-void world_at (World *w, double at, void (*run) (World *w, gpointer data), gpointer data);
+extern const SimSize sim_size_little; /* what world_new() takes */
+Sim *sim_new (guint32 seed);
+Sim *sim_new_sized (guint32 seed, const SimSize *size);
+void sim_free (Sim *sim);
+void sim_run (Sim *sim, double until);
+void sim_crash (Sim *sim, guint node);
+void sim_start (Sim *sim, guint node);
+void sim_wake (Sim *sim, guint node); /* of a node that stands */
+SimJob *sim_add_job (Sim *sim, double at, const char *team, guint n, double cpus, double run_s);
+SimMachine *sim_add_machine (Sim *sim, const char *type, const char *zone, gboolean spot, double up_after);
+SimTask *sim_put_task (Sim *sim, SimMachine *m, SimJob *job, guint task, guint64 attempt);
+void sim_start_task (Sim *sim, SimMachine *m, const char *task_report, guint64 attempt); /* as an order does */
+void sim_told (Sim *sim, SimJob *job, guint status, const char *state);            /* an answer to its user */
+void sim_check (Sim *sim);
+void sim_put_record (Sim *sim, const char *key, const char *text); /* as somebody wrote it before */
+guint sim_largest_record (Sim *sim, const char *prefix);           /* bytes; 0: there is none */
+void sim_check_end (Sim *sim); /* nothing forgotten, no one starved */
+guint sim_unfinished (Sim *sim);
+guint sim_running (Sim *sim, const SimJob *job, const char *zone); /* tasks that run; zone NULL: anywhere */
+int sim_leader (Sim *sim); /* -1: none */
+void sim_at (Sim *sim, double at, void (*run) (Sim *sim, gpointer data), gpointer data);
--- a/tests/troubles.c
+++ b/tests/sim-faults.c
@@ -1,69 +1,69 @@
 /* What several world tests do to a world, and what they expect of it. */
-#include "troubles.h"
+#include "sim-faults.h"
 
 #include <string.h>
 
 void
-expect_no_fault (World *w, const char *what, guint32 seed)
+expect_no_fault (Sim *sim, const char *what, guint32 seed)
 {
-  for (guint i = 0; i < w->broken->len && i < 5; i++)
-    g_test_message ("%s", (char *) w->broken->pdata[i]);
-  if (w->broken->len)
-    g_error ("%s, seed %u: %s", what, seed, (char *) w->broken->pdata[0]);
+  for (guint i = 0; i < sim->broken->len && i < 5; i++)
+    g_test_message ("%s", (char *) sim->broken->pdata[i]);
+  if (sim->broken->len)
+    g_error ("%s, seed %u: %s", what, seed, (char *) sim->broken->pdata[0]);
 }
 
 /* Also that nothing is forgotten and no one starved. */
 void
-expect_all_over (World *w, const char *what, guint32 seed)
+expect_all_over (Sim *sim, const char *what, guint32 seed)
 {
-  world_check_end (w);
-  expect_no_fault (w, what, seed);
-  for (guint i = 0; i < w->jobs->len; i++)
+  sim_check_end (sim);
+  expect_no_fault (sim, what, seed);
+  for (guint i = 0; i < sim->jobs->len; i++)
     {
-      const WorldJob *job = w->jobs->pdata[i];
+      const SimJob *job = sim->jobs->pdata[i];
       if (!job->told_done && !job->told_cancelled && !job->bad)
         g_error ("%s, seed %u: %s is not over", what, seed, job->uid);
     }
 }
 
 void
-crash_one (World *w, gpointer data)
+crash_one (Sim *sim, gpointer data)
 {
-  int leader = world_leader (w);
-  guint at = leader >= 0 && g_rand_boolean (w->rand) ? (guint) leader : (guint) g_rand_int_range (w->rand, 0, WORLD_NODES);
-  world_crash (w, at);
-  if (g_rand_boolean (w->rand))
-    world_start (w, at); /* within a fraction of a second */
+  int leader = sim_leader (sim);
+  guint at = leader >= 0 && g_rand_boolean (sim->rand) ? (guint) leader : (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
+  sim_crash (sim, at);
+  if (g_rand_boolean (sim->rand))
+    sim_start (sim, at); /* within a fraction of a second */
 }
 
 void
-start_all (World *w, gpointer data)
+start_all (Sim *sim, gpointer data)
 {
-  for (guint i = 0; i < WORLD_NODES; i++)
-    if (!w->nodes[i].c)
-      world_start (w, i);
+  for (guint i = 0; i < SIM_NODES; i++)
+    if (!sim->nodes[i].c)
+      sim_start (sim, i);
 }
 
 void
-crash_all (World *w, gpointer data)
+crash_all (Sim *sim, gpointer data)
 {
-  for (guint i = 0; i < WORLD_NODES; i++)
-    world_crash (w, i);
-  world_at (w, w->now + g_rand_double_range (w->rand, 0.2, 6), start_all, NULL);
+  for (guint i = 0; i < SIM_NODES; i++)
+    sim_crash (sim, i);
+  sim_at (sim, sim->now + g_rand_double_range (sim->rand, 0.2, 6), start_all, NULL);
 }
 
 void
-flip_outage (World *w, gpointer data)
+flip_outage (Sim *sim, gpointer data)
 {
-  w->outage = !w->outage;
+  sim->outage = !sim->outage;
 }
 
 void
-cut_leader (World *w, gpointer data)
+cut_leader (Sim *sim, gpointer data)
 {
-  int leader = world_leader (w);
-  Node *node = &w->nodes[MAX (leader, 0)];
-  switch (g_rand_int_range (w->rand, 0, 4))
+  int leader = sim_leader (sim);
+  SimNode *node = &sim->nodes[MAX (leader, 0)];
+  switch (g_rand_int_range (sim->rand, 0, 4))
     {
     case 0:
       node->cut_store = TRUE;
@@ -81,20 +81,20 @@
 }
 
 void
-heal (World *w, gpointer data)
+heal (Sim *sim, gpointer data)
 {
-  for (guint i = 0; i < WORLD_NODES; i++)
-    w->nodes[i].cut_store = w->nodes[i].refused = w->nodes[i].cut_workers = w->nodes[i].cut_peers = FALSE;
+  for (guint i = 0; i < SIM_NODES; i++)
+    sim->nodes[i].cut_store = sim->nodes[i].refused = sim->nodes[i].cut_workers = sim->nodes[i].cut_peers = FALSE;
 }
 
 void
-hurt_machine (World *w, gpointer data)
+hurt_machine (Sim *sim, gpointer data)
 {
-  WorldMachine *m;
-  if (!w->machines->len)
+  SimMachine *m;
+  if (!sim->machines->len)
     return;
-  m = w->machines->pdata[g_rand_int_range (w->rand, 0, (gint32) w->machines->len)];
-  switch (g_rand_int_range (w->rand, 0, 4))
+  m = sim->machines->pdata[g_rand_int_range (sim->rand, 0, (gint32) sim->machines->len)];
+  switch (g_rand_int_range (sim->rand, 0, 4))
     {
     case 0:
       m->cut = !m->cut;
@@ -112,13 +112,13 @@
     }
 }
 
-static WorldMachine *
-own_machine_with_tasks (World *w, HzbMachineState state)
+static SimMachine *
+own_machine_with_tasks (Sim *sim, HzbMachineState state)
 {
-  HzbController *c = w->nodes[MAX (world_leader (w), 0)].c;
-  for (guint i = 0; c && i < w->machines->len; i++)
+  HzbController *c = sim->nodes[MAX (sim_leader (sim), 0)].c;
+  for (guint i = 0; c && i < sim->machines->len; i++)
     {
-      WorldMachine *m = w->machines->pdata[i];
+      SimMachine *m = sim->machines->pdata[i];
       const HzbMachine *known = hzb_machines_find (c->machines, m->name);
       if (m->tasks->len && !m->gone && known && known->state == state)
         return m;
@@ -127,31 +127,31 @@
 }
 
 void
-some_work (World *w, guint jobs)
+some_work (Sim *sim, guint jobs)
 {
   for (guint i = 0; i < jobs; i++)
-    world_add_job (w, 1 + 0.3 * i, i % 2 ? "red" : "blue", 8, 3, 20)->type = "small";
+    sim_add_job (sim, 1 + 0.3 * i, i % 2 ? "red" : "blue", 8, 3, 20)->type = "small";
 }
 
-WorldMachine *
-run_until (World *w, HzbMachineState state)
+SimMachine *
+run_until (Sim *sim, HzbMachineState state)
 {
-  WorldMachine *m = NULL;
-  while (!m && w->now < 60)
+  SimMachine *m = NULL;
+  while (!m && sim->now < 60)
     {
-      world_run (w, w->now + 0.5);
-      m = own_machine_with_tasks (w, state);
+      sim_run (sim, sim->now + 0.5);
+      m = own_machine_with_tasks (sim, state);
     }
   g_assert_nonnull (m);
   return m;
 }
 
-WorldMachine *
-machine_with_tasks (World *w)
+SimMachine *
+machine_with_tasks (Sim *sim)
 {
-  for (guint i = 0; i < w->machines->len; i++)
-    if (((WorldMachine *) w->machines->pdata[i])->tasks->len)
-      return w->machines->pdata[i];
+  for (guint i = 0; i < sim->machines->len; i++)
+    if (((SimMachine *) sim->machines->pdata[i])->tasks->len)
+      return sim->machines->pdata[i];
   return NULL;
 }
 
@@ -166,7 +166,7 @@
 }
 
 guint
-report_again (World *w, WorldMachine *m, guint64 session, guint64 seq, const char *pieces)
+report_again (Sim *sim, SimMachine *m, guint64 session, guint64 seq, const char *task_reports)
 {
   HzbExchange *exchange = g_new0 (HzbExchange, 1);
   guint status = 0;
@@ -174,19 +174,19 @@
   exchange->path = g_strdup ("/hello");
   exchange->body = g_strdup_printf ("{\"host\":\"%s\",\"addr\":\"10.1.0.1:1\",\"flavor\":\"%s\",\"yard\":\"%s\","
                                     "\"loaners\":false,\"tenure\":%u,\"tick\":%u,\"baton\":%" G_GUINT64_FORMAT ",\"pieces\":[%s]}",
-                                    m->name, m->type, m->zone, (guint) session, (guint) seq, m->token, pieces);
+                                    m->name, m->type, m->zone, (guint) session, (guint) seq, m->token, task_reports);
   exchange->length = strlen (exchange->body);
   exchange->reply = keep_status;
   exchange->impl = &status;
-  hzb_controller_request (exchange, w->nodes[world_leader (w)].c);
+  hzb_controller_request (exchange, sim->nodes[sim_leader (sim)].c);
   return status;
 }
 
-WorldJob *
-add_service (World *w, double at, const char *team, guint n, double cpus, double cancel_at)
+SimJob *
+add_service (Sim *sim, double at, const char *team, guint n, double cpus, double cancel_at)
 {
-  WorldJob *job = world_add_job (w, at, team, n, cpus, 1e9);
-  job->lane = "service";
+  SimJob *job = sim_add_job (sim, at, team, n, cpus, 1e9);
+  job->job_class = "service";
   job->service = job->spread = job->wants_cancel = TRUE;
   job->spot = FALSE;
   job->cancel_at = cancel_at;
@@ -203,7 +203,7 @@
 }
 
 guint
-ask (World *w, guint node, const char *method, const char *path, const char *body, guint *retry)
+ask (Sim *sim, guint node, const char *method, const char *path, const char *body, guint *retry)
 {
   HzbExchange *exchange = g_new0 (HzbExchange, 1);
   guint out[2] = { 0 };
@@ -213,8 +213,8 @@
   exchange->length = strlen (body);
   exchange->reply = answered;
   exchange->impl = out;
-  hzb_controller_request (exchange, w->nodes[node].c);
-  world_run (w, w->now + 3);
+  hzb_controller_request (exchange, sim->nodes[node].c);
+  sim_run (sim, sim->now + 3);
   if (retry)
     *retry = out[1];
   return out[0];
@@ -225,14 +225,14 @@
                                "\"loaners\":true,\"expectS\":%s,\"snapshotEveryS\":0,\"snapshotS\":0}";
 
 guint
-submit_service (World *w, guint node, guint uid, const char *team, guint n, double cpus, const char *expect, guint *retry)
+submit_service (Sim *sim, guint node, guint uid, const char *team, guint n, double cpus, const char *expect, guint *retry)
 {
   g_autofree char *body = g_strdup_printf (standing, uid, team, n, cpus, expect);
-  return ask (w, node, "POST", "/api/jobs", body, retry);
+  return ask (sim, node, "POST", "/api/jobs", body, retry);
 }
 
 guint
-submit_changed (World *w, guint node, guint uid, const char *field, const char *value)
+submit_changed (Sim *sim, guint node, guint uid, const char *field, const char *value)
 {
   g_autofree char *body = g_strdup_printf (standing, uid, "red", 2, 1.0, "0");
   g_autofree char *text = NULL;
@@ -242,5 +242,5 @@
     cJSON_AddRawToObject (root, field, value);
   text = cJSON_PrintUnformatted (root);
   cJSON_Delete (root);
-  return ask (w, node, "POST", "/api/jobs", text, NULL);
+  return ask (sim, node, "POST", "/api/jobs", text, NULL);
 }
--- a/tests/support.h
+++ b/tests/support.h
@@ -63,13 +63,13 @@
   hzb_machines_set_types (b->machines, types);
   b->block = hzb_block_new (b->settings, 3);
   b->dispatch = hzb_dispatch_new (b->jobs, b->machines, b->settings, b->rand);
-  hzb_jobs_hold (b->jobs, b->block);
+  hzb_jobs_begin_ownership (b->jobs, b->block);
 }
 
 static inline void
 bench_down (Bench *b)
 {
-  hzb_jobs_let_go (b->jobs);
+  hzb_jobs_end_ownership (b->jobs);
   hzb_machines_clear (b->machines);
   hzb_dispatch_free (b->dispatch);
   hzb_jobs_free (b->jobs);
@@ -81,15 +81,15 @@
 }
 
 static inline HzbJob *
-bench_job (Bench *b, const char *team, HzbUrgency urgency, guint tasks, double cpus, double estimate)
+bench_job (Bench *b, const char *team, HzbPriority priority, guint tasks, double cpus, double estimate)
 {
   g_autoptr (HzbSpec) spec = g_new0 (HzbSpec, 1);
   cJSON *value;
   HzbJob *job;
   spec->uid = g_strdup_printf ("run-%06u", 1000 + b->made);
-  spec->lane = g_strdup ("lane");
+  spec->job_class = g_strdup ("lane");
   spec->team = g_strdup (team);
-  spec->urgency = urgency;
+  spec->priority = priority;
   spec->tasks = tasks;
   spec->cpus = cpus;
   spec->memory_gb = 1;
@@ -102,7 +102,7 @@
   job = hzb_jobs_apply (b->jobs, spec->uid, value, 0);
   cJSON_Delete (value);
   job->released = job->releasing = tasks;
-  hzb_dispatch_classes (b->dispatch, hzb_clock_now (b->clock));
+  hzb_dispatch_update_levels (b->dispatch, hzb_clock_now (b->clock));
   return job;
 }
 
@@ -112,7 +112,7 @@
   g_autofree char *name = g_strdup_printf ("i-%03u", b->machines->all->len);
   HzbMachine *m = hzb_machines_add (b->machines, name, "10.1.0.1:1", type, zone, spot, HZB_MACHINE_BOOTING);
   hzb_machine_set_state (b->machines, m, HZB_MACHINE_ACTIVE, "test");
-  m->recorded = m->vouched = m->confirmed = TRUE;
-  hzb_dispatch_rebook (b->dispatch, m, hzb_clock_now (b->clock));
+  m->recorded = m->known_to_cloud = m->verified = TRUE;
+  hzb_dispatch_reset_estimates (b->dispatch, m, hzb_clock_now (b->clock));
   return m;
 }
