--- /dev/null
+++ b/tests/test-cluster.c
@@ -0,0 +1,631 @@
+/* Seeded schedules of failures through the real controllers, with the rules checked after every step. */
+#include "sim-faults.h"
+
+#include <string.h>
+
+static void
+some_jobs (Sim *sim)
+{
+  static const char *const teams[] = { "red", "blue" };
+  for (guint i = 0; i < 10; i++)
+    {
+      SimJob *job = sim_add_job (sim, 1 + i * 4, teams[i % 2], (guint) g_rand_int_range (sim->rand, 1, 14),
+                                     g_rand_int_range (sim->rand, 1, 4), g_rand_double_range (sim->rand, 2, 10));
+      job->wants_cancel = i % 4 == 3;
+      job->spot = i % 3 != 0;
+      job->zone = i % 5 == 0 ? "zb" : NULL;
+      job->type = i % 7 == 0 ? "big" : NULL;
+    }
+}
+
+static void
+test_quiet (void)
+{
+  Sim *sim = sim_new (1);
+  some_jobs (sim);
+  sim_run (sim, 150);
+  expect_all_over (sim, "quiet", 1);
+  g_assert_cmpuint (sim->ran, >, 20);
+  sim_free (sim);
+}
+
+static void
+surprise (Sim *sim, gpointer data)
+{
+  sim_add_machine (sim, "big", "za", FALSE, 0.5);
+}
+
+static void
+test_failures (void)
+{
+  for (guint32 seed = 1; seed <= 24; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      some_jobs (sim);
+      sim->lose = seed % 3 ? 0.02 : 0;
+      sim->late = seed % 2 ? 0.02 : 0;
+      sim->boot_never = TRUE;
+      for (guint i = 0; i < 4; i++)
+        {
+          sim_at (sim, g_rand_double_range (sim->rand, 5, 60), crash_one, NULL);
+          sim_at (sim, g_rand_double_range (sim->rand, 5, 60), hurt_machine, NULL);
+          sim_at (sim, g_rand_double_range (sim->rand, 5, 60), hurt_machine, NULL);
+          sim_at (sim, g_rand_double_range (sim->rand, 10, 80), start_all, NULL);
+        }
+      sim_at (sim, g_rand_double_range (sim->rand, 5, 50), surprise, NULL);
+      if (seed % 4 == 0)
+        sim_at (sim, g_rand_double_range (sim->rand, 10, 50), crash_all, NULL);
+      if (seed % 2)
+        {
+          double at = g_rand_double_range (sim->rand, 10, 50);
+          sim_at (sim, at, flip_outage, NULL);
+          sim_at (sim, at + g_rand_double_range (sim->rand, 1, 15), flip_outage, NULL);
+        }
+      if (seed % 3 == 1)
+        {
+          double at = g_rand_double_range (sim->rand, 10, 50);
+          sim_at (sim, at, cut_leader, NULL);
+          sim_at (sim, at + g_rand_double_range (sim->rand, 2, 25), heal, NULL);
+        }
+      sim_at (sim, 85, start_all, NULL);
+      sim_at (sim, 85, heal, NULL);
+      sim_run (sim, 100);
+      sim->lose = sim->late = 0;
+      sim_run (sim, 450);
+      expect_all_over (sim, "failures", seed);
+      sim_free (sim);
+    }
+}
+
+/* A machine that an earlier holder used stays silent towards the new one: its tasks start nowhere else until the
+ * cloud has confirmed its return, although other machines are free. */
+static void
+test_silent_machine (void)
+{
+  Sim *sim = sim_new (5);
+  SimJob *job = sim_add_job (sim, 1, "red", 4, 2, 60);
+  SimMachine *m = NULL;
+  int leader;
+  sim_run (sim, 20);
+  for (guint i = 0; i < sim->machines->len && !m; i++)
+    if (((SimMachine *) sim->machines->pdata[i])->tasks->len)
+      m = sim->machines->pdata[i];
+  g_assert_nonnull (m);
+  g_assert_false (job->told_done);
+  leader = sim_leader (sim);
+  m->cut = TRUE;
+  sim_crash (sim, (guint) leader);
+  sim_run (sim, 29);
+  g_assert_cmpint (sim_leader (sim), !=, -1);
+  g_assert_false (m->gone);
+  sim_run (sim, 45);
+  g_assert_true (m->gone);
+  sim_start (sim, (guint) leader);
+  sim_run (sim, 250);
+  expect_all_over (sim, "silent machine", 5);
+  sim_free (sim);
+}
+
+/* A quick restart of the leader is a new incarnation: it ends the old lease and leads with a higher term. */
+static void
+test_quick_restart (void)
+{
+  Sim *sim = sim_new (6);
+  int leader;
+  guint64 term;
+  sim_add_job (sim, 1, "red", 6, 2, 40);
+  sim_run (sim, 15);
+  leader = sim_leader (sim);
+  term = hzb_election_term (sim->nodes[leader].c->election);
+  sim_crash (sim, (guint) leader);
+  sim_start (sim, (guint) leader);
+  sim_run (sim, 18);
+  g_assert_cmpint (sim_leader (sim), !=, -1);
+  g_assert_cmpuint (hzb_election_term (sim->nodes[sim_leader (sim)].c->election), >, term);
+  sim_run (sim, 150);
+  expect_all_over (sim, "quick restart", 6);
+  sim_free (sim);
+}
+
+/* While the state service is away, workers' leases live and running tasks are kept. */
+static void
+test_outage_keeps_tasks (void)
+{
+  Sim *sim = sim_new (8);
+  guint started;
+  SimJob *kept = sim_add_job (sim, 1, "red", 6, 2, 60);
+  sim_add_job (sim, 1, "blue", 60, 2, 6);
+  sim_run (sim, 20);
+  g_assert_cmpuint (sim->started, >=, 6);
+  sim->outage = TRUE;
+  sim_run (sim, 27);
+  started = sim->started;
+  sim_run (sim, 45);
+  /* Nothing starts once the leadership can't be proven any more. */
+  g_assert_cmpuint (sim->started, ==, started);
+  for (guint i = 0; i < sim->machines->len; i++)
+    g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->session, ==, 1);
+  sim->outage = FALSE;
+  sim_run (sim, 200);
+  g_assert_true (kept->told_done);
+  expect_all_over (sim, "outage", 8);
+  sim_free (sim);
+}
+
+/* The cloud will take a machine: a task that can neither save nor end before then starts elsewhere at once, one that is
+ * nearly over runs on, and the machine goes back as soon as it is empty. */
+static void
+test_notice (void)
+{
+  Sim *sim = sim_new (87);
+  SimJob *brief = sim_add_job (sim, 1, "red", 1, 3, 10), *lengthy = sim_add_job (sim, 1, "red", 1, 3, 200);
+  SimMachine *m;
+  double at;
+  brief->type = lengthy->type = "big"; /* 8 CPUs: they share one */
+  m = run_until (sim, HZB_MACHINE_ACTIVE);
+  while (m->tasks->len < 2 && sim->now < 30)
+    sim_run (sim, sim->now + 0.5);
+  g_assert_cmpuint (m->tasks->len, ==, 2);
+  sim_run (sim, sim->now + 3);
+  m->taken_at = sim->now + 40;
+  at = sim->now;
+  sim_run (sim, at + 4);
+  g_assert_cmpuint (m->tasks->len, ==, 1);
+  g_assert_cmpstr (((SimTask *) m->tasks->pdata[0])->uid, ==, brief->uid);
+  sim_run (sim, at + 25);
+  g_assert_true (brief->told_done);
+  g_assert_true (m->gone);
+  sim_run (sim, 500);
+  expect_all_over (sim, "notice", 87);
+  sim_free (sim);
+}
+
+/* A job that fails wherever it starts is tried ever more slowly, and others go on. */
+static void
+test_bad_job (void)
+{
+  Sim *sim = sim_new (9);
+  SimJob *bad = sim_add_job (sim, 1, "red", 10, 1, 5), *good;
+  bad->bad = TRUE;
+  good = sim_add_job (sim, 5, "blue", 10, 2, 5);
+  sim_run (sim, 120);
+  g_assert_true (good->told_done);
+  g_assert_cmpuint (sim->started, <, 120);
+  expect_no_fault (sim, "bad job", 9);
+  sim_free (sim);
+}
+
+/* A job that fails on every machine for a while is not left waiting after that, though other work there goes on and on. */
+static void
+test_all_fail_a_while (void)
+{
+  for (guint32 seed = 60; seed < 64; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      SimJob *job;
+      sim_add_job (sim, 1, "blue", 6, 1, 260);
+      sim->size.machines = 2;
+      sim_run (sim, 20);
+      job = sim_add_job (sim, 20, "red", 4, 1, 5);
+      job->bad = TRUE;
+      sim_run (sim, 60);
+      job->bad = FALSE;
+      sim->calm_at = 60;
+      sim_run (sim, 160);
+      g_assert_true (job->told_done);
+      sim_run (sim, 500);
+      expect_all_over (sim, "all fail a while", seed);
+      sim_free (sim);
+    }
+}
+
+/* A team without guarantee or limit takes what others leave, beyond what any of them may use, and no more: a huge array
+ * and a swarm of single tasks beside work of teams that have a guarantee. */
+static void
+test_guest_team (void)
+{
+  for (guint32 seed = 64; seed < 68; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      SimJob *huge = sim_add_job (sim, 2, "guest", 200, 0.5, 40), *late;
+      huge->job_class = "sweep";
+      for (guint i = 0; i < 30; i++)
+        sim_add_job (sim, 10 + 0.3 * i, "guest", 1, 0.5, 4)->job_class = "single";
+      sim_run (sim, 30);
+      g_assert_cmpfloat (0.5 * sim_running (sim, huge, NULL), >, sim->size.team_max);
+      late = sim_add_job (sim, 30, "red", 6, 1, 5); /* urgent, within its team's guarantee */
+      for (guint i = 0; i < 4; i++)
+        sim_add_job (sim, 32 + i, i % 2 ? "red" : "blue", 4, 1, 8);
+      sim_run (sim, 80); /* other work is stopped for it after a part of what its aim allows */
+      g_assert_true (late->told_done);
+      sim->calm_at = 60;
+      sim_run (sim, 300);
+      expect_all_over (sim, "guest team", seed);
+      sim_free (sim);
+    }
+}
+
+/* A cancellation while starts are on their way: told only once durable, and soon nothing of the job is left. */
+static void
+test_cancel_in_flight (void)
+{
+  Sim *sim = sim_new (13);
+  SimJob *job = sim_add_job (sim, 1, "red", 12, 2, 200);
+  while (!machine_with_tasks (sim) && sim->now < 60)
+    sim_run (sim, sim->now + 0.1);
+  job->wants_cancel = TRUE;
+  sim->late = 0.1;
+  sim->lose = 0.1;
+  sim_run (sim, 60);
+  sim->late = sim->lose = 0;
+  sim_run (sim, 90);
+  g_assert_true (job->told_cancelled);
+  g_assert_null (machine_with_tasks (sim));
+  expect_no_fault (sim, "cancel in flight", 13);
+  sim_free (sim);
+}
+
+/* A rental carried out late, or by nobody known, is used or goes back. */
+static void
+test_surprise_machine (void)
+{
+  Sim *sim = sim_new (16);
+  SimMachine *idle = sim_add_machine (sim, "small", "za", FALSE, 1);
+  sim_run (sim, 150);
+  g_assert_true (idle->gone);
+  expect_no_fault (sim, "surprise", 16);
+  sim_free (sim);
+}
+
+static void
+test_gang_loses_machine (void)
+{
+  Sim *sim = sim_new (17);
+  SimJob *job = sim_add_job (sim, 1, "red", 6, 2, 30);
+  SimMachine *m;
+  job->gang = TRUE;
+  sim_run (sim, 25);
+  m = machine_with_tasks (sim);
+  g_assert_nonnull (m);
+  m->gone = TRUE; /* taken with no notice */
+  m->gone_at = sim->now;
+  g_ptr_array_set_size (m->tasks, 0);
+  sim_run (sim, 260);
+  expect_all_over (sim, "gang", 17);
+  sim_free (sim);
+}
+
+static guint
+ask_admin (Sim *sim, guint at, const char *method, const char *path, const char *body)
+{
+  HzbExchange *exchange = g_new0 (HzbExchange, 1);
+  static guint status;
+  status = 0;
+  exchange->method = g_strdup (method);
+  exchange->path = g_strconcat ("/admin/v1/", path, NULL);
+  exchange->body = g_strdup (body);
+  exchange->length = strlen (body);
+  exchange->reply = keep_status;
+  exchange->impl = &status;
+  hzb_controller_request (exchange, sim->nodes[at].c);
+  sim_run (sim, sim->now + 0.3);
+  return status;
+}
+
+static void
+submit_at (Sim *sim, guint at, guint *status)
+{
+  HzbExchange *exchange = g_new0 (HzbExchange, 1);
+  exchange->method = g_strdup ("GET");
+  exchange->path = g_strdup ("/api/jobs/run-100000");
+  exchange->body = g_strdup ("");
+  exchange->reply = keep_status;
+  exchange->impl = status;
+  hzb_controller_request (exchange, sim->nodes[at].c);
+}
+
+/* A controller that loses the state service and the other controllers, but not its workers: it soon stops answering
+ * them, so that they go on elsewhere with their leases alive, and tells users at once that it can't say. */
+static void
+test_cut_off_but_for_workers (void)
+{
+  for (guint32 seed = 52; seed < 56; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      SimMachine *m;
+      guint at, status = 0;
+      some_work (sim, 10);
+      m = run_until (sim, HZB_MACHINE_LEASED);
+      at = seed % 2 ? (guint) sim_leader (sim) : m->node;
+      sim->nodes[at].cut_store = sim->nodes[at].cut_peers = TRUE;
+      sim_run (sim, sim->now + 5);
+      submit_at (sim, at, &status);
+      g_assert_cmpuint (status, ==, 503); /* in this very moment */
+      sim_run (sim, sim->now + 4);
+      g_assert_cmpint (sim->nodes[at].c->ownership, ==, HZB_OWNERSHIP_NONE);
+      g_assert_false (hzb_controller_ready (sim->nodes[at].c));
+      sim_run (sim, sim->now + 8);
+      for (guint i = 0; i < sim->machines->len; i++)
+        g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->session, ==, 1);
+      heal (sim, NULL);
+      sim_run (sim, 500);
+      expect_all_over (sim, "cut off but for workers", seed);
+      sim_free (sim);
+    }
+}
+
+static void
+restart_now (Sim *sim, gpointer data)
+{
+  guint at = GPOINTER_TO_UINT (data);
+  sim_crash (sim, at);
+  sim_start (sim, at);
+}
+
+/* Each node is back within a fraction of a second, again and again, in elections, leases and flushes; what its earlier
+ * processes sent comes late. */
+static void
+test_back_at_once (void)
+{
+  for (guint32 seed = 100; seed < 106; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      double at;
+      sim->peer_copies = 0.3;
+      some_work (sim, 12);
+      for (at = 2; at < 50; at += g_rand_double_range (sim->rand, 0.3, 9))
+        sim_at (sim, at, restart_now, GUINT_TO_POINTER ((guint) g_rand_int_range (sim->rand, 0, SIM_NODES)));
+      sim_run (sim, 55);
+      sim->peer_copies = 0;
+      sim_run (sim, 600);
+      expect_all_over (sim, "back at once", seed);
+      sim_free (sim);
+    }
+}
+
+/* A message of an earlier process does not count as the new one's: no block is taken back for it. */
+static void
+test_earlier_process (void)
+{
+  Sim *sim = sim_new (57);
+  HzbController *c, *leader;
+  HzbExchange *exchange;
+  guint status[3] = { 0 }, at;
+  g_autofree char *old = NULL, *text[3] = { NULL };
+  some_work (sim, 4);
+  sim_run (sim, 12);
+  at = (guint) (sim_leader (sim) + 1) % SIM_NODES;
+  old = g_strdup (sim->nodes[at].c->incarnation);
+  restart_now (sim, GUINT_TO_POINTER (at));
+  sim_run (sim, 20);
+  c = sim->nodes[at].c;
+  leader = sim->nodes[sim_leader (sim)].c;
+  text[0] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":99999}", at, old);
+  text[1] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":1}", at, c->incarnation);
+  text[2] = g_strdup ("{\"node\":\"node-9\",\"incarnation\":\"x\",\"born\":1,\"number\":1}");
+  for (guint i = 0; i < 3; i++)
+    {
+      exchange = g_new0 (HzbExchange, 1);
+      exchange->method = g_strdup ("POST");
+      exchange->path = g_strdup ("/peer/v1/block");
+      exchange->body = g_strdup (text[i]);
+      exchange->length = strlen (text[i]);
+      exchange->reply = keep_status;
+      exchange->impl = &status[i];
+      hzb_controller_peer_request (exchange, leader);
+      g_assert_cmpuint (status[i], ==, 400);
+    }
+  sim_run (sim, 300);
+  expect_all_over (sim, "earlier process", 57);
+  sim_free (sim);
+}
+
+/* The leader loses the workers, and nothing else: another leads before the workers' leases are over. */
+static void
+test_leader_loses_workers (void)
+{
+  Sim *sim = sim_new (51);
+  guint leader;
+  for (guint i = 0; i < 6; i++)
+    sim_add_job (sim, 1, i % 2 ? "red" : "blue", 6, 3, 80)->type = "small";
+  sim_run (sim, 25);
+  leader = (guint) sim_leader (sim);
+  sim->nodes[leader].cut_workers = TRUE;
+  sim_run (sim, 40);
+  g_assert_cmpint (sim_leader (sim), !=, leader);
+  for (guint i = 0; i < sim->machines->len; i++)
+    g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->session, ==, 1);
+  sim->nodes[leader].cut_workers = FALSE;
+  sim_run (sim, 500);
+  expect_all_over (sim, "leader loses workers", 51);
+  sim_free (sim);
+}
+
+/* All machines of a small fleet hang, again and again: the lead passes on once for that, not every time. */
+static void
+test_machines_hang (void)
+{
+  Sim *sim = sim_new (58);
+  guint64 term;
+  for (guint i = 0; i < 4; i++)
+    sim_add_job (sim, 1, i % 2 ? "red" : "blue", 6, 3, 60)->type = "small";
+  sim_run (sim, 25);
+  term = hzb_election_term (sim->nodes[sim_leader (sim)].c->election);
+  for (guint k = 0; k < 4; k++)
+    {
+      for (guint i = 0; i < sim->machines->len; i++)
+        ((SimMachine *) sim->machines->pdata[i])->hung = TRUE;
+      sim_run (sim, sim->now + 9);
+      for (guint i = 0; i < sim->machines->len; i++)
+        ((SimMachine *) sim->machines->pdata[i])->hung = FALSE;
+      sim_run (sim, sim->now + 9);
+    }
+  g_assert_cmpint (sim_leader (sim), !=, -1);
+  g_assert_cmpuint (hzb_election_term (sim->nodes[sim_leader (sim)].c->election), <=, term + 1);
+  sim_run (sim, 600);
+  expect_all_over (sim, "machines hang", 58);
+  sim_free (sim);
+}
+
+/* Operators: settings are checked, refused when another has changed them, and apply on all nodes; a machine is
+ * drained, also by a later leader. */
+static void
+test_administration (void)
+{
+  Sim *sim = sim_new (50);
+  SimMachine *m;
+  g_autofree char *path = NULL;
+  int leader;
+  sim_add_job (sim, 1, "red", 6, 2, 60);
+  sim_run (sim, 20);
+  leader = sim_leader (sim);
+  g_assert_cmpuint (ask_admin (sim, 0, "GET", "settings", ""), ==, 200);
+  g_assert_nonnull (strstr (last_body, "\"version\":0"));
+  g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":1.5}}"), ==, 400);
+  g_assert_nonnull (strstr (last_body, "dispatchH: expected a number from 0 to 1"));
+  g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"speed\":1}}"), ==, 400);
+  g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"settings\":{}}"), ==, 400);
+  g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":0.25}}"), ==, 200);
+  for (guint i = 0; i < SIM_NODES; i++)
+    g_assert_cmpfloat (sim->nodes[i].c->dispatch->h, ==, 0.25);
+  g_assert_cmpuint (ask_admin (sim, 1, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":0.75}}"), ==, 409);
+  g_assert_cmpuint (ask_admin (sim, 1, "DELETE", "settings", ""), ==, 405);
+  g_assert_cmpuint (ask_admin (sim, 1, "GET", "nonsense", ""), ==, 404);
+  g_assert_cmpuint (ask_admin (sim, 1, "GET", "metrics", ""), ==, 200);
+  g_assert_cmpuint (ask_admin (sim, (guint) leader, "GET", "blocks", ""), ==, 200);
+  g_assert_cmpuint (ask_admin (sim, (guint) leader, "GET", "tenants/main/teams", ""), ==, 200);
+  g_assert_cmpuint (ask_admin (sim, (guint) leader, "GET", "tenants/main/jobs/run-100000", ""), ==, 200);
+  g_assert_cmpuint (ask_admin (sim, ((guint) leader + 1) % SIM_NODES, "GET", "machines", ""), ==, 421);
+  m = machine_with_tasks (sim);
+  path = g_strdup_printf ("machines/%s/drain", m->name);
+  g_assert_cmpuint (ask_admin (sim, (guint) leader, "POST", "machines/i-777777/drain", ""), ==, 404);
+  g_assert_cmpuint (ask_admin (sim, (guint) leader, "POST", path, ""), ==, 200);
+  sim_run (sim, sim->now + 2);
+  sim_crash (sim, (guint) leader);
+  sim_start (sim, (guint) leader);
+  sim_run (sim, 250);
+  g_assert_true (m->gone);
+  for (guint i = 0; i < SIM_NODES; i++) /* a new process has them too */
+    g_assert_cmpfloat (sim->nodes[i].c->dispatch->h, ==, 0.25);
+  expect_all_over (sim, "administration", 50);
+  sim_free (sim);
+}
+
+static void
+expect_broken (Sim *sim, const char *rule, SimJob *job, guint status, const char *state)
+{
+  sim_told (sim, job, status, state);
+  g_assert_cmpuint (sim->broken->len, ==, 1);
+  g_assert_true (g_str_has_prefix (sim->broken->pdata[0], rule));
+  g_ptr_array_set_size (sim->broken, 0);
+}
+
+static gboolean
+has_broken (Sim *sim, const char *rule, const char *text)
+{
+  for (guint i = 0; i < sim->broken->len; i++)
+    if (g_str_has_prefix (sim->broken->pdata[i], rule) && strstr (sim->broken->pdata[i], text))
+      return TRUE;
+  return FALSE;
+}
+
+/* The checks themselves: each can fail. */
+static void
+test_checks_can_fail (void)
+{
+  Sim *sim = sim_new (10);
+  SimJob *job = sim_add_job (sim, 1e6, "red", 30, 2, 50);
+  SimMachine *a = sim_add_machine (sim, "big", "za", FALSE, 1e6), *b = sim_add_machine (sim, "big", "za", FALSE, 1e6);
+  sim_put_task (sim, a, job, 0, 1)->state = 2;
+  sim_check (sim);
+  g_assert_cmpuint (sim->broken->len, ==, 0);
+  sim_put_task (sim, b, job, 0, 2)->state = 2;
+  sim_check (sim);
+  g_assert_true (g_str_has_prefix (sim->broken->pdata[0], "ran_twice"));
+  g_ptr_array_set_size (sim->broken, 0);
+  g_ptr_array_set_size (b->tasks, 0);
+  for (guint i = 1; i < 13; i++)
+    sim_put_task (sim, a, job, i, 1)->state = 2;
+  sim_check (sim);
+  g_assert_true (g_str_has_prefix (sim->broken->pdata[0], "quota"));
+  g_ptr_array_set_size (sim->broken, 0);
+  g_ptr_array_set_size (a->tasks, 1);
+  job->told_cancelled = TRUE;
+  sim_check (sim);
+  g_assert_cmpuint (sim->broken->len, ==, 0);
+  job->cancelled_at = sim->now - 31;
+  sim_check (sim);
+  g_assert_true (g_str_has_prefix (sim->broken->pdata[0], "ran_cancelled"));
+  g_ptr_array_set_size (sim->broken, 0);
+  g_ptr_array_set_size (a->tasks, 0);
+  expect_broken (sim, "invented", sim_add_job (sim, 1e6, "red", 1, 1, 1), 200, "queued");
+  job = sim_add_job (sim, 1e6, "red", 2, 1, 1);
+  job->submitted = TRUE;
+  sim_told (sim, job, 201, "queued");
+  g_assert_cmpuint (sim->broken->len, ==, 0);
+  expect_broken (sim, "forgotten", job, 404, NULL);
+  expect_broken (sim, "not_done", job, 200, "done");
+  expect_broken (sim, "went_back", job, 200, "running"); /* it was called done */
+  job = sim_add_job (sim, 1e6, "red", 2, 1, 1);
+  job->submitted = TRUE;
+  expect_broken (sim, "went_back", job, 200, "cancelled"); /* its user did not ask for that */
+  job = sim_add_job (sim, 1e6, "red", 2, 1, 1);
+  job->zone = "zb";
+  {
+    g_autofree char *task_report = g_strdup_printf ("%s/0", job->uid);
+    sim_start_task (sim, a, task_report, 9); /* a is in za */
+    g_assert_true (g_str_has_prefix (sim->broken->pdata[0], "wrong_place"));
+  }
+  job->zone = NULL;
+  g_ptr_array_set_size (sim->broken, 0);
+  /* At a day's end. */
+  for (guint i = 0; i < sim->jobs->len; i++)
+    ((SimJob *) sim->jobs->pdata[i])->team = g_strdup ("blue");
+  job = sim_add_job (sim, 1e6, "red", 4, 1, 1);
+  job->submitted = job->accepted = job->told_done = TRUE;
+  job->began_at = job->answered_at = 1;
+  sim->now = 70;
+  sim_check_end (sim);
+  for (guint i = 0; i < sim->broken->len; i++)
+    g_assert_null (strstr (sim->broken->pdata[i], job->uid));
+  g_ptr_array_set_size (sim->broken, 0);
+  sim->now = 80;
+  sim_check_end (sim);
+  g_assert_true (has_broken (sim, "forgotten", job->uid));
+  job->submit_at = 0;
+  job->began_at = 300;
+  job->told_done = FALSE;
+  sim_check_end (sim);
+  g_assert_true (has_broken (sim, "starved", job->uid));
+  g_assert_true (has_broken (sim, "starved", "of team red 0 of 1 jobs"));
+  g_assert_true (has_broken (sim, "starved", "of class batch 0 of"));
+  g_assert_true (has_broken (sim, "starved", "of the largest of class batch 0 of"));
+  sim_free (sim);
+}
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
+  g_test_add_func ("/cluster/checks-can-fail", test_checks_can_fail);
+  g_test_add_func ("/cluster/quiet", test_quiet);
+  g_test_add_func ("/cluster/failures", test_failures);
+  g_test_add_func ("/cluster/silent-machine", test_silent_machine);
+  g_test_add_func ("/cluster/quick-restart", test_quick_restart);
+  g_test_add_func ("/cluster/outage-keeps-tasks", test_outage_keeps_tasks);
+  g_test_add_func ("/cluster/notice", test_notice);
+  g_test_add_func ("/cluster/bad-job", test_bad_job);
+  g_test_add_func ("/cluster/all-fail-a-while", test_all_fail_a_while);
+  g_test_add_func ("/cluster/guest-team", test_guest_team);
+  g_test_add_func ("/cluster/cancel-in-flight", test_cancel_in_flight);
+  g_test_add_func ("/cluster/surprise-machine", test_surprise_machine);
+  g_test_add_func ("/cluster/gang-loses-machine", test_gang_loses_machine);
+  g_test_add_func ("/cluster/cut-off-but-for-workers", test_cut_off_but_for_workers);
+  g_test_add_func ("/cluster/back-at-once", test_back_at_once);
+  g_test_add_func ("/cluster/earlier-process", test_earlier_process);
+  g_test_add_func ("/cluster/leader-loses-workers", test_leader_loses_workers);
+  g_test_add_func ("/cluster/machines-hang", test_machines_hang);
+  g_test_add_func ("/cluster/administration", test_administration);
+  return g_test_run ();
+}
--- /dev/null
+++ b/tests/test-combined-faults.c
@@ -0,0 +1,407 @@
+/* Troubles that meet: most rules that were ever broken broke when two did. */
+#include "sim-faults.h"
+
+#include <string.h>
+
+/* ---- the gap: the state service refuses the leader alone, then everybody ---- */
+
+typedef enum
+{
+  GAP_PLAIN,
+  GAP_IN_BETWEEN,       /* the cancellation comes in the second between the two */
+  GAP_CANCELLER_ENDS,   /* whoever took it ends after its answer */
+  GAP_RESTART_INSIDE,   /* a controller restarts in the outage */
+  GAP_TWO_REFUSED,      /* another controller is refused beside the leader */
+  GAP_LATE_WRITES,      /* transactions get no answer and are carried out late */
+  GAP_BY_STATUS,        /* the user learns it from a status question */
+  GAP_SECOND_LEADER,
+  GAP_PEERS_CUT,        /* and the leader is cut off from the other controllers too */
+  GAP_N
+} Gap;
+
+static void
+cancel_some (Sim *sim, gpointer data)
+{
+  for (guint i = 0; i < sim->jobs->len; i += 2)
+    ((SimJob *) sim->jobs->pdata[i])->wants_cancel = TRUE;
+}
+
+static void
+restart_follower (Sim *sim, gpointer data)
+{
+  guint at = (guint) (sim_leader (sim) + 1) % SIM_NODES;
+  sim_crash (sim, at);
+  sim_start (sim, at);
+}
+
+static guint
+told_cancelled (Sim *sim)
+{
+  guint n = 0;
+  for (guint i = 0; i < sim->jobs->len; i++)
+    n += ((SimJob *) sim->jobs->pdata[i])->told_cancelled;
+  return n;
+}
+
+/* The users are told as long as the leader can be asked; and nothing cancelled runs on though the outage is longer than
+ * a cancellation may take. */
+static guint
+play_gap (guint32 seed, Gap gap)
+{
+  Sim *sim = sim_new (seed);
+  guint leader, told;
+  for (guint i = 0; i < 8; i++)
+    {
+      SimJob *job = sim_add_job (sim, 1 + 0.2 * i, i % 4 < 2 ? "red" : "blue", 4, 1.5, 70);
+      job->polls_only = gap == GAP_BY_STATUS;
+    }
+  sim_run (sim, 25);
+  if (gap == GAP_SECOND_LEADER)
+    {
+      leader = (guint) MAX (sim_leader (sim), 0);
+      sim_crash (sim, leader);
+      sim_run (sim, sim->now + 9);
+      sim_start (sim, leader);
+      sim_run (sim, sim->now + 3);
+    }
+  g_assert_cmpint (sim_leader (sim), !=, -1);
+  leader = (guint) sim_leader (sim);
+  sim->nodes[leader].refused = TRUE;
+  sim->nodes[leader].cut_peers = gap == GAP_PEERS_CUT;
+  if (gap == GAP_TWO_REFUSED)
+    sim->nodes[(leader + 1) % SIM_NODES].refused = TRUE;
+  if (gap == GAP_LATE_WRITES)
+    sim->late_writes = 0.4;
+  sim_run (sim, sim->now + (gap == GAP_IN_BETWEEN ? 0.9 : 0.05));
+  cancel_some (sim, NULL);
+  sim_run (sim, sim->now + 1.8);
+  sim->outage = TRUE;
+  sim->late_writes = 0;
+  if (gap == GAP_CANCELLER_ENDS)
+    for (guint i = 0; i < SIM_NODES; i++)
+      if (i != leader)
+        sim_crash (sim, i);
+  sim_run (sim, sim->now + 6);
+  if (gap == GAP_RESTART_INSIDE)
+    restart_follower (sim, NULL);
+  told = told_cancelled (sim);
+  sim_run (sim, sim->now + 6);
+  heal (sim, NULL);
+  sim_run (sim, sim->now + 34); /* cancel_s is 30 */
+  sim->outage = FALSE;
+  start_all (sim, NULL);
+  sim->calm_at = sim->now + 5;
+  sim_run (sim, sim->now + 250);
+  expect_all_over (sim, "gap", seed);
+  sim_free (sim);
+  return told;
+}
+
+static void
+test_gap (void)
+{
+  guint told[GAP_N] = { 0 };
+  for (guint gap = 0; gap < GAP_N; gap++)
+    for (guint32 seed = 200; seed < 210; seed++)
+      told[gap] += play_gap (seed, gap);
+  /* The leader can be asked though the state service refuses it, so it is not by silence that the rule holds. */
+  g_assert_cmpuint (told[GAP_PLAIN], >, 20);
+  g_assert_cmpuint (told[GAP_BY_STATUS], >, 15);
+  g_assert_cmpuint (told[GAP_PEERS_CUT], ==, 0);
+}
+
+/* On an ordinary day a cancellation is told about as soon as it is recorded, whoever is asked. */
+static void
+test_told_at_once (void)
+{
+  for (guint32 seed = 220; seed < 224; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      double asked, last = 0;
+      for (guint i = 0; i < 8; i++)
+        sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 6, 1.5, 60);
+      sim_run (sim, 20);
+      asked = sim->now;
+      cancel_some (sim, NULL);
+      sim_run (sim, 27);
+      g_assert_cmpuint (told_cancelled (sim), ==, 4);
+      for (guint i = 0; i < sim->jobs->len; i += 2)
+        last = MAX (last, ((SimJob *) sim->jobs->pdata[i])->cancelled_at);
+      g_assert_cmpfloat (last - asked, <, 5); /* users ask every 1 to 3 s */
+      sim_run (sim, 300);
+      expect_all_over (sim, "told at once", seed);
+      sim_free (sim);
+    }
+}
+
+static int
+a_lessee (Sim *sim)
+{
+  for (guint i = 0; i < SIM_NODES; i++)
+    if (sim->nodes[i].c && sim->nodes[i].c->ownership == HZB_OWNERSHIP_LESSEE && sim->nodes[i].c->machines->all->len >= 1)
+      return (int) i;
+  return -1;
+}
+
+static void
+short_tasks (Sim *sim)
+{
+  for (guint i = 0; i < 8; i++)
+    sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 40, 1, 10)->type = "small";
+}
+
+/* Of a job that is called cancelled nobody holds tasks without knowing that, for so long from now. */
+static void
+watch_holders (Sim *sim, double seconds)
+{
+  for (double until = sim->now + seconds; sim->now < until; sim_run (sim, sim->now + 0.02))
+    for (guint i = 0; i < sim->jobs->len; i++)
+      for (guint node = 0; node < SIM_NODES; node++)
+        {
+          const SimJob *job = sim->jobs->pdata[i];
+          HzbController *c = sim->nodes[node].c;
+          const HzbJob *known = c && job->told_cancelled && c->ownership != HZB_OWNERSHIP_NONE ? hzb_jobs_find (c->jobs, job->uid) : NULL;
+          if (known && known->tasks && known->state == HZB_JOB_ACCEPTED && known->pending + known->listed + known->placed)
+            g_error ("%s is called cancelled, and node-%u holds %u tasks of it at %.2f", job->uid, node,
+                     known->pending + known->listed + known->placed, sim->now);
+        }
+}
+
+static void
+cancel_all (Sim *sim)
+{
+  for (guint i = 0; i < sim->jobs->len; i++)
+    ((SimJob *) sim->jobs->pdata[i])->wants_cancel = TRUE;
+}
+
+/* A lessee that the state service refuses does not see the cancellation: nobody is told before the leader has told it,
+ * and so nothing starts afterwards. */
+static void
+test_lessee_unaware (void)
+{
+  guint told = 0;
+  for (guint32 seed = 230; seed < 242; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      int lessee;
+      short_tasks (sim);
+      while ((lessee = a_lessee (sim)) < 0 && sim->now < 40)
+        sim_run (sim, sim->now + 0.5);
+      g_assert_cmpint (lessee, !=, -1);
+      sim->nodes[lessee].refused = TRUE;
+      sim_run (sim, sim->now + 0.3);
+      cancel_all (sim);
+      watch_holders (sim, 5);
+      told += told_cancelled (sim);
+      heal (sim, NULL);
+      sim_run (sim, sim->now + 200);
+      expect_all_over (sim, "lessee unaware", seed);
+      sim_free (sim);
+    }
+  g_assert_cmpuint (told, >, 24); /* of 96, some of which are done before */
+}
+
+/* The leader ends, and a lessee that nobody reaches goes on for a while: what the next leader can't rule out there is
+ * not called cancelled yet. */
+static void
+test_lessee_left_alone (void)
+{
+  for (guint32 seed = 242; seed < 254; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      int lessee, leader;
+      short_tasks (sim);
+      while ((lessee = a_lessee (sim)) < 0 && sim->now < 40)
+        sim_run (sim, sim->now + 0.5);
+      g_assert_cmpint (lessee, !=, -1);
+      leader = sim_leader (sim);
+      sim->nodes[lessee].refused = sim->nodes[lessee].cut_peers = TRUE;
+      sim_crash (sim, (guint) leader);
+      cancel_all (sim);
+      watch_holders (sim, 15);
+      heal (sim, NULL);
+      start_all (sim, NULL);
+      sim_run (sim, sim->now + 200);
+      expect_all_over (sim, "lessee left alone", seed);
+      sim_free (sim);
+    }
+}
+
+/* ---- any two or three of the list, within seconds of each other ---- */
+
+static void
+cut_off_leader (Sim *sim, gpointer data)
+{
+  SimNode *node = &sim->nodes[MAX (sim_leader (sim), 0)];
+  node->cut_store = node->cut_peers = TRUE;
+}
+
+static void
+refuse_leader (Sim *sim, gpointer data)
+{
+  sim->nodes[MAX (sim_leader (sim), 0)].refused = TRUE;
+}
+
+static void
+begin_outage (Sim *sim, gpointer data)
+{
+  sim->outage = TRUE;
+}
+
+static void
+late_writes (Sim *sim, gpointer data)
+{
+  sim->late_writes = 0.4;
+}
+
+static void
+late_reports (Sim *sim, gpointer data)
+{
+  sim->copies = 0.4;
+}
+
+static void
+slow_links (Sim *sim, gpointer data)
+{
+  sim->late = 0.05;
+  sim->lose = 0.03;
+}
+
+static void
+deafen_some (Sim *sim, gpointer data)
+{
+  for (guint i = 0; i < sim->machines->len; i++)
+    ((SimMachine *) sim->machines->pdata[i])->deaf = g_rand_int_range (sim->rand, 0, 4) == 0;
+}
+
+static void
+mute_some (Sim *sim, gpointer data)
+{
+  for (guint i = 0; i < sim->machines->len; i++)
+    ((SimMachine *) sim->machines->pdata[i])->cut = g_rand_int_range (sim->rand, 0, 4) == 0;
+}
+
+/* Users call off jobs that run, and their machines hang. */
+static void
+cancel_and_hang (Sim *sim, gpointer data)
+{
+  cancel_some (sim, NULL);
+  for (guint i = 0; i < sim->machines->len; i++)
+    ((SimMachine *) sim->machines->pdata[i])->hung = g_rand_int_range (sim->rand, 0, 3) == 0;
+}
+
+static void
+start_one (Sim *sim, gpointer data)
+{
+  guint at = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
+  if (!sim->nodes[at].c)
+    sim_start (sim, at);
+}
+
+static void
+crash_leader (Sim *sim, gpointer data)
+{
+  guint at = (guint) MAX (sim_leader (sim), 0);
+  sim_crash (sim, at);
+  if (g_rand_boolean (sim->rand))
+    sim_start (sim, at);
+}
+
+static void
+crash_leader_again (Sim *sim, gpointer data)
+{
+  guint left = GPOINTER_TO_UINT (data);
+  start_all (sim, NULL);
+  crash_leader (sim, NULL);
+  if (left)
+    sim_at (sim, sim->now + g_rand_double_range (sim->rand, 3, 8), crash_leader_again, GUINT_TO_POINTER (left - 1));
+}
+
+static void
+all_away (Sim *sim, gpointer data)
+{
+  for (guint i = 0; i < SIM_NODES; i++)
+    sim_crash (sim, i);
+  /* Longer than a lease; one is back first. */
+  sim_at (sim, sim->now + g_rand_double_range (sim->rand, 11, 16), start_one, NULL);
+  sim_at (sim, sim->now + g_rand_double_range (sim->rand, 17, 22), start_all, NULL);
+}
+
+static void
+leaders_change (Sim *sim, gpointer data)
+{
+  crash_leader_again (sim, GUINT_TO_POINTER (9)); /* ten times */
+}
+
+/* A zone with a controller: its workers reach that one only, which reaches nobody but the state service. */
+static void
+cut_zone (Sim *sim, gpointer data)
+{
+  sim->nodes[0].cut_peers = TRUE;
+  for (guint i = 0; i < sim->machines->len; i++)
+    {
+      SimMachine *m = sim->machines->pdata[i];
+      m->cut = g_str_equal (m->zone, "za") && m->node != 0;
+    }
+}
+
+static void
+calm (Sim *sim, gpointer data)
+{
+  sim->outage = FALSE;
+  sim->late_writes = sim->copies = sim->late = sim->lose = sim->peer_copies = 0;
+  heal (sim, NULL);
+  start_all (sim, NULL);
+  for (guint i = 0; i < sim->machines->len; i++)
+    {
+      SimMachine *m = sim->machines->pdata[i];
+      m->cut = m->hung = m->deaf = m->sick = FALSE;
+    }
+}
+
+static void (*const troubles[]) (Sim *sim, gpointer data) = {
+  cut_off_leader, refuse_leader, begin_outage, late_writes,   late_reports,    slow_links,     deafen_some, mute_some,
+  cancel_some,    crash_leader,  crash_all,    leaders_change, cancel_and_hang, cut_zone,       crash_one,   cut_leader,
+  all_away,
+};
+
+static void
+test_any_two (void)
+{
+  for (guint32 seed = 300; seed < 348; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      double at = g_rand_double_range (sim->rand, 18, 30);
+      guint n = 2 + seed % 2;
+      for (guint i = 0; i < 12; i++)
+        {
+          SimJob *job = sim_add_job (sim, 1 + 0.5 * i, i % 2 ? "red" : "blue", (guint) g_rand_int_range (sim->rand, 1, 9),
+                                         g_rand_int_range (sim->rand, 1, 4), g_rand_double_range (sim->rand, 5, 50));
+          job->zone = i % 5 == 4 ? "zb" : NULL;
+          job->type = i % 3 ? "small" : NULL;
+          job->polls_only = i % 4 == 2;
+        }
+      for (guint i = 0; i < n; i++)
+        sim_at (sim, at + g_rand_double_range (sim->rand, 0, 4), troubles[g_rand_int_range (sim->rand, 0, G_N_ELEMENTS (troubles))], NULL);
+      sim_at (sim, at + g_rand_double_range (sim->rand, 4, 45), calm, NULL);
+      sim_at (sim, 122, calm, NULL);
+      sim_run (sim, 125);
+      sim->calm_at = sim->now;
+      sim_run (sim, 600);
+      expect_all_over (sim, "any two", seed);
+      sim_free (sim);
+    }
+}
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
+  g_test_add_func ("/cluster/gap", test_gap);
+  g_test_add_func ("/cluster/told-at-once", test_told_at_once);
+  g_test_add_func ("/cluster/lessee-unaware", test_lessee_unaware);
+  g_test_add_func ("/cluster/lessee-left-alone", test_lessee_left_alone);
+  g_test_add_func ("/cluster/any-two", test_any_two);
+  return g_test_run ();
+}
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -1,4 +1,4 @@
-#include "fleet.h"
+#include "autoscaler.h"
 #include "support.h"
 
 #include <math.h>
@@ -13,7 +13,7 @@
   for (guint i = 0; i < b->machines->all->len; i++)
     {
       HzbMachine *m = b->machines->all->pdata[i];
-      HzbEstimate *e = &m->estimates[job->class];
+      HzbEstimate *e = &m->estimates[job->level];
       double u = 0, v = floor (m->type->cpus / spec->cpus + 1e-9);
       if (m->state != HZB_MACHINE_ACTIVE || (spec->zone && strcmp (spec->zone, m->zone)) || (m->spot && !spec->spot))
         continue;
@@ -46,7 +46,7 @@
                        g_rand_boolean (b.rand));
       for (guint i = 0; i < 30; i++)
         {
-          HzbJob *job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 1, g_rand_int_range (b.rand, 1, 6),
+          HzbJob *job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, g_rand_int_range (b.rand, 1, 6),
                                    g_rand_double_range (b.rand, 1, 30));
           HzbMachine *m, *plain;
           double least;
@@ -59,11 +59,11 @@
             {
               /* Rounding may tell equals apart: what counts is that no machine is better. */
               double v = hzb_type_speed (m->type, job->spec);
-              g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&m->estimates[job->class])
+              g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&m->estimates[job->level])
                                                   + b.dispatch->h * job->spec->estimate_s / v,
                                               least, 1e-3);
               hzb_task_set_state (b.jobs, hzb_job_next_pending (job, hzb_clock_now (b.clock)), HZB_TASK_LISTED, m);
-              for (guint c = 0; c <= job->class; c++)
+              for (guint c = 0; c <= job->level; c++)
                 hzb_estimate_send (&m->estimates[c], job->spec->estimate_s / v);
             }
           hzb_clock_advance (b.clock, g_rand_int_range (b.rand, 0, 4));
@@ -83,7 +83,7 @@
     bench_machine (&b, "big", "za", FALSE);
   b.dispatch->lagging = TRUE;
   for (guint i = 0; i < 50; i++)
-    found += hzb_dispatch_choose (b.dispatch, bench_job (&b, "red", HZB_URGENCY_NORMAL, 1, 1, 5), hzb_clock_now (b.clock)) != NULL;
+    found += hzb_dispatch_choose (b.dispatch, bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, 1, 5), hzb_clock_now (b.clock)) != NULL;
   g_assert_cmpuint (found, ==, 50);
   bench_down (&b);
 }
@@ -99,9 +99,9 @@
     {
       HzbMachine *m = bench_machine (&b, "small", "za", FALSE);
       if (i % 100)
-        hzb_machine_set_state (b.machines, m, HZB_MACHINE_LENT, "test");
+        hzb_machine_set_state (b.machines, m, HZB_MACHINE_LEASED, "test");
     }
-  job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 1, 1, 5);
+  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, 1, 5);
   b.dispatch->lagging = TRUE;
   for (guint i = 0; i < 50; i++)
     g_assert_nonnull (hzb_dispatch_choose (b.dispatch, job, hzb_clock_now (b.clock)));
@@ -129,11 +129,11 @@
 }
 
 static guint
-count_orders (const GArray *orders, HzbOrderKind kind)
+count_orders (const GArray *commands, HzbCommandKind kind)
 {
   guint n = 0;
-  for (guint i = 0; i < orders->len; i++)
-    n += g_array_index (orders, HzbOrder, i).kind == kind;
+  for (guint i = 0; i < commands->len; i++)
+    n += g_array_index (commands, HzbCommand, i).kind == kind;
   return n;
 }
 
@@ -148,19 +148,19 @@
   for (guint i = 0; i < 2; i++)
     bench_machine (&b, "small", "za", FALSE);
   for (guint i = 0; i < 4; i++)
-    bench_job (&b, "blue", HZB_URGENCY_NORMAL, 3, 2, 5);
-  large = bench_job (&b, "red", HZB_URGENCY_NORMAL, 500, 2, 30);
+    bench_job (&b, "blue", HZB_PRIORITY_NORMAL, 3, 2, 5);
+  large = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 500, 2, 30);
   for (guint second = 1; second <= 300 && !began; second++)
     {
       struct timespec now;
       hzb_clock_advance (b.clock, 1);
       now = hzb_clock_now (b.clock);
-      bench_job (&b, "blue", HZB_URGENCY_NORMAL, 3, 2, 5)->since = now;
+      bench_job (&b, "blue", HZB_PRIORITY_NORMAL, 3, 2, 5)->since = now;
       hzb_dispatch_run (b.dispatch, now);
       for (guint i = 0; i < b.machines->all->len; i++)
         {
           HzbMachine *m = b.machines->all->pdata[i];
-          g_autoptr (GArray) orders = g_array_new (FALSE, FALSE, sizeof (HzbOrder));
+          g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
           for (guint k = m->tasks->len; k-- > 0;)
             {
               HzbTask *task = m->tasks->pdata[k];
@@ -169,8 +169,8 @@
               hzb_task_set_state (b.jobs, task, HZB_TASK_FINISHED, NULL);
               small++;
             }
-          hzb_dispatch_rebook (b.dispatch, m, now);
-          hzb_dispatch_fill (b.dispatch, m, now, orders);
+          hzb_dispatch_reset_estimates (b.dispatch, m, now);
+          hzb_dispatch_start_tasks (b.dispatch, m, now, commands);
         }
       if (large->placed)
         began = second;
@@ -191,14 +191,14 @@
   HzbJob *elsewhere, *job;
   bench_up (&b, 12);
   bench_machine (&b, "big", "za", FALSE);
-  elsewhere = bench_job (&b, "red", HZB_URGENCY_HIGH, 30, 2, 30);
+  elsewhere = bench_job (&b, "red", HZB_PRIORITY_HIGH, 30, 2, 30);
   elsewhere->spec->zone = g_strdup ("zb");
-  job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 4, 2, 30);
+  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 4, 2, 30);
   for (guint round = 0; round < 2; round++)
     {
-      g_autoptr (GArray) orders = g_array_new (FALSE, FALSE, sizeof (HzbOrder));
+      g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
       hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
-      hzb_dispatch_fill (b.dispatch, b.machines->all->pdata[0], hzb_clock_now (b.clock), orders);
+      hzb_dispatch_start_tasks (b.dispatch, b.machines->all->pdata[0], hzb_clock_now (b.clock), commands);
       bench_machine (&b, "big", "zb", FALSE);
     }
   g_assert_cmpuint (job->placed, ==, 4);
@@ -219,8 +219,8 @@
   going = bench_machine (&b, "big", "za", FALSE);
   busy = bench_machine (&b, "big", "za", FALSE);
   staying = bench_machine (&b, "small", "za", FALSE);
-  saves = bench_job (&b, "red", HZB_URGENCY_IDLE, 3, 2, 200);
-  loses = bench_job (&b, "red", HZB_URGENCY_IDLE, 1, 2, 200);
+  saves = bench_job (&b, "red", HZB_PRIORITY_IDLE, 3, 2, 200);
+  loses = bench_job (&b, "red", HZB_PRIORITY_IDLE, 1, 2, 200);
   saves->spec->checkpoint_s = 20;
   hzb_task_set_state (b.jobs, &saves->tasks[0], HZB_TASK_RUNNING, going);
   hzb_task_set_state (b.jobs, &saves->tasks[1], HZB_TASK_RUNNING, busy);
@@ -234,7 +234,7 @@
   g_assert_false (saves->tasks[1].stopping); /* its machine would not be empty for it */
   g_assert_false (saves->tasks[2].stopping);
   saves->tasks[0].stopping = FALSE;
-  bench_job (&b, "blue", HZB_URGENCY_NORMAL, 2, 2, 30); /* waits for the same room */
+  bench_job (&b, "blue", HZB_PRIORITY_NORMAL, 2, 2, 30); /* waits for the same room */
   hzb_dispatch_consolidate (b.dispatch, now);
   g_assert_false (saves->tasks[0].stopping);
   bench_down (&b);
@@ -247,7 +247,7 @@
   Bench b;
   guint started = 0;
   bench_up (&b, 3);
-  bench_job (&b, "red", HZB_URGENCY_NORMAL, 100, 2, 10);
+  bench_job (&b, "red", HZB_PRIORITY_NORMAL, 100, 2, 10);
   for (guint i = 0; i < 8; i++)
     bench_machine (&b, "big", "za", FALSE);
   for (guint round = 0; round < 3; round++)
@@ -255,9 +255,9 @@
       hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
       for (guint i = 0; i < 8; i++)
         {
-          g_autoptr (GArray) orders = g_array_new (FALSE, FALSE, sizeof (HzbOrder));
-          hzb_dispatch_fill (b.dispatch, b.machines->all->pdata[i], hzb_clock_now (b.clock), orders);
-          started += count_orders (orders, HZB_ORDER_START);
+          g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
+          hzb_dispatch_start_tasks (b.dispatch, b.machines->all->pdata[i], hzb_clock_now (b.clock), commands);
+          started += count_orders (commands, HZB_COMMAND_START);
         }
     }
   g_assert_cmpuint (started, ==, 20); /* 40 CPUs at most */
@@ -270,17 +270,17 @@
 {
   Bench b;
   HzbJob *job;
-  g_autoptr (GArray) orders = g_array_new (FALSE, FALSE, sizeof (HzbOrder));
+  g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
   HzbMachine *first, *second;
   bench_up (&b, 3);
   first = bench_machine (&b, "small", "za", FALSE);
-  job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 8, 2, 10);
+  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 8, 2, 10);
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
   /* Lists are filled a little ahead only; the rest waits where it can still be overtaken. */
   g_assert_cmpuint (hzb_machine_listed (first), ==, 2);
   second = bench_machine (&b, "small", "zb", FALSE);
-  hzb_dispatch_fill (b.dispatch, second, hzb_clock_now (b.clock), orders);
-  g_assert_cmpuint (orders->len, ==, 2);
+  hzb_dispatch_start_tasks (b.dispatch, second, hzb_clock_now (b.clock), commands);
+  g_assert_cmpuint (commands->len, ==, 2);
   g_assert_cmpuint (second->tasks->len, ==, 2);
   g_assert_cmpuint (hzb_machine_listed (first), ==, 0); /* moved, before what waits for a list */
   g_assert_cmpuint (job->pending, ==, 6);
@@ -300,12 +300,12 @@
       Bench b;
       HzbMachine *with, *without;
       HzbJob *job;
-      g_autoptr (GArray) orders = g_array_new (FALSE, FALSE, sizeof (HzbOrder));
+      g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
       struct timespec now;
       bench_up (&b, 5);
       now = hzb_clock_now (b.clock);
       with = bench_machine (&b, "small", "za", FALSE);
-      job = bench_job (&b, "red", HZB_URGENCY_PRODUCTION, 1, 1, 10);
+      job = bench_job (&b, "red", HZB_PRIORITY_PRODUCTION, 1, 1, 10);
       job->spec->service = service;
       job->spec->image_gb = 5;
       g_hash_table_add (with->images, g_ref_string_acquire (job->spec->image));
@@ -313,11 +313,11 @@
       g_assert_cmpint (job->tasks[0].state, ==, HZB_TASK_LISTED);
       without = bench_machine (&b, "small", "za", FALSE);
       hzb_dispatch_run (b.dispatch, now);
-      hzb_dispatch_fill (b.dispatch, without, now, orders);
-      g_assert_cmpuint (orders->len, ==, service ? 0 : 1);
+      hzb_dispatch_start_tasks (b.dispatch, without, now, commands);
+      g_assert_cmpuint (commands->len, ==, service ? 0 : 1);
       hzb_clock_advance (b.clock, 5); /* it does not wait there for ever */
-      hzb_dispatch_fill (b.dispatch, without, hzb_clock_now (b.clock), orders);
-      g_assert_cmpuint (orders->len, ==, 1);
+      hzb_dispatch_start_tasks (b.dispatch, without, hzb_clock_now (b.clock), commands);
+      g_assert_cmpuint (commands->len, ==, 1);
       bench_down (&b);
     }
   {
@@ -328,7 +328,7 @@
     bench_up (&b, 6);
     for (guint i = 0; i < 4; i++)
       m[i] = bench_machine (&b, "small", i < 3 ? "za" : "zb", FALSE); /* 4 CPUs each */
-    job = bench_job (&b, "red", HZB_URGENCY_PRODUCTION, 7, 2, 10);
+    job = bench_job (&b, "red", HZB_PRIORITY_PRODUCTION, 7, 2, 10);
     job->spec->service = job->spec->spread = TRUE;
     hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
     for (guint i = 0; i < 7; i++)
@@ -354,21 +354,21 @@
       Bench b;
       HzbMachine *m;
       HzbJob *low;
-      g_autoptr (GArray) orders = g_array_new (FALSE, FALSE, sizeof (HzbOrder));
+      g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
       bench_up (&b, 3);
       m = bench_machine (&b, "small", "za", FALSE);
-      low = bench_job (&b, "red", same ? HZB_URGENCY_HIGH : HZB_URGENCY_IDLE, 10, 4, 100);
+      low = bench_job (&b, "red", same ? HZB_PRIORITY_HIGH : HZB_PRIORITY_IDLE, 10, 4, 100);
       hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
-      hzb_dispatch_fill (b.dispatch, m, hzb_clock_now (b.clock), orders);
-      g_assert_cmpuint (count_orders (orders, HZB_ORDER_START), ==, 1);
+      hzb_dispatch_start_tasks (b.dispatch, m, hzb_clock_now (b.clock), commands);
+      g_assert_cmpuint (count_orders (commands, HZB_COMMAND_START), ==, 1);
       hzb_task_set_state (b.jobs, &low->tasks[0], HZB_TASK_RUNNING, m);
-      bench_job (&b, "red", HZB_URGENCY_HIGH, 1, 4, 10);
+      bench_job (&b, "red", HZB_PRIORITY_HIGH, 1, 4, 10);
       hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
       hzb_clock_advance (b.clock, 30);
-      g_array_set_size (orders, 0);
-      hzb_dispatch_fill (b.dispatch, m, hzb_clock_now (b.clock), orders);
-      g_assert_cmpuint (count_orders (orders, HZB_ORDER_STOP), ==, same ? 0 : 1);
-      g_assert_cmpuint (count_orders (orders, HZB_ORDER_START), ==, 0);
+      g_array_set_size (commands, 0);
+      hzb_dispatch_start_tasks (b.dispatch, m, hzb_clock_now (b.clock), commands);
+      g_assert_cmpuint (count_orders (commands, HZB_COMMAND_STOP), ==, same ? 0 : 1);
+      g_assert_cmpuint (count_orders (commands, HZB_COMMAND_START), ==, 0);
       bench_down (&b);
     }
 }
@@ -382,7 +382,7 @@
   bench_up (&b, 3);
   bench_machine (&b, "small", "za", FALSE);
   bench_machine (&b, "small", "zb", FALSE);
-  job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 4, 2, 10);
+  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 4, 2, 10);
   job->spec->gang = job->spec->same_zone = TRUE;
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
   g_assert_cmpuint (job->placed, ==, 0); /* room for four, but not in one zone */
@@ -402,28 +402,28 @@
 test_rentals (void)
 {
   Bench b;
-  HzbFleet *fleet;
+  HzbAutoscaler *fleet;
   g_autoptr (GArray) rentals = NULL;
   g_autoptr (GArray) again = NULL;
   HzbJob *job;
   bench_up (&b, 3);
-  fleet = hzb_fleet_new (b.jobs, b.machines, b.settings);
-  job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 10, 2, 40);
+  fleet = hzb_autoscaler_new (b.jobs, b.machines, b.settings);
+  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 10, 2, 40);
   job->spec->spot = FALSE;
   job->spec->zone = g_strdup ("zb");
-  rentals = hzb_fleet_rentals (fleet, hzb_clock_now (b.clock));
+  rentals = hzb_autoscaler_rentals (fleet, hzb_clock_now (b.clock));
   g_assert_cmpuint (rentals->len, >=, 1);
   for (guint i = 0; i < rentals->len; i++)
     {
       const HzbRental *r = &g_array_index (rentals, HzbRental, i);
       g_assert_false (r->spot);
       g_assert_cmpstr (r->zone, ==, "zb");
-      hzb_fleet_refused (fleet, r, hzb_clock_now (b.clock));
+      hzb_autoscaler_note_refused (fleet, r, hzb_clock_now (b.clock));
     }
-  again = hzb_fleet_rentals (fleet, hzb_clock_now (b.clock));
+  again = hzb_autoscaler_rentals (fleet, hzb_clock_now (b.clock));
   for (guint i = 0; i < again->len; i++) /* a refusal is not asked again at once */
     g_assert_true (g_array_index (again, HzbRental, i).type != g_array_index (rentals, HzbRental, 0).type);
-  hzb_fleet_free (fleet);
+  hzb_autoscaler_free (fleet);
   bench_down (&b);
 }
 
@@ -433,22 +433,22 @@
 test_rentals_for_little (void)
 {
   Bench b;
-  HzbFleet *fleet;
+  HzbAutoscaler *fleet;
   g_autoptr (GArray) rentals = NULL;
   gboolean big = FALSE;
   bench_up (&b, 3);
-  fleet = hzb_fleet_new (b.jobs, b.machines, b.settings);
-  bench_job (&b, "red", HZB_URGENCY_IDLE, 1, 0.5, 0.2);
-  rentals = hzb_fleet_rentals (fleet, hzb_clock_now (b.clock));
+  fleet = hzb_autoscaler_new (b.jobs, b.machines, b.settings);
+  bench_job (&b, "red", HZB_PRIORITY_IDLE, 1, 0.5, 0.2);
+  rentals = hzb_autoscaler_rentals (fleet, hzb_clock_now (b.clock));
   g_assert_cmpuint (rentals->len, ==, 1);
   bench_machine (&b, "small", "za", TRUE);
-  bench_job (&b, "red", HZB_URGENCY_IDLE, 1, 12, 1);
+  bench_job (&b, "red", HZB_PRIORITY_IDLE, 1, 12, 1);
   g_array_unref (g_steal_pointer (&rentals));
-  rentals = hzb_fleet_rentals (fleet, hzb_clock_now (b.clock));
+  rentals = hzb_autoscaler_rentals (fleet, hzb_clock_now (b.clock));
   for (guint i = 0; i < rentals->len; i++)
     big = big || g_str_equal (g_array_index (rentals, HzbRental, i).type->name, "big");
   g_assert_true (big);
-  hzb_fleet_free (fleet);
+  hzb_autoscaler_free (fleet);
   bench_down (&b);
 }
 
@@ -459,14 +459,14 @@
 test_leaving (void)
 {
   Bench b;
-  HzbFleet *fleet;
+  HzbAutoscaler *fleet;
   HzbJob *job;
   guint spare = 0, kept = 0;
   g_autoptr (GArray) rentals = NULL;
 
   bench_up (&b, 3);
-  fleet = hzb_fleet_new (b.jobs, b.machines, b.settings);
-  job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 40, 1, 300);
+  fleet = hzb_autoscaler_new (b.jobs, b.machines, b.settings);
+  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 40, 1, 300);
   for (guint i = 0; i < 40; i++)
     {
       HzbMachine *m = i % 2 ? b.machines->all->pdata[i / 2] : bench_machine (&b, "small", "za", TRUE);
@@ -477,20 +477,20 @@
     }
   for (guint t = 0; t < 90; t++)
     {
-      g_autoptr (GPtrArray) back = hzb_fleet_returns (fleet, hzb_clock_now (b.clock));
+      g_autoptr (GPtrArray) back = hzb_autoscaler_returns (fleet, hzb_clock_now (b.clock));
       g_assert_cmpuint (back->len, ==, 0); /* not while tasks are on them */
       hzb_clock_advance (b.clock, 1);
     }
   for (guint i = 0; i < b.machines->all->len; i++)
     spare += ((HzbMachine *) b.machines->all->pdata[i])->spare;
   g_assert_cmpuint (spare, >=, 16);
-  bench_job (&b, "blue", HZB_URGENCY_HIGH, 24, 1, 30);
-  rentals = hzb_fleet_rentals (fleet, hzb_clock_now (b.clock));
+  bench_job (&b, "blue", HZB_PRIORITY_HIGH, 24, 1, 30);
+  rentals = hzb_autoscaler_rentals (fleet, hzb_clock_now (b.clock));
   for (guint i = 0; i < b.machines->all->len; i++)
     kept += !((HzbMachine *) b.machines->all->pdata[i])->spare;
   g_assert_cmpuint (rentals->len, ==, 0);
   g_assert_cmpuint (kept, >, 20 - spare);
-  hzb_fleet_free (fleet);
+  hzb_autoscaler_free (fleet);
   bench_down (&b);
 }
 
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -12,7 +12,7 @@
   HzbTask *task;
   bench_up (&b, 1);
   m = bench_machine (&b, "big", "za", FALSE);
-  job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 3, 2, 10);
+  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 3, 2, 10);
   task = hzb_job_next_pending (job, hzb_clock_now (b.clock));
   g_test_expect_message ("hazelbank", G_LOG_LEVEL_CRITICAL, "*illegal change pending -> starting*");
   g_assert_false (hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, m));
@@ -50,7 +50,7 @@
       bench_up (&b, seed);
       for (guint i = 0; i < 3; i++)
         m[i] = bench_machine (&b, "big", i ? "za" : "zb", FALSE);
-      job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 12, 1.5, 10);
+      job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 12, 1.5, 10);
       for (guint step = 0; step < 400; step++)
         {
           HzbTask *task = &job->tasks[g_rand_int_range (b.rand, 0, 12)];
@@ -66,7 +66,7 @@
             {
               const HzbTask *t = &job->tasks[i];
               counts[t->state]++;
-              if (hzb_task_on_machine (t) || t->state == HZB_TASK_UNKNOWN || t->state == HZB_TASK_GRANTED)
+              if (hzb_task_on_machine (t) || t->state == HZB_TASK_UNKNOWN || t->state == HZB_TASK_DELEGATED)
                 used += 1.5;
               for (guint k = 0; k < 3 && hzb_task_on_machine (t); k++)
                 if (t->machine == m[k])
@@ -101,7 +101,7 @@
         m[i] = bench_machine (&b, "big", i ? "za" : "zb", FALSE);
       for (guint i = 0; i < 3; i++)
         {
-          jobs[i] = bench_job (&b, i ? "red" : "blue", HZB_URGENCY_PRODUCTION, 6, 1 + i, 0.5);
+          jobs[i] = bench_job (&b, i ? "red" : "blue", HZB_PRIORITY_PRODUCTION, 6, 1 + i, 0.5);
           jobs[i]->spec->service = i < 2;
         }
       for (guint step = 0; step < 400; step++)
@@ -151,7 +151,7 @@
   cJSON *second = cJSON_Parse ("{\"released\":64,\"done\":\"Ag==\"}");                                     /* 32768 + 1 */
   bench_up (&b, 1);
   bench_up (&after, 1);
-  job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 50000, 1, 10);
+  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 50000, 1, 10);
   job->released = job->releasing = 0;
   g_assert_true (hzb_job_read_progress (b.jobs, job, 0, old, &ours));
   g_assert_false (ours);
@@ -161,7 +161,7 @@
   g_assert_cmpint (job->tasks[32769].state, ==, HZB_TASK_DONE);
   g_assert_cmpuint (job->released, ==, 40000);
   g_assert_cmpuint (job->unknown, ==, 40000 - 3);
-  again = bench_job (&after, "red", HZB_URGENCY_NORMAL, 50000, 1, 10);
+  again = bench_job (&after, "red", HZB_PRIORITY_NORMAL, 50000, 1, 10);
   again->released = again->releasing = 0;
   for (guint k = 0; k < hzb_job_chunks (b.jobs, job); k++)
     {
@@ -177,7 +177,7 @@
   for (guint i = 0; i < 50000; i++)
     g_assert_cmpint (again->tasks[i].state, ==, job->tasks[i].state);
   /* A job that fits one part of either size is written alike by both. */
-  job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 8000, 1, 10);
+  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 8000, 1, 10);
   second = (cJSON_Delete (second), hzb_job_pack_progress (b.jobs, job, 0));
   g_assert_false (cJSON_HasObjectItem (second, "of"));
   cJSON_Delete (second);
@@ -195,7 +195,7 @@
   cJSON *value;
   bench_up (&b, 1);
   bench_up (&after, 1);
-  job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 50, 1, 10);
+  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 50, 1, 10);
   job->releasing = 40;
   for (guint i = 0; i < 50; i += 7)
     {
@@ -203,7 +203,7 @@
       hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_FINISHED, NULL);
     }
   value = hzb_job_pack_progress (b.jobs, job, 0);
-  again = bench_job (&after, "red", HZB_URGENCY_NORMAL, 50, 1, 10);
+  again = bench_job (&after, "red", HZB_PRIORITY_NORMAL, 50, 1, 10);
   again->released = again->releasing = 0;
   g_assert_true (hzb_job_read_progress (after.jobs, again, 0, value, &ours));
   g_assert_true (ours);
@@ -228,7 +228,7 @@
   Bench b;
   HzbJob *job;
   bench_up (&b, 1);
-  job = bench_job (&b, "red", HZB_URGENCY_NORMAL, HZB_MAX_TASKS, 1, 10);
+  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, HZB_MAX_TASKS, 1, 10);
   for (guint i = 0; i < job->n_tasks; i++)
     {
       hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_UNKNOWN, NULL);
@@ -254,20 +254,20 @@
   cJSON *cancelled = hzb_jobs_pack_final (HZB_JOB_CANCELLED, 3), *done = hzb_jobs_pack_final (HZB_JOB_DONE, 3);
   cJSON *record = cJSON_CreateObject ();
   bench_up (&b, 1);
-  job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 3, 1, 10);
+  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 3, 1, 10);
   cJSON_AddItemToObject (record, job->uid, hzb_jobs_pack_accepted (job->spec, job->accepted));
-  hzb_jobs_take_acceptance (b.jobs, "a", record);
-  hzb_jobs_take_acceptance (b.jobs, "b", record); /* by two nodes: neither record may go yet */
-  g_assert_null (hzb_jobs_spent_acceptance (b.jobs));
+  hzb_jobs_apply_acceptance (b.jobs, "a", record);
+  hzb_jobs_apply_acceptance (b.jobs, "b", record); /* by two nodes: neither record may go yet */
+  g_assert_null (hzb_jobs_completed_acceptance (b.jobs));
   hzb_jobs_apply (b.jobs, job->uid, cancelled, 70);
   g_assert_cmpint (job->state, ==, HZB_JOB_CANCELLED);
-  g_assert_nonnull (hzb_jobs_spent_acceptance (b.jobs)); /* the record of its acceptance may go */
+  g_assert_nonnull (hzb_jobs_completed_acceptance (b.jobs)); /* the record of its acceptance may go */
   hzb_jobs_apply (b.jobs, job->uid, done, 71);
   g_assert_cmpint (job->state, ==, HZB_JOB_CANCELLED);
-  hzb_jobs_take_acceptance (b.jobs, "a", NULL);
-  hzb_jobs_take_acceptance (b.jobs, "b", NULL);
-  g_assert_null (hzb_jobs_spent_acceptance (b.jobs));
-  hzb_jobs_take_acceptance (b.jobs, "a", record); /* read late */
+  hzb_jobs_apply_acceptance (b.jobs, "a", NULL);
+  hzb_jobs_apply_acceptance (b.jobs, "b", NULL);
+  g_assert_null (hzb_jobs_completed_acceptance (b.jobs));
+  hzb_jobs_apply_acceptance (b.jobs, "a", record); /* read late */
   g_assert_cmpint (job->state, ==, HZB_JOB_CANCELLED);
   cJSON_Delete (cancelled);
   cJSON_Delete (done);
@@ -282,17 +282,17 @@
   Bench b;
   HzbJob *job, *next, *other;
   bench_up (&b, 1);
-  job = bench_job (&b, "red", HZB_URGENCY_NORMAL, 200, 1, 10);
+  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 200, 1, 10);
   for (guint i = 0; i < 200; i++)
-    hzb_jobs_observe (b.jobs, job, 20);
+    hzb_jobs_record_run_time (b.jobs, job, 20);
   g_assert_cmpfloat (hzb_jobs_mean_s (b.jobs, job), ==, 10); /* one job proves nothing */
   for (guint i = 0; i < 200 * 80; i++)
-    hzb_jobs_observe (b.jobs, job, 20);
-  hzb_jobs_observe (b.jobs, job, -1); /* a clock's or a peer's nonsense */
-  next = bench_job (&b, "red", HZB_URGENCY_NORMAL, 5, 1, 40);
-  other = bench_job (&b, "red", HZB_URGENCY_NORMAL, 5, 1, 40);
-  g_free (other->spec->lane);
-  other->spec->lane = g_strdup ("another");
+    hzb_jobs_record_run_time (b.jobs, job, 20);
+  hzb_jobs_record_run_time (b.jobs, job, -1); /* a clock's or a peer's nonsense */
+  next = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 5, 1, 40);
+  other = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 5, 1, 40);
+  g_free (other->spec->job_class);
+  other->spec->job_class = g_strdup ("another");
   g_assert_cmpfloat_with_epsilon (hzb_jobs_mean_s (b.jobs, next), 80, 2);
   g_assert_cmpfloat_with_epsilon (hzb_jobs_mean_s (b.jobs, other), 40, 1e-9);
   bench_down (&b);
--- a/tests/test-leases.c
+++ b/tests/test-leases.c
@@ -1,46 +1,46 @@
 /* Blocks leased to other controllers, while these, the leader or the network fail. */
-#include "troubles.h"
+#include "sim-faults.h"
 
 #include <string.h>
 
-static WorldMachine *
-lent_machine_with_tasks (World *w, HzbController *c)
+static SimMachine *
+lent_machine_with_tasks (Sim *sim, HzbController *c)
 {
-  for (guint i = 0; i < w->machines->len; i++)
+  for (guint i = 0; i < sim->machines->len; i++)
     {
-      WorldMachine *m = w->machines->pdata[i];
+      SimMachine *m = sim->machines->pdata[i];
       HzbMachine *known = m->tasks->len ? hzb_machines_find (c->machines, m->name) : NULL;
-      if (known && known->state == HZB_MACHINE_LENT)
+      if (known && known->state == HZB_MACHINE_LEASED)
         return m;
     }
   return NULL;
 }
 
 /* Enough work for several machines: some are lent, and tasks run on them. */
-static WorldMachine *
-run_until_lent (World *w)
+static SimMachine *
+run_until_lent (Sim *sim)
 {
-  WorldMachine *m = NULL;
+  SimMachine *m = NULL;
   for (guint i = 0; i < 10; i++)
     {
-      WorldJob *job = world_add_job (w, 1 + 0.3 * i, i % 2 ? "red" : "blue", 8, 3, 25);
+      SimJob *job = sim_add_job (sim, 1 + 0.3 * i, i % 2 ? "red" : "blue", 8, 3, 25);
       job->type = "small"; /* so that there are many machines */
     }
-  while (!m && w->now < 60)
+  while (!m && sim->now < 60)
     {
-      world_run (w, w->now + 0.5);
-      if (world_leader (w) >= 0)
-        m = lent_machine_with_tasks (w, w->nodes[world_leader (w)].c);
+      sim_run (sim, sim->now + 0.5);
+      if (sim_leader (sim) >= 0)
+        m = lent_machine_with_tasks (sim, sim->nodes[sim_leader (sim)].c);
     }
   g_assert_nonnull (m);
   return m;
 }
 
 static guint
-node_of_lessee (World *w, const WorldMachine *m)
+node_of_lessee (Sim *sim, const SimMachine *m)
 {
-  HzbController *c = w->nodes[world_leader (w)].c;
-  const char *name = hzb_leases_lessee (c->leases, hzb_machines_find (c->machines, m->name));
+  HzbController *c = sim->nodes[sim_leader (sim)].c;
+  const char *name = hzb_leases_lessee_name (c->leases, hzb_machines_find (c->machines, m->name));
   return (guint) (name[strlen (name) - 1] - '0');
 }
 
@@ -48,18 +48,18 @@
 static void
 test_lessee_ends (void)
 {
-  World *w = world_new (40);
-  WorldMachine *m = run_until_lent (w);
+  Sim *sim = sim_new (40);
+  SimMachine *m = run_until_lent (sim);
   guint64 session = m->session;
   guint tasks = m->tasks->len;
-  world_crash (w, node_of_lessee (w, m));
-  world_run (w, w->now + 9);
+  sim_crash (sim, node_of_lessee (sim, m));
+  sim_run (sim, sim->now + 9);
   g_assert_cmpuint (m->session, ==, session); /* its lease lived */
   g_assert_cmpuint (m->tasks->len, >=, tasks > 0);
-  start_all (w, NULL);
-  world_run (w, 600);
-  expect_all_over (w, "lessee ends", 40);
-  world_free (w);
+  start_all (sim, NULL);
+  sim_run (sim, 600);
+  expect_all_over (sim, "lessee ends", 40);
+  sim_free (sim);
 }
 
 /* A lessee is cut off from the leader but not from its machines: it goes on under its token, while the leader takes
@@ -69,24 +69,24 @@
 {
   for (guint32 seed = 41; seed < 47; seed++)
     {
-      World *w = world_new (seed);
-      WorldMachine *m = run_until_lent (w);
-      guint at = node_of_lessee (w, m);
-      HzbController *c = w->nodes[world_leader (w)].c;
+      Sim *sim = sim_new (seed);
+      SimMachine *m = run_until_lent (sim);
+      guint at = node_of_lessee (sim, m);
+      HzbController *c = sim->nodes[sim_leader (sim)].c;
       guint64 token = hzb_machines_find (c->machines, m->name)->token, seen = m->token;
       HzbMachine *known;
-      w->nodes[at].cut_peers = TRUE;
-      world_run (w, w->now + 6);
+      sim->nodes[at].cut_peers = TRUE;
+      sim_run (sim, sim->now + 6);
       known = hzb_machines_find (c->machines, m->name);
       g_assert_nonnull (known);
       /* Nothing that the old lessee sends is obeyed once the machine has heard the leader. */
-      g_assert_cmpint (known->state, !=, HZB_MACHINE_LENT);
+      g_assert_cmpint (known->state, !=, HZB_MACHINE_LEASED);
       g_assert_cmpuint (known->token, >, MAX (token, seen));
-      world_run (w, w->now + 14);
-      w->nodes[at].cut_peers = FALSE;
-      world_run (w, 600);
-      expect_all_over (w, "lessee cut off", seed);
-      world_free (w);
+      sim_run (sim, sim->now + 14);
+      sim->nodes[at].cut_peers = FALSE;
+      sim_run (sim, 600);
+      expect_all_over (sim, "lessee cut off", seed);
+      sim_free (sim);
     }
 }
 
@@ -96,14 +96,14 @@
 {
   for (guint32 seed = 47; seed < 53; seed++)
     {
-      World *w = world_new (seed);
-      run_until_lent (w);
-      world_crash (w, (guint) world_leader (w));
-      world_run (w, w->now + g_rand_double_range (w->rand, 0.5, 12));
-      start_all (w, NULL);
-      world_run (w, 600);
-      expect_all_over (w, "leader of lessees ends", seed);
-      world_free (w);
+      Sim *sim = sim_new (seed);
+      run_until_lent (sim);
+      sim_crash (sim, (guint) sim_leader (sim));
+      sim_run (sim, sim->now + g_rand_double_range (sim->rand, 0.5, 12));
+      start_all (sim, NULL);
+      sim_run (sim, 600);
+      expect_all_over (sim, "leader of lessees ends", seed);
+      sim_free (sim);
     }
 }
 
@@ -114,40 +114,40 @@
 {
   for (guint32 seed = 110; seed < 118; seed++)
     {
-      World *w = world_new (seed);
+      Sim *sim = sim_new (seed);
       guint handed = 0;
       int leader;
       for (guint i = 0; i < 12; i++)
-        world_add_job (w, 1 + 0.3 * i, i % 2 ? "red" : "blue", 8, 3, 60)->type = "small";
-      world_run (w, 30);
-      leader = world_leader (w);
-      world_crash (w, (guint) leader);
-      world_run (w, 38);
-      world_start (w, (guint) leader);
+        sim_add_job (sim, 1 + 0.3 * i, i % 2 ? "red" : "blue", 8, 3, 60)->type = "small";
+      sim_run (sim, 30);
+      leader = sim_leader (sim);
+      sim_crash (sim, (guint) leader);
+      sim_run (sim, 38);
+      sim_start (sim, (guint) leader);
       for (guint k = 0; k < 40; k++)
         {
           HzbController *c;
-          world_run (w, w->now + 0.5);
-          c = w->nodes[MAX (world_leader (w), 0)].c;
-          for (guint i = 0; i < w->machines->len && world_leader (w) >= 0; i++)
+          sim_run (sim, sim->now + 0.5);
+          c = sim->nodes[MAX (sim_leader (sim), 0)].c;
+          for (guint i = 0; i < sim->machines->len && sim_leader (sim) >= 0; i++)
             {
-              const WorldMachine *m = w->machines->pdata[i];
+              const SimMachine *m = sim->machines->pdata[i];
               const HzbMachine *known = hzb_machines_find (c->machines, m->name);
-              handed += known && known->state == HZB_MACHINE_LENT && m->tasks->len && m->session == 1;
+              handed += known && known->state == HZB_MACHINE_LEASED && m->tasks->len && m->session == 1;
             }
           if (handed && k > 10 + seed % 4)
             break;
         }
       g_assert_cmpuint (handed, >, 0);
       if (seed % 3 == 0)
-        world_crash (w, (guint) (world_leader (w) + 1) % WORLD_NODES);
+        sim_crash (sim, (guint) (sim_leader (sim) + 1) % SIM_NODES);
       else if (seed % 3 == 1)
-        world_crash (w, (guint) world_leader (w));
-      world_run (w, w->now + 7);
-      start_all (w, NULL);
-      world_run (w, 900);
-      expect_all_over (w, "hand over", seed);
-      world_free (w);
+        sim_crash (sim, (guint) sim_leader (sim));
+      sim_run (sim, sim->now + 7);
+      start_all (sim, NULL);
+      sim_run (sim, 900);
+      expect_all_over (sim, "hand over", seed);
+      sim_free (sim);
     }
 }
 
@@ -157,27 +157,27 @@
 {
   for (guint32 seed = 60; seed < 72; seed++)
     {
-      World *w = world_new (seed);
-      run_until_lent (w);
-      w->lose = seed % 3 ? 0.03 : 0;
-      w->late = seed % 2 ? 0.05 : 0;
+      Sim *sim = sim_new (seed);
+      run_until_lent (sim);
+      sim->lose = seed % 3 ? 0.03 : 0;
+      sim->late = seed % 2 ? 0.05 : 0;
       for (guint i = 0; i < 3; i++)
         {
-          double at = w->now + g_rand_double_range (w->rand, 0, 50);
-          world_at (w, at, crash_one, NULL);
-          world_at (w, at + g_rand_double_range (w->rand, 1, 8), start_all, NULL);
-          world_at (w, w->now + g_rand_double_range (w->rand, 0, 50), hurt_machine, NULL);
-          at = w->now + g_rand_double_range (w->rand, 0, 40);
-          world_at (w, at, cut_leader, NULL);
-          world_at (w, at + g_rand_double_range (w->rand, 2, 15), heal, NULL);
+          double at = sim->now + g_rand_double_range (sim->rand, 0, 50);
+          sim_at (sim, at, crash_one, NULL);
+          sim_at (sim, at + g_rand_double_range (sim->rand, 1, 8), start_all, NULL);
+          sim_at (sim, sim->now + g_rand_double_range (sim->rand, 0, 50), hurt_machine, NULL);
+          at = sim->now + g_rand_double_range (sim->rand, 0, 40);
+          sim_at (sim, at, cut_leader, NULL);
+          sim_at (sim, at + g_rand_double_range (sim->rand, 2, 15), heal, NULL);
         }
-      world_run (w, w->now + 60);
-      start_all (w, NULL);
-      heal (w, NULL);
-      w->lose = w->late = 0;
-      world_run (w, w->now + 500);
-      expect_all_over (w, "leases and failures", seed);
-      world_free (w);
+      sim_run (sim, sim->now + 60);
+      start_all (sim, NULL);
+      heal (sim, NULL);
+      sim->lose = sim->late = 0;
+      sim_run (sim, sim->now + 500);
+      expect_all_over (sim, "leases and failures", seed);
+      sim_free (sim);
     }
 }
 
@@ -185,20 +185,20 @@
 static void
 test_own_work (void)
 {
-  World *w = world_new (74);
+  Sim *sim = sim_new (74);
   for (guint i = 0; i < 8; i++)
-    world_add_job (w, 1 + 0.2 * i, i % 2 ? "red" : "blue", 4, 3, 25)->spread = TRUE;
+    sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 4, 3, 25)->spread = TRUE;
   for (guint k = 0; k < 12; k++)
     {
       HzbController *c;
-      world_run (w, w->now + 2);
-      c = w->nodes[MAX (world_leader (w), 0)].c;
+      sim_run (sim, sim->now + 2);
+      c = sim->nodes[MAX (sim_leader (sim), 0)].c;
       for (guint i = 0; i < c->machines->all->len; i++)
-        g_assert_cmpint (((HzbMachine *) c->machines->all->pdata[i])->state, !=, HZB_MACHINE_LENT);
+        g_assert_cmpint (((HzbMachine *) c->machines->all->pdata[i])->state, !=, HZB_MACHINE_LEASED);
     }
-  world_run (w, 400);
-  expect_all_over (w, "own work", 74);
-  world_free (w);
+  sim_run (sim, 400);
+  expect_all_over (sim, "own work", 74);
+  sim_free (sim);
 }
 
 int
@@ -206,11 +206,11 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/world/lessee-ends", test_lessee_ends);
-  g_test_add_func ("/world/lessee-cut-off", test_lessee_cut_off);
-  g_test_add_func ("/world/leader-of-lessees-ends", test_leader_of_lessees_ends);
-  g_test_add_func ("/world/hand-over", test_hand_over);
-  g_test_add_func ("/world/own-work", test_own_work);
-  g_test_add_func ("/world/leases-and-failures", test_leases_and_failures);
+  g_test_add_func ("/cluster/lessee-ends", test_lessee_ends);
+  g_test_add_func ("/cluster/lessee-cut-off", test_lessee_cut_off);
+  g_test_add_func ("/cluster/leader-of-lessees-ends", test_leader_of_lessees_ends);
+  g_test_add_func ("/cluster/hand-over", test_hand_over);
+  g_test_add_func ("/cluster/own-work", test_own_work);
+  g_test_add_func ("/cluster/leases-and-failures", test_leases_and_failures);
   return g_test_run ();
 }
--- /dev/null
+++ b/tests/test-partitions.c
@@ -0,0 +1,201 @@
+/* Reports that come late, again or from machines that hear nothing, and tokens. */
+#include "sim-faults.h"
+
+#include <string.h>
+
+/* A machine whose reports arrive while nothing reaches it, the leader's own and a lent one: its lease ends though every
+ * report was answered; it gets no work that it does not carry out, its tasks run elsewhere, and it goes back. */
+static void
+test_deaf_machine (void)
+{
+  for (guint32 seed = 80; seed < 84; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      HzbMachineState state = seed % 2 ? HZB_MACHINE_LEASED : HZB_MACHINE_ACTIVE;
+      SimMachine *m;
+      const HzbMachine *known;
+      double began;
+      some_work (sim, 10);
+      m = run_until (sim, state);
+      began = sim->now;
+      m->deaf = TRUE;
+      sim_run (sim, began + 16);
+      g_assert_cmpuint (m->session, >, 1);
+      known = hzb_machines_find (sim->nodes[sim_leader (sim)].c->machines, m->name);
+      g_assert_true (!known || !hzb_machine_usable (known));
+      sim_run (sim, began + 50);
+      g_assert_true (m->gone);
+      sim_run (sim, 500);
+      expect_all_over (sim, "deaf machine", seed);
+      sim_free (sim);
+    }
+}
+
+/* A short deafness costs no machine and no task. */
+static void
+test_short_deafness (void)
+{
+  Sim *sim = sim_new (84);
+  SimMachine *m;
+  some_work (sim, 10);
+  m = run_until (sim, HZB_MACHINE_ACTIVE);
+  m->deaf = TRUE;
+  sim_run (sim, sim->now + 3);
+  m->deaf = FALSE;
+  sim_run (sim, sim->now + 15);
+  g_assert_cmpuint (m->session, ==, 1);
+  g_assert_false (m->gone);
+  sim_run (sim, 400);
+  expect_all_over (sim, "short deafness", 84);
+  sim_free (sim);
+}
+
+/* A takeover does not wait for ever for a machine that never shows the new token though it reports all the time. */
+static void
+test_deaf_at_takeover (void)
+{
+  Sim *sim = sim_new (85);
+  SimMachine *m;
+  int leader;
+  some_work (sim, 10);
+  m = run_until (sim, HZB_MACHINE_ACTIVE);
+  leader = sim_leader (sim);
+  m->deaf = TRUE;
+  sim_crash (sim, (guint) leader);
+  sim_run (sim, sim->now + 25);
+  g_assert_cmpint (sim_leader (sim), !=, -1);
+  g_assert_cmpint (sim->nodes[sim_leader (sim)].c->ownership, ==, HZB_OWNERSHIP_READY);
+  g_assert_true (m->gone);
+  sim_start (sim, (guint) leader);
+  sim_run (sim, 400);
+  expect_all_over (sim, "deaf at takeover", 85);
+  sim_free (sim);
+}
+
+/* A report that comes late, or again, says nothing new: its empty list does not free tasks that run. */
+static void
+test_late_report (void)
+{
+  Sim *sim = sim_new (11);
+  SimMachine *m;
+  guint started;
+  sim_add_job (sim, 1, "red", 6, 2, 60);
+  m = run_until (sim, HZB_MACHINE_ACTIVE);
+  sim_run (sim, 25);
+  started = sim->started;
+  g_assert_cmpuint (report_again (sim, m, m->session, 1, ""), ==, 503);
+  g_assert_cmpuint (report_again (sim, m, m->session, m->seq, ""), ==, 503);
+  sim_run (sim, 32);
+  g_assert_cmpuint (sim->started, ==, started);
+  sim_run (sim, 200);
+  expect_all_over (sim, "late report", 11);
+  sim_free (sim);
+}
+
+/* Once a machine's lease is over for certain, a report of that session makes it look alive no more, whatever its number;
+ * and a report alone, as a copy of one long gone may be, makes no machine that gets work. */
+static void
+test_late_copies_revive_nothing (void)
+{
+  Sim *sim = sim_new (86);
+  SimMachine *m, gone = { .name = (char *) "i-900001", .type = (char *) "big", .zone = (char *) "za" };
+  HzbController *c;
+  some_work (sim, 10);
+  m = run_until (sim, HZB_MACHINE_ACTIVE);
+  c = sim->nodes[sim_leader (sim)].c;
+  m->cut = TRUE;
+  sim_run (sim, sim->now + 13);
+  g_assert_cmpint (hzb_machines_find (c->machines, m->name)->state, ==, HZB_MACHINE_LEASE_EXPIRED);
+  g_assert_cmpuint (report_again (sim, m, 1, 100000, ""), ==, 503);
+  g_assert_cmpint (hzb_machines_find (c->machines, m->name)->state, ==, HZB_MACHINE_LEASE_EXPIRED);
+  g_assert_cmpuint (report_again (sim, &gone, 1, 1, ""), ==, 200);
+  g_assert_nonnull (strstr (last_body, "\"orders\":[]"));
+  g_assert_false (hzb_machine_usable (hzb_machines_find (c->machines, gone.name)));
+  m->cut = FALSE;
+  sim_run (sim, 600);
+  expect_all_over (sim, "late copies revive nothing", 86);
+  sim_free (sim);
+}
+
+/* Copies of reports and of messages between nodes come late, to any node, while leaders and machines change. */
+static void
+test_late_copies (void)
+{
+  for (guint32 seed = 90; seed < 98; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      sim->copies = 0.4;
+      sim->peer_copies = seed % 2 ? 0.4 : 0;
+      some_work (sim, 12);
+      for (guint i = 0; i < 3; i++)
+        {
+          sim_at (sim, g_rand_double_range (sim->rand, 10, 60), crash_one, NULL);
+          sim_at (sim, g_rand_double_range (sim->rand, 10, 60), hurt_machine, NULL);
+          sim_at (sim, g_rand_double_range (sim->rand, 15, 70), start_all, NULL);
+        }
+      if (seed % 4 == 3)
+        sim_at (sim, g_rand_double_range (sim->rand, 15, 50), crash_all, NULL);
+      sim_at (sim, 75, start_all, NULL);
+      sim_run (sim, 80);
+      sim->copies = sim->peer_copies = 0;
+      sim_run (sim, 650);
+      expect_all_over (sim, "late copies", seed);
+      sim_free (sim);
+    }
+}
+
+/* A worker that has seen a newer token: whoever answers it with less has been replaced, and gives way. */
+static void
+test_newer_token (void)
+{
+  Sim *sim = sim_new (12);
+  SimMachine *m;
+  HzbController *c;
+  sim_add_job (sim, 1, "red", 2, 2, 30);
+  sim_run (sim, 20);
+  m = machine_with_tasks (sim);
+  c = sim->nodes[sim_leader (sim)].c;
+  m->token += hzb_token (7, 0);
+  g_assert_cmpuint (report_again (sim, m, m->session, m->seq + 1, ""), ==, 503);
+  g_assert_false (hzb_election_leading (c->election));
+  m->token -= hzb_token (7, 0);
+  sim_run (sim, 120);
+  expect_all_over (sim, "newer token", 12);
+  sim_free (sim);
+}
+
+/* A report sent under an older token may still be overtaken by that token's orders: it is answered, so that the
+ * lease lives, but nothing is concluded from it and nothing ordered. */
+static void
+test_older_token (void)
+{
+  Sim *sim = sim_new (18);
+  HzbController *c;
+  SimMachine m = { .name = (char *) "i-900000", .type = (char *) "big", .zone = (char *) "za" };
+  sim_add_job (sim, 1, "red", 30, 2, 30);
+  sim_run (sim, 12);
+  c = sim->nodes[sim_leader (sim)].c;
+  g_assert_cmpuint (report_again (sim, &m, 1, 1, "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"), ==, 200);
+  g_assert_nonnull (strstr (last_body, "\"orders\":[]"));
+  g_assert_cmpint (hzb_machines_find (c->machines, "i-900000")->state, ==, HZB_MACHINE_BOOTING);
+  m.token = hzb_token (hzb_election_term (c->election), 0);
+  g_assert_cmpuint (report_again (sim, &m, 1, 2, "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"), ==, 200);
+  g_assert_cmpint (hzb_machines_find (c->machines, "i-900000")->state, ==, HZB_MACHINE_ACTIVE);
+  sim_free (sim);
+}
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
+  g_test_add_func ("/cluster/deaf-machine", test_deaf_machine);
+  g_test_add_func ("/cluster/short-deafness", test_short_deafness);
+  g_test_add_func ("/cluster/deaf-at-takeover", test_deaf_at_takeover);
+  g_test_add_func ("/cluster/late-report", test_late_report);
+  g_test_add_func ("/cluster/late-copies-revive-nothing", test_late_copies_revive_nothing);
+  g_test_add_func ("/cluster/late-copies", test_late_copies);
+  g_test_add_func ("/cluster/newer-token", test_newer_token);
+  g_test_add_func ("/cluster/older-token", test_older_token);
+  return g_test_run ();
+}
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -1,5 +1,5 @@
 /* What is durable, and what is told of it. */
-#include "troubles.h"
+#include "sim-faults.h"
 
 #include <string.h>
 
@@ -7,27 +7,27 @@
 static void
 test_done_is_durable_first (void)
 {
-  World *w = world_new (14);
-  WorldJob *job = world_add_job (w, 1, "red", 4, 2, 15);
-  WorldMachine *m;
+  Sim *sim = sim_new (14);
+  SimJob *job = sim_add_job (sim, 1, "red", 4, 2, 15);
+  SimMachine *m;
   guint ended = 0;
-  world_run (w, 15);
-  g_assert_nonnull (machine_with_tasks (w));
-  w->outage = TRUE;
-  world_run (w, 45);
+  sim_run (sim, 15);
+  g_assert_nonnull (machine_with_tasks (sim));
+  sim->outage = TRUE;
+  sim_run (sim, 45);
   g_assert_false (job->told_done);
-  for (guint i = 0; i < w->machines->len; i++)
+  for (guint i = 0; i < sim->machines->len; i++)
     {
-      m = w->machines->pdata[i];
+      m = sim->machines->pdata[i];
       for (guint k = 0; k < m->tasks->len; k++)
-        ended += g_str_equal (((WorldTask *) m->tasks->pdata[k])->why, "done");
+        ended += g_str_equal (((SimTask *) m->tasks->pdata[k])->why, "done");
     }
   g_assert_cmpuint (ended, ==, 4);
-  w->outage = FALSE;
-  world_run (w, 60);
+  sim->outage = FALSE;
+  sim_run (sim, 60);
   g_assert_true (job->told_done);
-  expect_all_over (w, "durable first", 14);
-  world_free (w);
+  expect_all_over (sim, "durable first", 14);
+  sim_free (sim);
 }
 
 /* Many transactions come late. The world checks that no record of progress ever goes back, as one would if an
@@ -37,16 +37,16 @@
 {
   for (guint32 seed = 30; seed < 38; seed++)
     {
-      World *w = world_new (seed);
+      Sim *sim = sim_new (seed);
       for (guint i = 0; i < 5; i++)
-        world_add_job (w, 1 + i, i % 2 ? "red" : "blue", 25, 1, 4);
-      world_run (w, 12);
-      w->late = 0.3;
-      world_run (w, 40);
-      w->late = 0;
-      world_run (w, 200);
-      expect_all_over (w, "late flush", seed);
-      world_free (w);
+        sim_add_job (sim, 1 + i, i % 2 ? "red" : "blue", 25, 1, 4);
+      sim_run (sim, 12);
+      sim->late = 0.3;
+      sim_run (sim, 40);
+      sim->late = 0;
+      sim_run (sim, 200);
+      expect_all_over (sim, "late flush", seed);
+      sim_free (sim);
     }
 }
 
@@ -55,40 +55,40 @@
 static void
 test_few_changes (void)
 {
-  World *w = world_new (19);
-  WorldJob *late;
+  Sim *sim = sim_new (19);
+  SimJob *late;
   guint before;
   for (guint i = 0; i < 24; i++)
-    world_add_job (w, 1 + 0.1 * i, i % 2 ? "red" : "blue", 10, 1, 4)->type = "small";
-  w->write_rate = 10;
-  world_run (w, 40);
-  before = w->written;
-  late = world_add_job (w, 40, "red", 3, 1, 2); /* urgent */
-  world_run (w, 55);
+    sim_add_job (sim, 1 + 0.1 * i, i % 2 ? "red" : "blue", 10, 1, 4)->type = "small";
+  sim->write_rate = 10;
+  sim_run (sim, 40);
+  before = sim->written;
+  late = sim_add_job (sim, 40, "red", 3, 1, 2); /* urgent */
+  sim_run (sim, 55);
   g_assert_true (late->told_done);
-  g_assert_cmpuint (w->written - before, <, 100);
-  world_run (w, 500);
-  expect_all_over (w, "few changes", 19);
-  world_free (w);
+  g_assert_cmpuint (sim->written - before, <, 100);
+  sim_run (sim, 500);
+  expect_all_over (sim, "few changes", 19);
+  sim_free (sim);
 }
 
 static guint
-count_unanswered (World *w, guint at)
+count_unanswered (Sim *sim, guint at)
 {
   guint n = 0;
-  g_autofree guint *status = g_new0 (guint, w->jobs->len);
-  for (guint i = 0; i < w->jobs->len; i++)
+  g_autofree guint *status = g_new0 (guint, sim->jobs->len);
+  for (guint i = 0; i < sim->jobs->len; i++)
     {
       HzbExchange *exchange = g_new0 (HzbExchange, 1);
       exchange->method = g_strdup ("GET");
-      exchange->path = g_strdup_printf ("/api/jobs/%s", ((WorldJob *) w->jobs->pdata[i])->uid);
+      exchange->path = g_strdup_printf ("/api/jobs/%s", ((SimJob *) sim->jobs->pdata[i])->uid);
       exchange->body = g_strdup ("");
       exchange->reply = keep_status;
       exchange->impl = &status[i];
-      hzb_controller_request (exchange, w->nodes[at].c);
+      hzb_controller_request (exchange, sim->nodes[at].c);
     }
-  world_run (w, w->now + 2);
-  for (guint i = 0; i < w->jobs->len; i++)
+  sim_run (sim, sim->now + 2);
+  for (guint i = 0; i < sim->jobs->len; i++)
     n += status[i] != 200;
   return n;
 }
@@ -97,19 +97,19 @@
 static void
 test_nothing_forgotten (void)
 {
-  World *w = world_new (58);
+  Sim *sim = sim_new (58);
   for (guint i = 0; i < 90; i++)
-    world_add_job (w, 1 + 0.4 * i, i % 2 ? "red" : "blue", 2, 1, 3)->wants_cancel = i % 9 == 0;
-  world_run (w, 45);
-  crash_all (w, NULL);
-  world_run (w, 55);
-  for (guint i = 0; i < WORLD_NODES; i++)
-    g_assert_cmpuint (count_unanswered (w, i), ==, 0);
-  world_run (w, 400);
-  expect_all_over (w, "nothing forgotten", 58);
-  for (guint i = 0; i < WORLD_NODES; i++)
-    g_assert_cmpuint (count_unanswered (w, i), ==, 0);
-  world_free (w);
+    sim_add_job (sim, 1 + 0.4 * i, i % 2 ? "red" : "blue", 2, 1, 3)->wants_cancel = i % 9 == 0;
+  sim_run (sim, 45);
+  crash_all (sim, NULL);
+  sim_run (sim, 55);
+  for (guint i = 0; i < SIM_NODES; i++)
+    g_assert_cmpuint (count_unanswered (sim, i), ==, 0);
+  sim_run (sim, 400);
+  expect_all_over (sim, "nothing forgotten", 58);
+  for (guint i = 0; i < SIM_NODES; i++)
+    g_assert_cmpuint (count_unanswered (sim, i), ==, 0);
+  sim_free (sim);
 }
 
 /* Records of jobs that ended long ago are not mirrored, and still answer: users go on asking, submit again and cancel,
@@ -117,50 +117,50 @@
 static void
 test_old_ones_move (void)
 {
-  WorldSize size = world_size_little;
-  size.keep_ended = 4;
+  SimSize size = sim_size_little;
+  size.max_mirrored_ended = 4;
   for (guint32 seed = 130; seed < 134; seed++)
     {
-      World *w = world_new_sized (seed, &size);
+      Sim *sim = sim_new_sized (seed, &size);
       guint moved = 0;
       GHashTableIter iter;
       gpointer key;
       for (guint i = 0; i < 40; i++)
-        world_add_job (w, 1 + 2 * i, i % 2 ? "red" : "blue", 2, 1, 3)->wants_cancel = i % 4 == 3;
+        sim_add_job (sim, 1 + 2 * i, i % 2 ? "red" : "blue", 2, 1, 3)->wants_cancel = i % 4 == 3;
       for (guint i = 0; i < 5; i++)
         {
-          world_at (w, g_rand_double_range (w->rand, 20, 110), crash_one, NULL);
-          world_at (w, g_rand_double_range (w->rand, 20, 110), start_all, NULL);
+          sim_at (sim, g_rand_double_range (sim->rand, 20, 110), crash_one, NULL);
+          sim_at (sim, g_rand_double_range (sim->rand, 20, 110), start_all, NULL);
         }
-      world_run (w, 60);
+      sim_run (sim, 60);
       if (seed % 2)
         {
-          w->nodes[1].cut_store = TRUE; /* a while, in which much moves */
-          world_run (w, 85);
-          w->nodes[1].cut_store = FALSE;
-          if (w->nodes[1].c)
-            hzb_controller_lose_mirror (w->nodes[1].c); /* as when the changes since are not kept any more */
+          sim->nodes[1].cut_store = TRUE; /* a while, in which much moves */
+          sim_run (sim, 85);
+          sim->nodes[1].cut_store = FALSE;
+          if (sim->nodes[1].c)
+            hzb_controller_reset_mirror (sim->nodes[1].c); /* as when the changes since are not kept any more */
         }
-      world_run (w, 112);
-      start_all (w, NULL);
-      world_run (w, 250);
-      g_hash_table_iter_init (&iter, w->kv);
+      sim_run (sim, 112);
+      start_all (sim, NULL);
+      sim_run (sim, 250);
+      g_hash_table_iter_init (&iter, sim->kv);
       while (g_hash_table_iter_next (&iter, &key, NULL))
         {
           moved += g_str_has_prefix (key, HZB_KEY_ENDED);
           if (g_str_has_prefix (key, HZB_KEY_ENDED)) /* in one place only */
             {
               g_autofree char *other = g_strconcat (HZB_KEY_JOBS, (char *) key + strlen (HZB_KEY_ENDED), NULL);
-              g_assert_false (g_hash_table_contains (w->kv, other));
+              g_assert_false (g_hash_table_contains (sim->kv, other));
             }
         }
-      g_assert_cmpuint (moved, ==, 40 - size.keep_ended);
-      for (guint i = 0; i < WORLD_NODES; i++)
-        g_assert_cmpuint (g_hash_table_size (w->nodes[i].c->jobs->by_uid), ==, size.keep_ended);
+      g_assert_cmpuint (moved, ==, 40 - size.max_mirrored_ended);
+      for (guint i = 0; i < SIM_NODES; i++)
+        g_assert_cmpuint (g_hash_table_size (sim->nodes[i].c->jobs->by_uid), ==, size.max_mirrored_ended);
       /* Users come back long after, and one asks about what was never submitted. */
-      world_run (w, 300);
-      expect_all_over (w, "old ones move", seed);
-      world_free (w);
+      sim_run (sim, 300);
+      expect_all_over (sim, "old ones move", seed);
+      sim_free (sim);
     }
 }
 
@@ -169,10 +169,10 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/world/done-is-durable-first", test_done_is_durable_first);
-  g_test_add_func ("/world/late-flush", test_late_flush);
-  g_test_add_func ("/world/few-changes", test_few_changes);
-  g_test_add_func ("/world/nothing-forgotten", test_nothing_forgotten);
-  g_test_add_func ("/world/old-ones-move", test_old_ones_move);
+  g_test_add_func ("/cluster/done-is-durable-first", test_done_is_durable_first);
+  g_test_add_func ("/cluster/late-flush", test_late_flush);
+  g_test_add_func ("/cluster/few-changes", test_few_changes);
+  g_test_add_func ("/cluster/nothing-forgotten", test_nothing_forgotten);
+  g_test_add_func ("/cluster/old-ones-move", test_old_ones_move);
   return g_test_run ();
 }
--- a/tests/test-scale.c
+++ b/tests/test-scale.c
@@ -1,11 +1,11 @@
 /* Many machines: what a decision costs, counted, and that the rules hold while many fall together. Bounds are by count,
  * nothing here looks at how long anything takes. */
 #include "support.h"
-#include "troubles.h"
+#include "sim-faults.h"
 
 #define MACHINES 1800u
 
-static const WorldSize large = { .machines = MACHINES, .teams = 8, .team_max = 3000, .team_guarantee = 800, .report_s = 5,
+static const SimSize large = { .machines = MACHINES, .teams = 8, .team_max = 3000, .team_guarantee = 800, .report_s = 5,
                                  .lease_s = 26.5, .cancel_s = 46.5, .store_rps = 800, .store_write_rps = 70, .txn_ops = 16,
                                  .cloud_rps = 15, .rows = 500, .check_s = 0.5 };
 
@@ -15,7 +15,7 @@
 looks_at_reports (guint machines, guint jobs, guint *of_a_run)
 {
   Bench b;
-  g_autoptr (GArray) orders = g_array_new (FALSE, FALSE, sizeof (HzbOrder));
+  g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
   struct timespec now;
   guint before;
 
@@ -26,17 +26,17 @@
   for (guint i = 0; i < machines; i++)
     bench_machine (&b, "small", i % 2 ? "za" : "zb", TRUE);
   for (guint i = 0; i < jobs; i++)
-    bench_job (&b, i % 2 ? "red" : "blue", HZB_URGENCY_NORMAL, 200, 1, 30);
+    bench_job (&b, i % 2 ? "red" : "blue", HZB_PRIORITY_NORMAL, 200, 1, 30);
   for (guint i = 0; i < 20; i++) /* until every list is full */
     hzb_dispatch_run (b.dispatch, now);
-  before = b.dispatch->looks;
+  before = b.dispatch->examined;
   hzb_dispatch_run (b.dispatch, now);
-  *of_a_run = b.dispatch->looks - before;
-  before = b.dispatch->looks;
+  *of_a_run = b.dispatch->examined - before;
+  before = b.dispatch->examined;
   for (guint i = 0; i < 20; i++)
-    hzb_dispatch_fill (b.dispatch, b.machines->all->pdata[i], now, orders);
-  before = b.dispatch->looks - before;
-  g_assert_cmpuint (orders->len, ==, 20 * 4);
+    hzb_dispatch_start_tasks (b.dispatch, b.machines->all->pdata[i], now, commands);
+  before = b.dispatch->examined - before;
+  g_assert_cmpuint (commands->len, ==, 20 * 4);
   bench_down (&b);
   return before;
 }
@@ -62,48 +62,48 @@
 /* ---- worlds ---- */
 
 static void
-many_jobs (World *w, guint n, double over_s, double run_s)
+many_jobs (Sim *sim, guint n, double over_s, double run_s)
 {
   for (guint i = 0; i < n; i++)
     {
       g_autofree char *team = i % 8 < 2 ? g_strdup (i % 8 ? "blue" : "red") : g_strdup_printf ("team-%02u", i % 8);
-      world_add_job (w, 1 + over_s * i / n, team, (guint) g_rand_int_range (w->rand, 10, 60), 1,
-                     g_rand_double_range (w->rand, 0.5 * run_s, 1.5 * run_s))->spot = TRUE;
+      sim_add_job (sim, 1 + over_s * i / n, team, (guint) g_rand_int_range (sim->rand, 10, 60), 1,
+                     g_rand_double_range (sim->rand, 0.5 * run_s, 1.5 * run_s))->spot = TRUE;
     }
 }
 
 /* A fleet of this size at work. */
-static World *
+static Sim *
 large_world (guint32 seed, guint machines, guint jobs, double run_s)
 {
-  World *w = world_new_sized (seed, &large);
+  Sim *sim = sim_new_sized (seed, &large);
   for (guint i = 0; i < machines; i++)
-    world_add_machine (w, i % 3 ? "small" : "big", i % 2 ? "za" : "zb", TRUE, g_rand_double_range (w->rand, 1, 5));
-  many_jobs (w, jobs, 10, run_s);
-  world_run (w, 25);
-  expect_no_fault (w, "a large fleet at work", 0);
-  return w;
+    sim_add_machine (sim, i % 3 ? "small" : "big", i % 2 ? "za" : "zb", TRUE, g_rand_double_range (sim->rand, 1, 5));
+  many_jobs (sim, jobs, 10, run_s);
+  sim_run (sim, 25);
+  expect_no_fault (sim, "a large fleet at work", 0);
+  return sim;
 }
 
 static guint
-running (World *w)
+running (Sim *sim)
 {
   guint n = 0;
-  for (guint i = 0; i < w->machines->len; i++)
+  for (guint i = 0; i < sim->machines->len; i++)
     {
-      const WorldMachine *m = w->machines->pdata[i];
+      const SimMachine *m = sim->machines->pdata[i];
       for (guint k = 0; k < m->tasks->len && !m->gone; k++)
-        n += ((WorldTask *) m->tasks->pdata[k])->state == 2;
+        n += ((SimTask *) m->tasks->pdata[k])->state == 2;
     }
   return n;
 }
 
 static guint
-alive (World *w)
+alive (Sim *sim)
 {
   guint n = 0;
-  for (guint i = 0; i < w->machines->len; i++)
-    n += !((WorldMachine *) w->machines->pdata[i])->gone && !((WorldMachine *) w->machines->pdata[i])->failed;
+  for (guint i = 0; i < sim->machines->len; i++)
+    n += !((SimMachine *) sim->machines->pdata[i])->gone && !((SimMachine *) sim->machines->pdata[i])->failed;
   return n;
 }
 
@@ -111,115 +111,115 @@
 static void
 test_half_falls (void)
 {
-  World *w = large_world (11, MACHINES, 150, 60);
+  Sim *sim = large_world (11, MACHINES, 150, 60);
   guint rentals;
-  for (guint i = 0; i < w->machines->len; i += 2)
+  for (guint i = 0; i < sim->machines->len; i += 2)
     {
-      WorldMachine *m = w->machines->pdata[i];
+      SimMachine *m = sim->machines->pdata[i];
       m->failed = TRUE;
       g_ptr_array_set_size (m->tasks, 0);
       if (i % 600 == 0)
-        world_run (w, w->now + 0.5);
+        sim_run (sim, sim->now + 0.5);
     }
-  rentals = w->rentals;
-  world_run (w, w->now + 60);
-  expect_no_fault (w, "half falls", 0);
+  rentals = sim->rentals;
+  sim_run (sim, sim->now + 60);
+  expect_no_fault (sim, "half falls", 0);
   /* No wave of calls: one plan a second, and no more than what lacks. */
-  g_assert_cmpuint (w->rentals - rentals, <, 60);
-  g_assert_cmpuint (alive (w), <=, MACHINES);
-  world_run (w, 400);
-  expect_all_over (w, "half falls", 0);
-  world_free (w);
+  g_assert_cmpuint (sim->rentals - rentals, <, 60);
+  g_assert_cmpuint (alive (sim), <=, MACHINES);
+  sim_run (sim, 400);
+  expect_all_over (sim, "half falls", 0);
+  sim_free (sim);
 }
 
 /* The leader ends while three hundred machines are silent: the others' work goes on and new work starts at once. */
 static void
 test_takeover (void)
 {
-  World *w = large_world (12, MACHINES, 150, 200);
-  guint started, cut = 0, written, at = (guint) MAX (world_leader (w), 0);
+  Sim *sim = large_world (12, MACHINES, 150, 200);
+  guint started, cut = 0, written, at = (guint) MAX (sim_leader (sim), 0);
   double began;
-  for (guint i = 0; i < w->machines->len && cut < 300; i++)
+  for (guint i = 0; i < sim->machines->len && cut < 300; i++)
     {
-      WorldMachine *m = w->machines->pdata[i];
+      SimMachine *m = sim->machines->pdata[i];
       m->cut = m->up && i % 5 == 0;
       cut += m->cut;
     }
-  world_crash (w, at);
-  began = w->now;
-  many_jobs (w, 20, 5, 10);
-  started = w->started;
-  written = w->written;
-  world_run (w, began + 25); /* no lease is over, no machine can have been given back */
-  expect_no_fault (w, "takeover", 0);
-  g_assert_cmpint (world_leader (w), !=, -1);
-  g_assert_cmpuint (w->started - started, >, 100);
+  sim_crash (sim, at);
+  began = sim->now;
+  many_jobs (sim, 20, 5, 10);
+  started = sim->started;
+  written = sim->written;
+  sim_run (sim, began + 25); /* no lease is over, no machine can have been given back */
+  expect_no_fault (sim, "takeover", 0);
+  g_assert_cmpint (sim_leader (sim), !=, -1);
+  g_assert_cmpuint (sim->started - started, >, 100);
   /* Progress once a second, and what waits at once: with pages written at each report it is 600 (tried by hand). */
-  g_assert_cmpuint (w->written - written, <, 25 * 10);
-  world_start (w, at);
-  for (guint i = 0; i < w->machines->len; i++)
-    ((WorldMachine *) w->machines->pdata[i])->cut = FALSE;
-  world_run (w, 700);
-  expect_all_over (w, "takeover", 0);
-  world_free (w);
+  g_assert_cmpuint (sim->written - written, <, 25 * 10);
+  sim_start (sim, at);
+  for (guint i = 0; i < sim->machines->len; i++)
+    ((SimMachine *) sim->machines->pdata[i])->cut = FALSE;
+  sim_run (sim, 700);
+  expect_all_over (sim, "takeover", 0);
+  sim_free (sim);
 }
 
 /* All nodes begin anew with the records of a day. */
 static void
 test_begin_anew (void)
 {
-  World *w = large_world (13, MACHINES, 200, 100);
-  guint rows, requests, work = running (w);
+  Sim *sim = large_world (13, MACHINES, 200, 100);
+  guint rows, requests, work = running (sim);
   double began;
-  for (guint i = 0; i < WORLD_NODES; i++)
-    world_crash (w, i);
-  world_run (w, w->now + 1);
-  rows = w->rows_read;
-  requests = w->requests;
-  for (guint i = 0; i < WORLD_NODES; i++)
-    world_start (w, i);
-  began = w->now;
-  world_run (w, began + 8);
-  g_assert_cmpint (world_leader (w), !=, -1);
-  for (guint i = 0; i < WORLD_NODES; i++)
-    g_assert_true (hzb_controller_ready (w->nodes[i].c));
+  for (guint i = 0; i < SIM_NODES; i++)
+    sim_crash (sim, i);
+  sim_run (sim, sim->now + 1);
+  rows = sim->rows_read;
+  requests = sim->requests;
+  for (guint i = 0; i < SIM_NODES; i++)
+    sim_start (sim, i);
+  began = sim->now;
+  sim_run (sim, began + 8);
+  g_assert_cmpint (sim_leader (sim), !=, -1);
+  for (guint i = 0; i < SIM_NODES; i++)
+    g_assert_true (hzb_controller_ready (sim->nodes[i].c));
   /* Each reads what there is once, and the leader the holder's part. */
-  g_assert_cmpuint (w->rows_read - rows, <=, (WORLD_NODES + 1) * g_hash_table_size (w->kv) + 20);
-  g_assert_cmpuint (w->requests - requests, <, 1500);
-  world_run (w, began + 24);
+  g_assert_cmpuint (sim->rows_read - rows, <=, (SIM_NODES + 1) * g_hash_table_size (sim->kv) + 20);
+  g_assert_cmpuint (sim->requests - requests, <, 1500);
+  sim_run (sim, began + 24);
   /* Nothing that ran was lost: no lease has ended. */
-  for (guint i = 0; i < w->machines->len; i++)
-    g_assert_cmpuint (((WorldMachine *) w->machines->pdata[i])->session, ==, 1);
-  g_assert_cmpuint (running (w), >, work / 2);
-  expect_no_fault (w, "begin anew", 0);
-  world_run (w, 700);
-  expect_all_over (w, "begin anew", 0);
-  world_free (w);
+  for (guint i = 0; i < sim->machines->len; i++)
+    g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->session, ==, 1);
+  g_assert_cmpuint (running (sim), >, work / 2);
+  expect_no_fault (sim, "begin anew", 0);
+  sim_run (sim, 700);
+  expect_all_over (sim, "begin anew", 0);
+  sim_free (sim);
 }
 
 /* The leader stands still for longer than its lease while its clock runs on; another leads meanwhile. */
 static void
 test_stands_still (void)
 {
-  World *w = large_world (14, 900, 120, 40);
-  int old = world_leader (w);
+  Sim *sim = large_world (14, 900, 120, 40);
+  int old = sim_leader (sim);
   g_assert_cmpint (old, !=, -1);
-  w->nodes[old].stands = TRUE;
-  world_run (w, w->now + 22);
-  world_wake (w, (guint) old);
-  world_run (w, w->now + 3);
-  g_assert_false (hzb_election_leading (w->nodes[old].c->election));
-  g_assert_cmpint (world_leader (w), !=, -1);
+  sim->nodes[old].stands = TRUE;
+  sim_run (sim, sim->now + 22);
+  sim_wake (sim, (guint) old);
+  sim_run (sim, sim->now + 3);
+  g_assert_false (hzb_election_leading (sim->nodes[old].c->election));
+  g_assert_cmpint (sim_leader (sim), !=, -1);
   /* And a lessee. */
-  old = (world_leader (w) + 1) % WORLD_NODES;
-  w->nodes[old].stands = TRUE;
-  world_run (w, w->now + 13);
-  world_wake (w, (guint) old);
-  world_run (w, w->now + 30);
-  expect_no_fault (w, "stands still", 0);
-  world_run (w, 500);
-  expect_all_over (w, "stands still", 0);
-  world_free (w);
+  old = (sim_leader (sim) + 1) % SIM_NODES;
+  sim->nodes[old].stands = TRUE;
+  sim_run (sim, sim->now + 13);
+  sim_wake (sim, (guint) old);
+  sim_run (sim, sim->now + 30);
+  expect_no_fault (sim, "stands still", 0);
+  sim_run (sim, 500);
+  expect_all_over (sim, "stands still", 0);
+  sim_free (sim);
 }
 
 int
--- a/tests/test-services.c
+++ b/tests/test-services.c
@@ -1,5 +1,5 @@
 /* Services: replicas that run until their job is cancelled, wherever their machines go. */
-#include "troubles.h"
+#include "sim-faults.h"
 
 #include <string.h>
 
@@ -10,31 +10,31 @@
 {
   for (guint32 seed = 400; seed < 406; seed++)
     {
-      World *w = world_new (seed);
-      WorldJob *calm = add_service (w, 3, "red", 4, 1, 120), *ends = add_service (w, 4, "blue", 3, 1, 120);
-      WorldMachine *m;
+      Sim *sim = sim_new (seed);
+      SimJob *calm = add_service (sim, 3, "red", 4, 1, 120), *ends = add_service (sim, 4, "blue", 3, 1, 120);
+      SimMachine *m;
       ends->run_s = 9;
       for (guint i = 0; i < 6; i++)
-        world_add_job (w, 1 + i, i % 2 ? "red" : "blue", 5, 2, 12);
-      world_run (w, 50);
+        sim_add_job (sim, 1 + i, i % 2 ? "red" : "blue", 5, 2, 12);
+      sim_run (sim, 50);
       g_assert_cmpfloat (calm->missed_s, <, 0.1 * calm->wanted_s);
       g_assert_cmpfloat (ends->missed_s, <, 0.6 * ends->wanted_s);
-      m = machine_with_tasks (w);
+      m = machine_with_tasks (sim);
       if (seed % 2)
         {
           m->failed = TRUE;
           g_ptr_array_set_size (m->tasks, 0);
         }
       else
-        m->taken_at = w->now + 8;
-      w->calm_at = w->now + 15;
-      world_run (w, 118);
+        m->taken_at = sim->now + 8;
+      sim->calm_at = sim->now + 15;
+      sim_run (sim, 118);
       g_assert_false (calm->told_done || ends->told_done);
       g_assert_cmpfloat (calm->missed_s, <, 0.4 * calm->wanted_s);
-      world_run (w, 300);
+      sim_run (sim, 300);
       g_assert_true (calm->told_cancelled && ends->told_cancelled);
-      expect_all_over (w, "service", seed);
-      world_free (w);
+      expect_all_over (sim, "service", seed);
+      sim_free (sim);
     }
 }
 
@@ -42,35 +42,35 @@
 static void
 test_service_preempts (void)
 {
-  World *w = world_new (410);
-  WorldJob *service;
+  Sim *sim = sim_new (410);
+  SimJob *service;
   for (guint i = 0; i < 8; i++)
-    world_add_job (w, 1 + 0.1 * i, i % 2 ? "red" : "blue", 6, 4, 200);
-  world_run (w, 40);
-  service = add_service (w, 40, "red", 4, 2, 120);
-  world_run (w, 110);
+    sim_add_job (sim, 1 + 0.1 * i, i % 2 ? "red" : "blue", 6, 4, 200);
+  sim_run (sim, 40);
+  service = add_service (sim, 40, "red", 4, 2, 120);
+  sim_run (sim, 110);
   g_assert_cmpfloat (service->wanted_s, >, 200);
   g_assert_cmpfloat (service->missed_s, <, 0.3 * service->wanted_s);
-  world_free (w);
+  sim_free (sim);
 }
 
 /* Room that is kept for replicas does not stand empty while other work waits for long. */
 static void
 test_kept_room (void)
 {
-  World *w = world_new (412);
-  add_service (w, 2, "red", 2, 1, 260);
+  Sim *sim = sim_new (412);
+  add_service (sim, 2, "red", 2, 1, 260);
   for (guint i = 0; i < 10; i++)
     {
-      WorldJob *job = world_add_job (w, 8 + 0.1 * i, i % 2 ? "red" : "blue", 8, 2, 60);
+      SimJob *job = sim_add_job (sim, 8 + 0.1 * i, i % 2 ? "red" : "blue", 8, 2, 60);
       job->spot = FALSE;
       job->type = "big";
     }
-  w->size.machines = 3;
-  w->calm_at = 20;
-  world_run (w, 900);
-  expect_all_over (w, "kept room", 412);
-  world_free (w);
+  sim->size.machines = 3;
+  sim->calm_at = 20;
+  sim_run (sim, 900);
+  expect_all_over (sim, "kept room", 412);
+  sim_free (sim);
 }
 
 /* The only machines that suit are lent and full of long work: they come back with it, and it gives way. */
@@ -79,33 +79,33 @@
 {
   for (guint32 seed = 413; seed < 417; seed++)
     {
-      World *w = world_new (seed);
-      WorldJob *service;
-      guint lent = 0;
+      Sim *sim = sim_new (seed);
+      SimJob *service;
+      guint leased = 0;
       HzbController *c;
       for (guint i = 0; i < 8; i++)
         {
-          WorldJob *job = world_add_job (w, 1 + 0.1 * i, i % 2 ? "red" : "blue", 6, 2, 300);
+          SimJob *job = sim_add_job (sim, 1 + 0.1 * i, i % 2 ? "red" : "blue", 6, 2, 300);
           job->spot = FALSE;
           job->zone = i % 4 < 2 ? "za" : "zb";
         }
-      world_run (w, 30);
-      c = w->nodes[world_leader (w)].c;
+      sim_run (sim, 30);
+      c = sim->nodes[sim_leader (sim)].c;
       for (guint i = 0; i < c->machines->all->len; i++)
-        lent += ((HzbMachine *) c->machines->all->pdata[i])->state == HZB_MACHINE_LENT;
-      g_assert_cmpuint (lent, >, 0);
-      w->size.machines = 0; /* no more are to be had */
-      service = add_service (w, 30, "red", 4, 1, 120);
-      world_run (w, 110);
+        leased += ((HzbMachine *) c->machines->all->pdata[i])->state == HZB_MACHINE_LEASED;
+      g_assert_cmpuint (leased, >, 0);
+      sim->size.machines = 0; /* no more are to be had */
+      service = add_service (sim, 30, "red", 4, 1, 120);
+      sim_run (sim, 110);
       g_assert_cmpfloat (service->missed_s, <, 0.05 * service->wanted_s);
-      expect_no_fault (w, "kept machine comes back", seed);
-      world_free (w);
+      expect_no_fault (sim, "kept machine comes back", seed);
+      sim_free (sim);
     }
 }
 
 /* What is wrong with a service gets its documented answer and is never accepted, on this node. */
 static void
-expect_refusals (World *w, guint node, guint uid)
+expect_refusals (Sim *sim, guint node, guint uid)
 {
   static const struct
   {
@@ -121,9 +121,9 @@
   for (guint i = 0; i < G_N_ELEMENTS (wrong); i++, uid++)
     {
       g_autofree char *path = g_strdup_printf ("/api/jobs/run-%06u", uid);
-      g_assert_cmpuint (submit_changed (w, node, uid, wrong[i].field, wrong[i].value), ==, wrong[i].status);
+      g_assert_cmpuint (submit_changed (sim, node, uid, wrong[i].field, wrong[i].value), ==, wrong[i].status);
       g_assert_nonnull (strstr (last_body, "\"error\""));
-      g_assert_cmpuint (ask (w, (node + 1) % WORLD_NODES, "GET", path, "", NULL), ==, 404);
+      g_assert_cmpuint (ask (sim, (node + 1) % SIM_NODES, "GET", path, "", NULL), ==, 404);
     }
 }
 
@@ -131,54 +131,54 @@
 static void
 test_odd_requests (void)
 {
-  World *w = world_new (411);
-  WorldJob *job = world_add_job (w, 1, "red", 4, 2, 8);
+  Sim *sim = sim_new (411);
+  SimJob *job = sim_add_job (sim, 1, "red", 4, 2, 8);
   guint retry = 0;
   g_autofree char *path = NULL;
   /* Right after a start nothing is decided yet, but what is malformed. */
-  g_assert_cmpuint (submit_service (w, 0, 1, "red", 0, 1, "0", NULL), ==, 400);
-  world_run (w, 25);
-  for (guint node = 0; node < WORLD_NODES; node++)
+  g_assert_cmpuint (submit_service (sim, 0, 1, "red", 0, 1, "0", NULL), ==, 400);
+  sim_run (sim, 25);
+  for (guint node = 0; node < SIM_NODES; node++)
     {
       guint uid = 10 * (node + 1);
-      expect_refusals (w, node, 200 + 100 * node);
-      g_assert_cmpuint (submit_service (w, node, uid, "red", 30, 1, "0", NULL), ==, 422); /* all replicas: over the limit of 24 */
-      g_assert_cmpuint (submit_service (w, node, uid + 1, "red", 2, 20, "0", NULL), ==, 422); /* fits no machine */
-      g_assert_cmpuint (submit_service (w, node, uid + 2, "nobody", 2, 1, "0", NULL), ==, 422);
-      g_assert_cmpuint (submit_service (w, node, uid + 3, "red", 2, 1, "\"long\"", NULL), ==, 400);
-      g_assert_cmpuint (submit_service (w, node, uid + 4, "red", 2, 1, "-1", NULL), ==, 400);
-      g_assert_cmpuint (ask (w, node, "GET", "/api/jobs/run-000010", "", NULL), ==, 404);
-      g_assert_cmpuint (submit_service (w, node, uid + 5, "red", 2, 1, "0", NULL), ==, 201);
-      g_assert_cmpuint (submit_service (w, (node + 1) % WORLD_NODES, uid + 5, "red", 2, 1, "0", NULL), ==, 200); /* a repeat */
+      expect_refusals (sim, node, 200 + 100 * node);
+      g_assert_cmpuint (submit_service (sim, node, uid, "red", 30, 1, "0", NULL), ==, 422); /* all replicas: over the limit of 24 */
+      g_assert_cmpuint (submit_service (sim, node, uid + 1, "red", 2, 20, "0", NULL), ==, 422); /* fits no machine */
+      g_assert_cmpuint (submit_service (sim, node, uid + 2, "nobody", 2, 1, "0", NULL), ==, 422);
+      g_assert_cmpuint (submit_service (sim, node, uid + 3, "red", 2, 1, "\"long\"", NULL), ==, 400);
+      g_assert_cmpuint (submit_service (sim, node, uid + 4, "red", 2, 1, "-1", NULL), ==, 400);
+      g_assert_cmpuint (ask (sim, node, "GET", "/api/jobs/run-000010", "", NULL), ==, 404);
+      g_assert_cmpuint (submit_service (sim, node, uid + 5, "red", 2, 1, "0", NULL), ==, 201);
+      g_assert_cmpuint (submit_service (sim, (node + 1) % SIM_NODES, uid + 5, "red", 2, 1, "0", NULL), ==, 200); /* a repeat */
     }
-  world_run (w, w->now + 20);
+  sim_run (sim, sim->now + 20);
   g_assert_true (job->told_done);
   path = g_strdup_printf ("/api/jobs/%s/cancel", job->uid);
-  g_assert_cmpuint (ask (w, 1, "POST", path, "", NULL), ==, 200);
-  w->outage = TRUE;
-  world_run (w, w->now + 6);
-  for (guint node = 0; node < WORLD_NODES; node++)
+  g_assert_cmpuint (ask (sim, 1, "POST", path, "", NULL), ==, 200);
+  sim->outage = TRUE;
+  sim_run (sim, sim->now + 6);
+  for (guint node = 0; node < SIM_NODES; node++)
     {
-      g_assert_cmpuint (submit_service (w, node, 90, "red", 30, 1, "0", &retry), ==, 503);
+      g_assert_cmpuint (submit_service (sim, node, 90, "red", 30, 1, "0", &retry), ==, 503);
       g_assert_cmpuint (retry, >, 0);
-      g_assert_cmpuint (submit_service (w, node, 91, "red", 2, 1, "0", &retry), ==, 503);
-      g_assert_cmpuint (ask (w, node, "POST", path, "", NULL), ==, 200); /* done, and told so before */
+      g_assert_cmpuint (submit_service (sim, node, 91, "red", 2, 1, "0", &retry), ==, 503);
+      g_assert_cmpuint (ask (sim, node, "POST", path, "", NULL), ==, 200); /* done, and told so before */
     }
-  world_free (w);
+  sim_free (sim);
 }
 
 static gboolean
-alive (const WorldMachine *m)
+alive (const SimMachine *m)
 {
   return !m->gone && !m->failed;
 }
 
 static double
-cpus_rented (World *w)
+cpus_rented (Sim *sim)
 {
   double cpus = 0;
-  for (guint i = 0; i < w->machines->len; i++)
-    cpus += alive (w->machines->pdata[i]) ? ((WorldMachine *) w->machines->pdata[i])->cpus : 0;
+  for (guint i = 0; i < sim->machines->len; i++)
+    cpus += alive (sim->machines->pdata[i]) ? ((SimMachine *) sim->machines->pdata[i])->cpus : 0;
   return cpus;
 }
 
@@ -189,25 +189,25 @@
 {
   for (guint32 seed = 470; seed < 474; seed++)
     {
-      World *w = world_new (seed);
-      WorldJob *services[3];
+      Sim *sim = sim_new (seed);
+      SimJob *services[3];
       for (guint i = 0; i < 3; i++)
-        services[i] = add_service (w, 2 + 10 * i, i % 2 ? "red" : "blue", 2 + i, 1, 150);
-      world_run (w, 60);
+        services[i] = add_service (sim, 2 + 10 * i, i % 2 ? "red" : "blue", 2 + i, 1, 150);
+      sim_run (sim, 60);
       for (guint t = 60; t < 150; t += 10)
         {
-          world_run (w, t);
+          sim_run (sim, t);
           /* the replicas, what is kept in two zones, and in each part of a machine */
-          g_assert_cmpfloat (cpus_rented (w), <=, 9 + 2 * 5 + 2 * 8);
+          g_assert_cmpfloat (cpus_rented (sim), <=, 9 + 2 * 5 + 2 * 8);
         }
       for (guint i = 0; i < 3; i++)
         g_assert_cmpfloat (services[i]->missed_s, <, 0.05 * services[i]->wanted_s);
-      w->calm_at = 30;
-      world_run (w, 400);
-      expect_all_over (w, "services alone", seed);
-      g_assert_cmpfloat (cpus_rented (w), ==, 0);
-      g_assert_cmpuint (world_largest_record (w, "hzb/x/progress/"), ==, 0);
-      world_free (w);
+      sim->calm_at = 30;
+      sim_run (sim, 400);
+      expect_all_over (sim, "services alone", seed);
+      g_assert_cmpfloat (cpus_rented (sim), ==, 0);
+      g_assert_cmpuint (sim_largest_record (sim, "hzb/x/progress/"), ==, 0);
+      sim_free (sim);
     }
 }
 
@@ -217,26 +217,26 @@
 {
   for (guint32 seed = 480; seed < 484; seed++)
     {
-      World *w = world_new (seed);
-      WorldJob *first, *second, *batch = world_add_job (w, 1, "blue", 4, 1, 30);
+      Sim *sim = sim_new (seed);
+      SimJob *first, *second, *batch = sim_add_job (sim, 1, "blue", 4, 1, 30);
       double cpus;
-      w->size.machines = 3;
-      first = add_service (w, 3, "red", 10, 2, 120);
-      second = add_service (w, 4, "blue", 10, 2, 260);
+      sim->size.machines = 3;
+      first = add_service (sim, 3, "red", 10, 2, 120);
+      second = add_service (sim, 4, "blue", 10, 2, 260);
       first->spread = second->spread = FALSE;
-      world_run (w, 110);
-      cpus = 2 * (world_running (w, first, NULL) + world_running (w, second, NULL));
-      g_assert_cmpfloat (cpus, >=, cpus_rented (w) - 2);
-      world_run (w, 160);
+      sim_run (sim, 110);
+      cpus = 2 * (sim_running (sim, first, NULL) + sim_running (sim, second, NULL));
+      g_assert_cmpfloat (cpus, >=, cpus_rented (sim) - 2);
+      sim_run (sim, 160);
       g_assert_true (first->told_cancelled);
-      g_assert_cmpuint (2 * world_running (w, second, NULL), >=, MIN (20, cpus_rented (w) - 2));
-      world_run (w, 255);
-      g_assert_cmpuint (ask (w, 0, "GET", "/api/jobs/run-100002", "", NULL), ==, 200);
-      w->calm_at = 300;
-      world_run (w, 450);
+      g_assert_cmpuint (2 * sim_running (sim, second, NULL), >=, MIN (20, cpus_rented (sim) - 2));
+      sim_run (sim, 255);
+      g_assert_cmpuint (ask (sim, 0, "GET", "/api/jobs/run-100002", "", NULL), ==, 200);
+      sim->calm_at = 300;
+      sim_run (sim, 450);
       g_assert_true (batch->told_done);
-      expect_all_over (w, "services beyond room", seed);
-      world_free (w);
+      expect_all_over (sim, "services beyond room", seed);
+      sim_free (sim);
     }
 }
 
@@ -245,32 +245,32 @@
 static void
 test_services_over_months (void)
 {
-  WorldSize size = world_size_little;
-  World *w;
+  SimSize size = sim_size_little;
+  Sim *sim;
   guint kept = 0;
-  size.keep_ended = 4;
-  w = world_new_sized (490, &size);
+  size.max_mirrored_ended = 4;
+  sim = sim_new_sized (490, &size);
   for (guint i = 0; i < 80; i++)
     {
       double at = 1 + 2 * i;
-      add_service (w, at, i % 2 ? "red" : "blue", 1, 1, at + 6);
+      add_service (sim, at, i % 2 ? "red" : "blue", 1, 1, at + 6);
     }
-  world_at (w, 70, crash_all, NULL);
-  world_run (w, 400);
-  for (guint node = 0; node < WORLD_NODES; node++)
+  sim_at (sim, 70, crash_all, NULL);
+  sim_run (sim, 400);
+  for (guint node = 0; node < SIM_NODES; node++)
     {
-      kept = g_hash_table_size (w->nodes[node].c->jobs->by_uid);
-      g_assert_cmpuint (kept, ==, size.keep_ended);
+      kept = g_hash_table_size (sim->nodes[node].c->jobs->by_uid);
+      g_assert_cmpuint (kept, ==, size.max_mirrored_ended);
     }
-  for (guint i = 0; i < w->jobs->len; i += 7)
+  for (guint i = 0; i < sim->jobs->len; i += 7)
     {
-      g_autofree char *path = g_strdup_printf ("/api/jobs/%s", ((WorldJob *) w->jobs->pdata[i])->uid);
-      g_assert_cmpuint (ask (w, i % WORLD_NODES, "GET", path, "", NULL), ==, 200);
+      g_autofree char *path = g_strdup_printf ("/api/jobs/%s", ((SimJob *) sim->jobs->pdata[i])->uid);
+      g_assert_cmpuint (ask (sim, i % SIM_NODES, "GET", path, "", NULL), ==, 200);
       g_assert_nonnull (strstr (last_body, "cancelled"));
     }
-  g_assert_cmpuint (world_largest_record (w, "hzb/x/progress/"), ==, 0);
-  expect_all_over (w, "services over months", 490);
-  world_free (w);
+  g_assert_cmpuint (sim_largest_record (sim, "hzb/x/progress/"), ==, 0);
+  expect_all_over (sim, "services over months", 490);
+  sim_free (sim);
 }
 
 /* A service is cancelled while a replica of it moves, or while a machine of it hangs and goes on later, and now and then
@@ -280,28 +280,28 @@
 {
   for (guint32 seed = 500; seed < 512; seed++)
     {
-      World *w = world_new (seed);
-      WorldJob *service = add_service (w, 2, "red", 4, 2, 60);
-      WorldMachine *m;
-      add_service (w, 4, "blue", 2, 1, 200);
-      world_run (w, 60 - g_rand_double_range (w->rand, 0, 3));
-      m = machine_with_tasks (w);
+      Sim *sim = sim_new (seed);
+      SimJob *service = add_service (sim, 2, "red", 4, 2, 60);
+      SimMachine *m;
+      add_service (sim, 4, "blue", 2, 1, 200);
+      sim_run (sim, 60 - g_rand_double_range (sim->rand, 0, 3));
+      m = machine_with_tasks (sim);
       if (seed % 2)
-        m->taken_at = w->now + 5;
+        m->taken_at = sim->now + 5;
       else
         m->hung = TRUE;
       if (seed % 3 == 0)
-        world_at (w, w->now + g_rand_double_range (w->rand, 0, 3), crash_one, NULL);
-      world_run (w, 60 + g_rand_double_range (w->rand, 2, 14));
+        sim_at (sim, sim->now + g_rand_double_range (sim->rand, 0, 3), crash_one, NULL);
+      sim_run (sim, 60 + g_rand_double_range (sim->rand, 2, 14));
       m->hung = FALSE; /* it goes on, within its lease or after it */
-      start_all (w, NULL);
-      world_run (w, 120);
+      start_all (sim, NULL);
+      sim_run (sim, 120);
       g_assert_true (service->told_cancelled);
-      g_assert_cmpuint (world_running (w, service, NULL), ==, 0);
-      w->calm_at = 130;
-      world_run (w, 330);
-      expect_all_over (w, "cancelled as it moves", seed);
-      world_free (w);
+      g_assert_cmpuint (sim_running (sim, service, NULL), ==, 0);
+      sim->calm_at = 130;
+      sim_run (sim, 330);
+      expect_all_over (sim, "cancelled as it moves", seed);
+      sim_free (sim);
     }
 }
 
@@ -311,15 +311,15 @@
 {
   for (guint32 seed = 520; seed < 524; seed++)
     {
-      World *w = world_new (seed);
-      WorldJob *service = add_service (w, 2, "red", 4, 2, 200);
-      world_run (w, 40);
-      g_assert_cmpuint (world_running (w, service, "za"), ==, 2);
-      g_assert_cmpuint (world_running (w, service, "zb"), ==, 2);
-      w->closed_zone = "za";
-      for (guint i = 0; i < w->machines->len; i++)
+      Sim *sim = sim_new (seed);
+      SimJob *service = add_service (sim, 2, "red", 4, 2, 200);
+      sim_run (sim, 40);
+      g_assert_cmpuint (sim_running (sim, service, "za"), ==, 2);
+      g_assert_cmpuint (sim_running (sim, service, "zb"), ==, 2);
+      sim->closed_zone = "za";
+      for (guint i = 0; i < sim->machines->len; i++)
         {
-          WorldMachine *m = w->machines->pdata[i];
+          SimMachine *m = sim->machines->pdata[i];
           if (!g_str_equal (m->zone, "za"))
             continue;
           m->failed = TRUE;
@@ -327,16 +327,16 @@
         }
       for (guint t = 41; t < 120; t++)
         {
-          world_run (w, t);
-          g_assert_cmpuint (world_running (w, service, "zb"), ==, 2);
+          sim_run (sim, t);
+          g_assert_cmpuint (sim_running (sim, service, "zb"), ==, 2);
         }
-      w->closed_zone = NULL;
-      world_run (w, 190);
-      g_assert_cmpuint (world_running (w, service, "za"), ==, 2);
-      w->calm_at = 190;
-      world_run (w, 330);
-      expect_all_over (w, "zone of a service goes", seed);
-      world_free (w);
+      sim->closed_zone = NULL;
+      sim_run (sim, 190);
+      g_assert_cmpuint (sim_running (sim, service, "za"), ==, 2);
+      sim->calm_at = 190;
+      sim_run (sim, 330);
+      expect_all_over (sim, "zone of a service goes", seed);
+      sim_free (sim);
     }
 }
 
@@ -346,30 +346,30 @@
 {
   for (guint32 seed = 530; seed < 536; seed++)
     {
-      World *w = world_new (seed);
-      WorldJob *service = add_service (w, 2, "red", 6, 2, 200);
-      WorldMachine *m;
+      Sim *sim = sim_new (seed);
+      SimJob *service = add_service (sim, 2, "red", 6, 2, 200);
+      SimMachine *m;
       service->spread = FALSE;
       service->same_zone = TRUE;
-      world_run (w, 40);
-      g_assert_cmpuint (MAX (world_running (w, service, "za"), world_running (w, service, "zb")), ==, 6);
-      m = machine_with_tasks (w);
-      for (guint i = 0; i < w->machines->len; i++)
+      sim_run (sim, 40);
+      g_assert_cmpuint (MAX (sim_running (sim, service, "za"), sim_running (sim, service, "zb")), ==, 6);
+      m = machine_with_tasks (sim);
+      for (guint i = 0; i < sim->machines->len; i++)
         {
-          WorldMachine *other = w->machines->pdata[i];
+          SimMachine *other = sim->machines->pdata[i];
           if (seed % 2 ? other != m : !g_str_equal (other->zone, m->zone))
             continue;
           other->failed = TRUE;
           g_ptr_array_set_size (other->tasks, 0);
         }
       if (seed % 2 == 0)
-        w->closed_zone = m->zone;
-      world_run (w, 120);
-      g_assert_cmpuint (MAX (world_running (w, service, "za"), world_running (w, service, "zb")), ==, 6);
-      w->calm_at = 120;
-      world_run (w, 330);
-      expect_all_over (w, "service in one zone", seed);
-      world_free (w);
+        sim->closed_zone = m->zone;
+      sim_run (sim, 120);
+      g_assert_cmpuint (MAX (sim_running (sim, service, "za"), sim_running (sim, service, "zb")), ==, 6);
+      sim->calm_at = 120;
+      sim_run (sim, 330);
+      expect_all_over (sim, "service in one zone", seed);
+      sim_free (sim);
     }
 }
 
@@ -380,24 +380,24 @@
 {
   for (guint32 seed = 540; seed < 544; seed++)
     {
-      World *w = world_new (seed);
-      WorldJob *ends = add_service (w, 3, "red", 3, 1, 150), *sound = add_service (w, 4, "blue", 3, 1, 150);
+      Sim *sim = sim_new (seed);
+      SimJob *ends = add_service (sim, 3, "red", 3, 1, 150), *sound = add_service (sim, 4, "blue", 3, 1, 150);
       guint before;
       ends->run_s = seed % 2 ? 0.01 : 1e9;
       ends->bad = seed % 2 == 0;
       for (guint i = 0; i < 6; i++)
-        world_add_job (w, 5 + 4 * i, i % 2 ? "red" : "blue", 4, 1, 10);
-      world_run (w, 60);
-      before = w->started;
-      world_run (w, 120);
-      g_test_message ("%u starts in a minute", w->started - before);
-      g_assert_cmpuint (w->started - before, <=, 3 * 60 / 8);
-      world_run (w, 148);
-      g_assert_cmpuint (w->started - before, >=, 1);
+        sim_add_job (sim, 5 + 4 * i, i % 2 ? "red" : "blue", 4, 1, 10);
+      sim_run (sim, 60);
+      before = sim->started;
+      sim_run (sim, 120);
+      g_test_message ("%u starts in a minute", sim->started - before);
+      g_assert_cmpuint (sim->started - before, <=, 3 * 60 / 8);
+      sim_run (sim, 148);
+      g_assert_cmpuint (sim->started - before, >=, 1);
       g_assert_cmpfloat (sound->missed_s, <, 0.05 * sound->wanted_s);
-      world_run (w, 300);
-      expect_all_over (w, "replicas end at once", seed);
-      world_free (w);
+      sim_run (sim, 300);
+      expect_all_over (sim, "replicas end at once", seed);
+      sim_free (sim);
     }
 }
 
@@ -408,44 +408,44 @@
 {
   for (guint32 seed = 550; seed < 558; seed++)
     {
-      World *w = world_new (seed);
-      WorldJob *service, *batch = world_add_job (w, 1, "blue", 10, 1, 200);
+      Sim *sim = sim_new (seed);
+      SimJob *service, *batch = sim_add_job (sim, 1, "blue", 10, 1, 200);
       HzbController *c;
       HzbJob *known = NULL;
       guint leader;
       double since;
-      add_service (w, 2, "red", 3, 1, 400); /* so that there are ordinary machines */
-      world_run (w, 40);
-      service = add_service (w, 40, "red", 4, 1, 400);
-      leader = (guint) world_leader (w);
-      c = w->nodes[leader].c;
+      add_service (sim, 2, "red", 3, 1, 400); /* so that there are ordinary machines */
+      sim_run (sim, 40);
+      service = add_service (sim, 40, "red", 4, 1, 400);
+      leader = (guint) sim_leader (sim);
+      c = sim->nodes[leader].c;
       while (!known || !known->released)
         {
-          world_run (w, w->now + 0.05);
+          sim_run (sim, sim->now + 0.05);
           known = hzb_jobs_find (c->jobs, service->uid);
         }
-      world_crash (w, leader);
-      for (guint i = 0; i < w->machines->len; i++)
+      sim_crash (sim, leader);
+      for (guint i = 0; i < sim->machines->len; i++)
         {
-          WorldMachine *m = w->machines->pdata[i];
+          SimMachine *m = sim->machines->pdata[i];
           m->cut = m->spot;
         }
-      since = w->now;
-      while (world_leader (w) < 0 || w->nodes[world_leader (w)].c->hold < HZB_HOLD_RECOVERING)
-        world_run (w, w->now + 0.1);
-      since = w->now;
-      world_run (w, since + 8); /* workers give a leader up after 4 s */
-      g_assert_cmpuint (world_running (w, service, NULL), ==, 4);
-      c = w->nodes[world_leader (w)].c;
-      g_assert_cmpint (c->hold, ==, HZB_HOLD_RECOVERING);
+      since = sim->now;
+      while (sim_leader (sim) < 0 || sim->nodes[sim_leader (sim)].c->ownership < HZB_OWNERSHIP_RECOVERING)
+        sim_run (sim, sim->now + 0.1);
+      since = sim->now;
+      sim_run (sim, since + 8); /* workers give a leader up after 4 s */
+      g_assert_cmpuint (sim_running (sim, service, NULL), ==, 4);
+      c = sim->nodes[sim_leader (sim)].c;
+      g_assert_cmpint (c->ownership, ==, HZB_OWNERSHIP_RECOVERING);
       g_assert_cmpuint (hzb_jobs_find (c->jobs, batch->uid)->unknown, >, 0);
-      world_start (w, leader);
-      world_run (w, w->now + 5);
-      for (guint i = 0; i < w->machines->len; i++)
-        ((WorldMachine *) w->machines->pdata[i])->cut = FALSE;
-      world_run (w, 600);
-      expect_all_over (w, "takeover waits for allowed kinds", seed);
-      world_free (w);
+      sim_start (sim, leader);
+      sim_run (sim, sim->now + 5);
+      for (guint i = 0; i < sim->machines->len; i++)
+        ((SimMachine *) sim->machines->pdata[i])->cut = FALSE;
+      sim_run (sim, 600);
+      expect_all_over (sim, "takeover waits for allowed kinds", seed);
+      sim_free (sim);
     }
 }
 
@@ -454,18 +454,18 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/world/service", test_service);
-  g_test_add_func ("/world/service-preempts", test_service_preempts);
-  g_test_add_func ("/world/kept-room", test_kept_room);
-  g_test_add_func ("/world/kept-machine-comes-back", test_kept_machine_comes_back);
-  g_test_add_func ("/world/odd-requests", test_odd_requests);
-  g_test_add_func ("/world/services-alone", test_services_alone);
-  g_test_add_func ("/world/services-beyond-room", test_services_beyond_room);
-  g_test_add_func ("/world/services-over-months", test_services_over_months);
-  g_test_add_func ("/world/cancelled-as-it-moves", test_cancelled_as_it_moves);
-  g_test_add_func ("/world/zone-of-service-goes", test_zone_of_service_goes);
-  g_test_add_func ("/world/service-in-one-zone", test_service_in_one_zone);
-  g_test_add_func ("/world/replicas-end-at-once", test_replicas_end_at_once);
-  g_test_add_func ("/world/takeover-waits-for-allowed-kinds", test_takeover_waits_for_allowed_kinds);
+  g_test_add_func ("/cluster/service", test_service);
+  g_test_add_func ("/cluster/service-preempts", test_service_preempts);
+  g_test_add_func ("/cluster/kept-room", test_kept_room);
+  g_test_add_func ("/cluster/kept-machine-comes-back", test_kept_machine_comes_back);
+  g_test_add_func ("/cluster/odd-requests", test_odd_requests);
+  g_test_add_func ("/cluster/services-alone", test_services_alone);
+  g_test_add_func ("/cluster/services-beyond-room", test_services_beyond_room);
+  g_test_add_func ("/cluster/services-over-months", test_services_over_months);
+  g_test_add_func ("/cluster/cancelled-as-it-moves", test_cancelled_as_it_moves);
+  g_test_add_func ("/cluster/zone-of-service-goes", test_zone_of_service_goes);
+  g_test_add_func ("/cluster/service-in-one-zone", test_service_in_one_zone);
+  g_test_add_func ("/cluster/replicas-end-at-once", test_replicas_end_at_once);
+  g_test_add_func ("/cluster/takeover-waits-for-allowed-kinds", test_takeover_waits_for_allowed_kinds);
   return g_test_run ();
 }
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -96,15 +96,15 @@
       "\"status\":\"running\"},{\"piece\":\"odd\",\"status\":\"running\"},{\"piece\":\"run-000398/0\",\"try\":1,"
       "\"status\":\"ended\",\"cause\":\"done\",\"stored\":true},{\"piece\":\"run-1/99999999999\",\"status\":\"running\"}]}";
   g_autoptr (HzbReport) report = hzb_wire_parse_report (text, strlen (text), NULL);
-  HzbPiece *piece;
+  HzbTaskReport *task_report;
   g_assert_nonnull (report);
-  g_assert_cmpuint (report->pieces->len, ==, 2); /* what makes no sense is left out */
+  g_assert_cmpuint (report->task_reports->len, ==, 2); /* what makes no sense is left out */
   g_assert_cmpuint (report->seq, ==, G_GUINT64_CONSTANT (9007199254740991));
   g_assert_cmpfloat (report->notice_s, <, 0);
-  piece = &g_array_index (report->pieces, HzbPiece, 0);
-  g_assert_cmpuint (piece->attempt, ==, G_GUINT64_CONSTANT (4294967296));
-  piece = &g_array_index (report->pieces, HzbPiece, 1);
-  g_assert_true (piece->state == HZB_PIECE_EXITED && piece->why == HZB_WHY_DONE && piece->saved);
+  task_report = &g_array_index (report->task_reports, HzbTaskReport, 0);
+  g_assert_cmpuint (task_report->attempt, ==, G_GUINT64_CONSTANT (4294967296));
+  task_report = &g_array_index (report->task_reports, HzbTaskReport, 1);
+  g_assert_true (task_report->state == HZB_TASK_REPORT_EXITED && task_report->exit_cause == HZB_EXIT_DONE && task_report->saved);
   g_assert_null (hzb_wire_parse_report ("{}", 2, NULL));
   g_assert_null (hzb_wire_parse_report ("x", 1, NULL));
 }
@@ -112,7 +112,7 @@
 static void
 test_large_numbers (void)
 {
-  g_autofree char *text = hzb_wire_orders (G_GUINT64_CONSTANT (18446744073709551615), NULL);
+  g_autofree char *text = hzb_wire_commands (G_GUINT64_CONSTANT (18446744073709551615), NULL);
   g_assert_cmpstr (text, ==, "{\"baton\":18446744073709551615,\"orders\":[]}");
 }
 
