--- a/src/admin.c
+++ b/src/admin.c
@@ -73,8 +73,8 @@
 static cJSON *
 pack_settings (HzbController *c)
 {
-  const double v[G_N_ELEMENTS (settings)] = { c->dispatch->h,      c->dispatch->sample, c->dispatch->list_ahead_s,
-                                              c->autoscaler->idle_s, c->autoscaler->patience,     c->lease_blocks };
+  const double v[G_N_ELEMENTS (settings)] = { c->dispatch->h,        c->dispatch->sample,     c->dispatch->list_ahead_s,
+                                              c->autoscaler->idle_s, c->autoscaler->patience, c->lease_blocks };
   cJSON *root = cJSON_CreateObject (), *list;
   hzb_json_add_u64 (root, "version", c->settings_version);
   list = cJSON_AddObjectToObject (root, "settings");
@@ -112,8 +112,9 @@
   else if (result == HZB_STORE_CONFLICT)
     refuse (change->exchange, 409, "the settings have been changed meanwhile: read them again");
   else
-    refuse (change->exchange, 503, result == HZB_STORE_UNKNOWN ? "it is not known whether the change was made: read the settings"
-                                                                : "the state service can't be asked");
+    refuse (change->exchange, 503,
+            result == HZB_STORE_UNKNOWN ? "it is not known whether the change was made: read the settings"
+                                        : "the state service can't be asked");
   cJSON_Delete (change->value);
 }
 
@@ -131,23 +132,24 @@
   if (!cJSON_IsObject (demanded_units) || !cJSON_IsNumber (version))
     fault = g_strdup ("expected {\"version\": the one read, \"settings\": {…}}");
   cJSON_ArrayForEach (item, demanded_units)
-    {
-      const Setting *known = NULL;
-      for (guint i = 0; i < G_N_ELEMENTS (settings); i++)
-        if (g_strcmp0 (settings[i].name, item->string) == 0)
-          known = &settings[i];
-      if (fault)
-        break;
-      if (!known)
-        fault = g_strdup_printf ("%s: no such setting", item->string);
-      else if (!cJSON_IsNumber (item) || !(item->valuedouble >= known->least && item->valuedouble <= known->most))
-        fault = g_strdup_printf ("%s: expected a number from %g to %g", known->name, known->least, known->most);
-      else
-        cJSON_ReplaceItemInObjectCaseSensitive (value, known->name, cJSON_CreateNumber (item->valuedouble));
-    }
+  {
+    const Setting *known = NULL;
+    for (guint i = 0; i < G_N_ELEMENTS (settings); i++)
+      if (g_strcmp0 (settings[i].name, item->string) == 0)
+        known = &settings[i];
+    if (fault)
+      break;
+    if (!known)
+      fault = g_strdup_printf ("%s: no such setting", item->string);
+    else if (!cJSON_IsNumber (item) || !(item->valuedouble >= known->least && item->valuedouble <= known->most))
+      fault = g_strdup_printf ("%s: expected a number from %g to %g", known->name, known->least, known->most);
+    else
+      cJSON_ReplaceItemInObjectCaseSensitive (value, known->name, cJSON_CreateNumber (item->valuedouble));
+  }
   if (!fault && hzb_json_u64 (root, "version") != c->settings_version)
     {
-      refuse (exchange, 409, "version: the settings are at %" G_GUINT64_FORMAT ": read them again", c->settings_version);
+      refuse (exchange, 409, "version: the settings are at %" G_GUINT64_FORMAT ": read them again",
+              c->settings_version);
       cJSON_Delete (value);
     }
   else if (fault)
@@ -330,8 +332,8 @@
     View view;
     gboolean holder; /* only the leader knows */
   } views[] = {
-    { "leadership", leadership, FALSE }, { "metrics", metrics, FALSE },      { "settings", pack_settings, FALSE },
-    { "machines", machines, TRUE },      { "blocks", blocks, TRUE },         { TENANT "teams", teams, TRUE },
+    { "leadership", leadership, FALSE }, { "metrics", metrics, FALSE }, { "settings", pack_settings, FALSE },
+    { "machines", machines, TRUE },      { "blocks", blocks, TRUE },    { TENANT "teams", teams, TRUE },
     { TENANT "jobs", jobs, TRUE },
   };
   const char *what = exchange->path + strlen (PREFIX);
@@ -374,7 +376,8 @@
         drain (c, exchange, name);
     }
   else
-    refuse (exchange, 404, "there are leadership, settings, metrics, machines, machines/NAME/drain, blocks, " TENANT "teams, " TENANT
-                           "jobs and " TENANT "jobs/ID here");
+    refuse (exchange, 404,
+            "there are leadership, settings, metrics, machines, machines/NAME/drain, blocks, " TENANT "teams, " TENANT
+            "jobs and " TENANT "jobs/ID here");
   return TRUE;
 }
--- a/src/autoscaler.c
+++ b/src/autoscaler.c
@@ -14,8 +14,8 @@
 /* One job's part of what machines are needed for. */
 typedef struct
 {
-  double work_s;  /* unit-seconds left */
-  double at_once; /* units that can be in use at once */
+  double work_s;   /* unit-seconds left */
+  double at_once;  /* units that can be in use at once */
   double within_s; /* how soon its tasks should all have started */
   double unit;     /* of one task */
 } Part;
@@ -28,7 +28,7 @@
   char *name;
   gboolean gpus;
   gboolean services; /* room kept for replicas, on machines that the cloud doesn't take back */
-  GArray *parts; /* Part */
+  GArray *parts;     /* Part */
   double memory_per_cpu;
 } Demand;
 
@@ -132,7 +132,8 @@
           for (guint k = 0; k < f->machines->all->len; k++)
             {
               const HzbMachine *m = f->machines->all->pdata[k];
-              if (m->type && !m->to_be_returned && g_str_equal (m->zone, type->zones[z]) && hzb_type_holds (m->type, spec))
+              if (m->type && !m->to_be_returned && g_str_equal (m->zone, type->zones[z])
+                  && hzb_type_holds (m->type, spec))
                 cpus += m->type->cpus;
             }
           if (cpus > most)
@@ -165,7 +166,8 @@
   for (guint z = 0; z < headroom.n_zones; z++)
     {
       Demand *demand = g_new0 (Demand, 1);
-      Part part = { 0, headroom.zones[z].placed + headroom.zones[z].waiting + headroom.zones[z].free, 0, headroom.spec->cpus };
+      Part part = { 0, headroom.zones[z].placed + headroom.zones[z].waiting + headroom.zones[z].free, 0,
+                    headroom.spec->cpus };
       demand->spec = headroom.spec;
       demand->zone = headroom.zones[z].zone;
       demand->name = g_strdup_printf ("%s@%s!ordinary!services", types, demand->zone);
@@ -222,8 +224,8 @@
       /* By what holds a task, not by what it names: a large task is not served by small machines. */
       types = types_holding (f, spec);
       zone = zone_for (f, spec);
-      name = g_strdup_printf ("%s%s%s%s%s", types, zone ? "@" : "", zone ? zone : "",
-                              spec->spot ? "" : "!ordinary", spec->gpus > 0 ? "!gpus" : "");
+      name = g_strdup_printf ("%s%s%s%s%s", types, zone ? "@" : "", zone ? zone : "", spec->spot ? "" : "!ordinary",
+                              spec->gpus > 0 ? "!gpus" : "");
       for (guint k = 0; k < all->len && !demand; k++)
         if (g_str_equal (((Demand *) all->pdata[k])->name, name))
           demand = all->pdata[k];
@@ -283,7 +285,8 @@
 static gboolean
 kind_fits (const HzbMachineType *type, const char *zone, gboolean spot, const Demand *demand)
 {
-  return hzb_type_holds (type, demand->spec) && ((demand->spec->spot && !demand->services) || !spot) && (!demand->zone || g_str_equal (demand->zone, zone));
+  return hzb_type_holds (type, demand->spec) && ((demand->spec->spot && !demand->services) || !spot)
+         && (!demand->zone || g_str_equal (demand->zone, zone));
 }
 
 static double
@@ -359,9 +362,10 @@
       for (guint k = 0; k < f->machines->all->len && have + 1e-6 < demanded_units (demand, 1); k++)
         {
           HzbMachine *m = f->machines->all->pdata[k];
-          if (m->spare && !m->to_be_returned && (m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_LEASED) && m->type
-              && kind_fits (m->type, m->zone, m->spot, demand)
-              && have + 1e-6 < demanded_units (demand, unit_price (m->type, m->spot, demand) / cheapest (f, demand, FALSE)))
+          if (m->spare && !m->to_be_returned && (m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_LEASED)
+              && m->type && kind_fits (m->type, m->zone, m->spot, demand)
+              && have + 1e-6
+                     < demanded_units (demand, unit_price (m->type, m->spot, demand) / cheapest (f, demand, FALSE)))
             {
               m->spare = FALSE;
               m->idle_since = now;
@@ -434,7 +438,7 @@
   g_autoptr (GPtrArray) all = collect_demand (f, now);
   g_autoptr (GArray) candidates = g_array_new (FALSE, FALSE, sizeof (Candidate));
   guint kinds = f->machines->types ? 2 * f->machines->types->len : 0;
-  g_autofree double *have = g_new0 (double, all->len + 1), *want = g_new0 (double, all->len * kinds + 1);
+  g_autofree double *have = g_new0 (double, all->len + 1), *want = g_new0 (double, all->len *kinds + 1);
   double total = 0, ease = 1 - exp (-1.0 / 12);
 
   if (!f->machines->types)
@@ -447,15 +451,16 @@
       total += demanded_units (demand, 1);
       /* There are few kinds of machines, but many machines: what is wanted is counted once a kind. */
       for (guint k = 0; k < kinds; k++)
-        want[i * kinds + k] = demanded_units (demand, unit_price (f->machines->types->pdata[k / 2], k % 2, demand) / least);
+        want[i * kinds + k] =
+            demanded_units (demand, unit_price (f->machines->types->pdata[k / 2], k % 2, demand) / least);
     }
   f->usual += (total - f->usual) * ease; /* called once a second */
   for (guint i = 0; i < f->machines->all->len; i++)
     {
       HzbMachine *m = f->machines->all->pdata[i];
       Candidate c = { m, 0 };
-      if ((m->state != HZB_MACHINE_ACTIVE && m->state != HZB_MACHINE_LEASED) || m->spare || m->to_be_returned || !m->type
-          || m->reserved || m->service_cpus > 0)
+      if ((m->state != HZB_MACHINE_ACTIVE && m->state != HZB_MACHINE_LEASED) || m->spare || m->to_be_returned
+          || !m->type || m->reserved || m->service_cpus > 0)
         continue;
       c.price = (m->spot ? m->type->spot_price : m->type->price) / MAX (m->type->cpus, 1e-3);
       g_array_append_val (candidates, c);
--- a/src/autoscaler.h
+++ b/src/autoscaler.h
@@ -17,13 +17,14 @@
   const HzbSettings *settings;
   GHashTable *refused; /* "type zone kind" -> HzbRefusal */
   double idle_s;       /* a machine without work is kept this long */
-  double patience;        /* part of the time that aims leave in which waiting work should start */
+  double patience;     /* part of the time that aims leave in which waiting work should start */
   double usual;        /* units wanted, smoothed */
 } HzbAutoscaler;
 
 HzbAutoscaler *hzb_autoscaler_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings);
 void hzb_autoscaler_free (HzbAutoscaler *autoscaler);
-GArray *hzb_autoscaler_rentals (HzbAutoscaler *autoscaler, struct timespec now);     /* HzbRental */
-GPtrArray *hzb_autoscaler_returns (HzbAutoscaler *autoscaler, struct timespec now);  /* HzbMachine, to be taken out of use */
+GArray *hzb_autoscaler_rentals (HzbAutoscaler *autoscaler, struct timespec now); /* HzbRental */
+GPtrArray *
+hzb_autoscaler_returns (HzbAutoscaler *autoscaler, struct timespec now); /* HzbMachine, to be taken out of use */
 void hzb_autoscaler_note_refused (HzbAutoscaler *autoscaler, const HzbRental *rental, struct timespec now);
 void hzb_autoscaler_note_granted (HzbAutoscaler *autoscaler, const HzbRental *rental);
--- a/src/block.h
+++ b/src/block.h
@@ -1,4 +1,4 @@
-/* A block: a set of machines under one holder and term, and what each team may use on them.
+/* A block: a set of machines under one owner and term, and what each team may use on them.
  * Every machine and every unfinished task is in one block. So far the leader holds the only one. */
 #pragma once
 #include "settings.h"
@@ -26,7 +26,7 @@
 }
 
 HzbBlock *hzb_block_new (const HzbSettings *settings, guint64 token);
-/* A lessee's block: what its teams may use is what was granted, and is counted by the leader. */
+/* A lessee's block: what its teams may use is what was delegated, and is counted by the leader. */
 HzbBlock *hzb_block_new_leased (const HzbSettings *settings, guint64 token);
 void hzb_block_free (HzbBlock *block);
 gboolean hzb_block_fits (const HzbBlock *block, int team, double cpus, double gpus);
--- a/src/cancellations.c
+++ b/src/cancellations.c
@@ -1,17 +1,17 @@
-/* A cancelled job is called so only once no holder can act without its cancellation.
+/* A cancelled job is called so only once no owner can act without its cancellation.
  *
  * The record alone does not do: a leader that the state service refuses takes it for an outage while the others are
  * still served, and an outage for all that begins a moment later keeps it from being replaced. It would go on renewing
  * the leases of tasks whose cancellation it can't see, for as long as the outage lasts. So whoever is to tell a user
- * asks the holder, with the question that a lessee asks anyway; that needs no state service. The holder takes the
+ * asks the owner, with the question that a lessee asks anyway; that needs no state service. The owner takes the
  * cancellation from the question (its record is durable and never changes) and answers which of the jobs it has heard
  * of for good: nothing of them may be on a machine that has not answered under its token, and each lessee that was
- * granted a task of them has acknowledged it.
+ * delegated a task of them has acknowledged it.
  *
- * The answer holds if no later holder exists: this node's mirror must have come as far as the job's record, and the
- * holder's term must be the highest seen there. A later one reads the record before it holds anything.
+ * The answer holds if no later owner exists: this node's mirror must have come as far as the job's record, and the
+ * owner's term must be the highest seen there. A later one reads the record before it holds anything.
  *
- * Where the holder can't be reached, how far it has come can be read beside its flush record, which it writes anyway. */
+ * Where the owner can't be reached, how far it has come can be read beside its flush record, which it writes anyway. */
 #include "controller.h"
 
 #define MAX_REQUESTS_PER_MESSAGE 64u
@@ -62,7 +62,7 @@
   return job->version && c->revision >= job->version;
 }
 
-/* The holder's own view: nothing of the job can be where this cancellation is not known. */
+/* The owner's own view: nothing of the job can be where this cancellation is not known. */
 static gboolean
 acknowledged_by_all (HzbController *c, HzbJob *job)
 {
@@ -78,7 +78,8 @@
 hzb_cancellations_acknowledged (HzbCancellations *s, HzbJob *job)
 {
   HzbController *c = s->c;
-  if (!job->cancel_acknowledged && hzb_election_leading (c->election) && mirror_has (c, job) && acknowledged_by_all (c, job))
+  if (!job->cancel_acknowledged && hzb_election_leading (c->election) && mirror_has (c, job)
+      && acknowledged_by_all (c, job))
     job->cancel_acknowledged = TRUE;
   return job->cancel_acknowledged;
 }
@@ -148,22 +149,22 @@
   const cJSON *of;
 
   cJSON_ArrayForEach (of, question)
-    {
-      guint64 version = hzb_json_u64 (of, "version");
-      HzbJob *job;
-      if (!version || !hzb_wire_uid_ok (of->string))
-        continue;
-      /* Perhaps before this node's own mirror shows it, which may be refused, or behind. */
-      job = hzb_jobs_find (c->jobs, of->string);
-      if (!job || !job->version)
-        {
-          cJSON *record = hzb_jobs_pack_final (HZB_JOB_CANCELLED, (guint) hzb_json_number (of, "n", 0));
-          job = hzb_jobs_apply (c->jobs, of->string, record, version);
-          cJSON_Delete (record);
-        }
-      if (job && acknowledged_by_all (c, job))
-        cJSON_AddItemToArray (last_report, cJSON_CreateString (job->uid));
-    }
+  {
+    guint64 version = hzb_json_u64 (of, "version");
+    HzbJob *job;
+    if (!version || !hzb_wire_uid_ok (of->string))
+      continue;
+    /* Perhaps before this node's own mirror shows it, which may be refused, or behind. */
+    job = hzb_jobs_find (c->jobs, of->string);
+    if (!job || !job->version)
+      {
+        cJSON *record = hzb_jobs_pack_final (HZB_JOB_CANCELLED, (guint) hzb_json_number (of, "n", 0));
+        job = hzb_jobs_apply (c->jobs, of->string, record, version);
+        cJSON_Delete (record);
+      }
+    if (job && acknowledged_by_all (c, job))
+      cJSON_AddItemToArray (last_report, cJSON_CreateString (job->uid));
+  }
   return last_report;
 }
 
@@ -181,10 +182,8 @@
   HzbController *c = s->c;
   const cJSON *uid;
   if (hzb_election_leading (c->election) || term < hzb_election_leader_term (c->election))
-    return; /* there is a later holder */
-  cJSON_ArrayForEach (uid, last_report)
-    if (cJSON_IsString (uid))
-      set_acknowledged (c, uid->valuestring);
+    return; /* there is a later owner */
+  cJSON_ArrayForEach (uid, last_report) if (cJSON_IsString (uid)) set_acknowledged (c, uid->valuestring);
 }
 
 guint64
--- a/src/cloud.c
+++ b/src/cloud.c
@@ -97,10 +97,11 @@
 }
 
 void
-hzb_cloud_rent (HzbCloud *cloud, const char *request, const char *type, const char *zone, gboolean spot,
-                guint count, HzbReplyFunc done, gpointer user)
+hzb_cloud_rent (HzbCloud *cloud, const char *request, const char *type, const char *zone, gboolean spot, guint count,
+                HzbReplyFunc done, gpointer user)
 {
-  add (cloud, HZB_CLOUD_RENT, "POST", g_strdup (hzb_path_rent), hzb_wire_rent (request, type, zone, spot, count), done, user);
+  add (cloud, HZB_CLOUD_RENT, "POST", g_strdup (hzb_path_rent), hzb_wire_rent (request, type, zone, spot, count), done,
+       user);
 }
 
 void
--- a/src/controller.c
+++ b/src/controller.c
@@ -194,7 +194,8 @@
     return FALSE;
   /* In an outage for all it makes no difference where users ask; alone, or cut off from the others as well, another
    * node serves them better. */
-  return !hzb_controller_store_silent (c) || (hzb_peers_any_reachable (c->peers) && !hzb_peers_any_reaches_store (c->peers));
+  return !hzb_controller_store_silent (c)
+         || (hzb_peers_any_reachable (c->peers) && !hzb_peers_any_reaches_store (c->peers));
 }
 
 /* ---- holding the block ---- */
@@ -212,7 +213,7 @@
 static void
 set_ownership (HzbController *c, HzbOwnershipState to, const char *why)
 {
-  static const char *const names[] = { "none", "leased", "loading", "recovering", "full" };
+  static const char *const names[] = { "none", "lessee", "loading", "recovering", "ready" };
   static const guint legal[] = {
     [HZB_OWNERSHIP_NONE] = 1 << HZB_OWNERSHIP_LOADING | 1 << HZB_OWNERSHIP_LESSEE,
     [HZB_OWNERSHIP_LESSEE] = 1 << HZB_OWNERSHIP_NONE,
@@ -222,10 +223,10 @@
   };
   if (!(legal[c->ownership] & 1u << to))
     {
-      g_critical ("hold: illegal change %s -> %s", names[c->ownership], names[to]);
+      g_critical ("ownership: illegal change %s -> %s", names[c->ownership], names[to]);
       return;
     }
-  g_message ("hold: %s -> %s: %s", names[c->ownership], names[to], why);
+  g_message ("ownership: %s -> %s: %s", names[c->ownership], names[to], why);
   c->ownership = to;
 }
 
@@ -250,7 +251,8 @@
     }
   if (!items || (more && items->len))
     {
-      hzb_store_range (c->store, HZB_KEY_OWNER, c->owner_load_cursor, on_owner_records_loaded, hzb_epoch_call_new (c, NULL));
+      hzb_store_range (c->store, HZB_KEY_OWNER, c->owner_load_cursor, on_owner_records_loaded,
+                       hzb_epoch_call_new (c, NULL));
       return;
     }
   hzb_records_load_finished (c->records);
@@ -368,7 +370,7 @@
   double over = c->settings->lease_s * 1.002 + LEASE_SLACK_S;
 
   if (!hzb_election_lease_valid (c->election))
-    return; /* a newer holder could have renewed them */
+    return; /* a newer owner could have renewed them */
   for (guint i = 0; i < c->machines->all->len; i++)
     {
       HzbMachine *m = c->machines->all->pdata[i];
@@ -436,7 +438,7 @@
     }
 }
 
-/* One line that tells an operator how the fleet stands, lent machines included. */
+/* One line that tells an operator how the fleet stands, leased machines included. */
 static void
 log_summary (HzbController *c)
 {
@@ -470,9 +472,10 @@
       epoch_call += job->placed * job->spec->cpus;
       running += (job->running + job->delegated_running) * job->spec->cpus;
     }
-  g_message ("fleet: %u up, %u of them lent (%g CPUs: %g held, %g running; %g spare), %u booting (%g CPUs), %u other; %g CPUs' "
-             "worth wait; timers are %.0f ms late",
-             up, leased, cpus, epoch_call, running, spare, booting, booting_cpus, other, waiting, c->dispatch->lag_s * 1e3);
+  g_message (
+      "fleet: %u up, %u of them leased (%g CPUs: %g held, %g running; %g spare), %u booting (%g CPUs), %u other; %g CPUs' "
+      "worth wait; timers are %.0f ms late",
+      up, leased, cpus, epoch_call, running, spare, booting, booting_cpus, other, waiting, c->dispatch->lag_s * 1e3);
 }
 
 /* A task waits only for machines that could have been told to start it: a replica, say, for no spot machine. */
@@ -546,14 +549,15 @@
   return n >= 3 && (!hzb_peers_any_lost_workers (c->peers) || hzb_peers_any_sends_workers (c->peers));
 }
 
-/* In an outage of the state service for all, a holder goes on answering workers, so that their leases live.
+/* In an outage of the state service for all, a owner goes on answering workers, so that their leases live.
  * One that is refused alone, or cut off from everything, gives way to those that are not. */
 static void
 check_own_connectivity (HzbController *c)
 {
   double silence = hzb_store_silence (c->store);
 
-  if (hzb_election_leading (c->election) && silence < 2.5 && hzb_peers_any_reachable (c->peers) && c->settings->peers->len && no_worker_reports (c))
+  if (hzb_election_leading (c->election) && silence < 2.5 && hzb_peers_any_reachable (c->peers)
+      && c->settings->peers->len && no_worker_reports (c))
     {
       c->lost_workers = hzb_clock_now (c->clock);
       hzb_election_step_down (c->election, "no worker is heard any more, while all else can be reached");
@@ -584,7 +588,7 @@
   mirror_step (c);
   /* In a rollout the others are about to be replaced: whoever leads after them should be one that is not. */
   hzb_election_set_eager (c->election, c->format == HZB_FORMAT && hzb_election_format (c->election) < HZB_FORMAT
-                                       && hzb_peers_any_older_format (c->peers));
+                                           && hzb_peers_any_older_format (c->peers));
   hzb_election_tick (c->election, mirror_is_fresh (c));
   check_own_connectivity (c);
   if (hzb_election_leading (c->election))
--- a/src/controller.h
+++ b/src/controller.h
@@ -1,9 +1,9 @@
-/* Ties the parts together: the mirror of durable records, leadership, and what a holder does over time. */
+/* Ties the parts together: the mirror of durable records, leadership, and what a owner does over time. */
 #pragma once
+#include "autoscaler.h"
 #include "cloud.h"
 #include "dispatch.h"
 #include "election.h"
-#include "autoscaler.h"
 #include "http.h"
 #include "metrics.h"
 #include "store.h"
@@ -15,7 +15,7 @@
 
 #define HZB_TICK_MS 50
 
-/* Of records and messages. 1: the version before; it says none. 2: cancellations are acknowledged by the holder, and
+/* Of records and messages. 1: the version before; it says none. 2: cancellations are acknowledged by the owner, and
  * services can be accepted. Nothing that a version 1 would misread is written while one may be about. */
 #define HZB_FORMAT 2
 
@@ -26,7 +26,7 @@
   HZB_MIRROR_FOLLOWING
 } HzbMirrorState;
 
-/* What this node does as holder of the block. */
+/* What this node does as owner of the block. */
 typedef enum
 {
   HZB_OWNERSHIP_NONE,
@@ -80,16 +80,16 @@
   HzbOwnershipState ownership;
   guint64 ownership_epoch; /* told apart: answers to an earlier holding are dropped */
   char *owner_load_cursor;
-  struct timespec last_tick; /* the timer's */
+  struct timespec last_tick;    /* the timer's */
   struct timespec lost_workers; /* when this node last gave way because it heard no worker */
-  struct timespec redirected; /* when a worker was last sent to the leader from here */
+  struct timespec redirected;   /* when a worker was last sent to the leader from here */
   struct timespec owner_since, next_plan, next_dispatch, next_summary;
 } HzbController;
 
 HzbController *hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed);
 void hzb_controller_free (HzbController *c);
 void hzb_controller_tick (HzbController *c);
-void hzb_controller_request (HzbExchange *exchange, gpointer controller);      /* users and workers */
+void hzb_controller_request (HzbExchange *exchange, gpointer controller); /* users and workers */
 gboolean hzb_controller_ready (HzbController *c);
 gboolean hzb_controller_store_silent (HzbController *c);
 /* Brings the mirror up to this moment; FALSE: it could not be. */
@@ -109,11 +109,11 @@
 
 HzbEpochCall *hzb_epoch_call_new (HzbController *c, gpointer data);
 
-/* records.c: the holder's records of progress and machines */
+/* records.c: the owner's records of progress and machines */
 HzbRecords *hzb_records_new (HzbController *c);
 void hzb_records_free (HzbRecords *records);
-void hzb_records_reset (HzbRecords *records);                    /* a holding begins or ends */
-void hzb_records_load_finished (HzbRecords *records);                   /* all there is has been taken */
+void hzb_records_reset (HzbRecords *records);                     /* a holding begins or ends */
+void hzb_records_load_finished (HzbRecords *records);             /* all there is has been taken */
 void hzb_records_load (HzbRecords *records, const HzbItem *item); /* as the state service has it */
 void hzb_records_flush_soon (HzbRecords *records);
 void hzb_records_drop_job (HzbRecords *records, HzbJob *job);
@@ -130,27 +130,28 @@
 HzbPeers *hzb_peers_new (HzbController *c);
 void hzb_peers_free (HzbPeers *peers);
 void hzb_peers_tick (HzbPeers *peers, struct timespec now);
-gboolean hzb_peers_any_reachable (HzbPeers *peers);  /* lately; or there are none */
-gboolean hzb_peers_any_sends_workers (HzbPeers *peers); /* to the leader, lately */
-gboolean hzb_peers_any_lost_workers (HzbPeers *peers);  /* and gave way for it; this node too */
-gboolean hzb_peers_any_reaches_store (HzbPeers *peers); /* by the state service: an outage is ours alone */
+gboolean hzb_peers_any_reachable (HzbPeers *peers);                 /* lately; or there are none */
+gboolean hzb_peers_any_sends_workers (HzbPeers *peers);             /* to the leader, lately */
+gboolean hzb_peers_any_lost_workers (HzbPeers *peers);              /* and gave way for it; this node too */
+gboolean hzb_peers_any_reaches_store (HzbPeers *peers);             /* by the state service: an outage is ours alone */
 gboolean hzb_peers_unreachable (HzbPeers *peers, const char *node); /* not heard lately; or nobody of that name */
-guint hzb_peers_format (HzbPeers *peers, const char *node);    /* that it last said; 1: it said none, or is silent */
+guint hzb_peers_format (HzbPeers *peers, const char *node); /* that it last said; 1: it said none, or is silent */
 gboolean hzb_peers_all_have_format (HzbPeers *peers, guint format); /* every other node has lately said so much */
-gboolean hzb_peers_any_older_format (HzbPeers *peers); /* one that is heard reads less than this process */
-gboolean hzb_peers_last_store_contact (HzbPeers *peers, const char *node, struct timespec *at); /* by the state service */
+gboolean hzb_peers_any_older_format (HzbPeers *peers);              /* one that is heard reads less than this process */
+gboolean
+hzb_peers_last_store_contact (HzbPeers *peers, const char *node, struct timespec *at); /* by the state service */
 void hzb_peers_task_counts (HzbPeers *peers, const char *uid, guint *done, guint *running);
 cJSON *hzb_peers_message (HzbPeers *peers, HzbPeerKind kind); /* says who sends it, and which one it is */
 void hzb_controller_peer_request (HzbExchange *exchange, gpointer controller);
 
-/* rentals.c: what the holder has to do with the cloud */
+/* rentals.c: what the owner has to do with the cloud */
 HzbProvisioning *hzb_provisioning_new (HzbController *c);
 void hzb_provisioning_free (HzbProvisioning *rentals);
 void hzb_provisioning_reset (HzbProvisioning *rentals); /* a holding begins */
 void hzb_provisioning_tick (HzbProvisioning *rentals, struct timespec now);
 gboolean hzb_provisioning_was_returned (HzbProvisioning *rentals, const char *machine);
 
-/* gateway.c */
+/* worker API.c */
 void hzb_worker_api_report (HzbController *c, HzbExchange *exchange);
 
 /* lease.c: blocks leased to other controllers, the leader's part */
@@ -159,7 +160,7 @@
 void hzb_leases_tick (HzbLeases *leases, struct timespec now);
 void hzb_leases_reset (HzbLeases *leases); /* the leader's part is over, or begins */
 void hzb_leases_request (HzbLeases *leases, HzbExchange *exchange, const cJSON *root);
-/* A machine without tasks has reported for the first time: whom it is lent to, or NULL. */
+/* A machine without tasks has reported for the first time: whom it is leased to, or NULL. */
 const char *hzb_leases_lease_idle (HzbLeases *leases, HzbMachine *machine);
 /* A machine with tasks has just reported: whom it is handed over to, or NULL. */
 const char *hzb_leases_hand_over (HzbLeases *leases, HzbMachine *machine);
@@ -168,7 +169,7 @@
 void hzb_leases_announce_durable (HzbLeases *leases, HzbTask *task); /* of a task that a lessee has finished */
 cJSON *hzb_leases_pack (HzbLeases *leases);
 void hzb_leases_announce_cancellation (HzbLeases *leases, HzbJob *job);
-/* Every lessee that was granted a task of this cancelled job has acknowledged that it is. */
+/* Every lessee that was delegated a task of this cancelled job has acknowledged that it is. */
 gboolean hzb_leases_all_acknowledged (HzbLeases *leases, const HzbJob *job);
 
 /* lessee.c: the block that was leased to this node */
@@ -187,13 +188,13 @@
 HzbCancellations *hzb_cancellations_new (HzbController *c);
 void hzb_cancellations_free (HzbCancellations *cancellations);
 void hzb_cancellations_tick (HzbCancellations *cancellations, struct timespec now);
-/* No holder can act without the job's cancellation any more. */
+/* No owner can act without the job's cancellation any more. */
 gboolean hzb_cancellations_acknowledged (HzbCancellations *cancellations, HzbJob *job);
 gboolean hzb_cancellations_request (HzbCancellations *cancellations, HzbJob *job); /* FALSE: nobody to ask just now */
 cJSON *hzb_cancellations_pack_request (HzbCancellations *cancellations);           /* to the leader; NULL: none */
 cJSON *hzb_cancellations_handle_request (HzbCancellations *cancellations, const cJSON *question); /* by the leader */
 void hzb_cancellations_handle_response (HzbCancellations *cancellations, guint64 term, const cJSON *last_report);
-/* The holder: all that were recorded up to this revision are effective. */
+/* The owner: all that were recorded up to this revision are effective. */
 guint64 hzb_cancellations_acknowledged_revision (HzbCancellations *cancellations);
 
 /* api.c */
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -15,12 +15,13 @@
 hzb_dispatch_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings, GRand *rand)
 {
   HzbDispatch *d = g_new0 (HzbDispatch, 1);
+  guint n_ahead = settings->teams->len * HZB_N_LEVELS;
   d->jobs = jobs;
   d->machines = machines;
   d->settings = settings;
   d->rand = rand;
-  d->ahead_cpus = g_new0 (double, settings->teams->len * HZB_N_LEVELS);
-  d->ahead_gpus = g_new0 (double, settings->teams->len * HZB_N_LEVELS);
+  d->ahead_cpus = g_new0 (double, n_ahead);
+  d->ahead_gpus = g_new0 (double, n_ahead);
   d->h = 0.5;
   d->list_ahead_s = 8;
   d->sample = 8;
@@ -66,7 +67,8 @@
   d->lag_s += (CLAMP (late_s, 0, 5) - d->lag_s) * 0.1;
   lagging = d->lagging ? d->lag_s > 0.05 : d->lag_s > 0.25;
   if (lagging != d->lagging)
-    g_message ("dispatch: timers are %.2f s late, %s", d->lag_s, lagging ? "machines are sampled" : "full searches again");
+    g_message ("dispatch: timers are %.2f s late, %s", d->lag_s,
+               lagging ? "machines are sampled" : "full searches again");
   d->lagging = lagging;
 }
 
@@ -117,7 +119,7 @@
   m->estimate_stale = FALSE;
 }
 
-/* A leader has lent most machines: samples are taken of those that can be chosen. */
+/* A leader has leased most machines: samples are taken of those that can be chosen. */
 static void
 index_usable_machines (HzbDispatch *d)
 {
@@ -239,7 +241,7 @@
       job->guaranteed = cpus[job->team] <= team->cpus + 1e-6 && gpus[job->team] <= team->gpus + 1e-6;
       level = level_of (d->settings, job, now);
       job->start_overdue = !(job->placed || job->finished || job->done || job->unknown || job->spec->gang)
-                       && hzb_time_between (job->since, now) > OVERDUE_AFTER_S;
+                           && hzb_time_between (job->since, now) > OVERDUE_AFTER_S;
       if (job->start_overdue)
         level = MAX (level, OVERDUE_LEVEL);
       if (level != job->level)
@@ -263,7 +265,8 @@
 static double
 work_left (const HzbJob *job)
 {
-  return (job->pending + job->listed + job->unknown + 0.5 * job->placed) * hzb_job_mean_s (job) * MAX (job->spec->cpus, 0.1);
+  return (job->pending + job->listed + job->unknown + 0.5 * job->placed) * hzb_job_mean_s (job)
+         * MAX (job->spec->cpus, 0.1);
 }
 
 /* Within a class first come, first served, except where many wait: of batch work the job with least left goes
@@ -375,9 +378,9 @@
   for (guint i = 0; d->gang_waits && i < d->jobs->active->len; i++)
     {
       const HzbJob *job = d->jobs->active->pdata[i];
-      if (job->spec->gang && job->state == HZB_JOB_ACCEPTED && job->pending == job->n_tasks
-          && job->level >= level && !hzb_time_before (now, job->not_before)
-          && hzb_machine_allowed (m, job->spec) && hzb_time_between (job->since, now) > 5)
+      if (job->spec->gang && job->state == HZB_JOB_ACCEPTED && job->pending == job->n_tasks && job->level >= level
+          && !hzb_time_before (now, job->not_before) && hzb_machine_allowed (m, job->spec)
+          && hzb_time_between (job->since, now) > 5)
         return TRUE;
     }
   return FALSE;
@@ -416,7 +419,8 @@
 
 /* Tasks of one job to lists: only as many as the team may use, since what waits for its limit holds nobody up. */
 static void
-list_tasks (HzbDispatch *d, HzbJob *job, double *cpus, double *gpus, guint *budget, guint *examined, struct timespec now)
+list_tasks (HzbDispatch *d, HzbJob *job, double *cpus, double *gpus, guint *budget, guint *examined,
+            struct timespec now)
 {
   const HzbBlock *block = d->jobs->block;
   const HzbSpec *spec = job->spec;
@@ -559,7 +563,8 @@
 static gboolean
 may_start (HzbDispatch *d, const HzbTask *task, const HzbMachine *m)
 {
-  return task->job->state == HZB_JOB_ACCEPTED && hzb_dispatch_team_may_use (d, task->job) && hzb_zone_allowed (task->job, m);
+  return task->job->state == HZB_JOB_ACCEPTED && hzb_dispatch_team_may_use (d, task->job)
+         && hzb_zone_allowed (task->job, m);
 }
 
 static void
@@ -616,8 +621,7 @@
           gboolean waits = spec->service && g_hash_table_contains (other->images, spec->image)
                            && hzb_time_between (task->since, now) < 2 * d->settings->report_s;
           if (((cached || waits) && !g_hash_table_contains (m->images, spec->image)) || !hzb_machine_allowed (m, spec)
-              || !hzb_machine_has_room (m, spec)
-              || hzb_machine_avoids (m, task->job, now) || !may_start (d, task, m))
+              || !hzb_machine_has_room (m, spec) || hzb_machine_avoids (m, task->job, now) || !may_start (d, task, m))
             continue;
           best = task;
           most = u;
@@ -644,7 +648,8 @@
             || hzb_time_before (now, job->not_before) || hzb_machine_avoids (m, job, now)
             || (cached && !g_hash_table_contains (m->images, job->spec->image)) || !hzb_dispatch_team_may_use (d, job))
           continue;
-        while (!overdue_start_placed (job) && hzb_machine_has_room (m, job->spec) && (task = hzb_job_next_pending (job, now)))
+        while (!overdue_start_placed (job) && hzb_machine_has_room (m, job->spec)
+               && (task = hzb_job_next_pending (job, now)))
           {
             if (!may_start (d, task, m))
               {
--- a/src/election.c
+++ b/src/election.c
@@ -316,8 +316,7 @@
         }
       else if (!e->backing_off)
         e->next = hzb_time_plus (hzb_clock_now (e->clock), jitter (e));
-      if (e->state == HZB_ELECTION_LEADING
-          && (e->leader ? e->leader_term > e->term : e->leader_term == e->term))
+      if (e->state == HZB_ELECTION_LEADING && (e->leader ? e->leader_term > e->term : e->leader_term == e->term))
         {
           e->lease = 0;
           give_up (e, "the leader's record is gone or another's");
--- a/src/headroom.c
+++ b/src/headroom.c
@@ -130,7 +130,7 @@
 }
 
 /* The one that can serve soonest: ours, with replicas already, and with the least other work to wait for. One that still
- * boots is kept from the start, or it would be lent as soon as it is up. */
+ * boots is kept from the start, or it would be leased as soon as it is up. */
 static HzbMachine *
 next_to_reserve (const HzbHeadroom *headroom, HzbMachines *machines, const char *zone)
 {
@@ -139,8 +139,12 @@
   for (guint i = 0; i < machines->all->len; i++)
     {
       HzbMachine *m = machines->all->pdata[i];
-      double cost = (m->state == HZB_MACHINE_LEASED ? 1000 : m->state == HZB_MACHINE_ACTIVE ? 0 : 100) + m->cpus - 100 * m->service_cpus;
-      if (m->reserved || !suits (m, headroom->spec, zone) || free_for_replicas (m) < headroom->spec->cpus || cost >= least)
+      double cost = (m->state == HZB_MACHINE_LEASED   ? 1000
+                     : m->state == HZB_MACHINE_ACTIVE ? 0
+                                                      : 100)
+                    + m->cpus - 100 * m->service_cpus;
+      if (m->reserved || !suits (m, headroom->spec, zone) || free_for_replicas (m) < headroom->spec->cpus
+          || cost >= least)
         continue;
       least = cost;
       best = m;
@@ -159,7 +163,8 @@
       gboolean zone = FALSE;
       for (guint z = 0; z < headroom->n_zones; z++)
         zone = zone || g_str_equal (m->zone, headroom->zones[z].zone);
-      if (m->reserved && (!headroom->spec || waiting || !suits (m, headroom->spec, NULL) || (!zone && m->service_cpus <= 0)))
+      if (m->reserved
+          && (!headroom->spec || waiting || !suits (m, headroom->spec, NULL) || (!zone && m->service_cpus <= 0)))
         m->reserved = FALSE;
     }
   for (guint z = 0; z < headroom->n_zones && !waiting; z++)
@@ -184,8 +189,8 @@
       for (guint i = 0; i < machines->all->len; i++)
         {
           m = machines->all->pdata[i];
-          if (m->reserved && g_str_equal (m->zone, headroom->zones[z].zone) && m->service_cpus + m->listed_service_cpus <= 0
-              && free - m->type->cpus >= 1.5 * want)
+          if (m->reserved && g_str_equal (m->zone, headroom->zones[z].zone)
+              && m->service_cpus + m->listed_service_cpus <= 0 && free - m->type->cpus >= 1.5 * want)
             {
               m->reserved = FALSE;
               free -= m->type->cpus;
--- a/src/http.c
+++ b/src/http.c
@@ -86,7 +86,8 @@
   call->timer = 0;
   call->over = TRUE;
   pool->lost++;
-  soup_session_cancel_message (pool->session, call->message, SOUP_STATUS_CANCELLED); /* the call may be gone after this */
+  soup_session_cancel_message (pool->session, call->message,
+                               SOUP_STATUS_CANCELLED); /* the call may be gone after this */
   done (0, "", 0, user);
   if (pool == client->pool && pool->lost >= MOST_LOST)
     {
@@ -388,7 +389,7 @@
 
   if (connection->state != CONNECTION_ASKED || !soup_message_is_keepalive (message)
       || !(stolen = soup_client_context_steal_connection (client)))
-    return; /* libsoup closes it */
+    return;                /* libsoup closes it */
   g_object_unref (stolen); /* a wrapper: the connection is ours all the time */
   if (set_state (connection, CONNECTION_IDLE))
     watch_idle (connection, EPOLL_CTL_MOD);
--- a/src/http.h
+++ b/src/http.h
@@ -1,4 +1,4 @@
-/* HTTP both ways, behind two small faces so that tests can put stand-ins in their place. */
+/* HTTP both ways, behind two small faces so that tests can put fakes in their place. */
 #pragma once
 #include <glib.h>
 #include <time.h>
@@ -14,8 +14,8 @@
 };
 
 static inline void
-hzb_send (HzbTransport *transport, const char *method, const char *addr, const char *path, char *body,
-          guint timeout_ms, HzbReplyFunc done, gpointer user)
+hzb_send (HzbTransport *transport, const char *method, const char *addr, const char *path, char *body, guint timeout_ms,
+          HzbReplyFunc done, gpointer user)
 {
   transport->send (transport, method, addr, path, body, timeout_ms, done, user);
 }
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -7,8 +7,9 @@
 
 #define MAX_MIRRORED_ENDED 2000u /* more than users ask about often; 600 bytes each */
 
-static const char *const state_names[] = { "pending", "listed",  "unknown", "elsewhere", "granted", "booked",   "starting", "fetching",
-                                           "waiting", "running", "saving",  "finished", "done" };
+static const char *const state_names[] = { "pending", "listed",   "unknown",  "other-owner", "delegated",
+                                           "booked",  "starting", "fetching", "waiting",     "running",
+                                           "saving",  "finished", "done" };
 
 static void
 clear_owner_state (HzbJob *job)
@@ -78,10 +79,10 @@
 const char *
 hzb_job_status (const HzbJob *job)
 {
-  return job->state == HZB_JOB_DONE        ? "done"
-         : job->state == HZB_JOB_CANCELLED ? "cancelled"
+  return job->state == HZB_JOB_DONE                  ? "done"
+         : job->state == HZB_JOB_CANCELLED           ? "cancelled"
          : job->running + job->delegated_running > 0 ? "running"
-                                           : "queued";
+                                                     : "queued";
 }
 
 cJSON *
@@ -199,21 +200,21 @@
   acceptance->jobs = g_ptr_array_new ();
   g_hash_table_insert (jobs->acceptances, acceptance->key, acceptance);
   cJSON_ArrayForEach (entry, value)
-    {
-      HzbJob *job = hzb_jobs_apply (jobs, entry->string, entry, 0);
-      if (job)
-        {
-          job->named++;
-          g_ptr_array_add (acceptance->jobs, job);
-        }
-      /* Guards against a job that two nodes have accepted: nodes may see the two records in different order, so
+  {
+    HzbJob *job = hzb_jobs_apply (jobs, entry->string, entry, 0);
+    if (job)
+      {
+        job->named++;
+        g_ptr_array_add (acceptance->jobs, job);
+      }
+    /* Guards against a job that two nodes have accepted: nodes may see the two records in different order, so
        * neither goes before the job is over. */
-      if (job && !job->version)
-        {
-          job->acceptances = g_slist_prepend (job->acceptances, acceptance);
-          acceptance->open++;
-        }
-    }
+    if (job && !job->version)
+      {
+        job->acceptances = g_slist_prepend (job->acceptances, acceptance);
+        acceptance->open++;
+      }
+  }
 }
 
 HzbAcceptance *
@@ -391,7 +392,8 @@
   waited = hzb_time_between (job->accepted, hzb_clock_wall (jobs->clock));
   job->since = hzb_time_plus (now, -CLAMP (waited, 0, 86400));
   g_message ("job %s (%s, %s): %u tasks of %g CPUs, %g GB, %g s expected, image %s", job->uid, job->spec->job_class,
-             job->spec->team, job->n_tasks, job->spec->cpus, job->spec->memory_gb, job->spec->estimate_s, job->spec->image);
+             job->spec->team, job->n_tasks, job->spec->cpus, job->spec->memory_gb, job->spec->estimate_s,
+             job->spec->image);
   g_ptr_array_add (jobs->active, job);
   g_ptr_array_sort (jobs->active, by_age);
 }
@@ -462,7 +464,8 @@
     {
       guint k = i - first;
       HzbTask *task = &job->tasks[i];
-      if (k / 8 < length && bits[k / 8] & (1u << (k % 8)) && (task->state == HZB_TASK_PENDING || task->state == HZB_TASK_UNKNOWN))
+      if (k / 8 < length && bits[k / 8] & (1u << (k % 8))
+          && (task->state == HZB_TASK_PENDING || task->state == HZB_TASK_UNKNOWN))
         hzb_task_set_state (jobs, task, HZB_TASK_DONE, NULL);
     }
   /* Any part may be the newest, so its mark holds for the tasks of all parts. */
@@ -547,7 +550,8 @@
 static const guint legal[HZB_TASK_N_STATES] = {
   [HZB_TASK_OTHER_OWNER] = B (PENDING),
   [HZB_TASK_DELEGATED] = B (PENDING) | B (UNKNOWN) | B (STARTING) | B (FINISHED),
-  [HZB_TASK_PENDING] = B (OTHER_OWNER) | B (DELEGATED) | B (LISTED) | B (BOOKED) | B (UNKNOWN) | B (DONE) | SEEN | B (FINISHED),
+  [HZB_TASK_PENDING] =
+      B (OTHER_OWNER) | B (DELEGATED) | B (LISTED) | B (BOOKED) | B (UNKNOWN) | B (DONE) | SEEN | B (FINISHED),
   [HZB_TASK_LISTED] = B (PENDING) | B (BOOKED) | B (STARTING),
   [HZB_TASK_UNKNOWN] = B (PENDING) | SEEN | B (FINISHED) | B (DONE),
   [HZB_TASK_BOOKED] = B (PENDING) | B (STARTING),
@@ -611,7 +615,8 @@
     return TRUE;
   if (!(legal[task->state] & 1u << to))
     {
-      g_critical ("task %s/%u: illegal change %s -> %s", job->uid, task->index, state_names[task->state], state_names[to]);
+      g_critical ("task %s/%u: illegal change %s -> %s", job->uid, task->index, state_names[task->state],
+                  state_names[to]);
       return FALSE;
     }
   g_debug ("task %s/%u: %s -> %s%s%s", job->uid, task->index, state_names[task->state], state_names[to],
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -1,4 +1,4 @@
-/* Jobs and tasks. Every node keeps the durable state of jobs, from the mirror; the holder also keeps
+/* Jobs and tasks. Every node keeps the durable state of jobs, from the mirror; the owner also keeps
  * where each task is. */
 #pragma once
 #include "block.h"
@@ -26,13 +26,13 @@
 
 typedef enum
 {
-  HZB_TASK_PENDING,  /* on no machine, in no list */
-  HZB_TASK_LISTED,   /* in a machine's list */
-  HZB_TASK_UNKNOWN,  /* may run on a machine that has not answered under our token */
+  HZB_TASK_PENDING,     /* on no machine, in no list */
+  HZB_TASK_LISTED,      /* in a machine's list */
+  HZB_TASK_UNKNOWN,     /* may run on a machine that has not answered under our token */
   HZB_TASK_OTHER_OWNER, /* in another block (on a lessee only) */
   HZB_TASK_DELEGATED,   /* in a block that is leased to another controller, which may run it (on the leader only) */
-  HZB_TASK_BOOKED,   /* a place is held for it; the start order has not been sent */
-  HZB_TASK_STARTING, /* a start order was sent; no newer report yet */
+  HZB_TASK_BOOKED,      /* a place is held for it; the start order has not been sent */
+  HZB_TASK_STARTING,    /* a start order was sent; no newer report yet */
   HZB_TASK_FETCHING,
   HZB_TASK_WAITING,
   HZB_TASK_RUNNING,
@@ -49,7 +49,7 @@
   guint index;
   guint8 state; /* HzbTaskState, changed by hzb_task_set_state() only */
   guint8 tries;
-  guint8 lessee; /* 1 and up: whom it was granted to */
+  guint8 lessee; /* 1 and up: whom it was delegated to */
   gboolean stopping : 1;
   guint seen; /* the machine's last round of reports that named it */
   guint64 attempt;
@@ -72,33 +72,33 @@
 {
   char *uid;
   HzbJobState state;
-  guint64 version; /* of the record of its end; 0: there is none */
-  GSList *acceptances; /* while it is not over: all that name it */
-  guint named;         /* records of acceptance that name it, over or not */
-  guint load;          /* the last reading of all records that showed it */
-  gboolean cancel_acknowledged;  /* cancelled, and no holder can act without that */
-  gboolean moving;     /* its record is on the way to where old ones are */
+  guint64 version;              /* of the record of its end; 0: there is none */
+  GSList *acceptances;          /* while it is not over: all that name it */
+  guint named;                  /* records of acceptance that name it, over or not */
+  guint load;                   /* the last reading of all records that showed it */
+  gboolean cancel_acknowledged; /* cancelled, and no owner can act without that */
+  gboolean moving;              /* its record is on the way to where old ones are */
   guint n_tasks;
   struct timespec accepted; /* time of day */
   HzbSpec *spec;            /* NULL once over, unless tasks may still be about */
   int team;
 
-  /* the holder's part */
+  /* the owner's part */
   HzbTask *tasks;
-  guint cursor;  /* tasks from here on have never been placed */
-  GQueue retry;  /* HzbTask, pending again */
+  guint cursor; /* tasks from here on have never been placed */
+  GQueue retry; /* HzbTask, pending again */
   guint other_owner, delegated_running;
   guint delegated_leaving; /* of those, on machines that the leader asked back */
-  guint pending; /* state PENDING, below the released mark or not */
+  guint pending;           /* state PENDING, below the released mark or not */
   guint listed, unknown, placed, running, finished, done;
-  guint released, releasing; /* tasks below may have been started: durable, and asked for */
-  gboolean dirty, ending;    /* progress to be written; end being written */
-  gboolean on_pages;         /* of the holder's records */
-  gboolean unsplit;          /* in parts that only a version 1 writes; they can't be changed while one is about */
-  gboolean release_requested;    /* a machine could take more of it than is released */
+  guint released, releasing;  /* tasks below may have been started: durable, and asked for */
+  gboolean dirty, ending;     /* progress to be written; end being written */
+  gboolean on_pages;          /* of the owner's records */
+  gboolean unsplit;           /* in parts that only a version 1 writes; they can't be changed while one is about */
+  gboolean release_requested; /* a machine could take more of it than is released */
   gboolean guaranteed, announced_to_lessees;
   gboolean start_overdue; /* nothing of it has started for long: its first task goes before others */
-  guint8 level; /* of waiting work, see hzb_dispatch_classes() */
+  guint8 level;           /* of waiting work, see hzb_dispatch_classes() */
   guint64 next_attempt;
   guint failures; /* in a row, without a task of the job doing well */
   struct timespec not_before, since;
@@ -109,18 +109,18 @@
 
 typedef struct
 {
-  GHashTable *by_uid; /* uid -> HzbJob */
-  GHashTable *acceptances; /* key -> HzbAcceptance */
-  GQueue ended;       /* HzbJob, over, about in the order of their ends */
-  guint max_mirrored_ended;   /* so many stay mirrored */
-  guint load;         /* counts readings of all records */
-  GPtrArray *active;  /* the holder's: jobs with a part of it, by age */
+  GHashTable *by_uid;       /* uid -> HzbJob */
+  GHashTable *acceptances;  /* key -> HzbAcceptance */
+  GQueue ended;             /* HzbJob, over, about in the order of their ends */
+  guint max_mirrored_ended; /* so many stay mirrored */
+  guint load;               /* counts readings of all records */
+  GPtrArray *active;        /* the owner's: jobs with a part of it, by age */
   HzbClock *clock;
   const HzbSettings *settings;
-  HzbBlock *block; /* NULL: not a holder */
+  HzbBlock *block;             /* NULL: not a owner */
   GHashTable *estimate_biases; /* class name -> double*, see hzb_jobs_observe() */
-  guint chunk;     /* tasks of a part */
-  gboolean lessee; /* of the jobs only what was granted is in the block */
+  guint chunk;                 /* tasks of a part */
+  gboolean lessee;             /* of the jobs only what was delegated is in the block */
 } HzbJobs;
 
 HzbJobs *hzb_jobs_new (HzbClock *clock, const HzbSettings *settings);
--- a/src/lease.c
+++ b/src/lease.c
@@ -4,10 +4,10 @@
  * repeated until they are acknowledged, machines, tasks and news of what has become durable. The question brings
  * events, numbered and repeated likewise: tasks finished, tasks given back, machines given back.
  *
- * Safety does not rest on the lease's time. A granted task counts as running until the lessee gives it back or has
- * finished it. A block that is taken back leaves its machines unheard, under a higher token, and its tasks unknown:
+ * Safety does not rest on the lease's time. A delegated task counts as running until the lessee gives it back or has
+ * finished it. A block that is taken back leaves its machines unverified, under a higher token, and its tasks unknown:
  * they start elsewhere only once every machine that might hold them has answered under that token or is gone. The
- * lessee starts what it was granted on the block's machines only, so there is nothing that this wait does not cover.
+ * lessee starts what it was delegated on the block's machines only, so there is nothing that this wait does not cover.
  * A lessee frees a task only by a newer report under its own token; of a silent machine it concludes nothing and
  * gives it back.
  *
@@ -17,15 +17,15 @@
 
 #include <string.h>
 
-#define LEASE_S 10.0     /* as the design page starts with */
-#define MISSED_S 4.0     /* the leader takes a block back when its lessee was silent for so long */
-#define STEADY_S 3.0     /* and leases to it again once it has asked for so long */
+#define LEASE_S 10.0 /* as the design page starts with */
+#define MISSED_S 4.0 /* the leader takes a block back when its lessee was silent for so long */
+#define STEADY_S 3.0 /* and leases to it again once it has asked for so long */
 #define MOST_PER_ANSWER 160u
 #define UNLEVEL 0.7            /* a block this much smaller than the leader's gets machines that work */
 #define HAND_OVER_EVERY_S 0.25 /* each costs its machine a second or so; of a large fleet more often: */
 #define HAND_OVER_ALL_S 10.0   /* as many machines as there are in so long */
 #define COUNT_EVERY_S 0.2
-#define LATE_S 0.015           /* only a leader whose timers are so late on average hands working machines over */
+#define LATE_S 0.015 /* only a leader whose timers are so late on average hands working machines over */
 
 /* The leader's view of one lessee. */
 typedef struct
@@ -39,7 +39,7 @@
   HzbOutbox out;
   guint64 in_number;
   GHashTable *running, *leaving; /* uid -> count, as it last said */
-  double ran_s; /* of the task that the event at hand is about */
+  double ran_s;                  /* of the task that the event at hand is about */
   gboolean holds;
 } Lessee;
 
@@ -131,15 +131,16 @@
 
   g_hash_table_iter_init (&iter, counts);
   while (g_hash_table_iter_next (&iter, &uid, &count))
-    if ((job = hzb_jobs_find (leases->c->jobs, uid)) && G_STRUCT_MEMBER (guint, job, member) >= GPOINTER_TO_UINT (count))
+    if ((job = hzb_jobs_find (leases->c->jobs, uid))
+        && G_STRUCT_MEMBER (guint, job, member) >= GPOINTER_TO_UINT (count))
       G_STRUCT_MEMBER (guint, job, member) -= GPOINTER_TO_UINT (count);
   g_hash_table_remove_all (counts);
-  cJSON_ArrayForEach (item, said)
-    if (cJSON_IsNumber (item) && item->valueint > 0 && (job = hzb_jobs_find (leases->c->jobs, item->string)) && job->tasks)
-      {
-        G_STRUCT_MEMBER (guint, job, member) += (guint) item->valueint;
-        g_hash_table_insert (counts, g_strdup (item->string), GUINT_TO_POINTER ((guint) item->valueint));
-      }
+  cJSON_ArrayForEach (item, said) if (cJSON_IsNumber (item) && item->valueint > 0
+                                      && (job = hzb_jobs_find (leases->c->jobs, item->string)) && job->tasks)
+  {
+    G_STRUCT_MEMBER (guint, job, member) += (guint) item->valueint;
+    g_hash_table_insert (counts, g_strdup (item->string), GUINT_TO_POINTER ((guint) item->valueint));
+  }
 }
 
 static void
@@ -224,7 +225,7 @@
 
   count_blocks (leases, now);
   own = cpus[0];
-  /* One that works here already is lent only where that makes the blocks more level. */
+  /* One that works here already is leased only where that makes the blocks more level. */
   least = part * (machine->state == HZB_MACHINE_ACTIVE ? own - machine->type->cpus : own);
   for (guint i = 0; i < leases->lessees->len; i++)
     {
@@ -269,8 +270,9 @@
 static gboolean
 may_lease (HzbController *c, const HzbMachine *machine)
 {
-  return c->lease_blocks && machine->type && !machine->to_be_returned && !machine->spare && !machine->reserved && !machine->unreachable && machine->known_to_cloud
-         && c->ownership >= HZB_OWNERSHIP_RECOVERING && !gang_waits (c) && !only_leader_work_waits (c);
+  return c->lease_blocks && machine->type && !machine->to_be_returned && !machine->spare && !machine->reserved
+         && !machine->unreachable && machine->known_to_cloud && c->ownership >= HZB_OWNERSHIP_RECOVERING
+         && !gang_waits (c) && !only_leader_work_waits (c);
 }
 
 static void
@@ -319,7 +321,7 @@
 
 /* After a takeover the leader has every machine, and under load hardly one is ever without tasks. Such a machine goes
  * to a lessee with the names of all tasks that may be on it, those asked for in the last answer included; they count
- * as granted. The lessee concludes nothing until the machine has reported under the block's token. */
+ * as delegated. The lessee concludes nothing until the machine has reported under the block's token. */
 const char *
 hzb_leases_hand_over (HzbLeases *leases, HzbMachine *machine)
 {
@@ -337,7 +339,8 @@
     {
       const HzbTask *task = machine->tasks->pdata[i];
       if (task->stopping || task->state == HZB_TASK_BOOKED || task->state == HZB_TASK_SAVING || task->job->spec->gang
-          || task->job->spec->service || task->job->spec->same_zone || task->job->spec->spread || task->job->state != HZB_JOB_ACCEPTED)
+          || task->job->spec->service || task->job->spec->same_zone || task->job->spec->spread
+          || task->job->state != HZB_JOB_ACCEPTED)
         return NULL;
     }
   best = smallest_lessee (leases, machine, UNLEVEL, now);
@@ -439,7 +442,8 @@
   for (guint i = 0; i < c->machines->all->len; i++)
     {
       const HzbMachine *m = c->machines->all->pdata[i];
-      if (m->state == HZB_MACHINE_LEASED && m->lessee == lessee->id && !m->recall_requested && hzb_machine_allowed (m, spec))
+      if (m->state == HZB_MACHINE_LEASED && m->lessee == lessee->id && !m->recall_requested
+          && hzb_machine_allowed (m, spec))
         return TRUE;
     }
   return FALSE;
@@ -474,7 +478,8 @@
   for (guint i = 0; i < c->jobs->active->len; i++)
     {
       HzbJob *job = c->jobs->active->pdata[i];
-      if (is_delegable (job) && (job->pending || job->listed) && !job->failures && !hzb_time_before (now, job->not_before))
+      if (is_delegable (job) && (job->pending || job->listed) && !job->failures
+          && !hzb_time_before (now, job->not_before))
         g_ptr_array_add (order, job);
     }
   g_ptr_array_sort (order, hzb_dispatch_order);
@@ -562,18 +567,19 @@
   /* The lessee's reports were newer than any copy of one that may still come here. */
   if (hzb_json_u64 (event, "session") >= m->session)
     {
-      m->seq = hzb_json_u64 (event, "session") > m->session ? hzb_json_u64 (event, "seq") : MAX (m->seq, hzb_json_u64 (event, "seq"));
+      m->seq = hzb_json_u64 (event, "session") > m->session ? hzb_json_u64 (event, "seq")
+                                                            : MAX (m->seq, hzb_json_u64 (event, "seq"));
       m->session = hzb_json_u64 (event, "session");
     }
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (event, "lost"))
-    {
-      HzbTask *task = hzb_tasks_find (c->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
-      if (!task || task->state != HZB_TASK_DELEGATED || task->lessee != lessee->id)
-        continue;
-      task->attempt = hzb_json_u64 (item, "attempt");
-      task->lessee = 0;
-      hzb_task_set_state (c->jobs, task, HZB_TASK_STARTING, m);
-    }
+  {
+    HzbTask *task = hzb_tasks_find (c->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
+    if (!task || task->state != HZB_TASK_DELEGATED || task->lessee != lessee->id)
+      continue;
+    task->attempt = hzb_json_u64 (item, "attempt");
+    task->lessee = 0;
+    hzb_task_set_state (c->jobs, task, HZB_TASK_STARTING, m);
+  }
 }
 
 static void
@@ -654,8 +660,9 @@
   reply = cJSON_CreateObject ();
   hzb_json_add_u64 (reply, "term", hzb_election_term (c->election));
   if (cJSON_HasObjectItem (root, "cancelled"))
-    cJSON_AddItemToObject (reply, "heard",
-                           hzb_cancellations_handle_request (c->cancellations, cJSON_GetObjectItemCaseSensitive (root, "cancelled")));
+    cJSON_AddItemToObject (
+        reply, "heard",
+        hzb_cancellations_handle_request (c->cancellations, cJSON_GetObjectItemCaseSensitive (root, "cancelled")));
   if (token && (!lessee->token || hzb_token_leader (token) != hzb_election_term (c->election)))
     cJSON_AddTrueToObject (reply, "end"); /* what it holds was taken back */
   else
@@ -664,12 +671,12 @@
         {
           /* An answer to an older question may have been lost: what it brought comes again. */
           hzb_outbox_acknowledged (&lessee->out, hzb_json_u64 (root, "have"));
-          cJSON_ArrayForEach (event, cJSON_GetObjectItemCaseSensitive (root, "events"))
-            if (hzb_json_u64 (event, "n") == lessee->in_number + 1)
-              {
-                lessee->in_number++;
-                handle_event (leases, lessee, event);
-              }
+          cJSON_ArrayForEach (event, cJSON_GetObjectItemCaseSensitive (root, "events")) if (hzb_json_u64 (event, "n")
+                                                                                            == lessee->in_number + 1)
+          {
+            lessee->in_number++;
+            handle_event (leases, lessee, event);
+          }
           set_running (leases, lessee, cJSON_GetObjectItemCaseSensitive (root, "running"),
                        cJSON_GetObjectItemCaseSensitive (root, "leaving"));
           recall_machines (leases, lessee, gang_waits (c) || !c->lease_blocks);
@@ -704,7 +711,8 @@
       for (guint k = 0; k < c->machines->all->len; k++)
         {
           const HzbMachine *m = c->machines->all->pdata[k];
-          if (m->type && (lessee ? m->state == HZB_MACHINE_LEASED && m->lessee == lessee->id : m->state == HZB_MACHINE_ACTIVE))
+          if (m->type
+              && (lessee ? m->state == HZB_MACHINE_LEASED && m->lessee == lessee->id : m->state == HZB_MACHINE_ACTIVE))
             {
               n++;
               cpus += m->type->cpus;
--- a/src/lessee.c
+++ b/src/lessee.c
@@ -7,11 +7,12 @@
 #define ASK_S 0.4
 #define ASK_SOON_S 0.25 /* with news; a question costs both sides as much as a worker's report */
 #define ASK_TIMEOUT_MS 1500
-#define GIVE_UP_S 5.0   /* it lets go when the leader has not answered for so long: it sits on no machines */
-#define PREFETCH_PART 0.12      /* of the block's CPUs: tasks wanted beyond its room, so that no place waits for the next answer */
-#define UNSTARTED_TTL_S 6.0      /* an unstarted task goes back to the leader after this */
-#define IDLE_S 10.0     /* and an idle machine */
-#define MAINTAIN_EVERY_S 0.5      /* tasks that may have to go back are looked for so often */
+#define GIVE_UP_S 5.0 /* it lets go when the leader has not answered for so long: it sits on no machines */
+/* Of the block's CPUs: tasks requested beyond its free room, so that no slot waits for the next answer. */
+#define PREFETCH_PART 0.12
+#define UNSTARTED_TTL_S 6.0  /* an unstarted task goes back to the leader after this */
+#define IDLE_S 10.0          /* and an idle machine */
+#define MAINTAIN_EVERY_S 0.5 /* tasks that may have to go back are looked for so often */
 
 struct _HzbLessee
 {
@@ -40,7 +41,8 @@
 gboolean
 hzb_lessee_valid (HzbLessee *lessee)
 {
-  return lessee->c->ownership == HZB_OWNERSHIP_LESSEE && hzb_time_before (hzb_clock_now (lessee->c->clock), lessee->valid_until);
+  return lessee->c->ownership == HZB_OWNERSHIP_LESSEE
+         && hzb_time_before (hzb_clock_now (lessee->c->clock), lessee->valid_until);
 }
 
 static void
@@ -123,15 +125,15 @@
   HzbMachine *m;
 
   cJSON_ArrayForEach (item, holds)
-    {
-      const char *uid = hzb_json_text (item, "job");
-      HzbJob *job = uid ? hzb_jobs_find (c->jobs, uid) : NULL;
-      HzbTask *task;
-      if (job && job->state == HZB_JOB_ACCEPTED)
-        hzb_jobs_activate (c->jobs, job);
-      task = hzb_tasks_find (c->jobs, uid, (int) hzb_json_number (item, "task", -1));
-      known = known && task && task->state == HZB_TASK_OTHER_OWNER;
-    }
+  {
+    const char *uid = hzb_json_text (item, "job");
+    HzbJob *job = uid ? hzb_jobs_find (c->jobs, uid) : NULL;
+    HzbTask *task;
+    if (job && job->state == HZB_JOB_ACCEPTED)
+      hzb_jobs_activate (c->jobs, job);
+    task = hzb_tasks_find (c->jobs, uid, (int) hzb_json_number (item, "task", -1));
+    known = known && task && task->state == HZB_TASK_OTHER_OWNER;
+  }
   if (!known)
     {
       /* Of a job that is not in this node's mirror yet, or over: back it goes, as it came. */
@@ -145,8 +147,7 @@
       return;
     }
   m = hzb_machines_add (c->machines, name, hzb_json_text (batch, "addr"), hzb_json_text (batch, "type"),
-                        hzb_json_text (batch, "zone"),
-                        cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (batch, "spot")),
+                        hzb_json_text (batch, "zone"), cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (batch, "spot")),
                         holds ? HZB_MACHINE_UNVERIFIED : HZB_MACHINE_BOOTING);
   m->recorded = m->known_to_cloud = TRUE;
   hzb_machine_set_token (m, lessee->token);
@@ -154,14 +155,14 @@
   m->seq = hzb_json_u64 (batch, "seq");
   m->last_report = hzb_clock_now (c->clock);
   cJSON_ArrayForEach (item, holds)
-    {
-      HzbTask *task = hzb_tasks_find (c->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
-      gboolean runs = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "runs"));
-      hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
-      g_queue_remove (&task->job->retry, task);
-      task->attempt = hzb_json_u64 (item, "attempt");
-      hzb_task_set_state (c->jobs, task, runs ? HZB_TASK_RUNNING : HZB_TASK_FETCHING, m);
-    }
+  {
+    HzbTask *task = hzb_tasks_find (c->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
+    gboolean runs = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "runs"));
+    hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
+    g_queue_remove (&task->job->retry, task);
+    task->attempt = hzb_json_u64 (item, "attempt");
+    hzb_task_set_state (c->jobs, task, runs ? HZB_TASK_RUNNING : HZB_TASK_FETCHING, m);
+  }
 }
 
 static void
@@ -171,7 +172,8 @@
   const cJSON *tasks = cJSON_GetObjectItemCaseSensitive (batch, "tasks"), *group;
   const char *name = hzb_json_text (batch, "machine"), *back = hzb_json_text (batch, "back"),
              *keep = hzb_json_text (batch, "keep");
-  HzbJob *cancelled = hzb_json_text (batch, "cancelled") ? hzb_jobs_find (c->jobs, hzb_json_text (batch, "cancelled")) : NULL;
+  HzbJob *cancelled =
+      hzb_json_text (batch, "cancelled") ? hzb_jobs_find (c->jobs, hzb_json_text (batch, "cancelled")) : NULL;
 
   if (cancelled && cancelled->state == HZB_JOB_ACCEPTED)
     cancelled->state = HZB_JOB_CANCELLED; /* as its record is, which this node may not have seen yet */
@@ -179,18 +181,18 @@
     {
       cJSON *unknown = NULL;
       cJSON_ArrayForEach (group, tasks)
-        {
-          HzbJob *job = hzb_jobs_find (c->jobs, group->string);
-          if (job && job->state == HZB_JOB_ACCEPTED)
-            hzb_jobs_activate (c->jobs, job);
-          if (!job || !job->tasks)
-            {
-              /* Not in this node's mirror yet, or over: back they go. */
-              if (!unknown)
-                unknown = cJSON_CreateObject ();
-              cJSON_AddItemToObject (unknown, group->string, cJSON_Duplicate (group, TRUE));
-            }
-        }
+      {
+        HzbJob *job = hzb_jobs_find (c->jobs, group->string);
+        if (job && job->state == HZB_JOB_ACCEPTED)
+          hzb_jobs_activate (c->jobs, job);
+        if (!job || !job->tasks)
+          {
+            /* Not in this node's mirror yet, or over: back they go. */
+            if (!unknown)
+              unknown = cJSON_CreateObject ();
+            cJSON_AddItemToObject (unknown, group->string, cJSON_Duplicate (group, TRUE));
+          }
+      }
       if (unknown)
         {
           cJSON *body = cJSON_CreateObject ();
@@ -242,7 +244,9 @@
     {
       if (cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "end")))
         hzb_controller_end_leased (c, "the leader took the block back");
-      else if (token && (c->ownership == HZB_OWNERSHIP_LESSEE || (c->ownership == HZB_OWNERSHIP_NONE && c->mirror == HZB_MIRROR_FOLLOWING)))
+      else if (token
+               && (c->ownership == HZB_OWNERSHIP_LESSEE
+                   || (c->ownership == HZB_OWNERSHIP_NONE && c->mirror == HZB_MIRROR_FOLLOWING)))
         {
           if (c->ownership == HZB_OWNERSHIP_NONE)
             {
@@ -255,12 +259,12 @@
           /* From when it was asked for: after standing still the answer may be old. */
           lessee->valid_until = hzb_time_plus (lessee->requests, hzb_json_number (root, "leaseS", 0));
           hzb_outbox_acknowledged (&lessee->out, hzb_json_u64 (root, "have"));
-          cJSON_ArrayForEach (batch, cJSON_GetObjectItemCaseSensitive (root, "batches"))
-            if (hzb_json_u64 (batch, "n") == lessee->in_number + 1)
-              {
-                lessee->in_number++;
-                apply_batch (lessee, batch);
-              }
+          cJSON_ArrayForEach (batch, cJSON_GetObjectItemCaseSensitive (root, "batches")) if (hzb_json_u64 (batch, "n")
+                                                                                             == lessee->in_number + 1)
+          {
+            lessee->in_number++;
+            apply_batch (lessee, batch);
+          }
           if (cJSON_GetArraySize (cJSON_GetObjectItemCaseSensitive (root, "batches")))
             {
               hzb_dispatch_run (c->dispatch, hzb_clock_now (c->clock));
@@ -307,7 +311,8 @@
       for (guint k = 0; m->recall_requested && k < m->tasks->len; k++)
         {
           job = ((HzbTask *) m->tasks->pdata[k])->job;
-          g_hash_table_insert (counts, job, GUINT_TO_POINTER (GPOINTER_TO_UINT (g_hash_table_lookup (counts, job)) + 1));
+          g_hash_table_insert (counts, job,
+                               GUINT_TO_POINTER (GPOINTER_TO_UINT (g_hash_table_lookup (counts, job)) + 1));
         }
     }
   g_hash_table_iter_init (&iter, counts);
@@ -348,7 +353,8 @@
             cJSON_AddNumberToObject (running, job->uid, job->running);
         }
     }
-  hzb_send (c->transport, "POST", addr, "/peer/v1/block", cJSON_PrintUnformatted (root), ASK_TIMEOUT_MS, on_answer, lessee);
+  hzb_send (c->transport, "POST", addr, "/peer/v1/block", cJSON_PrintUnformatted (root), ASK_TIMEOUT_MS, on_answer,
+            lessee);
   cJSON_Delete (root);
 }
 
--- a/src/machines.c
+++ b/src/machines.c
@@ -3,7 +3,8 @@
 #include <math.h>
 #include <string.h>
 
-static const char *const state_names[] = { "booting", "unheard", "active", "lent", "silent", "draining", "returning", "gone" };
+static const char *const state_names[] = { "booting",       "unverified", "active",    "leased",
+                                           "lease-expired", "draining",   "returning", "gone" };
 
 static void
 machine_free (gpointer data)
@@ -260,7 +261,8 @@
 gboolean
 hzb_machine_usable (const HzbMachine *m)
 {
-  return m->state == HZB_MACHINE_ACTIVE && m->recorded && m->known_to_cloud && m->type && !m->to_be_returned && !m->spare && !m->unreachable;
+  return m->state == HZB_MACHINE_ACTIVE && m->recorded && m->known_to_cloud && m->type && !m->to_be_returned
+         && !m->spare && !m->unreachable;
 }
 
 gboolean
@@ -310,7 +312,8 @@
 gboolean
 hzb_machine_avoids (const HzbMachine *m, const HzbJob *job, struct timespec now)
 {
-  return m->last_failed_job && g_str_equal (m->last_failed_job, job->uid) && hzb_time_between (m->last_failure, now) < AVOID_S;
+  return m->last_failed_job && g_str_equal (m->last_failed_job, job->uid)
+         && hzb_time_between (m->last_failure, now) < AVOID_S;
 }
 
 /* By type, zone and kind, which is the same for every controller of every version. */
--- a/src/machines.h
+++ b/src/machines.h
@@ -8,13 +8,13 @@
 
 typedef enum
 {
-  HZB_MACHINE_BOOTING,   /* rented, its worker has not reported */
-  HZB_MACHINE_UNVERIFIED,   /* an earlier holder may have started tasks on it; it has not answered under our token */
-  HZB_MACHINE_ACTIVE,    /* its last report was sent under our token */
-  HZB_MACHINE_LEASED,      /* in a block that is leased to another controller */
-  HZB_MACHINE_LEASE_EXPIRED,    /* its lease is over: it has no tasks */
-  HZB_MACHINE_DRAINING,  /* takes no more tasks */
-  HZB_MACHINE_RETURNING, /* the cloud has been told; until it confirms the machine may still run */
+  HZB_MACHINE_BOOTING,       /* rented, its worker has not reported */
+  HZB_MACHINE_UNVERIFIED,    /* an earlier owner may have started tasks on it; it has not answered under our token */
+  HZB_MACHINE_ACTIVE,        /* its last report was sent under our token */
+  HZB_MACHINE_LEASED,        /* in a block that is leased to another controller */
+  HZB_MACHINE_LEASE_EXPIRED, /* its lease is over: it has no tasks */
+  HZB_MACHINE_DRAINING,      /* takes no more tasks */
+  HZB_MACHINE_RETURNING,     /* the cloud has been told; until it confirms the machine may still run */
   HZB_MACHINE_GONE,
   HZB_MACHINE_N_STATES
 } HzbMachineState;
@@ -22,7 +22,7 @@
 /* Classes of waiting work, the highest served first. See hzb_dispatch_classes(). */
 #define HZB_N_LEVELS 8
 
-/* Until it has answered, an unheard machine may hold tasks of its own only, of the block of a lessee (1 and up) that
+/* Until it has answered, an unverified machine may hold tasks of its own only, of the block of a lessee (1 and up) that
  * was taken back, or of an earlier leader. */
 #define HZB_UNKNOWN_TASKS_OF_LEADER 0u
 #define HZB_UNKNOWN_TASKS_OF_NOBODY 255u
@@ -35,35 +35,36 @@
   gboolean spot;
   HzbMachineState state; /* changed by hzb_machine_set_state() only */
   guint64 session, seq;
-  guint64 token;  /* the one under which it is answered */
-  guint64 own_token; /* from this one on nobody but this holder has given it orders: what it reports under it is all */
-  guint64 over_session; /* this session has ended for certain: what still comes of it is late */
-  guint8 lessee;  /* 1 and up: whom it is lent to */
-  guint8 unknown_tasks_of; /* while unheard: the block whose unknown tasks may be on it, or HZB_SUSPECT_… */
+  guint64 token;     /* the one under which it is answered */
+  guint64 own_token; /* from this one on nobody but this owner has given it orders: what it reports under it is all */
+  guint64 over_session;    /* this session has ended for certain: what still comes of it is late */
+  guint8 lessee;           /* 1 and up: whom it is leased to */
+  guint8 unknown_tasks_of; /* while unverified: the block whose unknown tasks may be on it, or HZB_SUSPECT_… */
   gboolean recall_requested, lease_sent;
   gboolean recall_at_once; /* with all that is on it */
-  struct timespec rented; /* or, of a machine found in the records, first known */
+  struct timespec rented;  /* or, of a machine found in the records, first known */
   struct timespec since, last_answer, last_report, idle_since, notice_at;
   gboolean verified; /* a report sent under our token has come */
-  gboolean known_to_cloud;   /* rented by us, on record, or in the cloud's list: a report alone may be a copy of one long gone */
-  guint ignored_answers;     /* reports in a row that show none of the starts that they should */
-  gboolean unreachable;      /* answers do not seem to reach it; it takes no work until it shows the token raised since */
+  gboolean
+      known_to_cloud; /* rented by us, on record, or in the cloud's list: a report alone may be a copy of one long gone */
+  guint ignored_answers; /* reports in a row that show none of the starts that they should */
+  gboolean unreachable;  /* answers do not seem to reach it; it takes no work until it shows the token raised since */
   struct timespec unreachable_since;
   gboolean recorded, recording;
-  guint page; /* of the holder's records; 0: none */
-  gboolean to_be_returned, drain; /* drain: by an operator */
-  gboolean spare; /* takes no new tasks: there are more machines than work */
-  guint surplus;  /* for how many plans in a row it has been one too many */
-  gboolean reserved;  /* for replicas of services: they find room there at once */
+  guint page;                                        /* of the owner's records; 0: none */
+  gboolean to_be_returned, drain;                    /* drain: by an operator */
+  gboolean spare;                                    /* takes no new tasks: there are more machines than work */
+  guint surplus;                                     /* for how many plans in a row it has been one too many */
+  gboolean reserved;                                 /* for replicas of services: they find room there at once */
   double service_cpus, service_memory;               /* in use by replicas, which never end by themselves */
   double listed_service_cpus, listed_service_memory; /* and by those in its lists */
-  double cpus, gpus, memory; /* in use by tasks that are on it, or may be */
-  GPtrArray *tasks;          /* HzbTask on it */
+  double cpus, gpus, memory;                         /* in use by tasks that are on it, or may be */
+  GPtrArray *tasks;                                  /* HzbTask on it */
   GQueue lists[HZB_N_LEVELS];
   HzbEstimate estimates[HZB_N_LEVELS]; /* work that a task of the class waits behind */
   gboolean estimate_stale;
-  GHashTable *images;   /* names (interned) known to be on it */
-  GHashTable *expected; /* names that tasks sent or listed here will bring, as of the last report */
+  GHashTable *images;          /* names (interned) known to be on it */
+  GHashTable *expected;        /* names that tasks sent or listed here will bring, as of the last report */
   guint round;                 /* counts reports, see HzbTask.seen */
   guint failures, failed_jobs; /* in a row */
   char *last_failed_job;
--- a/src/peers.c
+++ b/src/peers.c
@@ -32,10 +32,10 @@
 struct _HzbPeers
 {
   HzbController *c;
-  GArray *views;          /* View */
-  GHashTable *retired;    /* incarnations that others have followed */
-  guint64 highest_known_term;     /* the highest that a peer knew of */
-  GHashTable *display;    /* uid -> (done, running), by the holder's last word */
+  GArray *views;              /* View */
+  GHashTable *retired;        /* incarnations that others have followed */
+  guint64 highest_known_term; /* the highest that a peer knew of */
+  GHashTable *display;        /* uid -> (done, running), by the owner's last word */
   guint64 born, number;
   struct timespec next;
 };
@@ -72,7 +72,8 @@
 static double
 silence (HzbPeers *peers, const View *view)
 {
-  return hzb_time_is_set (view->last_report) ? hzb_time_between (view->last_report, hzb_clock_now (peers->c->clock)) : 1e9;
+  return hzb_time_is_set (view->last_report) ? hzb_time_between (view->last_report, hzb_clock_now (peers->c->clock))
+                                             : 1e9;
 }
 
 gboolean
@@ -90,7 +91,8 @@
 static gboolean
 lost_workers (const HzbController *c)
 {
-  return hzb_time_is_set (c->lost_workers) && hzb_time_between (c->lost_workers, hzb_clock_now (c->clock)) < LOST_WORKERS_S;
+  return hzb_time_is_set (c->lost_workers)
+         && hzb_time_between (c->lost_workers, hzb_clock_now (c->clock)) < LOST_WORKERS_S;
 }
 
 gboolean
@@ -250,10 +252,11 @@
   HzbController *c = peers->c;
 
   cJSON_AddBoolToObject (root, "leads", hzb_election_leading (c->election));
-  /* Also what others told: a holder may reach only nodes that the state service does not reach either. */
+  /* Also what others told: a owner may reach only nodes that the state service does not reach either. */
   hzb_json_add_u64 (root, "term", MAX (hzb_election_leader_term (c->election), peers->highest_known_term));
-  cJSON_AddBoolToObject (root, "sendsWorkers", hzb_time_is_set (c->redirected)
-                                                   && hzb_time_between (c->redirected, hzb_clock_now (c->clock)) < REDIRECTS_S);
+  cJSON_AddBoolToObject (root, "sendsWorkers",
+                         hzb_time_is_set (c->redirected)
+                             && hzb_time_between (c->redirected, hzb_clock_now (c->clock)) < REDIRECTS_S);
   cJSON_AddBoolToObject (root, "lostWorkers", lost_workers (c));
   cJSON_AddNumberToObject (root, "storeSilenceS", MIN (hzb_store_silence (c->store), 1e6));
   if (c->ownership >= HZB_OWNERSHIP_RECOVERING)
@@ -277,7 +280,8 @@
   view->last_report = hzb_clock_now (c->clock);
   view->store_silence = hzb_json_number (root, "storeSilenceS", 1e6);
   view->term = hzb_json_u64 (root, "term");
-  view->sends_workers = !cJSON_IsFalse (cJSON_GetObjectItemCaseSensitive (root, "sendsWorkers")); /* version 1 doesn't say */
+  view->sends_workers =
+      !cJSON_IsFalse (cJSON_GetObjectItemCaseSensitive (root, "sendsWorkers")); /* version 1 doesn't say */
   view->lost_workers = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "lostWorkers"));
   view->format = (guint) hzb_json_number (root, "format", 1);
   view->leads = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "leads"));
@@ -285,15 +289,15 @@
     {
       g_hash_table_remove_all (peers->display);
       cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, "jobs"))
-        {
-          const cJSON *done = cJSON_GetArrayItem (item, 0), *running = cJSON_GetArrayItem (item, 1);
-          if (done && running)
-            g_hash_table_insert (peers->display, g_strdup (item->string),
-                                 GSIZE_TO_POINTER (((gsize) done->valueint << 24) | (gsize) running->valueint));
-        }
+      {
+        const cJSON *done = cJSON_GetArrayItem (item, 0), *running = cJSON_GetArrayItem (item, 1);
+        if (done && running)
+          g_hash_table_insert (peers->display, g_strdup (item->string),
+                               GSIZE_TO_POINTER (((gsize) done->valueint << 24) | (gsize) running->valueint));
+      }
     }
   peers->highest_known_term = MAX (peers->highest_known_term, view->term);
-  /* A holder that the state service does not reach learns here that it has been replaced. */
+  /* A owner that the state service does not reach learns here that it has been replaced. */
   if (view->term > hzb_election_term (c->election))
     hzb_election_step_down (c->election, "a peer knows a newer term");
 }
--- a/src/preemption.c
+++ b/src/preemption.c
@@ -76,7 +76,8 @@
 stop_cost (const HzbTask *task, struct timespec now)
 {
   const HzbSpec *spec = task->job->spec;
-  if (task->stopping || spec->gang || spec->service || (task->state != HZB_TASK_RUNNING && task->state != HZB_TASK_FETCHING))
+  if (task->stopping || spec->gang || spec->service
+      || (task->state != HZB_TASK_RUNNING && task->state != HZB_TASK_FETCHING))
     return INFINITY;
   if (task->state == HZB_TASK_FETCHING)
     return 0;
@@ -180,7 +181,8 @@
               {
                 HzbTask *task = m->tasks->pdata[i];
                 double cost = stop_cost (task, now);
-                if (!isfinite (cost) || (own && task->job->team != preemptor->job->team) || !may_preempt (d, preemptor->job, task))
+                if (!isfinite (cost) || (own && task->job->team != preemptor->job->team)
+                    || !may_preempt (d, preemptor->job, task))
                   continue;
                 cost += task->job->spec->priority * 1e4;
                 if (cost < least)
--- a/src/provisioning.c
+++ b/src/provisioning.c
@@ -1,4 +1,4 @@
-/* What the holder has to do with the cloud: types, renting, returning, and the list of what there is. */
+/* What the owner has to do with the cloud: types, renting, returning, and the list of what there is. */
 #include "controller.h"
 
 #include <math.h>
@@ -80,7 +80,8 @@
     {
       HzbMachine *m = hzb_machines_find (c->machines, names->pdata[i]);
       if (!m)
-        m = hzb_machines_add (c->machines, names->pdata[i], NULL, call->type, call->zone, call->spot, HZB_MACHINE_BOOTING);
+        m = hzb_machines_add (c->machines, names->pdata[i], NULL, call->type, call->zone, call->spot,
+                              HZB_MACHINE_BOOTING);
       m->known_to_cloud = TRUE;
     }
   g_message ("asked for %u %s%s in %s: got %u", call->count, call->type, call->spot ? " (spot)" : "", call->zone,
@@ -104,7 +105,8 @@
       call->epoch_call.c = c;
       call->epoch_call.epoch = c->ownership_epoch;
       /* Terms are never used twice, so neither is a name. */
-      call->request = g_strdup_printf ("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, hzb_election_term (c->election), ++r->rent_number);
+      call->request = g_strdup_printf ("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, hzb_election_term (c->election),
+                                       ++r->rent_number);
       call->type = g_strdup (rental->type->name);
       call->zone = g_strdup (rental->zone);
       call->spot = rental->spot;
@@ -186,7 +188,8 @@
           HzbTask *task = m->tasks->pdata[k];
           task->stopping = task->stopping || task->job->spec->service;
         }
-      if (m->state == HZB_MACHINE_UNVERIFIED ? in_state > c->settings->lease_s + 2 : m->tasks->len == 0 || in_state > 120)
+      if (m->state == HZB_MACHINE_UNVERIFIED ? in_state > c->settings->lease_s + 2
+                                             : m->tasks->len == 0 || in_state > 120)
         hzb_machine_set_state (c->machines, m, HZB_MACHINE_RETURNING, "to be returned");
     }
   if (r->returning || hzb_time_before (now, r->next_return))
@@ -218,8 +221,8 @@
   for (guint i = c->machines->all->len; i-- > 0;)
     {
       HzbMachine *m = c->machines->all->pdata[i];
-      if (g_hash_table_contains (r->listed, m->name) || m->state == HZB_MACHINE_RETURNING || m->state == HZB_MACHINE_LEASED
-          || hzb_time_between (m->rented, r->list_began) < known)
+      if (g_hash_table_contains (r->listed, m->name) || m->state == HZB_MACHINE_RETURNING
+          || m->state == HZB_MACHINE_LEASED || hzb_time_between (m->rented, r->list_began) < known)
         continue;
       /* One that has just reported is there, whatever the list says. */
       if (hzb_time_is_set (m->last_report) && hzb_time_between (m->last_report, now) < 1.5 * c->settings->report_s + 1)
--- a/src/records.c
+++ b/src/records.c
@@ -1,4 +1,4 @@
-/* What the holder keeps in the state service for the next one: how far jobs have come, and which machines there are.
+/* What the owner keeps in the state service for the next one: how far jobs have come, and which machines there are.
  *
  * Changes are the scarcest thing in the state service, and hundreds of jobs and machines change at once, so many of
  * them share one value: a page. A job or machine stays on the page it was first put on until it is gone, and a page is
@@ -15,13 +15,13 @@
 
 #include <string.h>
 
-#define FLUSH_EVERY_S 0.1 /* at the most, for what tasks wait for; the rest is written more seldom: */
+#define FLUSH_EVERY_S 0.1    /* at the most, for what tasks wait for; the rest is written more seldom: */
 #define PROGRESS_EVERY_S 1.0 /* more seldom where many pages have news: */
 #define PROGRESS_PART 0.4    /* of the changes, for that */
 #define REFUSED_PAUSE_S 0.5
 #define CLEAN_EVERY_S 3.0
-#define MOVE_EVERY_S 1.0 /* records of jobs that ended long ago */
-#define MOVE_PART 0.15   /* of the changes, for that */
+#define MOVE_EVERY_S 1.0  /* records of jobs that ended long ago */
+#define MOVE_PART 0.15    /* of the changes, for that */
 #define PAGE_BYTES 12000u /* and less where values have to be smaller */
 #define TXN_BYTES 52000u
 #define RELEASE_STEP 64u
@@ -42,22 +42,22 @@
   GPtrArray *machines; /* HzbMachine, of a page of machines */
   gsize bytes;         /* about what the value takes */
   gboolean exists;
-  gboolean urgent; /* as of the last look */
-  gboolean dirty; /* a job on it has news */
-  gboolean stale; /* it still names what is gone */
-  gboolean replaces_retired;     /* it takes over what another page names, which goes once it is written */
-  gboolean retiring; /* the other: too large, or with parts as version 1 has them */
+  gboolean urgent;           /* as of the last look */
+  gboolean dirty;            /* a job on it has news */
+  gboolean stale;            /* it still names what is gone */
+  gboolean replaces_retired; /* it takes over what another page names, which goes once it is written */
+  gboolean retiring;         /* the other: too large, or with parts as version 1 has them */
   struct timespec written;
 } Page;
 
 struct _HzbRecords
 {
   HzbController *c;
-  GPtrArray *pages; /* Page */
-  guint numbers;    /* used so far */
+  GPtrArray *pages;         /* Page */
+  guint numbers;            /* used so far */
   guint64 version, flushes; /* of the flush record */
   gboolean flushing, moving;
-  guint retiring;    /* pages */
+  guint retiring; /* pages */
   gboolean any_replacement;
   struct timespec next, next_clean, next_move;
 };
@@ -325,11 +325,8 @@
   text = cJSON_PrintUnformatted (item->value);
   page->retiring = strlen (text) > r->c->settings->store_value_kb * 1024;
   cJSON_free (text);
-  cJSON_ArrayForEach (entry, item->value)
-    if (of_machines)
-      load_machine (r, page, entry);
-    else
-      load_progress (r, page, entry);
+  cJSON_ArrayForEach (entry, item->value) if (of_machines) load_machine (r, page, entry);
+  else load_progress (r, page, entry);
 }
 
 /* All has been read: what stands on pages that are to go is put on others. */
@@ -379,9 +376,9 @@
 typedef struct
 {
   guint64 number;
-  GPtrArray *parts;    /* FlushedPart */
-  GPtrArray *machines; /* char*, names recorded */
-  GPtrArray *completed;    /* char*, keys of acceptances removed */
+  GPtrArray *parts;     /* FlushedPart */
+  GPtrArray *machines;  /* char*, names recorded */
+  GPtrArray *completed; /* char*, keys of acceptances removed */
 } Flush;
 
 static void
@@ -643,7 +640,8 @@
       r->retiring -= page->retiring;
       return;
     }
-  hzb_wire_txn_put (txn, key, page->of_machines ? pack_machine_page (r, page, out) : pack_progress_page (r, page, out), 0);
+  hzb_wire_txn_put (txn, key, page->of_machines ? pack_machine_page (r, page, out) : pack_progress_page (r, page, out),
+                    0);
   page->exists = TRUE;
 }
 
@@ -779,7 +777,8 @@
   for (guint i = 0; i < old->len; i++)
     {
       HzbJob *job = old->pdata[i];
-      g_autofree char *from = g_strconcat (HZB_KEY_JOBS, job->uid, NULL), *to = g_strconcat (HZB_KEY_ENDED, job->uid, NULL);
+      g_autofree char *from = g_strconcat (HZB_KEY_JOBS, job->uid, NULL),
+                      *to = g_strconcat (HZB_KEY_ENDED, job->uid, NULL);
       hzb_wire_txn_if (txn, from, job->version);
       hzb_wire_txn_put (txn, to, hzb_jobs_pack_final (job->state, job->n_tasks), 0);
       hzb_wire_txn_delete (txn, from);
--- a/src/search.c
+++ b/src/search.c
@@ -56,7 +56,8 @@
   if (!search->in_zone)
     return TRUE;
   here = GPOINTER_TO_UINT (g_hash_table_lookup (search->in_zone, m->zone));
-  return (!job->spec->same_zone || here == search->placed) && (!job->spec->spread || here + 1 <= (job->n_tasks + 1) / 2);
+  return (!job->spec->same_zone || here == search->placed)
+         && (!job->spec->spread || here + 1 <= (job->n_tasks + 1) / 2);
 }
 
 static gboolean
--- a/src/search.h
+++ b/src/search.h
@@ -9,8 +9,8 @@
   HzbDispatch *d;
   HzbJob *job;
   struct timespec now;
-  double *speeds; /* by type */
-  GArray *heap;   /* Offer, the least first */
+  double *speeds;      /* by type */
+  GArray *heap;        /* Offer, the least first */
   GHashTable *in_zone; /* zone -> the job's tasks that are placed or listed there; NULL: it does not matter */
   guint placed;        /* in any zone */
 } HzbSearch;
@@ -19,6 +19,6 @@
 void hzb_search_clear (HzbSearch *search);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HzbSearch, hzb_search_clear)
 void hzb_search_look (HzbSearch *search, guint examined); /* at so many usable machines, or at all (0) */
-HzbMachine *hzb_search_best (const HzbSearch *search); /* NULL: no machine may hold it */
-void hzb_search_sent (HzbSearch *search);              /* a task was sent to the best */
+HzbMachine *hzb_search_best (const HzbSearch *search);    /* NULL: no machine may hold it */
+void hzb_search_sent (HzbSearch *search);                 /* a task was sent to the best */
 double hzb_fetch_s (const HzbMachine *machine, const HzbSpec *spec);
--- a/src/settings.c
+++ b/src/settings.c
@@ -40,8 +40,7 @@
 }
 
 static double
-number_at (const cJSON *table, const char *where, const char *key, double least, double fallback,
-           GString *faults)
+number_at (const cJSON *table, const char *where, const char *key, double least, double fallback, GString *faults)
 {
   const cJSON *item = cJSON_GetObjectItemCaseSensitive (table, key);
   char expected[64];
@@ -113,9 +112,12 @@
       return;
     }
   s->store_rps = MIN (s->store_rps, number_at (next, "cluster.state.next", "rps", 1, s->store_rps, faults));
-  s->store_write_rps = MIN (s->store_write_rps, number_at (next, "cluster.state.next", "write_rps", 1, s->store_write_rps, faults));
-  s->store_value_kb = MIN (s->store_value_kb, number_at (next, "cluster.state.next", "value_kb", 1, s->store_value_kb, faults));
-  s->store_txn_ops = (guint) MIN (s->store_txn_ops, number_at (next, "cluster.state.next", "txn_ops", 3, s->store_txn_ops, faults));
+  s->store_write_rps =
+      MIN (s->store_write_rps, number_at (next, "cluster.state.next", "write_rps", 1, s->store_write_rps, faults));
+  s->store_value_kb =
+      MIN (s->store_value_kb, number_at (next, "cluster.state.next", "value_kb", 1, s->store_value_kb, faults));
+  s->store_txn_ops =
+      (guint) MIN (s->store_txn_ops, number_at (next, "cluster.state.next", "txn_ops", 3, s->store_txn_ops, faults));
 }
 
 static void
@@ -125,34 +127,32 @@
 
   s->size = (guint) MIN (number_at (cluster, "cluster", "size", 1, NAN, faults), G_MAXUINT16);
   s->skew_ms = number_at (cluster, "cluster", "skew_ms", 0, 0, faults);
-  cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster, "zones"))
-    if (cJSON_IsString (item))
+  cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster, "zones")) if (cJSON_IsString (item))
       g_ptr_array_add (s->zones, g_strdup (item->valuestring));
-    else
-      fault (faults, "cluster", "zones", "a list of texts");
+  else fault (faults, "cluster", "zones", "a list of texts");
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster, "teams"))
-    {
-      HzbTeam *team = g_new0 (HzbTeam, 1);
-      team->name = text_at (item, "cluster.teams", "name", faults);
-      team->cpus = number_at (item, "cluster.teams", "cpus", 0, 0, faults);
-      team->gpus = number_at (item, "cluster.teams", "gpus", 0, 0, faults);
-      team->cpus_max = limit_at (item, "cpus_max", faults);
-      team->gpus_max = limit_at (item, "gpus_max", faults);
-      g_ptr_array_add (s->teams, team);
-    }
+  {
+    HzbTeam *team = g_new0 (HzbTeam, 1);
+    team->name = text_at (item, "cluster.teams", "name", faults);
+    team->cpus = number_at (item, "cluster.teams", "cpus", 0, 0, faults);
+    team->gpus = number_at (item, "cluster.teams", "gpus", 0, 0, faults);
+    team->cpus_max = limit_at (item, "cpus_max", faults);
+    team->gpus_max = limit_at (item, "gpus_max", faults);
+    g_ptr_array_add (s->teams, team);
+  }
   if (s->teams->len == 0)
     fault (faults, "cluster", "teams", "at least one team");
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster, "objectives"))
-    {
-      HzbObjective *objective = g_new0 (HzbObjective, 1);
-      const cJSON *job_class = cJSON_GetObjectItemCaseSensitive (item, "class");
-      objective->kind = text_at (item, "cluster.objectives", "kind", faults);
-      objective->job_class = cJSON_IsString (job_class) ? g_strdup (job_class->valuestring) : NULL;
-      objective->within_s = number_at (item, "cluster.objectives", "within_s", 0, 0, faults);
-      objective->share = number_at (item, "cluster.objectives", "share", 0, 0, faults);
-      objective->times = number_at (item, "cluster.objectives", "times", 0, 0, faults);
-      g_ptr_array_add (s->objectives, objective);
-    }
+  {
+    HzbObjective *objective = g_new0 (HzbObjective, 1);
+    const cJSON *job_class = cJSON_GetObjectItemCaseSensitive (item, "class");
+    objective->kind = text_at (item, "cluster.objectives", "kind", faults);
+    objective->job_class = cJSON_IsString (job_class) ? g_strdup (job_class->valuestring) : NULL;
+    objective->within_s = number_at (item, "cluster.objectives", "within_s", 0, 0, faults);
+    objective->share = number_at (item, "cluster.objectives", "share", 0, 0, faults);
+    objective->times = number_at (item, "cluster.objectives", "times", 0, 0, faults);
+    g_ptr_array_add (s->objectives, objective);
+  }
   if ((table = table_at (cluster, "cluster", "workers", faults)))
     {
       s->report_s = number_at (table, "cluster.workers", "report_s", 0.1, NAN, faults);
@@ -206,14 +206,14 @@
   s->api_addr = addr_at (root, "", "api_addr", faults);
   s->peer_addr = addr_at (root, "", "cluster_listen", faults);
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, "peers"))
-    {
-      HzbPeer *peer = g_new0 (HzbPeer, 1);
-      const cJSON *zone = cJSON_GetObjectItemCaseSensitive (item, "site");
-      peer->node = text_at (item, "peers", "node", faults);
-      peer->zone = cJSON_IsString (zone) ? g_strdup (zone->valuestring) : NULL;
-      peer->address = addr_at (item, "peers", "address", faults);
-      g_ptr_array_add (s->peers, peer);
-    }
+  {
+    HzbPeer *peer = g_new0 (HzbPeer, 1);
+    const cJSON *zone = cJSON_GetObjectItemCaseSensitive (item, "site");
+    peer->node = text_at (item, "peers", "node", faults);
+    peer->zone = cJSON_IsString (zone) ? g_strdup (zone->valuestring) : NULL;
+    peer->address = addr_at (item, "peers", "address", faults);
+    g_ptr_array_add (s->peers, peer);
+  }
   if ((table = table_at (root, "", "external", faults)))
     {
       s->cloud_addr = addr_at (table, "external", "cloud", faults);
--- a/src/store.c
+++ b/src/store.c
@@ -89,8 +89,9 @@
                                             : HZB_STORE_REFUSED;
   /* Once: whoever sent it will try again, and a log full of it helps nobody. */
   if (status == 400 && !store->told_malformed)
-    g_warning ("store: %s %s with %u changes and %u bytes is refused: %s (more of these are not logged)", request->method,
-               request->path, request->writes, (guint) (request->body ? strlen (request->body) : 0), body);
+    g_warning ("store: %s %s with %u changes and %u bytes is refused: %s (more of these are not logged)",
+               request->method, request->path, request->writes, (guint) (request->body ? strlen (request->body) : 0),
+               body);
   store->told_malformed = store->told_malformed || status == 400;
   request->done (result, body, request->user);
   request_free (request);
@@ -111,7 +112,7 @@
 {
   struct timespec now = hzb_clock_now (store->clock);
   double gap = hzb_time_between (store->filled, now);
-  /* The service counts all nodes together; half of each budget a node leaves the holder room. */
+  /* The service counts all nodes together; half of each budget a node leaves the owner room. */
   double rps = store->settings->store_rps * 0.5, write_rps = store->settings->store_write_rps * 0.6;
 
   store->filled = now;
@@ -161,8 +162,8 @@
 void
 hzb_store_get (HzbStore *store, HzbStorePriority priority, const char *key, HzbStoreFunc done, gpointer user)
 {
-  add (store, priority, "GET", hzb_wire_get_path (key), NULL, 0, priority == HZB_STORE_READ ? READ_CALL_MS : CALL_MS, done,
-       user);
+  add (store, priority, "GET", hzb_wire_get_path (key), NULL, 0, priority == HZB_STORE_READ ? READ_CALL_MS : CALL_MS,
+       done, user);
 }
 
 void
@@ -177,14 +178,15 @@
   guint writes = hzb_wire_txn_writes (txn);
   char *body = cJSON_PrintUnformatted (txn);
   cJSON_Delete (txn);
-  add (store, priority, "POST", g_strdup (hzb_path_txn), body, writes, priority == HZB_STORE_READ ? READ_CALL_MS : CALL_MS,
-       done, user);
+  add (store, priority, "POST", g_strdup (hzb_path_txn), body, writes,
+       priority == HZB_STORE_READ ? READ_CALL_MS : CALL_MS, done, user);
 }
 
 void
 hzb_store_watch (HzbStore *store, const char *prefix, guint64 after, guint wait_ms, HzbStoreFunc done, gpointer user)
 {
-  add (store, HZB_STORE_LEASE, "GET", hzb_wire_watch_path (prefix, after, wait_ms), NULL, 0, wait_ms + 2000, done, user);
+  add (store, HZB_STORE_LEASE, "GET", hzb_wire_watch_path (prefix, after, wait_ms), NULL, 0, wait_ms + 2000, done,
+       user);
 }
 
 void
@@ -196,7 +198,8 @@
 void
 hzb_store_lease (HzbStore *store, guint ttl_ms, HzbStoreFunc done, gpointer user)
 {
-  add (store, HZB_STORE_LEASE, "POST", g_strdup (hzb_path_leases), hzb_wire_lease (ttl_ms), 0, LEASE_CALL_MS, done, user);
+  add (store, HZB_STORE_LEASE, "POST", g_strdup (hzb_path_leases), hzb_wire_lease (ttl_ms), 0, LEASE_CALL_MS, done,
+       user);
 }
 
 void
--- a/src/store.h
+++ b/src/store.h
@@ -35,8 +35,10 @@
 void hzb_store_get (HzbStore *store, HzbStorePriority priority, const char *key, HzbStoreFunc done, gpointer user);
 void hzb_store_range (HzbStore *store, const char *prefix, const char *after, HzbStoreFunc done, gpointer user);
 void hzb_store_txn (HzbStore *store, HzbStorePriority priority, cJSON *txn, HzbStoreFunc done, gpointer user);
-void hzb_store_watch (HzbStore *store, const char *prefix, guint64 after, guint wait_ms, HzbStoreFunc done, gpointer user);
-void hzb_store_news (HzbStore *store, const char *prefix, guint64 after, HzbStoreFunc done, gpointer user); /* does not wait */
+void
+hzb_store_watch (HzbStore *store, const char *prefix, guint64 after, guint wait_ms, HzbStoreFunc done, gpointer user);
+void hzb_store_news (HzbStore *store, const char *prefix, guint64 after, HzbStoreFunc done,
+                     gpointer user); /* does not wait */
 void hzb_store_lease (HzbStore *store, guint ttl_ms, HzbStoreFunc done, gpointer user);
 void hzb_store_renew (HzbStore *store, guint64 lease, HzbStoreFunc done, gpointer user);
 void hzb_store_end_lease (HzbStore *store, guint64 lease, HzbStoreFunc done, gpointer user);
--- a/src/toml-bridge.h
+++ b/src/toml-bridge.h
@@ -2,10 +2,11 @@
 #pragma once
 #include <cjson/cJSON.h>
 #ifdef __cplusplus
-extern "C" {
+extern "C"
+{
 #endif
-/* NULL on a syntax error; *message is then to be freed with free(). */
-cJSON *hzb_toml_parse (const char *text, const char *name, char **message);
+  /* NULL on a syntax error; *message is then to be freed with free(). */
+  cJSON *hzb_toml_parse (const char *text, const char *name, char **message);
 #ifdef __cplusplus
 }
 #endif
--- a/src/user-api.c
+++ b/src/user-api.c
@@ -8,7 +8,8 @@
 #define MAX_QUEUED_SUBMISSIONS 256u
 #define MAX_QUEUED_CHECKS 512u
 #define CHECK_EVERY_S 0.03
-#define CANCEL_ACKNOWLEDGE_S 1.2 /* the holder, and its lessees, have so long to hear of a cancellation; then its user is told to come back */
+/* How long a cancellation may wait for the owners' acknowledgements before its user gets 503 with Retry-After. */
+#define CANCEL_ACKNOWLEDGE_S 1.2
 
 /* What a request waits for. */
 typedef enum
@@ -23,7 +24,7 @@
   HzbExchange *exchange;
   char *uid;
   Ask poll_leader;
-  char *refusal;   /* ASK_SUBMITTED: why it is not taken, if it is not known */
+  char *refusal; /* ASK_SUBMITTED: why it is not taken, if it is not known */
   guint refusal_status;
   struct timespec deadline;
 } Check;
@@ -40,7 +41,7 @@
 {
   HzbController *c;
   GQueue checks, syncs, accepts; /* waiting to be sent */
-  GQueue pending_cancellations;               /* Check: of cancelled jobs, until every holder has heard of it */
+  GQueue pending_cancellations;  /* Check: of cancelled jobs, until every owner has heard of it */
   guint checking, syncing, accepting;
   guint records; /* of acceptances, by this process */
   struct timespec next_check;
@@ -159,14 +160,14 @@
     running = 0;
   else if (!job->tasks || api->c->jobs->lessee)
     {
-      /* Only for display: what the holder last told its peers. */
+      /* Only for display: what the owner last told its peers. */
       hzb_peers_task_counts (api->c->peers, job->uid, &done, &running);
       text = running ? "running" : "queued";
     }
   hzb_exchange_reply (exchange, status, hzb_wire_job_status (job->uid, text, counts, done, running), 0);
 }
 
-/* A job's final state, or one that is proven fresh. Of a cancelled one nothing is told before no holder can act without
+/* A job's final state, or one that is proven fresh. Of a cancelled one nothing is told before no owner can act without
  * its cancellation: whoever is told so counts on it. */
 static void
 reply_final (HzbUserApi *api, Check *check, HzbJob *job)
@@ -264,7 +265,8 @@
       guint n = (guint) hzb_json_number (item.value, "n", 0);
       hzb_exchange_reply (check->exchange, 200,
                           hzb_wire_job_status (check->uid, state, check->poll_leader == ASK_STATUS,
-                                               g_strcmp0 (state, "done") == 0 ? n : 0, 0), 0);
+                                               g_strcmp0 (state, "done") == 0 ? n : 0, 0),
+                          0);
       check_free (check);
       hzb_item_clear (&item);
     }
@@ -434,7 +436,8 @@
 }
 
 static void
-add_check (HzbUserApi *api, HzbExchange *exchange, const char *uid, Ask poll_leader, const char *refusal, guint refusal_status)
+add_check (HzbUserApi *api, HzbExchange *exchange, const char *uid, Ask poll_leader, const char *refusal,
+           guint refusal_status)
 {
   Check *check;
 
@@ -445,7 +448,8 @@
     }
   if (api->checks.length + api->syncs.length >= MAX_QUEUED_CHECKS)
     {
-      hzb_exchange_reply (exchange, poll_leader == ASK_SUBMITTED ? 429 : 503, hzb_wire_error ("too much is asked at once"), 2);
+      hzb_exchange_reply (exchange, poll_leader == ASK_SUBMITTED ? 429 : 503,
+                          hzb_wire_error ("too much is asked at once"), 2);
       return;
     }
   check = check_new (exchange, uid, poll_leader);
@@ -535,7 +539,8 @@
           if (job && job->state == HZB_JOB_CANCELLED)
             reply_final (api, check_new (accept->exchange, uid, ASK_SUBMITTED), job);
           else
-            hzb_exchange_reply (accept->exchange, 201, hzb_wire_job_status (uid, job ? hzb_job_status (job) : "queued", FALSE, 0, 0), 0);
+            hzb_exchange_reply (accept->exchange, 201,
+                                hzb_wire_job_status (uid, job ? hzb_job_status (job) : "queued", FALSE, 0, 0), 0);
         }
       else if (result == HZB_STORE_CONFLICT && !over && batch->entries->len > 1)
         {
@@ -698,7 +703,8 @@
   /* A version 1 would take a replica that ends for a task that is done. */
   if (spec->service && hzb_election_format (c->election) < HZB_FORMAT)
     {
-      hzb_exchange_reply (exchange, 503, hzb_wire_error ("services are taken once every controller runs this version"), 2);
+      hzb_exchange_reply (exchange, 503, hzb_wire_error ("services are taken once every controller runs this version"),
+                          2);
       return;
     }
   if (api->accepts.length >= MAX_QUEUED_SUBMISSIONS)
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -9,7 +9,8 @@
 #define QUICK_END_S 5.0 /* a replica that ends by itself sooner is tried ever more seldom: */
 #define QUICK_END_PAUSE_S 0.5
 #define QUICK_END_MOST_S 30.0
-#define HOPELESS_FACTOR 1.3 /* estimates are often wrong: only what should need so many times what is left is given up */
+/* Estimates are often wrong: only a task that should need this many times what is left is given up. */
+#define HOPELESS_FACTOR 1.3
 
 static void
 command (GArray *commands, HzbCommandKind kind, const char *uid, guint task, guint64 attempt, double grace_s)
@@ -64,7 +65,8 @@
 replica_ended (HzbTask *replica, gboolean ran_well, struct timespec now)
 {
   replica->tries = ran_well ? 0 : (guint8) MIN (replica->tries + 1, 10);
-  replica->not_before = hzb_time_plus (now, ran_well ? 0 : MIN (QUICK_END_MOST_S, QUICK_END_PAUSE_S * (1 << MIN (replica->tries, 6))));
+  replica->not_before =
+      hzb_time_plus (now, ran_well ? 0 : MIN (QUICK_END_MOST_S, QUICK_END_PAUSE_S * (1 << MIN (replica->tries, 6))));
 }
 
 static HzbTaskState
@@ -73,11 +75,12 @@
   return state == HZB_TASK_REPORT_FETCHING  ? HZB_TASK_FETCHING
          : state == HZB_TASK_REPORT_WAITING ? HZB_TASK_WAITING
          : state == HZB_TASK_REPORT_SAVING  ? HZB_TASK_SAVING
-                                      : HZB_TASK_RUNNING;
+                                            : HZB_TASK_RUNNING;
 }
 
 static void
-handle_exited (HzbController *c, HzbMachine *m, HzbTask *task, const HzbTaskReport *task_report, struct timespec now, GArray *commands)
+handle_exited (HzbController *c, HzbMachine *m, HzbTask *task, const HzbTaskReport *task_report, struct timespec now,
+               GArray *commands)
 {
   HzbJob *job = task->job;
   gboolean here = hzb_task_on_machine (task) && task->machine == m && task->attempt == task_report->attempt;
@@ -87,8 +90,8 @@
     {
       if (task->state == HZB_TASK_DONE)
         command (commands, HZB_COMMAND_REAP, job->uid, task->index, task_report->attempt, 0);
-      else if (here || task->state == HZB_TASK_UNKNOWN || task->state == HZB_TASK_PENDING || task->state == HZB_TASK_LISTED
-               || task->state == HZB_TASK_OTHER_OWNER)
+      else if (here || task->state == HZB_TASK_UNKNOWN || task->state == HZB_TASK_PENDING
+               || task->state == HZB_TASK_LISTED || task->state == HZB_TASK_OTHER_OWNER)
         {
           double ran = here && task->state == HZB_TASK_RUNNING ? hzb_time_between (task->since, now) : 0;
           if (task->state == HZB_TASK_LISTED || task->state == HZB_TASK_OTHER_OWNER)
@@ -121,7 +124,8 @@
 }
 
 static void
-apply_task_report (HzbController *c, HzbMachine *m, const HzbTaskReport *task_report, struct timespec now, GArray *commands)
+apply_task_report (HzbController *c, HzbMachine *m, const HzbTaskReport *task_report, struct timespec now,
+                   GArray *commands)
 {
   HzbJob *job = hzb_jobs_find (c->jobs, task_report->uid);
   HzbTask *task;
@@ -135,8 +139,8 @@
     {
       /* The mirror may be a moment behind; only after a while it is nobody's. */
       if (hzb_time_between (c->owner_since, now) > 15)
-        command (commands, task_report->state == HZB_TASK_REPORT_EXITED ? HZB_COMMAND_REAP : HZB_COMMAND_STOP, task_report->uid, task_report->task,
-               task_report->attempt, 0);
+        command (commands, task_report->state == HZB_TASK_REPORT_EXITED ? HZB_COMMAND_REAP : HZB_COMMAND_STOP,
+                 task_report->uid, task_report->task, task_report->attempt, 0);
       return;
     }
   if (task && hzb_task_on_machine (task) && task->machine == m && task->attempt == task_report->attempt)
@@ -155,7 +159,7 @@
     }
   if (task && (task->state == HZB_TASK_UNKNOWN || task->state == HZB_TASK_PENDING || task->state == HZB_TASK_LISTED))
     {
-      /* Found where an earlier holder had started it. */
+      /* Found where an earlier owner had started it. */
       if (task->state == HZB_TASK_LISTED)
         hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
       task->attempt = task_report->attempt;
@@ -179,11 +183,13 @@
   else if (task)
     {
       g_critical ("task %s/%u is on %s although it is %s%s%s", job->uid, task_report->task, m->name,
-                  hzb_task_state_name (task->state), task->machine ? " on " : "", task->machine ? task->machine->name : "");
+                  hzb_task_state_name (task->state), task->machine ? " on " : "",
+                  task->machine ? task->machine->name : "");
       command (commands, HZB_COMMAND_STOP, job->uid, task_report->task, task_report->attempt, 0);
       return;
     }
-  if (job->spec && task_report->state != HZB_TASK_REPORT_FETCHING && !g_hash_table_contains (m->images, job->spec->image))
+  if (job->spec && task_report->state != HZB_TASK_REPORT_FETCHING
+      && !g_hash_table_contains (m->images, job->spec->image))
     g_hash_table_add (m->images, g_ref_string_acquire (job->spec->image));
   if (task_report->state == HZB_TASK_REPORT_RUNNING && task)
     {
@@ -193,7 +199,8 @@
   if (over)
     command (commands, HZB_COMMAND_STOP, job->uid, task_report->task, task_report->attempt, 0);
   else if (task && task->stopping && state != HZB_TASK_SAVING)
-    command (commands, HZB_COMMAND_STOP, job->uid, task_report->task, task_report->attempt, hzb_spec_grace_s (job->spec));
+    command (commands, HZB_COMMAND_STOP, job->uid, task_report->task, task_report->attempt,
+             hzb_spec_grace_s (job->spec));
 }
 
 /* The cloud takes the machine soon: nothing new goes there, what can save does so in time, and what can neither save
@@ -212,7 +219,8 @@
       HzbTask *task = m->tasks->pdata[i];
       const HzbSpec *spec = task->job->spec;
       gboolean runs = task->state == HZB_TASK_RUNNING;
-      double left = spec->service ? INFINITY : hzb_job_mean_s (task->job) - (runs ? hzb_time_between (task->since, now) : 0);
+      double left =
+          spec->service ? INFINITY : hzb_job_mean_s (task->job) - (runs ? hzb_time_between (task->since, now) : 0);
       if (task->stopping || (!runs && task->state != HZB_TASK_FETCHING) || task->job->state != HZB_JOB_ACCEPTED)
         continue;
       if (spec->gang)
@@ -428,7 +436,7 @@
       m->ignored_answers = 0;
     }
   /* A machine that nobody has ever recorded, and that has seen no token, holds nothing and obeys nobody yet: its
-   * report is as good as one under ours. (After a takeover every recorded machine is unheard, not booting.) */
+   * report is as good as one under ours. (After a takeover every recorded machine is unverified, not booting.) */
   if ((report->token >= m->own_token && report->token <= m->token)
       || (report->token == 0 && m->state == HZB_MACHINE_BOOTING && m->known_to_cloud && !report->task_reports->len))
     {
@@ -439,7 +447,8 @@
           return;
         }
       /* Starts only while nobody else can have been elected, or the lease is good; see docs/safety.md. */
-      if (m->ignored_answers < DEAF_AFTER && (leads ? hzb_election_lease_valid (c->election) : hzb_lessee_valid (c->lessee)))
+      if (m->ignored_answers < DEAF_AFTER
+          && (leads ? hzb_election_lease_valid (c->election) : hzb_lessee_valid (c->lessee)))
         hzb_dispatch_start_tasks (c->dispatch, m, now, commands);
     }
   else if (m->state == HZB_MACHINE_ACTIVE)
--- a/tests/sim-cluster.c
+++ b/tests/sim-cluster.c
@@ -200,19 +200,19 @@
   cJSON *before = cJSON_Parse (from), *after = cJSON_Parse (to);
   const cJSON *old;
   cJSON_ArrayForEach (old, before)
-    {
-      const cJSON *new = cJSON_GetObjectItemCaseSensitive (after, old->string);
-      const char *a = hzb_json_text (old, "done"), *b = hzb_json_text (new, "done");
-      gsize n = 0, m = 0;
-      g_autofree guchar *x = a && *a ? g_base64_decode (a, &n) : NULL, *y = b && *b ? g_base64_decode (b, &m) : NULL;
-      gboolean back = hzb_json_number (new, "released", 0) < hzb_json_number (old, "released", 0);
-      if (!new)
-        continue;
-      for (gsize i = 0; i < n; i++)
-        back = back || (x[i] & ~(i < m ? y[i] : 0));
-      if (back)
-        broken (sim, "progress_went_back", "%s, %s: %s -> %s", key, old->string, from, to);
-    }
+  {
+    const cJSON *new = cJSON_GetObjectItemCaseSensitive (after, old->string);
+    const char *a = hzb_json_text (old, "done"), *b = hzb_json_text (new, "done");
+    gsize n = 0, m = 0;
+    g_autofree guchar *x = a && *a ? g_base64_decode (a, &n) : NULL, *y = b && *b ? g_base64_decode (b, &m) : NULL;
+    gboolean back = hzb_json_number (new, "released", 0) < hzb_json_number (old, "released", 0);
+    if (!new)
+      continue;
+    for (gsize i = 0; i < n; i++)
+      back = back || (x[i] & ~(i < m ? y[i] : 0));
+    if (back)
+      broken (sim, "progress_went_back", "%s, %s: %s -> %s", key, old->string, from, to);
+  }
   cJSON_Delete (before);
   cJSON_Delete (after);
 }
@@ -224,21 +224,21 @@
   if (known && text && strstr (key, "/progress/"))
     check_progress (sim, key, known->text, text);
   {
-  Change *change = g_new0 (Change, 1);
-  change->key = g_strdup (key);
-  change->text = g_strdup (text);
-  change->version = sim->revision;
-  g_ptr_array_add (sim->history, change);
-  if (text)
-    {
-      Value *value = g_new0 (Value, 1);
-      value->text = g_strdup (text);
-      value->version = sim->revision;
-      value->lease = lease;
-      g_hash_table_insert (sim->kv, g_strdup (key), value);
-    }
-  else
-    g_hash_table_remove (sim->kv, key);
+    Change *change = g_new0 (Change, 1);
+    change->key = g_strdup (key);
+    change->text = g_strdup (text);
+    change->version = sim->revision;
+    g_ptr_array_add (sim->history, change);
+    if (text)
+      {
+        Value *value = g_new0 (Value, 1);
+        value->text = g_strdup (text);
+        value->version = sim->revision;
+        value->lease = lease;
+        g_hash_table_insert (sim->kv, g_strdup (key), value);
+      }
+    else
+      g_hash_table_remove (sim->kv, key);
   }
 }
 
@@ -304,42 +304,41 @@
       status = 400;
     }
   cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then"))
-    {
-      char *value = cJSON_PrintUnformatted (cJSON_GetObjectItem (item, "value"));
-      if (sim->most_value && value && strlen (value) > sim->most_value)
-        {
-          broken (sim, "too_large", "%s has %u bytes", hzb_json_text (item, "put"), (guint) strlen (value));
-          status = 400;
-        }
-      cJSON_free (value);
-    }
+  {
+    char *value = cJSON_PrintUnformatted (cJSON_GetObjectItem (item, "value"));
+    if (sim->most_value && value && strlen (value) > sim->most_value)
+      {
+        broken (sim, "too_large", "%s has %u bytes", hzb_json_text (item, "put"), (guint) strlen (value));
+        status = 400;
+      }
+    cJSON_free (value);
+  }
   sim->write_budget -= changes;
   sim->written += changes;
   cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "when"))
-    {
-      const Value *value = g_hash_table_lookup (sim->kv, hzb_json_text (item, "path"));
-      if ((value ? value->version : 0) != hzb_json_u64 (item, "stamp"))
-        cJSON_AddItemToArray (failed, cJSON_CreateString (hzb_json_text (item, "path")));
-    }
+  {
+    const Value *value = g_hash_table_lookup (sim->kv, hzb_json_text (item, "path"));
+    if ((value ? value->version : 0) != hzb_json_u64 (item, "stamp"))
+      cJSON_AddItemToArray (failed, cJSON_CreateString (hzb_json_text (item, "path")));
+  }
   cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then"))
-    {
-      guint64 lease = hzb_json_u64 (item, "permit");
-      if (lease && !g_hash_table_contains (sim->leases, GSIZE_TO_POINTER (lease)))
-        status = 400;
-    }
+  {
+    guint64 lease = hzb_json_u64 (item, "permit");
+    if (lease && !g_hash_table_contains (sim->leases, GSIZE_TO_POINTER (lease)))
+      status = 400;
+  }
   if (status == 200 && cJSON_GetArraySize (failed))
     status = 409;
   if (status == 200 && cJSON_GetArraySize (cJSON_GetObjectItem (txn, "then")))
     {
       sim->revision++;
-      cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then"))
-        if (hzb_json_text (item, "put"))
-          {
-            char *text = cJSON_PrintUnformatted (cJSON_GetObjectItem (item, "value"));
-            record (sim, hzb_json_text (item, "put"), text, hzb_json_u64 (item, "permit"));
-            cJSON_free (text);
-          }
-        else if (g_hash_table_contains (sim->kv, hzb_json_text (item, "remove")))
+      cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then")) if (hzb_json_text (item, "put"))
+      {
+        char *text = cJSON_PrintUnformatted (cJSON_GetObjectItem (item, "value"));
+        record (sim, hzb_json_text (item, "put"), text, hzb_json_u64 (item, "permit"));
+        cJSON_free (text);
+      }
+      else if (g_hash_table_contains (sim->kv, hzb_json_text (item, "remove")))
           record (sim, hzb_json_text (item, "remove"), NULL, 0);
     }
   cJSON_AddItemToObject (root, "failed", failed);
@@ -710,7 +709,8 @@
     }
   call->refs++;
   /* Held back: it is carried out long after its sender has given up. */
-  sim_at (sim, sim->now + (chance (sim, sim->late) ? g_rand_double_range (sim->rand, 1, 9) : delay (sim)), on_arrival, call);
+  sim_at (sim, sim->now + (chance (sim, sim->late) ? g_rand_double_range (sim->rand, 1, 9) : delay (sim)), on_arrival,
+          call);
 }
 
 /* ---- cloud ---- */
@@ -743,11 +743,12 @@
 cloud_request (Sim *sim, Call *call)
 {
   if (g_str_equal (call->path, "/machine_types"))
-    answer (sim, call, 200,
-            g_strdup ("{\"flavors\":[{\"sku\":\"big\",\"cpus\":8,\"gpus\":0,\"ramGb\":32,\"localGb\":50,\"pullGbPerS\":1,"
-                      "\"price\":1.0,\"lowPrice\":0.4,\"readyS\":4,\"yards\":[\"za\",\"zb\"]},"
-                      "{\"sku\":\"small\",\"cpus\":4,\"gpus\":0,\"ramGb\":16,\"localGb\":50,\"pullGbPerS\":1,"
-                      "\"price\":0.6,\"lowPrice\":0.25,\"readyS\":3,\"yards\":[\"za\",\"zb\"]}]}"));
+    answer (
+        sim, call, 200,
+        g_strdup ("{\"flavors\":[{\"sku\":\"big\",\"cpus\":8,\"gpus\":0,\"ramGb\":32,\"localGb\":50,\"pullGbPerS\":1,"
+                  "\"price\":1.0,\"lowPrice\":0.4,\"readyS\":4,\"yards\":[\"za\",\"zb\"]},"
+                  "{\"sku\":\"small\",\"cpus\":4,\"gpus\":0,\"ramGb\":16,\"localGb\":50,\"pullGbPerS\":1,"
+                  "\"price\":0.6,\"lowPrice\":0.25,\"readyS\":3,\"yards\":[\"za\",\"zb\"]}]}"));
   else if (g_str_equal (call->path, "/hosts"))
     {
       cJSON *root = cJSON_Parse (call->body), *out, *list;
@@ -765,9 +766,12 @@
           if (g_strcmp0 (sim->closed_zone, hzb_json_text (root, "yard")) == 0)
             count = 0;
           for (; count && alive < sim->size.machines; count--, alive++)
-            cJSON_AddItemToArray (list, cJSON_CreateString (sim_add_machine (sim, hzb_json_text (root, "flavor"), hzb_json_text (root, "yard"),
-                                                             cJSON_IsTrue (cJSON_GetObjectItem (root, "loaners")),
-                                                             g_rand_double_range (sim->rand, 1, 6))->name));
+            cJSON_AddItemToArray (
+                list,
+                cJSON_CreateString (sim_add_machine (sim, hzb_json_text (root, "flavor"), hzb_json_text (root, "yard"),
+                                                     cJSON_IsTrue (cJSON_GetObjectItem (root, "loaners")),
+                                                     g_rand_double_range (sim->rand, 1, 6))
+                                        ->name));
           if (cJSON_GetArraySize (list))
             {
               text = cJSON_PrintUnformatted (out);
@@ -788,17 +792,16 @@
       cJSON *root = cJSON_Parse (call->body);
       const cJSON *item;
       sim->most_returned = MAX (sim->most_returned, (guint) cJSON_GetArraySize (cJSON_GetObjectItem (root, "hosts")));
-      cJSON_ArrayForEach (item, cJSON_GetObjectItem (root, "hosts"))
-        for (guint i = 0; i < sim->machines->len; i++)
+      cJSON_ArrayForEach (item, cJSON_GetObjectItem (root, "hosts")) for (guint i = 0; i < sim->machines->len; i++)
+      {
+        SimMachine *m = sim->machines->pdata[i];
+        if (g_str_equal (m->name, item->valuestring) && !m->gone)
           {
-            SimMachine *m = sim->machines->pdata[i];
-            if (g_str_equal (m->name, item->valuestring) && !m->gone)
-              {
-                m->gone = TRUE;
-                m->gone_at = sim->now;
-                g_ptr_array_set_size (m->tasks, 0);
-              }
+            m->gone = TRUE;
+            m->gone_at = sim->now;
+            g_ptr_array_set_size (m->tasks, 0);
           }
+      }
       cJSON_Delete (root);
       answer (sim, call, 200, g_strdup ("{}"));
     }
@@ -955,31 +958,31 @@
 {
   const cJSON *order;
   cJSON_ArrayForEach (order, commands)
-    {
-      const char *verb = hzb_json_text (order, "verb"), *task_report = hzb_json_text (order, "piece");
-      guint64 attempt = hzb_json_u64 (order, "try");
-      if (g_str_equal (verb, "run"))
-        {
-          sim_start_task (sim, m, task_report, attempt);
+  {
+    const char *verb = hzb_json_text (order, "verb"), *task_report = hzb_json_text (order, "piece");
+    guint64 attempt = hzb_json_u64 (order, "try");
+    if (g_str_equal (verb, "run"))
+      {
+        sim_start_task (sim, m, task_report, attempt);
+        continue;
+      }
+    for (guint i = 0; i < m->tasks->len; i++)
+      {
+        SimTask *task = m->tasks->pdata[i];
+        g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
+        if (!g_str_equal (name, task_report) || task->attempt != attempt)
           continue;
-        }
-      for (guint i = 0; i < m->tasks->len; i++)
-        {
-          SimTask *task = m->tasks->pdata[i];
-          g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
-          if (!g_str_equal (name, task_report) || task->attempt != attempt)
-            continue;
-          if (g_str_equal (verb, "kill") && task->state < 4)
-            end_task (task, "stopped");
-          else if (g_str_equal (verb, "reap") && task->state == 4)
-            {
-              g_free (task->uid);
-              g_free (task);
-              g_ptr_array_remove_index (m->tasks, i);
-              break;
-            }
-        }
-    }
+        if (g_str_equal (verb, "kill") && task->state < 4)
+          end_task (task, "stopped");
+        else if (g_str_equal (verb, "reap") && task->state == 4)
+          {
+            g_free (task->uid);
+            g_free (task);
+            g_ptr_array_remove_index (m->tasks, i);
+            break;
+          }
+      }
+  }
 }
 
 static char *
@@ -1128,7 +1131,8 @@
       sim_at (sim, sim->now + g_rand_double_range (sim->rand, 1, 4 * sim->size.lease_s), report_arrives, copy);
     }
   if (!m->cut && !chance (sim, sim->lose))
-    sim_at (sim, sim->now + (chance (sim, sim->late) ? g_rand_double_range (sim->rand, 1, 9) : delay (sim)), report_arrives, r);
+    sim_at (sim, sim->now + (chance (sim, sim->late) ? g_rand_double_range (sim->rand, 1, 9) : delay (sim)),
+            report_arrives, r);
 }
 
 static void
@@ -1168,7 +1172,8 @@
                 {
                   const SimTask *mate = other->tasks->pdata[k];
                   here += g_str_equal (mate->uid, task->uid) && mate->attempt == task->attempt
-                          && ((mate->state >= 1 && mate->state <= 2) || (mate->state == 4 && g_str_equal (mate->why, "done")));
+                          && ((mate->state >= 1 && mate->state <= 2)
+                              || (mate->state == 4 && g_str_equal (mate->why, "done")));
                 }
             }
           if (task->state == 1 && here == job->n)
@@ -1298,9 +1303,15 @@
           "{\"uid\":\"%s\",\"lane\":\"%s\",\"owner\":\"%s\",\"shape\":\"%s\",\"urgency\":\"%s\",\"pieces\":%u,"
           "\"cpus\":%g,\"gpus\":0,\"ramGb\":1,\"bundle\":\"img\",\"sizeGb\":0.5,\"flavors\":%s,\"yard\":%s,"
           "\"samePlace\":%s,\"spread\":%s,\"loaners\":%s,\"expectS\":%g,\"snapshotEveryS\":0,\"snapshotS\":0}",
-          job->uid, job->job_class, job->team, job->gang ? "ensemble" : job->service ? "standing" : "sweep",
-          job->service ? "production" : g_str_equal (job->job_class, "pressing") ? "urgent" : "normal", job->n, job->cpus,
-          types, zone, job->same_zone ? "true" : "false", job->spread ? "true" : "false", job->spot ? "true" : "false", job->service ? 0 : job->run_s);
+          job->uid, job->job_class, job->team,
+          job->gang      ? "ensemble"
+          : job->service ? "standing"
+                         : "sweep",
+          job->service                               ? "production"
+          : g_str_equal (job->job_class, "pressing") ? "urgent"
+                                                     : "normal",
+          job->n, job->cpus, types, zone, job->same_zone ? "true" : "false", job->spread ? "true" : "false",
+          job->spot ? "true" : "false", job->service ? 0 : job->run_s);
       job->submitted = TRUE;
     }
   else
@@ -1317,12 +1328,13 @@
   SimJob *job = data;
   UserCall *call = g_new0 (UserCall, 1);
   call->job = job;
-  call->what = !job->accepted                                                        ? USER_SUBMITS
-               : job->wants_cancel && !job->told_cancelled && sim->now > (job->cancel_at > 0 ? job->cancel_at : job->submit_at + 8)
-                         && !(job->polls_only && job->asked_cancel)
+  call->what = !job->accepted ? USER_SUBMITS
+               : job->wants_cancel && !job->told_cancelled
+                       && sim->now > (job->cancel_at > 0 ? job->cancel_at : job->submit_at + 8)
+                       && !(job->polls_only && job->asked_cancel)
                    ? USER_CANCELS
-               : chance (sim, 0.1)                                                     ? USER_SUBMITS
-                                                                                     : USER_POLLS;
+               : chance (sim, 0.1) ? USER_SUBMITS
+                                   : USER_POLLS;
   sim_at (sim, sim->now + delay (sim), user_arrives, call);
   sim_at (sim, sim->now + g_rand_double_range (sim->rand, 1, 3), user_step, job);
 }
@@ -1395,11 +1407,13 @@
   for (guint i = 0; i < sim->jobs->len; i++)
     {
       const SimJob *job = sim->jobs->pdata[i];
-      guint of_team = 0, of_class = 0, team_served = 0, class_served = 0, largest = 0, n_largest = 0, largest_served = 0;
+      guint of_team = 0, of_class = 0, team_served = 0, class_served = 0, largest = 0, n_largest = 0,
+            largest_served = 0;
       for (guint k = 0; k < sim->jobs->len; k++)
         {
           const SimJob *other = sim->jobs->pdata[k];
-          gboolean same_class = g_str_equal (other->job_class, job->job_class), same_team = g_str_equal (other->team, job->team);
+          gboolean same_class = g_str_equal (other->job_class, job->job_class),
+                   same_team = g_str_equal (other->team, job->team);
           if (other->bad || other->told_cancelled)
             continue;
           of_team += same_team;
@@ -1422,8 +1436,10 @@
       if (2 * class_served < of_class)
         broken (sim, "starved", "of class %s %u of %u jobs are over", job->job_class, class_served, of_class);
       if (2 * largest_served < n_largest)
-        broken (sim, "starved", "of the largest of class %s %u of %u are over", job->job_class, largest_served, n_largest);
-      if (job->n == largest && !job->bad && !job->told_cancelled && (job->began_at <= 0 || job->began_at - job->submit_at > 240))
+        broken (sim, "starved", "of the largest of class %s %u of %u are over", job->job_class, largest_served,
+                n_largest);
+      if (job->n == largest && !job->bad && !job->told_cancelled
+          && (job->began_at <= 0 || job->began_at - job->submit_at > 240))
         broken (sim, "starved", "%s, the largest of class %s, began at %.0f", job->uid, job->job_class, job->began_at);
     }
 }
@@ -1565,23 +1581,29 @@
 {
   SimNode *node = &sim->nodes[at];
   GString *text = g_string_new (NULL);
-  g_autofree char *ops = sim->size.next_txn_ops ? g_strdup_printf ("txn_ops = %u\n", sim->size.next_txn_ops) : g_strdup ("");
-  g_autofree char *rate = sim->size.next_write_rps > 0 ? g_strdup_printf ("write_rps = %g\n", sim->size.next_write_rps) : g_strdup ("");
+  g_autofree char *ops =
+      sim->size.next_txn_ops ? g_strdup_printf ("txn_ops = %u\n", sim->size.next_txn_ops) : g_strdup ("");
+  g_autofree char *rate =
+      sim->size.next_write_rps > 0 ? g_strdup_printf ("write_rps = %g\n", sim->size.next_write_rps) : g_strdup ("");
   g_autofree char *next = g_strconcat (ops, rate, NULL);
   g_autoptr (GError) error = NULL;
   HzbSettings *settings;
-  g_string_printf (text, "node = \"node-%u\"\nsite = \"za\"\napi_addr = \"10.0.0.%u:80\"\ncluster_listen = \"10.0.0.%u:81\"\n", at, at + 1, at + 1);
+  g_string_printf (
+      text, "node = \"node-%u\"\nsite = \"za\"\napi_addr = \"10.0.0.%u:80\"\ncluster_listen = \"10.0.0.%u:81\"\n", at,
+      at + 1, at + 1);
   for (guint i = 0; i < SIM_NODES; i++)
     if (i != at)
-      g_string_append_printf (text, "[[peers]]\nnode = \"node-%u\"\nsite = \"za\"\naddress = \"10.0.0.%u:81\"\n", i, i + 1);
-  g_string_append_printf (text,
-                          "[external]\ncloud = \"10.9.0.2:1\"\nstate = \"10.9.0.1:1\"\n[cluster]\nsize = 3\n"
-                          "zones = [\"za\", \"zb\"]\nskew_ms = 5\n"
-                          "[cluster.workers]\nreport_s = %g\nlease_s = %g\ngang_wait_s = 20\ngang_peer_s = 4\ncancel_s = %g\n"
-                          "[cluster.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = 16\ntxn_ops = %u\n[cluster.state.next]\nvalue_kb = 2\n%s"
-                          "[cluster.cloud]\nrps = %g\nlist_lag_s = 3\n",
-                          sim->size.report_s, sim->size.lease_s, sim->size.cancel_s, sim->size.store_rps, sim->size.store_write_rps,
-                          sim->size.txn_ops, next, sim->size.cloud_rps);
+      g_string_append_printf (text, "[[peers]]\nnode = \"node-%u\"\nsite = \"za\"\naddress = \"10.0.0.%u:81\"\n", i,
+                              i + 1);
+  g_string_append_printf (
+      text,
+      "[external]\ncloud = \"10.9.0.2:1\"\nstate = \"10.9.0.1:1\"\n[cluster]\nsize = 3\n"
+      "zones = [\"za\", \"zb\"]\nskew_ms = 5\n"
+      "[cluster.workers]\nreport_s = %g\nlease_s = %g\ngang_wait_s = 20\ngang_peer_s = 4\ncancel_s = %g\n"
+      "[cluster.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = 16\ntxn_ops = %u\n[cluster.state.next]\nvalue_kb = 2\n%s"
+      "[cluster.cloud]\nrps = %g\nlist_lag_s = 3\n",
+      sim->size.report_s, sim->size.lease_s, sim->size.cancel_s, sim->size.store_rps, sim->size.store_write_rps,
+      sim->size.txn_ops, next, sim->size.cloud_rps);
   for (guint i = 0; i < sim->size.teams; i++)
     {
       g_autofree char *name = i < 2 ? g_strdup (i ? "blue" : "red") : g_strdup_printf ("team-%02u", i);
@@ -1623,9 +1645,18 @@
 }
 
 /* The usual little world; small pages, so that reading on is tried. */
-const SimSize sim_size_little = { .machines = 12, .teams = 2, .team_max = 24, .team_guarantee = 8, .report_s = 1.5,
-                                      .lease_s = 10, .cancel_s = 30, .store_rps = 200, .store_write_rps = 60, .txn_ops = 8,
-                                      .cloud_rps = 6, .rows = 5 };
+const SimSize sim_size_little = { .machines = 12,
+                                  .teams = 2,
+                                  .team_max = 24,
+                                  .team_guarantee = 8,
+                                  .report_s = 1.5,
+                                  .lease_s = 10,
+                                  .cancel_s = 30,
+                                  .store_rps = 200,
+                                  .store_write_rps = 60,
+                                  .txn_ops = 8,
+                                  .cloud_rps = 6,
+                                  .rows = 5 };
 
 Sim *
 sim_new (guint32 seed)
--- a/tests/sim-cluster.h
+++ b/tests/sim-cluster.h
@@ -1,4 +1,4 @@
-/* A small world in simulated time: stand-ins of the state service, the cloud, the workers and the users,
+/* A small world in simulated time: fakes of the state service, the cloud, the workers and the users,
  * written from the published protocol, around real controllers. After every step the rules are checked. */
 #pragma once
 #include "controller.h"
@@ -21,9 +21,9 @@
   SimTransport *transport;
   guint life;
   gboolean cut_store, cut_peers, cut_workers, refused;
-  gboolean old; /* says and answers nothing that version 1 did not */
-  gboolean stands;  /* still, while its clock runs on; what comes meanwhile it takes up on waking */
-  GPtrArray *late;  /* what came */
+  gboolean old;    /* says and answers nothing that version 1 did not */
+  gboolean stands; /* still, while its clock runs on; what comes meanwhile it takes up on waking */
+  GPtrArray *late; /* what came */
 } SimNode;
 
 typedef struct
@@ -41,7 +41,7 @@
 {
   char *name, *type, *zone;
   gboolean spot, up, failed, gone, cut, hung, sick;
-  gboolean deaf; /* its reports arrive, no answer reaches it */
+  gboolean deaf;   /* its reports arrive, no answer reaches it */
   double taken_at; /* the cloud takes it then, and says so; 0: not */
   double rented, up_at, listed_at, gone_at, cpus;
   guint64 session, seq, token;
@@ -59,31 +59,31 @@
   double cpus, run_s;
   const char *zone, *type;
   gboolean spot, bad, gang, spread, same_zone;
-  gboolean service;  /* its tasks are replicas: when one ends, it is not done */
-  double cancel_at;  /* its user wants to cancel it from then on; 0: 8 s after its submission */
-  double missed_s;   /* replica time not served, and all there was, from 10 s after its acceptance */
+  gboolean service; /* its tasks are replicas: when one ends, it is not done */
+  double cancel_at; /* its user wants to cancel it from then on; 0: 8 s after its submission */
+  double missed_s;  /* replica time not served, and all there was, from 10 s after its acceptance */
   double wanted_s, accepted_at;
   gboolean wants_cancel, submitted, accepted, told_done, told_cancelled, asked_cancel;
   gboolean polls_only; /* its user has asked once to cancel it, and then asks how it stands */
   double submit_at, cancelled_at, answered_at, began_at;
   double waits_since; /* calm, and something of it waits though a machine that fits has room; 0: not */
-  guchar *finished; /* a task has ended well somewhere */
+  guchar *finished;   /* a task has ended well somewhere */
 } SimJob;
 
 /* What a larger deployment than the usual little one differs in. */
 typedef struct
 {
-  guint machines;    /* the cloud has no more; the usual: 12 */
-  guint teams;       /* 2: red and blue; more are named team-00 and on */
+  guint machines; /* the cloud has no more; the usual: 12 */
+  guint teams;    /* 2: red and blue; more are named team-00 and on */
   double team_max, team_guarantee;
   double report_s, lease_s, cancel_s;
   double store_rps, store_write_rps; /* as the settings say; limits only where write_rate says so */
   guint txn_ops;
   double cloud_rps;
-  guint rows;        /* of a range read */
-  guint max_mirrored_ended;  /* jobs that are over stay mirrored; 0: as usual */
-  double check_s;    /* the rules are checked so often; 0: after every event */
-  guint next_txn_ops; /* limits of the state service that will come, as the settings say; 0: not named */
+  guint rows;               /* of a range read */
+  guint max_mirrored_ended; /* jobs that are over stay mirrored; 0: as usual */
+  double check_s;           /* the rules are checked so often; 0: after every event */
+  guint next_txn_ops;       /* limits of the state service that will come, as the settings say; 0: not named */
   double next_write_rps;
 } SimSize;
 
@@ -100,25 +100,25 @@
   GPtrArray *history, *watchers;
   guint64 revision, lease_number;
   gboolean outage;
-  guint most_value, most_changes; /* bytes, and in a transaction: more gets 400; 0: without limit */
-  guint refused_services;         /* submissions answered 503 */
+  guint most_value, most_changes;                /* bytes, and in a transaction: more gets 400; 0: without limit */
+  guint refused_services;                        /* submissions answered 503 */
   double write_rate, write_budget, write_filled; /* changes a second; 0: without limit */
   guint written;                                 /* changes so far */
   /* cloud */
   GHashTable *requested; /* rentals, by their names */
   guint machine_number;
   GPtrArray *machines, *jobs;
-  double lose, late; /* chances per message */
-  double copies;     /* of reports, that a copy comes late, to any node */
+  double lose, late;  /* chances per message */
+  double copies;      /* of reports, that a copy comes late, to any node */
   double peer_copies; /* of messages between nodes */
   double late_writes; /* of transactions: no answer comes, and they are carried out 2 to 12 s later */
   gboolean boot_never;
   const char *closed_zone; /* no machines are to be had there; NULL: everywhere */
-  GPtrArray *broken; /* rules broken, as texts */
+  GPtrArray *broken;       /* rules broken, as texts */
   guint started, ran;
   SimSize size;
   double next_check, next_wait_check, counted_at;
-  double calm_at; /* all troubles are over; 0: nobody said */
+  double calm_at;               /* all troubles are over; 0: nobody said */
   GHashTable *by_uid;           /* WorldJob */
   guint requests, rows_read;    /* of the state service */
   guint rentals, most_returned; /* calls */
@@ -136,12 +136,12 @@
 SimMachine *sim_add_machine (Sim *sim, const char *type, const char *zone, gboolean spot, double up_after);
 SimTask *sim_put_task (Sim *sim, SimMachine *m, SimJob *job, guint task, guint64 attempt);
 void sim_start_task (Sim *sim, SimMachine *m, const char *task_report, guint64 attempt); /* as an order does */
-void sim_told (Sim *sim, SimJob *job, guint status, const char *state);            /* an answer to its user */
+void sim_told (Sim *sim, SimJob *job, guint status, const char *state);                  /* an answer to its user */
 void sim_check (Sim *sim);
 void sim_put_record (Sim *sim, const char *key, const char *text); /* as somebody wrote it before */
 guint sim_largest_record (Sim *sim, const char *prefix);           /* bytes; 0: there is none */
-void sim_check_end (Sim *sim); /* nothing forgotten, no one starved */
+void sim_check_end (Sim *sim);                                     /* nothing forgotten, no one starved */
 guint sim_unfinished (Sim *sim);
 guint sim_running (Sim *sim, const SimJob *job, const char *zone); /* tasks that run; zone NULL: anywhere */
-int sim_leader (Sim *sim); /* -1: none */
+int sim_leader (Sim *sim);                                         /* -1: none */
 void sim_at (Sim *sim, double at, void (*run) (Sim *sim, gpointer data), gpointer data);
--- a/tests/sim-faults.c
+++ b/tests/sim-faults.c
@@ -30,7 +30,8 @@
 crash_one (Sim *sim, gpointer data)
 {
   int leader = sim_leader (sim);
-  guint at = leader >= 0 && g_rand_boolean (sim->rand) ? (guint) leader : (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
+  guint at =
+      leader >= 0 && g_rand_boolean (sim->rand) ? (guint) leader : (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
   sim_crash (sim, at);
   if (g_rand_boolean (sim->rand))
     sim_start (sim, at); /* within a fraction of a second */
@@ -172,9 +173,10 @@
   guint status = 0;
   exchange->method = g_strdup ("POST");
   exchange->path = g_strdup ("/hello");
-  exchange->body = g_strdup_printf ("{\"host\":\"%s\",\"addr\":\"10.1.0.1:1\",\"flavor\":\"%s\",\"yard\":\"%s\","
-                                    "\"loaners\":false,\"tenure\":%u,\"tick\":%u,\"baton\":%" G_GUINT64_FORMAT ",\"pieces\":[%s]}",
-                                    m->name, m->type, m->zone, (guint) session, (guint) seq, m->token, task_reports);
+  exchange->body =
+      g_strdup_printf ("{\"host\":\"%s\",\"addr\":\"10.1.0.1:1\",\"flavor\":\"%s\",\"yard\":\"%s\","
+                       "\"loaners\":false,\"tenure\":%u,\"tick\":%u,\"baton\":%" G_GUINT64_FORMAT ",\"pieces\":[%s]}",
+                       m->name, m->type, m->zone, (guint) session, (guint) seq, m->token, task_reports);
   exchange->length = strlen (exchange->body);
   exchange->reply = keep_status;
   exchange->impl = &status;
@@ -220,12 +222,14 @@
   return out[0];
 }
 
-static const char standing[] = "{\"uid\":\"run-%06u\",\"lane\":\"web\",\"owner\":\"%s\",\"shape\":\"standing\",\"urgency\":\"production\",\"pieces\":%u,"
-                               "\"cpus\":%g,\"gpus\":0,\"ramGb\":1,\"bundle\":\"img\",\"sizeGb\":0.5,\"samePlace\":false,\"spread\":false,"
-                               "\"loaners\":true,\"expectS\":%s,\"snapshotEveryS\":0,\"snapshotS\":0}";
+static const char standing[] =
+    "{\"uid\":\"run-%06u\",\"lane\":\"web\",\"owner\":\"%s\",\"shape\":\"standing\",\"urgency\":\"production\",\"pieces\":%u,"
+    "\"cpus\":%g,\"gpus\":0,\"ramGb\":1,\"bundle\":\"img\",\"sizeGb\":0.5,\"samePlace\":false,\"spread\":false,"
+    "\"loaners\":true,\"expectS\":%s,\"snapshotEveryS\":0,\"snapshotS\":0}";
 
 guint
-submit_service (Sim *sim, guint node, guint uid, const char *team, guint n, double cpus, const char *expect, guint *retry)
+submit_service (Sim *sim, guint node, guint uid, const char *team, guint n, double cpus, const char *expect,
+                guint *retry)
 {
   g_autofree char *body = g_strdup_printf (standing, uid, team, n, cpus, expect);
   return ask (sim, node, "POST", "/api/jobs", body, retry);
--- a/tests/sim-faults.h
+++ b/tests/sim-faults.h
@@ -22,6 +22,7 @@
 SimJob *add_service (Sim *sim, double at, const char *team, guint n, double cpus, double cancel_at);
 /* A user's request to one node; the world runs on for 3 s. retry: its Retry-After, or NULL. */
 guint ask (Sim *sim, guint node, const char *method, const char *path, const char *body, guint *retry);
-guint submit_service (Sim *sim, guint node, guint uid, const char *team, guint n, double cpus, const char *expect, guint *retry);
+guint submit_service (Sim *sim, guint node, guint uid, const char *team, guint n, double cpus, const char *expect,
+                      guint *retry);
 /* A service of two replicas with one field changed; value NULL: without the field. */
 guint submit_changed (Sim *sim, guint node, guint uid, const char *field, const char *value);
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -10,7 +10,7 @@
   for (guint i = 0; i < 10; i++)
     {
       SimJob *job = sim_add_job (sim, 1 + i * 4, teams[i % 2], (guint) g_rand_int_range (sim->rand, 1, 14),
-                                     g_rand_int_range (sim->rand, 1, 4), g_rand_double_range (sim->rand, 2, 10));
+                                 g_rand_int_range (sim->rand, 1, 4), g_rand_double_range (sim->rand, 2, 10));
       job->wants_cancel = i % 4 == 3;
       job->spot = i % 3 != 0;
       job->zone = i % 5 == 0 ? "zb" : NULL;
@@ -77,7 +77,7 @@
     }
 }
 
-/* A machine that an earlier holder used stays silent towards the new one: its tasks start nowhere else until the
+/* A machine that an earlier owner used stays silent towards the new one: its tasks start nowhere else until the
  * cloud has confirmed its return, although other machines are free. */
 static void
 test_silent_machine (void)
@@ -401,7 +401,8 @@
   c = sim->nodes[at].c;
   leader = sim->nodes[sim_leader (sim)].c;
   text[0] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":99999}", at, old);
-  text[1] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":1}", at, c->incarnation);
+  text[1] =
+      g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":1}", at, c->incarnation);
   text[2] = g_strdup ("{\"node\":\"node-9\",\"incarnation\":\"x\",\"born\":1,\"number\":1}");
   for (guint i = 0; i < 3; i++)
     {
@@ -485,10 +486,12 @@
   g_assert_nonnull (strstr (last_body, "dispatchH: expected a number from 0 to 1"));
   g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"speed\":1}}"), ==, 400);
   g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"settings\":{}}"), ==, 400);
-  g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":0.25}}"), ==, 200);
+  g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":0.25}}"), ==,
+                    200);
   for (guint i = 0; i < SIM_NODES; i++)
     g_assert_cmpfloat (sim->nodes[i].c->dispatch->h, ==, 0.25);
-  g_assert_cmpuint (ask_admin (sim, 1, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":0.75}}"), ==, 409);
+  g_assert_cmpuint (ask_admin (sim, 1, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":0.75}}"), ==,
+                    409);
   g_assert_cmpuint (ask_admin (sim, 1, "DELETE", "settings", ""), ==, 405);
   g_assert_cmpuint (ask_admin (sim, 1, "GET", "nonsense", ""), ==, 404);
   g_assert_cmpuint (ask_admin (sim, 1, "GET", "metrics", ""), ==, 200);
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -8,14 +8,14 @@
 typedef enum
 {
   GAP_PLAIN,
-  GAP_IN_BETWEEN,       /* the cancellation comes in the second between the two */
-  GAP_CANCELLER_ENDS,   /* whoever took it ends after its answer */
-  GAP_RESTART_INSIDE,   /* a controller restarts in the outage */
-  GAP_TWO_REFUSED,      /* another controller is refused beside the leader */
-  GAP_LATE_WRITES,      /* transactions get no answer and are carried out late */
-  GAP_BY_STATUS,        /* the user learns it from a status question */
+  GAP_IN_BETWEEN,     /* the cancellation comes in the second between the two */
+  GAP_CANCELLER_ENDS, /* whoever took it ends after its answer */
+  GAP_RESTART_INSIDE, /* a controller restarts in the outage */
+  GAP_TWO_REFUSED,    /* another controller is refused beside the leader */
+  GAP_LATE_WRITES,    /* transactions get no answer and are carried out late */
+  GAP_BY_STATUS,      /* the user learns it from a status question */
   GAP_SECOND_LEADER,
-  GAP_PEERS_CUT,        /* and the leader is cut off from the other controllers too */
+  GAP_PEERS_CUT, /* and the leader is cut off from the other controllers too */
   GAP_N
 } Gap;
 
@@ -138,7 +138,8 @@
 a_lessee (Sim *sim)
 {
   for (guint i = 0; i < SIM_NODES; i++)
-    if (sim->nodes[i].c && sim->nodes[i].c->ownership == HZB_OWNERSHIP_LESSEE && sim->nodes[i].c->machines->all->len >= 1)
+    if (sim->nodes[i].c && sim->nodes[i].c->ownership == HZB_OWNERSHIP_LESSEE
+        && sim->nodes[i].c->machines->all->len >= 1)
       return (int) i;
   return -1;
 }
@@ -160,8 +161,10 @@
         {
           const SimJob *job = sim->jobs->pdata[i];
           HzbController *c = sim->nodes[node].c;
-          const HzbJob *known = c && job->told_cancelled && c->ownership != HZB_OWNERSHIP_NONE ? hzb_jobs_find (c->jobs, job->uid) : NULL;
-          if (known && known->tasks && known->state == HZB_JOB_ACCEPTED && known->pending + known->listed + known->placed)
+          const HzbJob *known =
+              c && job->told_cancelled && c->ownership != HZB_OWNERSHIP_NONE ? hzb_jobs_find (c->jobs, job->uid) : NULL;
+          if (known && known->tasks && known->state == HZB_JOB_ACCEPTED
+              && known->pending + known->listed + known->placed)
             g_error ("%s is called cancelled, and node-%u holds %u tasks of it at %.2f", job->uid, node,
                      known->pending + known->listed + known->placed, sim->now);
         }
@@ -360,9 +363,9 @@
 }
 
 static void (*const troubles[]) (Sim *sim, gpointer data) = {
-  cut_off_leader, refuse_leader, begin_outage, late_writes,   late_reports,    slow_links,     deafen_some, mute_some,
-  cancel_some,    crash_leader,  crash_all,    leaders_change, cancel_and_hang, cut_zone,       crash_one,   cut_leader,
-  all_away,
+  cut_off_leader,  refuse_leader, begin_outage, late_writes,  late_reports, slow_links,
+  deafen_some,     mute_some,     cancel_some,  crash_leader, crash_all,    leaders_change,
+  cancel_and_hang, cut_zone,      crash_one,    cut_leader,   all_away,
 };
 
 static void
@@ -375,14 +378,16 @@
       guint n = 2 + seed % 2;
       for (guint i = 0; i < 12; i++)
         {
-          SimJob *job = sim_add_job (sim, 1 + 0.5 * i, i % 2 ? "red" : "blue", (guint) g_rand_int_range (sim->rand, 1, 9),
-                                         g_rand_int_range (sim->rand, 1, 4), g_rand_double_range (sim->rand, 5, 50));
+          SimJob *job =
+              sim_add_job (sim, 1 + 0.5 * i, i % 2 ? "red" : "blue", (guint) g_rand_int_range (sim->rand, 1, 9),
+                           g_rand_int_range (sim->rand, 1, 4), g_rand_double_range (sim->rand, 5, 50));
           job->zone = i % 5 == 4 ? "zb" : NULL;
           job->type = i % 3 ? "small" : NULL;
           job->polls_only = i % 4 == 2;
         }
       for (guint i = 0; i < n; i++)
-        sim_at (sim, at + g_rand_double_range (sim->rand, 0, 4), troubles[g_rand_int_range (sim->rand, 0, G_N_ELEMENTS (troubles))], NULL);
+        sim_at (sim, at + g_rand_double_range (sim->rand, 0, 4),
+                troubles[g_rand_int_range (sim->rand, 0, G_N_ELEMENTS (troubles))], NULL);
       sim_at (sim, at + g_rand_double_range (sim->rand, 4, 45), calm, NULL);
       sim_at (sim, 122, calm, NULL);
       sim_run (sim, 125);
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -83,12 +83,14 @@
     bench_machine (&b, "big", "za", FALSE);
   b.dispatch->lagging = TRUE;
   for (guint i = 0; i < 50; i++)
-    found += hzb_dispatch_choose (b.dispatch, bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, 1, 5), hzb_clock_now (b.clock)) != NULL;
+    found +=
+        hzb_dispatch_choose (b.dispatch, bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, 1, 5), hzb_clock_now (b.clock))
+        != NULL;
   g_assert_cmpuint (found, ==, 50);
   bench_down (&b);
 }
 
-/* Most machines are lent: a sample is of the others, or little would be found. */
+/* Most machines are leased: a sample is of the others, or little would be found. */
 static void
 test_sample_of_usable (void)
 {
--- a/tests/test-estimate.c
+++ b/tests/test-estimate.c
@@ -95,7 +95,8 @@
               hzb_estimate_send (&e, mean);
               plain_send (&p, mean);
             }
-          g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&e), (double) plain_mean (&p), 0.02 + 0.002 * (double) plain_mean (&p));
+          g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&e), (double) plain_mean (&p),
+                                          0.02 + 0.002 * (double) plain_mean (&p));
         }
       hzb_estimate_clear (&e);
     }
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -57,8 +57,7 @@
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (GSocketClient) client = g_socket_client_new ();
-  GSocketConnection *connection
-      = g_socket_client_connect_to_host (client, "127.0.0.1", port, NULL, &error);
+  GSocketConnection *connection = g_socket_client_connect_to_host (client, "127.0.0.1", port, NULL, &error);
   g_assert_no_error (error);
   g_socket_set_blocking (g_socket_connection_get_socket (connection), FALSE);
   return connection;
@@ -203,8 +202,8 @@
       gboolean late = FALSE;
       guint timer = g_timeout_add_seconds (10, give_up, &late);
       for (guint i = 0; i < 10; i++)
-        hzb_send (client, i % 3 ? "POST" : "GET", addr, i % 2 ? "/multi/silent" : "/multi", i % 3 ? g_strdup ("{\"when\":[]}") : NULL,
-                  i % 2 ? 60 : 5000, on_end, &calls[i]);
+        hzb_send (client, i % 3 ? "POST" : "GET", addr, i % 2 ? "/multi/silent" : "/multi",
+                  i % 3 ? g_strdup ("{\"when\":[]}") : NULL, i % 2 ? 60 : 5000, on_end, &calls[i]);
       while (ended < 10 && !late)
         {
           g_main_context_iteration (NULL, TRUE);
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -61,7 +61,8 @@
           if (to == HZB_TASK_FINISHED && step % 8)
             continue; /* seldom, or all would be over soon */
           g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-          hzb_task_set_state (b.jobs, task, to, placed ? (task->machine && to != HZB_TASK_LISTED ? task->machine : m[step % 3]) : NULL);
+          hzb_task_set_state (b.jobs, task, to,
+                              placed ? (task->machine && to != HZB_TASK_LISTED ? task->machine : m[step % 3]) : NULL);
           for (guint i = 0; i < 12; i++)
             {
               const HzbTask *t = &job->tasks[i];
@@ -77,7 +78,8 @@
           g_assert_cmpuint (job->unknown, ==, counts[HZB_TASK_UNKNOWN]);
           g_assert_cmpuint (job->running, ==, counts[HZB_TASK_RUNNING] + counts[HZB_TASK_SAVING]);
           g_assert_cmpuint (job->done, ==, counts[HZB_TASK_DONE]);
-          g_assert_cmpuint (hzb_machine_listed (m[0]) + hzb_machine_listed (m[1]) + hzb_machine_listed (m[2]), ==, counts[HZB_TASK_LISTED]);
+          g_assert_cmpuint (hzb_machine_listed (m[0]) + hzb_machine_listed (m[1]) + hzb_machine_listed (m[2]), ==,
+                            counts[HZB_TASK_LISTED]);
           g_assert_cmpfloat_with_epsilon (b.block->cpus[0], used, 1e-9);
           for (guint k = 0; k < 3; k++)
             g_assert_cmpfloat_with_epsilon (m[k]->cpus, room[k], 1e-9);
@@ -111,7 +113,8 @@
           gboolean placed = to == HZB_TASK_LISTED || (to >= HZB_TASK_BOOKED && to <= HZB_TASK_SAVING);
           double cpus[3] = { 0 }, listed[3] = { 0 }, memory[3] = { 0 };
           g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-          hzb_task_set_state (b.jobs, task, to, placed ? (task->machine && to != HZB_TASK_LISTED ? task->machine : m[step % 3]) : NULL);
+          hzb_task_set_state (b.jobs, task, to,
+                              placed ? (task->machine && to != HZB_TASK_LISTED ? task->machine : m[step % 3]) : NULL);
           for (guint j = 0; j < 2; j++)
             for (guint i = 0; i < 6; i++)
               for (guint k = 0; k < 3; k++)
@@ -132,7 +135,8 @@
               g_assert_cmpfloat_with_epsilon (m[k]->service_cpus, cpus[k], 1e-9);
               g_assert_cmpfloat_with_epsilon (m[k]->service_memory, memory[k], 1e-9);
               g_assert_cmpfloat_with_epsilon (m[k]->listed_service_cpus, listed[k], 1e-9);
-              g_assert_cmpuint (hzb_machine_speed (m[k], jobs[2]->spec), ==, (guint) MAX (0, floor ((16 - cpus[k]) / 3 + 1e-9)));
+              g_assert_cmpuint (hzb_machine_speed (m[k], jobs[2]->spec), ==,
+                                (guint) MAX (0, floor ((16 - cpus[k]) / 3 + 1e-9)));
             }
         }
       bench_down (&b);
@@ -147,8 +151,9 @@
   Bench b, after;
   HzbJob *job, *again;
   gboolean ours = TRUE;
-  cJSON *old = cJSON_Parse ("{\"released\":40000,\"team\":\"red\",\"cpus\":1,\"gpus\":0,\"done\":\"AQAAgA==\"}"); /* 0 and 31 */
-  cJSON *second = cJSON_Parse ("{\"released\":64,\"done\":\"Ag==\"}");                                     /* 32768 + 1 */
+  cJSON *old =
+      cJSON_Parse ("{\"released\":40000,\"team\":\"red\",\"cpus\":1,\"gpus\":0,\"done\":\"AQAAgA==\"}"); /* 0 and 31 */
+  cJSON *second = cJSON_Parse ("{\"released\":64,\"done\":\"Ag==\"}");                                   /* 32768 + 1 */
   bench_up (&b, 1);
   bench_up (&after, 1);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 50000, 1, 10);
--- a/tests/test-leases.c
+++ b/tests/test-leases.c
@@ -16,7 +16,7 @@
   return NULL;
 }
 
-/* Enough work for several machines: some are lent, and tasks run on them. */
+/* Enough work for several machines: some are leased, and tasks run on them. */
 static SimMachine *
 run_until_lent (Sim *sim)
 {
@@ -90,7 +90,7 @@
     }
 }
 
-/* The leader ends: the next one hears every machine, lent or not, before it starts what might run. */
+/* The leader ends: the next one hears every machine, leased or not, before it starts what might run. */
 static void
 test_leader_of_lessees_ends (void)
 {
@@ -181,7 +181,7 @@
     }
 }
 
-/* Work that only the leader's block may have waits: machines are not lent, to stand idle elsewhere. */
+/* Work that only the leader's block may have waits: machines are not leased, to stand idle elsewhere. */
 static void
 test_own_work (void)
 {
--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/* A machine whose reports arrive while nothing reaches it, the leader's own and a lent one: its lease ends though every
+/* A machine whose reports arrive while nothing reaches it, the leader's own and a leased one: its lease ends though every
  * report was answered; it gets no work that it does not carry out, its tasks run elsewhere, and it goes back. */
 static void
 test_deaf_machine (void)
@@ -175,11 +175,15 @@
   sim_add_job (sim, 1, "red", 30, 2, 30);
   sim_run (sim, 12);
   c = sim->nodes[sim_leader (sim)].c;
-  g_assert_cmpuint (report_again (sim, &m, 1, 1, "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"), ==, 200);
+  g_assert_cmpuint (
+      report_again (sim, &m, 1, 1, "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
+      ==, 200);
   g_assert_nonnull (strstr (last_body, "\"orders\":[]"));
   g_assert_cmpint (hzb_machines_find (c->machines, "i-900000")->state, ==, HZB_MACHINE_BOOTING);
   m.token = hzb_token (hzb_election_term (c->election), 0);
-  g_assert_cmpuint (report_again (sim, &m, 1, 2, "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"), ==, 200);
+  g_assert_cmpuint (
+      report_again (sim, &m, 1, 2, "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
+      ==, 200);
   g_assert_cmpint (hzb_machines_find (c->machines, "i-900000")->state, ==, HZB_MACHINE_ACTIVE);
   sim_free (sim);
 }
--- a/tests/test-scale.c
+++ b/tests/test-scale.c
@@ -1,13 +1,23 @@
 /* Many machines: what a decision costs, counted, and that the rules hold while many fall together. Bounds are by count,
  * nothing here looks at how long anything takes. */
-#include "support.h"
 #include "sim-faults.h"
+#include "support.h"
 
 #define MACHINES 1800u
 
-static const SimSize large = { .machines = MACHINES, .teams = 8, .team_max = 3000, .team_guarantee = 800, .report_s = 5,
-                                 .lease_s = 26.5, .cancel_s = 46.5, .store_rps = 800, .store_write_rps = 70, .txn_ops = 16,
-                                 .cloud_rps = 15, .rows = 500, .check_s = 0.5 };
+static const SimSize large = { .machines = MACHINES,
+                               .teams = 8,
+                               .team_max = 3000,
+                               .team_guarantee = 800,
+                               .report_s = 5,
+                               .lease_s = 26.5,
+                               .cancel_s = 46.5,
+                               .store_rps = 800,
+                               .store_write_rps = 70,
+                               .txn_ops = 16,
+                               .cloud_rps = 15,
+                               .rows = 500,
+                               .check_s = 0.5 };
 
 /* ---- what a decision costs ---- */
 
@@ -68,7 +78,8 @@
     {
       g_autofree char *team = i % 8 < 2 ? g_strdup (i % 8 ? "blue" : "red") : g_strdup_printf ("team-%02u", i % 8);
       sim_add_job (sim, 1 + over_s * i / n, team, (guint) g_rand_int_range (sim->rand, 10, 60), 1,
-                     g_rand_double_range (sim->rand, 0.5 * run_s, 1.5 * run_s))->spot = TRUE;
+                   g_rand_double_range (sim->rand, 0.5 * run_s, 1.5 * run_s))
+          ->spot = TRUE;
     }
 }
 
@@ -183,7 +194,7 @@
   g_assert_cmpint (sim_leader (sim), !=, -1);
   for (guint i = 0; i < SIM_NODES; i++)
     g_assert_true (hzb_controller_ready (sim->nodes[i].c));
-  /* Each reads what there is once, and the leader the holder's part. */
+  /* Each reads what there is once, and the leader the owner's part. */
   g_assert_cmpuint (sim->rows_read - rows, <=, (SIM_NODES + 1) * g_hash_table_size (sim->kv) + 20);
   g_assert_cmpuint (sim->requests - requests, <, 1500);
   sim_run (sim, began + 24);
--- a/tests/test-services.c
+++ b/tests/test-services.c
@@ -73,7 +73,7 @@
   sim_free (sim);
 }
 
-/* The only machines that suit are lent and full of long work: they come back with it, and it gives way. */
+/* The only machines that suit are leased and full of long work: they come back with it, and it gives way. */
 static void
 test_kept_machine_comes_back (void)
 {
@@ -112,11 +112,20 @@
     const char *field, *value;
     guint status;
   } wrong[] = {
-    { "expectS", "5", 400 },           { "expectS", NULL, 400 },       { "pieces", "0", 400 },
-    { "pieces", "1.5", 400 },          { "shape", "\"standin\"", 400 }, { "urgency", NULL, 400 },
-    { "spread", "1", 400 },            { "flavors", "7", 400 },        { "flavors", "[\"huge\"]", 422 },
-    { "yard", "\"nowhere\"", 422 },  { "owner", "\"nobody\"", 422 }, { "pieces", "25", 422 },
-    { "cpus", "9", 422 },              { "gpus", "1", 422 },
+    { "expectS", "5", 400 },
+    { "expectS", NULL, 400 },
+    { "pieces", "0", 400 },
+    { "pieces", "1.5", 400 },
+    { "shape", "\"standin\"", 400 },
+    { "urgency", NULL, 400 },
+    { "spread", "1", 400 },
+    { "flavors", "7", 400 },
+    { "flavors", "[\"huge\"]", 422 },
+    { "yard", "\"nowhere\"", 422 },
+    { "owner", "\"nobody\"", 422 },
+    { "pieces", "25", 422 },
+    { "cpus", "9", 422 },
+    { "gpus", "1", 422 },
   };
   for (guint i = 0; i < G_N_ELEMENTS (wrong); i++, uid++)
     {
@@ -142,14 +151,16 @@
     {
       guint uid = 10 * (node + 1);
       expect_refusals (sim, node, 200 + 100 * node);
-      g_assert_cmpuint (submit_service (sim, node, uid, "red", 30, 1, "0", NULL), ==, 422); /* all replicas: over the limit of 24 */
+      g_assert_cmpuint (submit_service (sim, node, uid, "red", 30, 1, "0", NULL), ==,
+                        422); /* all replicas: over the limit of 24 */
       g_assert_cmpuint (submit_service (sim, node, uid + 1, "red", 2, 20, "0", NULL), ==, 422); /* fits no machine */
       g_assert_cmpuint (submit_service (sim, node, uid + 2, "nobody", 2, 1, "0", NULL), ==, 422);
       g_assert_cmpuint (submit_service (sim, node, uid + 3, "red", 2, 1, "\"long\"", NULL), ==, 400);
       g_assert_cmpuint (submit_service (sim, node, uid + 4, "red", 2, 1, "-1", NULL), ==, 400);
       g_assert_cmpuint (ask (sim, node, "GET", "/api/jobs/run-000010", "", NULL), ==, 404);
       g_assert_cmpuint (submit_service (sim, node, uid + 5, "red", 2, 1, "0", NULL), ==, 201);
-      g_assert_cmpuint (submit_service (sim, (node + 1) % SIM_NODES, uid + 5, "red", 2, 1, "0", NULL), ==, 200); /* a repeat */
+      g_assert_cmpuint (submit_service (sim, (node + 1) % SIM_NODES, uid + 5, "red", 2, 1, "0", NULL), ==,
+                        200); /* a repeat */
     }
   sim_run (sim, sim->now + 20);
   g_assert_true (job->told_done);
@@ -183,7 +194,7 @@
 }
 
 /* A day of services alone: they get machines, no more than they and what is kept for them need, for as long as they run;
- * nothing of them is left in the holder's records afterwards. */
+ * nothing of them is left in the owner's records afterwards. */
 static void
 test_services_alone (void)
 {
@@ -241,7 +252,7 @@
 }
 
 /* Many services come and go, as over months: how they ended moves out of what every node mirrors, each node still answers
- * for all of them, and the holder's pages name none. */
+ * for all of them, and the owner's pages name none. */
 static void
 test_services_over_months (void)
 {
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -79,7 +79,8 @@
         set_old (sim, i, TRUE);
       for (guint i = 0; i < 12; i++)
         {
-          SimJob *job = sim_add_job (sim, 1 + 4 * i, i % 2 ? "red" : "blue", (guint) g_rand_int_range (sim->rand, 1, 9), 1.5, 20);
+          SimJob *job =
+              sim_add_job (sim, 1 + 4 * i, i % 2 ? "red" : "blue", (guint) g_rand_int_range (sim->rand, 1, 9), 1.5, 20);
           job->wants_cancel = i % 3 == 2;
           job->zone = i % 5 == 4 ? "zb" : NULL;
         }
@@ -257,19 +258,23 @@
           job->submitted = job->accepted = TRUE;
           job->answered_at = 30;
           job->finished[0] = job->finished[1] = 1;
-          g_string_append_printf (accepted,
-                                  "%s\"%s\":{\"state\":\"accepted\",\"at\":%u,\"spec\":{\"uid\":\"%s\",\"lane\":\"batch\",\"owner\":\"%s\","
-                                  "\"shape\":\"sweep\",\"urgency\":\"normal\",\"pieces\":4,\"cpus\":1,\"gpus\":0,\"ramGb\":1,"
-                                  "\"bundle\":\"img\",\"sizeGb\":0.5,\"samePlace\":false,\"spread\":false,\"loaners\":true,"
-                                  "\"expectS\":4,\"snapshotEveryS\":0,\"snapshotS\":0}}",
-                                  i ? "," : "", job->uid, i, job->uid, job->team);
+          g_string_append_printf (
+              accepted,
+              "%s\"%s\":{\"state\":\"accepted\",\"at\":%u,\"spec\":{\"uid\":\"%s\",\"lane\":\"batch\",\"owner\":\"%s\","
+              "\"shape\":\"sweep\",\"urgency\":\"normal\",\"pieces\":4,\"cpus\":1,\"gpus\":0,\"ramGb\":1,"
+              "\"bundle\":\"img\",\"sizeGb\":0.5,\"samePlace\":false,\"spread\":false,\"loaners\":true,"
+              "\"expectS\":4,\"snapshotEveryS\":0,\"snapshotS\":0}}",
+              i ? "," : "", job->uid, i, job->uid, job->team);
           /* tasks 0 and 1 are done, all were released */
-          g_string_append_printf (progress, "%s\"%s/0\":{\"released\":4,\"team\":\"%s\",\"cpus\":1,\"gpus\":0,\"done\":\"Aw==\"}",
+          g_string_append_printf (progress,
+                                  "%s\"%s/0\":{\"released\":4,\"team\":\"%s\",\"cpus\":1,\"gpus\":0,\"done\":\"Aw==\"}",
                                   i ? "," : "", job->uid, job->team);
         }
       for (guint i = 0; i < 30; i++)
-        g_string_append_printf (machines, "%s\"i-9%05u\":{\"addr\":\"10.1.0.1:1\",\"type\":\"small\",\"zone\":\"za\",\"spot\":true,\"at\":5}",
-                                i ? "," : "", i);
+        g_string_append_printf (
+            machines,
+            "%s\"i-9%05u\":{\"addr\":\"10.1.0.1:1\",\"type\":\"small\",\"zone\":\"za\",\"spot\":true,\"at\":5}",
+            i ? "," : "", i);
       g_string_append (accepted, "}");
       g_string_append (progress, "}");
       g_string_append (machines, "}");
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -30,20 +30,48 @@
     const char *field, *value;
     gboolean ok;
   } table[] = {
-    { "uid", NULL, FALSE },          { "uid", "\"run-12\"", FALSE },      { "uid", "\"job-000412\"", FALSE },
-    { "uid", "\"run-00041x\"", FALSE }, { "uid", "412", FALSE },          { "uid", "\"run-000413\"", TRUE },
-    { "lane", NULL, FALSE },         { "lane", "\"\"", FALSE },           { "owner", "7", FALSE },
-    { "shape", "\"array\"", FALSE }, { "shape", "\"sweep\"", TRUE },      { "shape", "\"standing\"", TRUE },      { "urgency", "\"high\"", FALSE },
-    { "urgency", "\"idle\"", TRUE }, { "pieces", "0", FALSE },            { "pieces", "-1", FALSE },
-    { "pieces", "1.5", FALSE },      { "pieces", "100000", TRUE },        { "pieces", "100001", FALSE },
-    { "pieces", "\"4\"", FALSE },    { "cpus", "-0.5", FALSE },           { "cpus", "null", FALSE },
-    { "cpus", "0.5", TRUE },         { "ramGb", NULL, FALSE },            { "bundle", "[]", FALSE },
-    { "sizeGb", "-1", FALSE },       { "flavors", "\"g8\"", FALSE },      { "flavors", "[1]", FALSE },
-    { "flavors", NULL, TRUE },       { "flavors", "null", TRUE },         { "yard", "3", FALSE },
-    { "yard", NULL, TRUE },          { "samePlace", "1", FALSE },         { "spread", NULL, FALSE },
-    { "loaners", "\"yes\"", FALSE }, { "expectS", "0", FALSE },           { "expectS", "1e400", FALSE },
-    { "snapshotEveryS", "0", TRUE }, { "snapshotS", "-1", FALSE },        { "dueS", "null", TRUE },
-    { "dueS", "0", FALSE },          { "dueS", "\"soon\"", FALSE },
+    { "uid", NULL, FALSE },
+    { "uid", "\"run-12\"", FALSE },
+    { "uid", "\"job-000412\"", FALSE },
+    { "uid", "\"run-00041x\"", FALSE },
+    { "uid", "412", FALSE },
+    { "uid", "\"run-000413\"", TRUE },
+    { "lane", NULL, FALSE },
+    { "lane", "\"\"", FALSE },
+    { "owner", "7", FALSE },
+    { "shape", "\"array\"", FALSE },
+    { "shape", "\"sweep\"", TRUE },
+    { "shape", "\"standing\"", TRUE },
+    { "urgency", "\"high\"", FALSE },
+    { "urgency", "\"idle\"", TRUE },
+    { "pieces", "0", FALSE },
+    { "pieces", "-1", FALSE },
+    { "pieces", "1.5", FALSE },
+    { "pieces", "100000", TRUE },
+    { "pieces", "100001", FALSE },
+    { "pieces", "\"4\"", FALSE },
+    { "cpus", "-0.5", FALSE },
+    { "cpus", "null", FALSE },
+    { "cpus", "0.5", TRUE },
+    { "ramGb", NULL, FALSE },
+    { "bundle", "[]", FALSE },
+    { "sizeGb", "-1", FALSE },
+    { "flavors", "\"g8\"", FALSE },
+    { "flavors", "[1]", FALSE },
+    { "flavors", NULL, TRUE },
+    { "flavors", "null", TRUE },
+    { "yard", "3", FALSE },
+    { "yard", NULL, TRUE },
+    { "samePlace", "1", FALSE },
+    { "spread", NULL, FALSE },
+    { "loaners", "\"yes\"", FALSE },
+    { "expectS", "0", FALSE },
+    { "expectS", "1e400", FALSE },
+    { "snapshotEveryS", "0", TRUE },
+    { "snapshotS", "-1", FALSE },
+    { "dueS", "null", TRUE },
+    { "dueS", "0", FALSE },
+    { "dueS", "\"soon\"", FALSE },
   };
   for (guint i = 0; i < G_N_ELEMENTS (table); i++)
     if (accepted_with (table[i].field, table[i].value) != table[i].ok)
@@ -104,7 +132,8 @@
   task_report = &g_array_index (report->task_reports, HzbTaskReport, 0);
   g_assert_cmpuint (task_report->attempt, ==, G_GUINT64_CONSTANT (4294967296));
   task_report = &g_array_index (report->task_reports, HzbTaskReport, 1);
-  g_assert_true (task_report->state == HZB_TASK_REPORT_EXITED && task_report->exit_cause == HZB_EXIT_DONE && task_report->saved);
+  g_assert_true (task_report->state == HZB_TASK_REPORT_EXITED && task_report->exit_cause == HZB_EXIT_DONE
+                 && task_report->saved);
   g_assert_null (hzb_wire_parse_report ("{}", 2, NULL));
   g_assert_null (hzb_wire_parse_report ("x", 1, NULL));
 }
@@ -146,11 +175,12 @@
   g_autofree char *text = NULL;
   g_autoptr (HzbSettings) s = NULL;
   const HzbTeam *team;
-  text = g_strdup ("node = \"n0\"\nsite = \"za\"\napi_addr = \"10.0.0.1:80\"\ncluster_listen = \"10.0.0.1:81\"\n"
-                   "[external]\ncloud = \"10.0.0.2:1\"\nstate = \"10.0.0.3:1\"\n[cluster]\nsize = 1\nzones = [\"za\"]\n"
-                   "[[cluster.teams]]\nname = \"red\"\ncpus = 10\ncpus_max = 20\ngpus_max = 0.0\n[[cluster.teams]]\nname = \"guest\"\n"
-                   "[cluster.workers]\nreport_s = 2\nlease_s = 16\ncancel_s = 41\n[cluster.cloud]\nrps = 4\n"
-                   "[cluster.state]\nrps = 80\nwrite_rps = 30\nvalue_kb = 16\ntxn_ops = 24\n");
+  text = g_strdup (
+      "node = \"n0\"\nsite = \"za\"\napi_addr = \"10.0.0.1:80\"\ncluster_listen = \"10.0.0.1:81\"\n"
+      "[external]\ncloud = \"10.0.0.2:1\"\nstate = \"10.0.0.3:1\"\n[cluster]\nsize = 1\nzones = [\"za\"]\n"
+      "[[cluster.teams]]\nname = \"red\"\ncpus = 10\ncpus_max = 20\ngpus_max = 0.0\n[[cluster.teams]]\nname = \"guest\"\n"
+      "[cluster.workers]\nreport_s = 2\nlease_s = 16\ncancel_s = 41\n[cluster.cloud]\nrps = 4\n"
+      "[cluster.state]\nrps = 80\nwrite_rps = 30\nvalue_kb = 16\ntxn_ops = 24\n");
   s = hzb_settings_parse (text, "test", &error);
   g_assert_no_error (error);
   team = s->teams->pdata[0];
@@ -168,7 +198,8 @@
       "node = \"n0\"\nsite = \"za\"\napi_addr = \"10.0.0.1:80\"\ncluster_listen = \"10.0.0.1:81\"\n"
       "[external]\ncloud = \"10.0.0.2:1\"\nstate = \"10.0.0.3:1\"\n[cluster]\nsize = 1\nzones = [\"za\"]\n"
       "[[cluster.teams]]\nname = \"red\"\n[cluster.workers]\nreport_s = 2\nlease_s = 16\ncancel_s = 41\n[cluster.cloud]\nrps = 4\n"
-      "[cluster.state]\nrps = 80\nwrite_rps = 30\nvalue_kb = 16\ntxn_ops = 24\n%s", next);
+      "[cluster.state]\nrps = 80\nwrite_rps = 30\nvalue_kb = 16\ntxn_ops = 24\n%s",
+      next);
   return hzb_settings_parse (text, "test", error);
 }
 
@@ -196,7 +227,8 @@
   g_assert_cmpfloat (some->store_value_kb, ==, 2);
   g_assert_cmpuint (some->store_txn_ops, ==, 24);
   g_assert_cmpfloat (some->store_write_rps, ==, 30);
-  all = settings_with_next ("[cluster.state.next]\nvalue_kb = 2\ntxn_ops = 5\nwrite_rps = 15\nrps = 40\nnew = 1\n", &error);
+  all = settings_with_next ("[cluster.state.next]\nvalue_kb = 2\ntxn_ops = 5\nwrite_rps = 15\nrps = 40\nnew = 1\n",
+                            &error);
   g_assert_no_error (error);
   g_assert_cmpuint (all->store_txn_ops, ==, 5);
   g_assert_cmpfloat (all->store_write_rps, ==, 15);
