--- a/src/controller.c
+++ b/src/controller.c
@@ -269,7 +269,7 @@
   c->block = hzb_block_new (c->settings, hzb_token (hzb_election_term (c->election), 0));
   hzb_leases_reset (c->leases);
   hzb_records_reset (c->records);
-  hzb_provisioning_reset (c->rentals);
+  hzb_provisioning_reset (c->provisioning);
   g_clear_pointer (&c->owner_load_cursor, g_free);
   hzb_machines_clear (c->machines);
   hzb_jobs_begin_ownership (c->jobs, c->block);
@@ -620,7 +620,7 @@
     }
   if (c->ownership >= HZB_OWNERSHIP_RECOVERING)
     owner_tick (c, now);
-  hzb_provisioning_tick (c->rentals, now);
+  hzb_provisioning_tick (c->provisioning, now);
   hzb_peers_tick (c->peers, now);
   hzb_cancellations_tick (c->cancellations, now);
   hzb_user_api_tick (c->api);
@@ -701,7 +701,7 @@
   c->lease_blocks = TRUE;
   c->format = HZB_FORMAT;
   c->incarnation = g_strdup_printf ("%08x%08x", g_rand_int (c->rand), g_rand_int (c->rand));
-  c->rentals = hzb_provisioning_new (c);
+  c->provisioning = hzb_provisioning_new (c);
   c->records = hzb_records_new (c);
   return c;
 }
@@ -727,7 +727,7 @@
   hzb_election_free (c->election);
   hzb_cloud_free (c->cloud);
   hzb_store_free (c->store);
-  hzb_provisioning_free (c->rentals);
+  hzb_provisioning_free (c->provisioning);
   g_free (c->mirror_load_cursor);
   g_free (c->owner_load_cursor);
   g_rand_free (c->rand);
--- /dev/null
+++ b/src/peers.h
@@ -0,0 +1,63 @@
+/**
+ * SECTION: peers
+ * @short_description: messages between controllers
+ *
+ * Once a second each controller exchanges a heartbeat with every other one. Each message names its sender's process and
+ * a number, so that late copies are refused (peers.c).
+ */
+#pragma once
+#include "http.h"
+#include "wire.h"
+
+typedef struct _HzbController HzbController;
+typedef struct _HzbPeers HzbPeers;
+
+/** HzbPeerKind: messages are numbered by kind, and only the newest of a kind is taken. */
+typedef enum
+{
+  HZB_PEER_HEARTBEAT,
+  HZB_PEER_BLOCK, /* a lessee polls the leader */
+  HZB_PEER_N_KINDS
+} HzbPeerKind;
+
+HzbPeers *hzb_peers_new (HzbController *controller);
+void hzb_peers_free (HzbPeers *peers);
+
+/** hzb_peers_tick: sends heartbeats that are due. */
+void hzb_peers_tick (HzbPeers *peers, struct timespec now);
+
+/** hzb_peers_any_reachable: a peer sent a heartbeat in the last seconds, or there are no peers. */
+gboolean hzb_peers_any_reachable (HzbPeers *peers);
+
+/** hzb_peers_any_sends_workers: a reachable peer has lately redirected workers to the leader. */
+gboolean hzb_peers_any_sends_workers (HzbPeers *peers);
+
+/** hzb_peers_any_lost_workers: a node, this one included, lately stepped down because no worker reported to it. */
+gboolean hzb_peers_any_lost_workers (HzbPeers *peers);
+
+/** hzb_peers_any_reaches_store: a reachable peer is served by the state service, so an outage would be ours alone. */
+gboolean hzb_peers_any_reaches_store (HzbPeers *peers);
+
+/** hzb_peers_unreachable: no heartbeat of this node lately, or there is no node of that name. */
+gboolean hzb_peers_unreachable (HzbPeers *peers, const char *node);
+
+/** hzb_peers_format: the format of records and messages that the node last stated; 1 if it is unreachable or stated none. */
+guint hzb_peers_format (HzbPeers *peers, const char *node);
+
+/** hzb_peers_all_have_format: every other node is reachable and states at least this format. */
+gboolean hzb_peers_all_have_format (HzbPeers *peers, guint format);
+
+/** hzb_peers_any_older_format: a reachable peer states a lower format than this process. */
+gboolean hzb_peers_any_older_format (HzbPeers *peers);
+
+/** hzb_peers_last_store_contact: when the state service last served the node, as it said. Returns: FALSE if unknown. */
+gboolean hzb_peers_last_store_contact (HzbPeers *peers, const char *node, struct timespec *at);
+
+/** hzb_peers_task_counts: how many of a job's tasks are done and running, from the leader's last heartbeat. */
+void hzb_peers_task_counts (HzbPeers *peers, const char *uid, guint *done, guint *running);
+
+/** hzb_peers_message: a new message that identifies this process. Returns: (transfer full) */
+cJSON *hzb_peers_message (HzbPeers *peers, HzbPeerKind kind);
+
+/** hzb_controller_peer_request: HTTP handler of the address that peers use. */
+void hzb_controller_peer_request (HzbExchange *exchange, gpointer controller);
--- a/src/provisioning.c
+++ b/src/provisioning.c
@@ -22,7 +22,7 @@
 on_types (guint status, const char *body, gsize length, gpointer user)
 {
   HzbController *c = user;
-  HzbProvisioning *r = c->rentals;
+  HzbProvisioning *r = c->provisioning;
   GPtrArray *types = status == 200 ? hzb_wire_parse_types (body) : NULL;
 
   r->asking_types = FALSE;
@@ -54,7 +54,7 @@
 {
   RentCall *call = user;
   HzbController *c = call->epoch_call.c;
-  HzbProvisioning *r = c->rentals;
+  HzbProvisioning *r = c->provisioning;
   struct timespec now = hzb_clock_now (c->clock);
   g_autoptr (GPtrArray) names = status == 200 ? hzb_wire_parse_names (body) : NULL;
   HzbRental rental = { NULL, call->zone, call->spot, call->count };
@@ -92,15 +92,15 @@
 static void
 rent (HzbController *c, struct timespec now)
 {
-  HzbProvisioning *r = c->rentals;
-  g_autoptr (GArray) rentals = NULL;
+  HzbProvisioning *r = c->provisioning;
+  g_autoptr (GArray) provisioning = NULL;
 
   if (r->renting || !hzb_election_lease_valid (c->election) || !c->machines->types)
     return;
-  rentals = hzb_autoscaler_rentals (c->autoscaler, now);
-  for (guint i = 0; i < rentals->len; i++)
+  provisioning = hzb_autoscaler_rentals (c->autoscaler, now);
+  for (guint i = 0; i < provisioning->len; i++)
     {
-      const HzbRental *rental = &g_array_index (rentals, HzbRental, i);
+      const HzbRental *rental = &g_array_index (provisioning, HzbRental, i);
       RentCall *call = g_new0 (RentCall, 1);
       call->epoch_call.c = c;
       call->epoch_call.epoch = c->ownership_epoch;
@@ -119,7 +119,7 @@
 static void
 machine_is_gone (HzbController *c, HzbMachine *m)
 {
-  HzbProvisioning *r = c->rentals;
+  HzbProvisioning *r = c->provisioning;
   struct timespec *now;
   hzb_records_drop_machine (c->records, m);
   hzb_machine_lose_tasks (c->jobs, m);
@@ -135,7 +135,7 @@
 {
   HzbEpochCall *epoch_call = user;
   HzbController *c = epoch_call->c;
-  HzbProvisioning *r = c->rentals;
+  HzbProvisioning *r = c->provisioning;
   g_autoptr (GPtrArray) names = epoch_call->data;
 
   if (epoch_call->epoch == c->ownership_epoch)
@@ -157,7 +157,7 @@
 static void
 give_back (HzbController *c, struct timespec now)
 {
-  HzbProvisioning *r = c->rentals;
+  HzbProvisioning *r = c->provisioning;
   GPtrArray *names;
 
   for (guint i = 0; i < c->machines->all->len; i++)
@@ -215,7 +215,7 @@
 static void
 drop_unlisted (HzbController *c, struct timespec now)
 {
-  HzbProvisioning *r = c->rentals;
+  HzbProvisioning *r = c->provisioning;
   double known = 3 * c->settings->list_lag_s + 5;
 
   for (guint i = c->machines->all->len; i-- > 0;)
@@ -243,7 +243,7 @@
 {
   g_autofree HzbEpochCall *epoch_call = user;
   HzbController *c = epoch_call->c;
-  HzbProvisioning *r = c->rentals;
+  HzbProvisioning *r = c->provisioning;
   gboolean more = FALSE;
   g_autoptr (GPtrArray) listed = status == 200 ? hzb_wire_parse_list (body, &more) : NULL;
   struct timespec now = hzb_clock_now (c->clock);
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -342,7 +342,7 @@
       return NULL;
     }
   m = hzb_machines_find (c->machines, report->host);
-  if (!m && hzb_provisioning_was_returned (c->rentals, report->host))
+  if (!m && hzb_provisioning_was_returned (c->provisioning, report->host))
     {
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("this machine was returned"), 0);
       return NULL;
--- /dev/null
+++ b/src/worker-api.h
@@ -0,0 +1,11 @@
+/**
+ * SECTION: worker-api
+ * @short_description: reports of workers in, commands out
+ */
+#pragma once
+#include "http.h"
+
+typedef struct _HzbController HzbController;
+
+/** hzb_worker_api_report: answers one report; the only place from which commands are sent. */
+void hzb_worker_api_report (HzbController *controller, HzbExchange *exchange);
