--- a/src/admin.c
+++ b/src/admin.c
@@ -46,13 +46,13 @@
 };
 
 void
-hzb_admin_apply_settings (HzbController *c, const cJSON *value, guint64 version)
+hzb_admin_apply_settings (HzbController *controller, const cJSON *value, guint64 version)
 {
   double v[G_N_ELEMENTS (settings)];
 
-  if (version <= c->settings_version)
+  if (version <= controller->settings_version)
     return;
-  c->settings_version = version;
+  controller->settings_version = version;
   for (guint i = 0; i < G_N_ELEMENTS (settings); i++)
     {
       v[i] = hzb_json_number (value, settings[i].name, settings[i].usual);
@@ -60,23 +60,25 @@
       if (!(v[i] >= settings[i].least && v[i] <= settings[i].most))
         v[i] = settings[i].usual;
     }
-  c->dispatch->h = v[0];
-  c->dispatch->sample = (guint) v[1];
-  c->dispatch->list_ahead_s = v[2];
-  c->autoscaler->idle_s = v[3];
-  c->autoscaler->patience = v[4];
-  c->lease_blocks = v[5] >= 0.5;
+  controller->dispatch->h = v[0];
+  controller->dispatch->sample = (guint) v[1];
+  controller->dispatch->list_ahead_s = v[2];
+  controller->autoscaler->idle_s = v[3];
+  controller->autoscaler->patience = v[4];
+  controller->lease_blocks = v[5] >= 0.5;
   if (value)
     g_message ("the operators' settings of revision %" G_GUINT64_FORMAT " apply", version);
 }
 
 static cJSON *
-pack_settings (HzbController *c)
+pack_settings (HzbController *controller)
 {
-  const double v[G_N_ELEMENTS (settings)] = { c->dispatch->h,        c->dispatch->sample,     c->dispatch->list_ahead_s,
-                                              c->autoscaler->idle_s, c->autoscaler->patience, c->lease_blocks };
+  const double v[G_N_ELEMENTS (settings)] = {
+    controller->dispatch->h,        controller->dispatch->sample,     controller->dispatch->list_ahead_s,
+    controller->autoscaler->idle_s, controller->autoscaler->patience, controller->lease_blocks
+  };
   cJSON *root = cJSON_CreateObject (), *list;
-  hzb_json_add_u64 (root, "version", c->settings_version);
+  hzb_json_add_u64 (root, "version", controller->settings_version);
   list = cJSON_AddObjectToObject (root, "settings");
   for (guint i = 0; i < G_N_ELEMENTS (settings); i++)
     cJSON_AddNumberToObject (list, settings[i].name, v[i]);
@@ -92,7 +94,7 @@
 
 typedef struct
 {
-  HzbController *c;
+  HzbController *controller;
   HzbExchange *exchange;
   cJSON *value;
 } Change;
@@ -106,8 +108,8 @@
   if (result == HZB_STORE_OK)
     {
       hzb_wire_parse_txn (body, &revision, NULL);
-      hzb_admin_apply_settings (change->c, change->value, revision);
-      reply_json (change->exchange, 200, pack_settings (change->c));
+      hzb_admin_apply_settings (change->controller, change->value, revision);
+      reply_json (change->exchange, 200, pack_settings (change->controller));
     }
   else if (result == HZB_STORE_CONFLICT)
     refuse (change->exchange, 409, "the settings have been changed meanwhile: read them again");
@@ -119,12 +121,12 @@
 }
 
 static void
-change_settings (HzbController *c, HzbExchange *exchange)
+change_settings (HzbController *controller, HzbExchange *exchange)
 {
   cJSON *root = cJSON_ParseWithLength (exchange->body, exchange->length);
   const cJSON *demanded_units = cJSON_GetObjectItemCaseSensitive (root, "settings"), *item;
   const cJSON *version = cJSON_GetObjectItemCaseSensitive (root, "version");
-  cJSON *packed = pack_settings (c), *value = cJSON_DetachItemFromObject (packed, "settings"), *txn;
+  cJSON *packed = pack_settings (controller), *value = cJSON_DetachItemFromObject (packed, "settings"), *txn;
   g_autofree char *fault = NULL;
   Change *change;
 
@@ -146,10 +148,10 @@
     else
       cJSON_ReplaceItemInObjectCaseSensitive (value, known->name, cJSON_CreateNumber (item->valuedouble));
   }
-  if (!fault && hzb_json_u64 (root, "version") != c->settings_version)
+  if (!fault && hzb_json_u64 (root, "version") != controller->settings_version)
     {
       refuse (exchange, 409, "version: the settings are at %" G_GUINT64_FORMAT ": read them again",
-              c->settings_version);
+              controller->settings_version);
       cJSON_Delete (value);
     }
   else if (fault)
@@ -160,13 +162,13 @@
   else
     {
       change = g_new0 (Change, 1);
-      change->c = c;
+      change->controller = controller;
       change->exchange = exchange;
       change->value = value;
       txn = hzb_wire_txn ();
-      hzb_wire_txn_if (txn, HZB_KEY_SETTINGS, c->settings_version);
+      hzb_wire_txn_if (txn, HZB_KEY_SETTINGS, controller->settings_version);
       hzb_wire_txn_put (txn, HZB_KEY_SETTINGS, cJSON_Duplicate (value, TRUE), 0);
-      hzb_store_txn (c->store, HZB_STORE_ACCEPT, txn, on_changed, change);
+      hzb_store_txn (controller->store, HZB_STORE_ACCEPT, txn, on_changed, change);
     }
   cJSON_Delete (root);
 }
@@ -174,50 +176,50 @@
 /* ---- reading ---- */
 
 static cJSON *
-leadership (HzbController *c)
+leadership (HzbController *controller)
 {
   cJSON *root = cJSON_CreateObject (), *formats;
-  const char *leader = hzb_election_leader (c->election);
-  cJSON_AddStringToObject (root, "node", c->settings->node);
-  cJSON_AddBoolToObject (root, "leads", hzb_election_leading (c->election));
+  const char *leader = hzb_election_leader (controller->election);
+  cJSON_AddStringToObject (root, "node", controller->settings->node);
+  cJSON_AddBoolToObject (root, "leads", hzb_election_leading (controller->election));
   if (leader)
     cJSON_AddStringToObject (root, "leader", leader);
   else
     cJSON_AddNullToObject (root, "leader");
-  hzb_json_add_u64 (root, "term", hzb_election_leader_term (c->election));
-  cJSON_AddNumberToObject (root, "stateServiceSilentS", MIN (hzb_store_silence (c->store), 1e6));
+  hzb_json_add_u64 (root, "term", hzb_election_leader_term (controller->election));
+  cJSON_AddNumberToObject (root, "stateServiceSilentS", MIN (hzb_store_silence (controller->store), 1e6));
   /* During an upgrade: 2 once every controller has said so, and what each says now. */
-  cJSON_AddNumberToObject (root, "format", hzb_election_format (c->election));
+  cJSON_AddNumberToObject (root, "format", hzb_election_format (controller->election));
   formats = cJSON_AddObjectToObject (root, "formats");
-  cJSON_AddNumberToObject (formats, c->settings->node, c->format);
-  for (guint i = 0; i < c->settings->peers->len; i++)
+  cJSON_AddNumberToObject (formats, controller->settings->node, controller->format);
+  for (guint i = 0; i < controller->settings->peers->len; i++)
     {
-      const char *node = ((HzbPeer *) c->settings->peers->pdata[i])->node;
-      if (hzb_peers_unreachable (c->peers, node))
+      const char *node = ((HzbPeer *) controller->settings->peers->pdata[i])->node;
+      if (hzb_peers_unreachable (controller->peers, node))
         cJSON_AddNullToObject (formats, node);
       else
-        cJSON_AddNumberToObject (formats, node, hzb_peers_format (c->peers, node));
+        cJSON_AddNumberToObject (formats, node, hzb_peers_format (controller->peers, node));
     }
   return root;
 }
 
 static cJSON *
-machines (HzbController *c)
+machines (HzbController *controller)
 {
   cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "machines");
-  for (guint i = 0; i < c->machines->all->len; i++)
+  for (guint i = 0; i < controller->machines->all->len; i++)
     {
-      const HzbMachine *m = c->machines->all->pdata[i];
+      const HzbMachine *machine = controller->machines->all->pdata[i];
       cJSON *item = cJSON_CreateObject ();
-      cJSON_AddStringToObject (item, "name", m->name);
-      cJSON_AddStringToObject (item, "type", m->type_name);
-      cJSON_AddStringToObject (item, "zone", m->zone);
-      cJSON_AddBoolToObject (item, "spot", m->spot);
-      cJSON_AddStringToObject (item, "state", hzb_machine_state_name (m->state));
-      cJSON_AddNumberToObject (item, "tasks", m->tasks->len);
-      cJSON_AddNumberToObject (item, "listed", hzb_machine_listed (m));
-      cJSON_AddNumberToObject (item, "cpusUsed", m->cpus);
-      cJSON_AddBoolToObject (item, "toBeReturned", m->to_be_returned);
+      cJSON_AddStringToObject (item, "name", machine->name);
+      cJSON_AddStringToObject (item, "type", machine->type_name);
+      cJSON_AddStringToObject (item, "zone", machine->zone);
+      cJSON_AddBoolToObject (item, "spot", machine->spot);
+      cJSON_AddStringToObject (item, "state", hzb_machine_state_name (machine->state));
+      cJSON_AddNumberToObject (item, "tasks", machine->tasks->len);
+      cJSON_AddNumberToObject (item, "listed", hzb_machine_listed (machine));
+      cJSON_AddNumberToObject (item, "cpusUsed", machine->cpus);
+      cJSON_AddBoolToObject (item, "toBeReturned", machine->to_be_returned);
       cJSON_AddItemToArray (list, item);
     }
   return root;
@@ -234,20 +236,20 @@
 }
 
 static cJSON *
-teams (HzbController *c)
+teams (HzbController *controller)
 {
   cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "teams");
-  for (guint i = 0; i < c->settings->teams->len; i++)
+  for (guint i = 0; i < controller->settings->teams->len; i++)
     {
-      const HzbTeam *team = c->settings->teams->pdata[i];
+      const HzbTeam *team = controller->settings->teams->pdata[i];
       cJSON *item = cJSON_CreateObject ();
       cJSON_AddStringToObject (item, "name", team->name);
       cJSON_AddNumberToObject (item, "cpusGuaranteed", team->cpus);
       add_limit (item, "cpusMax", team->cpus_max);
       cJSON_AddNumberToObject (item, "gpusGuaranteed", team->gpus);
       add_limit (item, "gpusMax", team->gpus_max);
-      cJSON_AddNumberToObject (item, "cpusUsed", c->block->cpus[i]);
-      cJSON_AddNumberToObject (item, "gpusUsed", c->block->gpus[i]);
+      cJSON_AddNumberToObject (item, "cpusUsed", controller->block->cpus[i]);
+      cJSON_AddNumberToObject (item, "gpusUsed", controller->block->gpus[i]);
       cJSON_AddItemToArray (list, item);
     }
   return root;
@@ -276,55 +278,55 @@
 }
 
 static cJSON *
-jobs (HzbController *c)
+jobs (HzbController *controller)
 {
   cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "jobs");
-  guint n = MIN (c->jobs->active->len, 100);
+  guint n = MIN (controller->jobs->active->len, 100);
   for (guint i = 0; i < n; i++)
-    cJSON_AddItemToArray (list, pack_job (c->jobs->active->pdata[i]));
-  cJSON_AddNumberToObject (root, "unfinished", c->jobs->active->len);
+    cJSON_AddItemToArray (list, pack_job (controller->jobs->active->pdata[i]));
+  cJSON_AddNumberToObject (root, "unfinished", controller->jobs->active->len);
   return root;
 }
 
 /* ---- requests ---- */
 
-typedef cJSON *(*View) (HzbController *c);
+typedef cJSON *(*View) (HzbController *controller);
 
 static void
-drain (HzbController *c, HzbExchange *exchange, const char *name)
+drain (HzbController *controller, HzbExchange *exchange, const char *name)
 {
-  HzbMachine *m = hzb_machines_find (c->machines, name);
+  HzbMachine *machine = hzb_machines_find (controller->machines, name);
   cJSON *root;
-  if (!m)
+  if (!machine)
     {
       refuse (exchange, 404, "%s: no such machine", name);
       return;
     }
   /* It takes no new tasks and goes back once it is empty; on record, so that a new leader does the same. */
-  m->to_be_returned = m->drain = TRUE;
-  m->recorded = m->recording = FALSE;
-  hzb_records_flush_soon (c->records);
-  g_message ("machine %s: an operator wants it drained", m->name);
+  machine->to_be_returned = machine->drain = TRUE;
+  machine->recorded = machine->recording = FALSE;
+  hzb_records_flush_soon (controller->records);
+  g_message ("machine %s: an operator wants it drained", machine->name);
   root = cJSON_CreateObject ();
-  cJSON_AddStringToObject (root, "name", m->name);
+  cJSON_AddStringToObject (root, "name", machine->name);
   cJSON_AddBoolToObject (root, "toBeReturned", TRUE);
   reply_json (exchange, 200, root);
 }
 
 static cJSON *
-metrics (HzbController *c)
+metrics (HzbController *controller)
 {
-  return hzb_metrics_pack (c->metrics);
+  return hzb_metrics_pack (controller->metrics);
 }
 
 static cJSON *
-blocks (HzbController *c)
+blocks (HzbController *controller)
 {
-  return hzb_leases_pack (c->leases);
+  return hzb_leases_pack (controller->leases);
 }
 
 gboolean
-hzb_admin_request (HzbController *c, HzbExchange *exchange)
+hzb_admin_request (HzbController *controller, HzbExchange *exchange)
 {
   static const struct
   {
@@ -338,7 +340,7 @@
   };
   const char *what = exchange->path + strlen (PREFIX);
   gboolean get = g_str_equal (exchange->method, "GET");
-  gboolean holds = c->ownership >= HZB_OWNERSHIP_RECOVERING && hzb_election_leading (c->election);
+  gboolean holds = controller->ownership >= HZB_OWNERSHIP_RECOVERING && hzb_election_leading (controller->election);
 
   if (!g_str_has_prefix (exchange->path, PREFIX))
     return FALSE;
@@ -346,18 +348,18 @@
     if (g_str_equal (what, views[i].path))
       {
         if (g_str_equal (exchange->method, "PUT") && views[i].view == pack_settings)
-          change_settings (c, exchange);
+          change_settings (controller, exchange);
         else if (!get)
           refuse (exchange, 405, views[i].view == pack_settings ? "GET or PUT here" : "GET here");
         else if (views[i].holder && !holds)
-          hzb_exchange_reply (exchange, 421, hzb_wire_redirect (hzb_election_leader (c->election)), 0);
+          hzb_exchange_reply (exchange, 421, hzb_wire_redirect (hzb_election_leader (controller->election)), 0);
         else
-          reply_json (exchange, 200, views[i].view (c));
+          reply_json (exchange, 200, views[i].view (controller));
         return TRUE;
       }
   if (g_str_has_prefix (what, TENANT "jobs/"))
     {
-      const HzbJob *job = hzb_jobs_find (c->jobs, what + strlen (TENANT "jobs/"));
+      const HzbJob *job = hzb_jobs_find (controller->jobs, what + strlen (TENANT "jobs/"));
       if (!get)
         refuse (exchange, 405, "GET here");
       else if (!job)
@@ -371,9 +373,9 @@
       if (!g_str_equal (exchange->method, "POST"))
         refuse (exchange, 405, "POST here");
       else if (!holds)
-        hzb_exchange_reply (exchange, 421, hzb_wire_redirect (hzb_election_leader (c->election)), 0);
+        hzb_exchange_reply (exchange, 421, hzb_wire_redirect (hzb_election_leader (controller->election)), 0);
       else
-        drain (c, exchange, name);
+        drain (controller, exchange, name);
     }
   else
     refuse (exchange, 404,
--- a/src/autoscaler.c
+++ b/src/autoscaler.c
@@ -35,21 +35,21 @@
 HzbAutoscaler *
 hzb_autoscaler_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings)
 {
-  HzbAutoscaler *f = g_new0 (HzbAutoscaler, 1);
-  f->jobs = jobs;
-  f->machines = machines;
-  f->settings = settings;
-  f->idle_s = 40;
-  f->patience = 0.6;
-  f->refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  return f;
+  HzbAutoscaler *autoscaler = g_new0 (HzbAutoscaler, 1);
+  autoscaler->jobs = jobs;
+  autoscaler->machines = machines;
+  autoscaler->settings = settings;
+  autoscaler->idle_s = 40;
+  autoscaler->patience = 0.6;
+  autoscaler->refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  return autoscaler;
 }
 
 void
-hzb_autoscaler_free (HzbAutoscaler *f)
+hzb_autoscaler_free (HzbAutoscaler *autoscaler)
 {
-  g_hash_table_unref (f->refused);
-  g_free (f);
+  g_hash_table_unref (autoscaler->refused);
+  g_free (autoscaler);
 }
 
 static char *
@@ -59,14 +59,14 @@
 }
 
 void
-hzb_autoscaler_note_refused (HzbAutoscaler *f, const HzbRental *rental, struct timespec now)
+hzb_autoscaler_note_refused (HzbAutoscaler *autoscaler, const HzbRental *rental, struct timespec now)
 {
   char *name = offer_name (rental->type, rental->zone, rental->spot);
-  Refusal *refusal = g_hash_table_lookup (f->refused, name);
+  Refusal *refusal = g_hash_table_lookup (autoscaler->refused, name);
   if (!refusal)
     {
       refusal = g_new0 (Refusal, 1);
-      g_hash_table_insert (f->refused, g_strdup (name), refusal);
+      g_hash_table_insert (autoscaler->refused, g_strdup (name), refusal);
     }
   refusal->pause = CLAMP (refusal->pause * 1.5, 6, 30);
   refusal->until = hzb_time_plus (now, refusal->pause);
@@ -74,10 +74,10 @@
 }
 
 void
-hzb_autoscaler_note_granted (HzbAutoscaler *f, const HzbRental *rental)
+hzb_autoscaler_note_granted (HzbAutoscaler *autoscaler, const HzbRental *rental)
 {
   g_autofree char *name = offer_name (rental->type, rental->zone, rental->spot);
-  g_hash_table_remove (f->refused, name);
+  g_hash_table_remove (autoscaler->refused, name);
 }
 
 static void
@@ -98,43 +98,43 @@
 
 /* Within what time from now all of a job's tasks should have been started. */
 static double
-start_within_s (HzbAutoscaler *f, const HzbJob *job, struct timespec now)
+start_within_s (HzbAutoscaler *autoscaler, const HzbJob *job, struct timespec now)
 {
-  double slack = hzb_job_slack_s (f->settings, job, now, NULL);
-  return CLAMP (f->patience * slack, 10, 150);
+  double slack = hzb_job_slack_s (autoscaler->settings, job, now, NULL);
+  return CLAMP (autoscaler->patience * slack, 10, 150);
 }
 
 static char *
-types_holding (HzbAutoscaler *f, const HzbSpec *spec)
+types_holding (HzbAutoscaler *autoscaler, const HzbSpec *spec)
 {
   GString *names = g_string_new (NULL);
-  for (guint t = 0; f->machines->types && t < f->machines->types->len; t++)
-    if (hzb_type_holds (f->machines->types->pdata[t], spec))
-      g_string_append_printf (names, "%s,", ((HzbMachineType *) f->machines->types->pdata[t])->name);
+  for (guint t = 0; autoscaler->machines->types && t < autoscaler->machines->types->len; t++)
+    if (hzb_type_holds (autoscaler->machines->types->pdata[t], spec))
+      g_string_append_printf (names, "%s,", ((HzbMachineType *) autoscaler->machines->types->pdata[t])->name);
   return g_string_free (names, FALSE);
 }
 
 /* All tasks of the job go to one zone: the one that has most machines for it, or else the first that could. */
 static const char *
-zone_for (HzbAutoscaler *f, const HzbSpec *spec)
+zone_for (HzbAutoscaler *autoscaler, const HzbSpec *spec)
 {
   const char *best = NULL;
   double most = -1;
 
   if (spec->zone || !spec->same_zone)
     return spec->zone;
-  for (guint t = 0; f->machines->types && t < f->machines->types->len; t++)
+  for (guint t = 0; autoscaler->machines->types && t < autoscaler->machines->types->len; t++)
     {
-      const HzbMachineType *type = f->machines->types->pdata[t];
+      const HzbMachineType *type = autoscaler->machines->types->pdata[t];
       for (guint z = 0; hzb_type_holds (type, spec) && type->zones[z]; z++)
         {
           double cpus = 0;
-          for (guint k = 0; k < f->machines->all->len; k++)
+          for (guint k = 0; k < autoscaler->machines->all->len; k++)
             {
-              const HzbMachine *m = f->machines->all->pdata[k];
-              if (m->type && !m->to_be_returned && g_str_equal (m->zone, type->zones[z])
-                  && hzb_type_holds (m->type, spec))
-                cpus += m->type->cpus;
+              const HzbMachine *machine = autoscaler->machines->all->pdata[k];
+              if (machine->type && !machine->to_be_returned && g_str_equal (machine->zone, type->zones[z])
+                  && hzb_type_holds (machine->type, spec))
+                cpus += machine->type->cpus;
             }
           if (cpus > most)
             {
@@ -158,10 +158,10 @@
 
 /* Replicas never end: the room that they take is taken for good, and a little more is kept. */
 static void
-add_services (HzbAutoscaler *f, GPtrArray *all)
+add_services (HzbAutoscaler *autoscaler, GPtrArray *all)
 {
-  HzbHeadroom headroom = hzb_headroom_plan (f->jobs, f->machines);
-  g_autofree char *types = headroom.spec ? types_holding (f, headroom.spec) : NULL;
+  HzbHeadroom headroom = hzb_headroom_plan (autoscaler->jobs, autoscaler->machines);
+  g_autofree char *types = headroom.spec ? types_holding (autoscaler, headroom.spec) : NULL;
 
   for (guint z = 0; z < headroom.n_zones; z++)
     {
@@ -181,20 +181,20 @@
 }
 
 static GPtrArray *
-collect_demand (HzbAutoscaler *f, struct timespec now)
+collect_demand (HzbAutoscaler *autoscaler, struct timespec now)
 {
   GPtrArray *all = g_ptr_array_new_with_free_func (demand_free);
-  guint n = f->settings->teams->len;
+  guint n = autoscaler->settings->teams->len;
   g_autofree double *cpus_left = g_new0 (double, n), *gpus_left = g_new0 (double, n);
 
   for (guint i = 0; i < n; i++)
     {
-      cpus_left[i] = f->jobs->block->cpus_allowed[i];
-      gpus_left[i] = f->jobs->block->gpus_allowed[i];
+      cpus_left[i] = autoscaler->jobs->block->cpus_allowed[i];
+      gpus_left[i] = autoscaler->jobs->block->gpus_allowed[i];
     }
-  for (guint i = 0; i < f->jobs->active->len; i++)
+  for (guint i = 0; i < autoscaler->jobs->active->len; i++)
     {
-      HzbJob *job = f->jobs->active->pdata[i];
+      HzbJob *job = autoscaler->jobs->active->pdata[i];
       const HzbSpec *spec = job->spec;
       g_autofree char *types = NULL, *name = NULL;
       Demand *demand = NULL;
@@ -222,8 +222,8 @@
       cpus_left[job->team] -= at_once * spec->cpus;
       gpus_left[job->team] -= at_once * spec->gpus;
       /* By what holds a task, not by what it names: a large task is not served by small machines. */
-      types = types_holding (f, spec);
-      zone = zone_for (f, spec);
+      types = types_holding (autoscaler, spec);
+      zone = zone_for (autoscaler, spec);
       name = g_strdup_printf ("%s%s%s%s%s", types, zone ? "@" : "", zone ? zone : "", spec->spot ? "" : "!ordinary",
                               spec->gpus > 0 ? "!gpus" : "");
       for (guint k = 0; k < all->len && !demand; k++)
@@ -244,12 +244,12 @@
       part.at_once = at_once * unit;
       /* A task that runs is half over on the whole; a gang's tasks are needed together. */
       part.work_s = (tasks - placed * 0.5) * unit * hzb_job_mean_s (job);
-      part.within_s = spec->gang || spec->service ? 0 : start_within_s (f, job, now);
+      part.within_s = spec->gang || spec->service ? 0 : start_within_s (autoscaler, job, now);
       g_array_append_val (demand->parts, part);
       if (spec->cpus > 0)
         demand->memory_per_cpu = MAX (demand->memory_per_cpu, spec->memory_gb / spec->cpus);
     }
-  add_services (f, all);
+  add_services (autoscaler, all);
   g_ptr_array_sort (all, by_choice);
   return all;
 }
@@ -304,12 +304,12 @@
 }
 
 static double
-cheapest (HzbAutoscaler *f, const Demand *demand, gboolean boot)
+cheapest (HzbAutoscaler *autoscaler, const Demand *demand, gboolean boot)
 {
   double least = INFINITY;
-  for (guint t = 0; t < f->machines->types->len; t++)
+  for (guint t = 0; t < autoscaler->machines->types->len; t++)
     {
-      const HzbMachineType *type = f->machines->types->pdata[t];
+      const HzbMachineType *type = autoscaler->machines->types->pdata[t];
       for (guint z = 0; type->zones[z]; z++)
         for (gint spot = 0; spot < 2; spot++)
           if (kind_fits (type, type->zones[z], spot, demand))
@@ -323,33 +323,36 @@
 
 /* What there is for this work, and will be soon. */
 static double
-supply (HzbAutoscaler *f, const Demand *demand, struct timespec now)
+supply (HzbAutoscaler *autoscaler, const Demand *demand, struct timespec now)
 {
   double have = 0;
-  for (guint k = 0; k < f->machines->all->len; k++)
+  for (guint k = 0; k < autoscaler->machines->all->len; k++)
     {
-      const HzbMachine *m = f->machines->all->pdata[k];
-      if (!m->type || m->to_be_returned || m->spare || !kind_fits (m->type, m->zone, m->spot, demand)
-          || (m->reserved && !demand->services))
+      const HzbMachine *machine = autoscaler->machines->all->pdata[k];
+      if (!machine->type || machine->to_be_returned || machine->spare
+          || !kind_fits (machine->type, machine->zone, machine->spot, demand)
+          || (machine->reserved && !demand->services))
         continue;
-      if (m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_UNVERIFIED || m->state == HZB_MACHINE_LEASED
-          || (m->state == HZB_MACHINE_BOOTING && hzb_time_between (m->rented, now) < MAX (30, 2.5 * m->type->boot_s)))
-        have += useful_units (m->type, demand) - (demand->services || demand->gpus ? 0 : m->service_cpus);
+      if (machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_UNVERIFIED
+          || machine->state == HZB_MACHINE_LEASED
+          || (machine->state == HZB_MACHINE_BOOTING
+              && hzb_time_between (machine->rented, now) < MAX (30, 2.5 * machine->type->boot_s)))
+        have += useful_units (machine->type, demand) - (demand->services || demand->gpus ? 0 : machine->service_cpus);
     }
   return have;
 }
 
 GArray *
-hzb_autoscaler_rentals (HzbAutoscaler *f, struct timespec now)
+hzb_autoscaler_rentals (HzbAutoscaler *autoscaler, struct timespec now)
 {
   GArray *out = g_array_new (FALSE, FALSE, sizeof (HzbRental));
-  g_autoptr (GPtrArray) all = collect_demand (f, now);
-  GPtrArray *types = f->machines->types;
+  g_autoptr (GPtrArray) all = collect_demand (autoscaler, now);
+  GPtrArray *types = autoscaler->machines->types;
 
   for (guint i = 0; types && i < all->len; i++)
     {
       const Demand *demand = all->pdata[i];
-      double have = supply (f, demand, now), least_price = cheapest (f, demand, TRUE);
+      double have = supply (autoscaler, demand, now), least_price = cheapest (autoscaler, demand, TRUE);
       g_autoptr (GHashTable) tried = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 
       for (guint k = 0; k < out->len; k++)
@@ -359,17 +362,18 @@
             have += r->count * useful_units (r->type, demand);
         }
       /* Spare machines that are still here come back before anything is rented. */
-      for (guint k = 0; k < f->machines->all->len && have + 1e-6 < demanded_units (demand, 1); k++)
+      for (guint k = 0; k < autoscaler->machines->all->len && have + 1e-6 < demanded_units (demand, 1); k++)
         {
-          HzbMachine *m = f->machines->all->pdata[k];
-          if (m->spare && !m->to_be_returned && (m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_LEASED)
-              && m->type && kind_fits (m->type, m->zone, m->spot, demand)
-              && have + 1e-6
-                     < demanded_units (demand, unit_price (m->type, m->spot, demand) / cheapest (f, demand, FALSE)))
+          HzbMachine *machine = autoscaler->machines->all->pdata[k];
+          if (machine->spare && !machine->to_be_returned
+              && (machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_LEASED) && machine->type
+              && kind_fits (machine->type, machine->zone, machine->spot, demand)
+              && have + 1e-6 < demanded_units (demand, unit_price (machine->type, machine->spot, demand)
+                                                           / cheapest (autoscaler, demand, FALSE)))
             {
-              m->spare = FALSE;
-              m->idle_since = now;
-              have += useful_units (m->type, demand);
+              machine->spare = FALSE;
+              machine->idle_since = now;
+              have += useful_units (machine->type, demand);
             }
         }
       while (out->len < 8)
@@ -386,7 +390,7 @@
                 for (gint spot = 0; spot < 2; spot++)
                   {
                     g_autofree char *name = offer_name (type, type->zones[z], spot);
-                    const Refusal *refusal = g_hash_table_lookup (f->refused, name);
+                    const Refusal *refusal = g_hash_table_lookup (autoscaler->refused, name);
                     double cost = with_boot (type, unit_price (type, spot, demand));
                     if (!kind_fits (type, type->zones[z], spot, demand) || !isfinite (cost)
                         || g_hash_table_contains (tried, name) || (refusal && hzb_time_before (now, refusal->until)))
@@ -417,7 +421,7 @@
 
 typedef struct
 {
-  HzbMachine *m;
+  HzbMachine *machine;
   double price;
 } Candidate;
 
@@ -427,94 +431,98 @@
   const Candidate *x = a, *y = b;
   if (fabs (x->price - y->price) > 1e-9)
     return x->price > y->price ? -1 : 1;
-  return (int) x->m->tasks->len - (int) y->m->tasks->len;
+  return (int) x->machine->tasks->len - (int) y->machine->tasks->len;
 }
 
 /* Machines beyond what is wanted take no new tasks, the dearest first; once empty they go back. Spreading work
  * evenly, as the dispatch rule does, would keep every one of them half full for as long as there is any work. */
 static void
-mark_spare (HzbAutoscaler *f, struct timespec now)
+mark_spare (HzbAutoscaler *autoscaler, struct timespec now)
 {
-  g_autoptr (GPtrArray) all = collect_demand (f, now);
+  g_autoptr (GPtrArray) all = collect_demand (autoscaler, now);
   g_autoptr (GArray) candidates = g_array_new (FALSE, FALSE, sizeof (Candidate));
-  guint kinds = f->machines->types ? 2 * f->machines->types->len : 0;
+  guint kinds = autoscaler->machines->types ? 2 * autoscaler->machines->types->len : 0;
   g_autofree double *have = g_new0 (double, all->len + 1), *want = g_new0 (double, all->len *kinds + 1);
   double total = 0, ease = 1 - exp (-1.0 / 12);
 
-  if (!f->machines->types)
+  if (!autoscaler->machines->types)
     return; /* a node may lead before the cloud has told it of the types */
   for (guint i = 0; i < all->len; i++)
     {
       const Demand *demand = all->pdata[i];
-      double least = cheapest (f, demand, FALSE);
-      have[i] = supply (f, demand, now);
+      double least = cheapest (autoscaler, demand, FALSE);
+      have[i] = supply (autoscaler, demand, now);
       total += demanded_units (demand, 1);
       /* There are few kinds of machines, but many machines: what is wanted is counted once a kind. */
       for (guint k = 0; k < kinds; k++)
         want[i * kinds + k] =
-            demanded_units (demand, unit_price (f->machines->types->pdata[k / 2], k % 2, demand) / least);
+            demanded_units (demand, unit_price (autoscaler->machines->types->pdata[k / 2], k % 2, demand) / least);
     }
-  f->usual += (total - f->usual) * ease; /* called once a second */
-  for (guint i = 0; i < f->machines->all->len; i++)
+  autoscaler->usual += (total - autoscaler->usual) * ease; /* called once a second */
+  for (guint i = 0; i < autoscaler->machines->all->len; i++)
     {
-      HzbMachine *m = f->machines->all->pdata[i];
-      Candidate c = { m, 0 };
-      if ((m->state != HZB_MACHINE_ACTIVE && m->state != HZB_MACHINE_LEASED) || m->spare || m->to_be_returned
-          || !m->type || m->reserved || m->service_cpus > 0)
+      HzbMachine *machine = autoscaler->machines->all->pdata[i];
+      Candidate c = { machine, 0 };
+      if ((machine->state != HZB_MACHINE_ACTIVE && machine->state != HZB_MACHINE_LEASED) || machine->spare
+          || machine->to_be_returned || !machine->type || machine->reserved || machine->service_cpus > 0)
         continue;
-      c.price = (m->spot ? m->type->spot_price : m->type->price) / MAX (m->type->cpus, 1e-3);
+      c.price = (machine->spot ? machine->type->spot_price : machine->type->price) / MAX (machine->type->cpus, 1e-3);
       g_array_append_val (candidates, c);
     }
   g_array_sort (candidates, dearest_first);
   for (guint k = 0; k < candidates->len; k++)
     {
-      HzbMachine *m = g_array_index (candidates, Candidate, k).m;
+      HzbMachine *machine = g_array_index (candidates, Candidate, k).machine;
       gboolean surplus = TRUE;
       for (guint i = 0; i < all->len && surplus; i++)
         {
           const Demand *demand = all->pdata[i];
-          if (!kind_fits (m->type, m->zone, m->spot, demand))
+          if (!kind_fits (machine->type, machine->zone, machine->spot, demand))
             continue;
           /* More than the present need if there usually is more: jobs come in lumps. */
-          surplus = have[i] - useful_units (m->type, demand)
-                    >= want[i * kinds + 2 * m->type->index + !!m->spot] * MAX (1, f->usual / MAX (total, 1)) * 1.1 + 2;
+          surplus = have[i] - useful_units (machine->type, demand)
+                    >= want[i * kinds + 2 * machine->type->index + !!machine->spot]
+                               * MAX (1, autoscaler->usual / MAX (total, 1)) * 1.1
+                           + 2;
         }
       if (!surplus)
         {
-          m->surplus = 0;
+          machine->surplus = 0;
           continue;
         }
-      if (++m->surplus < 4)
+      if (++machine->surplus < 4)
         continue;
-      g_debug ("machine %s is spare", m->name);
-      m->spare = TRUE;
+      g_debug ("machine %s is spare", machine->name);
+      machine->spare = TRUE;
       for (guint i = 0; i < all->len; i++)
-        if (kind_fits (m->type, m->zone, m->spot, all->pdata[i]))
-          have[i] -= useful_units (m->type, all->pdata[i]);
+        if (kind_fits (machine->type, machine->zone, machine->spot, all->pdata[i]))
+          have[i] -= useful_units (machine->type, all->pdata[i]);
     }
 }
 
 GPtrArray *
-hzb_autoscaler_returns (HzbAutoscaler *f, struct timespec now)
+hzb_autoscaler_returns (HzbAutoscaler *autoscaler, struct timespec now)
 {
   GPtrArray *out = g_ptr_array_new ();
-  HzbHeadroom headroom = hzb_headroom_plan (f->jobs, f->machines);
+  HzbHeadroom headroom = hzb_headroom_plan (autoscaler->jobs, autoscaler->machines);
 
-  hzb_headroom_reserve (&headroom, f->jobs, f->machines);
-  mark_spare (f, now);
-  for (guint i = 0; i < f->machines->all->len; i++)
+  hzb_headroom_reserve (&headroom, autoscaler->jobs, autoscaler->machines);
+  mark_spare (autoscaler, now);
+  for (guint i = 0; i < autoscaler->machines->all->len; i++)
     {
-      HzbMachine *m = f->machines->all->pdata[i];
-      double age = hzb_time_between (m->rented, now), idle = hzb_time_between (m->idle_since, now);
-      if (m->to_be_returned || m->reserved)
+      HzbMachine *machine = autoscaler->machines->all->pdata[i];
+      double age = hzb_time_between (machine->rented, now), idle = hzb_time_between (machine->idle_since, now);
+      if (machine->to_be_returned || machine->reserved)
         continue;
-      if (m->spare && hzb_machine_listed (m))
-        hzb_machine_empty_lists (f->jobs, m);
-      if (m->state == HZB_MACHINE_ACTIVE && m->tasks->len == 0 && hzb_machine_listed (m) == 0
-          && age > 55 /* the first minute is paid in any case */ && (m->spare ? idle > 2 : idle > f->idle_s))
-        g_ptr_array_add (out, m);
-      else if (m->state == HZB_MACHINE_BOOTING && age > (m->type ? MAX (40, 2.2 * m->type->boot_s) : 300))
-        g_ptr_array_add (out, m); /* some never come up */
+      if (machine->spare && hzb_machine_listed (machine))
+        hzb_machine_empty_lists (autoscaler->jobs, machine);
+      if (machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len == 0 && hzb_machine_listed (machine) == 0
+          && age > 55 /* the first minute is paid in any case */
+          && (machine->spare ? idle > 2 : idle > autoscaler->idle_s))
+        g_ptr_array_add (out, machine);
+      else if (machine->state == HZB_MACHINE_BOOTING
+               && age > (machine->type ? MAX (40, 2.2 * machine->type->boot_s) : 300))
+        g_ptr_array_add (out, machine); /* some never come up */
     }
   return out;
 }
--- a/src/block-leases.c
+++ b/src/block-leases.c
@@ -45,7 +45,7 @@
 
 struct _HzbLeases
 {
-  HzbController *c;
+  HzbController *controller;
   GArray *lessees; /* Lessee */
   guint tokens;    /* numbers used in this term */
   struct timespec next_hand_over;
@@ -54,15 +54,15 @@
 };
 
 HzbLeases *
-hzb_leases_new (HzbController *c)
+hzb_leases_new (HzbController *controller)
 {
   HzbLeases *leases = g_new0 (HzbLeases, 1);
-  leases->c = c;
+  leases->controller = controller;
   leases->lessees = g_array_new (FALSE, TRUE, sizeof (Lessee));
-  leases->cpus = g_new0 (double, c->settings->peers->len + 1);
-  for (guint i = 0; i < c->settings->peers->len; i++)
+  leases->cpus = g_new0 (double, controller->settings->peers->len + 1);
+  for (guint i = 0; i < controller->settings->peers->len; i++)
     {
-      Lessee lessee = { .leases = leases, .id = (guint8) (i + 1), .peer = c->settings->peers->pdata[i] };
+      Lessee lessee = { .leases = leases, .id = (guint8) (i + 1), .peer = controller->settings->peers->pdata[i] };
       lessee.running = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       lessee.leaving = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       g_array_append_val (leases->lessees, lessee);
@@ -105,7 +105,7 @@
 guint64
 hzb_leases_next_token (HzbLeases *leases)
 {
-  return hzb_token (hzb_election_term (leases->c->election), ++leases->tokens);
+  return hzb_token (hzb_election_term (leases->controller->election), ++leases->tokens);
 }
 
 static Lessee *
@@ -131,12 +131,12 @@
 
   g_hash_table_iter_init (&iter, counts);
   while (g_hash_table_iter_next (&iter, &uid, &count))
-    if ((job = hzb_jobs_find (leases->c->jobs, uid))
+    if ((job = hzb_jobs_find (leases->controller->jobs, uid))
         && G_STRUCT_MEMBER (guint, job, member) >= GPOINTER_TO_UINT (count))
       G_STRUCT_MEMBER (guint, job, member) -= GPOINTER_TO_UINT (count);
   g_hash_table_remove_all (counts);
   cJSON_ArrayForEach (item, said) if (cJSON_IsNumber (item) && item->valueint > 0
-                                      && (job = hzb_jobs_find (leases->c->jobs, item->string)) && job->tasks)
+                                      && (job = hzb_jobs_find (leases->controller->jobs, item->string)) && job->tasks)
   {
     G_STRUCT_MEMBER (guint, job, member) += (guint) item->valueint;
     g_hash_table_insert (counts, g_strdup (item->string), GUINT_TO_POINTER ((guint) item->valueint));
@@ -153,26 +153,26 @@
 static void
 reclaim_block (HzbLeases *leases, Lessee *lessee, const char *why)
 {
-  HzbController *c = leases->c;
+  HzbController *controller = leases->controller;
   guint64 token = hzb_leases_next_token (leases);
   guint machines = 0, tasks = 0;
 
-  for (guint i = 0; i < c->machines->all->len; i++)
+  for (guint i = 0; i < controller->machines->all->len; i++)
     {
-      HzbMachine *m = c->machines->all->pdata[i];
-      if (m->state != HZB_MACHINE_LEASED || m->lessee != lessee->id)
+      HzbMachine *machine = controller->machines->all->pdata[i];
+      if (machine->state != HZB_MACHINE_LEASED || machine->lessee != lessee->id)
         continue;
-      hzb_machine_unverify (c->machines, m, token, why);
-      m->unknown_tasks_of = lessee->id;
+      hzb_machine_unverify (controller->machines, machine, token, why);
+      machine->unknown_tasks_of = lessee->id;
       machines++;
     }
-  for (guint i = 0; i < c->jobs->active->len; i++)
+  for (guint i = 0; i < controller->jobs->active->len; i++)
     {
-      HzbJob *job = c->jobs->active->pdata[i];
+      HzbJob *job = controller->jobs->active->pdata[i];
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
         if (job->tasks[k].state == HZB_TASK_DELEGATED && job->tasks[k].lessee == lessee->id)
           {
-            hzb_task_set_state (c->jobs, &job->tasks[k], HZB_TASK_UNKNOWN, NULL);
+            hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_UNKNOWN, NULL);
             tasks++;
           }
     }
@@ -181,15 +181,15 @@
   hzb_outbox_clear (&lessee->out);
   lessee->token = lessee->in_number = 0;
   lessee->holds = FALSE;
-  lessee->steady_since = hzb_clock_now (c->clock);
+  lessee->steady_since = hzb_clock_now (controller->clock);
 }
 
 static gboolean
-gang_waits (HzbController *c)
+gang_waits (HzbController *controller)
 {
-  for (guint i = 0; i < c->jobs->active->len; i++)
+  for (guint i = 0; i < controller->jobs->active->len; i++)
     {
-      const HzbJob *job = c->jobs->active->pdata[i];
+      const HzbJob *job = controller->jobs->active->pdata[i];
       if (job->state == HZB_JOB_ACCEPTED && job->spec->gang && !job->finished)
         return TRUE;
     }
@@ -200,18 +200,18 @@
 static void
 count_blocks (HzbLeases *leases, struct timespec now)
 {
-  HzbController *c = leases->c;
+  HzbController *controller = leases->controller;
   if (hzb_time_is_set (leases->counted) && hzb_time_between (leases->counted, now) < COUNT_EVERY_S)
     return;
   leases->counted = now;
   memset (leases->cpus, 0, (leases->lessees->len + 1) * sizeof *leases->cpus);
-  for (guint i = 0; i < c->machines->all->len; i++)
+  for (guint i = 0; i < controller->machines->all->len; i++)
     {
-      const HzbMachine *m = c->machines->all->pdata[i];
-      if (m->type && m->state == HZB_MACHINE_LEASED)
-        leases->cpus[m->lessee] += m->type->cpus;
-      else if (m->type && m->state == HZB_MACHINE_ACTIVE)
-        leases->cpus[0] += m->type->cpus;
+      const HzbMachine *machine = controller->machines->all->pdata[i];
+      if (machine->type && machine->state == HZB_MACHINE_LEASED)
+        leases->cpus[machine->lessee] += machine->type->cpus;
+      else if (machine->type && machine->state == HZB_MACHINE_ACTIVE)
+        leases->cpus[0] += machine->type->cpus;
     }
 }
 
@@ -252,12 +252,12 @@
 
 /* Guards against machines that stand idle in other blocks while the only work that waits is bound to the leader's. */
 static gboolean
-only_leader_work_waits (HzbController *c)
+only_leader_work_waits (HzbController *controller)
 {
   gboolean any = FALSE;
-  for (guint i = 0; i < c->jobs->active->len; i++)
+  for (guint i = 0; i < controller->jobs->active->len; i++)
     {
-      const HzbJob *job = c->jobs->active->pdata[i];
+      const HzbJob *job = controller->jobs->active->pdata[i];
       if (job->state != HZB_JOB_ACCEPTED || !(job->pending || job->listed))
         continue;
       if (is_delegable (job))
@@ -268,11 +268,11 @@
 }
 
 static gboolean
-may_lease (HzbController *c, const HzbMachine *machine)
+may_lease (HzbController *controller, const HzbMachine *machine)
 {
-  return c->lease_blocks && machine->type && !machine->to_be_returned && !machine->spare && !machine->reserved
-         && !machine->unreachable && machine->known_to_cloud && c->ownership >= HZB_OWNERSHIP_RECOVERING
-         && !gang_waits (c) && !only_leader_work_waits (c);
+  return controller->lease_blocks && machine->type && !machine->to_be_returned && !machine->spare && !machine->reserved
+         && !machine->unreachable && machine->known_to_cloud && controller->ownership >= HZB_OWNERSHIP_RECOVERING
+         && !gang_waits (controller) && !only_leader_work_waits (controller);
 }
 
 static void
@@ -285,20 +285,20 @@
   leases->cpus[lessee->id] += machine->type->cpus;
   machine->lessee = lessee->id;
   machine->lease_sent = FALSE;
-  hzb_machine_set_state (leases->c->machines, machine, HZB_MACHINE_LEASED, lessee->peer->node);
+  hzb_machine_set_state (leases->controller->machines, machine, HZB_MACHINE_LEASED, lessee->peer->node);
 }
 
 /* Blocks are kept level: the leader feeds each with work as it has room, so waiting work is level as well. */
 const char *
 hzb_leases_lease_idle (HzbLeases *leases, HzbMachine *machine)
 {
-  HzbController *c = leases->c;
+  HzbController *controller = leases->controller;
   Lessee *best;
 
   if ((machine->state != HZB_MACHINE_BOOTING && machine->state != HZB_MACHINE_ACTIVE) || machine->tasks->len
-      || hzb_machine_listed (machine) || !may_lease (c, machine))
+      || hzb_machine_listed (machine) || !may_lease (controller, machine))
     return NULL;
-  best = smallest_lessee (leases, machine, 1, hzb_clock_now (c->clock));
+  best = smallest_lessee (leases, machine, 1, hzb_clock_now (controller->clock));
   if (!best)
     return NULL;
   lease_to (leases, best, machine);
@@ -306,16 +306,16 @@
 }
 
 static cJSON *
-pack_machine (const HzbMachine *m)
+pack_machine (const HzbMachine *machine)
 {
   cJSON *body = cJSON_CreateObject ();
-  cJSON_AddStringToObject (body, "machine", m->name);
-  cJSON_AddStringToObject (body, "addr", m->addr ? m->addr : "");
-  cJSON_AddStringToObject (body, "type", m->type_name);
-  cJSON_AddStringToObject (body, "zone", m->zone);
-  cJSON_AddBoolToObject (body, "spot", m->spot);
-  hzb_json_add_u64 (body, "session", m->session);
-  hzb_json_add_u64 (body, "seq", m->seq);
+  cJSON_AddStringToObject (body, "machine", machine->name);
+  cJSON_AddStringToObject (body, "addr", machine->addr ? machine->addr : "");
+  cJSON_AddStringToObject (body, "type", machine->type_name);
+  cJSON_AddStringToObject (body, "zone", machine->zone);
+  cJSON_AddBoolToObject (body, "spot", machine->spot);
+  hzb_json_add_u64 (body, "session", machine->session);
+  hzb_json_add_u64 (body, "seq", machine->seq);
   return body;
 }
 
@@ -325,15 +325,15 @@
 const char *
 hzb_leases_hand_over (HzbLeases *leases, HzbMachine *machine)
 {
-  HzbController *c = leases->c;
-  struct timespec now = hzb_clock_now (c->clock);
+  HzbController *controller = leases->controller;
+  struct timespec now = hzb_clock_now (controller->clock);
   Lessee *best;
   cJSON *body, *holds;
 
   /* Nothing waits for the takeover to be over: this machine has just shown all that is on it. */
-  if (c->dispatch->lag_s < LATE_S || hzb_time_before (now, leases->next_hand_over)
+  if (controller->dispatch->lag_s < LATE_S || hzb_time_before (now, leases->next_hand_over)
       || machine->state != HZB_MACHINE_ACTIVE || !machine->verified || !machine->recorded || machine->ignored_answers
-      || !may_lease (c, machine) || !hzb_election_lease_valid (c->election))
+      || !may_lease (controller, machine) || !hzb_election_lease_valid (controller->election))
     return NULL;
   for (guint i = 0; i < machine->tasks->len; i++)
     {
@@ -347,8 +347,9 @@
   /* A higher token for the block would have all its machines wait for their next reports. */
   if (!best || (best->token && machine->token >= best->token))
     return NULL;
-  leases->next_hand_over = hzb_time_plus (now, MIN (HAND_OVER_EVERY_S, HAND_OVER_ALL_S / c->machines->all->len));
-  hzb_machine_empty_lists (c->jobs, machine);
+  leases->next_hand_over =
+      hzb_time_plus (now, MIN (HAND_OVER_EVERY_S, HAND_OVER_ALL_S / controller->machines->all->len));
+  hzb_machine_empty_lists (controller->jobs, machine);
   body = pack_machine (machine);
   holds = cJSON_AddArrayToObject (body, "holds");
   while (machine->tasks->len)
@@ -357,7 +358,7 @@
       guint before = machine->tasks->len;
       cJSON_AddItemToArray (holds, hzb_task_pack (task));
       task->lessee = best->id;
-      hzb_task_set_state (c->jobs, task, HZB_TASK_DELEGATED, NULL);
+      hzb_task_set_state (controller->jobs, task, HZB_TASK_DELEGATED, NULL);
       g_return_val_if_fail (machine->tasks->len < before, NULL);
     }
   lease_to (leases, best, machine);
@@ -370,15 +371,15 @@
 static void
 send_leased (HzbLeases *leases)
 {
-  HzbController *c = leases->c;
-  for (guint i = 0; i < c->machines->all->len; i++)
+  HzbController *controller = leases->controller;
+  for (guint i = 0; i < controller->machines->all->len; i++)
     {
-      HzbMachine *m = c->machines->all->pdata[i];
-      Lessee *lessee = m->state == HZB_MACHINE_LEASED ? lessee_of (leases, m->lessee) : NULL;
-      if (!lessee || m->lease_sent || !m->recorded)
+      HzbMachine *machine = controller->machines->all->pdata[i];
+      Lessee *lessee = machine->state == HZB_MACHINE_LEASED ? lessee_of (leases, machine->lessee) : NULL;
+      if (!lessee || machine->lease_sent || !machine->recorded)
         continue;
-      m->lease_sent = TRUE;
-      hzb_outbox_push (&lessee->out, pack_machine (m));
+      machine->lease_sent = TRUE;
+      hzb_outbox_push (&lessee->out, pack_machine (machine));
     }
 }
 
@@ -437,13 +438,13 @@
 
 /* Some machine of the block may hold such a task. */
 static gboolean
-block_accepts (HzbController *c, const Lessee *lessee, const HzbSpec *spec)
+block_accepts (HzbController *controller, const Lessee *lessee, const HzbSpec *spec)
 {
-  for (guint i = 0; i < c->machines->all->len; i++)
+  for (guint i = 0; i < controller->machines->all->len; i++)
     {
-      const HzbMachine *m = c->machines->all->pdata[i];
-      if (m->state == HZB_MACHINE_LEASED && m->lessee == lessee->id && !m->recall_requested
-          && hzb_machine_allowed (m, spec))
+      const HzbMachine *machine = controller->machines->all->pdata[i];
+      if (machine->state == HZB_MACHINE_LEASED && machine->lessee == lessee->id && !machine->recall_requested
+          && hzb_machine_allowed (machine, spec))
         return TRUE;
     }
   return FALSE;
@@ -451,14 +452,14 @@
 
 /* What waits for a list first, then what is in one; *at: how far those in lists have been looked for. */
 static HzbTask *
-next_to_delegate (HzbController *c, HzbJob *job, guint *at, struct timespec now)
+next_to_delegate (HzbController *controller, HzbJob *job, guint *at, struct timespec now)
 {
   HzbTask *task = job->pending ? hzb_job_next_pending (job, now) : NULL;
   for (; !task && job->listed && *at < job->n_tasks; (*at)++)
     if (job->tasks[*at].state == HZB_TASK_LISTED && !hzb_time_before (now, job->tasks[*at].not_before))
       {
         task = &job->tasks[*at];
-        hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
+        hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
         g_queue_pop_tail (&job->retry); /* where it was just put */
       }
   return task;
@@ -468,16 +469,16 @@
 static void
 delegate_tasks (HzbLeases *leases, Lessee *lessee, double room, struct timespec now)
 {
-  HzbController *c = leases->c;
+  HzbController *controller = leases->controller;
   g_autoptr (GPtrArray) order = g_ptr_array_new ();
   cJSON *groups = NULL;
   guint n = 0;
 
-  if (room <= 0 || !hzb_election_lease_valid (c->election))
+  if (room <= 0 || !hzb_election_lease_valid (controller->election))
     return;
-  for (guint i = 0; i < c->jobs->active->len; i++)
+  for (guint i = 0; i < controller->jobs->active->len; i++)
     {
-      HzbJob *job = c->jobs->active->pdata[i];
+      HzbJob *job = controller->jobs->active->pdata[i];
       if (is_delegable (job) && (job->pending || job->listed) && !job->failures
           && !hzb_time_before (now, job->not_before))
         g_ptr_array_add (order, job);
@@ -487,18 +488,20 @@
     {
       HzbJob *job = order->pdata[i];
       guint at = 0;
-      gboolean holds = block_accepts (c, lessee, job->spec) && !(job->start_overdue && (job->listed || job->placed));
+      gboolean holds =
+          block_accepts (controller, lessee, job->spec) && !(job->start_overdue && (job->listed || job->placed));
       if (holds && job->cursor >= job->released)
         job->release_requested = TRUE;
-      while (holds && n < MOST_PER_ANSWER && job->spec->cpus <= room && hzb_dispatch_team_may_use (c->dispatch, job))
+      while (holds && n < MOST_PER_ANSWER && job->spec->cpus <= room
+             && hzb_dispatch_team_may_use (controller->dispatch, job))
         {
-          HzbTask *task = next_to_delegate (c, job, &at, now);
+          HzbTask *task = next_to_delegate (controller, job, &at, now);
           if (!task)
             break;
-          if (!hzb_task_set_state (c->jobs, task, HZB_TASK_DELEGATED, NULL))
+          if (!hzb_task_set_state (controller->jobs, task, HZB_TASK_DELEGATED, NULL))
             continue;
           task->lessee = lessee->id;
-          hzb_dispatch_note_started (c->dispatch, job);
+          hzb_dispatch_note_started (controller->dispatch, job);
           room -= MAX (job->spec->cpus, 0.01);
           n++;
           if (job->start_overdue)
@@ -521,7 +524,7 @@
 {
   Lessee *lessee = user;
   HzbLeases *leases = lessee->leases;
-  HzbController *c = leases->c;
+  HzbController *controller = leases->controller;
   if (task->state == HZB_TASK_DONE)
     {
       task->lessee = lessee->id; /* said again after a takeover: it may be reaped */
@@ -531,13 +534,13 @@
     task->lessee = lessee->id; /* of a machine that was handed over with its result */
   if (task->state != HZB_TASK_DELEGATED || task->lessee != lessee->id)
     return;
-  hzb_jobs_record_run_time (c->jobs, task->job, lessee->ran_s);
-  hzb_task_set_state (c->jobs, task, HZB_TASK_FINISHED, NULL);
+  hzb_jobs_record_run_time (controller->jobs, task->job, lessee->ran_s);
+  hzb_task_set_state (controller->jobs, task, HZB_TASK_FINISHED, NULL);
   task->job->dirty = TRUE;
   if (task->job->finished + task->job->done == task->job->n_tasks)
-    hzb_controller_record_completion (c, task->job);
+    hzb_controller_record_completion (controller, task->job);
   else
-    hzb_records_flush_soon (c->records);
+    hzb_records_flush_soon (controller->records);
 }
 
 static void
@@ -546,7 +549,7 @@
   Lessee *lessee = user;
   if (task->state == HZB_TASK_DELEGATED && task->lessee == lessee->id)
     {
-      hzb_task_set_state (lessee->leases->c->jobs, task, HZB_TASK_PENDING, NULL);
+      hzb_task_set_state (lessee->leases->controller->jobs, task, HZB_TASK_PENDING, NULL);
       task->lessee = 0;
     }
 }
@@ -554,48 +557,52 @@
 /* A machine that comes back with tasks: they are on it or nowhere, so nothing but its next report, or its end, is
  * waited for. */
 static void
-accept_returned_machine (HzbLeases *leases, Lessee *lessee, HzbMachine *m, const cJSON *event)
+accept_returned_machine (HzbLeases *leases, Lessee *lessee, HzbMachine *machine, const cJSON *event)
 {
-  HzbController *c = leases->c;
+  HzbController *controller = leases->controller;
   const cJSON *item;
 
-  hzb_machine_unverify (c->machines, m, hzb_leases_next_token (leases), hzb_json_text (event, "why"));
-  m->unknown_tasks_of = HZB_UNKNOWN_TASKS_OF_NOBODY;
-  m->idle_since = hzb_clock_now (c->clock);
+  hzb_machine_unverify (controller->machines, machine, hzb_leases_next_token (leases), hzb_json_text (event, "why"));
+  machine->unknown_tasks_of = HZB_UNKNOWN_TASKS_OF_NOBODY;
+  machine->idle_since = hzb_clock_now (controller->clock);
   if (cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (event, "sick")))
-    m->to_be_returned = TRUE;
+    machine->to_be_returned = TRUE;
   /* The lessee's reports were newer than any copy of one that may still come here. */
-  if (hzb_json_u64 (event, "session") >= m->session)
+  if (hzb_json_u64 (event, "session") >= machine->session)
     {
-      m->seq = hzb_json_u64 (event, "session") > m->session ? hzb_json_u64 (event, "seq")
-                                                            : MAX (m->seq, hzb_json_u64 (event, "seq"));
-      m->session = hzb_json_u64 (event, "session");
+      machine->seq = hzb_json_u64 (event, "session") > machine->session
+                         ? hzb_json_u64 (event, "seq")
+                         : MAX (machine->seq, hzb_json_u64 (event, "seq"));
+      machine->session = hzb_json_u64 (event, "session");
     }
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (event, "lost"))
   {
-    HzbTask *task = hzb_tasks_find (c->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
+    HzbTask *task =
+        hzb_tasks_find (controller->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
     if (!task || task->state != HZB_TASK_DELEGATED || task->lessee != lessee->id)
       continue;
     task->attempt = hzb_json_u64 (item, "attempt");
     task->lessee = 0;
-    hzb_task_set_state (c->jobs, task, HZB_TASK_STARTING, m);
+    hzb_task_set_state (controller->jobs, task, HZB_TASK_STARTING, machine);
   }
 }
 
 static void
 handle_event (HzbLeases *leases, Lessee *lessee, const cJSON *event)
 {
-  HzbController *c = leases->c;
+  HzbController *controller = leases->controller;
   const char *name = hzb_json_text (event, "machine");
 
   lessee->ran_s = hzb_json_number (event, "ranS", 0);
-  hzb_tasks_each (leases->c->jobs, cJSON_GetObjectItemCaseSensitive (event, "finished"), task_finished, lessee);
-  hzb_tasks_each (leases->c->jobs, cJSON_GetObjectItemCaseSensitive (event, "returned"), task_returned, lessee);
+  hzb_tasks_each (leases->controller->jobs, cJSON_GetObjectItemCaseSensitive (event, "finished"), task_finished,
+                  lessee);
+  hzb_tasks_each (leases->controller->jobs, cJSON_GetObjectItemCaseSensitive (event, "returned"), task_returned,
+                  lessee);
   if (name)
     {
-      HzbMachine *m = hzb_machines_find (c->machines, name);
-      if (m && m->state == HZB_MACHINE_LEASED && m->lessee == lessee->id)
-        accept_returned_machine (leases, lessee, m, event);
+      HzbMachine *machine = hzb_machines_find (controller->machines, name);
+      if (machine && machine->state == HZB_MACHINE_LEASED && machine->lessee == lessee->id)
+        accept_returned_machine (leases, lessee, machine, event);
     }
 }
 
@@ -603,19 +610,20 @@
 static void
 recall_machines (HzbLeases *leases, Lessee *lessee, gboolean all)
 {
-  HzbController *c = leases->c;
-  for (guint i = 0; i < c->machines->all->len; i++)
+  HzbController *controller = leases->controller;
+  for (guint i = 0; i < controller->machines->all->len; i++)
     {
-      HzbMachine *m = c->machines->all->pdata[i];
-      gboolean back = all || m->spare || m->to_be_returned || m->reserved;
+      HzbMachine *machine = controller->machines->all->pdata[i];
+      gboolean back = all || machine->spare || machine->to_be_returned || machine->reserved;
       cJSON *body;
-      if (m->state != HZB_MACHINE_LEASED || m->lessee != lessee->id || m->recall_requested == back || !m->lease_sent)
+      if (machine->state != HZB_MACHINE_LEASED || machine->lessee != lessee->id || machine->recall_requested == back
+          || !machine->lease_sent)
         continue;
-      m->recall_requested = back;
+      machine->recall_requested = back;
       body = cJSON_CreateObject ();
-      cJSON_AddStringToObject (body, back ? "back" : "keep", m->name);
+      cJSON_AddStringToObject (body, back ? "back" : "keep", machine->name);
       /* Replicas wait for its room: what runs there comes along, and can give way here. */
-      if (back && m->reserved)
+      if (back && machine->reserved)
         cJSON_AddTrueToObject (body, "now");
       hzb_outbox_push (&lessee->out, body);
     }
@@ -624,20 +632,21 @@
 void
 hzb_leases_request (HzbLeases *leases, HzbExchange *exchange, const cJSON *root)
 {
-  HzbController *c = leases->c;
+  HzbController *controller = leases->controller;
   const char *node = hzb_json_text (root, "node"), *incarnation = hzb_json_text (root, "incarnation");
-  struct timespec now = hzb_clock_now (c->clock);
+  struct timespec now = hzb_clock_now (controller->clock);
   Lessee *lessee = NULL;
   const cJSON *event;
   cJSON *reply;
   guint64 token = hzb_json_u64 (root, "token");
 
-  if (hzb_election_leading (c->election))
+  if (hzb_election_leading (controller->election))
     send_leased (leases);
   for (guint i = 0; node && i < leases->lessees->len; i++)
     if (g_str_equal (g_array_index (leases->lessees, Lessee, i).peer->node, node))
       lessee = &g_array_index (leases->lessees, Lessee, i);
-  if (!lessee || !incarnation || !hzb_election_leading (c->election) || c->ownership < HZB_OWNERSHIP_RECOVERING)
+  if (!lessee || !incarnation || !hzb_election_leading (controller->election)
+      || controller->ownership < HZB_OWNERSHIP_RECOVERING)
     {
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("no blocks to lease here"), 0);
       return;
@@ -658,12 +667,12 @@
   else if (!token && lessee->holds)
     reclaim_block (leases, lessee, "it has let go");
   reply = cJSON_CreateObject ();
-  hzb_json_add_u64 (reply, "term", hzb_election_term (c->election));
+  hzb_json_add_u64 (reply, "term", hzb_election_term (controller->election));
   if (cJSON_HasObjectItem (root, "cancelled"))
-    cJSON_AddItemToObject (
-        reply, "heard",
-        hzb_cancellations_handle_request (c->cancellations, cJSON_GetObjectItemCaseSensitive (root, "cancelled")));
-  if (token && (!lessee->token || hzb_token_leader (token) != hzb_election_term (c->election)))
+    cJSON_AddItemToObject (reply, "heard",
+                           hzb_cancellations_handle_request (controller->cancellations,
+                                                             cJSON_GetObjectItemCaseSensitive (root, "cancelled")));
+  if (token && (!lessee->token || hzb_token_leader (token) != hzb_election_term (controller->election)))
     cJSON_AddTrueToObject (reply, "end"); /* what it holds was taken back */
   else
     {
@@ -679,7 +688,7 @@
           }
           set_running (leases, lessee, cJSON_GetObjectItemCaseSensitive (root, "running"),
                        cJSON_GetObjectItemCaseSensitive (root, "leaving"));
-          recall_machines (leases, lessee, gang_waits (c) || !c->lease_blocks);
+          recall_machines (leases, lessee, gang_waits (controller) || !controller->lease_blocks);
           /* Only once it has all that was sent before, or its room would be filled twice. */
           if (!lessee->out.waiting.length)
             delegate_tasks (leases, lessee, hzb_json_number (root, "room", 0), now);
@@ -699,7 +708,7 @@
 cJSON *
 hzb_leases_pack (HzbLeases *leases)
 {
-  HzbController *c = leases->c;
+  HzbController *controller = leases->controller;
   cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "blocks");
 
   for (guint i = 0; i <= leases->lessees->len; i++)
@@ -708,24 +717,25 @@
       cJSON *block = cJSON_CreateObject ();
       guint n = 0, delegated = 0;
       double cpus = 0;
-      for (guint k = 0; k < c->machines->all->len; k++)
+      for (guint k = 0; k < controller->machines->all->len; k++)
         {
-          const HzbMachine *m = c->machines->all->pdata[k];
-          if (m->type
-              && (lessee ? m->state == HZB_MACHINE_LEASED && m->lessee == lessee->id : m->state == HZB_MACHINE_ACTIVE))
+          const HzbMachine *machine = controller->machines->all->pdata[k];
+          if (machine->type
+              && (lessee ? machine->state == HZB_MACHINE_LEASED && machine->lessee == lessee->id
+                         : machine->state == HZB_MACHINE_ACTIVE))
             {
               n++;
-              cpus += m->type->cpus;
+              cpus += machine->type->cpus;
             }
         }
-      for (guint k = 0; lessee && k < c->jobs->active->len; k++)
+      for (guint k = 0; lessee && k < controller->jobs->active->len; k++)
         {
-          const HzbJob *job = c->jobs->active->pdata[k];
+          const HzbJob *job = controller->jobs->active->pdata[k];
           for (guint t = 0; job->placed && t < job->n_tasks; t++)
             delegated += job->tasks[t].state == HZB_TASK_DELEGATED && job->tasks[t].lessee == lessee->id;
         }
-      cJSON_AddStringToObject (block, "holder", lessee ? lessee->peer->node : c->settings->node);
-      hzb_json_add_u64 (block, "token", lessee ? lessee->token : c->block->token);
+      cJSON_AddStringToObject (block, "holder", lessee ? lessee->peer->node : controller->settings->node);
+      hzb_json_add_u64 (block, "token", lessee ? lessee->token : controller->block->token);
       cJSON_AddNumberToObject (block, "machines", n);
       cJSON_AddNumberToObject (block, "cpus", cpus);
       if (lessee)
@@ -738,9 +748,9 @@
 void
 hzb_leases_tick (HzbLeases *leases, struct timespec now)
 {
-  HzbController *c = leases->c;
+  HzbController *controller = leases->controller;
 
-  for (guint i = 0; i < leases->lessees->len && c->ownership >= HZB_OWNERSHIP_RECOVERING; i++)
+  for (guint i = 0; i < leases->lessees->len && controller->ownership >= HZB_OWNERSHIP_RECOVERING; i++)
     {
       Lessee *lessee = &g_array_index (leases->lessees, Lessee, i);
       if (lessee->token && hzb_time_between (lessee->requests, now) > MISSED_S)
--- a/src/cancellations.c
+++ b/src/cancellations.c
@@ -27,7 +27,7 @@
 
 struct _HzbCancellations
 {
-  HzbController *c;
+  HzbController *controller;
   GQueue requests; /* Asked */
   gboolean reading;
   struct timespec next_read;
@@ -41,59 +41,59 @@
 }
 
 HzbCancellations *
-hzb_cancellations_new (HzbController *c)
+hzb_cancellations_new (HzbController *controller)
 {
-  HzbCancellations *s = g_new0 (HzbCancellations, 1);
-  s->c = c;
-  return s;
+  HzbCancellations *cancellations = g_new0 (HzbCancellations, 1);
+  cancellations->controller = controller;
+  return cancellations;
 }
 
 void
-hzb_cancellations_free (HzbCancellations *s)
+hzb_cancellations_free (HzbCancellations *cancellations)
 {
-  g_queue_clear_full (&s->requests, pending_request_free);
-  g_free (s);
+  g_queue_clear_full (&cancellations->requests, pending_request_free);
+  g_free (cancellations);
 }
 
 /* This node's mirror has all that was before the job's record, the elections too. */
 static gboolean
-mirror_has (HzbController *c, const HzbJob *job)
+mirror_has (HzbController *controller, const HzbJob *job)
 {
-  return job->version && c->revision >= job->version;
+  return job->version && controller->revision >= job->version;
 }
 
 /* The owner's own view: nothing of the job can be where this cancellation is not known. */
 static gboolean
-acknowledged_by_all (HzbController *c, HzbJob *job)
+acknowledged_by_all (HzbController *controller, HzbJob *job)
 {
-  if (c->ownership < HZB_OWNERSHIP_RECOVERING || job->state != HZB_JOB_CANCELLED)
+  if (controller->ownership < HZB_OWNERSHIP_RECOVERING || job->state != HZB_JOB_CANCELLED)
     return FALSE;
   if (!job->tasks)
     return TRUE; /* nothing of it was ever released, or all of it is gone */
-  hzb_leases_announce_cancellation (c->leases, job);
-  return !job->unknown && hzb_leases_all_acknowledged (c->leases, job);
+  hzb_leases_announce_cancellation (controller->leases, job);
+  return !job->unknown && hzb_leases_all_acknowledged (controller->leases, job);
 }
 
 gboolean
-hzb_cancellations_acknowledged (HzbCancellations *s, HzbJob *job)
+hzb_cancellations_acknowledged (HzbCancellations *cancellations, HzbJob *job)
 {
-  HzbController *c = s->c;
-  if (!job->cancel_acknowledged && hzb_election_leading (c->election) && mirror_has (c, job)
-      && acknowledged_by_all (c, job))
+  HzbController *controller = cancellations->controller;
+  if (!job->cancel_acknowledged && hzb_election_leading (controller->election) && mirror_has (controller, job)
+      && acknowledged_by_all (controller, job))
     job->cancel_acknowledged = TRUE;
   return job->cancel_acknowledged;
 }
 
 gboolean
-hzb_cancellations_request (HzbCancellations *s, HzbJob *job)
+hzb_cancellations_request (HzbCancellations *cancellations, HzbJob *job)
 {
-  HzbController *c = s->c;
-  struct timespec now = hzb_clock_now (c->clock);
+  HzbController *controller = cancellations->controller;
+  struct timespec now = hzb_clock_now (controller->clock);
   PendingRequest *requests = NULL;
 
-  if (hzb_election_leading (c->election))
-    return c->ownership >= HZB_OWNERSHIP_RECOVERING;
-  for (GList *l = s->requests.head; l && !requests; l = l->next)
+  if (hzb_election_leading (controller->election))
+    return controller->ownership >= HZB_OWNERSHIP_RECOVERING;
+  for (GList *l = cancellations->requests.head; l && !requests; l = l->next)
     if (g_str_equal (((PendingRequest *) l->data)->uid, job->uid))
       requests = l->data;
   if (!requests)
@@ -101,32 +101,33 @@
       requests = g_new0 (PendingRequest, 1);
       requests->uid = g_strdup (job->uid);
       requests->known = now;
-      g_queue_push_tail (&s->requests, requests);
+      g_queue_push_tail (&cancellations->requests, requests);
     }
   requests->until = hzb_time_plus (now, 10); /* its user comes back */
-  hzb_lessee_poll_soon (c->lessee);
-  return hzb_election_leader (c->election) && !hzb_peers_unreachable (c->peers, hzb_election_leader (c->election));
+  hzb_lessee_poll_soon (controller->lessee);
+  return hzb_election_leader (controller->election)
+         && !hzb_peers_unreachable (controller->peers, hzb_election_leader (controller->election));
 }
 
 cJSON *
-hzb_cancellations_pack_request (HzbCancellations *s)
+hzb_cancellations_pack_request (HzbCancellations *cancellations)
 {
-  HzbController *c = s->c;
-  struct timespec now = hzb_clock_now (c->clock);
+  HzbController *controller = cancellations->controller;
+  struct timespec now = hzb_clock_now (controller->clock);
   cJSON *question = NULL;
   guint n = 0;
 
-  for (GList *l = s->requests.head; l;)
+  for (GList *l = cancellations->requests.head; l;)
     {
       GList *next = l->next;
       PendingRequest *requests = l->data;
-      HzbJob *job = hzb_jobs_find (c->jobs, requests->uid);
+      HzbJob *job = hzb_jobs_find (controller->jobs, requests->uid);
       if (!job || job->cancel_acknowledged || hzb_time_before (requests->until, now))
         {
           pending_request_free (requests);
-          g_queue_delete_link (&s->requests, l);
+          g_queue_delete_link (&cancellations->requests, l);
         }
-      else if (n < MAX_REQUESTS_PER_MESSAGE && mirror_has (c, job))
+      else if (n < MAX_REQUESTS_PER_MESSAGE && mirror_has (controller, job))
         {
           cJSON *of = cJSON_CreateObject ();
           hzb_json_add_u64 (of, "version", job->version);
@@ -142,9 +143,9 @@
 }
 
 cJSON *
-hzb_cancellations_handle_request (HzbCancellations *s, const cJSON *question)
+hzb_cancellations_handle_request (HzbCancellations *cancellations, const cJSON *question)
 {
-  HzbController *c = s->c;
+  HzbController *controller = cancellations->controller;
   cJSON *last_report = cJSON_CreateArray ();
   const cJSON *of;
 
@@ -155,53 +156,53 @@
     if (!version || !hzb_wire_uid_ok (of->string))
       continue;
     /* Perhaps before this node's own mirror shows it, which may be refused, or behind. */
-    job = hzb_jobs_find (c->jobs, of->string);
+    job = hzb_jobs_find (controller->jobs, of->string);
     if (!job || !job->version)
       {
         cJSON *record = hzb_jobs_pack_final (HZB_JOB_CANCELLED, (guint) hzb_json_number (of, "n", 0));
-        job = hzb_jobs_apply (c->jobs, of->string, record, version);
+        job = hzb_jobs_apply (controller->jobs, of->string, record, version);
         cJSON_Delete (record);
       }
-    if (job && acknowledged_by_all (c, job))
+    if (job && acknowledged_by_all (controller, job))
       cJSON_AddItemToArray (last_report, cJSON_CreateString (job->uid));
   }
   return last_report;
 }
 
 static void
-set_acknowledged (HzbController *c, const char *uid)
+set_acknowledged (HzbController *controller, const char *uid)
 {
-  HzbJob *job = uid ? hzb_jobs_find (c->jobs, uid) : NULL;
-  if (job && job->state == HZB_JOB_CANCELLED && mirror_has (c, job))
+  HzbJob *job = uid ? hzb_jobs_find (controller->jobs, uid) : NULL;
+  if (job && job->state == HZB_JOB_CANCELLED && mirror_has (controller, job))
     job->cancel_acknowledged = TRUE;
 }
 
 void
-hzb_cancellations_handle_response (HzbCancellations *s, guint64 term, const cJSON *last_report)
+hzb_cancellations_handle_response (HzbCancellations *cancellations, guint64 term, const cJSON *last_report)
 {
-  HzbController *c = s->c;
+  HzbController *controller = cancellations->controller;
   const cJSON *uid;
-  if (hzb_election_leading (c->election) || term < hzb_election_leader_term (c->election))
+  if (hzb_election_leading (controller->election) || term < hzb_election_leader_term (controller->election))
     return; /* there is a later owner */
-  cJSON_ArrayForEach (uid, last_report) if (cJSON_IsString (uid)) set_acknowledged (c, uid->valuestring);
+  cJSON_ArrayForEach (uid, last_report) if (cJSON_IsString (uid)) set_acknowledged (controller, uid->valuestring);
 }
 
 guint64
-hzb_cancellations_acknowledged_revision (HzbCancellations *s)
+hzb_cancellations_acknowledged_revision (HzbCancellations *cancellations)
 {
-  HzbController *c = s->c;
-  guint64 clear = c->revision;
+  HzbController *controller = cancellations->controller;
+  guint64 clear = controller->revision;
 
-  if (c->ownership < HZB_OWNERSHIP_RECOVERING)
+  if (controller->ownership < HZB_OWNERSHIP_RECOVERING)
     return 0;
-  for (guint i = 0; i < c->jobs->active->len; i++)
+  for (guint i = 0; i < controller->jobs->active->len; i++)
     {
-      HzbJob *job = c->jobs->active->pdata[i];
+      HzbJob *job = controller->jobs->active->pdata[i];
       if (job->state != HZB_JOB_CANCELLED)
         continue;
       if (!job->version)
         return 0;
-      if (!acknowledged_by_all (c, job))
+      if (!acknowledged_by_all (controller, job))
         clear = MIN (clear, job->version - 1);
     }
   return clear;
@@ -210,20 +211,20 @@
 static void
 on_flush_record_read (HzbStoreResult result, const char *body, gpointer user)
 {
-  HzbCancellations *s = user;
-  HzbController *c = s->c;
+  HzbCancellations *cancellations = user;
+  HzbController *controller = cancellations->controller;
   HzbItem item = { 0 };
 
-  s->reading = FALSE;
+  cancellations->reading = FALSE;
   if (result != HZB_STORE_OK || !hzb_wire_parse_item (body, &item))
     return;
-  if (!hzb_election_leading (c->election) && hzb_json_u64 (item.value, "term")
-      && hzb_json_u64 (item.value, "term") >= hzb_election_leader_term (c->election))
-    for (GList *l = s->requests.head; l; l = l->next)
+  if (!hzb_election_leading (controller->election) && hzb_json_u64 (item.value, "term")
+      && hzb_json_u64 (item.value, "term") >= hzb_election_leader_term (controller->election))
+    for (GList *l = cancellations->requests.head; l; l = l->next)
       {
-        HzbJob *job = hzb_jobs_find (c->jobs, ((PendingRequest *) l->data)->uid);
+        HzbJob *job = hzb_jobs_find (controller->jobs, ((PendingRequest *) l->data)->uid);
         if (job && job->version <= hzb_json_u64 (item.value, "clear"))
-          set_acknowledged (c, job->uid);
+          set_acknowledged (controller, job->uid);
       }
   hzb_item_clear (&item);
 }
@@ -231,36 +232,38 @@
 /* A leader of version 1 acknowledges nothing. That it was served by the state service well after the record came here
  * shows that one of its watches has been renewed since, and so has brought it. */
 static void
-check_old_leader (HzbCancellations *s)
+check_old_leader (HzbCancellations *cancellations)
 {
-  HzbController *c = s->c;
-  const char *leader = hzb_election_leader (c->election);
+  HzbController *controller = cancellations->controller;
+  const char *leader = hzb_election_leader (controller->election);
   struct timespec served;
 
-  if (!leader || hzb_peers_unreachable (c->peers, leader) || hzb_peers_format (c->peers, leader) > 1
-      || !hzb_peers_last_store_contact (c->peers, leader, &served))
+  if (!leader || hzb_peers_unreachable (controller->peers, leader) || hzb_peers_format (controller->peers, leader) > 1
+      || !hzb_peers_last_store_contact (controller->peers, leader, &served))
     return;
-  for (GList *l = s->requests.head; l; l = l->next)
+  for (GList *l = cancellations->requests.head; l; l = l->next)
     {
       const PendingRequest *requests = l->data;
       if (hzb_time_between (requests->known, served) > OLD_LEADER_S)
-        set_acknowledged (c, requests->uid);
+        set_acknowledged (controller, requests->uid);
     }
 }
 
 void
-hzb_cancellations_tick (HzbCancellations *s, struct timespec now)
+hzb_cancellations_tick (HzbCancellations *cancellations, struct timespec now)
 {
-  HzbController *c = s->c;
+  HzbController *controller = cancellations->controller;
   const char *leader;
 
-  if (!s->requests.length || hzb_election_leading (c->election) || hzb_time_before (now, s->next_read))
+  if (!cancellations->requests.length || hzb_election_leading (controller->election)
+      || hzb_time_before (now, cancellations->next_read))
     return;
-  s->next_read = hzb_time_plus (now, READ_EVERY_S);
-  check_old_leader (s);
-  leader = hzb_election_leader (c->election);
-  if (s->reading || !leader || !hzb_peers_unreachable (c->peers, leader) || hzb_controller_store_silent (c))
+  cancellations->next_read = hzb_time_plus (now, READ_EVERY_S);
+  check_old_leader (cancellations);
+  leader = hzb_election_leader (controller->election);
+  if (cancellations->reading || !leader || !hzb_peers_unreachable (controller->peers, leader)
+      || hzb_controller_store_silent (controller))
     return;
-  s->reading = TRUE;
-  hzb_store_get (c->store, HZB_STORE_READ, HZB_KEY_FLUSH, on_flush_record_read, s);
+  cancellations->reading = TRUE;
+  hzb_store_get (controller->store, HZB_STORE_READ, HZB_KEY_FLUSH, on_flush_record_read, cancellations);
 }
--- a/src/controller.c
+++ b/src/controller.c
@@ -8,111 +8,111 @@
 
 /* ---- the mirror ---- */
 
-static void mirror_step (HzbController *c);
+static void mirror_step (HzbController *controller);
 
 void
-hzb_controller_apply_record (HzbController *c, const HzbItem *item)
+hzb_controller_apply_record (HzbController *controller, const HzbItem *item)
 {
   if (g_str_has_prefix (item->key, HZB_KEY_JOBS))
     {
       const char *uid = item->key + strlen (HZB_KEY_JOBS);
       if (item->value)
-        hzb_jobs_apply (c->jobs, uid, item->value, item->version);
+        hzb_jobs_apply (controller->jobs, uid, item->value, item->version);
       else
         {
-          hzb_dispatch_clear_indexes (c->dispatch);
-          hzb_jobs_forget (c->jobs, uid); /* its record has moved to where old ones are */
+          hzb_dispatch_clear_indexes (controller->dispatch);
+          hzb_jobs_forget (controller->jobs, uid); /* its record has moved to where old ones are */
         }
     }
   else if (g_str_has_prefix (item->key, HZB_KEY_ACCEPTED))
     {
-      hzb_jobs_apply_acceptance (c->jobs, item->key, item->value);
-      c->next_dispatch = (struct timespec){ 0 };
+      hzb_jobs_apply_acceptance (controller->jobs, item->key, item->value);
+      controller->next_dispatch = (struct timespec){ 0 };
     }
   else if (g_str_equal (item->key, HZB_KEY_SETTINGS))
-    hzb_admin_apply_settings (c, item->value, item->version);
+    hzb_admin_apply_settings (controller, item->value, item->version);
   else
-    hzb_election_apply_record (c->election, item);
+    hzb_election_apply_record (controller->election, item);
 }
 
 static void
 on_loaded (HzbStoreResult result, const char *body, gpointer user)
 {
-  HzbController *c = user;
+  HzbController *controller = user;
   gboolean more = FALSE;
   guint64 revision = 0;
   g_autoptr (GArray) items = result == HZB_STORE_OK ? hzb_wire_parse_range (body, &more, &revision) : NULL;
 
   if (!items)
     {
-      c->mirror = HZB_MIRROR_EMPTY;
-      c->mirror_next = hzb_time_plus (hzb_clock_now (c->clock), 0.4);
+      controller->mirror = HZB_MIRROR_EMPTY;
+      controller->mirror_next = hzb_time_plus (hzb_clock_now (controller->clock), 0.4);
       return;
     }
-  if (!c->mirror_load_cursor)
-    c->mirror_load_revision = revision;
+  if (!controller->mirror_load_cursor)
+    controller->mirror_load_revision = revision;
   for (guint i = 0; i < items->len; i++)
     {
       HzbItem *item = &g_array_index (items, HzbItem, i);
       if (g_str_equal (item->key, HZB_KEY_LEADER) || g_str_equal (item->key, HZB_KEY_LEADER_2))
-        c->mirror_load_saw_leader = c->mirror_load_saw_leader || hzb_json_u64 (item->value, "lease");
-      hzb_controller_apply_record (c, item);
-      g_free (c->mirror_load_cursor);
-      c->mirror_load_cursor = g_strdup (item->key);
+        controller->mirror_load_saw_leader = controller->mirror_load_saw_leader || hzb_json_u64 (item->value, "lease");
+      hzb_controller_apply_record (controller, item);
+      g_free (controller->mirror_load_cursor);
+      controller->mirror_load_cursor = g_strdup (item->key);
     }
   if (more && items->len)
     {
-      hzb_store_range (c->store, HZB_KEY_MIRROR, c->mirror_load_cursor, on_loaded, c);
+      hzb_store_range (controller->store, HZB_KEY_MIRROR, controller->mirror_load_cursor, on_loaded, controller);
       return;
     }
-  if (!c->mirror_load_saw_leader)
+  if (!controller->mirror_load_saw_leader)
     {
-      HzbItem none = { (char *) HZB_KEY_LEADER, NULL, c->mirror_load_revision };
-      hzb_election_apply_record (c->election, &none);
+      HzbItem none = { (char *) HZB_KEY_LEADER, NULL, controller->mirror_load_revision };
+      hzb_election_apply_record (controller->election, &none);
     }
-  hzb_dispatch_clear_indexes (c->dispatch);
-  hzb_jobs_load_end (c->jobs);
-  c->revision = c->mirror_load_revision;
-  c->mirror = HZB_MIRROR_FOLLOWING;
-  c->mirror_fresh = hzb_clock_now (c->clock);
-  g_message ("the mirror has been read, at revision %" G_GUINT64_FORMAT, c->revision);
-  mirror_step (c);
+  hzb_dispatch_clear_indexes (controller->dispatch);
+  hzb_jobs_load_end (controller->jobs);
+  controller->revision = controller->mirror_load_revision;
+  controller->mirror = HZB_MIRROR_FOLLOWING;
+  controller->mirror_fresh = hzb_clock_now (controller->clock);
+  g_message ("the mirror has been read, at revision %" G_GUINT64_FORMAT, controller->revision);
+  mirror_step (controller);
 }
 
 /* Too far behind: all is read anew. Who has missed so much can't tell which of the jobs that it holds are over. */
 void
-hzb_controller_reset_mirror (HzbController *c)
+hzb_controller_reset_mirror (HzbController *controller)
 {
-  c->mirror = HZB_MIRROR_EMPTY;
-  hzb_election_step_down (c->election, "the mirror is too far behind");
-  hzb_controller_end_leased (c, "the mirror is too far behind");
+  controller->mirror = HZB_MIRROR_EMPTY;
+  hzb_election_step_down (controller->election, "the mirror is too far behind");
+  hzb_controller_end_leased (controller, "the mirror is too far behind");
 }
 
 static void
 on_watched (HzbStoreResult result, const char *body, gpointer user)
 {
-  HzbController *c = user;
+  HzbController *controller = user;
   guint64 revision = 0;
   g_autoptr (GArray) items = result == HZB_STORE_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
 
-  c->watching = FALSE;
+  controller->watching = FALSE;
   if (result == HZB_STORE_ABSENT)
-    hzb_controller_reset_mirror (c);
+    hzb_controller_reset_mirror (controller);
   else if (!items)
-    c->mirror_next = hzb_time_plus (hzb_clock_now (c->clock), 0.3);
+    controller->mirror_next = hzb_time_plus (hzb_clock_now (controller->clock), 0.3);
   else
     {
       for (guint i = 0; i < items->len; i++)
-        hzb_controller_apply_record (c, &g_array_index (items, HzbItem, i));
-      c->revision = MAX (c->revision, revision);
-      c->mirror_fresh = hzb_clock_now (c->clock);
+        hzb_controller_apply_record (controller, &g_array_index (items, HzbItem, i));
+      controller->revision = MAX (controller->revision, revision);
+      controller->mirror_fresh = hzb_clock_now (controller->clock);
     }
-  mirror_step (c);
+  mirror_step (controller);
 }
 
 typedef struct
 {
-  HzbController *c;
+  HzbController *controller;
   HzbSyncFunc done;
   gpointer user;
 } Sync;
@@ -121,97 +121,97 @@
 on_synced (HzbStoreResult result, const char *body, gpointer user)
 {
   g_autofree Sync *sync = user;
-  HzbController *c = sync->c;
+  HzbController *controller = sync->controller;
   guint64 revision = 0;
   g_autoptr (GArray) items = result == HZB_STORE_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
 
   for (guint i = 0; items && i < items->len; i++)
-    hzb_controller_apply_record (c, &g_array_index (items, HzbItem, i));
+    hzb_controller_apply_record (controller, &g_array_index (items, HzbItem, i));
   if (items)
-    c->revision = MAX (c->revision, revision);
+    controller->revision = MAX (controller->revision, revision);
   sync->done (items != NULL, sync->user);
 }
 
 /* A watch that does not wait brings all that has changed up to now. */
 void
-hzb_controller_sync (HzbController *c, HzbSyncFunc done, gpointer user)
+hzb_controller_sync (HzbController *controller, HzbSyncFunc done, gpointer user)
 {
   Sync *sync;
-  if (c->mirror != HZB_MIRROR_FOLLOWING)
+  if (controller->mirror != HZB_MIRROR_FOLLOWING)
     {
       done (FALSE, user);
       return;
     }
   sync = g_new0 (Sync, 1);
-  sync->c = c;
+  sync->controller = controller;
   sync->done = done;
   sync->user = user;
-  hzb_store_news (c->store, HZB_KEY_MIRROR, c->revision, on_synced, sync);
+  hzb_store_news (controller->store, HZB_KEY_MIRROR, controller->revision, on_synced, sync);
 }
 
 static void
-mirror_step (HzbController *c)
+mirror_step (HzbController *controller)
 {
-  if (hzb_time_before (hzb_clock_now (c->clock), c->mirror_next))
+  if (hzb_time_before (hzb_clock_now (controller->clock), controller->mirror_next))
     return;
-  if (c->mirror == HZB_MIRROR_EMPTY)
+  if (controller->mirror == HZB_MIRROR_EMPTY)
     {
-      if (c->ownership != HZB_OWNERSHIP_NONE)
+      if (controller->ownership != HZB_OWNERSHIP_NONE)
         return; /* what is held is given up first: a job that is over must not be taken for open because of it */
-      c->mirror = HZB_MIRROR_LOADING;
-      c->mirror_load_saw_leader = FALSE;
-      hzb_jobs_load_begin (c->jobs);
-      g_clear_pointer (&c->mirror_load_cursor, g_free);
-      hzb_store_range (c->store, HZB_KEY_MIRROR, NULL, on_loaded, c);
+      controller->mirror = HZB_MIRROR_LOADING;
+      controller->mirror_load_saw_leader = FALSE;
+      hzb_jobs_load_begin (controller->jobs);
+      g_clear_pointer (&controller->mirror_load_cursor, g_free);
+      hzb_store_range (controller->store, HZB_KEY_MIRROR, NULL, on_loaded, controller);
     }
-  else if (c->mirror == HZB_MIRROR_FOLLOWING && !c->watching)
+  else if (controller->mirror == HZB_MIRROR_FOLLOWING && !controller->watching)
     {
-      c->watching = TRUE;
-      hzb_store_watch (c->store, HZB_KEY_MIRROR, c->revision, WATCH_MS, on_watched, c);
+      controller->watching = TRUE;
+      hzb_store_watch (controller->store, HZB_KEY_MIRROR, controller->revision, WATCH_MS, on_watched, controller);
     }
 }
 
 static gboolean
-mirror_is_fresh (HzbController *c)
+mirror_is_fresh (HzbController *controller)
 {
-  return c->mirror == HZB_MIRROR_FOLLOWING
-         && hzb_time_between (c->mirror_fresh, hzb_clock_now (c->clock)) < WATCH_MS / 1000.0 + 2;
+  return controller->mirror == HZB_MIRROR_FOLLOWING
+         && hzb_time_between (controller->mirror_fresh, hzb_clock_now (controller->clock)) < WATCH_MS / 1000.0 + 2;
 }
 
 /* It has not answered for longer than a watch takes: what has to be asked there is better refused at once. */
 gboolean
-hzb_controller_store_silent (HzbController *c)
+hzb_controller_store_silent (HzbController *controller)
 {
-  return hzb_store_silence (c->store) > WATCH_MS / 1000.0 + 1;
+  return hzb_store_silence (controller->store) > WATCH_MS / 1000.0 + 1;
 }
 
 gboolean
-hzb_controller_ready (HzbController *c)
+hzb_controller_ready (HzbController *controller)
 {
-  if (c->mirror == HZB_MIRROR_EMPTY && !c->revision)
+  if (controller->mirror == HZB_MIRROR_EMPTY && !controller->revision)
     return FALSE;
-  if (!c->machines->types || (c->mirror == HZB_MIRROR_LOADING && !c->revision))
+  if (!controller->machines->types || (controller->mirror == HZB_MIRROR_LOADING && !controller->revision))
     return FALSE;
   /* In an outage for all it makes no difference where users ask; alone, or cut off from the others as well, another
    * node serves them better. */
-  return !hzb_controller_store_silent (c)
-         || (hzb_peers_any_reachable (c->peers) && !hzb_peers_any_reaches_store (c->peers));
+  return !hzb_controller_store_silent (controller)
+         || (hzb_peers_any_reachable (controller->peers) && !hzb_peers_any_reaches_store (controller->peers));
 }
 
 /* ---- holding the block ---- */
 
 HzbEpochCall *
-hzb_epoch_call_new (HzbController *c, gpointer data)
+hzb_epoch_call_new (HzbController *controller, gpointer data)
 {
   HzbEpochCall *epoch_call = g_new0 (HzbEpochCall, 1);
-  epoch_call->c = c;
-  epoch_call->epoch = c->ownership_epoch;
+  epoch_call->controller = controller;
+  epoch_call->epoch = controller->ownership_epoch;
   epoch_call->data = data;
   return epoch_call;
 }
 
 static void
-set_ownership (HzbController *c, HzbOwnershipState to, const char *why)
+set_ownership (HzbController *controller, HzbOwnershipState to, const char *why)
 {
   static const char *const names[] = { "none", "lessee", "loading", "recovering", "ready" };
   static const guint legal[] = {
@@ -221,97 +221,98 @@
     [HZB_OWNERSHIP_RECOVERING] = 1 << HZB_OWNERSHIP_NONE | 1 << HZB_OWNERSHIP_READY,
     [HZB_OWNERSHIP_READY] = 1 << HZB_OWNERSHIP_NONE,
   };
-  if (!(legal[c->ownership] & 1u << to))
+  if (!(legal[controller->ownership] & 1u << to))
     {
-      g_critical ("ownership: illegal change %s -> %s", names[c->ownership], names[to]);
+      g_critical ("ownership: illegal change %s -> %s", names[controller->ownership], names[to]);
       return;
     }
-  g_message ("ownership: %s -> %s: %s", names[c->ownership], names[to], why);
-  c->ownership = to;
+  g_message ("ownership: %s -> %s: %s", names[controller->ownership], names[to], why);
+  controller->ownership = to;
 }
 
 static void
 on_owner_records_loaded (HzbStoreResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
-  HzbController *c = epoch_call->c;
+  HzbController *controller = epoch_call->controller;
   gboolean more = FALSE;
   guint64 revision = 0;
   g_autoptr (GArray) items = NULL;
 
-  if (epoch_call->epoch != c->ownership_epoch || c->ownership != HZB_OWNERSHIP_LOADING)
+  if (epoch_call->epoch != controller->ownership_epoch || controller->ownership != HZB_OWNERSHIP_LOADING)
     return;
   items = result == HZB_STORE_OK ? hzb_wire_parse_range (body, &more, &revision) : NULL;
   for (guint i = 0; items && i < items->len; i++)
     {
       HzbItem *item = &g_array_index (items, HzbItem, i);
-      hzb_records_load (c->records, item);
-      g_free (c->owner_load_cursor);
-      c->owner_load_cursor = g_strdup (item->key);
+      hzb_records_load (controller->records, item);
+      g_free (controller->owner_load_cursor);
+      controller->owner_load_cursor = g_strdup (item->key);
     }
   if (!items || (more && items->len))
     {
-      hzb_store_range (c->store, HZB_KEY_OWNER, c->owner_load_cursor, on_owner_records_loaded,
-                       hzb_epoch_call_new (c, NULL));
+      hzb_store_range (controller->store, HZB_KEY_OWNER, controller->owner_load_cursor, on_owner_records_loaded,
+                       hzb_epoch_call_new (controller, NULL));
       return;
     }
-  hzb_records_load_finished (c->records);
-  c->owner_since = hzb_clock_now (c->clock);
-  set_ownership (c, HZB_OWNERSHIP_RECOVERING, "the records have been read");
+  hzb_records_load_finished (controller->records);
+  controller->owner_since = hzb_clock_now (controller->clock);
+  set_ownership (controller, HZB_OWNERSHIP_RECOVERING, "the records have been read");
 }
 
 /* Between being elected and reading what jobs there are, the mirror must have caught up with the term's
  * own record: a job that the predecessor could have started is in it then. */
 static void
-begin_ownership (HzbController *c)
+begin_ownership (HzbController *controller)
 {
-  c->ownership_epoch++;
-  c->block = hzb_block_new (c->settings, hzb_token (hzb_election_term (c->election), 0));
-  hzb_leases_reset (c->leases);
-  hzb_records_reset (c->records);
-  hzb_provisioning_reset (c->provisioning);
-  g_clear_pointer (&c->owner_load_cursor, g_free);
-  hzb_machines_clear (c->machines);
-  hzb_jobs_begin_ownership (c->jobs, c->block);
-  set_ownership (c, HZB_OWNERSHIP_LOADING, "elected");
-  hzb_store_range (c->store, HZB_KEY_OWNER, NULL, on_owner_records_loaded, hzb_epoch_call_new (c, NULL));
+  controller->ownership_epoch++;
+  controller->block = hzb_block_new (controller->settings, hzb_token (hzb_election_term (controller->election), 0));
+  hzb_leases_reset (controller->leases);
+  hzb_records_reset (controller->records);
+  hzb_provisioning_reset (controller->provisioning);
+  g_clear_pointer (&controller->owner_load_cursor, g_free);
+  hzb_machines_clear (controller->machines);
+  hzb_jobs_begin_ownership (controller->jobs, controller->block);
+  set_ownership (controller, HZB_OWNERSHIP_LOADING, "elected");
+  hzb_store_range (controller->store, HZB_KEY_OWNER, NULL, on_owner_records_loaded,
+                   hzb_epoch_call_new (controller, NULL));
 }
 
 static void
-end_ownership (HzbController *c)
+end_ownership (HzbController *controller)
 {
-  c->ownership_epoch++;
-  set_ownership (c, HZB_OWNERSHIP_NONE, "not the leader any more");
-  hzb_records_reset (c->records);
-  hzb_jobs_end_ownership (c->jobs);
-  hzb_machines_clear (c->machines);
-  g_clear_pointer (&c->block, hzb_block_free);
+  controller->ownership_epoch++;
+  set_ownership (controller, HZB_OWNERSHIP_NONE, "not the leader any more");
+  hzb_records_reset (controller->records);
+  hzb_jobs_end_ownership (controller->jobs);
+  hzb_machines_clear (controller->machines);
+  g_clear_pointer (&controller->block, hzb_block_free);
 }
 
 void
-hzb_controller_begin_leased (HzbController *c, guint64 token)
+hzb_controller_begin_leased (HzbController *controller, guint64 token)
 {
-  c->ownership_epoch++;
-  c->block = hzb_block_new_leased (c->settings, token);
-  c->jobs->lessee = TRUE;
-  c->owner_since = hzb_clock_now (c->clock);
-  hzb_machines_clear (c->machines);
-  hzb_lessee_clear (c->lessee);
-  hzb_jobs_begin_ownership (c->jobs, c->block);
-  set_ownership (c, HZB_OWNERSHIP_LESSEE, "the leader leased us a block");
+  controller->ownership_epoch++;
+  controller->block = hzb_block_new_leased (controller->settings, token);
+  controller->jobs->lessee = TRUE;
+  controller->owner_since = hzb_clock_now (controller->clock);
+  hzb_machines_clear (controller->machines);
+  hzb_lessee_clear (controller->lessee);
+  hzb_jobs_begin_ownership (controller->jobs, controller->block);
+  set_ownership (controller, HZB_OWNERSHIP_LESSEE, "the leader leased us a block");
 }
 
 void
-hzb_controller_end_leased (HzbController *c, const char *why)
+hzb_controller_end_leased (HzbController *controller, const char *why)
 {
-  if (c->ownership != HZB_OWNERSHIP_LESSEE)
+  if (controller->ownership != HZB_OWNERSHIP_LESSEE)
     return;
-  c->ownership_epoch++;
-  set_ownership (c, HZB_OWNERSHIP_NONE, why);
-  hzb_jobs_end_ownership (c->jobs);
-  hzb_machines_clear (c->machines);
-  hzb_lessee_clear (c->lessee);
-  g_clear_pointer (&c->block, hzb_block_free);
+  controller->ownership_epoch++;
+  set_ownership (controller, HZB_OWNERSHIP_NONE, why);
+  hzb_jobs_end_ownership (controller->jobs);
+  hzb_machines_clear (controller->machines);
+  hzb_lessee_clear (controller->lessee);
+  g_clear_pointer (&controller->block, hzb_block_free);
 }
 
 /* ---- the end of a job ---- */
@@ -320,77 +321,79 @@
 on_ended (HzbStoreResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbController *c = epoch_call->c;
+  HzbController *controller = epoch_call->controller;
   g_autofree char *uid = epoch_call->data;
-  HzbJob *job = hzb_jobs_find (c->jobs, uid);
+  HzbJob *job = hzb_jobs_find (controller->jobs, uid);
   guint64 revision = 0;
 
   if (result == HZB_STORE_OK && job)
     {
       cJSON *value = hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks);
       hzb_wire_parse_txn (body, &revision, NULL);
-      hzb_jobs_apply (c->jobs, uid, value, revision);
+      hzb_jobs_apply (controller->jobs, uid, value, revision);
       cJSON_Delete (value);
     }
-  if (epoch_call->epoch == c->ownership_epoch && job)
+  if (epoch_call->epoch == controller->ownership_epoch && job)
     {
       job->ending = FALSE;
       if (result == HZB_STORE_OK && job->tasks)
         {
           g_message ("job %s is done", uid);
-          hzb_records_drop_job (c->records, job);
-          hzb_jobs_retire (c->jobs, job);
+          hzb_records_drop_job (controller->records, job);
+          hzb_jobs_retire (controller->jobs, job);
         }
     }
   g_free (epoch_call);
 }
 
 void
-hzb_controller_record_completion (HzbController *c, HzbJob *job)
+hzb_controller_record_completion (HzbController *controller, HzbJob *job)
 {
   g_autofree char *key = NULL;
   cJSON *txn;
 
-  if (job->ending || job->state != HZB_JOB_ACCEPTED || !hzb_election_leading (c->election))
+  if (job->ending || job->state != HZB_JOB_ACCEPTED || !hzb_election_leading (controller->election))
     return;
   job->ending = TRUE;
   key = g_strconcat (HZB_KEY_JOBS, job->uid, NULL);
   txn = hzb_wire_txn ();
-  hzb_election_add_condition (c->election, txn);
+  hzb_election_add_condition (controller->election, txn);
   hzb_jobs_txn_if_not_over (txn, job->uid); /* it has not been cancelled */
   hzb_wire_txn_put (txn, key, hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks), 0);
-  hzb_store_txn (c->store, HZB_STORE_ACCEPT, txn, on_ended, hzb_epoch_call_new (c, g_strdup (job->uid)));
+  hzb_store_txn (controller->store, HZB_STORE_ACCEPT, txn, on_ended,
+                 hzb_epoch_call_new (controller, g_strdup (job->uid)));
 }
 
 /* ---- over time ---- */
 
 static void
-check_leases (HzbController *c, struct timespec now)
+check_leases (HzbController *controller, struct timespec now)
 {
-  double over = c->settings->lease_s * 1.002 + LEASE_SLACK_S;
+  double over = controller->settings->lease_s * 1.002 + LEASE_SLACK_S;
 
-  if (!hzb_election_lease_valid (c->election))
+  if (!hzb_election_lease_valid (controller->election))
     return; /* a newer owner could have renewed them */
-  for (guint i = 0; i < c->machines->all->len; i++)
+  for (guint i = 0; i < controller->machines->all->len; i++)
     {
-      HzbMachine *m = c->machines->all->pdata[i];
-      if ((m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_DRAINING) && m->verified
-          && hzb_time_between (m->last_answer, now) > over)
+      HzbMachine *machine = controller->machines->all->pdata[i];
+      if ((machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_DRAINING) && machine->verified
+          && hzb_time_between (machine->last_answer, now) > over)
         {
-          hzb_machine_lose_tasks (c->jobs, m);
-          m->over_session = m->session;
-          hzb_machine_set_state (c->machines, m, HZB_MACHINE_LEASE_EXPIRED, "its lease is over");
+          hzb_machine_lose_tasks (controller->jobs, machine);
+          machine->over_session = machine->session;
+          hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_LEASE_EXPIRED, "its lease is over");
         }
-      else if (m->state == HZB_MACHINE_ACTIVE && hzb_time_between (m->last_report, now) > 3 * c->settings->report_s
-               && hzb_machine_listed (m))
-        hzb_machine_empty_lists (c->jobs, m); /* others may take what waits for a quiet machine */
+      else if (machine->state == HZB_MACHINE_ACTIVE
+               && hzb_time_between (machine->last_report, now) > 3 * controller->settings->report_s
+               && hzb_machine_listed (machine))
+        hzb_machine_empty_lists (controller->jobs, machine); /* others may take what waits for a quiet machine */
     }
 }
 
 /* A gang that has lost a task starts anew once all its tasks are gone: those that wait for the others are told
  * so, those that run notice it themselves. When one is done, all are, even one whose machine is lost. */
 static void
-maintain_gang (HzbController *c, HzbJob *job)
+maintain_gang (HzbController *controller, HzbJob *job)
 {
   gboolean over = job->finished + job->done > 0;
 
@@ -400,39 +403,39 @@
     {
       HzbTask *task = &job->tasks[k];
       if (over && task->state == HZB_TASK_PENDING && !job->placed)
-        hzb_task_set_state (c->jobs, task, HZB_TASK_FINISHED, NULL);
+        hzb_task_set_state (controller->jobs, task, HZB_TASK_FINISHED, NULL);
       else if (task->state == HZB_TASK_BOOKED)
-        hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
+        hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
       else if (!over && (task->state == HZB_TASK_FETCHING || task->state == HZB_TASK_WAITING))
         task->stopping = TRUE;
     }
 }
 
 static void
-maintain_jobs (HzbController *c, struct timespec now)
+maintain_jobs (HzbController *controller, struct timespec now)
 {
-  for (guint i = 0; i < c->jobs->active->len; i++)
+  for (guint i = 0; i < controller->jobs->active->len; i++)
     {
-      HzbJob *job = c->jobs->active->pdata[i];
+      HzbJob *job = controller->jobs->active->pdata[i];
       if (job->state == HZB_JOB_ACCEPTED)
         {
           if (job->spec->gang)
-            maintain_gang (c, job);
+            maintain_gang (controller, job);
           if (job->finished + job->done == job->n_tasks)
-            hzb_controller_record_completion (c, job);
+            hzb_controller_record_completion (controller, job);
           continue;
         }
-      hzb_leases_announce_cancellation (c->leases, job);
+      hzb_leases_announce_cancellation (controller->leases, job);
       for (guint k = 0; job->listed && k < job->n_tasks; k++)
         if (job->tasks[k].state == HZB_TASK_LISTED)
-          hzb_task_set_state (c->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
+          hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
         if (job->tasks[k].state == HZB_TASK_BOOKED)
-          hzb_task_set_state (c->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
+          hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
       if (!job->placed && !job->unknown && !job->ending)
         {
-          hzb_records_drop_job (c->records, job);
-          hzb_jobs_retire (c->jobs, job);
+          hzb_records_drop_job (controller->records, job);
+          hzb_jobs_retire (controller->jobs, job);
           i--;
         }
     }
@@ -440,32 +443,32 @@
 
 /* One line that tells an operator how the fleet stands, leased machines included. */
 static void
-log_summary (HzbController *c)
+log_summary (HzbController *controller)
 {
   guint up = 0, leased = 0, booting = 0, other = 0;
   double cpus = 0, spare = 0, booting_cpus = 0, running = 0, epoch_call = 0, waiting = 0;
 
-  for (guint i = 0; i < c->machines->all->len; i++)
+  for (guint i = 0; i < controller->machines->all->len; i++)
     {
-      const HzbMachine *m = c->machines->all->pdata[i];
-      if ((m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_LEASED) && m->type)
+      const HzbMachine *machine = controller->machines->all->pdata[i];
+      if ((machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_LEASED) && machine->type)
         {
           up++;
-          leased += m->state == HZB_MACHINE_LEASED;
-          cpus += m->type->cpus;
-          spare += m->spare ? m->type->cpus : 0;
+          leased += machine->state == HZB_MACHINE_LEASED;
+          cpus += machine->type->cpus;
+          spare += machine->spare ? machine->type->cpus : 0;
         }
-      else if (m->state == HZB_MACHINE_BOOTING && m->type)
+      else if (machine->state == HZB_MACHINE_BOOTING && machine->type)
         {
           booting++;
-          booting_cpus += m->type->cpus;
+          booting_cpus += machine->type->cpus;
         }
       else
         other++;
     }
-  for (guint i = 0; i < c->jobs->active->len; i++)
+  for (guint i = 0; i < controller->jobs->active->len; i++)
     {
-      const HzbJob *job = c->jobs->active->pdata[i];
+      const HzbJob *job = controller->jobs->active->pdata[i];
       if (job->state != HZB_JOB_ACCEPTED)
         continue;
       waiting += (job->pending + job->listed) * job->spec->cpus;
@@ -475,52 +478,53 @@
   g_message (
       "fleet: %u up, %u of them leased (%g CPUs: %g held, %g running; %g spare), %u booting (%g CPUs), %u other; %g CPUs' "
       "worth wait; timers are %.0f ms late",
-      up, leased, cpus, epoch_call, running, spare, booting, booting_cpus, other, waiting, c->dispatch->lag_s * 1e3);
+      up, leased, cpus, epoch_call, running, spare, booting, booting_cpus, other, waiting,
+      controller->dispatch->lag_s * 1e3);
 }
 
 /* A task waits only for machines that could have been told to start it: a replica, say, for no spot machine. */
 static void
-resolve_unknown (HzbController *c)
+resolve_unknown (HzbController *controller)
 {
-  if (c->ownership != HZB_OWNERSHIP_RECOVERING && !hzb_jobs_any_unknown (c->jobs))
+  if (controller->ownership != HZB_OWNERSHIP_RECOVERING && !hzb_jobs_any_unknown (controller->jobs))
     return;
-  for (guint block = 0; block <= c->settings->peers->len; block++)
+  for (guint block = 0; block <= controller->settings->peers->len; block++)
     {
-      g_autoptr (GPtrArray) unverified = hzb_machines_unverified_kinds (c->machines, block);
-      for (guint i = 0; i < c->jobs->active->len; i++)
+      g_autoptr (GPtrArray) unverified = hzb_machines_unverified_kinds (controller->machines, block);
+      for (guint i = 0; i < controller->jobs->active->len; i++)
         {
-          HzbJob *job = c->jobs->active->pdata[i];
+          HzbJob *job = controller->jobs->active->pdata[i];
           if (job->unknown && !hzb_job_may_run_on_unverified (job, unverified))
-            hzb_job_resolve_unknown (c->jobs, job, block);
+            hzb_job_resolve_unknown (controller->jobs, job, block);
         }
-      if (block == HZB_UNKNOWN_TASKS_OF_LEADER && c->ownership == HZB_OWNERSHIP_RECOVERING && !unverified->len)
-        set_ownership (c, HZB_OWNERSHIP_READY, "every machine has answered or is gone");
+      if (block == HZB_UNKNOWN_TASKS_OF_LEADER && controller->ownership == HZB_OWNERSHIP_RECOVERING && !unverified->len)
+        set_ownership (controller, HZB_OWNERSHIP_READY, "every machine has answered or is gone");
     }
 }
 
 static void
-owner_tick (HzbController *c, struct timespec now)
+owner_tick (HzbController *controller, struct timespec now)
 {
-  resolve_unknown (c);
-  check_leases (c, now);
-  maintain_jobs (c, now);
-  if (!hzb_time_before (now, c->next_plan))
+  resolve_unknown (controller);
+  check_leases (controller, now);
+  maintain_jobs (controller, now);
+  if (!hzb_time_before (now, controller->next_plan))
     {
-      c->next_plan = hzb_time_plus (now, 1);
-      hzb_dispatch_consolidate (c->dispatch, now);
+      controller->next_plan = hzb_time_plus (now, 1);
+      hzb_dispatch_consolidate (controller->dispatch, now);
     }
-  if (!hzb_time_before (now, c->next_summary))
+  if (!hzb_time_before (now, controller->next_summary))
     {
-      c->next_summary = hzb_time_plus (now, 10);
-      log_summary (c);
+      controller->next_summary = hzb_time_plus (now, 10);
+      log_summary (controller);
     }
-  if (!hzb_time_before (now, c->next_dispatch))
+  if (!hzb_time_before (now, controller->next_dispatch))
     {
-      c->next_dispatch = hzb_time_plus (now, 0.2);
-      hzb_dispatch_run (c->dispatch, now);
-      hzb_records_flush_soon (c->records); /* of jobs that could start now */
+      controller->next_dispatch = hzb_time_plus (now, 0.2);
+      hzb_dispatch_run (controller->dispatch, now);
+      hzb_records_flush_soon (controller->records); /* of jobs that could start now */
     }
-  hzb_records_flush_soon (c->records);
+  hzb_records_flush_soon (controller->records);
 }
 
 /* ---- standing ---- */
@@ -530,108 +534,110 @@
  * of leader costs little. In a small fleet it does happen, again and again, and each leader would have to wait for their
  * leases: so after one change for this reason others must have sent workers here lately. */
 static gboolean
-no_worker_reports (HzbController *c)
+no_worker_reports (HzbController *controller)
 {
-  struct timespec now = hzb_clock_now (c->clock);
-  double quiet = 1.25 * c->settings->report_s + 1.5;
+  struct timespec now = hzb_clock_now (controller->clock);
+  double quiet = 1.25 * controller->settings->report_s + 1.5;
   guint n = 0;
 
-  for (guint i = 0; i < c->machines->all->len; i++)
+  for (guint i = 0; i < controller->machines->all->len; i++)
     {
-      const HzbMachine *m = c->machines->all->pdata[i];
-      if (!hzb_time_is_set (m->last_report) || m->state == HZB_MACHINE_LEASED || m->state == HZB_MACHINE_RETURNING
-          || m->state == HZB_MACHINE_LEASE_EXPIRED)
+      const HzbMachine *machine = controller->machines->all->pdata[i];
+      if (!hzb_time_is_set (machine->last_report) || machine->state == HZB_MACHINE_LEASED
+          || machine->state == HZB_MACHINE_RETURNING || machine->state == HZB_MACHINE_LEASE_EXPIRED)
         continue;
-      if (hzb_time_between (m->last_report, now) < quiet)
+      if (hzb_time_between (machine->last_report, now) < quiet)
         return FALSE;
-      n += m->verified;
+      n += machine->verified;
     }
-  return n >= 3 && (!hzb_peers_any_lost_workers (c->peers) || hzb_peers_any_sends_workers (c->peers));
+  return n >= 3 && (!hzb_peers_any_lost_workers (controller->peers) || hzb_peers_any_sends_workers (controller->peers));
 }
 
-/* In an outage of the state service for all, a owner goes on answering workers, so that their leases live.
+/* In an outage of the state service for all, an owner goes on answering workers, so that their leases live.
  * One that is refused alone, or cut off from everything, gives way to those that are not. */
 static void
-check_own_connectivity (HzbController *c)
+check_own_connectivity (HzbController *controller)
 {
-  double silence = hzb_store_silence (c->store);
+  double silence = hzb_store_silence (controller->store);
 
-  if (hzb_election_leading (c->election) && silence < 2.5 && hzb_peers_any_reachable (c->peers)
-      && c->settings->peers->len && no_worker_reports (c))
+  if (hzb_election_leading (controller->election) && silence < 2.5 && hzb_peers_any_reachable (controller->peers)
+      && controller->settings->peers->len && no_worker_reports (controller))
     {
-      c->lost_workers = hzb_clock_now (c->clock);
-      hzb_election_step_down (c->election, "no worker is heard any more, while all else can be reached");
-      hzb_election_back_off (c->election, 20);
+      controller->lost_workers = hzb_clock_now (controller->clock);
+      hzb_election_step_down (controller->election, "no worker is heard any more, while all else can be reached");
+      hzb_election_back_off (controller->election, 20);
       return;
     }
-  if (!hzb_election_leading (c->election) || silence < 5)
+  if (!hzb_election_leading (controller->election) || silence < 5)
     return;
-  if (hzb_peers_any_reaches_store (c->peers))
-    hzb_election_step_down (c->election, "the state service refuses this node alone");
-  else if (!hzb_peers_any_reachable (c->peers))
-    hzb_election_step_down (c->election, "neither the state service nor a peer can be reached");
+  if (hzb_peers_any_reaches_store (controller->peers))
+    hzb_election_step_down (controller->election, "the state service refuses this node alone");
+  else if (!hzb_peers_any_reachable (controller->peers))
+    hzb_election_step_down (controller->election, "neither the state service nor a peer can be reached");
 }
 
 /* ---- life ---- */
 
 void
-hzb_controller_tick (HzbController *c)
+hzb_controller_tick (HzbController *controller)
 {
-  struct timespec now = hzb_clock_now (c->clock);
+  struct timespec now = hzb_clock_now (controller->clock);
 
-  if (hzb_time_is_set (c->last_tick))
-    hzb_dispatch_note_lag (c->dispatch, hzb_time_between (c->last_tick, now) - HZB_TICK_MS / 1000.0);
-  c->last_tick = now;
+  if (hzb_time_is_set (controller->last_tick))
+    hzb_dispatch_note_lag (controller->dispatch, hzb_time_between (controller->last_tick, now) - HZB_TICK_MS / 1000.0);
+  controller->last_tick = now;
 
-  hzb_store_pump (c->store);
-  hzb_cloud_pump (c->cloud);
-  mirror_step (c);
+  hzb_store_pump (controller->store);
+  hzb_cloud_pump (controller->cloud);
+  mirror_step (controller);
   /* In a rollout the others are about to be replaced: whoever leads after them should be one that is not. */
-  hzb_election_set_eager (c->election, c->format == HZB_FORMAT && hzb_election_format (c->election) < HZB_FORMAT
-                                           && hzb_peers_any_older_format (c->peers));
-  hzb_election_tick (c->election, mirror_is_fresh (c));
-  check_own_connectivity (c);
-  if (hzb_election_leading (c->election))
-    hzb_controller_end_leased (c, "this node leads now");
-  if (hzb_election_leading (c->election) && c->ownership != HZB_OWNERSHIP_NONE
-      && hzb_token_leader (c->block->token) != hzb_election_term (c->election))
-    end_ownership (c); /* elected anew before the loss was seen */
-  if (hzb_election_leading (c->election) && c->ownership == HZB_OWNERSHIP_NONE && c->mirror == HZB_MIRROR_FOLLOWING
-      && hzb_election_term_mirrored (c->election))
-    begin_ownership (c);
-  else if (!hzb_election_leading (c->election) && c->ownership > HZB_OWNERSHIP_LESSEE)
-    end_ownership (c);
-  if (c->ownership == HZB_OWNERSHIP_READY && c->format == HZB_FORMAT && hzb_election_format (c->election) < HZB_FORMAT
-      && hzb_peers_all_have_format (c->peers, HZB_FORMAT))
-    hzb_election_raise_format (c->election);
-  if (hzb_election_leading (c->election))
-    hzb_leases_tick (c->leases, now);
+  hzb_election_set_eager (controller->election, controller->format == HZB_FORMAT
+                                                    && hzb_election_format (controller->election) < HZB_FORMAT
+                                                    && hzb_peers_any_older_format (controller->peers));
+  hzb_election_tick (controller->election, mirror_is_fresh (controller));
+  check_own_connectivity (controller);
+  if (hzb_election_leading (controller->election))
+    hzb_controller_end_leased (controller, "this node leads now");
+  if (hzb_election_leading (controller->election) && controller->ownership != HZB_OWNERSHIP_NONE
+      && hzb_token_leader (controller->block->token) != hzb_election_term (controller->election))
+    end_ownership (controller); /* elected anew before the loss was seen */
+  if (hzb_election_leading (controller->election) && controller->ownership == HZB_OWNERSHIP_NONE
+      && controller->mirror == HZB_MIRROR_FOLLOWING && hzb_election_term_mirrored (controller->election))
+    begin_ownership (controller);
+  else if (!hzb_election_leading (controller->election) && controller->ownership > HZB_OWNERSHIP_LESSEE)
+    end_ownership (controller);
+  if (controller->ownership == HZB_OWNERSHIP_READY && controller->format == HZB_FORMAT
+      && hzb_election_format (controller->election) < HZB_FORMAT
+      && hzb_peers_all_have_format (controller->peers, HZB_FORMAT))
+    hzb_election_raise_format (controller->election);
+  if (hzb_election_leading (controller->election))
+    hzb_leases_tick (controller->leases, now);
   else
-    hzb_lessee_tick (c->lessee, now);
-  if (c->ownership == HZB_OWNERSHIP_LESSEE && !hzb_time_before (now, c->next_dispatch))
+    hzb_lessee_tick (controller->lessee, now);
+  if (controller->ownership == HZB_OWNERSHIP_LESSEE && !hzb_time_before (now, controller->next_dispatch))
     {
-      c->next_dispatch = hzb_time_plus (now, 0.2);
-      hzb_dispatch_run (c->dispatch, now);
+      controller->next_dispatch = hzb_time_plus (now, 0.2);
+      hzb_dispatch_run (controller->dispatch, now);
     }
-  if (c->ownership == HZB_OWNERSHIP_LESSEE && !hzb_time_before (now, c->next_plan))
+  if (controller->ownership == HZB_OWNERSHIP_LESSEE && !hzb_time_before (now, controller->next_plan))
     {
-      c->next_plan = hzb_time_plus (now, 1);
-      hzb_dispatch_consolidate (c->dispatch, now);
+      controller->next_plan = hzb_time_plus (now, 1);
+      hzb_dispatch_consolidate (controller->dispatch, now);
     }
-  if (c->ownership >= HZB_OWNERSHIP_RECOVERING)
-    owner_tick (c, now);
-  hzb_provisioning_tick (c->provisioning, now);
-  hzb_peers_tick (c->peers, now);
-  hzb_cancellations_tick (c->cancellations, now);
-  hzb_user_api_tick (c->api);
+  if (controller->ownership >= HZB_OWNERSHIP_RECOVERING)
+    owner_tick (controller, now);
+  hzb_provisioning_tick (controller->provisioning, now);
+  hzb_peers_tick (controller->peers, now);
+  hzb_cancellations_tick (controller->cancellations, now);
+  hzb_user_api_tick (controller->api);
 }
 
 static void
 on_answered (HzbExchange *exchange, guint status, gpointer user)
 {
-  HzbController *c = user;
-  hzb_metrics_answered (c->metrics, (HzbMetricKind) exchange->kind, status,
-                        hzb_time_between (exchange->began, hzb_clock_now (c->clock)));
+  HzbController *controller = user;
+  hzb_metrics_answered (controller->metrics, (HzbMetricKind) exchange->kind, status,
+                        hzb_time_between (exchange->began, hzb_clock_now (controller->clock)));
 }
 
 static HzbMetricKind
@@ -650,17 +656,17 @@
 void
 hzb_controller_request (HzbExchange *exchange, gpointer user)
 {
-  HzbController *c = user;
+  HzbController *controller = user;
 
-  exchange->began = hzb_clock_now (c->clock);
+  exchange->began = hzb_clock_now (controller->clock);
   exchange->kind = kind_of (exchange);
   exchange->done = on_answered;
-  exchange->done_user = c;
+  exchange->done_user = controller;
 
   if (g_str_equal (exchange->path, hzb_path_report))
     {
       if (g_str_equal (exchange->method, "POST"))
-        hzb_worker_api_report (c, exchange);
+        hzb_worker_api_report (controller, exchange);
       else
         hzb_exchange_reply (exchange, 405, hzb_wire_error ("POST a report here"), 0);
     }
@@ -668,68 +674,68 @@
     {
       if (!g_str_equal (exchange->method, "GET"))
         hzb_exchange_reply (exchange, 405, hzb_wire_error ("GET here"), 0);
-      else if (hzb_controller_ready (c))
+      else if (hzb_controller_ready (controller))
         hzb_exchange_reply (exchange, 200, g_strdup ("{\"ready\":true}"), 0);
       else
         hzb_exchange_reply (exchange, 503, hzb_wire_error ("not ready"), 1);
     }
-  else if (!hzb_admin_request (c, exchange))
-    hzb_user_api_request (c->api, exchange);
+  else if (!hzb_admin_request (controller, exchange))
+    hzb_user_api_request (controller->api, exchange);
 }
 
 HzbController *
 hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed)
 {
-  HzbController *c = g_new0 (HzbController, 1);
-  c->settings = settings;
-  c->clock = clock;
-  c->transport = transport;
-  c->rand = g_rand_new_with_seed (seed);
-  c->store = hzb_store_new (transport, clock, settings);
-  c->cloud = hzb_cloud_new (transport, clock, settings);
-  c->election = hzb_election_new (c->store, clock, settings, c->rand);
-  c->jobs = hzb_jobs_new (clock, settings);
-  c->machines = hzb_machines_new (clock, settings);
-  c->dispatch = hzb_dispatch_new (c->jobs, c->machines, settings, c->rand);
-  c->autoscaler = hzb_autoscaler_new (c->jobs, c->machines, settings);
-  c->api = hzb_user_api_new (c);
-  c->peers = hzb_peers_new (c);
-  c->cancellations = hzb_cancellations_new (c);
-  c->leases = hzb_leases_new (c);
-  c->lessee = hzb_lessee_new (c);
-  c->metrics = hzb_metrics_new ();
-  c->lease_blocks = TRUE;
-  c->format = HZB_FORMAT;
-  c->incarnation = g_strdup_printf ("%08x%08x", g_rand_int (c->rand), g_rand_int (c->rand));
-  c->provisioning = hzb_provisioning_new (c);
-  c->records = hzb_records_new (c);
-  return c;
+  HzbController *controller = g_new0 (HzbController, 1);
+  controller->settings = settings;
+  controller->clock = clock;
+  controller->transport = transport;
+  controller->rand = g_rand_new_with_seed (seed);
+  controller->store = hzb_store_new (transport, clock, settings);
+  controller->cloud = hzb_cloud_new (transport, clock, settings);
+  controller->election = hzb_election_new (controller->store, clock, settings, controller->rand);
+  controller->jobs = hzb_jobs_new (clock, settings);
+  controller->machines = hzb_machines_new (clock, settings);
+  controller->dispatch = hzb_dispatch_new (controller->jobs, controller->machines, settings, controller->rand);
+  controller->autoscaler = hzb_autoscaler_new (controller->jobs, controller->machines, settings);
+  controller->api = hzb_user_api_new (controller);
+  controller->peers = hzb_peers_new (controller);
+  controller->cancellations = hzb_cancellations_new (controller);
+  controller->leases = hzb_leases_new (controller);
+  controller->lessee = hzb_lessee_new (controller);
+  controller->metrics = hzb_metrics_new ();
+  controller->lease_blocks = TRUE;
+  controller->format = HZB_FORMAT;
+  controller->incarnation = g_strdup_printf ("%08x%08x", g_rand_int (controller->rand), g_rand_int (controller->rand));
+  controller->provisioning = hzb_provisioning_new (controller);
+  controller->records = hzb_records_new (controller);
+  return controller;
 }
 
 void
-hzb_controller_free (HzbController *c)
-{
-  hzb_user_api_free (c->api);
-  hzb_cancellations_free (c->cancellations);
-  hzb_leases_free (c->leases);
-  hzb_lessee_free (c->lessee);
-  hzb_peers_free (c->peers);
-  hzb_records_free (c->records);
-  hzb_metrics_free (c->metrics);
-  g_free (c->incarnation);
-  hzb_jobs_end_ownership (c->jobs);
-  hzb_machines_clear (c->machines);
-  hzb_autoscaler_free (c->autoscaler);
-  hzb_dispatch_free (c->dispatch);
-  hzb_jobs_free (c->jobs);
-  hzb_machines_free (c->machines);
-  hzb_block_free (c->block);
-  hzb_election_free (c->election);
-  hzb_cloud_free (c->cloud);
-  hzb_store_free (c->store);
-  hzb_provisioning_free (c->provisioning);
-  g_free (c->mirror_load_cursor);
-  g_free (c->owner_load_cursor);
-  g_rand_free (c->rand);
-  g_free (c);
+hzb_controller_free (HzbController *controller)
+{
+  hzb_user_api_free (controller->api);
+  hzb_cancellations_free (controller->cancellations);
+  hzb_leases_free (controller->leases);
+  hzb_lessee_free (controller->lessee);
+  hzb_peers_free (controller->peers);
+  hzb_records_free (controller->records);
+  hzb_metrics_free (controller->metrics);
+  g_free (controller->incarnation);
+  hzb_jobs_end_ownership (controller->jobs);
+  hzb_machines_clear (controller->machines);
+  hzb_autoscaler_free (controller->autoscaler);
+  hzb_dispatch_free (controller->dispatch);
+  hzb_jobs_free (controller->jobs);
+  hzb_machines_free (controller->machines);
+  hzb_block_free (controller->block);
+  hzb_election_free (controller->election);
+  hzb_cloud_free (controller->cloud);
+  hzb_store_free (controller->store);
+  hzb_provisioning_free (controller->provisioning);
+  g_free (controller->mirror_load_cursor);
+  g_free (controller->owner_load_cursor);
+  g_rand_free (controller->rand);
+  g_free (controller);
 }
--- a/src/controller.h
+++ b/src/controller.h
@@ -1,4 +1,4 @@
-/* Ties the parts together: the mirror of durable records, leadership, and what a owner does over time. */
+/* Ties the parts together: the mirror of durable records, leadership, and what an owner does over time. */
 #pragma once
 #include "admin.h"
 #include "autoscaler.h"
@@ -45,7 +45,6 @@
   HZB_OWNERSHIP_READY
 } HzbOwnershipState;
 
-
 struct _HzbController
 {
   HzbSettings *settings;
@@ -89,27 +88,27 @@
 };
 
 HzbController *hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed);
-void hzb_controller_free (HzbController *c);
-void hzb_controller_tick (HzbController *c);
+void hzb_controller_free (HzbController *controller);
+void hzb_controller_tick (HzbController *controller);
 void hzb_controller_request (HzbExchange *exchange, gpointer controller); /* users and workers */
-gboolean hzb_controller_ready (HzbController *c);
-gboolean hzb_controller_store_silent (HzbController *c);
+gboolean hzb_controller_ready (HzbController *controller);
+gboolean hzb_controller_store_silent (HzbController *controller);
 /* Brings the mirror up to this moment; FALSE: it could not be. */
 typedef void (*HzbSyncFunc) (gboolean fresh, gpointer user);
-void hzb_controller_sync (HzbController *c, HzbSyncFunc done, gpointer user);
-void hzb_controller_reset_mirror (HzbController *c);
-void hzb_controller_apply_record (HzbController *c, const HzbItem *item);
-void hzb_controller_record_completion (HzbController *c, HzbJob *job); /* all its tasks have finished */
+void hzb_controller_sync (HzbController *controller, HzbSyncFunc done, gpointer user);
+void hzb_controller_reset_mirror (HzbController *controller);
+void hzb_controller_apply_record (HzbController *controller, const HzbItem *item);
+void hzb_controller_record_completion (HzbController *controller, HzbJob *job); /* all its tasks have finished */
 
 /* What an answer belongs to: of an earlier holding it is dropped. */
 typedef struct
 {
-  HzbController *c;
+  HzbController *controller;
   guint64 epoch;
   gpointer data;
 } HzbEpochCall;
 
-HzbEpochCall *hzb_epoch_call_new (HzbController *c, gpointer data);
+HzbEpochCall *hzb_epoch_call_new (HzbController *controller, gpointer data);
 
 /** hzb_controller_begin_leased: this node owns a block that the leader leased to it. */
 void hzb_controller_begin_leased (HzbController *controller, guint64 token);
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -14,62 +14,62 @@
 HzbDispatch *
 hzb_dispatch_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings, GRand *rand)
 {
-  HzbDispatch *d = g_new0 (HzbDispatch, 1);
+  HzbDispatch *dispatch = g_new0 (HzbDispatch, 1);
   guint n_ahead = settings->teams->len * HZB_N_LEVELS;
-  d->jobs = jobs;
-  d->machines = machines;
-  d->settings = settings;
-  d->rand = rand;
-  d->ahead_cpus = g_new0 (double, n_ahead);
-  d->ahead_gpus = g_new0 (double, n_ahead);
-  d->h = 0.5;
-  d->list_ahead_s = 8;
-  d->sample = 8;
-  d->usable = g_ptr_array_new ();
-  for (guint c = 0; c < HZB_N_LEVELS; c++)
+  dispatch->jobs = jobs;
+  dispatch->machines = machines;
+  dispatch->settings = settings;
+  dispatch->rand = rand;
+  dispatch->ahead_cpus = g_new0 (double, n_ahead);
+  dispatch->ahead_gpus = g_new0 (double, n_ahead);
+  dispatch->h = 0.5;
+  dispatch->list_ahead_s = 8;
+  dispatch->sample = 8;
+  dispatch->usable = g_ptr_array_new ();
+  for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
     {
-      d->waiting[c] = g_ptr_array_new ();
-      d->machines_with_lists[c] = g_ptr_array_new ();
+      dispatch->waiting[at_level] = g_ptr_array_new ();
+      dispatch->machines_with_lists[at_level] = g_ptr_array_new ();
     }
-  return d;
+  return dispatch;
 }
 
 void
-hzb_dispatch_free (HzbDispatch *d)
+hzb_dispatch_free (HzbDispatch *dispatch)
 {
-  for (guint c = 0; c < HZB_N_LEVELS; c++)
+  for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
     {
-      g_ptr_array_unref (d->waiting[c]);
-      g_ptr_array_unref (d->machines_with_lists[c]);
+      g_ptr_array_unref (dispatch->waiting[at_level]);
+      g_ptr_array_unref (dispatch->machines_with_lists[at_level]);
     }
-  g_ptr_array_unref (d->usable);
-  g_free (d->ahead_cpus);
-  g_free (d->ahead_gpus);
-  g_free (d);
+  g_ptr_array_unref (dispatch->usable);
+  g_free (dispatch->ahead_cpus);
+  g_free (dispatch->ahead_gpus);
+  g_free (dispatch);
 }
 
 void
-hzb_dispatch_clear_indexes (HzbDispatch *d)
+hzb_dispatch_clear_indexes (HzbDispatch *dispatch)
 {
-  g_ptr_array_set_size (d->usable, 0);
-  for (guint c = 0; c < HZB_N_LEVELS; c++)
+  g_ptr_array_set_size (dispatch->usable, 0);
+  for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
     {
-      g_ptr_array_set_size (d->waiting[c], 0);
-      g_ptr_array_set_size (d->machines_with_lists[c], 0);
+      g_ptr_array_set_size (dispatch->waiting[at_level], 0);
+      g_ptr_array_set_size (dispatch->machines_with_lists[at_level], 0);
     }
 }
 
 void
-hzb_dispatch_note_lag (HzbDispatch *d, double late_s)
+hzb_dispatch_note_lag (HzbDispatch *dispatch, double late_s)
 {
   gboolean lagging;
 
-  d->lag_s += (CLAMP (late_s, 0, 5) - d->lag_s) * 0.1;
-  lagging = d->lagging ? d->lag_s > 0.05 : d->lag_s > 0.25;
-  if (lagging != d->lagging)
-    g_message ("dispatch: timers are %.2f s late, %s", d->lag_s,
+  dispatch->lag_s += (CLAMP (late_s, 0, 5) - dispatch->lag_s) * 0.1;
+  lagging = dispatch->lagging ? dispatch->lag_s > 0.05 : dispatch->lag_s > 0.25;
+  if (lagging != dispatch->lagging)
+    g_message ("dispatch: timers are %.2f s late, %s", dispatch->lag_s,
                lagging ? "machines are sampled" : "full searches again");
-  d->lagging = lagging;
+  dispatch->lagging = lagging;
 }
 
 double
@@ -85,87 +85,87 @@
 }
 
 void
-hzb_dispatch_reset_estimates (HzbDispatch *d, HzbMachine *m, struct timespec now)
+hzb_dispatch_reset_estimates (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now)
 {
   double booked[HZB_N_LEVELS] = { 0 };
 
-  if (!m->type)
+  if (!machine->type)
     return;
-  g_hash_table_remove_all (m->expected);
-  for (guint i = 0; i < m->tasks->len; i++)
+  g_hash_table_remove_all (machine->expected);
+  for (guint i = 0; i < machine->tasks->len; i++)
     {
-      const HzbTask *task = m->tasks->pdata[i];
-      if (!g_hash_table_contains (m->images, task->job->spec->image))
-        g_hash_table_add (m->expected, g_ref_string_acquire (task->job->spec->image));
+      const HzbTask *task = machine->tasks->pdata[i];
+      if (!g_hash_table_contains (machine->images, task->job->spec->image))
+        g_hash_table_add (machine->expected, g_ref_string_acquire (task->job->spec->image));
     }
-  for (guint i = 0; i < m->tasks->len; i++)
+  for (guint i = 0; i < machine->tasks->len; i++)
     {
-      const HzbTask *task = m->tasks->pdata[i];
-      guint level = task->job->level, v = MAX (1, hzb_machine_speed (m, task->job->spec));
+      const HzbTask *task = machine->tasks->pdata[i];
+      guint level = task->job->level, v = MAX (1, hzb_machine_speed (machine, task->job->spec));
       double work = hzb_task_remaining_s (task, now) / v;
-      for (guint c = 0; c < HZB_N_LEVELS; c++)
-        booked[c] += c <= level ? work : work * PREEMPTIBLE_PART;
+      for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
+        booked[at_level] += at_level <= level ? work : work * PREEMPTIBLE_PART;
     }
   for (guint level = 0; level < HZB_N_LEVELS; level++)
-    for (GList *l = m->lists[level].head; l; l = l->next)
+    for (GList *l = machine->lists[level].head; l; l = l->next)
       {
         const HzbTask *task = l->data;
-        double work = hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (m->type, task->job->spec));
-        for (guint c = 0; c <= level; c++)
-          booked[c] += work;
+        double work = hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (machine->type, task->job->spec));
+        for (guint at_level = 0; at_level <= level; at_level++)
+          booked[at_level] += work;
       }
-  for (guint c = 0; c < HZB_N_LEVELS; c++)
-    hzb_estimate_reset (&m->estimates[c], now, booked[c]);
-  m->estimate_stale = FALSE;
+  for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
+    hzb_estimate_reset (&machine->estimates[at_level], now, booked[at_level]);
+  machine->estimate_stale = FALSE;
 }
 
 /* A leader has leased most machines: samples are taken of those that can be chosen. */
 static void
-index_usable_machines (HzbDispatch *d)
+index_usable_machines (HzbDispatch *dispatch)
 {
-  g_ptr_array_set_size (d->usable, 0);
-  for (guint i = 0; i < d->machines->all->len; i++)
-    if (hzb_machine_usable (d->machines->all->pdata[i]))
-      g_ptr_array_add (d->usable, d->machines->all->pdata[i]);
+  g_ptr_array_set_size (dispatch->usable, 0);
+  for (guint i = 0; i < dispatch->machines->all->len; i++)
+    if (hzb_machine_usable (dispatch->machines->all->pdata[i]))
+      g_ptr_array_add (dispatch->usable, dispatch->machines->all->pdata[i]);
 }
 
 HzbMachine *
-hzb_dispatch_choose (HzbDispatch *d, HzbJob *job, struct timespec now)
+hzb_dispatch_choose (HzbDispatch *dispatch, HzbJob *job, struct timespec now)
 {
   g_auto (HzbSearch) search = { 0 };
-  index_usable_machines (d);
-  hzb_search_begin (&search, d, job, now);
-  hzb_search_look (&search, d->lagging ? d->sample : 0);
+  index_usable_machines (dispatch);
+  hzb_search_begin (&search, dispatch, job, now);
+  hzb_search_look (&search, dispatch->lagging ? dispatch->sample : 0);
   return hzb_search_best (&search);
 }
 
 /* Seconds that the tasks of this class and higher ones in the machine's list will take it. */
 static double
-listed_s (const HzbMachine *m, guint level)
+listed_s (const HzbMachine *machine, guint level)
 {
   double work = 0;
-  for (guint c = level; c < HZB_N_LEVELS; c++)
-    for (GList *l = m->lists[c].head; l; l = l->next)
+  for (guint at_level = level; at_level < HZB_N_LEVELS; at_level++)
+    for (GList *l = machine->lists[at_level].head; l; l = l->next)
       {
         const HzbTask *task = l->data;
-        work += hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (m->type, task->job->spec));
+        work += hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (machine->type, task->job->spec));
       }
   return work;
 }
 
 static void
-put_on_list (HzbDispatch *d, HzbTask *task, HzbMachine *m, struct timespec now)
+put_on_list (HzbDispatch *dispatch, HzbTask *task, HzbMachine *machine, struct timespec now)
 {
   guint level = task->job->level;
-  double mean = hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (m->type, task->job->spec));
+  double mean = hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (machine->type, task->job->spec));
 
-  hzb_task_set_state (d->jobs, task, HZB_TASK_LISTED, m);
-  if (!g_hash_table_contains (m->images, task->job->spec->image))
-    g_hash_table_add (m->expected, g_ref_string_acquire (task->job->spec->image));
-  for (guint c = 0; c <= level; c++)
+  hzb_task_set_state (dispatch->jobs, task, HZB_TASK_LISTED, machine);
+  if (!g_hash_table_contains (machine->images, task->job->spec->image))
+    g_hash_table_add (machine->expected, g_ref_string_acquire (task->job->spec->image));
+  for (guint at_level = 0; at_level <= level; at_level++)
     {
-      hzb_estimate_shift (&m->estimates[c], now);
-      hzb_estimate_send (&m->estimates[c], mean);
+      hzb_estimate_shift (&machine->estimates[at_level], now);
+      hzb_estimate_send (&machine->estimates[at_level], mean);
     }
 }
 
@@ -176,16 +176,16 @@
 
   for (guint i = 0; i < settings->objectives->len; i++)
     {
-      const HzbObjective *o = settings->objectives->pdata[i];
+      const HzbObjective *objective = settings->objectives->pdata[i];
       double by;
-      if (g_strcmp0 (o->job_class, job->spec->job_class) != 0)
+      if (g_strcmp0 (objective->job_class, job->spec->job_class) != 0)
         continue;
-      if (g_str_equal (o->kind, "finished"))
-        by = o->within_s - 1.3 * mean;
-      else if (g_str_equal (o->kind, "wait"))
-        by = o->within_s;
-      else if (g_str_equal (o->kind, "deadline") && job->spec->deadline_s > 0)
-        by = job->spec->deadline_s * MAX (o->times, 1) - 1.3 * mean;
+      if (g_str_equal (objective->kind, "finished"))
+        by = objective->within_s - 1.3 * mean;
+      else if (g_str_equal (objective->kind, "wait"))
+        by = objective->within_s;
+      else if (g_str_equal (objective->kind, "deadline") && job->spec->deadline_s > 0)
+        by = job->spec->deadline_s * MAX (objective->times, 1) - 1.3 * mean;
       else
         continue;
       if (by > age && by - age < least)
@@ -222,24 +222,24 @@
 }
 
 void
-hzb_dispatch_update_levels (HzbDispatch *d, struct timespec now)
+hzb_dispatch_update_levels (HzbDispatch *dispatch, struct timespec now)
 {
-  guint n = d->settings->teams->len;
+  guint n = dispatch->settings->teams->len;
   g_autofree double *cpus = g_new0 (double, n), *gpus = g_new0 (double, n);
 
-  for (guint i = 0; i < d->jobs->active->len; i++) /* by age */
+  for (guint i = 0; i < dispatch->jobs->active->len; i++) /* by age */
     {
-      HzbJob *job = d->jobs->active->pdata[i];
-      const HzbTeam *team = d->settings->teams->pdata[job->team];
+      HzbJob *job = dispatch->jobs->active->pdata[i];
+      const HzbTeam *team = dispatch->settings->teams->pdata[job->team];
       guint level;
       if (job->state != HZB_JOB_ACCEPTED)
         continue;
-      job->mean_s = hzb_jobs_mean_s (d->jobs, job);
+      job->mean_s = hzb_jobs_mean_s (dispatch->jobs, job);
       /* Within its team's guarantee when it fits there together with the team's earlier unfinished jobs. */
       cpus[job->team] += job->spec->cpus * job->n_tasks;
       gpus[job->team] += job->spec->gpus * job->n_tasks;
       job->guaranteed = cpus[job->team] <= team->cpus + 1e-6 && gpus[job->team] <= team->gpus + 1e-6;
-      level = level_of (d->settings, job, now);
+      level = level_of (dispatch->settings, job, now);
       job->start_overdue = !(job->placed || job->finished || job->done || job->unknown || job->spec->gang)
                            && hzb_time_between (job->since, now) > OVERDUE_AFTER_S;
       if (job->start_overdue)
@@ -249,7 +249,7 @@
           /* What waits in lists goes through them anew. */
           for (guint k = 0; job->listed && k < job->n_tasks; k++)
             if (job->tasks[k].state == HZB_TASK_LISTED)
-              hzb_task_set_state (d->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
+              hzb_task_set_state (dispatch->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
           job->level = (guint8) level;
         }
     }
@@ -293,13 +293,13 @@
 
 /* A gang starts when there is room for all of it at once. */
 static gboolean
-place_gang (HzbDispatch *d, HzbJob *job, struct timespec now)
+place_gang (HzbDispatch *dispatch, HzbJob *job, struct timespec now)
 {
   const HzbSpec *spec = job->spec;
-  GPtrArray *all = d->machines->all;
+  GPtrArray *all = dispatch->machines->all;
   g_autofree guint *taken = g_new0 (guint, all->len);
   g_autoptr (GPtrArray) zones = g_ptr_array_new ();
-  const HzbBlock *block = d->jobs->block;
+  const HzbBlock *block = dispatch->jobs->block;
   guint n = job->n_tasks, half = (n + 1) / 2;
 
   if (job->pending != n || job->released < n || hzb_time_before (now, job->not_before))
@@ -308,12 +308,12 @@
     return FALSE;
   for (guint i = 0; i < all->len; i++)
     {
-      HzbMachine *m = all->pdata[i];
+      HzbMachine *machine = all->pdata[i];
       gboolean known = FALSE;
       for (guint z = 0; z < zones->len; z++)
-        known = known || g_str_equal (zones->pdata[z], m->zone);
+        known = known || g_str_equal (zones->pdata[z], machine->zone);
       if (!known)
-        g_ptr_array_add (zones, m->zone);
+        g_ptr_array_add (zones, machine->zone);
     }
   /* samePlace: each zone by itself; otherwise all zones together. */
   for (guint z = 0; z < (spec->same_zone ? zones->len : 1); z++)
@@ -328,21 +328,22 @@
           double least = INFINITY;
           for (guint i = 0; i < all->len; i++)
             {
-              HzbMachine *m = all->pdata[i];
-              guint here = GPOINTER_TO_UINT (g_hash_table_lookup (in_zone, m->zone));
+              HzbMachine *machine = all->pdata[i];
+              guint here = GPOINTER_TO_UINT (g_hash_table_lookup (in_zone, machine->zone));
               double cost;
-              if (!hzb_machine_usable (m) || !hzb_machine_allowed (m, spec)
-                  || (spec->same_zone && !g_str_equal (zones->pdata[z], m->zone)) || (spec->spread && here >= half)
-                  || m->cpus + spec->cpus * (taken[i] + 1) > m->type->cpus + 1e-6
-                  || m->gpus + spec->gpus * (taken[i] + 1) > m->type->gpus + 1e-6
-                  || m->memory + spec->memory_gb * (taken[i] + 1) > m->type->memory_gb + 1e-6)
+              if (!hzb_machine_usable (machine) || !hzb_machine_allowed (machine, spec)
+                  || (spec->same_zone && !g_str_equal (zones->pdata[z], machine->zone))
+                  || (spec->spread && here >= half)
+                  || machine->cpus + spec->cpus * (taken[i] + 1) > machine->type->cpus + 1e-6
+                  || machine->gpus + spec->gpus * (taken[i] + 1) > machine->type->gpus + 1e-6
+                  || machine->memory + spec->memory_gb * (taken[i] + 1) > machine->type->memory_gb + 1e-6)
                 continue;
-              hzb_estimate_shift (&m->estimates[job->level], now);
-              cost = hzb_estimate_mean (&m->estimates[job->level]) + hzb_fetch_s (m, spec);
+              hzb_estimate_shift (&machine->estimates[job->level], now);
+              cost = hzb_estimate_mean (&machine->estimates[job->level]) + hzb_fetch_s (machine, spec);
               if (cost < least)
                 {
                   least = cost;
-                  best = m;
+                  best = machine;
                   at = i;
                 }
             }
@@ -362,7 +363,7 @@
               {
                 HzbTask *task = &job->tasks[next++];
                 task->attempt = job->next_attempt;
-                hzb_task_set_state (d->jobs, task, HZB_TASK_BOOKED, all->pdata[i]);
+                hzb_task_set_state (dispatch->jobs, task, HZB_TASK_BOOKED, all->pdata[i]);
               }
           job->cursor = n;
           return TRUE;
@@ -373,13 +374,13 @@
 
 /* A gang that waits halts list starts of lower classes on machines it could use. */
 static gboolean
-halted_by_gang (HzbDispatch *d, const HzbMachine *m, guint level, struct timespec now)
+halted_by_gang (HzbDispatch *dispatch, const HzbMachine *machine, guint level, struct timespec now)
 {
-  for (guint i = 0; d->gang_waits && i < d->jobs->active->len; i++)
+  for (guint i = 0; dispatch->gang_waits && i < dispatch->jobs->active->len; i++)
     {
-      const HzbJob *job = d->jobs->active->pdata[i];
+      const HzbJob *job = dispatch->jobs->active->pdata[i];
       if (job->spec->gang && job->state == HZB_JOB_ACCEPTED && job->pending == job->n_tasks && job->level >= level
-          && !hzb_time_before (now, job->not_before) && hzb_machine_allowed (m, job->spec)
+          && !hzb_time_before (now, job->not_before) && hzb_machine_allowed (machine, job->spec)
           && hzb_time_between (job->since, now) > 5)
         return TRUE;
     }
@@ -388,12 +389,12 @@
 
 /* Some machine of any block could take it. */
 static gboolean
-has_machine (HzbDispatch *d, const HzbSpec *spec)
+has_machine (HzbDispatch *dispatch, const HzbSpec *spec)
 {
-  for (guint i = 0; i < d->machines->all->len; i++)
+  for (guint i = 0; i < dispatch->machines->all->len; i++)
     {
-      const HzbMachine *m = d->machines->all->pdata[i];
-      if ((m->state == HZB_MACHINE_LEASED || hzb_machine_usable (m)) && hzb_machine_allowed (m, spec))
+      const HzbMachine *machine = dispatch->machines->all->pdata[i];
+      if ((machine->state == HZB_MACHINE_LEASED || hzb_machine_usable (machine)) && hzb_machine_allowed (machine, spec))
         return TRUE;
     }
   return FALSE;
@@ -403,48 +404,49 @@
 #define LOOKS_PER_RUN 20000u
 
 static void
-index_machines_with_lists (HzbDispatch *d)
+index_machines_with_lists (HzbDispatch *dispatch)
 {
-  for (guint c = 0; c < HZB_N_LEVELS; c++)
-    g_ptr_array_set_size (d->machines_with_lists[c], 0);
-  for (guint i = 0; i < d->machines->all->len; i++)
+  for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
+    g_ptr_array_set_size (dispatch->machines_with_lists[at_level], 0);
+  for (guint i = 0; i < dispatch->machines->all->len; i++)
     {
-      HzbMachine *m = d->machines->all->pdata[i];
-      for (guint c = 0; c < HZB_N_LEVELS; c++)
-        if (m->lists[c].length)
-          g_ptr_array_add (d->machines_with_lists[c], m);
+      HzbMachine *machine = dispatch->machines->all->pdata[i];
+      for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
+        if (machine->lists[at_level].length)
+          g_ptr_array_add (dispatch->machines_with_lists[at_level], machine);
     }
-  d->generation = d->machines->generation;
+  dispatch->generation = dispatch->machines->generation;
 }
 
 /* Tasks of one job to lists: only as many as the team may use, since what waits for its limit holds nobody up. */
 static void
-list_tasks (HzbDispatch *d, HzbJob *job, double *cpus, double *gpus, guint *budget, guint *examined,
+list_tasks (HzbDispatch *dispatch, HzbJob *job, double *cpus, double *gpus, guint *budget, guint *examined,
             struct timespec now)
 {
-  const HzbBlock *block = d->jobs->block;
+  const HzbBlock *block = dispatch->jobs->block;
   const HzbSpec *spec = job->spec;
   g_auto (HzbSearch) search = { 0 };
-  gboolean sampled = d->lagging || *examined < d->usable->len;
+  gboolean sampled = dispatch->lagging || *examined < dispatch->usable->len;
 
-  hzb_search_begin (&search, d, job, now);
+  hzb_search_begin (&search, dispatch, job, now);
   if (!sampled)
     {
-      *examined -= d->usable->len;
+      *examined -= dispatch->usable->len;
       hzb_search_look (&search, 0);
     }
   while (*budget && hzb_block_fits (block, job->team, cpus[job->team] + spec->cpus, gpus[job->team] + spec->gpus))
     {
       HzbTask *task;
-      HzbMachine *m;
+      HzbMachine *machine;
       if (sampled)
-        hzb_search_look (&search, d->sample);
-      m = overdue_start_placed (job) ? NULL : hzb_search_best (&search);
+        hzb_search_look (&search, dispatch->sample);
+      machine = overdue_start_placed (job) ? NULL : hzb_search_best (&search);
       /* No machine, or even the least loaded has work for a while: it waits here, where what comes later and is
        * more pressing can still go first. Only what a machine could take is asked for, and so released. */
-      if (!m || listed_s (m, job->level) > d->list_ahead_s || !(task = hzb_job_next_pending (job, now)))
+      if (!machine || listed_s (machine, job->level) > dispatch->list_ahead_s
+          || !(task = hzb_job_next_pending (job, now)))
         break;
-      put_on_list (d, task, m, now);
+      put_on_list (dispatch, task, machine, now);
       hzb_search_sent (&search);
       cpus[job->team] += spec->cpus;
       gpus[job->team] += spec->gpus;
@@ -455,52 +457,52 @@
 }
 
 void
-hzb_dispatch_run (HzbDispatch *d, struct timespec now)
+hzb_dispatch_run (HzbDispatch *dispatch, struct timespec now)
 {
   g_autoptr (GPtrArray) order = g_ptr_array_new ();
-  const HzbBlock *block = d->jobs->block;
+  const HzbBlock *block = dispatch->jobs->block;
   guint n = block->n_teams;
   g_autofree double *cpus = g_new0 (double, n), *gpus = g_new0 (double, n);
-  guint budget = d->lagging ? 50 : 400, examined = LOOKS_PER_RUN;
+  guint budget = dispatch->lagging ? 50 : 400, examined = LOOKS_PER_RUN;
 
-  hzb_dispatch_update_levels (d, now);
-  index_usable_machines (d);
-  for (guint i = 0; i < d->usable->len; i++)
+  hzb_dispatch_update_levels (dispatch, now);
+  index_usable_machines (dispatch);
+  for (guint i = 0; i < dispatch->usable->len; i++)
     {
-      HzbMachine *m = d->usable->pdata[i];
-      if (m->estimate_stale)
-        hzb_dispatch_reset_estimates (d, m, now);
+      HzbMachine *machine = dispatch->usable->pdata[i];
+      if (machine->estimate_stale)
+        hzb_dispatch_reset_estimates (dispatch, machine, now);
     }
-  memset (d->ahead_cpus, 0, n * HZB_N_LEVELS * sizeof (double));
-  memset (d->ahead_gpus, 0, n * HZB_N_LEVELS * sizeof (double));
-  d->gang_waits = FALSE;
-  d->least_cpus = INFINITY;
-  for (guint c = 0; c < HZB_N_LEVELS; c++)
-    g_ptr_array_set_size (d->waiting[c], 0);
-  for (guint i = 0; i < d->jobs->active->len; i++)
+  memset (dispatch->ahead_cpus, 0, n * HZB_N_LEVELS * sizeof (double));
+  memset (dispatch->ahead_gpus, 0, n * HZB_N_LEVELS * sizeof (double));
+  dispatch->gang_waits = FALSE;
+  dispatch->least_cpus = INFINITY;
+  for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
+    g_ptr_array_set_size (dispatch->waiting[at_level], 0);
+  for (guint i = 0; i < dispatch->jobs->active->len; i++)
     {
-      HzbJob *job = d->jobs->active->pdata[i];
+      HzbJob *job = dispatch->jobs->active->pdata[i];
       guint at, waiting;
       if (job->state != HZB_JOB_ACCEPTED || !(job->pending || job->listed))
         continue;
       g_ptr_array_add (order, job);
-      d->gang_waits = d->gang_waits || job->spec->gang;
-      d->least_cpus = MIN (d->least_cpus, job->spec->cpus);
+      dispatch->gang_waits = dispatch->gang_waits || job->spec->gang;
+      dispatch->least_cpus = MIN (dispatch->least_cpus, job->spec->cpus);
       /* What can't start now keeps nothing from others: they would wait for it, and it perhaps for a machine that is
        * rented only once their work is over. */
-      if (hzb_time_before (now, job->not_before) || job->failures || !has_machine (d, job->spec))
+      if (hzb_time_before (now, job->not_before) || job->failures || !has_machine (dispatch, job->spec))
         continue;
       at = (guint) job->team * HZB_N_LEVELS + job->level;
       waiting = job->start_overdue ? 1 : job->pending + job->listed;
-      d->ahead_cpus[at] += waiting * job->spec->cpus;
-      d->ahead_gpus[at] += waiting * job->spec->gpus;
+      dispatch->ahead_cpus[at] += waiting * job->spec->cpus;
+      dispatch->ahead_gpus[at] += waiting * job->spec->gpus;
     }
   g_ptr_array_sort (order, hzb_dispatch_order);
   for (guint i = 0; i < order->len; i++)
     {
       HzbJob *job = order->pdata[i];
       if (!job->spec->gang)
-        g_ptr_array_add (d->waiting[job->level], job);
+        g_ptr_array_add (dispatch->waiting[job->level], job);
     }
   for (guint i = 0; i < order->len && budget; i++)
     {
@@ -514,18 +516,18 @@
         continue; /* a job that failed wherever it started is tried with one task at a time */
       if (spec->gang)
         {
-          place_gang (d, job, now);
+          place_gang (dispatch, job, now);
           continue;
         }
       if (!hzb_block_fits (block, job->team, cpus[job->team] + spec->cpus, gpus[job->team] + spec->gpus))
         {
           if (spec->priority >= HZB_PRIORITY_HIGH)
-            hzb_preempt_within_team (d, job, now);
+            hzb_preempt_within_team (dispatch, job, now);
           continue;
         }
-      list_tasks (d, job, cpus, gpus, &budget, &examined, now);
+      list_tasks (dispatch, job, cpus, gpus, &budget, &examined, now);
     }
-  index_machines_with_lists (d);
+  index_machines_with_lists (dispatch);
 }
 
 /* ---- at a report ---- */
@@ -533,58 +535,59 @@
 /* Guards against a team's limit being filled, as it frees up, by whichever machine reports first: what its
  * more pressing tasks wait for is kept for them. */
 gboolean
-hzb_dispatch_team_may_use (HzbDispatch *d, const HzbJob *job)
+hzb_dispatch_team_may_use (HzbDispatch *dispatch, const HzbJob *job)
 {
-  const double *cpus = d->ahead_cpus + job->team * HZB_N_LEVELS, *gpus = d->ahead_gpus + job->team * HZB_N_LEVELS;
+  const double *cpus = dispatch->ahead_cpus + job->team * HZB_N_LEVELS,
+               *gpus = dispatch->ahead_gpus + job->team * HZB_N_LEVELS;
   double kept_cpus = 0, kept_gpus = 0;
-  for (guint c = job->level + 1; c < HZB_N_LEVELS; c++)
+  for (guint at_level = job->level + 1; at_level < HZB_N_LEVELS; at_level++)
     {
-      kept_cpus += cpus[c];
-      kept_gpus += gpus[c];
+      kept_cpus += cpus[at_level];
+      kept_gpus += gpus[at_level];
     }
-  return hzb_block_fits (d->jobs->block, job->team, job->spec->cpus + kept_cpus, job->spec->gpus + kept_gpus);
+  return hzb_block_fits (dispatch->jobs->block, job->team, job->spec->cpus + kept_cpus, job->spec->gpus + kept_gpus);
 }
 
 void
-hzb_dispatch_note_started (HzbDispatch *d, const HzbJob *job)
+hzb_dispatch_note_started (HzbDispatch *dispatch, const HzbJob *job)
 {
   guint at = (guint) job->team * HZB_N_LEVELS + job->level;
-  d->ahead_cpus[at] = MAX (0, d->ahead_cpus[at] - job->spec->cpus);
-  d->ahead_gpus[at] = MAX (0, d->ahead_gpus[at] - job->spec->gpus);
+  dispatch->ahead_cpus[at] = MAX (0, dispatch->ahead_cpus[at] - job->spec->cpus);
+  dispatch->ahead_gpus[at] = MAX (0, dispatch->ahead_gpus[at] - job->spec->gpus);
 }
 
 /* Something that waits could fit. */
 static gboolean
-has_some_room (const HzbDispatch *d, const HzbMachine *m)
+has_some_room (const HzbDispatch *dispatch, const HzbMachine *machine)
 {
-  return m->cpus + d->least_cpus <= m->type->cpus + 1e-6;
+  return machine->cpus + dispatch->least_cpus <= machine->type->cpus + 1e-6;
 }
 
 static gboolean
-may_start (HzbDispatch *d, const HzbTask *task, const HzbMachine *m)
+may_start (HzbDispatch *dispatch, const HzbTask *task, const HzbMachine *machine)
 {
-  return task->job->state == HZB_JOB_ACCEPTED && hzb_dispatch_team_may_use (d, task->job)
-         && hzb_zone_allowed (task->job, m);
+  return task->job->state == HZB_JOB_ACCEPTED && hzb_dispatch_team_may_use (dispatch, task->job)
+         && hzb_zone_allowed (task->job, machine);
 }
 
 static void
-start (HzbDispatch *d, HzbTask *task, HzbMachine *m, GArray *commands)
+start (HzbDispatch *dispatch, HzbTask *task, HzbMachine *machine, GArray *commands)
 {
   HzbCommand order = { HZB_COMMAND_START, task->job->uid, task->index, 0, 0 };
 
-  if (task->state == HZB_TASK_LISTED && task->machine != m)
-    hzb_task_set_state (d->jobs, task, HZB_TASK_PENDING, NULL); /* moved: it was never sent there */
+  if (task->state == HZB_TASK_LISTED && task->machine != machine)
+    hzb_task_set_state (dispatch->jobs, task, HZB_TASK_PENDING, NULL); /* moved: it was never sent there */
   if (task->state == HZB_TASK_PENDING)
     {
       g_queue_remove (&task->job->retry, task);
-      hzb_task_set_state (d->jobs, task, HZB_TASK_LISTED, m);
+      hzb_task_set_state (dispatch->jobs, task, HZB_TASK_LISTED, machine);
     }
   if (!task->job->spec->gang)
     task->attempt = ++task->job->next_attempt;
   order.attempt = task->attempt;
-  if (hzb_task_set_state (d->jobs, task, HZB_TASK_STARTING, m))
+  if (hzb_task_set_state (dispatch->jobs, task, HZB_TASK_STARTING, machine))
     {
-      hzb_dispatch_note_started (d, task->job);
+      hzb_dispatch_note_started (dispatch, task->job);
       g_array_append_val (commands, order);
     }
 }
@@ -593,11 +596,11 @@
 
 /* The unstarted task that the machine should take from another's list: of a sample, that of the most loaded. */
 static HzbTask *
-find_task_to_move (HzbDispatch *d, HzbMachine *m, guint level, gboolean cached, struct timespec now)
+find_task_to_move (HzbDispatch *dispatch, HzbMachine *machine, guint level, gboolean cached, struct timespec now)
 {
-  GPtrArray *machines_with_lists = d->machines_with_lists[level];
-  guint n = machines_with_lists->len, most_looks = MIN (n, d->lagging ? d->sample : MOVE_SAMPLE);
-  guint first = most_looks < n ? (guint) g_rand_int_range (d->rand, 0, (gint32) n) : 0;
+  GPtrArray *machines_with_lists = dispatch->machines_with_lists[level];
+  guint n = machines_with_lists->len, most_looks = MIN (n, dispatch->lagging ? dispatch->sample : MOVE_SAMPLE);
+  guint first = most_looks < n ? (guint) g_rand_int_range (dispatch->rand, 0, (gint32) n) : 0;
   guint step = most_looks ? n / most_looks : 1;
   HzbTask *best = NULL;
   double most = -1;
@@ -607,9 +610,9 @@
       HzbMachine *other = machines_with_lists->pdata[(first + i * step) % n];
       guint examined = 0;
       double u;
-      if (other == m || !other->lists[level].length)
+      if (other == machine || !other->lists[level].length)
         continue;
-      d->examined++;
+      dispatch->examined++;
       u = hzb_estimate_mean (&other->estimates[level]);
       if (u <= most)
         continue;
@@ -619,9 +622,10 @@
           const HzbSpec *spec = task->job->spec;
           /* A replica is there sooner where its image is, even if that machine reports later. */
           gboolean waits = spec->service && g_hash_table_contains (other->images, spec->image)
-                           && hzb_time_between (task->since, now) < 2 * d->settings->report_s;
-          if (((cached || waits) && !g_hash_table_contains (m->images, spec->image)) || !hzb_machine_allowed (m, spec)
-              || !hzb_machine_has_room (m, spec) || hzb_machine_avoids (m, task->job, now) || !may_start (d, task, m))
+                           && hzb_time_between (task->since, now) < 2 * dispatch->settings->report_s;
+          if (((cached || waits) && !g_hash_table_contains (machine->images, spec->image))
+              || !hzb_machine_allowed (machine, spec) || !hzb_machine_has_room (machine, spec)
+              || hzb_machine_avoids (machine, task->job, now) || !may_start (dispatch, task, machine))
             continue;
           best = task;
           most = u;
@@ -633,78 +637,80 @@
 
 /* A machine with room and nothing in any list for it takes what still waits for a list. */
 static void
-start_waiting (HzbDispatch *d, HzbMachine *m, guint level, struct timespec now, GArray *commands)
+start_waiting (HzbDispatch *dispatch, HzbMachine *machine, guint level, struct timespec now, GArray *commands)
 {
-  GPtrArray *waiting = d->waiting[level];
+  GPtrArray *waiting = dispatch->waiting[level];
 
   for (guint cached = 2; cached-- > 0;)
-    for (guint i = 0; i < waiting->len && has_some_room (d, m); i++)
+    for (guint i = 0; i < waiting->len && has_some_room (dispatch, machine); i++)
       {
         HzbJob *job = waiting->pdata[i];
         HzbTask *task;
         /* The order is that of the last run: what has changed since is looked at here. */
         if (!job->pending || job->state != HZB_JOB_ACCEPTED || job->level != level || job->failures
-            || !hzb_machine_has_room (m, job->spec) || !hzb_machine_allowed (m, job->spec)
-            || hzb_time_before (now, job->not_before) || hzb_machine_avoids (m, job, now)
-            || (cached && !g_hash_table_contains (m->images, job->spec->image)) || !hzb_dispatch_team_may_use (d, job))
+            || !hzb_machine_has_room (machine, job->spec) || !hzb_machine_allowed (machine, job->spec)
+            || hzb_time_before (now, job->not_before) || hzb_machine_avoids (machine, job, now)
+            || (cached && !g_hash_table_contains (machine->images, job->spec->image))
+            || !hzb_dispatch_team_may_use (dispatch, job))
           continue;
-        while (!overdue_start_placed (job) && hzb_machine_has_room (m, job->spec)
+        while (!overdue_start_placed (job) && hzb_machine_has_room (machine, job->spec)
                && (task = hzb_job_next_pending (job, now)))
           {
-            if (!may_start (d, task, m))
+            if (!may_start (dispatch, task, machine))
               {
                 g_queue_push_head (&job->retry, task);
                 break;
               }
-            start (d, task, m, commands);
+            start (dispatch, task, machine, commands);
           }
       }
 }
 
 void
-hzb_dispatch_start_tasks (HzbDispatch *d, HzbMachine *m, struct timespec now, GArray *commands)
+hzb_dispatch_start_tasks (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands)
 {
-  if (!hzb_machine_usable (m))
+  if (!hzb_machine_usable (machine))
     return;
   /* Places held for gangs come first: they were counted as taken when they were booked. */
-  for (guint i = 0; i < m->tasks->len; i++)
+  for (guint i = 0; i < machine->tasks->len; i++)
     {
-      HzbTask *task = m->tasks->pdata[i];
+      HzbTask *task = machine->tasks->pdata[i];
       if (task->state == HZB_TASK_BOOKED)
         {
-          start (d, task, m, commands);
+          start (dispatch, task, machine, commands);
           i = G_MAXUINT; /* the array was changed */
         }
     }
-  if (d->generation != d->machines->generation)
-    index_machines_with_lists (d); /* some of them may be no more */
-  for (gint level = HZB_N_LEVELS - 1; level >= 0 && has_some_room (d, m); level--)
+  if (dispatch->generation != dispatch->machines->generation)
+    index_machines_with_lists (dispatch); /* some of them may be no more */
+  for (gint level = HZB_N_LEVELS - 1; level >= 0 && has_some_room (dispatch, machine); level--)
     {
       gboolean held_up = FALSE;
-      if (halted_by_gang (d, m, (guint) level, now))
+      if (halted_by_gang (dispatch, machine, (guint) level, now))
         break;
-      for (GList *l = m->lists[level].head; l;)
+      for (GList *l = machine->lists[level].head; l;)
         {
           HzbTask *task = l->data;
           l = l->next;
-          if (!may_start (d, task, m))
+          if (!may_start (dispatch, task, machine))
             continue;
-          if (!hzb_machine_has_room (m, task->job->spec))
+          if (!hzb_machine_has_room (machine, task->job->spec))
             {
               held_up = TRUE; /* first come: nothing of this class or a lower one goes past it */
               break;
             }
-          start (d, task, m, commands);
+          start (dispatch, task, machine, commands);
         }
       if (held_up)
         break;
-      for (guint cached = 2; cached-- > 0 && d->machines_with_lists[level]->len;)
+      for (guint cached = 2; cached-- > 0 && dispatch->machines_with_lists[level]->len;)
         {
           HzbTask *task;
-          while (has_some_room (d, m) && (task = find_task_to_move (d, m, (guint) level, cached == 1, now)))
-            start (d, task, m, commands);
+          while (has_some_room (dispatch, machine)
+                 && (task = find_task_to_move (dispatch, machine, (guint) level, cached == 1, now)))
+            start (dispatch, task, machine, commands);
         }
-      start_waiting (d, m, (guint) level, now, commands);
+      start_waiting (dispatch, machine, (guint) level, now, commands);
     }
-  hzb_preempt_on_machine (d, m, now, commands);
+  hzb_preempt_on_machine (dispatch, machine, now, commands);
 }
--- a/src/headroom.c
+++ b/src/headroom.c
@@ -6,18 +6,19 @@
 
 /* A machine that may be kept for such replicas: one that the cloud doesn't take back. */
 static gboolean
-suits (const HzbMachine *m, const HzbSpec *spec, const char *zone)
+suits (const HzbMachine *machine, const HzbSpec *spec, const char *zone)
 {
-  return m->type && !m->spot && !m->to_be_returned && !m->unreachable && hzb_type_holds (m->type, spec)
-         && (m->state == HZB_MACHINE_ACTIVE || m->state == HZB_MACHINE_LEASED || m->state == HZB_MACHINE_BOOTING
-             || m->state == HZB_MACHINE_UNVERIFIED)
-         && (!zone || g_str_equal (zone, m->zone));
+  return machine->type && !machine->spot && !machine->to_be_returned && !machine->unreachable
+         && hzb_type_holds (machine->type, spec)
+         && (machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_LEASED
+             || machine->state == HZB_MACHINE_BOOTING || machine->state == HZB_MACHINE_UNVERIFIED)
+         && (!zone || g_str_equal (zone, machine->zone));
 }
 
 static double
-free_for_replicas (const HzbMachine *m)
+free_for_replicas (const HzbMachine *machine)
 {
-  return m->type->cpus - m->service_cpus - m->listed_service_cpus;
+  return machine->type->cpus - machine->service_cpus - machine->listed_service_cpus;
 }
 
 /* Zones with replicas or kept machines go first, or room would be kept in ever other zones; then those with most to
@@ -28,11 +29,11 @@
   double rank = 0;
   for (guint i = 0; i < machines->all->len; i++)
     {
-      const HzbMachine *m = machines->all->pdata[i];
-      if (!m->type || m->spot || !g_str_equal (m->zone, zone) || !hzb_type_holds (m->type, spec)
-          || m->state == HZB_MACHINE_RETURNING || m->state == HZB_MACHINE_LEASE_EXPIRED)
+      const HzbMachine *machine = machines->all->pdata[i];
+      if (!machine->type || machine->spot || !g_str_equal (machine->zone, zone) || !hzb_type_holds (machine->type, spec)
+          || machine->state == HZB_MACHINE_RETURNING || machine->state == HZB_MACHINE_LEASE_EXPIRED)
         continue;
-      rank += m->type->cpus + 100 * m->service_cpus + (m->reserved ? 20 * m->type->cpus : 0);
+      rank += machine->type->cpus + 100 * machine->service_cpus + (machine->reserved ? 20 * machine->type->cpus : 0);
     }
   return rank;
 }
@@ -98,9 +99,9 @@
       headroom.zones[z].free = largest;
       for (guint i = 0; i < machines->all->len; i++)
         {
-          const HzbMachine *m = machines->all->pdata[i];
-          if (m->service_cpus > 0 && g_str_equal (m->zone, headroom.zones[z].zone))
-            headroom.zones[z].placed += m->service_cpus;
+          const HzbMachine *machine = machines->all->pdata[i];
+          if (machine->service_cpus > 0 && g_str_equal (machine->zone, headroom.zones[z].zone))
+            headroom.zones[z].placed += machine->service_cpus;
         }
     }
   return headroom;
@@ -138,16 +139,16 @@
   double least = INFINITY;
   for (guint i = 0; i < machines->all->len; i++)
     {
-      HzbMachine *m = machines->all->pdata[i];
-      double cost = (m->state == HZB_MACHINE_LEASED   ? 1000
-                     : m->state == HZB_MACHINE_ACTIVE ? 0
-                                                      : 100)
-                    + m->cpus - 100 * m->service_cpus;
-      if (m->reserved || !suits (m, headroom->spec, zone) || free_for_replicas (m) < headroom->spec->cpus
-          || cost >= least)
+      HzbMachine *machine = machines->all->pdata[i];
+      double cost = (machine->state == HZB_MACHINE_LEASED   ? 1000
+                     : machine->state == HZB_MACHINE_ACTIVE ? 0
+                                                            : 100)
+                    + machine->cpus - 100 * machine->service_cpus;
+      if (machine->reserved || !suits (machine, headroom->spec, zone)
+          || free_for_replicas (machine) < headroom->spec->cpus || cost >= least)
         continue;
       least = cost;
-      best = m;
+      best = machine;
     }
   return best;
 }
@@ -159,41 +160,42 @@
 
   for (guint i = 0; i < machines->all->len; i++)
     {
-      HzbMachine *m = machines->all->pdata[i];
+      HzbMachine *machine = machines->all->pdata[i];
       gboolean zone = FALSE;
       for (guint z = 0; z < headroom->n_zones; z++)
-        zone = zone || g_str_equal (m->zone, headroom->zones[z].zone);
-      if (m->reserved
-          && (!headroom->spec || waiting || !suits (m, headroom->spec, NULL) || (!zone && m->service_cpus <= 0)))
-        m->reserved = FALSE;
+        zone = zone || g_str_equal (machine->zone, headroom->zones[z].zone);
+      if (machine->reserved
+          && (!headroom->spec || waiting || !suits (machine, headroom->spec, NULL)
+              || (!zone && machine->service_cpus <= 0)))
+        machine->reserved = FALSE;
     }
   for (guint z = 0; z < headroom->n_zones && !waiting; z++)
     {
       double free = 0, want = headroom->zones[z].free + headroom->zones[z].waiting;
-      HzbMachine *m;
+      HzbMachine *machine;
       for (guint i = 0; i < machines->all->len; i++)
         {
-          m = machines->all->pdata[i];
-          if (m->reserved && g_str_equal (m->zone, headroom->zones[z].zone))
-            free += free_for_replicas (m);
+          machine = machines->all->pdata[i];
+          if (machine->reserved && g_str_equal (machine->zone, headroom->zones[z].zone))
+            free += free_for_replicas (machine);
         }
-      while (free < want && (m = next_to_reserve (headroom, machines, headroom->zones[z].zone)))
+      while (free < want && (machine = next_to_reserve (headroom, machines, headroom->zones[z].zone)))
         {
-          m->reserved = TRUE;
-          m->spare = FALSE;
-          if (m->state == HZB_MACHINE_ACTIVE)
-            hzb_machine_empty_lists (jobs, m);
-          free += free_for_replicas (m);
+          machine->reserved = TRUE;
+          machine->spare = FALSE;
+          if (machine->state == HZB_MACHINE_ACTIVE)
+            hzb_machine_empty_lists (jobs, machine);
+          free += free_for_replicas (machine);
         }
       /* More than is needed goes back to other work, with some slack so that none goes back and forth. */
       for (guint i = 0; i < machines->all->len; i++)
         {
-          m = machines->all->pdata[i];
-          if (m->reserved && g_str_equal (m->zone, headroom->zones[z].zone)
-              && m->service_cpus + m->listed_service_cpus <= 0 && free - m->type->cpus >= 1.5 * want)
+          machine = machines->all->pdata[i];
+          if (machine->reserved && g_str_equal (machine->zone, headroom->zones[z].zone)
+              && machine->service_cpus + machine->listed_service_cpus <= 0 && free - machine->type->cpus >= 1.5 * want)
             {
-              m->reserved = FALSE;
-              free -= m->type->cpus;
+              machine->reserved = FALSE;
+              free -= machine->type->cpus;
             }
         }
     }
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -117,7 +117,7 @@
   GPtrArray *active;        /* the owner's: jobs with a part of it, by age */
   HzbClock *clock;
   const HzbSettings *settings;
-  HzbBlock *block;             /* NULL: not a owner */
+  HzbBlock *block;             /* NULL: not an owner */
   GHashTable *estimate_biases; /* class name -> double*, see hzb_jobs_observe() */
   guint chunk;                 /* tasks of a part */
   gboolean lessee;             /* of the jobs only what was delegated is in the block */
--- a/src/lessee.c
+++ b/src/lessee.c
@@ -16,7 +16,7 @@
 
 struct _HzbLessee
 {
-  HzbController *c;
+  HzbController *controller;
   gboolean asking;
   guint64 token, in_number;
   HzbOutbox out;
@@ -24,10 +24,10 @@
 };
 
 HzbLessee *
-hzb_lessee_new (HzbController *c)
+hzb_lessee_new (HzbController *controller)
 {
   HzbLessee *lessee = g_new0 (HzbLessee, 1);
-  lessee->c = c;
+  lessee->controller = controller;
   return lessee;
 }
 
@@ -41,8 +41,8 @@
 gboolean
 hzb_lessee_valid (HzbLessee *lessee)
 {
-  return lessee->c->ownership == HZB_OWNERSHIP_LESSEE
-         && hzb_time_before (hzb_clock_now (lessee->c->clock), lessee->valid_until);
+  return lessee->controller->ownership == HZB_OWNERSHIP_LESSEE
+         && hzb_time_before (hzb_clock_now (lessee->controller->clock), lessee->valid_until);
 }
 
 static void
@@ -70,35 +70,35 @@
 }
 
 void
-hzb_lessee_return_machine (HzbLessee *lessee, HzbMachine *m, const char *why)
+hzb_lessee_return_machine (HzbLessee *lessee, HzbMachine *machine, const char *why)
 {
-  HzbController *c = lessee->c;
+  HzbController *controller = lessee->controller;
   cJSON *body = cJSON_CreateObject (), *lost;
 
-  cJSON_AddStringToObject (body, "machine", m->name);
+  cJSON_AddStringToObject (body, "machine", machine->name);
   cJSON_AddStringToObject (body, "why", why);
-  cJSON_AddBoolToObject (body, "sick", m->to_be_returned && !m->recall_requested);
-  hzb_json_add_u64 (body, "session", m->session);
-  hzb_json_add_u64 (body, "seq", m->seq);
+  cJSON_AddBoolToObject (body, "sick", machine->to_be_returned && !machine->recall_requested);
+  hzb_json_add_u64 (body, "session", machine->session);
+  hzb_json_add_u64 (body, "seq", machine->seq);
   lost = cJSON_AddArrayToObject (body, "lost");
-  hzb_machine_empty_lists (c->jobs, m);
-  while (m->tasks->len)
+  hzb_machine_empty_lists (controller->jobs, machine);
+  while (machine->tasks->len)
     {
-      HzbTask *task = m->tasks->pdata[m->tasks->len - 1];
-      guint before = m->tasks->len;
+      HzbTask *task = machine->tasks->pdata[machine->tasks->len - 1];
+      guint before = machine->tasks->len;
       if (task->state == HZB_TASK_BOOKED)
-        hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
+        hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
       else
         {
           cJSON_AddItemToArray (lost, hzb_task_pack (task));
-          hzb_task_set_state (c->jobs, task, HZB_TASK_OTHER_OWNER, NULL);
+          hzb_task_set_state (controller->jobs, task, HZB_TASK_OTHER_OWNER, NULL);
         }
-      g_return_if_fail (m->tasks->len < before);
+      g_return_if_fail (machine->tasks->len < before);
     }
   hzb_outbox_push (&lessee->out, body);
-  hzb_machine_set_state (c->machines, m, HZB_MACHINE_RETURNING, why);
-  hzb_machine_set_state (c->machines, m, HZB_MACHINE_GONE, "from this block, back to the leader");
-  hzb_machines_remove (c->machines, m);
+  hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_RETURNING, why);
+  hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_GONE, "from this block, back to the leader");
+  hzb_machines_remove (controller->machines, machine);
 }
 
 static void
@@ -119,19 +119,19 @@
 static void
 receive_machine (HzbLessee *lessee, const cJSON *batch, const char *name)
 {
-  HzbController *c = lessee->c;
+  HzbController *controller = lessee->controller;
   const cJSON *holds = cJSON_GetObjectItemCaseSensitive (batch, "holds"), *item;
   gboolean known = TRUE;
-  HzbMachine *m;
+  HzbMachine *machine;
 
   cJSON_ArrayForEach (item, holds)
   {
     const char *uid = hzb_json_text (item, "job");
-    HzbJob *job = uid ? hzb_jobs_find (c->jobs, uid) : NULL;
+    HzbJob *job = uid ? hzb_jobs_find (controller->jobs, uid) : NULL;
     HzbTask *task;
     if (job && job->state == HZB_JOB_ACCEPTED)
-      hzb_jobs_activate (c->jobs, job);
-    task = hzb_tasks_find (c->jobs, uid, (int) hzb_json_number (item, "task", -1));
+      hzb_jobs_activate (controller->jobs, job);
+    task = hzb_tasks_find (controller->jobs, uid, (int) hzb_json_number (item, "task", -1));
     known = known && task && task->state == HZB_TASK_OTHER_OWNER;
   }
   if (!known)
@@ -146,34 +146,36 @@
       hzb_outbox_push (&lessee->out, body);
       return;
     }
-  m = hzb_machines_add (c->machines, name, hzb_json_text (batch, "addr"), hzb_json_text (batch, "type"),
+  machine =
+      hzb_machines_add (controller->machines, name, hzb_json_text (batch, "addr"), hzb_json_text (batch, "type"),
                         hzb_json_text (batch, "zone"), cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (batch, "spot")),
                         holds ? HZB_MACHINE_UNVERIFIED : HZB_MACHINE_BOOTING);
-  m->recorded = m->known_to_cloud = TRUE;
-  hzb_machine_set_token (m, lessee->token);
-  m->session = hzb_json_u64 (batch, "session");
-  m->seq = hzb_json_u64 (batch, "seq");
-  m->last_report = hzb_clock_now (c->clock);
+  machine->recorded = machine->known_to_cloud = TRUE;
+  hzb_machine_set_token (machine, lessee->token);
+  machine->session = hzb_json_u64 (batch, "session");
+  machine->seq = hzb_json_u64 (batch, "seq");
+  machine->last_report = hzb_clock_now (controller->clock);
   cJSON_ArrayForEach (item, holds)
   {
-    HzbTask *task = hzb_tasks_find (c->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
+    HzbTask *task =
+        hzb_tasks_find (controller->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
     gboolean runs = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "runs"));
-    hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
+    hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
     g_queue_remove (&task->job->retry, task);
     task->attempt = hzb_json_u64 (item, "attempt");
-    hzb_task_set_state (c->jobs, task, runs ? HZB_TASK_RUNNING : HZB_TASK_FETCHING, m);
+    hzb_task_set_state (controller->jobs, task, runs ? HZB_TASK_RUNNING : HZB_TASK_FETCHING, machine);
   }
 }
 
 static void
 apply_batch (HzbLessee *lessee, const cJSON *batch)
 {
-  HzbController *c = lessee->c;
+  HzbController *controller = lessee->controller;
   const cJSON *tasks = cJSON_GetObjectItemCaseSensitive (batch, "tasks"), *group;
   const char *name = hzb_json_text (batch, "machine"), *back = hzb_json_text (batch, "back"),
              *keep = hzb_json_text (batch, "keep");
   HzbJob *cancelled =
-      hzb_json_text (batch, "cancelled") ? hzb_jobs_find (c->jobs, hzb_json_text (batch, "cancelled")) : NULL;
+      hzb_json_text (batch, "cancelled") ? hzb_jobs_find (controller->jobs, hzb_json_text (batch, "cancelled")) : NULL;
 
   if (cancelled && cancelled->state == HZB_JOB_ACCEPTED)
     cancelled->state = HZB_JOB_CANCELLED; /* as its record is, which this node may not have seen yet */
@@ -182,9 +184,9 @@
       cJSON *unknown = NULL;
       cJSON_ArrayForEach (group, tasks)
       {
-        HzbJob *job = hzb_jobs_find (c->jobs, group->string);
+        HzbJob *job = hzb_jobs_find (controller->jobs, group->string);
         if (job && job->state == HZB_JOB_ACCEPTED)
-          hzb_jobs_activate (c->jobs, job);
+          hzb_jobs_activate (controller->jobs, job);
         if (!job || !job->tasks)
           {
             /* Not in this node's mirror yet, or over: back they go. */
@@ -199,18 +201,20 @@
           cJSON_AddItemToObject (body, "returned", unknown);
           hzb_outbox_push (&lessee->out, body);
         }
-      hzb_tasks_each (c->jobs, tasks, task_delegated, c->jobs);
+      hzb_tasks_each (controller->jobs, tasks, task_delegated, controller->jobs);
     }
-  hzb_tasks_each (c->jobs, cJSON_GetObjectItemCaseSensitive (batch, "durable"), task_durable, c->jobs);
-  if (name && !hzb_machines_find (c->machines, name) && hzb_json_text (batch, "type") && hzb_json_text (batch, "zone"))
+  hzb_tasks_each (controller->jobs, cJSON_GetObjectItemCaseSensitive (batch, "durable"), task_durable,
+                  controller->jobs);
+  if (name && !hzb_machines_find (controller->machines, name) && hzb_json_text (batch, "type")
+      && hzb_json_text (batch, "zone"))
     receive_machine (lessee, batch, name);
   if (back || keep)
     {
-      HzbMachine *m = hzb_machines_find (c->machines, back ? back : keep);
-      if (m)
+      HzbMachine *machine = hzb_machines_find (controller->machines, back ? back : keep);
+      if (machine)
         {
-          m->recall_requested = m->spare = back != NULL;
-          m->recall_at_once = back && cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (batch, "now"));
+          machine->recall_requested = machine->spare = back != NULL;
+          machine->recall_at_once = back && cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (batch, "now"));
         }
     }
 }
@@ -219,12 +223,12 @@
 static void
 raise_token (HzbLessee *lessee, guint64 token)
 {
-  HzbController *c = lessee->c;
-  lessee->token = c->block->token = token;
-  for (guint i = 0; i < c->machines->all->len; i++)
+  HzbController *controller = lessee->controller;
+  lessee->token = controller->block->token = token;
+  for (guint i = 0; i < controller->machines->all->len; i++)
     {
-      HzbMachine *m = c->machines->all->pdata[i];
-      hzb_machine_set_token (m, token);
+      HzbMachine *machine = controller->machines->all->pdata[i];
+      hzb_machine_set_token (machine, token);
     }
 }
 
@@ -232,30 +236,31 @@
 on_answer (guint status, const char *body, gsize length, gpointer user)
 {
   HzbLessee *lessee = user;
-  HzbController *c = lessee->c;
+  HzbController *controller = lessee->controller;
   cJSON *root = status == 200 ? cJSON_ParseWithLength (body, length) : NULL;
   guint64 term = hzb_json_u64 (root, "term"), token = hzb_json_u64 (root, "token");
   const cJSON *batch;
 
   lessee->asking = FALSE;
   if (root)
-    hzb_cancellations_handle_response (c->cancellations, term, cJSON_GetObjectItemCaseSensitive (root, "heard"));
-  if (root && !hzb_election_leading (c->election) && term == hzb_election_leader_term (c->election))
+    hzb_cancellations_handle_response (controller->cancellations, term,
+                                       cJSON_GetObjectItemCaseSensitive (root, "heard"));
+  if (root && !hzb_election_leading (controller->election) && term == hzb_election_leader_term (controller->election))
     {
       if (cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "end")))
-        hzb_controller_end_leased (c, "the leader took the block back");
+        hzb_controller_end_leased (controller, "the leader took the block back");
       else if (token
-               && (c->ownership == HZB_OWNERSHIP_LESSEE
-                   || (c->ownership == HZB_OWNERSHIP_NONE && c->mirror == HZB_MIRROR_FOLLOWING)))
+               && (controller->ownership == HZB_OWNERSHIP_LESSEE
+                   || (controller->ownership == HZB_OWNERSHIP_NONE && controller->mirror == HZB_MIRROR_FOLLOWING)))
         {
-          if (c->ownership == HZB_OWNERSHIP_NONE)
+          if (controller->ownership == HZB_OWNERSHIP_NONE)
             {
               lessee->token = token;
-              hzb_controller_begin_leased (c, token);
+              hzb_controller_begin_leased (controller, token);
             }
-          else if (c->ownership == HZB_OWNERSHIP_LESSEE && token > lessee->token)
+          else if (controller->ownership == HZB_OWNERSHIP_LESSEE && token > lessee->token)
             raise_token (lessee, token);
-          lessee->last_answer = hzb_clock_now (c->clock);
+          lessee->last_answer = hzb_clock_now (controller->clock);
           /* From when it was asked for: after standing still the answer may be old. */
           lessee->valid_until = hzb_time_plus (lessee->requests, hzb_json_number (root, "leaseS", 0));
           hzb_outbox_acknowledged (&lessee->out, hzb_json_u64 (root, "have"));
@@ -267,7 +272,7 @@
           }
           if (cJSON_GetArraySize (cJSON_GetObjectItemCaseSensitive (root, "batches")))
             {
-              hzb_dispatch_run (c->dispatch, hzb_clock_now (c->clock));
+              hzb_dispatch_run (controller->dispatch, hzb_clock_now (controller->clock));
               poll_soon (lessee);
             }
         }
@@ -277,20 +282,20 @@
 
 /* CPUs' worth of tasks that the block could start now, and a little beyond. */
 static double
-room (HzbController *c)
+room (HzbController *controller)
 {
   double free = 0, all = 0, listed = 0;
-  for (guint i = 0; i < c->machines->all->len; i++)
+  for (guint i = 0; i < controller->machines->all->len; i++)
     {
-      const HzbMachine *m = c->machines->all->pdata[i];
-      if (!hzb_machine_usable (m))
+      const HzbMachine *machine = controller->machines->all->pdata[i];
+      if (!hzb_machine_usable (machine))
         continue;
-      free += MAX (0, m->type->cpus - m->cpus);
-      all += m->type->cpus;
+      free += MAX (0, machine->type->cpus - machine->cpus);
+      all += machine->type->cpus;
     }
-  for (guint i = 0; i < c->jobs->active->len; i++)
+  for (guint i = 0; i < controller->jobs->active->len; i++)
     {
-      const HzbJob *job = c->jobs->active->pdata[i];
+      const HzbJob *job = controller->jobs->active->pdata[i];
       listed += (job->listed + job->pending) * job->spec->cpus;
     }
   return free + PREFETCH_PART * all - listed;
@@ -298,19 +303,19 @@
 
 /* How many tasks of each job are on machines that the leader asked back. */
 static cJSON *
-pack_leaving (HzbController *c)
+pack_leaving (HzbController *controller)
 {
   g_autoptr (GHashTable) counts = g_hash_table_new (NULL, NULL); /* HzbJob -> count */
   cJSON *leaving = cJSON_CreateObject ();
   GHashTableIter iter;
   gpointer job, count;
 
-  for (guint i = 0; i < c->machines->all->len; i++)
+  for (guint i = 0; i < controller->machines->all->len; i++)
     {
-      const HzbMachine *m = c->machines->all->pdata[i];
-      for (guint k = 0; m->recall_requested && k < m->tasks->len; k++)
+      const HzbMachine *machine = controller->machines->all->pdata[i];
+      for (guint k = 0; machine->recall_requested && k < machine->tasks->len; k++)
         {
-          job = ((HzbTask *) m->tasks->pdata[k])->job;
+          job = ((HzbTask *) machine->tasks->pdata[k])->job;
           g_hash_table_insert (counts, job,
                                GUINT_TO_POINTER (GPOINTER_TO_UINT (g_hash_table_lookup (counts, job)) + 1));
         }
@@ -324,37 +329,37 @@
 static void
 poll_leader (HzbLessee *lessee, struct timespec now)
 {
-  HzbController *c = lessee->c;
-  const char *leader = hzb_election_leader (c->election), *addr = NULL;
+  HzbController *controller = lessee->controller;
+  const char *leader = hzb_election_leader (controller->election), *addr = NULL;
   cJSON *root, *running, *cancelled;
 
-  for (guint i = 0; leader && i < c->settings->peers->len; i++)
-    if (g_str_equal (((HzbPeer *) c->settings->peers->pdata[i])->node, leader))
-      addr = ((HzbPeer *) c->settings->peers->pdata[i])->address;
-  if (!addr || c->mirror != HZB_MIRROR_FOLLOWING)
+  for (guint i = 0; leader && i < controller->settings->peers->len; i++)
+    if (g_str_equal (((HzbPeer *) controller->settings->peers->pdata[i])->node, leader))
+      addr = ((HzbPeer *) controller->settings->peers->pdata[i])->address;
+  if (!addr || controller->mirror != HZB_MIRROR_FOLLOWING)
     return;
   lessee->asking = TRUE;
   lessee->requests = now;
-  root = hzb_peers_message (c->peers, HZB_PEER_BLOCK);
-  if ((cancelled = hzb_cancellations_pack_request (c->cancellations)))
+  root = hzb_peers_message (controller->peers, HZB_PEER_BLOCK);
+  if ((cancelled = hzb_cancellations_pack_request (controller->cancellations)))
     cJSON_AddItemToObject (root, "cancelled", cancelled);
-  if (c->ownership == HZB_OWNERSHIP_LESSEE)
+  if (controller->ownership == HZB_OWNERSHIP_LESSEE)
     {
       hzb_json_add_u64 (root, "token", lessee->token);
       hzb_json_add_u64 (root, "have", lessee->in_number);
       cJSON_AddItemToObject (root, "events", hzb_outbox_pack (&lessee->out));
-      cJSON_AddNumberToObject (root, "room", hzb_lessee_valid (lessee) ? room (c) : 0);
-      cJSON_AddItemToObject (root, "leaving", pack_leaving (c));
+      cJSON_AddNumberToObject (root, "room", hzb_lessee_valid (lessee) ? room (controller) : 0);
+      cJSON_AddItemToObject (root, "leaving", pack_leaving (controller));
       running = cJSON_AddObjectToObject (root, "running");
-      for (guint i = 0; i < c->jobs->active->len; i++)
+      for (guint i = 0; i < controller->jobs->active->len; i++)
         {
-          const HzbJob *job = c->jobs->active->pdata[i];
+          const HzbJob *job = controller->jobs->active->pdata[i];
           if (job->running)
             cJSON_AddNumberToObject (running, job->uid, job->running);
         }
     }
-  hzb_send (c->transport, "POST", addr, "/peer/v1/block", cJSON_PrintUnformatted (root), ASK_TIMEOUT_MS, on_answer,
-            lessee);
+  hzb_send (controller->transport, "POST", addr, "/peer/v1/block", cJSON_PrintUnformatted (root), ASK_TIMEOUT_MS,
+            on_answer, lessee);
   cJSON_Delete (root);
 }
 
@@ -362,12 +367,12 @@
 static void
 return_unstarted_tasks (HzbLessee *lessee, struct timespec now)
 {
-  HzbController *c = lessee->c;
+  HzbController *controller = lessee->controller;
   cJSON *groups = NULL;
 
-  for (guint i = 0; i < c->jobs->active->len; i++)
+  for (guint i = 0; i < controller->jobs->active->len; i++)
     {
-      HzbJob *job = c->jobs->active->pdata[i];
+      HzbJob *job = controller->jobs->active->pdata[i];
       gboolean over = job->state != HZB_JOB_ACCEPTED;
       for (guint k = 0; (job->pending || job->listed) && k < job->n_tasks; k++)
         {
@@ -377,16 +382,16 @@
           if (!over && hzb_time_between (task->since, now) < UNSTARTED_TTL_S)
             continue;
           if (task->state == HZB_TASK_LISTED)
-            hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
+            hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
           g_queue_remove (&job->retry, task);
-          hzb_task_set_state (c->jobs, task, HZB_TASK_OTHER_OWNER, NULL);
+          hzb_task_set_state (controller->jobs, task, HZB_TASK_OTHER_OWNER, NULL);
           if (!groups)
             groups = cJSON_CreateObject ();
           hzb_tasks_add (groups, task);
         }
       if (over && !job->placed && !job->pending && !job->listed)
         {
-          hzb_jobs_retire (c->jobs, job);
+          hzb_jobs_retire (controller->jobs, job);
           i--;
         }
     }
@@ -401,45 +406,46 @@
 static void
 maintain_machines (HzbLessee *lessee, struct timespec now)
 {
-  HzbController *c = lessee->c;
-  for (guint i = c->machines->all->len; i-- > 0;)
+  HzbController *controller = lessee->controller;
+  for (guint i = controller->machines->all->len; i-- > 0;)
     {
-      HzbMachine *m = c->machines->all->pdata[i];
-      double quiet = hzb_time_between (m->last_report, now);
-      if (quiet > 3 * c->settings->report_s)
-        hzb_lessee_return_machine (lessee, m, "it is silent");
-      else if (m->unreachable)
-        hzb_lessee_return_machine (lessee, m, "it does not seem to hear its answers");
-      else if (m->to_be_returned && m->tasks->len == 0)
-        hzb_lessee_return_machine (lessee, m, "it fails what it starts");
-      else if (m->state == HZB_MACHINE_DRAINING && m->tasks->len == 0)
+      HzbMachine *machine = controller->machines->all->pdata[i];
+      double quiet = hzb_time_between (machine->last_report, now);
+      if (quiet > 3 * controller->settings->report_s)
+        hzb_lessee_return_machine (lessee, machine, "it is silent");
+      else if (machine->unreachable)
+        hzb_lessee_return_machine (lessee, machine, "it does not seem to hear its answers");
+      else if (machine->to_be_returned && machine->tasks->len == 0)
+        hzb_lessee_return_machine (lessee, machine, "it fails what it starts");
+      else if (machine->state == HZB_MACHINE_DRAINING && machine->tasks->len == 0)
         {
-          m->to_be_returned = TRUE;
-          hzb_lessee_return_machine (lessee, m, "the cloud takes it back");
+          machine->to_be_returned = TRUE;
+          hzb_lessee_return_machine (lessee, machine, "the cloud takes it back");
         }
-      else if (m->recall_requested && (m->tasks->len == 0 || (m->recall_at_once && m->state == HZB_MACHINE_ACTIVE)))
-        hzb_lessee_return_machine (lessee, m, "the leader asked for it");
-      else if (m->state == HZB_MACHINE_ACTIVE && m->tasks->len == 0 && hzb_machine_listed (m) == 0
-               && hzb_time_between (m->idle_since, now) > IDLE_S)
-        hzb_lessee_return_machine (lessee, m, "it has nothing to do");
+      else if (machine->recall_requested
+               && (machine->tasks->len == 0 || (machine->recall_at_once && machine->state == HZB_MACHINE_ACTIVE)))
+        hzb_lessee_return_machine (lessee, machine, "the leader asked for it");
+      else if (machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len == 0 && hzb_machine_listed (machine) == 0
+               && hzb_time_between (machine->idle_since, now) > IDLE_S)
+        hzb_lessee_return_machine (lessee, machine, "it has nothing to do");
     }
 }
 
 void
 hzb_lessee_tick (HzbLessee *lessee, struct timespec now)
 {
-  HzbController *c = lessee->c;
+  HzbController *controller = lessee->controller;
 
-  if (hzb_election_leading (c->election))
+  if (hzb_election_leading (controller->election))
     return;
-  if (c->ownership == HZB_OWNERSHIP_LESSEE
-      && (hzb_election_leader_term (c->election) != hzb_token_leader (lessee->token)))
-    hzb_controller_end_leased (c, "another leads");
-  if (c->ownership == HZB_OWNERSHIP_LESSEE && !hzb_lessee_valid (lessee))
-    hzb_controller_end_leased (c, "the lease is over");
-  if (c->ownership == HZB_OWNERSHIP_LESSEE && hzb_time_between (lessee->last_answer, now) > GIVE_UP_S)
-    hzb_controller_end_leased (c, "the leader does not answer");
-  if (c->ownership == HZB_OWNERSHIP_LESSEE)
+  if (controller->ownership == HZB_OWNERSHIP_LESSEE
+      && (hzb_election_leader_term (controller->election) != hzb_token_leader (lessee->token)))
+    hzb_controller_end_leased (controller, "another leads");
+  if (controller->ownership == HZB_OWNERSHIP_LESSEE && !hzb_lessee_valid (lessee))
+    hzb_controller_end_leased (controller, "the lease is over");
+  if (controller->ownership == HZB_OWNERSHIP_LESSEE && hzb_time_between (lessee->last_answer, now) > GIVE_UP_S)
+    hzb_controller_end_leased (controller, "the leader does not answer");
+  if (controller->ownership == HZB_OWNERSHIP_LESSEE)
     {
       maintain_machines (lessee, now);
       if (!hzb_time_before (now, lessee->next_maintenance))
@@ -448,7 +454,7 @@
           return_unstarted_tasks (lessee, now);
         }
     }
-  if (hzb_election_leader (c->election) && !lessee->asking && !hzb_time_before (now, lessee->next_ask))
+  if (hzb_election_leader (controller->election) && !lessee->asking && !hzb_time_before (now, lessee->next_ask))
     {
       lessee->next_ask = hzb_time_plus (now, ASK_S);
       poll_leader (lessee, now);
