--- a/src/machines.c
+++ b/src/machines.c
@@ -9,21 +9,21 @@
 static void
 machine_free (gpointer data)
 {
-  HzbMachine *m = data;
-  g_free (m->name);
-  g_free (m->addr);
-  g_free (m->type_name);
-  g_free (m->zone);
-  g_free (m->last_failed_job);
-  g_ptr_array_unref (m->tasks);
-  g_hash_table_unref (m->images);
-  g_hash_table_unref (m->expected);
+  HzbMachine *machine = data;
+  g_free (machine->name);
+  g_free (machine->addr);
+  g_free (machine->type_name);
+  g_free (machine->zone);
+  g_free (machine->last_failed_job);
+  g_ptr_array_unref (machine->tasks);
+  g_hash_table_unref (machine->images);
+  g_hash_table_unref (machine->expected);
   for (guint i = 0; i < HZB_N_LEVELS; i++)
     {
-      g_queue_clear (&m->lists[i]);
-      hzb_estimate_clear (&m->estimates[i]);
+      g_queue_clear (&machine->lists[i]);
+      hzb_estimate_clear (&machine->estimates[i]);
     }
-  g_free (m);
+  g_free (machine);
 }
 
 HzbMachines *
@@ -63,8 +63,8 @@
     ((HzbMachineType *) types->pdata[i])->index = i;
   for (guint i = 0; i < machines->all->len; i++)
     {
-      HzbMachine *m = machines->all->pdata[i];
-      m->type = hzb_machines_type (machines, m->type_name);
+      HzbMachine *machine = machines->all->pdata[i];
+      machine->type = hzb_machines_type (machines, machine->type_name);
     }
   g_clear_pointer (&old, g_ptr_array_unref);
 }
@@ -88,23 +88,23 @@
 hzb_machines_add (HzbMachines *machines, const char *name, const char *addr, const char *type, const char *zone,
                   gboolean spot, HzbMachineState state)
 {
-  HzbMachine *m = g_new0 (HzbMachine, 1);
+  HzbMachine *machine = g_new0 (HzbMachine, 1);
   struct timespec now = hzb_clock_now (machines->clock);
-  m->name = g_strdup (name);
-  m->addr = g_strdup (addr);
-  m->type_name = g_strdup (type);
-  m->zone = g_strdup (zone);
-  m->spot = spot;
-  m->type = hzb_machines_type (machines, type);
-  m->state = state;
-  m->since = m->rented = m->idle_since = now;
-  m->tasks = g_ptr_array_new ();
-  m->images = g_hash_table_new_full (NULL, NULL, (GDestroyNotify) g_ref_string_release, NULL);
-  m->expected = g_hash_table_new_full (NULL, NULL, (GDestroyNotify) g_ref_string_release, NULL);
-  m->estimate_stale = TRUE;
-  g_hash_table_insert (machines->by_name, m->name, m);
-  g_ptr_array_add (machines->all, m);
-  return m;
+  machine->name = g_strdup (name);
+  machine->addr = g_strdup (addr);
+  machine->type_name = g_strdup (type);
+  machine->zone = g_strdup (zone);
+  machine->spot = spot;
+  machine->type = hzb_machines_type (machines, type);
+  machine->state = state;
+  machine->since = machine->rented = machine->idle_since = now;
+  machine->tasks = g_ptr_array_new ();
+  machine->images = g_hash_table_new_full (NULL, NULL, (GDestroyNotify) g_ref_string_release, NULL);
+  machine->expected = g_hash_table_new_full (NULL, NULL, (GDestroyNotify) g_ref_string_release, NULL);
+  machine->estimate_stale = TRUE;
+  g_hash_table_insert (machines->by_name, machine->name, machine);
+  g_ptr_array_add (machines->all, machine);
+  return machine;
 }
 
 void
@@ -186,15 +186,15 @@
 }
 
 cJSON *
-hzb_machine_pack (const HzbMachine *m, struct timespec wall)
+hzb_machine_pack (const HzbMachine *machine, struct timespec wall)
 {
   cJSON *value = cJSON_CreateObject ();
   /* Its address it tells with every report. */
-  cJSON_AddStringToObject (value, "type", m->type_name);
-  cJSON_AddStringToObject (value, "zone", m->zone);
-  cJSON_AddBoolToObject (value, "spot", m->spot);
+  cJSON_AddStringToObject (value, "type", machine->type_name);
+  cJSON_AddStringToObject (value, "zone", machine->zone);
+  cJSON_AddBoolToObject (value, "spot", machine->spot);
   cJSON_AddNumberToObject (value, "at", (double) wall.tv_sec);
-  if (m->drain)
+  if (machine->drain)
     cJSON_AddTrueToObject (value, "drain");
   return value;
 }
@@ -259,10 +259,10 @@
 }
 
 gboolean
-hzb_machine_usable (const HzbMachine *m)
+hzb_machine_usable (const HzbMachine *machine)
 {
-  return m->state == HZB_MACHINE_ACTIVE && m->recorded && m->known_to_cloud && m->type && !m->to_be_returned
-         && !m->spare && !m->unreachable;
+  return machine->state == HZB_MACHINE_ACTIVE && machine->recorded && machine->known_to_cloud && machine->type
+         && !machine->to_be_returned && !machine->spare && !machine->unreachable;
 }
 
 gboolean
@@ -288,21 +288,22 @@
 }
 
 guint
-hzb_machine_speed (const HzbMachine *m, const HzbSpec *spec)
+hzb_machine_speed (const HzbMachine *machine, const HzbSpec *spec)
 {
-  double v = hzb_type_speed (m->type, spec);
-  if (m->service_cpus > 1e-6 && spec->cpus > 0)
-    v = MIN (v, floor ((m->type->cpus - m->service_cpus) / spec->cpus + 1e-9));
-  if (m->service_memory > 1e-6 && spec->memory_gb > 0)
-    v = MIN (v, floor ((m->type->memory_gb - m->service_memory) / spec->memory_gb + 1e-9));
+  double v = hzb_type_speed (machine->type, spec);
+  if (machine->service_cpus > 1e-6 && spec->cpus > 0)
+    v = MIN (v, floor ((machine->type->cpus - machine->service_cpus) / spec->cpus + 1e-9));
+  if (machine->service_memory > 1e-6 && spec->memory_gb > 0)
+    v = MIN (v, floor ((machine->type->memory_gb - machine->service_memory) / spec->memory_gb + 1e-9));
   return (guint) MAX (v, 0);
 }
 
 gboolean
-hzb_machine_takes_replica (const HzbMachine *m, const HzbSpec *spec)
+hzb_machine_takes_replica (const HzbMachine *machine, const HzbSpec *spec)
 {
-  return m->service_cpus + m->listed_service_cpus + spec->cpus <= m->type->cpus + 1e-6
-         && m->service_memory + m->listed_service_memory + spec->memory_gb <= m->type->memory_gb + 1e-6;
+  return machine->service_cpus + machine->listed_service_cpus + spec->cpus <= machine->type->cpus + 1e-6
+         && machine->service_memory + machine->listed_service_memory + spec->memory_gb
+                <= machine->type->memory_gb + 1e-6;
 }
 
 /* Guards against a job that failed once on every machine and could start nowhere any more, while the machines stood idle:
@@ -310,68 +311,70 @@
 #define AVOID_S 30.0
 
 gboolean
-hzb_machine_avoids (const HzbMachine *m, const HzbJob *job, struct timespec now)
+hzb_machine_avoids (const HzbMachine *machine, const HzbJob *job, struct timespec now)
 {
-  return m->last_failed_job && g_str_equal (m->last_failed_job, job->uid)
-         && hzb_time_between (m->last_failure, now) < AVOID_S;
+  return machine->last_failed_job && g_str_equal (machine->last_failed_job, job->uid)
+         && hzb_time_between (machine->last_failure, now) < AVOID_S;
 }
 
 /* By type, zone and kind, which is the same for every controller of every version. */
 static gboolean
-is_of_allowed_kind (const HzbMachine *m, const HzbSpec *spec)
+is_of_allowed_kind (const HzbMachine *machine, const HzbSpec *spec)
 {
-  return m->type && hzb_type_holds (m->type, spec) && (spec->spot || !m->spot)
-         && (!spec->zone || g_str_equal (spec->zone, m->zone));
+  return machine->type && hzb_type_holds (machine->type, spec) && (spec->spot || !machine->spot)
+         && (!spec->zone || g_str_equal (spec->zone, machine->zone));
 }
 
 gboolean
-hzb_machine_allowed (const HzbMachine *m, const HzbSpec *spec)
+hzb_machine_allowed (const HzbMachine *machine, const HzbSpec *spec)
 {
-  return is_of_allowed_kind (m, spec) && (spec->service || !m->reserved);
+  return is_of_allowed_kind (machine, spec) && (spec->service || !machine->reserved);
 }
 
 gboolean
-hzb_machine_has_room (const HzbMachine *m, const HzbSpec *spec)
+hzb_machine_has_room (const HzbMachine *machine, const HzbSpec *spec)
 {
-  return m->cpus + spec->cpus <= m->type->cpus + 1e-6 && m->gpus + spec->gpus <= m->type->gpus + 1e-6
-         && m->memory + spec->memory_gb <= m->type->memory_gb + 1e-6;
+  return machine->cpus + spec->cpus <= machine->type->cpus + 1e-6
+         && machine->gpus + spec->gpus <= machine->type->gpus + 1e-6
+         && machine->memory + spec->memory_gb <= machine->type->memory_gb + 1e-6;
 }
 
 guint
-hzb_machine_listed (const HzbMachine *m)
+hzb_machine_listed (const HzbMachine *machine)
 {
   guint n = 0;
   for (guint i = 0; i < HZB_N_LEVELS; i++)
-    n += m->lists[i].length;
+    n += machine->lists[i].length;
   return n;
 }
 
 void
-hzb_machine_lose_tasks (HzbJobs *jobs, HzbMachine *m)
+hzb_machine_lose_tasks (HzbJobs *jobs, HzbMachine *machine)
 {
-  while (m->tasks->len)
+  while (machine->tasks->len)
     {
-      guint before = m->tasks->len;
-      hzb_task_set_state (jobs, m->tasks->pdata[before - 1], HZB_TASK_PENDING, NULL);
-      g_return_if_fail (m->tasks->len < before);
+      guint before = machine->tasks->len;
+      hzb_task_set_state (jobs, machine->tasks->pdata[before - 1], HZB_TASK_PENDING, NULL);
+      g_return_if_fail (machine->tasks->len < before);
     }
-  m->cpus = m->gpus = m->memory = m->service_cpus = m->service_memory = 0;
-  hzb_machine_empty_lists (jobs, m);
+  machine->cpus = machine->gpus = machine->memory = machine->service_cpus = machine->service_memory = 0;
+  hzb_machine_empty_lists (jobs, machine);
 }
 
 void
-hzb_machine_empty_lists (HzbJobs *jobs, HzbMachine *m)
+hzb_machine_empty_lists (HzbJobs *jobs, HzbMachine *machine)
 {
   for (guint i = 0; i < HZB_N_LEVELS; i++)
-    while (m->lists[i].length)
-      hzb_task_set_state (jobs, g_queue_peek_head (&m->lists[i]), HZB_TASK_PENDING, NULL);
-  m->estimate_stale = TRUE;
+    while (machine->lists[i].length)
+      hzb_task_set_state (jobs, g_queue_peek_head (&machine->lists[i]), HZB_TASK_PENDING, NULL);
+  machine->estimate_stale = TRUE;
 }
 
 static gboolean
-is_unverified (const HzbMachine *m)
+is_unverified (const HzbMachine *machine)
 {
-  return m->state == HZB_MACHINE_UNVERIFIED || (m->state == HZB_MACHINE_RETURNING && !m->verified && m->recorded);
+  return machine->state == HZB_MACHINE_UNVERIFIED
+         || (machine->state == HZB_MACHINE_RETURNING && !machine->verified && machine->recorded);
 }
 
 static gboolean
@@ -387,14 +390,14 @@
   GPtrArray *kinds = g_ptr_array_new ();
   for (guint i = 0; i < machines->all->len; i++)
     {
-      HzbMachine *m = machines->all->pdata[i];
+      HzbMachine *machine = machines->all->pdata[i];
       gboolean known = FALSE;
-      if (m->unknown_tasks_of != unknown_tasks_of || !is_unverified (m))
+      if (machine->unknown_tasks_of != unknown_tasks_of || !is_unverified (machine))
         continue;
       for (guint k = 0; k < kinds->len && !known; k++)
-        known = same_kind (m, kinds->pdata[k]);
+        known = same_kind (machine, kinds->pdata[k]);
       if (!known)
-        g_ptr_array_add (kinds, m);
+        g_ptr_array_add (kinds, machine);
     }
   return kinds;
 }
@@ -407,8 +410,8 @@
     return unverified_kinds->len > 0;
   for (guint i = 0; i < unverified_kinds->len; i++)
     {
-      const HzbMachine *m = unverified_kinds->pdata[i];
-      if (!m->type || is_of_allowed_kind (m, job->spec))
+      const HzbMachine *machine = unverified_kinds->pdata[i];
+      if (!machine->type || is_of_allowed_kind (machine, job->spec))
         return TRUE;
     }
   return FALSE;
--- a/src/peers.c
+++ b/src/peers.c
@@ -31,7 +31,7 @@
 
 struct _HzbPeers
 {
-  HzbController *c;
+  HzbController *controller;
   GArray *views;              /* View */
   GHashTable *retired;        /* incarnations that others have followed */
   guint64 highest_known_term; /* the highest that a peer knew of */
@@ -41,18 +41,18 @@
 };
 
 HzbPeers *
-hzb_peers_new (HzbController *c)
+hzb_peers_new (HzbController *controller)
 {
   HzbPeers *peers = g_new0 (HzbPeers, 1);
-  struct timespec wall = hzb_clock_wall (c->clock);
-  peers->c = c;
+  struct timespec wall = hzb_clock_wall (controller->clock);
+  peers->controller = controller;
   peers->born = (guint64) wall.tv_sec * 1000 + (guint64) wall.tv_nsec / 1000000;
   peers->display = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   peers->retired = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   peers->views = g_array_new (FALSE, TRUE, sizeof (View));
-  for (guint i = 0; i < c->settings->peers->len; i++)
+  for (guint i = 0; i < controller->settings->peers->len; i++)
     {
-      View view = { .peer = c->settings->peers->pdata[i], .store_silence = 1e6 };
+      View view = { .peer = controller->settings->peers->pdata[i], .store_silence = 1e6 };
       g_array_append_val (peers->views, view);
     }
   return peers;
@@ -72,8 +72,9 @@
 static double
 silence (HzbPeers *peers, const View *view)
 {
-  return hzb_time_is_set (view->last_report) ? hzb_time_between (view->last_report, hzb_clock_now (peers->c->clock))
-                                             : 1e9;
+  return hzb_time_is_set (view->last_report)
+             ? hzb_time_between (view->last_report, hzb_clock_now (peers->controller->clock))
+             : 1e9;
 }
 
 gboolean
@@ -89,16 +90,16 @@
 }
 
 static gboolean
-lost_workers (const HzbController *c)
+lost_workers (const HzbController *controller)
 {
-  return hzb_time_is_set (c->lost_workers)
-         && hzb_time_between (c->lost_workers, hzb_clock_now (c->clock)) < LOST_WORKERS_S;
+  return hzb_time_is_set (controller->lost_workers)
+         && hzb_time_between (controller->lost_workers, hzb_clock_now (controller->clock)) < LOST_WORKERS_S;
 }
 
 gboolean
 hzb_peers_any_lost_workers (HzbPeers *peers)
 {
-  gboolean any = lost_workers (peers->c);
+  gboolean any = lost_workers (peers->controller);
   for (guint i = 0; i < peers->views->len && !any; i++)
     any = g_array_index (peers->views, View, i).lost_workers;
   return any;
@@ -162,7 +163,7 @@
   for (guint i = 0; i < peers->views->len; i++)
     {
       const View *view = &g_array_index (peers->views, View, i);
-      if (silence (peers, view) < 3 && view->format < peers->c->format)
+      if (silence (peers, view) < 3 && view->format < peers->controller->format)
         return TRUE;
     }
   return FALSE;
@@ -190,11 +191,11 @@
 hzb_peers_message (HzbPeers *peers, HzbPeerKind kind)
 {
   cJSON *root = cJSON_CreateObject ();
-  cJSON_AddStringToObject (root, "node", peers->c->settings->node);
-  cJSON_AddStringToObject (root, "incarnation", peers->c->incarnation);
+  cJSON_AddStringToObject (root, "node", peers->controller->settings->node);
+  cJSON_AddStringToObject (root, "incarnation", peers->controller->incarnation);
   hzb_json_add_u64 (root, "born", peers->born);
   hzb_json_add_u64 (root, "number", ++peers->number);
-  cJSON_AddNumberToObject (root, "format", peers->c->format);
+  cJSON_AddNumberToObject (root, "format", peers->controller->format);
   return root;
 }
 
@@ -212,7 +213,7 @@
       return NULL;
     }
   /* Guards against a return to version 1: it would misread what has been recorded since all read format 2. */
-  if (hzb_election_format (peers->c->election) >= 2 && hzb_json_number (root, "format", 1) < 2)
+  if (hzb_election_format (peers->controller->election) >= 2 && hzb_json_number (root, "format", 1) < 2)
     {
       if (!view->logged_old_format)
         g_warning ("a message of %s is refused: it is of version 1, which is not served any more", node);
@@ -249,22 +250,23 @@
 static void
 pack_heartbeat (HzbPeers *peers, cJSON *root)
 {
-  HzbController *c = peers->c;
+  HzbController *controller = peers->controller;
 
-  cJSON_AddBoolToObject (root, "leads", hzb_election_leading (c->election));
-  /* Also what others told: a owner may reach only nodes that the state service does not reach either. */
-  hzb_json_add_u64 (root, "term", MAX (hzb_election_leader_term (c->election), peers->highest_known_term));
+  cJSON_AddBoolToObject (root, "leads", hzb_election_leading (controller->election));
+  /* Also what others told: an owner may reach only nodes that the state service does not reach either. */
+  hzb_json_add_u64 (root, "term", MAX (hzb_election_leader_term (controller->election), peers->highest_known_term));
   cJSON_AddBoolToObject (root, "sendsWorkers",
-                         hzb_time_is_set (c->redirected)
-                             && hzb_time_between (c->redirected, hzb_clock_now (c->clock)) < REDIRECTS_S);
-  cJSON_AddBoolToObject (root, "lostWorkers", lost_workers (c));
-  cJSON_AddNumberToObject (root, "storeSilenceS", MIN (hzb_store_silence (c->store), 1e6));
-  if (c->ownership >= HZB_OWNERSHIP_RECOVERING)
+                         hzb_time_is_set (controller->redirected)
+                             && hzb_time_between (controller->redirected, hzb_clock_now (controller->clock))
+                                    < REDIRECTS_S);
+  cJSON_AddBoolToObject (root, "lostWorkers", lost_workers (controller));
+  cJSON_AddNumberToObject (root, "storeSilenceS", MIN (hzb_store_silence (controller->store), 1e6));
+  if (controller->ownership >= HZB_OWNERSHIP_RECOVERING)
     {
       cJSON *list = cJSON_AddObjectToObject (root, "jobs");
-      for (guint i = 0; i < MIN (c->jobs->active->len, MOST_SHOWN); i++)
+      for (guint i = 0; i < MIN (controller->jobs->active->len, MOST_SHOWN); i++)
         {
-          const HzbJob *job = c->jobs->active->pdata[i];
+          const HzbJob *job = controller->jobs->active->pdata[i];
           int counts[2] = { (int) (job->done + job->finished), (int) (job->running + job->delegated_running) };
           if (counts[0] || counts[1])
             cJSON_AddItemToObject (list, job->uid, cJSON_CreateIntArray (counts, 2));
@@ -275,9 +277,9 @@
 static void
 apply_heartbeat (HzbPeers *peers, View *view, const cJSON *root)
 {
-  HzbController *c = peers->c;
+  HzbController *controller = peers->controller;
   const cJSON *item;
-  view->last_report = hzb_clock_now (c->clock);
+  view->last_report = hzb_clock_now (controller->clock);
   view->store_silence = hzb_json_number (root, "storeSilenceS", 1e6);
   view->term = hzb_json_u64 (root, "term");
   view->sends_workers =
@@ -298,8 +300,8 @@
     }
   peers->highest_known_term = MAX (peers->highest_known_term, view->term);
   /* A owner that the state service does not reach learns here that it has been replaced. */
-  if (view->term > hzb_election_term (c->election))
-    hzb_election_step_down (c->election, "a peer knows a newer term");
+  if (view->term > hzb_election_term (controller->election))
+    hzb_election_step_down (controller->election, "a peer knows a newer term");
 }
 
 typedef struct
@@ -341,8 +343,8 @@
       call->at = i;
       root = hzb_peers_message (peers, HZB_PEER_HEARTBEAT);
       pack_heartbeat (peers, root);
-      hzb_send (peers->c->transport, "POST", view->peer->address, "/peer/v1/word", cJSON_PrintUnformatted (root), 1500,
-                on_heartbeat, call);
+      hzb_send (peers->controller->transport, "POST", view->peer->address, "/peer/v1/word",
+                cJSON_PrintUnformatted (root), 1500, on_heartbeat, call);
       cJSON_Delete (root);
     }
 }
@@ -350,21 +352,21 @@
 void
 hzb_controller_peer_request (HzbExchange *exchange, gpointer user)
 {
-  HzbController *c = user;
+  HzbController *controller = user;
   gboolean block = g_str_equal (exchange->path, "/peer/v1/block");
   cJSON *root = cJSON_ParseWithLength (exchange->body, exchange->length);
-  View *view = sender (c->peers, block ? HZB_PEER_BLOCK : HZB_PEER_HEARTBEAT, root);
+  View *view = sender (controller->peers, block ? HZB_PEER_BLOCK : HZB_PEER_HEARTBEAT, root);
 
   if (!view)
     hzb_exchange_reply (exchange, 400, hzb_wire_error ("not a message of a peer, or an old one"), 0);
   else if (block)
-    hzb_leases_request (c->leases, exchange, root);
+    hzb_leases_request (controller->leases, exchange, root);
   else
     {
       cJSON *word = cJSON_CreateObject ();
-      cJSON_AddNumberToObject (word, "format", c->format);
-      apply_heartbeat (c->peers, view, root);
-      pack_heartbeat (c->peers, word);
+      cJSON_AddNumberToObject (word, "format", controller->format);
+      apply_heartbeat (controller->peers, view, root);
+      pack_heartbeat (controller->peers, word);
       hzb_exchange_reply (exchange, 200, cJSON_PrintUnformatted (word), 0);
       cJSON_Delete (word);
     }
--- a/src/preemption.c
+++ b/src/preemption.c
@@ -17,7 +17,7 @@
 
 /* samePlace and spread, given the job's tasks that are, or may be, on machines. */
 gboolean
-hzb_zone_allowed (const HzbJob *job, const HzbMachine *m)
+hzb_zone_allowed (const HzbJob *job, const HzbMachine *machine)
 {
   guint here = 0;
 
@@ -31,7 +31,7 @@
       const HzbTask *task = &job->tasks[i];
       if (!hzb_task_on_machine (task))
         continue;
-      if (g_str_equal (task->machine->zone, m->zone))
+      if (g_str_equal (task->machine->zone, machine->zone))
         here++;
       else if (job->spec->same_zone)
         return FALSE;
@@ -40,9 +40,9 @@
 }
 
 static gboolean
-may_preempt (HzbDispatch *d, const HzbJob *preemptor, const HzbTask *victim)
+may_preempt (HzbDispatch *dispatch, const HzbJob *preemptor, const HzbTask *victim)
 {
-  const HzbBlock *block = d->jobs->block;
+  const HzbBlock *block = dispatch->jobs->block;
   const HzbJob *other = victim->job;
   const HzbTeam *team;
 
@@ -50,23 +50,23 @@
     return TRUE;
   if (!preemptor->guaranteed || other->team == preemptor->team || other->guaranteed)
     return FALSE;
-  team = d->settings->teams->pdata[other->team];
+  team = dispatch->settings->teams->pdata[other->team];
   return block->cpus[other->team] - other->spec->cpus >= team->cpus - 1e-6
          && block->gpus[other->team] - other->spec->gpus >= team->gpus - 1e-6;
 }
 
 static double
-preempt_after_s (HzbDispatch *d, const HzbJob *job)
+preempt_after_s (HzbDispatch *dispatch, const HzbJob *job)
 {
   double after = 10;
   if (job->spec->service)
     return 0; /* every second that a replica is not there counts */
-  for (guint i = 0; i < d->settings->objectives->len; i++)
+  for (guint i = 0; i < dispatch->settings->objectives->len; i++)
     {
-      const HzbObjective *o = d->settings->objectives->pdata[i];
-      if ((g_strcmp0 (o->kind, "wait") == 0 && g_strcmp0 (o->job_class, job->spec->job_class) == 0)
-          || (g_strcmp0 (o->kind, "guarantee") == 0 && job->guaranteed))
-        after = MIN (after, o->within_s * 0.45);
+      const HzbObjective *objective = dispatch->settings->objectives->pdata[i];
+      if ((g_strcmp0 (objective->kind, "wait") == 0 && g_strcmp0 (objective->job_class, job->spec->job_class) == 0)
+          || (g_strcmp0 (objective->kind, "guarantee") == 0 && job->guaranteed))
+        after = MIN (after, objective->within_s * 0.45);
     }
   return after;
 }
@@ -102,28 +102,28 @@
 /* Urgent tasks that their own team's limit keeps waiting: lower work of the team gives way. Its stop is sent
  * with the answer to its machine's next report. */
 void
-hzb_preempt_within_team (HzbDispatch *d, const HzbJob *preemptor, struct timespec now)
+hzb_preempt_within_team (HzbDispatch *dispatch, const HzbJob *preemptor, struct timespec now)
 {
-  const HzbBlock *block = d->jobs->block;
+  const HzbBlock *block = dispatch->jobs->block;
   int team = preemptor->team;
   double lack, limit = block->cpus_allowed[team];
   g_autoptr (GArray) victims = g_array_new (FALSE, FALSE, sizeof (Victim));
 
-  if (preemptor->spec->gang || hzb_time_between (preemptor->since, now) < preempt_after_s (d, preemptor))
+  if (preemptor->spec->gang || hzb_time_between (preemptor->since, now) < preempt_after_s (dispatch, preemptor))
     return;
   lack = block->cpus[team] + MIN ((preemptor->pending + preemptor->listed) * preemptor->spec->cpus, limit) - limit;
-  for (guint i = 0; i < d->jobs->active->len && lack > 1e-6; i++)
+  for (guint i = 0; i < dispatch->jobs->active->len && lack > 1e-6; i++)
     {
-      const HzbJob *job = d->jobs->active->pdata[i];
+      const HzbJob *job = dispatch->jobs->active->pdata[i];
       for (guint k = 0; job->team == team && job->placed && k < job->n_tasks; k++)
         if (job->tasks[k].stopping)
           lack -= job->spec->cpus;
     }
   if (lack <= 1e-6)
     return;
-  for (guint i = 0; i < d->jobs->active->len; i++)
+  for (guint i = 0; i < dispatch->jobs->active->len; i++)
     {
-      const HzbJob *job = d->jobs->active->pdata[i];
+      const HzbJob *job = dispatch->jobs->active->pdata[i];
       if (job->team != team || job->spec->priority >= preemptor->spec->priority)
         continue;
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
@@ -145,14 +145,15 @@
 }
 
 void
-hzb_preempt_on_machine (HzbDispatch *d, HzbMachine *m, struct timespec now, GArray *commands)
+hzb_preempt_on_machine (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands)
 {
-  double cpus = m->type->cpus - m->cpus, gpus = m->type->gpus - m->gpus, memory = m->type->memory_gb - m->memory;
+  double cpus = machine->type->cpus - machine->cpus, gpus = machine->type->gpus - machine->gpus,
+         memory = machine->type->memory_gb - machine->memory;
   guint examined = 0;
 
-  for (guint i = 0; i < m->tasks->len; i++)
+  for (guint i = 0; i < machine->tasks->len; i++)
     {
-      const HzbTask *task = m->tasks->pdata[i];
+      const HzbTask *task = machine->tasks->pdata[i];
       if (task->stopping)
         {
           cpus += task->job->spec->cpus;
@@ -161,14 +162,14 @@
         }
     }
   for (guint level = HZB_N_LEVELS - 1; level >= 3; level--)
-    for (GList *l = m->lists[level].head; l && examined < 32; l = l->next, examined++)
+    for (GList *l = machine->lists[level].head; l && examined < 32; l = l->next, examined++)
       {
         HzbTask *preemptor = l->data;
         const HzbSpec *spec = preemptor->job->spec;
         /* Over the team's limit only the team's own lower work can make room. */
-        gboolean own = !hzb_block_fits (d->jobs->block, preemptor->job->team, spec->cpus, spec->gpus);
-        if (preemptor->job->state != HZB_JOB_ACCEPTED || !hzb_zone_allowed (preemptor->job, m)
-            || hzb_time_between (preemptor->job->since, now) < preempt_after_s (d, preemptor->job))
+        gboolean own = !hzb_block_fits (dispatch->jobs->block, preemptor->job->team, spec->cpus, spec->gpus);
+        if (preemptor->job->state != HZB_JOB_ACCEPTED || !hzb_zone_allowed (preemptor->job, machine)
+            || hzb_time_between (preemptor->job->since, now) < preempt_after_s (dispatch, preemptor->job))
           continue;
         if (own && cpus + 1e-6 >= spec->cpus)
           continue;
@@ -177,12 +178,12 @@
             HzbTask *victim = NULL;
             double least = INFINITY;
             HzbCommand command = { HZB_COMMAND_STOP, NULL, 0, 0, 0 };
-            for (guint i = 0; i < m->tasks->len; i++)
+            for (guint i = 0; i < machine->tasks->len; i++)
               {
-                HzbTask *task = m->tasks->pdata[i];
+                HzbTask *task = machine->tasks->pdata[i];
                 double cost = stop_cost (task, now);
                 if (!isfinite (cost) || (own && task->job->team != preemptor->job->team)
-                    || !may_preempt (d, preemptor->job, task))
+                    || !may_preempt (dispatch, preemptor->job, task))
                   continue;
                 cost += task->job->spec->priority * 1e4;
                 if (cost < least)
@@ -216,12 +217,12 @@
 
 /* Room for the tasks that would have to go for the machine to be empty soon; below 0: it can't be. */
 static double
-would_move (const HzbMachine *m, struct timespec now)
+would_move (const HzbMachine *machine, struct timespec now)
 {
   double cpus = 0;
-  for (guint i = 0; i < m->tasks->len; i++)
+  for (guint i = 0; i < machine->tasks->len; i++)
     {
-      const HzbTask *task = m->tasks->pdata[i];
+      const HzbTask *task = machine->tasks->pdata[i];
       if (task->job->spec->service)
         return -1; /* a move costs it more than the machine does */
       if (hzb_task_remaining_s (task, now) < MOVE_LEFT_S || task->stopping)
@@ -235,35 +236,36 @@
 }
 
 void
-hzb_dispatch_consolidate (HzbDispatch *d, struct timespec now)
+hzb_dispatch_consolidate (HzbDispatch *dispatch, struct timespec now)
 {
   double free = 0;
 
-  for (guint i = 0; i < d->machines->all->len; i++)
+  for (guint i = 0; i < dispatch->machines->all->len; i++)
     {
-      const HzbMachine *m = d->machines->all->pdata[i];
-      if (hzb_machine_usable (m))
-        free += m->type->cpus - m->cpus;
+      const HzbMachine *machine = dispatch->machines->all->pdata[i];
+      if (hzb_machine_usable (machine))
+        free += machine->type->cpus - machine->cpus;
     }
-  for (guint i = 0; i < d->jobs->active->len; i++)
+  for (guint i = 0; i < dispatch->jobs->active->len; i++)
     {
-      const HzbJob *job = d->jobs->active->pdata[i];
+      const HzbJob *job = dispatch->jobs->active->pdata[i];
       if (job->state == HZB_JOB_ACCEPTED)
         free -= (job->pending + job->listed) * job->spec->cpus;
     }
-  for (guint i = 0; i < d->machines->all->len && free > 0; i++)
+  for (guint i = 0; i < dispatch->machines->all->len && free > 0; i++)
     {
-      HzbMachine *m = d->machines->all->pdata[i];
+      HzbMachine *machine = dispatch->machines->all->pdata[i];
       double cpus;
-      if (m->state != HZB_MACHINE_ACTIVE || !m->spare || !m->type || m->cpus > MOVE_PART * m->type->cpus)
+      if (machine->state != HZB_MACHINE_ACTIVE || !machine->spare || !machine->type
+          || machine->cpus > MOVE_PART * machine->type->cpus)
         continue;
-      cpus = would_move (m, now);
+      cpus = would_move (machine, now);
       if (cpus <= 0 || cpus > free)
         continue;
       free -= cpus;
-      for (guint k = 0; k < m->tasks->len; k++)
+      for (guint k = 0; k < machine->tasks->len; k++)
         {
-          HzbTask *task = m->tasks->pdata[k];
+          HzbTask *task = machine->tasks->pdata[k];
           if (hzb_task_remaining_s (task, now) >= MOVE_LEFT_S)
             task->stopping = TRUE; /* it is told with the answer to the next report */
         }
--- a/src/records.c
+++ b/src/records.c
@@ -52,7 +52,7 @@
 
 struct _HzbRecords
 {
-  HzbController *c;
+  HzbController *controller;
   GPtrArray *pages;         /* Page */
   guint numbers;            /* used so far */
   guint64 version, flushes; /* of the flush record */
@@ -72,24 +72,24 @@
 }
 
 static Page *
-page_new (HzbRecords *r, guint number, gboolean of_machines)
+page_new (HzbRecords *records, guint number, gboolean of_machines)
 {
   Page *page = g_new0 (Page, 1);
   page->number = number;
   page->of_machines = of_machines;
   page->parts = g_array_new (FALSE, FALSE, sizeof (Part));
   page->machines = g_ptr_array_new ();
-  r->numbers = MAX (r->numbers, number);
-  g_ptr_array_add (r->pages, page);
+  records->numbers = MAX (records->numbers, number);
+  g_ptr_array_add (records->pages, page);
   return page;
 }
 
 static Page *
-find_page (HzbRecords *r, guint number, gboolean of_machines)
+find_page (HzbRecords *records, guint number, gboolean of_machines)
 {
-  for (guint i = 0; number && i < r->pages->len; i++)
+  for (guint i = 0; number && i < records->pages->len; i++)
     {
-      Page *page = r->pages->pdata[i];
+      Page *page = records->pages->pdata[i];
       if (page->number == number && page->of_machines == of_machines)
         return page;
     }
@@ -103,111 +103,111 @@
 }
 
 static gsize
-most_bytes (const HzbRecords *r)
+most_bytes (const HzbRecords *records)
 {
-  return MIN (PAGE_BYTES, (gsize) (r->c->settings->store_value_kb * 1024 * 0.9));
+  return MIN (PAGE_BYTES, (gsize) (records->controller->settings->store_value_kb * 1024 * 0.9));
 }
 
 static Page *
-page_with_room (HzbRecords *r, gboolean of_machines, gsize bytes)
+page_with_room (HzbRecords *records, gboolean of_machines, gsize bytes)
 {
-  gsize most = most_bytes (r);
-  for (guint i = 0; i < r->pages->len; i++)
+  gsize most = most_bytes (records);
+  for (guint i = 0; i < records->pages->len; i++)
     {
-      Page *page = r->pages->pdata[i];
+      Page *page = records->pages->pdata[i];
       if (page->of_machines == of_machines && !page->retiring && page->bytes + bytes <= most)
         return page;
     }
-  return page_new (r, r->numbers + 1, of_machines);
+  return page_new (records, records->numbers + 1, of_machines);
 }
 
 HzbRecords *
-hzb_records_new (HzbController *c)
+hzb_records_new (HzbController *controller)
 {
-  HzbRecords *r = g_new0 (HzbRecords, 1);
-  r->c = c;
-  r->pages = g_ptr_array_new_with_free_func (page_free);
-  return r;
+  HzbRecords *records = g_new0 (HzbRecords, 1);
+  records->controller = controller;
+  records->pages = g_ptr_array_new_with_free_func (page_free);
+  return records;
 }
 
 void
-hzb_records_free (HzbRecords *r)
+hzb_records_free (HzbRecords *records)
 {
-  g_ptr_array_unref (r->pages);
-  g_free (r);
+  g_ptr_array_unref (records->pages);
+  g_free (records);
 }
 
 void
-hzb_records_reset (HzbRecords *r)
+hzb_records_reset (HzbRecords *records)
 {
-  g_ptr_array_set_size (r->pages, 0);
-  r->numbers = 0;
-  r->version = r->flushes = 0;
-  r->flushing = r->moving = r->any_replacement = FALSE;
-  r->retiring = 0;
+  g_ptr_array_set_size (records->pages, 0);
+  records->numbers = 0;
+  records->version = records->flushes = 0;
+  records->flushing = records->moving = records->any_replacement = FALSE;
+  records->retiring = 0;
 }
 
 /* ---- what is on pages ---- */
 
 static gsize
-part_bytes (const HzbRecords *r, const HzbJob *job, guint chunk)
+part_bytes (const HzbRecords *records, const HzbJob *job, guint chunk)
 {
-  guint tasks = MIN (r->c->jobs->chunk, job->n_tasks - chunk * r->c->jobs->chunk);
+  guint tasks = MIN (records->controller->jobs->chunk, job->n_tasks - chunk * records->controller->jobs->chunk);
   /* A service's tasks are never done. */
   return 120 + strlen (job->uid) + strlen (job->spec->team) + (job->spec->service ? 0 : tasks / 6);
 }
 
 static void
-add_part (HzbRecords *r, Page *page, HzbJob *job, guint chunk)
+add_part (HzbRecords *records, Page *page, HzbJob *job, guint chunk)
 {
-  Part part = { job, chunk, part_bytes (r, job, chunk) };
+  Part part = { job, chunk, part_bytes (records, job, chunk) };
   g_array_append_val (page->parts, part);
   page->bytes += part.bytes;
 }
 
 static gsize
-machine_bytes (const HzbMachine *m)
+machine_bytes (const HzbMachine *machine)
 {
-  return 85 + strlen (m->name) + strlen (m->type_name) + strlen (m->zone);
+  return 85 + strlen (machine->name) + strlen (machine->type_name) + strlen (machine->zone);
 }
 
 static void
-add_machine (Page *page, HzbMachine *m)
+add_machine (Page *page, HzbMachine *machine)
 {
-  g_ptr_array_add (page->machines, m);
-  page->bytes += machine_bytes (m);
-  m->page = page->number;
+  g_ptr_array_add (page->machines, machine);
+  page->bytes += machine_bytes (machine);
+  machine->page = page->number;
 }
 
 /* Version 1 reads it as we write it, or there is none about any more. */
 static gboolean
-writable (const HzbRecords *r, const HzbJob *job)
+writable (const HzbRecords *records, const HzbJob *job)
 {
-  return job->n_tasks <= r->c->jobs->chunk || hzb_election_format (r->c->election) >= 2;
+  return job->n_tasks <= records->controller->jobs->chunk || hzb_election_format (records->controller->election) >= 2;
 }
 
 static void
-put_on_pages (HzbRecords *r, HzbJob *job)
+put_on_pages (HzbRecords *records, HzbJob *job)
 {
-  if (job->on_pages || !writable (r, job))
+  if (job->on_pages || !writable (records, job))
     return;
-  for (guint k = 0; k < hzb_job_chunks (r->c->jobs, job); k++)
+  for (guint k = 0; k < hzb_job_chunks (records->controller->jobs, job); k++)
     {
-      Page *page = page_with_room (r, FALSE, part_bytes (r, job, k));
-      add_part (r, page, job, k);
+      Page *page = page_with_room (records, FALSE, part_bytes (records, job, k));
+      add_part (records, page, job, k);
       page->replaces_retired = page->replaces_retired || job->unsplit;
-      r->any_replacement = r->any_replacement || job->unsplit;
+      records->any_replacement = records->any_replacement || job->unsplit;
     }
   job->on_pages = TRUE;
   job->unsplit = FALSE;
 }
 
 void
-hzb_records_drop_job (HzbRecords *r, HzbJob *job)
+hzb_records_drop_job (HzbRecords *records, HzbJob *job)
 {
-  for (guint i = 0; job->on_pages && i < r->pages->len; i++)
+  for (guint i = 0; job->on_pages && i < records->pages->len; i++)
     {
-      Page *page = r->pages->pdata[i];
+      Page *page = records->pages->pdata[i];
       for (guint k = page->parts->len; k-- > 0;)
         if (g_array_index (page->parts, Part, k).job == job)
           {
@@ -220,13 +220,13 @@
 }
 
 void
-hzb_records_drop_machine (HzbRecords *r, HzbMachine *m)
+hzb_records_drop_machine (HzbRecords *records, HzbMachine *machine)
 {
-  Page *page = find_page (r, m->page, TRUE);
-  m->page = 0;
-  if (!page || !g_ptr_array_remove_fast (page->machines, m))
+  Page *page = find_page (records, machine->page, TRUE);
+  machine->page = 0;
+  if (!page || !g_ptr_array_remove_fast (page->machines, machine))
     return;
-  page->bytes -= machine_bytes (m);
+  page->bytes -= machine_bytes (machine);
   page->stale = TRUE;
 }
 
@@ -249,12 +249,12 @@
 }
 
 static void
-load_progress (HzbRecords *r, Page *page, const cJSON *value)
+load_progress (HzbRecords *records, Page *page, const cJSON *value)
 {
-  HzbController *c = r->c;
+  HzbController *controller = records->controller;
   const char *slash = strrchr (value->string, '/');
   g_autofree char *uid = slash ? g_strndup (value->string, (gsize) (slash - value->string)) : NULL;
-  HzbJob *job = uid ? hzb_jobs_find (c->jobs, uid) : NULL;
+  HzbJob *job = uid ? hzb_jobs_find (controller->jobs, uid) : NULL;
   guint chunk = slash ? (guint) g_ascii_strtoull (slash + 1, NULL, 10) : 0;
   gboolean ours = TRUE;
 
@@ -266,46 +266,46 @@
   if (job->state == HZB_JOB_CANCELLED && !job->spec && hzb_json_text (value, "team"))
     {
       job->spec = spec_of_remains (uid, value, job->n_tasks);
-      job->team = hzb_settings_team (c->settings, job->spec->team);
+      job->team = hzb_settings_team (controller->settings, job->spec->team);
     }
-  hzb_jobs_activate (c->jobs, job);
+  hzb_jobs_activate (controller->jobs, job);
   if (!job->tasks)
     return;
-  if (!hzb_job_read_progress (c->jobs, job, chunk, value, &ours))
+  if (!hzb_job_read_progress (controller->jobs, job, chunk, value, &ours))
     page->stale = TRUE;
   else if (ours && !job->unsplit)
     {
-      add_part (r, page, job, chunk);
+      add_part (records, page, job, chunk);
       job->on_pages = TRUE;
     }
   else
     {
-      hzb_records_drop_job (r, job); /* of several parts some may be ours already */
+      hzb_records_drop_job (records, job); /* of several parts some may be ours already */
       job->unsplit = page->retiring = TRUE;
     }
 }
 
 static void
-load_machine (HzbRecords *r, Page *page, const cJSON *value)
+load_machine (HzbRecords *records, Page *page, const cJSON *value)
 {
-  HzbController *c = r->c;
+  HzbController *controller = records->controller;
   const char *type = hzb_json_text (value, "type"), *zone = hzb_json_text (value, "zone");
-  double age = (double) hzb_clock_wall (c->clock).tv_sec - hzb_json_number (value, "at", 1e15);
-  HzbMachine *m;
+  double age = (double) hzb_clock_wall (controller->clock).tv_sec - hzb_json_number (value, "at", 1e15);
+  HzbMachine *machine;
 
-  if (hzb_machines_find (c->machines, value->string) || !type || !zone)
+  if (hzb_machines_find (controller->machines, value->string) || !type || !zone)
     return;
-  m = hzb_machines_add (c->machines, value->string, hzb_json_text (value, "addr"), type, zone,
-                        cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (value, "spot")), HZB_MACHINE_UNVERIFIED);
-  m->recorded = m->known_to_cloud = TRUE;
-  m->drain = m->to_be_returned = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (value, "drain"));
+  machine = hzb_machines_add (controller->machines, value->string, hzb_json_text (value, "addr"), type, zone,
+                              cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (value, "spot")), HZB_MACHINE_UNVERIFIED);
+  machine->recorded = machine->known_to_cloud = TRUE;
+  machine->drain = machine->to_be_returned = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (value, "drain"));
   if (age > 1)
-    m->rented = hzb_time_plus (m->rented, -(age - 1)); /* times of day differ a little */
-  add_machine (page, m);
+    machine->rented = hzb_time_plus (machine->rented, -(age - 1)); /* times of day differ a little */
+  add_machine (page, machine);
 }
 
 void
-hzb_records_load (HzbRecords *r, const HzbItem *item)
+hzb_records_load (HzbRecords *records, const HzbItem *item)
 {
   gboolean of_machines = g_str_has_prefix (item->key, HZB_KEY_MACHINES);
   const cJSON *entry;
@@ -314,54 +314,54 @@
 
   if (g_str_equal (item->key, HZB_KEY_FLUSH))
     {
-      r->version = item->version;
-      r->flushes = hzb_json_u64 (item->value, "n");
+      records->version = item->version;
+      records->flushes = hzb_json_u64 (item->value, "n");
       return;
     }
   if (!of_machines && !g_str_has_prefix (item->key, HZB_KEY_PROGRESS))
     return;
-  page = page_new (r, (guint) g_ascii_strtoull (strrchr (item->key, '/') + 1, NULL, 10), of_machines);
+  page = page_new (records, (guint) g_ascii_strtoull (strrchr (item->key, '/') + 1, NULL, 10), of_machines);
   page->exists = TRUE;
   text = cJSON_PrintUnformatted (item->value);
-  page->retiring = strlen (text) > r->c->settings->store_value_kb * 1024;
+  page->retiring = strlen (text) > records->controller->settings->store_value_kb * 1024;
   cJSON_free (text);
-  cJSON_ArrayForEach (entry, item->value) if (of_machines) load_machine (r, page, entry);
-  else load_progress (r, page, entry);
+  cJSON_ArrayForEach (entry, item->value) if (of_machines) load_machine (records, page, entry);
+  else load_progress (records, page, entry);
 }
 
 /* All has been read: what stands on pages that are to go is put on others. */
 void
-hzb_records_load_finished (HzbRecords *r)
+hzb_records_load_finished (HzbRecords *records)
 {
-  guint read = r->pages->len;
+  guint read = records->pages->len;
 
   for (guint i = 0; i < read; i++)
     {
-      Page *page = r->pages->pdata[i];
+      Page *page = records->pages->pdata[i];
       g_autoptr (GArray) parts = page->retiring ? page->parts : NULL;
       g_autoptr (GPtrArray) machines = page->retiring ? page->machines : NULL;
       if (!page->retiring)
         continue;
-      r->retiring++;
+      records->retiring++;
       page->parts = g_array_new (FALSE, FALSE, sizeof (Part));
       page->machines = g_ptr_array_new ();
       page->bytes = 0;
       for (guint k = 0; k < parts->len; k++)
         {
           const Part *part = &g_array_index (parts, Part, k);
-          Page *to = page_with_room (r, FALSE, part->bytes);
-          add_part (r, to, part->job, part->chunk);
-          to->replaces_retired = r->any_replacement = TRUE;
+          Page *to = page_with_room (records, FALSE, part->bytes);
+          add_part (records, to, part->job, part->chunk);
+          to->replaces_retired = records->any_replacement = TRUE;
         }
       for (guint k = 0; k < machines->len; k++)
         {
-          Page *to = page_with_room (r, TRUE, machine_bytes (machines->pdata[k]));
+          Page *to = page_with_room (records, TRUE, machine_bytes (machines->pdata[k]));
           add_machine (to, machines->pdata[k]);
-          to->replaces_retired = r->any_replacement = TRUE;
+          to->replaces_retired = records->any_replacement = TRUE;
         }
     }
-  if (r->retiring)
-    g_message ("records: %u pages are to be written anew", r->retiring);
+  if (records->retiring)
+    g_message ("records: %u pages are to be written anew", records->retiring);
 }
 
 /* ---- writing ---- */
@@ -400,13 +400,13 @@
 }
 
 static void
-flush_applied (HzbRecords *r, Flush *flush)
+flush_applied (HzbRecords *records, Flush *flush)
 {
-  HzbController *c = r->c;
+  HzbController *controller = records->controller;
   for (guint i = 0; i < flush->parts->len; i++)
     {
       FlushedPart *part = flush->parts->pdata[i];
-      HzbJob *job = hzb_jobs_find (c->jobs, part->uid);
+      HzbJob *job = hzb_jobs_find (controller->jobs, part->uid);
       if (!job || !job->tasks)
         continue;
       job->released = MAX (job->released, part->releasing);
@@ -415,51 +415,51 @@
           HzbTask *task = &job->tasks[g_array_index (part->finished, guint, k)];
           if (task->state == HZB_TASK_FINISHED)
             {
-              hzb_task_set_state (c->jobs, task, HZB_TASK_DONE, NULL);
-              hzb_leases_announce_durable (c->leases, task);
+              hzb_task_set_state (controller->jobs, task, HZB_TASK_DONE, NULL);
+              hzb_leases_announce_durable (controller->leases, task);
             }
         }
     }
   for (guint i = 0; i < flush->machines->len; i++)
     {
-      HzbMachine *m = hzb_machines_find (c->machines, flush->machines->pdata[i]);
-      if (m)
-        m->recorded = TRUE;
+      HzbMachine *machine = hzb_machines_find (controller->machines, flush->machines->pdata[i]);
+      if (machine)
+        machine->recorded = TRUE;
     }
   for (guint i = 0; i < flush->completed->len; i++)
-    hzb_jobs_apply_acceptance (c->jobs, flush->completed->pdata[i], NULL);
+    hzb_jobs_apply_acceptance (controller->jobs, flush->completed->pdata[i], NULL);
 }
 
 /* Not applied, or it will never be: all of it is written again. */
 static void
-flush_failed (HzbRecords *r, Flush *flush)
+flush_failed (HzbRecords *records, Flush *flush)
 {
-  HzbController *c = r->c;
+  HzbController *controller = records->controller;
   for (guint i = 0; i < flush->parts->len; i++)
     {
-      HzbJob *job = hzb_jobs_find (c->jobs, ((FlushedPart *) flush->parts->pdata[i])->uid);
+      HzbJob *job = hzb_jobs_find (controller->jobs, ((FlushedPart *) flush->parts->pdata[i])->uid);
       if (job)
         job->dirty = TRUE;
     }
   for (guint i = 0; i < flush->machines->len; i++)
     {
-      HzbMachine *m = hzb_machines_find (c->machines, flush->machines->pdata[i]);
-      if (m)
-        m->recording = FALSE;
+      HzbMachine *machine = hzb_machines_find (controller->machines, flush->machines->pdata[i]);
+      if (machine)
+        machine->recording = FALSE;
     }
   for (guint i = 0; i < flush->completed->len; i++)
     {
-      HzbAcceptance *acceptance = g_hash_table_lookup (c->jobs->acceptances, flush->completed->pdata[i]);
+      HzbAcceptance *acceptance = g_hash_table_lookup (controller->jobs->acceptances, flush->completed->pdata[i]);
       if (acceptance)
         acceptance->removing = FALSE;
     }
-  for (guint i = 0; i < r->pages->len; i++)
+  for (guint i = 0; i < records->pages->len; i++)
     {
-      Page *page = r->pages->pdata[i];
+      Page *page = records->pages->pdata[i];
       page->stale = TRUE;
-      page->replaces_retired = r->retiring && !page->retiring;
+      page->replaces_retired = records->retiring && !page->retiring;
     }
-  r->any_replacement = r->retiring > 0;
+  records->any_replacement = records->retiring > 0;
 }
 
 /* What became of a flush without an answer: its number is in the flush record, or not. */
@@ -467,11 +467,11 @@
 on_flush_read (HzbStoreResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbRecords *r = epoch_call->c->records;
+  HzbRecords *records = epoch_call->controller->records;
   Flush *flush = epoch_call->data;
   HzbItem item = { 0 };
 
-  if (epoch_call->epoch != epoch_call->c->ownership_epoch)
+  if (epoch_call->epoch != epoch_call->controller->ownership_epoch)
     {
       flush_free (flush);
       g_free (epoch_call);
@@ -479,28 +479,28 @@
     }
   if (result == HZB_STORE_ABSENT || (result == HZB_STORE_OK && hzb_wire_parse_item (body, &item)))
     {
-      r->version = item.version;
+      records->version = item.version;
       if (item.value && hzb_json_u64 (item.value, "n") == flush->number)
-        flush_applied (r, flush);
+        flush_applied (records, flush);
       else
-        flush_failed (r, flush);
+        flush_failed (records, flush);
       hzb_item_clear (&item);
       flush_free (flush);
-      r->flushing = FALSE;
+      records->flushing = FALSE;
       g_free (epoch_call);
       return;
     }
-  hzb_store_get (epoch_call->c->store, HZB_STORE_RECORD, HZB_KEY_FLUSH, on_flush_read, epoch_call);
+  hzb_store_get (epoch_call->controller->store, HZB_STORE_RECORD, HZB_KEY_FLUSH, on_flush_read, epoch_call);
 }
 
 static void
 on_flushed (HzbStoreResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbRecords *r = epoch_call->c->records;
+  HzbRecords *records = epoch_call->controller->records;
   Flush *flush = epoch_call->data;
 
-  if (epoch_call->epoch != epoch_call->c->ownership_epoch)
+  if (epoch_call->epoch != epoch_call->controller->ownership_epoch)
     {
       flush_free (flush);
       g_free (epoch_call);
@@ -508,23 +508,23 @@
     }
   if (result == HZB_STORE_UNKNOWN || result == HZB_STORE_CONFLICT)
     {
-      hzb_store_get (epoch_call->c->store, HZB_STORE_RECORD, HZB_KEY_FLUSH, on_flush_read, epoch_call);
+      hzb_store_get (epoch_call->controller->store, HZB_STORE_RECORD, HZB_KEY_FLUSH, on_flush_read, epoch_call);
       return;
     }
   if (result == HZB_STORE_OK)
     {
-      hzb_wire_parse_txn (body, &r->version, NULL);
-      flush_applied (r, flush);
-      epoch_call->c->next_dispatch = (struct timespec){ 0 }; /* what was released, and recorded, can be used */
+      hzb_wire_parse_txn (body, &records->version, NULL);
+      flush_applied (records, flush);
+      epoch_call->controller->next_dispatch = (struct timespec){ 0 }; /* what was released, and recorded, can be used */
     }
   else
     {
-      flush_failed (r, flush);
-      r->next = hzb_time_plus (hzb_clock_now (epoch_call->c->clock), REFUSED_PAUSE_S);
+      flush_failed (records, flush);
+      records->next = hzb_time_plus (hzb_clock_now (epoch_call->controller->clock), REFUSED_PAUSE_S);
     }
   flush_free (flush);
   g_free (epoch_call);
-  r->flushing = FALSE;
+  records->flushing = FALSE;
 }
 
 /* Little is released ahead: what is, has to be accounted for by every machine after a change of leader. */
@@ -541,7 +541,7 @@
 }
 
 static cJSON *
-pack_progress_page (HzbRecords *r, Page *page, Flush *out)
+pack_progress_page (HzbRecords *records, Page *page, Flush *out)
 {
   cJSON *value = cJSON_CreateObject ();
   for (guint i = 0; i < page->parts->len; i++)
@@ -550,7 +550,7 @@
       HzbJob *job = part->job;
       FlushedPart *fp = g_new0 (FlushedPart, 1);
       g_autofree char *name = g_strdup_printf ("%s/%u", job->uid, part->chunk);
-      guint size = r->c->jobs->chunk, first = part->chunk * size;
+      guint size = records->controller->jobs->chunk, first = part->chunk * size;
       if (release_requested (job))
         job->releasing = MIN (job->n_tasks, job->releasing + release_step (job));
       job->release_requested = FALSE;
@@ -561,49 +561,50 @@
         if (job->tasks[k].state == HZB_TASK_FINISHED)
           g_array_append_val (fp->finished, k);
       g_ptr_array_add (out->parts, fp);
-      cJSON_AddItemToObject (value, name, hzb_job_pack_progress (r->c->jobs, job, part->chunk));
+      cJSON_AddItemToObject (value, name, hzb_job_pack_progress (records->controller->jobs, job, part->chunk));
     }
   return value;
 }
 
 static cJSON *
-pack_machine_page (HzbRecords *r, Page *page, Flush *out)
+pack_machine_page (HzbRecords *records, Page *page, Flush *out)
 {
   cJSON *value = cJSON_CreateObject ();
   for (guint i = 0; i < page->machines->len; i++)
     {
-      HzbMachine *m = page->machines->pdata[i];
-      cJSON_AddItemToObject (value, m->name, hzb_machine_pack (m, hzb_clock_wall (r->c->clock)));
-      if (m->recorded)
+      HzbMachine *machine = page->machines->pdata[i];
+      cJSON_AddItemToObject (value, machine->name,
+                             hzb_machine_pack (machine, hzb_clock_wall (records->controller->clock)));
+      if (machine->recorded)
         continue;
-      m->recording = TRUE;
-      g_ptr_array_add (out->machines, g_strdup (m->name));
+      machine->recording = TRUE;
+      g_ptr_array_add (out->machines, g_strdup (machine->name));
     }
   return value;
 }
 
 /* What is on a page that is to go is on others by now, durably. */
 static gboolean
-may_remove_retired (const HzbRecords *r)
+may_remove_retired (const HzbRecords *records)
 {
-  if (r->any_replacement)
+  if (records->any_replacement)
     return FALSE;
-  for (guint i = 0; i < r->c->jobs->active->len; i++)
-    if (((HzbJob *) r->c->jobs->active->pdata[i])->unsplit)
+  for (guint i = 0; i < records->controller->jobs->active->len; i++)
+    if (((HzbJob *) records->controller->jobs->active->pdata[i])->unsplit)
       return FALSE;
   return TRUE;
 }
 
 /* How long the page may wait, as of its last writing; below 0: it need not be written. */
 static double
-max_delay_s (const HzbRecords *r, const Page *page, double progress_s)
+max_delay_s (const HzbRecords *records, const Page *page, double progress_s)
 {
   if (page->retiring)
-    return page->exists && may_remove_retired (r) ? CLEAN_EVERY_S : -1;
+    return page->exists && may_remove_retired (records) ? CLEAN_EVERY_S : -1;
   for (guint i = 0; i < page->machines->len; i++)
     {
-      const HzbMachine *m = page->machines->pdata[i];
-      if (!m->recorded && !m->recording)
+      const HzbMachine *machine = page->machines->pdata[i];
+      if (!machine->recorded && !machine->recording)
         return 0;
     }
   for (guint i = 0; i < page->parts->len; i++)
@@ -627,7 +628,7 @@
 }
 
 static void
-put_page (HzbRecords *r, Page *page, cJSON *txn, Flush *out, struct timespec now)
+put_page (HzbRecords *records, Page *page, cJSON *txn, Flush *out, struct timespec now)
 {
   g_autofree char *key = page_key (page);
 
@@ -637,20 +638,21 @@
     {
       hzb_wire_txn_delete (txn, key);
       page->exists = FALSE;
-      r->retiring -= page->retiring;
+      records->retiring -= page->retiring;
       return;
     }
-  hzb_wire_txn_put (txn, key, page->of_machines ? pack_machine_page (r, page, out) : pack_progress_page (r, page, out),
-                    0);
+  hzb_wire_txn_put (
+      txn, key, page->of_machines ? pack_machine_page (records, page, out) : pack_progress_page (records, page, out),
+      0);
   page->exists = TRUE;
 }
 
 static void
-flush (HzbRecords *r, struct timespec now)
+flush (HzbRecords *records, struct timespec now)
 {
-  HzbController *c = r->c;
+  HzbController *controller = records->controller;
   g_autoptr (GPtrArray) due = g_ptr_array_new ();
-  guint room = c->settings->store_txn_ops - 1;
+  guint room = controller->settings->store_txn_ops - 1;
   gsize bytes = 0;
   HzbAcceptance *completed;
   gboolean clean, any_replacement = FALSE;
@@ -658,42 +660,42 @@
   Flush *out;
   cJSON *txn, *value;
 
-  for (guint i = 0; i < c->jobs->active->len; i++)
+  for (guint i = 0; i < controller->jobs->active->len; i++)
     {
-      HzbJob *job = c->jobs->active->pdata[i];
-      if (!job->on_pages && (job->dirty || release_requested (job) || (job->unsplit && writable (r, job))))
-        put_on_pages (r, job);
+      HzbJob *job = controller->jobs->active->pdata[i];
+      if (!job->on_pages && (job->dirty || release_requested (job) || (job->unsplit && writable (records, job))))
+        put_on_pages (records, job);
     }
-  for (guint i = 0; i < r->pages->len; i++)
+  for (guint i = 0; i < records->pages->len; i++)
     {
-      Page *page = r->pages->pdata[i];
+      Page *page = records->pages->pdata[i];
       for (guint k = 0; k < page->parts->len && !page->dirty; k++)
         page->dirty = g_array_index (page->parts, Part, k).job->dirty;
     }
-  for (guint i = 0; i < c->jobs->active->len; i++)
-    ((HzbJob *) c->jobs->active->pdata[i])->dirty = FALSE;
-  for (guint i = 0; i < r->pages->len; i++)
+  for (guint i = 0; i < controller->jobs->active->len; i++)
+    ((HzbJob *) controller->jobs->active->pdata[i])->dirty = FALSE;
+  for (guint i = 0; i < records->pages->len; i++)
     {
-      progress_s += ((Page *) r->pages->pdata[i])->dirty;
-      any_replacement = any_replacement || ((Page *) r->pages->pdata[i])->replaces_retired;
+      progress_s += ((Page *) records->pages->pdata[i])->dirty;
+      any_replacement = any_replacement || ((Page *) records->pages->pdata[i])->replaces_retired;
     }
-  r->any_replacement = any_replacement; /* the flushes before have been applied, or set it again */
-  progress_s = MAX (PROGRESS_EVERY_S, progress_s / (PROGRESS_PART * c->settings->store_write_rps));
-  for (guint i = 0; i < c->machines->all->len; i++)
+  records->any_replacement = any_replacement; /* the flushes before have been applied, or set it again */
+  progress_s = MAX (PROGRESS_EVERY_S, progress_s / (PROGRESS_PART * controller->settings->store_write_rps));
+  for (guint i = 0; i < controller->machines->all->len; i++)
     {
-      HzbMachine *m = c->machines->all->pdata[i];
-      if (!m->page && m->session && !m->recorded)
-        add_machine (page_with_room (r, TRUE, machine_bytes (m)), m);
+      HzbMachine *machine = controller->machines->all->pdata[i];
+      if (!machine->page && machine->session && !machine->recorded)
+        add_machine (page_with_room (records, TRUE, machine_bytes (machine)), machine);
     }
-  for (guint i = 0; i < r->pages->len; i++)
+  for (guint i = 0; i < records->pages->len; i++)
     {
-      Page *page = r->pages->pdata[i];
-      double wait = max_delay_s (r, page, progress_s);
+      Page *page = records->pages->pdata[i];
+      double wait = max_delay_s (records, page, progress_s);
       page->urgent = wait == 0;
       if (wait >= 0 && hzb_time_between (page->written, now) >= wait)
         g_ptr_array_add (due, page);
     }
-  clean = !hzb_time_before (now, r->next_clean) && hzb_jobs_completed_acceptance (c->jobs);
+  clean = !hzb_time_before (now, records->next_clean) && hzb_jobs_completed_acceptance (controller->jobs);
   if (!due->len && !clean)
     return;
   /* Guards against pages at the end of the row never being written while those before them always have news. */
@@ -702,31 +704,31 @@
   out->parts = g_ptr_array_new_with_free_func (flushed_part_free);
   out->machines = g_ptr_array_new_with_free_func (g_free);
   out->completed = g_ptr_array_new_with_free_func (g_free);
-  out->number = ++r->flushes;
+  out->number = ++records->flushes;
   txn = hzb_wire_txn ();
-  hzb_election_add_condition (c->election, txn);
-  hzb_wire_txn_if (txn, HZB_KEY_FLUSH, r->version);
+  hzb_election_add_condition (controller->election, txn);
+  hzb_wire_txn_if (txn, HZB_KEY_FLUSH, records->version);
   value = cJSON_CreateObject ();
   hzb_json_add_u64 (value, "n", out->number);
-  hzb_json_add_u64 (value, "term", hzb_election_term (c->election));
-  hzb_json_add_u64 (value, "clear", hzb_cancellations_acknowledged_revision (c->cancellations));
+  hzb_json_add_u64 (value, "term", hzb_election_term (controller->election));
+  hzb_json_add_u64 (value, "clear", hzb_cancellations_acknowledged_revision (controller->cancellations));
   hzb_wire_txn_put (txn, HZB_KEY_FLUSH, value, 0);
   for (guint i = 0; i < due->len && room && (!i || bytes + ((Page *) due->pdata[i])->bytes <= TXN_BYTES); i++, room--)
     {
       Page *page = due->pdata[i];
       bytes += page->bytes;
-      put_page (r, page, txn, out, now);
+      put_page (records, page, txn, out, now);
     }
-  for (; clean && room && (completed = hzb_jobs_completed_acceptance (c->jobs)); room--)
+  for (; clean && room && (completed = hzb_jobs_completed_acceptance (controller->jobs)); room--)
     {
       completed->removing = TRUE;
       hzb_wire_txn_delete (txn, completed->key);
       g_ptr_array_add (out->completed, g_strdup (completed->key));
     }
   if (clean)
-    r->next_clean = hzb_time_plus (now, CLEAN_EVERY_S);
-  r->flushing = TRUE;
-  hzb_store_txn (c->store, HZB_STORE_RECORD, txn, on_flushed, hzb_epoch_call_new (c, out));
+    records->next_clean = hzb_time_plus (now, CLEAN_EVERY_S);
+  records->flushing = TRUE;
+  hzb_store_txn (controller->store, HZB_STORE_RECORD, txn, on_flushed, hzb_epoch_call_new (controller, out));
 }
 
 /* ---- records of old jobs ---- */
@@ -735,15 +737,15 @@
 on_moved (HzbStoreResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbController *c = epoch_call->c;
+  HzbController *controller = epoch_call->controller;
   g_autoptr (GPtrArray) uids = epoch_call->data;
   g_autoptr (GPtrArray) failed = NULL;
 
   if (result == HZB_STORE_CONFLICT)
     hzb_wire_parse_txn (body, NULL, &failed);
-  for (guint i = 0; i < uids->len && epoch_call->epoch == c->ownership_epoch; i++)
+  for (guint i = 0; i < uids->len && epoch_call->epoch == controller->ownership_epoch; i++)
     {
-      HzbJob *job = hzb_jobs_find (c->jobs, uids->pdata[i]);
+      HzbJob *job = hzb_jobs_find (controller->jobs, uids->pdata[i]);
       if (!job)
         continue;
       /* One that changed under us (moved by an earlier leader, which the mirror will show) is left alone. */
@@ -751,29 +753,30 @@
       for (guint k = 0; failed && k < failed->len; k++)
         job->moving = job->moving || g_str_has_suffix (failed->pdata[k], job->uid);
     }
-  if (epoch_call->epoch == c->ownership_epoch)
-    c->records->moving = FALSE;
+  if (epoch_call->epoch == controller->ownership_epoch)
+    controller->records->moving = FALSE;
   g_free (epoch_call);
 }
 
 /* Each is in one of the two places at any time: it moves in one transaction. */
 static void
-move_old (HzbRecords *r, struct timespec now)
+move_old (HzbRecords *records, struct timespec now)
 {
-  HzbController *c = r->c;
+  HzbController *controller = records->controller;
   g_autoptr (GPtrArray) old = NULL;
   GPtrArray *uids;
   cJSON *txn;
 
-  if (r->moving || hzb_time_before (now, r->next_move))
+  if (records->moving || hzb_time_before (now, records->next_move))
     return;
-  old = hzb_jobs_ended_long_ago (c->jobs, MAX (1, c->settings->store_txn_ops / 2));
-  r->next_move = hzb_time_plus (now, MAX (MOVE_EVERY_S, old->len * 2 / (MOVE_PART * c->settings->store_write_rps)));
+  old = hzb_jobs_ended_long_ago (controller->jobs, MAX (1, controller->settings->store_txn_ops / 2));
+  records->next_move =
+      hzb_time_plus (now, MAX (MOVE_EVERY_S, old->len * 2 / (MOVE_PART * controller->settings->store_write_rps)));
   if (!old->len)
     return;
   uids = g_ptr_array_new_with_free_func (g_free);
   txn = hzb_wire_txn ();
-  hzb_election_add_condition (c->election, txn);
+  hzb_election_add_condition (controller->election, txn);
   for (guint i = 0; i < old->len; i++)
     {
       HzbJob *job = old->pdata[i];
@@ -785,20 +788,20 @@
       job->moving = TRUE;
       g_ptr_array_add (uids, g_strdup (job->uid));
     }
-  r->moving = TRUE;
-  hzb_store_txn (c->store, HZB_STORE_RECORD, txn, on_moved, hzb_epoch_call_new (c, uids));
+  records->moving = TRUE;
+  hzb_store_txn (controller->store, HZB_STORE_RECORD, txn, on_moved, hzb_epoch_call_new (controller, uids));
 }
 
 void
-hzb_records_flush_soon (HzbRecords *r)
+hzb_records_flush_soon (HzbRecords *records)
 {
-  HzbController *c = r->c;
-  struct timespec now = hzb_clock_now (c->clock);
-  if (c->ownership < HZB_OWNERSHIP_RECOVERING || !hzb_election_leading (c->election))
+  HzbController *controller = records->controller;
+  struct timespec now = hzb_clock_now (controller->clock);
+  if (controller->ownership < HZB_OWNERSHIP_RECOVERING || !hzb_election_leading (controller->election))
     return;
-  move_old (r, now);
-  if (r->flushing || hzb_time_before (now, r->next))
+  move_old (records, now);
+  if (records->flushing || hzb_time_before (now, records->next))
     return;
-  r->next = hzb_time_plus (now, FLUSH_EVERY_S);
-  flush (r, now);
+  records->next = hzb_time_plus (now, FLUSH_EVERY_S);
+  flush (records, now);
 }
--- a/src/search.c
+++ b/src/search.c
@@ -3,73 +3,77 @@
 #define FETCH_WEIGHT 2.0
 
 double
-hzb_fetch_s (const HzbMachine *m, const HzbSpec *spec)
+hzb_fetch_s (const HzbMachine *machine, const HzbSpec *spec)
 {
-  double alone = spec->image_gb / MAX (m->type->fetch_gb_per_s, 1e-3);
-  if (g_hash_table_contains (m->images, spec->image))
+  double alone = spec->image_gb / MAX (machine->type->fetch_gb_per_s, 1e-3);
+  if (g_hash_table_contains (machine->images, spec->image))
     return 0;
-  if (g_hash_table_contains (m->expected, spec->image))
+  if (g_hash_table_contains (machine->expected, spec->image))
     return 0.5 * alone;
   /* A machine fetches once for all tasks of the image, and fetches share the rate: images that are kept
    * together cost less than the wait of the one task says. */
-  return FETCH_WEIGHT * alone * (1 + g_hash_table_size (m->expected));
+  return FETCH_WEIGHT * alone * (1 + g_hash_table_size (machine->expected));
 }
 
 typedef struct
 {
   double cost;
   guint at; /* of two equal offers the earlier machine's goes first */
-  HzbMachine *m;
+  HzbMachine *machine;
 } Offer;
 
 #define NO_ROOM_S 3.0 /* lower work has to be stopped first */
 
 /* A replica never ends, so what counts is not how long it would take but how soon it can be there. */
 static double
-replica_cost (const HzbSearch *search, const HzbMachine *m)
+replica_cost (const HzbSearch *search, const HzbMachine *machine)
 {
   const HzbSpec *spec = search->job->spec;
-  double until_report = search->d->settings->report_s - hzb_time_between (m->last_report, search->now);
-  gboolean room = m->cpus + m->listed_service_cpus + spec->cpus <= m->type->cpus + 1e-6
-                  && m->memory + m->listed_service_memory + spec->memory_gb <= m->type->memory_gb + 1e-6;
-  return MAX (until_report, 0) + hzb_fetch_s (m, spec) + (room ? 0 : NO_ROOM_S);
+  double until_report = search->dispatch->settings->report_s - hzb_time_between (machine->last_report, search->now);
+  gboolean room =
+      machine->cpus + machine->listed_service_cpus + spec->cpus <= machine->type->cpus + 1e-6
+      && machine->memory + machine->listed_service_memory + spec->memory_gb <= machine->type->memory_gb + 1e-6;
+  return MAX (until_report, 0) + hzb_fetch_s (machine, spec) + (room ? 0 : NO_ROOM_S);
 }
 
 static double
-offer_cost (const HzbSearch *search, HzbMachine *m)
+offer_cost (const HzbSearch *search, HzbMachine *machine)
 {
-  guint v = m->service_cpus > 0 ? hzb_machine_speed (m, search->job->spec) : (guint) search->speeds[m->type->index];
-  HzbEstimate *estimate = &m->estimates[search->job->level];
+  guint v = machine->service_cpus > 0 ? hzb_machine_speed (machine, search->job->spec)
+                                      : (guint) search->speeds[machine->type->index];
+  HzbEstimate *estimate = &machine->estimates[search->job->level];
   if (search->job->spec->service)
-    return replica_cost (search, m);
+    return replica_cost (search, machine);
   hzb_estimate_shift (estimate, search->now);
-  return hzb_estimate_mean (estimate) + search->d->h * hzb_job_mean_s (search->job) / MAX (v, 1)
-         + hzb_fetch_s (m, search->job->spec);
+  return hzb_estimate_mean (estimate) + search->dispatch->h * hzb_job_mean_s (search->job) / MAX (v, 1)
+         + hzb_fetch_s (machine, search->job->spec);
 }
 
 /* samePlace and spread, counting what is listed too. */
 static gboolean
-zone_is_open (const HzbSearch *search, const HzbMachine *m)
+zone_is_open (const HzbSearch *search, const HzbMachine *machine)
 {
   const HzbJob *job = search->job;
   guint here;
   if (!search->in_zone)
     return TRUE;
-  here = GPOINTER_TO_UINT (g_hash_table_lookup (search->in_zone, m->zone));
+  here = GPOINTER_TO_UINT (g_hash_table_lookup (search->in_zone, machine->zone));
   return (!job->spec->same_zone || here == search->placed)
          && (!job->spec->spread || here + 1 <= (job->n_tasks + 1) / 2);
 }
 
 static gboolean
-may_take (const HzbSearch *search, const HzbMachine *m)
+may_take (const HzbSearch *search, const HzbMachine *machine)
 {
   const HzbSpec *spec = search->job->spec;
-  if (!zone_is_open (search, m) || (spec->service ? !hzb_machine_takes_replica (m, spec) : m->reserved)
-      || (m->service_cpus > 0 && hzb_machine_speed (m, spec) < 1))
+  if (!zone_is_open (search, machine)
+      || (spec->service ? !hzb_machine_takes_replica (machine, spec) : machine->reserved)
+      || (machine->service_cpus > 0 && hzb_machine_speed (machine, spec) < 1))
     return FALSE;
-  return hzb_machine_usable (m) && search->speeds[m->type->index] >= 1 /* those that hold none are skipped */
-         && (spec->spot || !m->spot) && (!spec->zone || g_str_equal (spec->zone, m->zone))
-         && !hzb_machine_avoids (m, search->job, search->now);
+  return hzb_machine_usable (machine)
+         && search->speeds[machine->type->index] >= 1 /* those that hold none are skipped */
+         && (spec->spot || !machine->spot) && (!spec->zone || g_str_equal (spec->zone, machine->zone))
+         && !hzb_machine_avoids (machine, search->job, search->now);
 }
 
 static gboolean
@@ -106,18 +110,18 @@
 }
 
 static void
-count_zone (HzbSearch *search, const HzbMachine *m)
+count_zone (HzbSearch *search, const HzbMachine *machine)
 {
-  guint here = GPOINTER_TO_UINT (g_hash_table_lookup (search->in_zone, m->zone));
-  g_hash_table_insert (search->in_zone, g_strdup (m->zone), GUINT_TO_POINTER (here + 1));
+  guint here = GPOINTER_TO_UINT (g_hash_table_lookup (search->in_zone, machine->zone));
+  g_hash_table_insert (search->in_zone, g_strdup (machine->zone), GUINT_TO_POINTER (here + 1));
   search->placed++;
 }
 
 void
-hzb_search_begin (HzbSearch *search, HzbDispatch *d, HzbJob *job, struct timespec now)
+hzb_search_begin (HzbSearch *search, HzbDispatch *dispatch, HzbJob *job, struct timespec now)
 {
-  GPtrArray *types = d->machines->types;
-  search->d = d;
+  GPtrArray *types = dispatch->machines->types;
+  search->dispatch = dispatch;
   search->job = job;
   search->now = now;
   search->heap = g_array_new (FALSE, FALSE, sizeof (Offer));
@@ -135,22 +139,22 @@
 void
 hzb_search_look (HzbSearch *search, guint examined)
 {
-  HzbDispatch *d = search->d;
-  guint n = d->usable->len;
+  HzbDispatch *dispatch = search->dispatch;
+  guint n = dispatch->usable->len;
   gboolean some = examined && examined < n; /* all, if that is no more */
-  guint first = some ? (guint) g_rand_int_range (d->rand, 0, (gint32) n) : 0, step = some ? n / examined : 1;
+  guint first = some ? (guint) g_rand_int_range (dispatch->rand, 0, (gint32) n) : 0, step = some ? n / examined : 1;
 
   g_array_set_size (search->heap, 0);
   if (!some)
     examined = n;
-  d->examined += examined;
+  dispatch->examined += examined;
   for (guint i = 0; i < examined; i++)
     {
       Offer offer = { 0, (first + i * step) % n, NULL };
-      offer.m = d->usable->pdata[offer.at];
-      if (!may_take (search, offer.m))
+      offer.machine = dispatch->usable->pdata[offer.at];
+      if (!may_take (search, offer.machine))
         continue;
-      offer.cost = offer_cost (search, offer.m);
+      offer.cost = offer_cost (search, offer.machine);
       g_array_append_val (search->heap, offer);
     }
   for (guint i = search->heap->len / 2; i-- > 0;)
@@ -160,7 +164,7 @@
 HzbMachine *
 hzb_search_best (const HzbSearch *search)
 {
-  return search->heap->len ? g_array_index (search->heap, Offer, 0).m : NULL;
+  return search->heap->len ? g_array_index (search->heap, Offer, 0).machine : NULL;
 }
 
 static void
@@ -177,11 +181,11 @@
 {
   Offer *best = &g_array_index (search->heap, Offer, 0);
   if (search->in_zone)
-    count_zone (search, best->m);
-  best->cost = offer_cost (search, best->m);
+    count_zone (search, best->machine);
+  best->cost = offer_cost (search, best->machine);
   sift_down (search->heap, 0);
   /* A zone that has half of a job's tasks by now, or a machine that is full of replicas, takes no more. */
   while ((search->in_zone || search->job->spec->service) && search->heap->len
-         && !may_take (search, g_array_index (search->heap, Offer, 0).m))
+         && !may_take (search, g_array_index (search->heap, Offer, 0).machine))
     drop_best (search);
 }
--- a/src/search.h
+++ b/src/search.h
@@ -6,7 +6,7 @@
 
 typedef struct
 {
-  HzbDispatch *d;
+  HzbDispatch *dispatch;
   HzbJob *job;
   struct timespec now;
   double *speeds;      /* by type */
--- a/src/settings.c
+++ b/src/settings.c
@@ -100,7 +100,7 @@
 /* The state service's limits fall to these without notice, some time after a start: what is written keeps to the lesser
  * of both from the beginning. A key that is absent does not change. */
 static void
-read_next_limits (HzbSettings *s, const cJSON *state, GString *faults)
+read_next_limits (HzbSettings *settings, const cJSON *state, GString *faults)
 {
   const cJSON *next = cJSON_GetObjectItemCaseSensitive (state, "next");
 
@@ -111,24 +111,25 @@
       fault (faults, "cluster.state", "next", "a table");
       return;
     }
-  s->store_rps = MIN (s->store_rps, number_at (next, "cluster.state.next", "rps", 1, s->store_rps, faults));
-  s->store_write_rps =
-      MIN (s->store_write_rps, number_at (next, "cluster.state.next", "write_rps", 1, s->store_write_rps, faults));
-  s->store_value_kb =
-      MIN (s->store_value_kb, number_at (next, "cluster.state.next", "value_kb", 1, s->store_value_kb, faults));
-  s->store_txn_ops =
-      (guint) MIN (s->store_txn_ops, number_at (next, "cluster.state.next", "txn_ops", 3, s->store_txn_ops, faults));
+  settings->store_rps =
+      MIN (settings->store_rps, number_at (next, "cluster.state.next", "rps", 1, settings->store_rps, faults));
+  settings->store_write_rps = MIN (settings->store_write_rps, number_at (next, "cluster.state.next", "write_rps", 1,
+                                                                         settings->store_write_rps, faults));
+  settings->store_value_kb = MIN (settings->store_value_kb, number_at (next, "cluster.state.next", "value_kb", 1,
+                                                                       settings->store_value_kb, faults));
+  settings->store_txn_ops = (guint) MIN (
+      settings->store_txn_ops, number_at (next, "cluster.state.next", "txn_ops", 3, settings->store_txn_ops, faults));
 }
 
 static void
-read_cluster (HzbSettings *s, const cJSON *cluster, GString *faults)
+read_cluster (HzbSettings *settings, const cJSON *cluster, GString *faults)
 {
   const cJSON *item, *table;
 
-  s->size = (guint) MIN (number_at (cluster, "cluster", "size", 1, NAN, faults), G_MAXUINT16);
-  s->skew_ms = number_at (cluster, "cluster", "skew_ms", 0, 0, faults);
+  settings->size = (guint) MIN (number_at (cluster, "cluster", "size", 1, NAN, faults), G_MAXUINT16);
+  settings->skew_ms = number_at (cluster, "cluster", "skew_ms", 0, 0, faults);
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster, "zones")) if (cJSON_IsString (item))
-      g_ptr_array_add (s->zones, g_strdup (item->valuestring));
+      g_ptr_array_add (settings->zones, g_strdup (item->valuestring));
   else fault (faults, "cluster", "zones", "a list of texts");
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster, "teams"))
   {
@@ -138,9 +139,9 @@
     team->gpus = number_at (item, "cluster.teams", "gpus", 0, 0, faults);
     team->cpus_max = limit_at (item, "cpus_max", faults);
     team->gpus_max = limit_at (item, "gpus_max", faults);
-    g_ptr_array_add (s->teams, team);
+    g_ptr_array_add (settings->teams, team);
   }
-  if (s->teams->len == 0)
+  if (settings->teams->len == 0)
     fault (faults, "cluster", "teams", "at least one team");
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster, "objectives"))
   {
@@ -151,34 +152,35 @@
     objective->within_s = number_at (item, "cluster.objectives", "within_s", 0, 0, faults);
     objective->share = number_at (item, "cluster.objectives", "share", 0, 0, faults);
     objective->times = number_at (item, "cluster.objectives", "times", 0, 0, faults);
-    g_ptr_array_add (s->objectives, objective);
+    g_ptr_array_add (settings->objectives, objective);
   }
   if ((table = table_at (cluster, "cluster", "workers", faults)))
     {
-      s->report_s = number_at (table, "cluster.workers", "report_s", 0.1, NAN, faults);
-      s->lease_s = number_at (table, "cluster.workers", "lease_s", 1, NAN, faults);
-      s->gang_wait_s = number_at (table, "cluster.workers", "gang_wait_s", 0, 30, faults);
-      s->gang_peer_s = number_at (table, "cluster.workers", "gang_peer_s", 0, 5, faults);
-      s->cancel_s = number_at (table, "cluster.workers", "cancel_s", 1, NAN, faults);
+      settings->report_s = number_at (table, "cluster.workers", "report_s", 0.1, NAN, faults);
+      settings->lease_s = number_at (table, "cluster.workers", "lease_s", 1, NAN, faults);
+      settings->gang_wait_s = number_at (table, "cluster.workers", "gang_wait_s", 0, 30, faults);
+      settings->gang_peer_s = number_at (table, "cluster.workers", "gang_peer_s", 0, 5, faults);
+      settings->cancel_s = number_at (table, "cluster.workers", "cancel_s", 1, NAN, faults);
     }
   if ((table = table_at (cluster, "cluster", "state", faults)))
     {
-      s->store_rps = number_at (table, "cluster.state", "rps", 1, NAN, faults);
-      s->store_write_rps = number_at (table, "cluster.state", "write_rps", 1, NAN, faults);
-      s->store_value_kb = number_at (table, "cluster.state", "value_kb", 1, NAN, faults);
-      s->store_txn_ops = (guint) MIN (number_at (table, "cluster.state", "txn_ops", 3, NAN, faults), MOST_TXN_OPS);
-      read_next_limits (s, table, faults);
+      settings->store_rps = number_at (table, "cluster.state", "rps", 1, NAN, faults);
+      settings->store_write_rps = number_at (table, "cluster.state", "write_rps", 1, NAN, faults);
+      settings->store_value_kb = number_at (table, "cluster.state", "value_kb", 1, NAN, faults);
+      settings->store_txn_ops =
+          (guint) MIN (number_at (table, "cluster.state", "txn_ops", 3, NAN, faults), MOST_TXN_OPS);
+      read_next_limits (settings, table, faults);
     }
   if ((table = table_at (cluster, "cluster", "cloud", faults)))
     {
-      s->cloud_rps = number_at (table, "cluster.cloud", "rps", 0.1, NAN, faults);
-      s->list_lag_s = number_at (table, "cluster.cloud", "list_lag_s", 0, 5, faults);
+      settings->cloud_rps = number_at (table, "cluster.cloud", "rps", 0.1, NAN, faults);
+      settings->list_lag_s = number_at (table, "cluster.cloud", "list_lag_s", 0, 5, faults);
     }
   if ((table = cJSON_GetObjectItemCaseSensitive (cluster, "resources")))
     {
-      s->cpu_share = number_at (table, "cluster.resources", "cpu_share", 0, 1, faults);
-      s->mem_mb = number_at (table, "cluster.resources", "mem_mb", 0, 0, faults);
-      s->sockets = (guint) MIN (number_at (table, "cluster.resources", "sockets", 16, 1024, faults), G_MAXINT32);
+      settings->cpu_share = number_at (table, "cluster.resources", "cpu_share", 0, 1, faults);
+      settings->mem_mb = number_at (table, "cluster.resources", "mem_mb", 0, 0, faults);
+      settings->sockets = (guint) MIN (number_at (table, "cluster.resources", "sockets", 16, 1024, faults), G_MAXINT32);
     }
 }
 
@@ -187,24 +189,24 @@
 {
   char *message = NULL;
   cJSON *root = hzb_toml_parse (text, name, &message);
-  g_autoptr (HzbSettings) s = g_new0 (HzbSettings, 1);
+  g_autoptr (HzbSettings) settings = g_new0 (HzbSettings, 1);
   g_autoptr (GString) faults = g_string_new (NULL);
   const cJSON *item, *table;
 
-  s->peers = g_ptr_array_new_with_free_func (peer_free);
-  s->zones = g_ptr_array_new_with_free_func (g_free);
-  s->teams = g_ptr_array_new_with_free_func (team_free);
-  s->objectives = g_ptr_array_new_with_free_func (objective_free);
+  settings->peers = g_ptr_array_new_with_free_func (peer_free);
+  settings->zones = g_ptr_array_new_with_free_func (g_free);
+  settings->teams = g_ptr_array_new_with_free_func (team_free);
+  settings->objectives = g_ptr_array_new_with_free_func (objective_free);
   if (!root)
     {
       g_set_error (error, HZB_SETTINGS_ERROR, 1, "not TOML: %s", message);
       free (message);
       return NULL;
     }
-  s->node = text_at (root, "", "node", faults);
-  s->zone = text_at (root, "", "site", faults);
-  s->api_addr = addr_at (root, "", "api_addr", faults);
-  s->peer_addr = addr_at (root, "", "cluster_listen", faults);
+  settings->node = text_at (root, "", "node", faults);
+  settings->zone = text_at (root, "", "site", faults);
+  settings->api_addr = addr_at (root, "", "api_addr", faults);
+  settings->peer_addr = addr_at (root, "", "cluster_listen", faults);
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, "peers"))
   {
     HzbPeer *peer = g_new0 (HzbPeer, 1);
@@ -212,22 +214,22 @@
     peer->node = text_at (item, "peers", "node", faults);
     peer->zone = cJSON_IsString (zone) ? g_strdup (zone->valuestring) : NULL;
     peer->address = addr_at (item, "peers", "address", faults);
-    g_ptr_array_add (s->peers, peer);
+    g_ptr_array_add (settings->peers, peer);
   }
   if ((table = table_at (root, "", "external", faults)))
     {
-      s->cloud_addr = addr_at (table, "external", "cloud", faults);
-      s->store_addr = addr_at (table, "external", "state", faults);
+      settings->cloud_addr = addr_at (table, "external", "cloud", faults);
+      settings->store_addr = addr_at (table, "external", "state", faults);
     }
   if ((table = table_at (root, "", "cluster", faults)))
-    read_cluster (s, table, faults);
+    read_cluster (settings, table, faults);
   cJSON_Delete (root);
   if (faults->len)
     {
       g_set_error (error, HZB_SETTINGS_ERROR, 2, "%s", faults->str);
       return NULL;
     }
-  return g_steal_pointer (&s);
+  return g_steal_pointer (&settings);
 }
 
 HzbSettings *
@@ -240,28 +242,28 @@
 }
 
 void
-hzb_settings_free (HzbSettings *s)
+hzb_settings_free (HzbSettings *settings)
 {
-  if (!s)
+  if (!settings)
     return;
-  g_free (s->node);
-  g_free (s->zone);
-  g_free (s->api_addr);
-  g_free (s->peer_addr);
-  g_free (s->cloud_addr);
-  g_free (s->store_addr);
-  g_ptr_array_unref (s->peers);
-  g_ptr_array_unref (s->zones);
-  g_ptr_array_unref (s->teams);
-  g_ptr_array_unref (s->objectives);
-  g_free (s);
+  g_free (settings->node);
+  g_free (settings->zone);
+  g_free (settings->api_addr);
+  g_free (settings->peer_addr);
+  g_free (settings->cloud_addr);
+  g_free (settings->store_addr);
+  g_ptr_array_unref (settings->peers);
+  g_ptr_array_unref (settings->zones);
+  g_ptr_array_unref (settings->teams);
+  g_ptr_array_unref (settings->objectives);
+  g_free (settings);
 }
 
 int
-hzb_settings_team (const HzbSettings *s, const char *name)
+hzb_settings_team (const HzbSettings *settings, const char *name)
 {
-  for (guint i = 0; i < s->teams->len; i++)
-    if (g_str_equal (((HzbTeam *) s->teams->pdata[i])->name, name))
+  for (guint i = 0; i < settings->teams->len; i++)
+    if (g_str_equal (((HzbTeam *) settings->teams->pdata[i])->name, name))
       return (int) i;
   return -1;
 }
--- a/src/user-api.c
+++ b/src/user-api.c
@@ -39,7 +39,7 @@
 
 struct _HzbUserApi
 {
-  HzbController *c;
+  HzbController *controller;
   GQueue checks, syncs, accepts; /* waiting to be sent */
   GQueue pending_cancellations;  /* Check: of cancelled jobs, until every owner has heard of it */
   guint checking, syncing, accepting;
@@ -62,10 +62,10 @@
 static void send_cancel (HzbUserApi *api, Check *check);
 
 HzbUserApi *
-hzb_user_api_new (HzbController *c)
+hzb_user_api_new (HzbController *controller)
 {
   HzbUserApi *api = g_new0 (HzbUserApi, 1);
-  api->c = c;
+  api->controller = controller;
   return api;
 }
 
@@ -158,10 +158,10 @@
     done = job->n_tasks;
   if (job->state != HZB_JOB_ACCEPTED)
     running = 0;
-  else if (!job->tasks || api->c->jobs->lessee)
+  else if (!job->tasks || api->controller->jobs->lessee)
     {
       /* Only for display: what the owner last told its peers. */
-      hzb_peers_task_counts (api->c->peers, job->uid, &done, &running);
+      hzb_peers_task_counts (api->controller->peers, job->uid, &done, &running);
       text = running ? "running" : "queued";
     }
   hzb_exchange_reply (exchange, status, hzb_wire_job_status (job->uid, text, counts, done, running), 0);
@@ -172,18 +172,19 @@
 static void
 reply_final (HzbUserApi *api, Check *check, HzbJob *job)
 {
-  HzbController *c = api->c;
+  HzbController *controller = api->controller;
 
-  if (job->state != HZB_JOB_CANCELLED || hzb_cancellations_acknowledged (c->cancellations, job))
+  if (job->state != HZB_JOB_CANCELLED || hzb_cancellations_acknowledged (controller->cancellations, job))
     {
       reply_status (api, check->exchange, job, 200, check->poll_leader == ASK_STATUS);
       check_free (check);
     }
-  else if (!hzb_cancellations_request (c->cancellations, job) || api->pending_cancellations.length >= MAX_QUEUED_CHECKS)
+  else if (!hzb_cancellations_request (controller->cancellations, job)
+           || api->pending_cancellations.length >= MAX_QUEUED_CHECKS)
     give_up (check, "not every controller has heard of the cancellation");
   else
     {
-      check->deadline = hzb_time_plus (hzb_clock_now (c->clock), CANCEL_ACKNOWLEDGE_S);
+      check->deadline = hzb_time_plus (hzb_clock_now (controller->clock), CANCEL_ACKNOWLEDGE_S);
       g_queue_push_tail (&api->pending_cancellations, check);
     }
 }
@@ -191,15 +192,15 @@
 static void
 check_pending_cancellations (HzbUserApi *api)
 {
-  HzbController *c = api->c;
-  struct timespec now = hzb_clock_now (c->clock);
+  HzbController *controller = api->controller;
+  struct timespec now = hzb_clock_now (controller->clock);
 
   for (GList *l = api->pending_cancellations.head; l;)
     {
       GList *next = l->next;
       Check *check = l->data;
-      HzbJob *job = hzb_jobs_find (c->jobs, check->uid);
-      if (!job || hzb_cancellations_acknowledged (c->cancellations, job))
+      HzbJob *job = hzb_jobs_find (controller->jobs, check->uid);
+      if (!job || hzb_cancellations_acknowledged (controller->cancellations, job))
         {
           g_queue_delete_link (&api->pending_cancellations, l);
           if (job)
@@ -235,7 +236,7 @@
   Batch *batch = batch_new (api);
   g_autofree char *key = g_strconcat (prefix, check->uid, NULL);
   g_ptr_array_add (batch->entries, check);
-  hzb_store_get (api->c->store, HZB_STORE_READ, key, done, batch);
+  hzb_store_get (api->controller->store, HZB_STORE_READ, key, done, batch);
 }
 
 /* Neither the mirror nor the place of old records has it. */
@@ -289,7 +290,7 @@
 static void
 settle (HzbUserApi *api, Check *check)
 {
-  HzbJob *job = hzb_jobs_find (api->c->jobs, check->uid);
+  HzbJob *job = hzb_jobs_find (api->controller->jobs, check->uid);
 
   if (check->poll_leader == ASK_CANCEL && job && job->state == HZB_JOB_ACCEPTED)
     {
@@ -314,7 +315,7 @@
 
   if (result == HZB_STORE_OK && hzb_wire_parse_item (body, &item))
     {
-      hzb_controller_apply_record (api->c, &item);
+      hzb_controller_apply_record (api->controller, &item);
       hzb_item_clear (&item);
       settle (api, check);
     }
@@ -362,7 +363,7 @@
   while ((check = g_queue_pop_head (&api->syncs)))
     g_ptr_array_add (batch->entries, check);
   api->syncing++;
-  hzb_controller_sync (api->c, on_synced, batch);
+  hzb_controller_sync (api->controller, on_synced, batch);
 }
 
 /* Resolved by reading, never guessed. */
@@ -406,17 +407,17 @@
 
 /* So many a transaction takes. */
 static guint
-conditions (HzbController *c)
+conditions (HzbController *controller)
 {
-  return CLAMP (c->settings->store_txn_ops * 4, 3, 256);
+  return CLAMP (controller->settings->store_txn_ops * 4, 3, 256);
 }
 
 static void
 flush_checks (HzbUserApi *api)
 {
-  HzbController *c = api->c;
-  struct timespec now = hzb_clock_now (c->clock);
-  guint most = conditions (c) / 2;
+  HzbController *controller = api->controller;
+  struct timespec now = hzb_clock_now (controller->clock);
+  guint most = conditions (controller) / 2;
   Batch *batch;
   cJSON *txn;
 
@@ -432,7 +433,7 @@
       g_ptr_array_add (batch->entries, check);
     }
   api->checking++;
-  hzb_store_txn (c->store, HZB_STORE_READ, txn, on_checked, batch);
+  hzb_store_txn (controller->store, HZB_STORE_READ, txn, on_checked, batch);
 }
 
 static void
@@ -441,7 +442,7 @@
 {
   Check *check;
 
-  if (hzb_controller_store_silent (api->c))
+  if (hzb_controller_store_silent (api->controller))
     {
       reply_unavailable (exchange, "the state service does not answer");
       return;
@@ -455,8 +456,8 @@
   check = check_new (exchange, uid, poll_leader);
   check->refusal = g_strdup (refusal);
   check->refusal_status = refusal_status;
-  check->deadline = hzb_time_plus (hzb_clock_now (api->c->clock), 3);
-  if (!hzb_jobs_find (api->c->jobs, uid))
+  check->deadline = hzb_time_plus (hzb_clock_now (api->controller->clock), 3);
+  if (!hzb_jobs_find (api->controller->jobs, uid))
     {
       sync_check (api, check);
       return;
@@ -473,7 +474,7 @@
   Batch *batch = user;
   HzbUserApi *api = batch->api;
   Check *check = batch->entries->pdata[0];
-  HzbJob *job = hzb_jobs_find (api->c->jobs, check->uid);
+  HzbJob *job = hzb_jobs_find (api->controller->jobs, check->uid);
 
   batch_free (batch);
   if (result == HZB_STORE_OK && job)
@@ -481,7 +482,7 @@
       guint64 revision = 0;
       cJSON *value = hzb_jobs_pack_final (HZB_JOB_CANCELLED, job->n_tasks);
       hzb_wire_parse_txn (body, &revision, NULL);
-      hzb_jobs_apply (api->c->jobs, check->uid, value, revision);
+      hzb_jobs_apply (api->controller->jobs, check->uid, value, revision);
       cJSON_Delete (value);
       settle (api, check);
     }
@@ -494,12 +495,12 @@
 static void
 send_cancel (HzbUserApi *api, Check *check)
 {
-  HzbJob *job = hzb_jobs_find (api->c->jobs, check->uid);
+  HzbJob *job = hzb_jobs_find (api->controller->jobs, check->uid);
   g_autofree char *key = g_strconcat (HZB_KEY_JOBS, check->uid, NULL);
   Batch *batch;
   cJSON *txn;
 
-  if (!hzb_time_before (hzb_clock_now (api->c->clock), check->deadline))
+  if (!hzb_time_before (hzb_clock_now (api->controller->clock), check->deadline))
     {
       reply_unavailable (check->exchange, "not decided in time");
       check_free (check);
@@ -510,7 +511,7 @@
   g_ptr_array_add (batch->entries, check);
   hzb_jobs_txn_if_not_over (txn, check->uid);
   hzb_wire_txn_put (txn, key, hzb_jobs_pack_final (HZB_JOB_CANCELLED, job->n_tasks), 0);
-  hzb_store_txn (api->c->store, HZB_STORE_ACCEPT, txn, on_cancelled, batch);
+  hzb_store_txn (api->controller->store, HZB_STORE_ACCEPT, txn, on_cancelled, batch);
 }
 
 /* ---- accepting ---- */
@@ -520,14 +521,14 @@
 {
   Batch *batch = user;
   HzbUserApi *api = batch->api;
-  HzbController *c = api->c;
+  HzbController *controller = api->controller;
   g_autoptr (GPtrArray) failed = NULL;
 
   api->accepting--;
   if (result == HZB_STORE_CONFLICT)
     hzb_wire_parse_txn (body, NULL, &failed);
   if (result == HZB_STORE_OK)
-    hzb_jobs_apply_acceptance (c->jobs, batch->key, batch->record);
+    hzb_jobs_apply_acceptance (controller->jobs, batch->key, batch->record);
   for (guint i = 0; i < batch->entries->len; i++)
     {
       Accept *accept = batch->entries->pdata[i];
@@ -535,7 +536,7 @@
       gboolean over = failed_by (failed, uid);
       if (result == HZB_STORE_OK)
         {
-          HzbJob *job = hzb_jobs_find (c->jobs, uid);
+          HzbJob *job = hzb_jobs_find (controller->jobs, uid);
           if (job && job->state == HZB_JOB_CANCELLED)
             reply_final (api, check_new (accept->exchange, uid, ASK_SUBMITTED), job);
           else
@@ -567,16 +568,16 @@
 static void
 flush_accepts (HzbUserApi *api)
 {
-  HzbController *c = api->c;
-  struct timespec now = hzb_clock_now (c->clock);
+  HzbController *controller = api->controller;
+  struct timespec now = hzb_clock_now (controller->clock);
 
   while (api->accepting < 2 && api->accepts.length)
     {
       Batch *batch = batch_new (api);
       cJSON *txn = hzb_wire_txn ();
-      gsize bytes = 0, most = (gsize) (c->settings->store_value_kb * 1024) - 64;
+      gsize bytes = 0, most = (gsize) (controller->settings->store_value_kb * 1024) - 64;
       batch->record = cJSON_CreateObject ();
-      while (api->accepts.length && batch->entries->len < (conditions (c) - 1) / 2)
+      while (api->accepts.length && batch->entries->len < (conditions (controller) - 1) / 2)
         {
           Accept *accept = g_queue_peek_head (&api->accepts);
           const char *uid = accept->spec->uid;
@@ -602,28 +603,29 @@
           batch_free (batch);
           return;
         }
-      batch->key = g_strdup_printf ("%s%s-%s-%u", HZB_KEY_ACCEPTED, c->settings->node, c->incarnation, ++api->records);
+      batch->key = g_strdup_printf ("%s%s-%s-%u", HZB_KEY_ACCEPTED, controller->settings->node, controller->incarnation,
+                                    ++api->records);
       hzb_wire_txn_if (txn, batch->key, 0);
       hzb_wire_txn_put (txn, batch->key, cJSON_Duplicate (batch->record, TRUE), 0);
       api->accepting++;
-      hzb_store_txn (c->store, HZB_STORE_ACCEPT, txn, on_accepted, batch);
+      hzb_store_txn (controller->store, HZB_STORE_ACCEPT, txn, on_accepted, batch);
     }
 }
 
 /* NULL: it can run. */
 static const char *
-reason_it_never_runs (HzbController *c, const HzbSpec *spec)
+reason_it_never_runs (HzbController *controller, const HzbSpec *spec)
 {
-  int at = hzb_settings_team (c->settings, spec->team);
+  int at = hzb_settings_team (controller->settings, spec->team);
   const HzbTeam *team;
   double times = spec->gang || spec->service ? spec->tasks : 1; /* all of them at once */
   gboolean known_zone = spec->zone == NULL;
 
   if (at < 0)
     return "owner: no such team";
-  team = c->settings->teams->pdata[at];
-  for (guint i = 0; i < c->settings->zones->len && !known_zone; i++)
-    known_zone = g_str_equal (c->settings->zones->pdata[i], spec->zone);
+  team = controller->settings->teams->pdata[at];
+  for (guint i = 0; i < controller->settings->zones->len && !known_zone; i++)
+    known_zone = g_str_equal (controller->settings->zones->pdata[i], spec->zone);
   if (!known_zone)
     return "yard: no such zone";
   if (spec->cpus * times > team->cpus_max + 1e-9 || spec->gpus * times > team->gpus_max + 1e-9)
@@ -632,9 +634,9 @@
     return "samePlace and spread exclude each other";
   if (spec->gang && spec->spread && spec->zone && spec->tasks > 1)
     return "a gang that is to be spread can't be in one zone";
-  for (guint i = 0; i < c->machines->types->len; i++)
+  for (guint i = 0; i < controller->machines->types->len; i++)
     {
-      const HzbMachineType *type = c->machines->types->pdata[i];
+      const HzbMachineType *type = controller->machines->types->pdata[i];
       if (hzb_type_holds (type, spec)
           && (!spec->zone || g_strv_contains ((const char *const *) type->zones, spec->zone)))
         return NULL;
@@ -644,14 +646,14 @@
 
 /* Types that do not exist never fit: the record need not hold them. */
 static void
-drop_unknown_types (HzbController *c, HzbSpec *spec)
+drop_unknown_types (HzbController *controller, HzbSpec *spec)
 {
   g_autoptr (GStrvBuilder) reserved = g_strv_builder_new ();
   if (!spec->types)
     return;
-  for (guint i = 0; i < c->machines->types->len; i++)
+  for (guint i = 0; i < controller->machines->types->len; i++)
     {
-      const HzbMachineType *type = c->machines->types->pdata[i];
+      const HzbMachineType *type = controller->machines->types->pdata[i];
       if (g_strv_contains ((const char *const *) spec->types, type->name))
         g_strv_builder_add (reserved, type->name);
     }
@@ -662,7 +664,7 @@
 static void
 submit (HzbUserApi *api, HzbExchange *exchange)
 {
-  HzbController *c = api->c;
+  HzbController *controller = api->controller;
   g_autoptr (GError) error = NULL;
   g_autoptr (HzbSpec) spec = hzb_wire_parse_job (exchange->body, exchange->length, &error);
   HzbJob *job;
@@ -676,7 +678,7 @@
       hzb_exchange_reply (exchange, 400, hzb_wire_error (error->message), 0);
       return;
     }
-  if ((job = hzb_jobs_find (c->jobs, spec->uid)))
+  if ((job = hzb_jobs_find (controller->jobs, spec->uid)))
     {
       if (job->state != HZB_JOB_ACCEPTED)
         reply_final (api, check_new (exchange, spec->uid, ASK_SUBMITTED), job);
@@ -684,7 +686,7 @@
         add_check (api, exchange, spec->uid, ASK_SUBMITTED, NULL, 0);
       return;
     }
-  if (!hzb_controller_ready (c) || !c->machines->types || hzb_controller_store_silent (c))
+  if (!hzb_controller_ready (controller) || !controller->machines->types || hzb_controller_store_silent (controller))
     {
       reply_unavailable (exchange, "not ready yet");
       return;
@@ -695,13 +697,13 @@
       add_check (api, exchange, spec->uid, ASK_SUBMITTED, "expectS: expected 0 for standing jobs", 400);
       return;
     }
-  if ((refusal = reason_it_never_runs (c, spec)))
+  if ((refusal = reason_it_never_runs (controller, spec)))
     {
       add_check (api, exchange, spec->uid, ASK_SUBMITTED, refusal, 422);
       return;
     }
   /* A version 1 would take a replica that ends for a task that is done. */
-  if (spec->service && hzb_election_format (c->election) < HZB_FORMAT)
+  if (spec->service && hzb_election_format (controller->election) < HZB_FORMAT)
     {
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("services are taken once every controller runs this version"),
                           2);
@@ -712,14 +714,14 @@
       hzb_exchange_reply (exchange, 429, hzb_wire_error ("more submissions than can be taken"), 2);
       return;
     }
-  drop_unknown_types (c, spec);
-  packed = hzb_jobs_pack_accepted (spec, hzb_clock_wall (c->clock));
+  drop_unknown_types (controller, spec);
+  packed = hzb_jobs_pack_accepted (spec, hzb_clock_wall (controller->clock));
   accept = g_new0 (Accept, 1);
   accept->exchange = exchange;
   accept->packed = cJSON_PrintUnformatted (packed);
-  accept->deadline = hzb_time_plus (hzb_clock_now (c->clock), 2.5);
+  accept->deadline = hzb_time_plus (hzb_clock_now (controller->clock), 2.5);
   cJSON_Delete (packed);
-  if (strlen (accept->packed) > c->settings->store_value_kb * 1024 - 64)
+  if (strlen (accept->packed) > controller->settings->store_value_kb * 1024 - 64)
     {
       hzb_exchange_reply (exchange, 400, hzb_wire_error ("the job's texts are too long"), 0);
       accept_free (accept);
@@ -733,7 +735,7 @@
 static void
 ask_about (HzbUserApi *api, HzbExchange *exchange, const char *uid, Ask poll_leader)
 {
-  HzbJob *job = hzb_jobs_find (api->c->jobs, uid);
+  HzbJob *job = hzb_jobs_find (api->controller->jobs, uid);
 
   if (!hzb_wire_uid_ok (uid))
     hzb_exchange_reply (exchange, 404, hzb_wire_error ("no such job"), 0);
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -20,28 +20,29 @@
 }
 
 static void
-task_failed (HzbController *c, HzbMachine *m, HzbTask *task, HzbExitCause cause, struct timespec now)
+task_failed (HzbController *controller, HzbMachine *machine, HzbTask *task, HzbExitCause cause, struct timespec now)
 {
   HzbJob *job = task->job;
 
   if (cause == HZB_EXIT_ERROR)
     {
-      gboolean same = g_strcmp0 (m->last_failed_job, job->uid) == 0, service = job->spec->service;
+      gboolean same = g_strcmp0 (machine->last_failed_job, job->uid) == 0, service = job->spec->service;
       task->tries = (guint8) MIN (task->tries + 1, 10);
-      m->failures++;
-      m->last_failure = now;
+      machine->failures++;
+      machine->last_failure = now;
       if (!same)
         {
-          m->failed_jobs++;
-          g_free (m->last_failed_job);
-          m->last_failed_job = g_strdup (job->uid);
+          machine->failed_jobs++;
+          g_free (machine->last_failed_job);
+          machine->last_failed_job = g_strdup (job->uid);
         }
       /* One machine that fails all it starts must not pass for a job that fails everywhere. */
-      if (m->failures >= SICK_AFTER && (m->failed_jobs >= 2 || job->running + job->done + job->finished > 0))
+      if (machine->failures >= SICK_AFTER
+          && (machine->failed_jobs >= 2 || job->running + job->done + job->finished > 0))
         {
-          if (!m->to_be_returned)
-            g_message ("machine %s fails what it starts and is set aside", m->name);
-          m->to_be_returned = TRUE;
+          if (!machine->to_be_returned)
+            g_message ("machine %s fails what it starts and is set aside", machine->name);
+          machine->to_be_returned = TRUE;
         }
       /* One machine that fails all replicas of a service says no more of the service than one that fails one. */
       else if (job->running + job->done + job->finished == 0 && !(service && same))
@@ -54,7 +55,7 @@
     }
   else if (cause == HZB_EXIT_REFUSED_FULL || cause == HZB_EXIT_REFUSED_UNKNOWN || cause == HZB_EXIT_REFUSED_IN_USE)
     {
-      g_message ("task %s/%u was refused by %s (%d)", job->uid, task->index, m->name, cause);
+      g_message ("task %s/%u was refused by %s (%d)", job->uid, task->index, machine->name, cause);
       task->not_before = hzb_time_plus (now, 1);
     }
 }
@@ -79,11 +80,11 @@
 }
 
 static void
-handle_exited (HzbController *c, HzbMachine *m, HzbTask *task, const HzbTaskReport *task_report, struct timespec now,
-               GArray *commands)
+handle_exited (HzbController *controller, HzbMachine *machine, HzbTask *task, const HzbTaskReport *task_report,
+               struct timespec now, GArray *commands)
 {
   HzbJob *job = task->job;
-  gboolean here = hzb_task_on_machine (task) && task->machine == m && task->attempt == task_report->attempt;
+  gboolean here = hzb_task_on_machine (task) && task->machine == machine && task->attempt == task_report->attempt;
 
   /* A replica that ends, for whatever cause, has no result: it runs again. */
   if (task_report->exit_cause == HZB_EXIT_DONE && !job->spec->service)
@@ -95,19 +96,19 @@
         {
           double ran = here && task->state == HZB_TASK_RUNNING ? hzb_time_between (task->since, now) : 0;
           if (task->state == HZB_TASK_LISTED || task->state == HZB_TASK_OTHER_OWNER)
-            hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
-          hzb_jobs_record_run_time (c->jobs, job, ran);
-          hzb_task_set_state (c->jobs, task, HZB_TASK_FINISHED, NULL);
+            hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
+          hzb_jobs_record_run_time (controller->jobs, job, ran);
+          hzb_task_set_state (controller->jobs, task, HZB_TASK_FINISHED, NULL);
           job->dirty = TRUE;
           job->failures = 0;
-          m->failures = m->failed_jobs = 0;
-          g_clear_pointer (&m->last_failed_job, g_free);
-          if (c->ownership == HZB_OWNERSHIP_LESSEE)
-            hzb_lessee_report_finished (c->lessee, task, ran);
+          machine->failures = machine->failed_jobs = 0;
+          g_clear_pointer (&machine->last_failed_job, g_free);
+          if (controller->ownership == HZB_OWNERSHIP_LESSEE)
+            hzb_lessee_report_finished (controller->lessee, task, ran);
           else if (job->finished + job->done == job->n_tasks)
-            hzb_controller_record_completion (c, job);
+            hzb_controller_record_completion (controller, job);
           else
-            hzb_records_flush_soon (c->records);
+            hzb_records_flush_soon (controller->records);
         }
       /* Otherwise it is kept there until it is durable, or until the other attempt is over. */
       return;
@@ -115,8 +116,8 @@
   if (here)
     {
       gboolean ran_well = task->state == HZB_TASK_RUNNING && hzb_time_between (task->since, now) > QUICK_END_S;
-      hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
-      task_failed (c, m, task, task_report->exit_cause, now);
+      hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
+      task_failed (controller, machine, task, task_report->exit_cause, now);
       if (task_report->exit_cause == HZB_EXIT_DONE)
         replica_ended (task, ran_well, now);
     }
@@ -124,35 +125,35 @@
 }
 
 static void
-apply_task_report (HzbController *c, HzbMachine *m, const HzbTaskReport *task_report, struct timespec now,
-                   GArray *commands)
+apply_task_report (HzbController *controller, HzbMachine *machine, const HzbTaskReport *task_report,
+                   struct timespec now, GArray *commands)
 {
-  HzbJob *job = hzb_jobs_find (c->jobs, task_report->uid);
+  HzbJob *job = hzb_jobs_find (controller->jobs, task_report->uid);
   HzbTask *task;
   HzbTaskState state = task_state_of (task_report->state);
   gboolean over = job && job->state != HZB_JOB_ACCEPTED;
 
-  if (job && !over && !job->tasks && c->ownership == HZB_OWNERSHIP_LESSEE)
-    hzb_jobs_activate (c->jobs, job); /* a result that came with a machine that was handed over */
+  if (job && !over && !job->tasks && controller->ownership == HZB_OWNERSHIP_LESSEE)
+    hzb_jobs_activate (controller->jobs, job); /* a result that came with a machine that was handed over */
   task = job && job->tasks && task_report->task < job->n_tasks ? &job->tasks[task_report->task] : NULL;
   if (!job || (!task && !over))
     {
       /* The mirror may be a moment behind; only after a while it is nobody's. */
-      if (hzb_time_between (c->owner_since, now) > 15)
+      if (hzb_time_between (controller->owner_since, now) > 15)
         command (commands, task_report->state == HZB_TASK_REPORT_EXITED ? HZB_COMMAND_REAP : HZB_COMMAND_STOP,
                  task_report->uid, task_report->task, task_report->attempt, 0);
       return;
     }
-  if (task && hzb_task_on_machine (task) && task->machine == m && task->attempt == task_report->attempt)
-    task->seen = m->round;
+  if (task && hzb_task_on_machine (task) && task->machine == machine && task->attempt == task_report->attempt)
+    task->seen = machine->round;
   if (task_report->state == HZB_TASK_REPORT_EXITED)
     {
       if (task && !over)
-        handle_exited (c, m, task, task_report, now, commands);
+        handle_exited (controller, machine, task, task_report, now, commands);
       else
         {
-          if (task && hzb_task_on_machine (task) && task->machine == m && task->attempt == task_report->attempt)
-            hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
+          if (task && hzb_task_on_machine (task) && task->machine == machine && task->attempt == task_report->attempt)
+            hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
           command (commands, HZB_COMMAND_REAP, job->uid, task_report->task, task_report->attempt, 0);
         }
       return;
@@ -161,39 +162,39 @@
     {
       /* Found where an earlier owner had started it. */
       if (task->state == HZB_TASK_LISTED)
-        hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
+        hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
       task->attempt = task_report->attempt;
       job->next_attempt = MAX (job->next_attempt, task_report->attempt);
-      hzb_task_set_state (c->jobs, task, state, m);
-      task->seen = m->round;
+      hzb_task_set_state (controller->jobs, task, state, machine);
+      task->seen = machine->round;
     }
   else if (task && (task->state == HZB_TASK_OTHER_OWNER || task->state == HZB_TASK_DELEGATED))
     {
-      g_critical ("task %s/%u is on %s although it is in another block", job->uid, task_report->task, m->name);
+      g_critical ("task %s/%u is on %s although it is in another block", job->uid, task_report->task, machine->name);
       return;
     }
-  else if (task && hzb_task_on_machine (task) && task->machine == m)
+  else if (task && hzb_task_on_machine (task) && task->machine == machine)
     {
-      if (task->attempt != task_report->attempt && task->seen != m->round)
+      if (task->attempt != task_report->attempt && task->seen != machine->round)
         task->attempt = task_report->attempt; /* ours was refused: this one is still here */
-      task->seen = m->round;
+      task->seen = machine->round;
       if (task->attempt == task_report->attempt)
-        hzb_task_set_state (c->jobs, task, state, m);
+        hzb_task_set_state (controller->jobs, task, state, machine);
     }
   else if (task)
     {
-      g_critical ("task %s/%u is on %s although it is %s%s%s", job->uid, task_report->task, m->name,
+      g_critical ("task %s/%u is on %s although it is %s%s%s", job->uid, task_report->task, machine->name,
                   hzb_task_state_name (task->state), task->machine ? " on " : "",
                   task->machine ? task->machine->name : "");
       command (commands, HZB_COMMAND_STOP, job->uid, task_report->task, task_report->attempt, 0);
       return;
     }
   if (job->spec && task_report->state != HZB_TASK_REPORT_FETCHING
-      && !g_hash_table_contains (m->images, job->spec->image))
-    g_hash_table_add (m->images, g_ref_string_acquire (job->spec->image));
+      && !g_hash_table_contains (machine->images, job->spec->image))
+    g_hash_table_add (machine->images, g_ref_string_acquire (job->spec->image));
   if (task_report->state == HZB_TASK_REPORT_RUNNING && task)
     {
-      m->failures = m->failures > 0 && hzb_time_between (task->since, now) > 5 ? 0 : m->failures;
+      machine->failures = machine->failures > 0 && hzb_time_between (task->since, now) > 5 ? 0 : machine->failures;
       job->failures = hzb_time_between (task->since, now) > 5 ? 0 : job->failures;
     }
   if (over)
@@ -206,17 +207,18 @@
 /* The cloud takes the machine soon: nothing new goes there, what can save does so in time, and what can neither save
  * nor end before then is stopped, so that it starts elsewhere at once. */
 static void
-handle_reclaim_notice (HzbController *c, HzbMachine *m, double notice_s, struct timespec now, GArray *commands)
+handle_reclaim_notice (HzbController *controller, HzbMachine *machine, double notice_s, struct timespec now,
+                       GArray *commands)
 {
-  if (m->state == HZB_MACHINE_ACTIVE)
+  if (machine->state == HZB_MACHINE_ACTIVE)
     {
-      hzb_machine_set_state (c->machines, m, HZB_MACHINE_DRAINING, "the cloud takes it back");
-      m->notice_at = hzb_time_plus (now, notice_s);
-      hzb_machine_empty_lists (c->jobs, m);
+      hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_DRAINING, "the cloud takes it back");
+      machine->notice_at = hzb_time_plus (now, notice_s);
+      hzb_machine_empty_lists (controller->jobs, machine);
     }
-  for (guint i = 0; i < m->tasks->len; i++)
+  for (guint i = 0; i < machine->tasks->len; i++)
     {
-      HzbTask *task = m->tasks->pdata[i];
+      HzbTask *task = machine->tasks->pdata[i];
       const HzbSpec *spec = task->job->spec;
       gboolean runs = task->state == HZB_TASK_RUNNING;
       double left =
@@ -242,64 +244,66 @@
 /* Guards against a machine whose reports arrive while no answer reaches it: that a report came, and was answered, does
  * not show that the answer did. It has to show a token that was not used before, until then it gets no work. */
 static void
-mark_unreachable (HzbController *c, HzbMachine *m, struct timespec now)
+mark_unreachable (HzbController *controller, HzbMachine *machine, struct timespec now)
 {
-  if (m->unreachable)
+  if (machine->unreachable)
     return;
-  if (c->ownership == HZB_OWNERSHIP_LESSEE)
-    m->unreachable = TRUE; /* it goes back to the leader, who can raise its token */
+  if (controller->ownership == HZB_OWNERSHIP_LESSEE)
+    machine->unreachable = TRUE; /* it goes back to the leader, who can raise its token */
   else
-    hzb_machine_mark_unreachable (m, hzb_leases_next_token (c->leases), now);
-  hzb_machine_empty_lists (c->jobs, m);
+    hzb_machine_mark_unreachable (machine, hzb_leases_next_token (controller->leases), now);
+  hzb_machine_empty_lists (controller->jobs, machine);
 }
 
 static void
-apply_report (HzbController *c, HzbMachine *m, const HzbReport *report, struct timespec now, GArray *commands)
+apply_report (HzbController *controller, HzbMachine *machine, const HzbReport *report, struct timespec now,
+              GArray *commands)
 {
   guint starts = 0, missing = 0;
 
-  m->round++;
-  if (m->state == HZB_MACHINE_UNVERIFIED || m->state == HZB_MACHINE_BOOTING || m->state == HZB_MACHINE_LEASE_EXPIRED)
-    hzb_machine_set_state (c->machines, m, HZB_MACHINE_ACTIVE, "reports under our token");
-  m->verified = TRUE;
-  for (guint i = 0; i < m->tasks->len; i++)
-    starts += ((HzbTask *) m->tasks->pdata[i])->state == HZB_TASK_STARTING;
+  machine->round++;
+  if (machine->state == HZB_MACHINE_UNVERIFIED || machine->state == HZB_MACHINE_BOOTING
+      || machine->state == HZB_MACHINE_LEASE_EXPIRED)
+    hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_ACTIVE, "reports under our token");
+  machine->verified = TRUE;
+  for (guint i = 0; i < machine->tasks->len; i++)
+    starts += ((HzbTask *) machine->tasks->pdata[i])->state == HZB_TASK_STARTING;
   for (guint i = 0; i < report->task_reports->len; i++)
-    apply_task_report (c, m, &g_array_index (report->task_reports, HzbTaskReport, i), now, commands);
+    apply_task_report (controller, machine, &g_array_index (report->task_reports, HzbTaskReport, i), now, commands);
   /* What a newer report does not show is not there, whether its start was lost or it is forgotten. */
-  for (guint i = 0; i < m->tasks->len;)
+  for (guint i = 0; i < machine->tasks->len;)
     {
-      HzbTask *task = m->tasks->pdata[i];
+      HzbTask *task = machine->tasks->pdata[i];
       if (task->state == HZB_TASK_STARTING)
         missing++;
-      if (task->state == HZB_TASK_BOOKED || task->seen == m->round)
+      if (task->state == HZB_TASK_BOOKED || task->seen == machine->round)
         i++;
       else
-        hzb_task_set_state (c->jobs, task, HZB_TASK_PENDING, NULL);
+        hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
     }
   if (starts)
-    m->ignored_answers = missing < starts ? 0 : m->ignored_answers + 1;
-  if (m->tasks->len)
-    m->idle_since = now;
+    machine->ignored_answers = missing < starts ? 0 : machine->ignored_answers + 1;
+  if (machine->tasks->len)
+    machine->idle_since = now;
   if (report->notice_s >= 0)
-    handle_reclaim_notice (c, m, report->notice_s, now, commands);
-  hzb_dispatch_reset_estimates (c->dispatch, m, now);
+    handle_reclaim_notice (controller, machine, report->notice_s, now, commands);
+  hzb_dispatch_reset_estimates (controller->dispatch, machine, now);
 }
 
 static void
-redirect (HzbController *c, HzbExchange *exchange)
+redirect (HzbController *controller, HzbExchange *exchange)
 {
-  c->redirected = hzb_clock_now (c->clock);
-  hzb_exchange_reply (exchange, 421, hzb_wire_redirect (hzb_election_leader (c->election)), 0);
+  controller->redirected = hzb_clock_now (controller->clock);
+  hzb_exchange_reply (exchange, 421, hzb_wire_redirect (hzb_election_leader (controller->election)), 0);
 }
 
 /* Guards against reports that a cut held back, and copies of reports: what they say is as old as they are. Once a
  * session is over for certain, nothing of it is news, whatever its number. */
 static gboolean
-is_late (const HzbMachine *m, const HzbReport *report)
+is_late (const HzbMachine *machine, const HzbReport *report)
 {
-  return report->session < m->session || (report->session == m->session && report->seq <= m->seq)
-         || report->session <= m->over_session;
+  return report->session < machine->session || (report->session == machine->session && report->seq <= machine->seq)
+         || report->session <= machine->over_session;
 }
 
 static void
@@ -310,90 +314,91 @@
 
 /* On a lessee: the machine, if it is in the block and the block is still ours. */
 static HzbMachine *
-leased_machine (HzbController *c, const HzbReport *report)
+leased_machine (HzbController *controller, const HzbReport *report)
 {
-  HzbMachine *m = hzb_lessee_valid (c->lessee) ? hzb_machines_find (c->machines, report->host) : NULL;
-  if (m && report->token > m->token)
+  HzbMachine *machine =
+      hzb_lessee_valid (controller->lessee) ? hzb_machines_find (controller->machines, report->host) : NULL;
+  if (machine && report->token > machine->token)
     {
-      hzb_lessee_return_machine (c->lessee, m, "it has seen a newer token");
+      hzb_lessee_return_machine (controller->lessee, machine, "it has seen a newer token");
       return NULL;
     }
-  return m;
+  return machine;
 }
 
 /* On the leader: its machines, and those nobody expected. NULL: the exchange has been answered. */
 static HzbMachine *
-own_machine (HzbController *c, const HzbReport *report, HzbExchange *exchange)
+own_machine (HzbController *controller, const HzbReport *report, HzbExchange *exchange)
 {
-  guint64 term = hzb_election_term (c->election);
+  guint64 term = hzb_election_term (controller->election);
   const char *lessee = NULL;
-  HzbMachine *m;
+  HzbMachine *machine;
 
   if (hzb_token_leader (report->token) > term)
     {
-      hzb_election_step_down (c->election, "a worker has seen a newer token");
+      hzb_election_step_down (controller->election, "a worker has seen a newer token");
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("superseded"), 0);
       return NULL;
     }
-  if (c->ownership < HZB_OWNERSHIP_RECOVERING)
+  if (controller->ownership < HZB_OWNERSHIP_RECOVERING)
     {
       /* Its lease should live while the records are read. A token that it has seen already is not lowered. */
       hzb_exchange_reply (exchange, 200, hzb_wire_commands (MAX (hzb_token (term, 0), report->token), NULL), 0);
       return NULL;
     }
-  m = hzb_machines_find (c->machines, report->host);
-  if (!m && hzb_provisioning_was_returned (c->provisioning, report->host))
+  machine = hzb_machines_find (controller->machines, report->host);
+  if (!machine && hzb_provisioning_was_returned (controller->provisioning, report->host))
     {
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("this machine was returned"), 0);
       return NULL;
     }
-  if (!m)
-    m = hzb_machines_add (c->machines, report->host, report->addr, report->type, report->zone, report->spot,
-                          HZB_MACHINE_BOOTING);
-  if (!m->token)
-    hzb_machine_set_token (m, c->block->token);
-  if (is_late (m, report) && m->state != HZB_MACHINE_LEASED)
+  if (!machine)
+    machine = hzb_machines_add (controller->machines, report->host, report->addr, report->type, report->zone,
+                                report->spot, HZB_MACHINE_BOOTING);
+  if (!machine->token)
+    hzb_machine_set_token (machine, controller->block->token);
+  if (is_late (machine, report) && machine->state != HZB_MACHINE_LEASED)
     {
       refuse_late (exchange);
       return NULL;
     }
   /* A token that a worker has seen beyond what we know of: ours for it must not be lower. */
-  if (report->token > m->token && m->state != HZB_MACHINE_LEASED)
-    hzb_machine_set_token (m, hzb_leases_next_token (c->leases));
-  if (m->state == HZB_MACHINE_LEASED)
-    lessee = hzb_leases_lessee_name (c->leases, m);
+  if (report->token > machine->token && machine->state != HZB_MACHINE_LEASED)
+    hzb_machine_set_token (machine, hzb_leases_next_token (controller->leases));
+  if (machine->state == HZB_MACHINE_LEASED)
+    lessee = hzb_leases_lessee_name (controller->leases, machine);
   else if (report->task_reports->len == 0 && report->notice_s < 0)
-    lessee = hzb_leases_lease_idle (c->leases, m);
+    lessee = hzb_leases_lease_idle (controller->leases, machine);
   if (lessee)
     {
       /* The lessee is told how far its reports have come, and only once it is on record. */
-      if (report->session > m->session || (report->session == m->session && report->seq > m->seq))
+      if (report->session > machine->session || (report->session == machine->session && report->seq > machine->seq))
         {
-          m->session = report->session;
-          m->seq = report->seq;
+          machine->session = report->session;
+          machine->seq = report->seq;
         }
-      if (!m->recorded)
-        hzb_records_flush_soon (c->records);
+      if (!machine->recorded)
+        hzb_records_flush_soon (controller->records);
       hzb_exchange_reply (exchange, 421, hzb_wire_redirect (lessee), 0);
       return NULL;
     }
-  return m;
+  return machine;
 }
 
 void
-hzb_worker_api_report (HzbController *c, HzbExchange *exchange)
+hzb_worker_api_report (HzbController *controller, HzbExchange *exchange)
 {
-  struct timespec now = hzb_clock_now (c->clock);
+  struct timespec now = hzb_clock_now (controller->clock);
   g_autoptr (GError) error = NULL;
   g_autoptr (HzbReport) report = NULL;
   g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
-  gboolean leads = hzb_election_leading (c->election);
+  gboolean leads = hzb_election_leading (controller->election);
   const char *lessee;
-  HzbMachine *m = NULL;
+  HzbMachine *machine = NULL;
 
-  if (!leads && c->ownership != HZB_OWNERSHIP_LESSEE)
+  if (!leads && controller->ownership != HZB_OWNERSHIP_LESSEE)
     {
-      redirect (c, exchange);
+      redirect (controller, exchange);
       return;
     }
   report = hzb_wire_parse_report (exchange->body, exchange->length, &error);
@@ -402,58 +407,60 @@
       hzb_exchange_reply (exchange, 400, hzb_wire_error (error->message), 0);
       return;
     }
-  if (!leads && !(m = leased_machine (c, report)))
+  if (!leads && !(machine = leased_machine (controller, report)))
     {
-      redirect (c, exchange);
+      redirect (controller, exchange);
       return;
     }
-  if (leads && !(m = own_machine (c, report, exchange)))
+  if (leads && !(machine = own_machine (controller, report, exchange)))
     return;
-  if (is_late (m, report))
+  if (is_late (machine, report))
     {
       refuse_late (exchange);
       return;
     }
-  if (report->session > m->session && m->session && m->verified)
+  if (report->session > machine->session && machine->session && machine->verified)
     {
       /* Its lease ended, and with it all its tasks; perhaps although every report was answered. */
-      hzb_machine_lose_tasks (c->jobs, m);
-      mark_unreachable (c, m, now);
+      hzb_machine_lose_tasks (controller->jobs, machine);
+      mark_unreachable (controller, machine, now);
     }
-  m->session = report->session;
-  m->seq = report->seq;
-  m->last_report = m->last_answer = now;
-  if (!m->addr || !*m->addr)
+  machine->session = report->session;
+  machine->seq = report->seq;
+  machine->last_report = machine->last_answer = now;
+  if (!machine->addr || !*machine->addr)
     {
-      g_free (m->addr);
-      m->addr = g_strdup (report->addr);
+      g_free (machine->addr);
+      machine->addr = g_strdup (report->addr);
     }
-  if (!m->recorded)
-    hzb_records_flush_soon (c->records);
-  if (m->unreachable && report->token == m->token)
+  if (!machine->recorded)
+    hzb_records_flush_soon (controller->records);
+  if (machine->unreachable && report->token == machine->token)
     {
-      m->unreachable = FALSE;
-      m->ignored_answers = 0;
+      machine->unreachable = FALSE;
+      machine->ignored_answers = 0;
     }
   /* A machine that nobody has ever recorded, and that has seen no token, holds nothing and obeys nobody yet: its
    * report is as good as one under ours. (After a takeover every recorded machine is unverified, not booting.) */
-  if ((report->token >= m->own_token && report->token <= m->token)
-      || (report->token == 0 && m->state == HZB_MACHINE_BOOTING && m->known_to_cloud && !report->task_reports->len))
+  if ((report->token >= machine->own_token && report->token <= machine->token)
+      || (report->token == 0 && machine->state == HZB_MACHINE_BOOTING && machine->known_to_cloud
+          && !report->task_reports->len))
     {
-      apply_report (c, m, report, now, commands);
-      if (leads && report->notice_s < 0 && report->token == m->token && (lessee = hzb_leases_hand_over (c->leases, m)))
+      apply_report (controller, machine, report, now, commands);
+      if (leads && report->notice_s < 0 && report->token == machine->token
+          && (lessee = hzb_leases_hand_over (controller->leases, machine)))
         {
           hzb_exchange_reply (exchange, 421, hzb_wire_redirect (lessee), 0);
           return;
         }
       /* Starts only while nobody else can have been elected, or the lease is good; see docs/safety.md. */
-      if (m->ignored_answers < DEAF_AFTER
-          && (leads ? hzb_election_lease_valid (c->election) : hzb_lessee_valid (c->lessee)))
-        hzb_dispatch_start_tasks (c->dispatch, m, now, commands);
+      if (machine->ignored_answers < DEAF_AFTER
+          && (leads ? hzb_election_lease_valid (controller->election) : hzb_lessee_valid (controller->lessee)))
+        hzb_dispatch_start_tasks (controller->dispatch, machine, now, commands);
     }
-  else if (m->state == HZB_MACHINE_ACTIVE)
-    m->ignored_answers++; /* it has not seen the token that it was answered under */
-  if (m->ignored_answers >= DEAF_AFTER)
-    mark_unreachable (c, m, now);
-  hzb_exchange_reply (exchange, 200, hzb_wire_commands (m->token, commands), 0);
+  else if (machine->state == HZB_MACHINE_ACTIVE)
+    machine->ignored_answers++; /* it has not seen the token that it was answered under */
+  if (machine->ignored_answers >= DEAF_AFTER)
+    mark_unreachable (controller, machine, now);
+  hzb_exchange_reply (exchange, 200, hzb_wire_commands (machine->token, commands), 0);
 }
--- a/tests/sim-cluster.c
+++ b/tests/sim-cluster.c
@@ -203,13 +203,14 @@
   {
     const cJSON *new = cJSON_GetObjectItemCaseSensitive (after, old->string);
     const char *a = hzb_json_text (old, "done"), *b = hzb_json_text (new, "done");
-    gsize n = 0, m = 0;
-    g_autofree guchar *x = a && *a ? g_base64_decode (a, &n) : NULL, *y = b && *b ? g_base64_decode (b, &m) : NULL;
+    gsize n = 0, machine = 0;
+    g_autofree guchar *x = a && *a ? g_base64_decode (a, &n) : NULL,
+                      *y = b && *b ? g_base64_decode (b, &machine) : NULL;
     gboolean back = hzb_json_number (new, "released", 0) < hzb_json_number (old, "released", 0);
     if (!new)
       continue;
     for (gsize i = 0; i < n; i++)
-      back = back || (x[i] & ~(i < m ? y[i] : 0));
+      back = back || (x[i] & ~(i < machine ? y[i] : 0));
     if (back)
       broken (sim, "progress_went_back", "%s, %s: %s -> %s", key, old->string, from, to);
   }
@@ -466,7 +467,7 @@
   if (call->over)
     return;
   call->over = TRUE;
-  if (node->c && node->life == call->life)
+  if (node->controller && node->life == call->life)
     call->done (status, body ? body : "", body ? strlen (body) : 0, call->user);
 }
 
@@ -486,7 +487,7 @@
 stands (SimNode *node, void (*run) (Sim *sim, gpointer data), gpointer data)
 {
   Event *late;
-  if (!node->c || !node->stands)
+  if (!node->controller || !node->stands)
     return FALSE;
   late = g_new0 (Event, 1);
   late->run = run;
@@ -640,7 +641,7 @@
       SimNode *target = &sim->nodes[call->addr[7] - '1'];
       HzbExchange *exchange;
       gpointer *pair;
-      if (!target->c)
+      if (!target->controller)
         {
           answer (sim, call, 0, NULL);
           return;
@@ -657,7 +658,7 @@
       exchange->length = strlen (exchange->body);
       exchange->reply = peer_reply;
       exchange->impl = pair;
-      hzb_controller_peer_request (exchange, target->c);
+      hzb_controller_peer_request (exchange, target->controller);
     }
 }
 
@@ -720,23 +721,23 @@
 SimMachine *
 sim_add_machine (Sim *sim, const char *type, const char *zone, gboolean spot, double up_after)
 {
-  SimMachine *m = g_new0 (SimMachine, 1);
-  m->name = g_strdup_printf ("i-%06u", ++sim->machine_number);
-  m->type = g_strdup (type);
-  m->zone = g_strdup (zone);
-  m->spot = spot;
-  m->cpus = *type == 'b' ? 8 : 4;
-  m->rented = sim->now;
-  m->up_at = sim->now + up_after;
-  m->listed_at = sim->now + g_rand_double_range (sim->rand, 1, 4);
-  m->gone_at = INFINITY;
-  m->session = 1;
-  m->tasks = g_ptr_array_new ();
-  m->node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
-  g_ptr_array_add (sim->machines, m);
+  SimMachine *machine = g_new0 (SimMachine, 1);
+  machine->name = g_strdup_printf ("i-%06u", ++sim->machine_number);
+  machine->type = g_strdup (type);
+  machine->zone = g_strdup (zone);
+  machine->spot = spot;
+  machine->cpus = *type == 'b' ? 8 : 4;
+  machine->rented = sim->now;
+  machine->up_at = sim->now + up_after;
+  machine->listed_at = sim->now + g_rand_double_range (sim->rand, 1, 4);
+  machine->gone_at = INFINITY;
+  machine->session = 1;
+  machine->tasks = g_ptr_array_new ();
+  machine->node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
+  g_ptr_array_add (sim->machines, machine);
   if (!sim->boot_never || !chance (sim, 0.2))
-    sim_at (sim, m->up_at, machine_tick, m);
-  return m;
+    sim_at (sim, machine->up_at, machine_tick, machine);
+  return machine;
 }
 
 static void
@@ -794,12 +795,12 @@
       sim->most_returned = MAX (sim->most_returned, (guint) cJSON_GetArraySize (cJSON_GetObjectItem (root, "hosts")));
       cJSON_ArrayForEach (item, cJSON_GetObjectItem (root, "hosts")) for (guint i = 0; i < sim->machines->len; i++)
       {
-        SimMachine *m = sim->machines->pdata[i];
-        if (g_str_equal (m->name, item->valuestring) && !m->gone)
+        SimMachine *machine = sim->machines->pdata[i];
+        if (g_str_equal (machine->name, item->valuestring) && !machine->gone)
           {
-            m->gone = TRUE;
-            m->gone_at = sim->now;
-            g_ptr_array_set_size (m->tasks, 0);
+            machine->gone = TRUE;
+            machine->gone_at = sim->now;
+            g_ptr_array_set_size (machine->tasks, 0);
           }
       }
       cJSON_Delete (root);
@@ -814,9 +815,10 @@
       char *text;
       for (guint i = 0; i < sim->machines->len; i++)
         {
-          const SimMachine *m = sim->machines->pdata[i];
+          const SimMachine *machine = sim->machines->pdata[i];
           cJSON *item;
-          if (sim->now < m->listed_at || sim->now > m->gone_at + 3 || (since && strcmp (m->name, since) <= 0))
+          if (sim->now < machine->listed_at || sim->now > machine->gone_at + 3
+              || (since && strcmp (machine->name, since) <= 0))
             continue;
           if (n++ == 500)
             {
@@ -824,13 +826,13 @@
               break;
             }
           item = cJSON_CreateObject ();
-          cJSON_AddStringToObject (item, "uid", m->name);
+          cJSON_AddStringToObject (item, "uid", machine->name);
           cJSON_AddStringToObject (item, "addr", "10.1.0.1:1");
-          cJSON_AddStringToObject (item, "flavor", m->type);
-          cJSON_AddStringToObject (item, "yard", m->zone);
-          cJSON_AddBoolToObject (item, "loaners", m->spot);
-          cJSON_AddStringToObject (item, "status", m->failed ? "failed" : m->up ? "running" : "starting");
-          cJSON_AddNumberToObject (item, "ageS", sim->now - m->rented);
+          cJSON_AddStringToObject (item, "flavor", machine->type);
+          cJSON_AddStringToObject (item, "yard", machine->zone);
+          cJSON_AddBoolToObject (item, "loaners", machine->spot);
+          cJSON_AddStringToObject (item, "status", machine->failed ? "failed" : machine->up ? "running" : "starting");
+          cJSON_AddNumberToObject (item, "ageS", sim->now - machine->rented);
           cJSON_AddItemToArray (list, item);
         }
       cJSON_AddBoolToObject (root, "hasNext", more);
@@ -845,14 +847,14 @@
 static const char *const state_names[] = { "fetching", "gathering", "running", "saving", "ended" };
 
 static void
-forget_tasks (SimMachine *m)
+forget_tasks (SimMachine *machine)
 {
-  for (guint i = 0; i < m->tasks->len; i++)
+  for (guint i = 0; i < machine->tasks->len; i++)
     {
-      g_free (((SimTask *) m->tasks->pdata[i])->uid);
-      g_free (m->tasks->pdata[i]);
+      g_free (((SimTask *) machine->tasks->pdata[i])->uid);
+      g_free (machine->tasks->pdata[i]);
     }
-  g_ptr_array_set_size (m->tasks, 0);
+  g_ptr_array_set_size (machine->tasks, 0);
 }
 
 static void
@@ -863,7 +865,7 @@
 }
 
 SimTask *
-sim_put_task (Sim *sim, SimMachine *m, SimJob *job, guint number, guint64 attempt)
+sim_put_task (Sim *sim, SimMachine *machine, SimJob *job, guint number, guint64 attempt)
 {
   SimTask *task = g_new0 (SimTask, 1);
   task->uid = g_strdup (job->uid);
@@ -871,7 +873,7 @@
   task->attempt = attempt;
   task->ready_at = sim->now + 0.5;
   task->end_at = task->ready_at + job->run_s * g_rand_double_range (sim->rand, 0.6, 1.5);
-  g_ptr_array_add (m->tasks, task);
+  g_ptr_array_add (machine->tasks, task);
   sim->started++;
   if (job->began_at <= 0)
     job->began_at = sim->now;
@@ -880,7 +882,7 @@
 
 /* spread: at most half of the tasks, rounded up, in one zone; the one just put there is counted. */
 static gboolean
-zone_has_place (Sim *sim, const SimJob *job, const SimMachine *m)
+zone_has_place (Sim *sim, const SimJob *job, const SimMachine *machine)
 {
   guint here = 0;
   for (guint i = 0; i < sim->machines->len; i++)
@@ -889,7 +891,7 @@
       for (guint k = 0; k < other->tasks->len && !other->gone; k++)
         {
           const SimTask *task = other->tasks->pdata[k];
-          here += task->state < 4 && g_str_equal (task->uid, job->uid) && g_str_equal (other->zone, m->zone);
+          here += task->state < 4 && g_str_equal (task->uid, job->uid) && g_str_equal (other->zone, machine->zone);
         }
     }
   return here <= (job->n + 1) / 2;
@@ -897,12 +899,12 @@
 
 /* samePlace: all tasks that are on a machine, or may be, are in one zone. */
 static gboolean
-in_one_zone (Sim *sim, const SimJob *job, const SimMachine *m)
+in_one_zone (Sim *sim, const SimJob *job, const SimMachine *machine)
 {
   for (guint i = 0; i < sim->machines->len; i++)
     {
       const SimMachine *other = sim->machines->pdata[i];
-      for (guint k = 0; k < other->tasks->len && !other->gone && !g_str_equal (other->zone, m->zone); k++)
+      for (guint k = 0; k < other->tasks->len && !other->gone && !g_str_equal (other->zone, machine->zone); k++)
         {
           const SimTask *task = other->tasks->pdata[k];
           if (task->state < 4 && g_str_equal (task->uid, job->uid))
@@ -913,7 +915,7 @@
 }
 
 void
-sim_start_task (Sim *sim, SimMachine *m, const char *task_report, guint64 attempt)
+sim_start_task (Sim *sim, SimMachine *machine, const char *task_report, guint64 attempt)
 {
   const char *slash = strrchr (task_report, '/');
   g_autofree char *uid = g_strndup (task_report, (gsize) (slash - task_report));
@@ -922,9 +924,9 @@
   double used = 0;
   gboolean same = FALSE;
   SimTask *task;
-  for (guint i = 0; i < m->tasks->len; i++)
+  for (guint i = 0; i < machine->tasks->len; i++)
     {
-      const SimTask *other = m->tasks->pdata[i];
+      const SimTask *other = machine->tasks->pdata[i];
       gboolean this_one = g_str_equal (other->uid, uid) && other->task == number;
       if (this_one && other->attempt == attempt)
         return;
@@ -937,24 +939,25 @@
   if (!job)
     return;
   if (job->told_cancelled && sim->now > job->cancelled_at + IN_FLIGHT_S)
-    broken (sim, "started_cancelled", "%s on %s", task_report, m->name);
-  task = sim_put_task (sim, m, job, number, attempt);
+    broken (sim, "started_cancelled", "%s on %s", task_report, machine->name);
+  task = sim_put_task (sim, machine, job, number, attempt);
   if (same)
     end_task (task, "in_use");
-  else if (used + job->cpus > m->cpus)
+  else if (used + job->cpus > machine->cpus)
     end_task (task, "full");
-  else if (job->spot == FALSE && m->spot)
+  else if (job->spot == FALSE && machine->spot)
     broken (sim, "wrong_place", "%s on a spot machine", task_report);
-  else if (job->spread && !zone_has_place (sim, job, m))
-    broken (sim, "wrong_place", "%s: too many in %s", task_report, m->zone);
-  else if (job->same_zone && !in_one_zone (sim, job, m))
-    broken (sim, "wrong_place", "%s in %s, others are in another zone", task_report, m->zone);
-  else if ((job->zone && !g_str_equal (job->zone, m->zone)) || (job->type && !g_str_equal (job->type, m->type)))
-    broken (sim, "wrong_place", "%s on %s in %s", task_report, m->type, m->zone);
+  else if (job->spread && !zone_has_place (sim, job, machine))
+    broken (sim, "wrong_place", "%s: too many in %s", task_report, machine->zone);
+  else if (job->same_zone && !in_one_zone (sim, job, machine))
+    broken (sim, "wrong_place", "%s in %s, others are in another zone", task_report, machine->zone);
+  else if ((job->zone && !g_str_equal (job->zone, machine->zone))
+           || (job->type && !g_str_equal (job->type, machine->type)))
+    broken (sim, "wrong_place", "%s on %s in %s", task_report, machine->type, machine->zone);
 }
 
 static void
-carry_out (Sim *sim, SimMachine *m, const cJSON *commands)
+carry_out (Sim *sim, SimMachine *machine, const cJSON *commands)
 {
   const cJSON *order;
   cJSON_ArrayForEach (order, commands)
@@ -963,12 +966,12 @@
     guint64 attempt = hzb_json_u64 (order, "try");
     if (g_str_equal (verb, "run"))
       {
-        sim_start_task (sim, m, task_report, attempt);
+        sim_start_task (sim, machine, task_report, attempt);
         continue;
       }
-    for (guint i = 0; i < m->tasks->len; i++)
+    for (guint i = 0; i < machine->tasks->len; i++)
       {
-        SimTask *task = m->tasks->pdata[i];
+        SimTask *task = machine->tasks->pdata[i];
         g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
         if (!g_str_equal (name, task_report) || task->attempt != attempt)
           continue;
@@ -978,7 +981,7 @@
           {
             g_free (task->uid);
             g_free (task);
-            g_ptr_array_remove_index (m->tasks, i);
+            g_ptr_array_remove_index (machine->tasks, i);
             break;
           }
       }
@@ -986,24 +989,24 @@
 }
 
 static char *
-report_of (Sim *sim, SimMachine *m)
+report_of (Sim *sim, SimMachine *machine)
 {
   cJSON *root = cJSON_CreateObject (), *list;
   char *text;
-  cJSON_AddStringToObject (root, "host", m->name);
+  cJSON_AddStringToObject (root, "host", machine->name);
   cJSON_AddStringToObject (root, "addr", "10.1.0.1:1");
-  cJSON_AddStringToObject (root, "flavor", m->type);
-  cJSON_AddStringToObject (root, "yard", m->zone);
-  cJSON_AddBoolToObject (root, "loaners", m->spot);
-  hzb_json_add_u64 (root, "tenure", m->session);
-  hzb_json_add_u64 (root, "tick", ++m->seq);
-  hzb_json_add_u64 (root, "baton", m->token);
-  if (m->taken_at > 0)
-    cJSON_AddNumberToObject (root, "reclaimInS", m->taken_at - sim->now);
+  cJSON_AddStringToObject (root, "flavor", machine->type);
+  cJSON_AddStringToObject (root, "yard", machine->zone);
+  cJSON_AddBoolToObject (root, "loaners", machine->spot);
+  hzb_json_add_u64 (root, "tenure", machine->session);
+  hzb_json_add_u64 (root, "tick", ++machine->seq);
+  hzb_json_add_u64 (root, "baton", machine->token);
+  if (machine->taken_at > 0)
+    cJSON_AddNumberToObject (root, "reclaimInS", machine->taken_at - sim->now);
   list = cJSON_AddArrayToObject (root, "pieces");
-  for (guint i = 0; i < m->tasks->len; i++)
+  for (guint i = 0; i < machine->tasks->len; i++)
     {
-      const SimTask *task = m->tasks->pdata[i];
+      const SimTask *task = machine->tasks->pdata[i];
       cJSON *item = cJSON_CreateObject ();
       g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
       cJSON_AddStringToObject (item, "piece", name);
@@ -1020,7 +1023,7 @@
 
 typedef struct
 {
-  SimMachine *m;
+  SimMachine *machine;
   char *body;
   guint number, node;
   guint64 session;
@@ -1034,32 +1037,32 @@
 report_over (Sim *sim, gpointer data)
 {
   Report *r = data;
-  SimMachine *m = r->m;
+  SimMachine *machine = r->machine;
   cJSON *root;
-  if (m->gone || m->hung || !m->asking || m->report_number != r->number)
+  if (machine->gone || machine->hung || !machine->asking || machine->report_number != r->number)
     return; /* given up already: the late answer is dropped */
-  if (m->cut)
+  if (machine->cut)
     r->status = 0;
-  m->asking = FALSE;
+  machine->asking = FALSE;
   root = r->status ? cJSON_Parse (r->body) : NULL;
   if (r->status == 200)
     {
       guint64 token = hzb_json_u64 (root, "baton");
-      if (token >= m->token && token > 0 && r->session == m->session)
+      if (token >= machine->token && token > 0 && r->session == machine->session)
         {
-          if (token > m->token)
-            m->next_report = MIN (m->next_report, sim->now + 0.5);
-          m->token = token;
-          m->lease_from = r->sent;
-          carry_out (sim, m, cJSON_GetObjectItem (root, "orders"));
+          if (token > machine->token)
+            machine->next_report = MIN (machine->next_report, sim->now + 0.5);
+          machine->token = token;
+          machine->lease_from = r->sent;
+          carry_out (sim, machine, cJSON_GetObjectItem (root, "orders"));
         }
     }
   else
     {
       const char *steward = r->status == 421 ? hzb_json_text (root, "steward") : NULL;
       guint to = steward ? (guint) (steward[strlen (steward) - 1] - '0') : r->node;
-      m->node = to != r->node ? to : (r->node + 1) % SIM_NODES;
-      m->next_report = sim->now + (to != r->node ? 0.2 : 1);
+      machine->node = to != r->node ? to : (r->node + 1) % SIM_NODES;
+      machine->next_report = sim->now + (to != r->node ? 0.2 : 1);
     }
   cJSON_Delete (root);
 }
@@ -1073,7 +1076,7 @@
   g_free (pair);
   r->status = status;
   r->body = g_strdup (body);
-  if (!r->copy && !r->m->deaf && !chance (sim, sim->lose) && !sim->nodes[r->node].cut_workers)
+  if (!r->copy && !r->machine->deaf && !chance (sim, sim->lose) && !sim->nodes[r->node].cut_workers)
     sim_at (sim, sim->now + delay (sim), report_over, r);
 }
 
@@ -1084,7 +1087,7 @@
   SimNode *node = &sim->nodes[r->node];
   HzbExchange *exchange;
   gpointer *pair;
-  if (!node->c || node->cut_workers || stands (node, report_arrives, r))
+  if (!node->controller || node->cut_workers || stands (node, report_arrives, r))
     return;
   exchange = g_new0 (HzbExchange, 1);
   pair = g_new0 (gpointer, 2);
@@ -1096,7 +1099,7 @@
   exchange->length = strlen (exchange->body);
   exchange->reply = worker_reply;
   exchange->impl = pair;
-  hzb_controller_request (exchange, node->c);
+  hzb_controller_request (exchange, node->controller);
 }
 
 static void
@@ -1108,17 +1111,17 @@
 }
 
 static void
-send_report (Sim *sim, SimMachine *m)
+send_report (Sim *sim, SimMachine *machine)
 {
   Report *r = g_new0 (Report, 1);
-  r->m = m;
-  r->body = report_of (sim, m);
-  r->number = ++m->report_number;
-  r->node = m->node;
-  r->session = m->session;
+  r->machine = machine;
+  r->body = report_of (sim, machine);
+  r->number = ++machine->report_number;
+  r->node = machine->node;
+  r->session = machine->session;
   r->sent = sim->now;
-  m->asking = TRUE;
-  m->next_report = sim->now + sim->size.report_s * g_rand_double_range (sim->rand, 0.75, 1.25);
+  machine->asking = TRUE;
+  machine->next_report = sim->now + sim->size.report_s * g_rand_double_range (sim->rand, 0.75, 1.25);
   sim_at (sim, sim->now + 4, report_gives_up, r);
   if (chance (sim, sim->copies))
     {
@@ -1130,7 +1133,7 @@
       copy->node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
       sim_at (sim, sim->now + g_rand_double_range (sim->rand, 1, 4 * sim->size.lease_s), report_arrives, copy);
     }
-  if (!m->cut && !chance (sim, sim->lose))
+  if (!machine->cut && !chance (sim, sim->lose))
     sim_at (sim, sim->now + (chance (sim, sim->late) ? g_rand_double_range (sim->rand, 1, 9) : delay (sim)),
             report_arrives, r);
 }
@@ -1138,29 +1141,29 @@
 static void
 machine_tick (Sim *sim, gpointer data)
 {
-  SimMachine *m = data;
+  SimMachine *machine = data;
   gboolean changed = FALSE;
-  if (m->gone || m->failed)
+  if (machine->gone || machine->failed)
     return;
-  sim_at (sim, sim->now + 0.25, machine_tick, m);
-  if (!m->up)
+  sim_at (sim, sim->now + 0.25, machine_tick, machine);
+  if (!machine->up)
     {
-      m->up = TRUE;
-      m->lease_from = m->next_report = sim->now;
+      machine->up = TRUE;
+      machine->lease_from = machine->next_report = sim->now;
     }
-  if (sim->now - m->lease_from > sim->size.lease_s)
+  if (sim->now - machine->lease_from > sim->size.lease_s)
     {
-      forget_tasks (m); /* a hung machine's lease ends as well */
-      m->session++;
-      m->seq = 0;
-      m->asking = FALSE;
-      m->lease_from = sim->now;
+      forget_tasks (machine); /* a hung machine's lease ends as well */
+      machine->session++;
+      machine->seq = 0;
+      machine->asking = FALSE;
+      machine->lease_from = sim->now;
     }
-  if (m->hung)
+  if (machine->hung)
     return;
-  for (guint i = 0; i < m->tasks->len; i++)
+  for (guint i = 0; i < machine->tasks->len; i++)
     {
-      SimTask *task = m->tasks->pdata[i];
+      SimTask *task = machine->tasks->pdata[i];
       SimJob *job = find_job (sim, task->uid);
       if (job->gang && task->state >= 1 && task->state <= 2)
         {
@@ -1187,7 +1190,7 @@
       if (task->state == 0 && sim->now >= task->ready_at)
         {
           task->state = job->gang ? 1 : 2;
-          if (m->sick || job->bad)
+          if (machine->sick || job->bad)
             end_task (task, "error");
         }
       else if (task->state == 2 && sim->now >= task->end_at)
@@ -1201,9 +1204,9 @@
       changed = TRUE;
     }
   if (changed)
-    m->next_report = MIN (m->next_report, sim->now + 0.3);
-  if (!m->asking && sim->now >= m->next_report)
-    send_report (sim, m);
+    machine->next_report = MIN (machine->next_report, sim->now + 0.3);
+  if (!machine->asking && sim->now >= machine->next_report)
+    send_report (sim, machine);
 }
 
 /* ---- users ---- */
@@ -1275,7 +1278,7 @@
   guint at = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
   HzbExchange *exchange;
   gpointer *pair;
-  if (!sim->nodes[at].c)
+  if (!sim->nodes[at].controller)
     {
       g_free (call);
       return;
@@ -1319,7 +1322,7 @@
   if (call->what == USER_CANCELS)
     job->asked_cancel = TRUE;
   exchange->length = strlen (exchange->body);
-  hzb_controller_request (exchange, sim->nodes[at].c);
+  hzb_controller_request (exchange, sim->nodes[at].controller);
 }
 
 static void
@@ -1376,10 +1379,12 @@
   guint n = 0;
   for (guint i = 0; i < sim->machines->len; i++)
     {
-      const SimMachine *m = sim->machines->pdata[i];
-      for (guint k = 0; k < m->tasks->len && !m->gone && !m->failed && (!zone || g_str_equal (m->zone, zone)); k++)
+      const SimMachine *machine = sim->machines->pdata[i];
+      for (guint k = 0; k < machine->tasks->len && !machine->gone && !machine->failed
+                        && (!zone || g_str_equal (machine->zone, zone));
+           k++)
         {
-          const SimTask *task = m->tasks->pdata[k];
+          const SimTask *task = machine->tasks->pdata[k];
           n += task->state == 2 && g_str_equal (task->uid, job->uid);
         }
     }
@@ -1465,18 +1470,19 @@
         finished += job->finished[k];
       for (guint k = 0; k < sim->machines->len; k++)
         {
-          const SimMachine *m = sim->machines->pdata[k];
-          double free = m->cpus;
-          for (guint t = 0; t < m->tasks->len && !m->gone; t++)
+          const SimMachine *machine = sim->machines->pdata[k];
+          double free = machine->cpus;
+          for (guint t = 0; t < machine->tasks->len && !machine->gone; t++)
             {
-              const SimTask *task = m->tasks->pdata[t];
+              const SimTask *task = machine->tasks->pdata[t];
               placed += task->state < 4 && g_str_equal (task->uid, job->uid);
               free -= task->state < 4 ? find_job (sim, task->uid)->cpus : 0;
             }
           room = room
-                 || (m->up && !m->gone && !m->failed && !m->cut && !m->hung && !m->sick && !m->deaf && free >= job->cpus
-                     && (job->spot || !m->spot) && (!job->zone || g_str_equal (job->zone, m->zone))
-                     && (!job->type || g_str_equal (job->type, m->type)));
+                 || (machine->up && !machine->gone && !machine->failed && !machine->cut && !machine->hung
+                     && !machine->sick && !machine->deaf && free >= job->cpus && (job->spot || !machine->spot)
+                     && (!job->zone || g_str_equal (job->zone, machine->zone))
+                     && (!job->type || g_str_equal (job->type, machine->type)));
         }
       if (!job->accepted || job->told_cancelled || job->told_done || job->asked_cancel || job->bad || job->gang || !room
           || placed + finished >= job->n || (used ? *used : 0) + job->cpus > team_limit (sim, job->team))
@@ -1505,10 +1511,10 @@
         continue;
       for (guint k = 0; k < sim->machines->len; k++)
         {
-          const SimMachine *m = sim->machines->pdata[k];
-          for (guint t = 0; t < m->tasks->len && !m->gone && !m->failed && !m->hung; t++)
+          const SimMachine *machine = sim->machines->pdata[k];
+          for (guint t = 0; t < machine->tasks->len && !machine->gone && !machine->failed && !machine->hung; t++)
             {
-              const SimTask *task = m->tasks->pdata[t];
+              const SimTask *task = machine->tasks->pdata[t];
               running += task->state == 2 && g_str_equal (task->uid, job->uid);
             }
         }
@@ -1524,10 +1530,10 @@
   g_autoptr (GHashTable) teams = g_hash_table_new (g_str_hash, g_str_equal);
   for (guint i = 0; i < sim->machines->len; i++)
     {
-      const SimMachine *m = sim->machines->pdata[i];
-      for (guint k = 0; k < m->tasks->len && !m->gone; k++)
+      const SimMachine *machine = sim->machines->pdata[i];
+      for (guint k = 0; k < machine->tasks->len && !machine->gone; k++)
         {
-          const SimTask *task = m->tasks->pdata[k];
+          const SimTask *task = machine->tasks->pdata[k];
           SimJob *job = find_job (sim, task->uid);
           char *name;
           double *used;
@@ -1535,10 +1541,10 @@
             continue;
           name = g_strdup_printf ("%s/%u", task->uid, task->task);
           if (g_hash_table_contains (places, name))
-            broken (sim, "ran_twice", "%s on %s and another", name, m->name);
+            broken (sim, "ran_twice", "%s on %s and another", name, machine->name);
           g_hash_table_add (places, name);
           if (job->told_cancelled && sim->now > job->cancelled_at + sim->size.cancel_s)
-            broken (sim, "ran_cancelled", "%s on %s", name, m->name);
+            broken (sim, "ran_cancelled", "%s on %s", name, machine->name);
           used = g_hash_table_lookup (teams, job->team);
           if (!used)
             {
@@ -1571,8 +1577,8 @@
 node_tick (Sim *sim, gpointer data)
 {
   SimNode *node = data;
-  if (node->c && !node->stands)
-    hzb_controller_tick (node->c);
+  if (node->controller && !node->stands)
+    hzb_controller_tick (node->controller);
   sim_at (sim, sim->now + 0.1, node_tick, node);
 }
 
@@ -1620,18 +1626,18 @@
   node->transport->world = sim;
   node->transport->at = at;
   node->transport->life = node->life;
-  node->c = hzb_controller_new (settings, sim->clock, &node->transport->parent, g_rand_int (sim->rand));
+  node->controller = hzb_controller_new (settings, sim->clock, &node->transport->parent, g_rand_int (sim->rand));
   if (node->old)
-    node->c->format = 1;
+    node->controller->format = 1;
   if (sim->size.max_mirrored_ended)
-    node->c->jobs->max_mirrored_ended = sim->size.max_mirrored_ended;
+    node->controller->jobs->max_mirrored_ended = sim->size.max_mirrored_ended;
 }
 
 /* What the process held is gone with it; its memory is left alone, as calls on their way still name it. */
 void
 sim_crash (Sim *sim, guint at)
 {
-  sim->nodes[at].c = NULL;
+  sim->nodes[at].controller = NULL;
   sim->nodes[at].stands = FALSE;
 }
 
@@ -1639,7 +1645,7 @@
 sim_leader (Sim *sim)
 {
   for (guint i = 0; i < SIM_NODES; i++)
-    if (sim->nodes[i].c && hzb_election_leading (sim->nodes[i].c->election))
+    if (sim->nodes[i].controller && hzb_election_leading (sim->nodes[i].controller->election))
       return (int) i;
   return -1;
 }
--- a/tests/sim-cluster.h
+++ b/tests/sim-cluster.h
@@ -16,8 +16,8 @@
 
 typedef struct
 {
-  HzbController *c; /* NULL: down */
-  HzbClock *clock;  /* the world's */
+  HzbController *controller; /* NULL: down */
+  HzbClock *clock;           /* the world's */
   SimTransport *transport;
   guint life;
   gboolean cut_store, cut_peers, cut_workers, refused;
@@ -134,9 +134,9 @@
 void sim_wake (Sim *sim, guint node); /* of a node that stands */
 SimJob *sim_add_job (Sim *sim, double at, const char *team, guint n, double cpus, double run_s);
 SimMachine *sim_add_machine (Sim *sim, const char *type, const char *zone, gboolean spot, double up_after);
-SimTask *sim_put_task (Sim *sim, SimMachine *m, SimJob *job, guint task, guint64 attempt);
-void sim_start_task (Sim *sim, SimMachine *m, const char *task_report, guint64 attempt); /* as an order does */
-void sim_told (Sim *sim, SimJob *job, guint status, const char *state);                  /* an answer to its user */
+SimTask *sim_put_task (Sim *sim, SimMachine *machine, SimJob *job, guint task, guint64 attempt);
+void sim_start_task (Sim *sim, SimMachine *machine, const char *task_report, guint64 attempt); /* as an order does */
+void sim_told (Sim *sim, SimJob *job, guint status, const char *state); /* an answer to its user */
 void sim_check (Sim *sim);
 void sim_put_record (Sim *sim, const char *key, const char *text); /* as somebody wrote it before */
 guint sim_largest_record (Sim *sim, const char *prefix);           /* bytes; 0: there is none */
--- a/tests/sim-faults.c
+++ b/tests/sim-faults.c
@@ -41,7 +41,7 @@
 start_all (Sim *sim, gpointer data)
 {
   for (guint i = 0; i < SIM_NODES; i++)
-    if (!sim->nodes[i].c)
+    if (!sim->nodes[i].controller)
       sim_start (sim, i);
 }
 
@@ -91,24 +91,24 @@
 void
 hurt_machine (Sim *sim, gpointer data)
 {
-  SimMachine *m;
+  SimMachine *machine;
   if (!sim->machines->len)
     return;
-  m = sim->machines->pdata[g_rand_int_range (sim->rand, 0, (gint32) sim->machines->len)];
+  machine = sim->machines->pdata[g_rand_int_range (sim->rand, 0, (gint32) sim->machines->len)];
   switch (g_rand_int_range (sim->rand, 0, 4))
     {
     case 0:
-      m->cut = !m->cut;
+      machine->cut = !machine->cut;
       break;
     case 1:
-      m->hung = !m->hung;
+      machine->hung = !machine->hung;
       break;
     case 2:
-      m->sick = !m->sick;
+      machine->sick = !machine->sick;
       break;
     default:
-      m->failed = TRUE; /* stopped with all that was on it */
-      g_ptr_array_set_size (m->tasks, 0);
+      machine->failed = TRUE; /* stopped with all that was on it */
+      g_ptr_array_set_size (machine->tasks, 0);
       break;
     }
 }
@@ -116,13 +116,13 @@
 static SimMachine *
 own_machine_with_tasks (Sim *sim, HzbMachineState state)
 {
-  HzbController *c = sim->nodes[MAX (sim_leader (sim), 0)].c;
-  for (guint i = 0; c && i < sim->machines->len; i++)
+  HzbController *controller = sim->nodes[MAX (sim_leader (sim), 0)].controller;
+  for (guint i = 0; controller && i < sim->machines->len; i++)
     {
-      SimMachine *m = sim->machines->pdata[i];
-      const HzbMachine *known = hzb_machines_find (c->machines, m->name);
-      if (m->tasks->len && !m->gone && known && known->state == state)
-        return m;
+      SimMachine *machine = sim->machines->pdata[i];
+      const HzbMachine *known = hzb_machines_find (controller->machines, machine->name);
+      if (machine->tasks->len && !machine->gone && known && known->state == state)
+        return machine;
     }
   return NULL;
 }
@@ -137,14 +137,14 @@
 SimMachine *
 run_until (Sim *sim, HzbMachineState state)
 {
-  SimMachine *m = NULL;
-  while (!m && sim->now < 60)
+  SimMachine *machine = NULL;
+  while (!machine && sim->now < 60)
     {
       sim_run (sim, sim->now + 0.5);
-      m = own_machine_with_tasks (sim, state);
+      machine = own_machine_with_tasks (sim, state);
     }
-  g_assert_nonnull (m);
-  return m;
+  g_assert_nonnull (machine);
+  return machine;
 }
 
 SimMachine *
@@ -167,20 +167,20 @@
 }
 
 guint
-report_again (Sim *sim, SimMachine *m, guint64 session, guint64 seq, const char *task_reports)
+report_again (Sim *sim, SimMachine *machine, guint64 session, guint64 seq, const char *task_reports)
 {
   HzbExchange *exchange = g_new0 (HzbExchange, 1);
   guint status = 0;
   exchange->method = g_strdup ("POST");
   exchange->path = g_strdup ("/hello");
-  exchange->body =
-      g_strdup_printf ("{\"host\":\"%s\",\"addr\":\"10.1.0.1:1\",\"flavor\":\"%s\",\"yard\":\"%s\","
-                       "\"loaners\":false,\"tenure\":%u,\"tick\":%u,\"baton\":%" G_GUINT64_FORMAT ",\"pieces\":[%s]}",
-                       m->name, m->type, m->zone, (guint) session, (guint) seq, m->token, task_reports);
+  exchange->body = g_strdup_printf (
+      "{\"host\":\"%s\",\"addr\":\"10.1.0.1:1\",\"flavor\":\"%s\",\"yard\":\"%s\","
+      "\"loaners\":false,\"tenure\":%u,\"tick\":%u,\"baton\":%" G_GUINT64_FORMAT ",\"pieces\":[%s]}",
+      machine->name, machine->type, machine->zone, (guint) session, (guint) seq, machine->token, task_reports);
   exchange->length = strlen (exchange->body);
   exchange->reply = keep_status;
   exchange->impl = &status;
-  hzb_controller_request (exchange, sim->nodes[sim_leader (sim)].c);
+  hzb_controller_request (exchange, sim->nodes[sim_leader (sim)].controller);
   return status;
 }
 
@@ -215,7 +215,7 @@
   exchange->length = strlen (body);
   exchange->reply = answered;
   exchange->impl = out;
-  hzb_controller_request (exchange, sim->nodes[node].c);
+  hzb_controller_request (exchange, sim->nodes[node].controller);
   sim_run (sim, sim->now + 3);
   if (retry)
     *retry = out[1];
--- a/tests/support.h
+++ b/tests/support.h
@@ -110,9 +110,9 @@
 bench_machine (Bench *b, const char *type, const char *zone, gboolean spot)
 {
   g_autofree char *name = g_strdup_printf ("i-%03u", b->machines->all->len);
-  HzbMachine *m = hzb_machines_add (b->machines, name, "10.1.0.1:1", type, zone, spot, HZB_MACHINE_BOOTING);
-  hzb_machine_set_state (b->machines, m, HZB_MACHINE_ACTIVE, "test");
-  m->recorded = m->known_to_cloud = m->verified = TRUE;
-  hzb_dispatch_reset_estimates (b->dispatch, m, hzb_clock_now (b->clock));
-  return m;
+  HzbMachine *machine = hzb_machines_add (b->machines, name, "10.1.0.1:1", type, zone, spot, HZB_MACHINE_BOOTING);
+  hzb_machine_set_state (b->machines, machine, HZB_MACHINE_ACTIVE, "test");
+  machine->recorded = machine->known_to_cloud = machine->verified = TRUE;
+  hzb_dispatch_reset_estimates (b->dispatch, machine, hzb_clock_now (b->clock));
+  return machine;
 }
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -84,22 +84,22 @@
 {
   Sim *sim = sim_new (5);
   SimJob *job = sim_add_job (sim, 1, "red", 4, 2, 60);
-  SimMachine *m = NULL;
+  SimMachine *machine = NULL;
   int leader;
   sim_run (sim, 20);
-  for (guint i = 0; i < sim->machines->len && !m; i++)
+  for (guint i = 0; i < sim->machines->len && !machine; i++)
     if (((SimMachine *) sim->machines->pdata[i])->tasks->len)
-      m = sim->machines->pdata[i];
-  g_assert_nonnull (m);
+      machine = sim->machines->pdata[i];
+  g_assert_nonnull (machine);
   g_assert_false (job->told_done);
   leader = sim_leader (sim);
-  m->cut = TRUE;
+  machine->cut = TRUE;
   sim_crash (sim, (guint) leader);
   sim_run (sim, 29);
   g_assert_cmpint (sim_leader (sim), !=, -1);
-  g_assert_false (m->gone);
+  g_assert_false (machine->gone);
   sim_run (sim, 45);
-  g_assert_true (m->gone);
+  g_assert_true (machine->gone);
   sim_start (sim, (guint) leader);
   sim_run (sim, 250);
   expect_all_over (sim, "silent machine", 5);
@@ -116,12 +116,12 @@
   sim_add_job (sim, 1, "red", 6, 2, 40);
   sim_run (sim, 15);
   leader = sim_leader (sim);
-  term = hzb_election_term (sim->nodes[leader].c->election);
+  term = hzb_election_term (sim->nodes[leader].controller->election);
   sim_crash (sim, (guint) leader);
   sim_start (sim, (guint) leader);
   sim_run (sim, 18);
   g_assert_cmpint (sim_leader (sim), !=, -1);
-  g_assert_cmpuint (hzb_election_term (sim->nodes[sim_leader (sim)].c->election), >, term);
+  g_assert_cmpuint (hzb_election_term (sim->nodes[sim_leader (sim)].controller->election), >, term);
   sim_run (sim, 150);
   expect_all_over (sim, "quick restart", 6);
   sim_free (sim);
@@ -159,22 +159,22 @@
 {
   Sim *sim = sim_new (87);
   SimJob *brief = sim_add_job (sim, 1, "red", 1, 3, 10), *lengthy = sim_add_job (sim, 1, "red", 1, 3, 200);
-  SimMachine *m;
+  SimMachine *machine;
   double at;
   brief->type = lengthy->type = "big"; /* 8 CPUs: they share one */
-  m = run_until (sim, HZB_MACHINE_ACTIVE);
-  while (m->tasks->len < 2 && sim->now < 30)
+  machine = run_until (sim, HZB_MACHINE_ACTIVE);
+  while (machine->tasks->len < 2 && sim->now < 30)
     sim_run (sim, sim->now + 0.5);
-  g_assert_cmpuint (m->tasks->len, ==, 2);
+  g_assert_cmpuint (machine->tasks->len, ==, 2);
   sim_run (sim, sim->now + 3);
-  m->taken_at = sim->now + 40;
+  machine->taken_at = sim->now + 40;
   at = sim->now;
   sim_run (sim, at + 4);
-  g_assert_cmpuint (m->tasks->len, ==, 1);
-  g_assert_cmpstr (((SimTask *) m->tasks->pdata[0])->uid, ==, brief->uid);
+  g_assert_cmpuint (machine->tasks->len, ==, 1);
+  g_assert_cmpstr (((SimTask *) machine->tasks->pdata[0])->uid, ==, brief->uid);
   sim_run (sim, at + 25);
   g_assert_true (brief->told_done);
-  g_assert_true (m->gone);
+  g_assert_true (machine->gone);
   sim_run (sim, 500);
   expect_all_over (sim, "notice", 87);
   sim_free (sim);
@@ -282,14 +282,14 @@
 {
   Sim *sim = sim_new (17);
   SimJob *job = sim_add_job (sim, 1, "red", 6, 2, 30);
-  SimMachine *m;
+  SimMachine *machine;
   job->gang = TRUE;
   sim_run (sim, 25);
-  m = machine_with_tasks (sim);
-  g_assert_nonnull (m);
-  m->gone = TRUE; /* taken with no notice */
-  m->gone_at = sim->now;
-  g_ptr_array_set_size (m->tasks, 0);
+  machine = machine_with_tasks (sim);
+  g_assert_nonnull (machine);
+  machine->gone = TRUE; /* taken with no notice */
+  machine->gone_at = sim->now;
+  g_ptr_array_set_size (machine->tasks, 0);
   sim_run (sim, 260);
   expect_all_over (sim, "gang", 17);
   sim_free (sim);
@@ -307,7 +307,7 @@
   exchange->length = strlen (body);
   exchange->reply = keep_status;
   exchange->impl = &status;
-  hzb_controller_request (exchange, sim->nodes[at].c);
+  hzb_controller_request (exchange, sim->nodes[at].controller);
   sim_run (sim, sim->now + 0.3);
   return status;
 }
@@ -321,7 +321,7 @@
   exchange->body = g_strdup ("");
   exchange->reply = keep_status;
   exchange->impl = status;
-  hzb_controller_request (exchange, sim->nodes[at].c);
+  hzb_controller_request (exchange, sim->nodes[at].controller);
 }
 
 /* A controller that loses the state service and the other controllers, but not its workers: it soon stops answering
@@ -332,18 +332,18 @@
   for (guint32 seed = 52; seed < 56; seed++)
     {
       Sim *sim = sim_new (seed);
-      SimMachine *m;
+      SimMachine *machine;
       guint at, status = 0;
       some_work (sim, 10);
-      m = run_until (sim, HZB_MACHINE_LEASED);
-      at = seed % 2 ? (guint) sim_leader (sim) : m->node;
+      machine = run_until (sim, HZB_MACHINE_LEASED);
+      at = seed % 2 ? (guint) sim_leader (sim) : machine->node;
       sim->nodes[at].cut_store = sim->nodes[at].cut_peers = TRUE;
       sim_run (sim, sim->now + 5);
       submit_at (sim, at, &status);
       g_assert_cmpuint (status, ==, 503); /* in this very moment */
       sim_run (sim, sim->now + 4);
-      g_assert_cmpint (sim->nodes[at].c->ownership, ==, HZB_OWNERSHIP_NONE);
-      g_assert_false (hzb_controller_ready (sim->nodes[at].c));
+      g_assert_cmpint (sim->nodes[at].controller->ownership, ==, HZB_OWNERSHIP_NONE);
+      g_assert_false (hzb_controller_ready (sim->nodes[at].controller));
       sim_run (sim, sim->now + 8);
       for (guint i = 0; i < sim->machines->len; i++)
         g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->session, ==, 1);
@@ -388,21 +388,21 @@
 test_earlier_process (void)
 {
   Sim *sim = sim_new (57);
-  HzbController *c, *leader;
+  HzbController *controller, *leader;
   HzbExchange *exchange;
   guint status[3] = { 0 }, at;
   g_autofree char *old = NULL, *text[3] = { NULL };
   some_work (sim, 4);
   sim_run (sim, 12);
   at = (guint) (sim_leader (sim) + 1) % SIM_NODES;
-  old = g_strdup (sim->nodes[at].c->incarnation);
+  old = g_strdup (sim->nodes[at].controller->incarnation);
   restart_now (sim, GUINT_TO_POINTER (at));
   sim_run (sim, 20);
-  c = sim->nodes[at].c;
-  leader = sim->nodes[sim_leader (sim)].c;
+  controller = sim->nodes[at].controller;
+  leader = sim->nodes[sim_leader (sim)].controller;
   text[0] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":99999}", at, old);
-  text[1] =
-      g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":1}", at, c->incarnation);
+  text[1] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":1}", at,
+                             controller->incarnation);
   text[2] = g_strdup ("{\"node\":\"node-9\",\"incarnation\":\"x\",\"born\":1,\"number\":1}");
   for (guint i = 0; i < 3; i++)
     {
@@ -451,7 +451,7 @@
   for (guint i = 0; i < 4; i++)
     sim_add_job (sim, 1, i % 2 ? "red" : "blue", 6, 3, 60)->type = "small";
   sim_run (sim, 25);
-  term = hzb_election_term (sim->nodes[sim_leader (sim)].c->election);
+  term = hzb_election_term (sim->nodes[sim_leader (sim)].controller->election);
   for (guint k = 0; k < 4; k++)
     {
       for (guint i = 0; i < sim->machines->len; i++)
@@ -462,7 +462,7 @@
       sim_run (sim, sim->now + 9);
     }
   g_assert_cmpint (sim_leader (sim), !=, -1);
-  g_assert_cmpuint (hzb_election_term (sim->nodes[sim_leader (sim)].c->election), <=, term + 1);
+  g_assert_cmpuint (hzb_election_term (sim->nodes[sim_leader (sim)].controller->election), <=, term + 1);
   sim_run (sim, 600);
   expect_all_over (sim, "machines hang", 58);
   sim_free (sim);
@@ -474,7 +474,7 @@
 test_administration (void)
 {
   Sim *sim = sim_new (50);
-  SimMachine *m;
+  SimMachine *machine;
   g_autofree char *path = NULL;
   int leader;
   sim_add_job (sim, 1, "red", 6, 2, 60);
@@ -489,7 +489,7 @@
   g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":0.25}}"), ==,
                     200);
   for (guint i = 0; i < SIM_NODES; i++)
-    g_assert_cmpfloat (sim->nodes[i].c->dispatch->h, ==, 0.25);
+    g_assert_cmpfloat (sim->nodes[i].controller->dispatch->h, ==, 0.25);
   g_assert_cmpuint (ask_admin (sim, 1, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":0.75}}"), ==,
                     409);
   g_assert_cmpuint (ask_admin (sim, 1, "DELETE", "settings", ""), ==, 405);
@@ -499,17 +499,17 @@
   g_assert_cmpuint (ask_admin (sim, (guint) leader, "GET", "tenants/main/teams", ""), ==, 200);
   g_assert_cmpuint (ask_admin (sim, (guint) leader, "GET", "tenants/main/jobs/run-100000", ""), ==, 200);
   g_assert_cmpuint (ask_admin (sim, ((guint) leader + 1) % SIM_NODES, "GET", "machines", ""), ==, 421);
-  m = machine_with_tasks (sim);
-  path = g_strdup_printf ("machines/%s/drain", m->name);
+  machine = machine_with_tasks (sim);
+  path = g_strdup_printf ("machines/%s/drain", machine->name);
   g_assert_cmpuint (ask_admin (sim, (guint) leader, "POST", "machines/i-777777/drain", ""), ==, 404);
   g_assert_cmpuint (ask_admin (sim, (guint) leader, "POST", path, ""), ==, 200);
   sim_run (sim, sim->now + 2);
   sim_crash (sim, (guint) leader);
   sim_start (sim, (guint) leader);
   sim_run (sim, 250);
-  g_assert_true (m->gone);
+  g_assert_true (machine->gone);
   for (guint i = 0; i < SIM_NODES; i++) /* a new process has them too */
-    g_assert_cmpfloat (sim->nodes[i].c->dispatch->h, ==, 0.25);
+    g_assert_cmpfloat (sim->nodes[i].controller->dispatch->h, ==, 0.25);
   expect_all_over (sim, "administration", 50);
   sim_free (sim);
 }
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -138,8 +138,8 @@
 a_lessee (Sim *sim)
 {
   for (guint i = 0; i < SIM_NODES; i++)
-    if (sim->nodes[i].c && sim->nodes[i].c->ownership == HZB_OWNERSHIP_LESSEE
-        && sim->nodes[i].c->machines->all->len >= 1)
+    if (sim->nodes[i].controller && sim->nodes[i].controller->ownership == HZB_OWNERSHIP_LESSEE
+        && sim->nodes[i].controller->machines->all->len >= 1)
       return (int) i;
   return -1;
 }
@@ -160,9 +160,10 @@
       for (guint node = 0; node < SIM_NODES; node++)
         {
           const SimJob *job = sim->jobs->pdata[i];
-          HzbController *c = sim->nodes[node].c;
-          const HzbJob *known =
-              c && job->told_cancelled && c->ownership != HZB_OWNERSHIP_NONE ? hzb_jobs_find (c->jobs, job->uid) : NULL;
+          HzbController *controller = sim->nodes[node].controller;
+          const HzbJob *known = controller && job->told_cancelled && controller->ownership != HZB_OWNERSHIP_NONE
+                                    ? hzb_jobs_find (controller->jobs, job->uid)
+                                    : NULL;
           if (known && known->tasks && known->state == HZB_JOB_ACCEPTED
               && known->pending + known->listed + known->placed)
             g_error ("%s is called cancelled, and node-%u holds %u tasks of it at %.2f", job->uid, node,
@@ -297,7 +298,7 @@
 start_one (Sim *sim, gpointer data)
 {
   guint at = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
-  if (!sim->nodes[at].c)
+  if (!sim->nodes[at].controller)
     sim_start (sim, at);
 }
 
@@ -343,8 +344,8 @@
   sim->nodes[0].cut_peers = TRUE;
   for (guint i = 0; i < sim->machines->len; i++)
     {
-      SimMachine *m = sim->machines->pdata[i];
-      m->cut = g_str_equal (m->zone, "za") && m->node != 0;
+      SimMachine *machine = sim->machines->pdata[i];
+      machine->cut = g_str_equal (machine->zone, "za") && machine->node != 0;
     }
 }
 
@@ -357,8 +358,8 @@
   start_all (sim, NULL);
   for (guint i = 0; i < sim->machines->len; i++)
     {
-      SimMachine *m = sim->machines->pdata[i];
-      m->cut = m->hung = m->deaf = m->sick = FALSE;
+      SimMachine *machine = sim->machines->pdata[i];
+      machine->cut = machine->hung = machine->deaf = machine->sick = FALSE;
     }
 }
 
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -12,12 +12,13 @@
   *least = INFINITY;
   for (guint i = 0; i < b->machines->all->len; i++)
     {
-      HzbMachine *m = b->machines->all->pdata[i];
-      HzbEstimate *e = &m->estimates[job->level];
-      double u = 0, v = floor (m->type->cpus / spec->cpus + 1e-9);
-      if (m->state != HZB_MACHINE_ACTIVE || (spec->zone && strcmp (spec->zone, m->zone)) || (m->spot && !spec->spot))
+      HzbMachine *machine = b->machines->all->pdata[i];
+      HzbEstimate *e = &machine->estimates[job->level];
+      double u = 0, v = floor (machine->type->cpus / spec->cpus + 1e-9);
+      if (machine->state != HZB_MACHINE_ACTIVE || (spec->zone && strcmp (spec->zone, machine->zone))
+          || (machine->spot && !spec->spot))
         continue;
-      v = MIN (v, floor (m->type->memory_gb / spec->memory_gb + 1e-9));
+      v = MIN (v, floor (machine->type->memory_gb / spec->memory_gb + 1e-9));
       if (v < 1)
         continue;
       for (guint k = 0; k < e->length; k++)
@@ -26,7 +27,7 @@
       if (u < *least)
         {
           *least = u;
-          best = m;
+          best = machine;
         }
     }
   return best;
@@ -48,23 +49,24 @@
         {
           HzbJob *job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, g_rand_int_range (b.rand, 1, 6),
                                    g_rand_double_range (b.rand, 1, 30));
-          HzbMachine *m, *plain;
+          HzbMachine *machine, *plain;
           double least;
           if (g_rand_boolean (b.rand))
             job->spec->zone = g_strdup ("za");
-          m = hzb_dispatch_choose (b.dispatch, job, hzb_clock_now (b.clock));
+          machine = hzb_dispatch_choose (b.dispatch, job, hzb_clock_now (b.clock));
           plain = plain_choose (&b, job, &least);
-          g_assert_true ((m == NULL) == (plain == NULL));
-          if (m)
+          g_assert_true ((machine == NULL) == (plain == NULL));
+          if (machine)
             {
               /* Rounding may tell equals apart: what counts is that no machine is better. */
-              double v = hzb_type_speed (m->type, job->spec);
-              g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&m->estimates[job->level])
+              double v = hzb_type_speed (machine->type, job->spec);
+              g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&machine->estimates[job->level])
                                                   + b.dispatch->h * job->spec->estimate_s / v,
                                               least, 1e-3);
-              hzb_task_set_state (b.jobs, hzb_job_next_pending (job, hzb_clock_now (b.clock)), HZB_TASK_LISTED, m);
+              hzb_task_set_state (b.jobs, hzb_job_next_pending (job, hzb_clock_now (b.clock)), HZB_TASK_LISTED,
+                                  machine);
               for (guint c = 0; c <= job->level; c++)
-                hzb_estimate_send (&m->estimates[c], job->spec->estimate_s / v);
+                hzb_estimate_send (&machine->estimates[c], job->spec->estimate_s / v);
             }
           hzb_clock_advance (b.clock, g_rand_int_range (b.rand, 0, 4));
         }
@@ -99,9 +101,9 @@
   bench_up (&b, 5);
   for (guint i = 0; i < 400; i++)
     {
-      HzbMachine *m = bench_machine (&b, "small", "za", FALSE);
+      HzbMachine *machine = bench_machine (&b, "small", "za", FALSE);
       if (i % 100)
-        hzb_machine_set_state (b.machines, m, HZB_MACHINE_LEASED, "test");
+        hzb_machine_set_state (b.machines, machine, HZB_MACHINE_LEASED, "test");
     }
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, 1, 5);
   b.dispatch->lagging = TRUE;
@@ -161,18 +163,18 @@
       hzb_dispatch_run (b.dispatch, now);
       for (guint i = 0; i < b.machines->all->len; i++)
         {
-          HzbMachine *m = b.machines->all->pdata[i];
+          HzbMachine *machine = b.machines->all->pdata[i];
           g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
-          for (guint k = m->tasks->len; k-- > 0;)
+          for (guint k = machine->tasks->len; k-- > 0;)
             {
-              HzbTask *task = m->tasks->pdata[k];
+              HzbTask *task = machine->tasks->pdata[k];
               if (hzb_time_between (task->since, now) < 5)
                 continue;
               hzb_task_set_state (b.jobs, task, HZB_TASK_FINISHED, NULL);
               small++;
             }
-          hzb_dispatch_reset_estimates (b.dispatch, m, now);
-          hzb_dispatch_start_tasks (b.dispatch, m, now, commands);
+          hzb_dispatch_reset_estimates (b.dispatch, machine, now);
+          hzb_dispatch_start_tasks (b.dispatch, machine, now, commands);
         }
       if (large->placed)
         began = second;
@@ -324,12 +326,12 @@
     }
   {
     Bench b;
-    HzbMachine *m[4];
+    HzbMachine *machine[4];
     HzbJob *job;
     guint in_za = 0, listed = 0;
     bench_up (&b, 6);
     for (guint i = 0; i < 4; i++)
-      m[i] = bench_machine (&b, "small", i < 3 ? "za" : "zb", FALSE); /* 4 CPUs each */
+      machine[i] = bench_machine (&b, "small", i < 3 ? "za" : "zb", FALSE); /* 4 CPUs each */
     job = bench_job (&b, "red", HZB_PRIORITY_PRODUCTION, 7, 2, 10);
     job->spec->service = job->spec->spread = TRUE;
     hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
@@ -342,7 +344,7 @@
     g_assert_cmpuint (in_za, ==, 4);
     g_assert_cmpuint (listed, ==, 6); /* two fit in zb */
     for (guint i = 0; i < 4; i++)
-      g_assert_cmpfloat (m[i]->listed_service_cpus, <=, 4);
+      g_assert_cmpfloat (machine[i]->listed_service_cpus, <=, 4);
     bench_down (&b);
   }
 }
@@ -354,21 +356,21 @@
   for (guint same = 0; same < 2; same++)
     {
       Bench b;
-      HzbMachine *m;
+      HzbMachine *machine;
       HzbJob *low;
       g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
       bench_up (&b, 3);
-      m = bench_machine (&b, "small", "za", FALSE);
+      machine = bench_machine (&b, "small", "za", FALSE);
       low = bench_job (&b, "red", same ? HZB_PRIORITY_HIGH : HZB_PRIORITY_IDLE, 10, 4, 100);
       hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
-      hzb_dispatch_start_tasks (b.dispatch, m, hzb_clock_now (b.clock), commands);
+      hzb_dispatch_start_tasks (b.dispatch, machine, hzb_clock_now (b.clock), commands);
       g_assert_cmpuint (count_orders (commands, HZB_COMMAND_START), ==, 1);
-      hzb_task_set_state (b.jobs, &low->tasks[0], HZB_TASK_RUNNING, m);
+      hzb_task_set_state (b.jobs, &low->tasks[0], HZB_TASK_RUNNING, machine);
       bench_job (&b, "red", HZB_PRIORITY_HIGH, 1, 4, 10);
       hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
       hzb_clock_advance (b.clock, 30);
       g_array_set_size (commands, 0);
-      hzb_dispatch_start_tasks (b.dispatch, m, hzb_clock_now (b.clock), commands);
+      hzb_dispatch_start_tasks (b.dispatch, machine, hzb_clock_now (b.clock), commands);
       g_assert_cmpuint (count_orders (commands, HZB_COMMAND_STOP), ==, same ? 0 : 1);
       g_assert_cmpuint (count_orders (commands, HZB_COMMAND_START), ==, 0);
       bench_down (&b);
@@ -471,11 +473,11 @@
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 40, 1, 300);
   for (guint i = 0; i < 40; i++)
     {
-      HzbMachine *m = i % 2 ? b.machines->all->pdata[i / 2] : bench_machine (&b, "small", "za", TRUE);
+      HzbMachine *machine = i % 2 ? b.machines->all->pdata[i / 2] : bench_machine (&b, "small", "za", TRUE);
       HzbTask *task = hzb_job_next_pending (job, hzb_clock_now (b.clock));
-      hzb_task_set_state (b.jobs, task, HZB_TASK_LISTED, m);
-      hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, m);
-      hzb_task_set_state (b.jobs, task, HZB_TASK_RUNNING, m);
+      hzb_task_set_state (b.jobs, task, HZB_TASK_LISTED, machine);
+      hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, machine);
+      hzb_task_set_state (b.jobs, task, HZB_TASK_RUNNING, machine);
     }
   for (guint t = 0; t < 90; t++)
     {
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -138,7 +138,7 @@
 test_ends (void)
 {
   HzbHttpServer *server = server_up ();
-  g_autoptr (GSocketConnection) a = connect_to (), b = connect_to (), c = connect_to ();
+  g_autoptr (GSocketConnection) a = connect_to (), b = connect_to (), controller = connect_to ();
   g_autofree char *body = g_strnfill (70000, 'x');
   /* In pieces. */
   say (a, "POST /hello HTTP/1.1\r\nHost: x\r\nConte");
@@ -156,9 +156,9 @@
   say (b, "GET /unable HTTP/1.1\r\nHost: x\r\n\r\n");
   g_assert_cmpuint (hear (b), ==, 503);
   g_assert_cmpuint (hear (b), ==, 0);
-  say (c, "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-  g_assert_cmpuint (hear (c), ==, 200);
-  g_assert_cmpuint (hear (c), ==, 0);
+  say (controller, "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+  g_assert_cmpuint (hear (controller), ==, 200);
+  g_assert_cmpuint (hear (controller), ==, 0);
   /* Too much is refused, and does not come to the handler. */
   say (a, "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n");
   say (a, body);
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -8,20 +8,20 @@
 {
   Bench b;
   HzbJob *job;
-  HzbMachine *m;
+  HzbMachine *machine;
   HzbTask *task;
   bench_up (&b, 1);
-  m = bench_machine (&b, "big", "za", FALSE);
+  machine = bench_machine (&b, "big", "za", FALSE);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 3, 2, 10);
   task = hzb_job_next_pending (job, hzb_clock_now (b.clock));
   g_test_expect_message ("hazelbank", G_LOG_LEVEL_CRITICAL, "*illegal change pending -> starting*");
-  g_assert_false (hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, m));
+  g_assert_false (hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, machine));
   g_test_assert_expected_messages ();
-  g_assert_true (hzb_task_set_state (b.jobs, task, HZB_TASK_LISTED, m));
-  g_assert_true (hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, m));
-  g_assert_true (hzb_task_set_state (b.jobs, task, HZB_TASK_RUNNING, m));
+  g_assert_true (hzb_task_set_state (b.jobs, task, HZB_TASK_LISTED, machine));
+  g_assert_true (hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, machine));
+  g_assert_true (hzb_task_set_state (b.jobs, task, HZB_TASK_RUNNING, machine));
   g_test_expect_message ("hazelbank", G_LOG_LEVEL_CRITICAL, "*illegal change running -> listed*");
-  g_assert_false (hzb_task_set_state (b.jobs, task, HZB_TASK_LISTED, m));
+  g_assert_false (hzb_task_set_state (b.jobs, task, HZB_TASK_LISTED, machine));
   g_test_assert_expected_messages ();
   g_assert_true (hzb_task_set_state (b.jobs, task, HZB_TASK_FINISHED, NULL));
   g_test_expect_message ("hazelbank", G_LOG_LEVEL_CRITICAL, "*illegal change finished -> pending*");
@@ -30,10 +30,10 @@
   g_assert_true (hzb_task_set_state (b.jobs, task, HZB_TASK_DONE, NULL));
   g_assert_cmpuint (job->done, ==, 1);
   g_test_expect_message ("hazelbank", G_LOG_LEVEL_CRITICAL, "*illegal change active -> booting*");
-  g_assert_false (hzb_machine_set_state (b.machines, m, HZB_MACHINE_BOOTING, "test"));
+  g_assert_false (hzb_machine_set_state (b.machines, machine, HZB_MACHINE_BOOTING, "test"));
   g_test_assert_expected_messages ();
   g_test_expect_message ("hazelbank", G_LOG_LEVEL_CRITICAL, "*illegal change active -> gone*");
-  g_assert_false (hzb_machine_set_state (b.machines, m, HZB_MACHINE_GONE, "only the cloud says so"));
+  g_assert_false (hzb_machine_set_state (b.machines, machine, HZB_MACHINE_GONE, "only the cloud says so"));
   g_test_assert_expected_messages ();
   bench_down (&b);
 }
@@ -46,10 +46,10 @@
     {
       Bench b;
       HzbJob *job;
-      HzbMachine *m[3];
+      HzbMachine *machine[3];
       bench_up (&b, seed);
       for (guint i = 0; i < 3; i++)
-        m[i] = bench_machine (&b, "big", i ? "za" : "zb", FALSE);
+        machine[i] = bench_machine (&b, "big", i ? "za" : "zb", FALSE);
       job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 12, 1.5, 10);
       for (guint step = 0; step < 400; step++)
         {
@@ -62,7 +62,8 @@
             continue; /* seldom, or all would be over soon */
           g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
           hzb_task_set_state (b.jobs, task, to,
-                              placed ? (task->machine && to != HZB_TASK_LISTED ? task->machine : m[step % 3]) : NULL);
+                              placed ? (task->machine && to != HZB_TASK_LISTED ? task->machine : machine[step % 3])
+                                     : NULL);
           for (guint i = 0; i < 12; i++)
             {
               const HzbTask *t = &job->tasks[i];
@@ -70,7 +71,7 @@
               if (hzb_task_on_machine (t) || t->state == HZB_TASK_UNKNOWN || t->state == HZB_TASK_DELEGATED)
                 used += 1.5;
               for (guint k = 0; k < 3 && hzb_task_on_machine (t); k++)
-                if (t->machine == m[k])
+                if (t->machine == machine[k])
                   room[k] += 1.5;
             }
           g_assert_cmpuint (job->pending, ==, counts[HZB_TASK_PENDING]);
@@ -78,11 +79,12 @@
           g_assert_cmpuint (job->unknown, ==, counts[HZB_TASK_UNKNOWN]);
           g_assert_cmpuint (job->running, ==, counts[HZB_TASK_RUNNING] + counts[HZB_TASK_SAVING]);
           g_assert_cmpuint (job->done, ==, counts[HZB_TASK_DONE]);
-          g_assert_cmpuint (hzb_machine_listed (m[0]) + hzb_machine_listed (m[1]) + hzb_machine_listed (m[2]), ==,
-                            counts[HZB_TASK_LISTED]);
+          g_assert_cmpuint (hzb_machine_listed (machine[0]) + hzb_machine_listed (machine[1])
+                                + hzb_machine_listed (machine[2]),
+                            ==, counts[HZB_TASK_LISTED]);
           g_assert_cmpfloat_with_epsilon (b.block->cpus[0], used, 1e-9);
           for (guint k = 0; k < 3; k++)
-            g_assert_cmpfloat_with_epsilon (m[k]->cpus, room[k], 1e-9);
+            g_assert_cmpfloat_with_epsilon (machine[k]->cpus, room[k], 1e-9);
         }
       bench_down (&b);
     }
@@ -97,10 +99,10 @@
     {
       Bench b;
       HzbJob *jobs[3];
-      HzbMachine *m[3];
+      HzbMachine *machine[3];
       bench_up (&b, seed);
       for (guint i = 0; i < 3; i++)
-        m[i] = bench_machine (&b, "big", i ? "za" : "zb", FALSE);
+        machine[i] = bench_machine (&b, "big", i ? "za" : "zb", FALSE);
       for (guint i = 0; i < 3; i++)
         {
           jobs[i] = bench_job (&b, i ? "red" : "blue", HZB_PRIORITY_PRODUCTION, 6, 1 + i, 0.5);
@@ -114,13 +116,14 @@
           double cpus[3] = { 0 }, listed[3] = { 0 }, memory[3] = { 0 };
           g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
           hzb_task_set_state (b.jobs, task, to,
-                              placed ? (task->machine && to != HZB_TASK_LISTED ? task->machine : m[step % 3]) : NULL);
+                              placed ? (task->machine && to != HZB_TASK_LISTED ? task->machine : machine[step % 3])
+                                     : NULL);
           for (guint j = 0; j < 2; j++)
             for (guint i = 0; i < 6; i++)
               for (guint k = 0; k < 3; k++)
                 {
                   const HzbTask *t = &jobs[j]->tasks[i];
-                  if (t->machine != m[k])
+                  if (t->machine != machine[k])
                     continue;
                   if (hzb_task_on_machine (t))
                     {
@@ -132,10 +135,10 @@
                 }
           for (guint k = 0; k < 3; k++)
             {
-              g_assert_cmpfloat_with_epsilon (m[k]->service_cpus, cpus[k], 1e-9);
-              g_assert_cmpfloat_with_epsilon (m[k]->service_memory, memory[k], 1e-9);
-              g_assert_cmpfloat_with_epsilon (m[k]->listed_service_cpus, listed[k], 1e-9);
-              g_assert_cmpuint (hzb_machine_speed (m[k], jobs[2]->spec), ==,
+              g_assert_cmpfloat_with_epsilon (machine[k]->service_cpus, cpus[k], 1e-9);
+              g_assert_cmpfloat_with_epsilon (machine[k]->service_memory, memory[k], 1e-9);
+              g_assert_cmpfloat_with_epsilon (machine[k]->listed_service_cpus, listed[k], 1e-9);
+              g_assert_cmpuint (hzb_machine_speed (machine[k], jobs[2]->spec), ==,
                                 (guint) MAX (0, floor ((16 - cpus[k]) / 3 + 1e-9)));
             }
         }
--- a/tests/test-leases.c
+++ b/tests/test-leases.c
@@ -4,14 +4,14 @@
 #include <string.h>
 
 static SimMachine *
-lent_machine_with_tasks (Sim *sim, HzbController *c)
+lent_machine_with_tasks (Sim *sim, HzbController *controller)
 {
   for (guint i = 0; i < sim->machines->len; i++)
     {
-      SimMachine *m = sim->machines->pdata[i];
-      HzbMachine *known = m->tasks->len ? hzb_machines_find (c->machines, m->name) : NULL;
+      SimMachine *machine = sim->machines->pdata[i];
+      HzbMachine *known = machine->tasks->len ? hzb_machines_find (controller->machines, machine->name) : NULL;
       if (known && known->state == HZB_MACHINE_LEASED)
-        return m;
+        return machine;
     }
   return NULL;
 }
@@ -20,27 +20,28 @@
 static SimMachine *
 run_until_lent (Sim *sim)
 {
-  SimMachine *m = NULL;
+  SimMachine *machine = NULL;
   for (guint i = 0; i < 10; i++)
     {
       SimJob *job = sim_add_job (sim, 1 + 0.3 * i, i % 2 ? "red" : "blue", 8, 3, 25);
       job->type = "small"; /* so that there are many machines */
     }
-  while (!m && sim->now < 60)
+  while (!machine && sim->now < 60)
     {
       sim_run (sim, sim->now + 0.5);
       if (sim_leader (sim) >= 0)
-        m = lent_machine_with_tasks (sim, sim->nodes[sim_leader (sim)].c);
+        machine = lent_machine_with_tasks (sim, sim->nodes[sim_leader (sim)].controller);
     }
-  g_assert_nonnull (m);
-  return m;
+  g_assert_nonnull (machine);
+  return machine;
 }
 
 static guint
-node_of_lessee (Sim *sim, const SimMachine *m)
+node_of_lessee (Sim *sim, const SimMachine *machine)
 {
-  HzbController *c = sim->nodes[sim_leader (sim)].c;
-  const char *name = hzb_leases_lessee_name (c->leases, hzb_machines_find (c->machines, m->name));
+  HzbController *controller = sim->nodes[sim_leader (sim)].controller;
+  const char *name =
+      hzb_leases_lessee_name (controller->leases, hzb_machines_find (controller->machines, machine->name));
   return (guint) (name[strlen (name) - 1] - '0');
 }
 
@@ -49,13 +50,13 @@
 test_lessee_ends (void)
 {
   Sim *sim = sim_new (40);
-  SimMachine *m = run_until_lent (sim);
-  guint64 session = m->session;
-  guint tasks = m->tasks->len;
-  sim_crash (sim, node_of_lessee (sim, m));
+  SimMachine *machine = run_until_lent (sim);
+  guint64 session = machine->session;
+  guint tasks = machine->tasks->len;
+  sim_crash (sim, node_of_lessee (sim, machine));
   sim_run (sim, sim->now + 9);
-  g_assert_cmpuint (m->session, ==, session); /* its lease lived */
-  g_assert_cmpuint (m->tasks->len, >=, tasks > 0);
+  g_assert_cmpuint (machine->session, ==, session); /* its lease lived */
+  g_assert_cmpuint (machine->tasks->len, >=, tasks > 0);
   start_all (sim, NULL);
   sim_run (sim, 600);
   expect_all_over (sim, "lessee ends", 40);
@@ -70,14 +71,14 @@
   for (guint32 seed = 41; seed < 47; seed++)
     {
       Sim *sim = sim_new (seed);
-      SimMachine *m = run_until_lent (sim);
-      guint at = node_of_lessee (sim, m);
-      HzbController *c = sim->nodes[sim_leader (sim)].c;
-      guint64 token = hzb_machines_find (c->machines, m->name)->token, seen = m->token;
+      SimMachine *machine = run_until_lent (sim);
+      guint at = node_of_lessee (sim, machine);
+      HzbController *controller = sim->nodes[sim_leader (sim)].controller;
+      guint64 token = hzb_machines_find (controller->machines, machine->name)->token, seen = machine->token;
       HzbMachine *known;
       sim->nodes[at].cut_peers = TRUE;
       sim_run (sim, sim->now + 6);
-      known = hzb_machines_find (c->machines, m->name);
+      known = hzb_machines_find (controller->machines, machine->name);
       g_assert_nonnull (known);
       /* Nothing that the old lessee sends is obeyed once the machine has heard the leader. */
       g_assert_cmpint (known->state, !=, HZB_MACHINE_LEASED);
@@ -126,14 +127,14 @@
       sim_start (sim, (guint) leader);
       for (guint k = 0; k < 40; k++)
         {
-          HzbController *c;
+          HzbController *controller;
           sim_run (sim, sim->now + 0.5);
-          c = sim->nodes[MAX (sim_leader (sim), 0)].c;
+          controller = sim->nodes[MAX (sim_leader (sim), 0)].controller;
           for (guint i = 0; i < sim->machines->len && sim_leader (sim) >= 0; i++)
             {
-              const SimMachine *m = sim->machines->pdata[i];
-              const HzbMachine *known = hzb_machines_find (c->machines, m->name);
-              handed += known && known->state == HZB_MACHINE_LEASED && m->tasks->len && m->session == 1;
+              const SimMachine *machine = sim->machines->pdata[i];
+              const HzbMachine *known = hzb_machines_find (controller->machines, machine->name);
+              handed += known && known->state == HZB_MACHINE_LEASED && machine->tasks->len && machine->session == 1;
             }
           if (handed && k > 10 + seed % 4)
             break;
@@ -190,11 +191,11 @@
     sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 4, 3, 25)->spread = TRUE;
   for (guint k = 0; k < 12; k++)
     {
-      HzbController *c;
+      HzbController *controller;
       sim_run (sim, sim->now + 2);
-      c = sim->nodes[MAX (sim_leader (sim), 0)].c;
-      for (guint i = 0; i < c->machines->all->len; i++)
-        g_assert_cmpint (((HzbMachine *) c->machines->all->pdata[i])->state, !=, HZB_MACHINE_LEASED);
+      controller = sim->nodes[MAX (sim_leader (sim), 0)].controller;
+      for (guint i = 0; i < controller->machines->all->len; i++)
+        g_assert_cmpint (((HzbMachine *) controller->machines->all->pdata[i])->state, !=, HZB_MACHINE_LEASED);
     }
   sim_run (sim, 400);
   expect_all_over (sim, "own work", 74);
