--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -12,19 +12,19 @@
     {
       Sim *sim = sim_new (seed);
       HzbMachineState state = seed % 2 ? HZB_MACHINE_LEASED : HZB_MACHINE_ACTIVE;
-      SimMachine *m;
+      SimMachine *machine;
       const HzbMachine *known;
       double began;
       some_work (sim, 10);
-      m = run_until (sim, state);
+      machine = run_until (sim, state);
       began = sim->now;
-      m->deaf = TRUE;
+      machine->deaf = TRUE;
       sim_run (sim, began + 16);
-      g_assert_cmpuint (m->session, >, 1);
-      known = hzb_machines_find (sim->nodes[sim_leader (sim)].c->machines, m->name);
+      g_assert_cmpuint (machine->session, >, 1);
+      known = hzb_machines_find (sim->nodes[sim_leader (sim)].controller->machines, machine->name);
       g_assert_true (!known || !hzb_machine_usable (known));
       sim_run (sim, began + 50);
-      g_assert_true (m->gone);
+      g_assert_true (machine->gone);
       sim_run (sim, 500);
       expect_all_over (sim, "deaf machine", seed);
       sim_free (sim);
@@ -36,15 +36,15 @@
 test_short_deafness (void)
 {
   Sim *sim = sim_new (84);
-  SimMachine *m;
+  SimMachine *machine;
   some_work (sim, 10);
-  m = run_until (sim, HZB_MACHINE_ACTIVE);
-  m->deaf = TRUE;
+  machine = run_until (sim, HZB_MACHINE_ACTIVE);
+  machine->deaf = TRUE;
   sim_run (sim, sim->now + 3);
-  m->deaf = FALSE;
+  machine->deaf = FALSE;
   sim_run (sim, sim->now + 15);
-  g_assert_cmpuint (m->session, ==, 1);
-  g_assert_false (m->gone);
+  g_assert_cmpuint (machine->session, ==, 1);
+  g_assert_false (machine->gone);
   sim_run (sim, 400);
   expect_all_over (sim, "short deafness", 84);
   sim_free (sim);
@@ -55,17 +55,17 @@
 test_deaf_at_takeover (void)
 {
   Sim *sim = sim_new (85);
-  SimMachine *m;
+  SimMachine *machine;
   int leader;
   some_work (sim, 10);
-  m = run_until (sim, HZB_MACHINE_ACTIVE);
+  machine = run_until (sim, HZB_MACHINE_ACTIVE);
   leader = sim_leader (sim);
-  m->deaf = TRUE;
+  machine->deaf = TRUE;
   sim_crash (sim, (guint) leader);
   sim_run (sim, sim->now + 25);
   g_assert_cmpint (sim_leader (sim), !=, -1);
-  g_assert_cmpint (sim->nodes[sim_leader (sim)].c->ownership, ==, HZB_OWNERSHIP_READY);
-  g_assert_true (m->gone);
+  g_assert_cmpint (sim->nodes[sim_leader (sim)].controller->ownership, ==, HZB_OWNERSHIP_READY);
+  g_assert_true (machine->gone);
   sim_start (sim, (guint) leader);
   sim_run (sim, 400);
   expect_all_over (sim, "deaf at takeover", 85);
@@ -77,14 +77,14 @@
 test_late_report (void)
 {
   Sim *sim = sim_new (11);
-  SimMachine *m;
+  SimMachine *machine;
   guint started;
   sim_add_job (sim, 1, "red", 6, 2, 60);
-  m = run_until (sim, HZB_MACHINE_ACTIVE);
+  machine = run_until (sim, HZB_MACHINE_ACTIVE);
   sim_run (sim, 25);
   started = sim->started;
-  g_assert_cmpuint (report_again (sim, m, m->session, 1, ""), ==, 503);
-  g_assert_cmpuint (report_again (sim, m, m->session, m->seq, ""), ==, 503);
+  g_assert_cmpuint (report_again (sim, machine, machine->session, 1, ""), ==, 503);
+  g_assert_cmpuint (report_again (sim, machine, machine->session, machine->seq, ""), ==, 503);
   sim_run (sim, 32);
   g_assert_cmpuint (sim->started, ==, started);
   sim_run (sim, 200);
@@ -98,20 +98,20 @@
 test_late_copies_revive_nothing (void)
 {
   Sim *sim = sim_new (86);
-  SimMachine *m, gone = { .name = (char *) "i-900001", .type = (char *) "big", .zone = (char *) "za" };
-  HzbController *c;
+  SimMachine *machine, gone = { .name = (char *) "i-900001", .type = (char *) "big", .zone = (char *) "za" };
+  HzbController *controller;
   some_work (sim, 10);
-  m = run_until (sim, HZB_MACHINE_ACTIVE);
-  c = sim->nodes[sim_leader (sim)].c;
-  m->cut = TRUE;
+  machine = run_until (sim, HZB_MACHINE_ACTIVE);
+  controller = sim->nodes[sim_leader (sim)].controller;
+  machine->cut = TRUE;
   sim_run (sim, sim->now + 13);
-  g_assert_cmpint (hzb_machines_find (c->machines, m->name)->state, ==, HZB_MACHINE_LEASE_EXPIRED);
-  g_assert_cmpuint (report_again (sim, m, 1, 100000, ""), ==, 503);
-  g_assert_cmpint (hzb_machines_find (c->machines, m->name)->state, ==, HZB_MACHINE_LEASE_EXPIRED);
+  g_assert_cmpint (hzb_machines_find (controller->machines, machine->name)->state, ==, HZB_MACHINE_LEASE_EXPIRED);
+  g_assert_cmpuint (report_again (sim, machine, 1, 100000, ""), ==, 503);
+  g_assert_cmpint (hzb_machines_find (controller->machines, machine->name)->state, ==, HZB_MACHINE_LEASE_EXPIRED);
   g_assert_cmpuint (report_again (sim, &gone, 1, 1, ""), ==, 200);
   g_assert_nonnull (strstr (last_body, "\"orders\":[]"));
-  g_assert_false (hzb_machine_usable (hzb_machines_find (c->machines, gone.name)));
-  m->cut = FALSE;
+  g_assert_false (hzb_machine_usable (hzb_machines_find (controller->machines, gone.name)));
+  machine->cut = FALSE;
   sim_run (sim, 600);
   expect_all_over (sim, "late copies revive nothing", 86);
   sim_free (sim);
@@ -149,16 +149,16 @@
 test_newer_token (void)
 {
   Sim *sim = sim_new (12);
-  SimMachine *m;
-  HzbController *c;
+  SimMachine *machine;
+  HzbController *controller;
   sim_add_job (sim, 1, "red", 2, 2, 30);
   sim_run (sim, 20);
-  m = machine_with_tasks (sim);
-  c = sim->nodes[sim_leader (sim)].c;
-  m->token += hzb_token (7, 0);
-  g_assert_cmpuint (report_again (sim, m, m->session, m->seq + 1, ""), ==, 503);
-  g_assert_false (hzb_election_leading (c->election));
-  m->token -= hzb_token (7, 0);
+  machine = machine_with_tasks (sim);
+  controller = sim->nodes[sim_leader (sim)].controller;
+  machine->token += hzb_token (7, 0);
+  g_assert_cmpuint (report_again (sim, machine, machine->session, machine->seq + 1, ""), ==, 503);
+  g_assert_false (hzb_election_leading (controller->election));
+  machine->token -= hzb_token (7, 0);
   sim_run (sim, 120);
   expect_all_over (sim, "newer token", 12);
   sim_free (sim);
@@ -170,21 +170,21 @@
 test_older_token (void)
 {
   Sim *sim = sim_new (18);
-  HzbController *c;
-  SimMachine m = { .name = (char *) "i-900000", .type = (char *) "big", .zone = (char *) "za" };
+  HzbController *controller;
+  SimMachine machine = { .name = (char *) "i-900000", .type = (char *) "big", .zone = (char *) "za" };
   sim_add_job (sim, 1, "red", 30, 2, 30);
   sim_run (sim, 12);
-  c = sim->nodes[sim_leader (sim)].c;
-  g_assert_cmpuint (
-      report_again (sim, &m, 1, 1, "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
-      ==, 200);
+  controller = sim->nodes[sim_leader (sim)].controller;
+  g_assert_cmpuint (report_again (sim, &machine, 1, 1,
+                                  "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
+                    ==, 200);
   g_assert_nonnull (strstr (last_body, "\"orders\":[]"));
-  g_assert_cmpint (hzb_machines_find (c->machines, "i-900000")->state, ==, HZB_MACHINE_BOOTING);
-  m.token = hzb_token (hzb_election_term (c->election), 0);
-  g_assert_cmpuint (
-      report_again (sim, &m, 1, 2, "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
-      ==, 200);
-  g_assert_cmpint (hzb_machines_find (c->machines, "i-900000")->state, ==, HZB_MACHINE_ACTIVE);
+  g_assert_cmpint (hzb_machines_find (controller->machines, "i-900000")->state, ==, HZB_MACHINE_BOOTING);
+  machine.token = hzb_token (hzb_election_term (controller->election), 0);
+  g_assert_cmpuint (report_again (sim, &machine, 1, 2,
+                                  "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
+                    ==, 200);
+  g_assert_cmpint (hzb_machines_find (controller->machines, "i-900000")->state, ==, HZB_MACHINE_ACTIVE);
   sim_free (sim);
 }
 
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -9,7 +9,7 @@
 {
   Sim *sim = sim_new (14);
   SimJob *job = sim_add_job (sim, 1, "red", 4, 2, 15);
-  SimMachine *m;
+  SimMachine *machine;
   guint ended = 0;
   sim_run (sim, 15);
   g_assert_nonnull (machine_with_tasks (sim));
@@ -18,9 +18,9 @@
   g_assert_false (job->told_done);
   for (guint i = 0; i < sim->machines->len; i++)
     {
-      m = sim->machines->pdata[i];
-      for (guint k = 0; k < m->tasks->len; k++)
-        ended += g_str_equal (((SimTask *) m->tasks->pdata[k])->why, "done");
+      machine = sim->machines->pdata[i];
+      for (guint k = 0; k < machine->tasks->len; k++)
+        ended += g_str_equal (((SimTask *) machine->tasks->pdata[k])->why, "done");
     }
   g_assert_cmpuint (ended, ==, 4);
   sim->outage = FALSE;
@@ -85,7 +85,7 @@
       exchange->body = g_strdup ("");
       exchange->reply = keep_status;
       exchange->impl = &status[i];
-      hzb_controller_request (exchange, sim->nodes[at].c);
+      hzb_controller_request (exchange, sim->nodes[at].controller);
     }
   sim_run (sim, sim->now + 2);
   for (guint i = 0; i < sim->jobs->len; i++)
@@ -138,8 +138,9 @@
           sim->nodes[1].cut_store = TRUE; /* a while, in which much moves */
           sim_run (sim, 85);
           sim->nodes[1].cut_store = FALSE;
-          if (sim->nodes[1].c)
-            hzb_controller_reset_mirror (sim->nodes[1].c); /* as when the changes since are not kept any more */
+          if (sim->nodes[1].controller)
+            hzb_controller_reset_mirror (
+                sim->nodes[1].controller); /* as when the changes since are not kept any more */
         }
       sim_run (sim, 112);
       start_all (sim, NULL);
@@ -156,7 +157,7 @@
         }
       g_assert_cmpuint (moved, ==, 40 - size.max_mirrored_ended);
       for (guint i = 0; i < SIM_NODES; i++)
-        g_assert_cmpuint (g_hash_table_size (sim->nodes[i].c->jobs->by_uid), ==, size.max_mirrored_ended);
+        g_assert_cmpuint (g_hash_table_size (sim->nodes[i].controller->jobs->by_uid), ==, size.max_mirrored_ended);
       /* Users come back long after, and one asks about what was never submitted. */
       sim_run (sim, 300);
       expect_all_over (sim, "old ones move", seed);
--- a/tests/test-scale.c
+++ b/tests/test-scale.c
@@ -102,9 +102,9 @@
   guint n = 0;
   for (guint i = 0; i < sim->machines->len; i++)
     {
-      const SimMachine *m = sim->machines->pdata[i];
-      for (guint k = 0; k < m->tasks->len && !m->gone; k++)
-        n += ((SimTask *) m->tasks->pdata[k])->state == 2;
+      const SimMachine *machine = sim->machines->pdata[i];
+      for (guint k = 0; k < machine->tasks->len && !machine->gone; k++)
+        n += ((SimTask *) machine->tasks->pdata[k])->state == 2;
     }
   return n;
 }
@@ -126,9 +126,9 @@
   guint rentals;
   for (guint i = 0; i < sim->machines->len; i += 2)
     {
-      SimMachine *m = sim->machines->pdata[i];
-      m->failed = TRUE;
-      g_ptr_array_set_size (m->tasks, 0);
+      SimMachine *machine = sim->machines->pdata[i];
+      machine->failed = TRUE;
+      g_ptr_array_set_size (machine->tasks, 0);
       if (i % 600 == 0)
         sim_run (sim, sim->now + 0.5);
     }
@@ -152,9 +152,9 @@
   double began;
   for (guint i = 0; i < sim->machines->len && cut < 300; i++)
     {
-      SimMachine *m = sim->machines->pdata[i];
-      m->cut = m->up && i % 5 == 0;
-      cut += m->cut;
+      SimMachine *machine = sim->machines->pdata[i];
+      machine->cut = machine->up && i % 5 == 0;
+      cut += machine->cut;
     }
   sim_crash (sim, at);
   began = sim->now;
@@ -193,7 +193,7 @@
   sim_run (sim, began + 8);
   g_assert_cmpint (sim_leader (sim), !=, -1);
   for (guint i = 0; i < SIM_NODES; i++)
-    g_assert_true (hzb_controller_ready (sim->nodes[i].c));
+    g_assert_true (hzb_controller_ready (sim->nodes[i].controller));
   /* Each reads what there is once, and the leader the owner's part. */
   g_assert_cmpuint (sim->rows_read - rows, <=, (SIM_NODES + 1) * g_hash_table_size (sim->kv) + 20);
   g_assert_cmpuint (sim->requests - requests, <, 1500);
@@ -219,7 +219,7 @@
   sim_run (sim, sim->now + 22);
   sim_wake (sim, (guint) old);
   sim_run (sim, sim->now + 3);
-  g_assert_false (hzb_election_leading (sim->nodes[old].c->election));
+  g_assert_false (hzb_election_leading (sim->nodes[old].controller->election));
   g_assert_cmpint (sim_leader (sim), !=, -1);
   /* And a lessee. */
   old = (sim_leader (sim) + 1) % SIM_NODES;
--- a/tests/test-services.c
+++ b/tests/test-services.c
@@ -12,21 +12,21 @@
     {
       Sim *sim = sim_new (seed);
       SimJob *calm = add_service (sim, 3, "red", 4, 1, 120), *ends = add_service (sim, 4, "blue", 3, 1, 120);
-      SimMachine *m;
+      SimMachine *machine;
       ends->run_s = 9;
       for (guint i = 0; i < 6; i++)
         sim_add_job (sim, 1 + i, i % 2 ? "red" : "blue", 5, 2, 12);
       sim_run (sim, 50);
       g_assert_cmpfloat (calm->missed_s, <, 0.1 * calm->wanted_s);
       g_assert_cmpfloat (ends->missed_s, <, 0.6 * ends->wanted_s);
-      m = machine_with_tasks (sim);
+      machine = machine_with_tasks (sim);
       if (seed % 2)
         {
-          m->failed = TRUE;
-          g_ptr_array_set_size (m->tasks, 0);
+          machine->failed = TRUE;
+          g_ptr_array_set_size (machine->tasks, 0);
         }
       else
-        m->taken_at = sim->now + 8;
+        machine->taken_at = sim->now + 8;
       sim->calm_at = sim->now + 15;
       sim_run (sim, 118);
       g_assert_false (calm->told_done || ends->told_done);
@@ -82,7 +82,7 @@
       Sim *sim = sim_new (seed);
       SimJob *service;
       guint leased = 0;
-      HzbController *c;
+      HzbController *controller;
       for (guint i = 0; i < 8; i++)
         {
           SimJob *job = sim_add_job (sim, 1 + 0.1 * i, i % 2 ? "red" : "blue", 6, 2, 300);
@@ -90,9 +90,9 @@
           job->zone = i % 4 < 2 ? "za" : "zb";
         }
       sim_run (sim, 30);
-      c = sim->nodes[sim_leader (sim)].c;
-      for (guint i = 0; i < c->machines->all->len; i++)
-        leased += ((HzbMachine *) c->machines->all->pdata[i])->state == HZB_MACHINE_LEASED;
+      controller = sim->nodes[sim_leader (sim)].controller;
+      for (guint i = 0; i < controller->machines->all->len; i++)
+        leased += ((HzbMachine *) controller->machines->all->pdata[i])->state == HZB_MACHINE_LEASED;
       g_assert_cmpuint (leased, >, 0);
       sim->size.machines = 0; /* no more are to be had */
       service = add_service (sim, 30, "red", 4, 1, 120);
@@ -179,9 +179,9 @@
 }
 
 static gboolean
-alive (const SimMachine *m)
+alive (const SimMachine *machine)
 {
-  return !m->gone && !m->failed;
+  return !machine->gone && !machine->failed;
 }
 
 static double
@@ -270,7 +270,7 @@
   sim_run (sim, 400);
   for (guint node = 0; node < SIM_NODES; node++)
     {
-      kept = g_hash_table_size (sim->nodes[node].c->jobs->by_uid);
+      kept = g_hash_table_size (sim->nodes[node].controller->jobs->by_uid);
       g_assert_cmpuint (kept, ==, size.max_mirrored_ended);
     }
   for (guint i = 0; i < sim->jobs->len; i += 7)
@@ -293,18 +293,18 @@
     {
       Sim *sim = sim_new (seed);
       SimJob *service = add_service (sim, 2, "red", 4, 2, 60);
-      SimMachine *m;
+      SimMachine *machine;
       add_service (sim, 4, "blue", 2, 1, 200);
       sim_run (sim, 60 - g_rand_double_range (sim->rand, 0, 3));
-      m = machine_with_tasks (sim);
+      machine = machine_with_tasks (sim);
       if (seed % 2)
-        m->taken_at = sim->now + 5;
+        machine->taken_at = sim->now + 5;
       else
-        m->hung = TRUE;
+        machine->hung = TRUE;
       if (seed % 3 == 0)
         sim_at (sim, sim->now + g_rand_double_range (sim->rand, 0, 3), crash_one, NULL);
       sim_run (sim, 60 + g_rand_double_range (sim->rand, 2, 14));
-      m->hung = FALSE; /* it goes on, within its lease or after it */
+      machine->hung = FALSE; /* it goes on, within its lease or after it */
       start_all (sim, NULL);
       sim_run (sim, 120);
       g_assert_true (service->told_cancelled);
@@ -330,11 +330,11 @@
       sim->closed_zone = "za";
       for (guint i = 0; i < sim->machines->len; i++)
         {
-          SimMachine *m = sim->machines->pdata[i];
-          if (!g_str_equal (m->zone, "za"))
+          SimMachine *machine = sim->machines->pdata[i];
+          if (!g_str_equal (machine->zone, "za"))
             continue;
-          m->failed = TRUE;
-          g_ptr_array_set_size (m->tasks, 0);
+          machine->failed = TRUE;
+          g_ptr_array_set_size (machine->tasks, 0);
         }
       for (guint t = 41; t < 120; t++)
         {
@@ -359,22 +359,22 @@
     {
       Sim *sim = sim_new (seed);
       SimJob *service = add_service (sim, 2, "red", 6, 2, 200);
-      SimMachine *m;
+      SimMachine *machine;
       service->spread = FALSE;
       service->same_zone = TRUE;
       sim_run (sim, 40);
       g_assert_cmpuint (MAX (sim_running (sim, service, "za"), sim_running (sim, service, "zb")), ==, 6);
-      m = machine_with_tasks (sim);
+      machine = machine_with_tasks (sim);
       for (guint i = 0; i < sim->machines->len; i++)
         {
           SimMachine *other = sim->machines->pdata[i];
-          if (seed % 2 ? other != m : !g_str_equal (other->zone, m->zone))
+          if (seed % 2 ? other != machine : !g_str_equal (other->zone, machine->zone))
             continue;
           other->failed = TRUE;
           g_ptr_array_set_size (other->tasks, 0);
         }
       if (seed % 2 == 0)
-        sim->closed_zone = m->zone;
+        sim->closed_zone = machine->zone;
       sim_run (sim, 120);
       g_assert_cmpuint (MAX (sim_running (sim, service, "za"), sim_running (sim, service, "zb")), ==, 6);
       sim->calm_at = 120;
@@ -421,7 +421,7 @@
     {
       Sim *sim = sim_new (seed);
       SimJob *service, *batch = sim_add_job (sim, 1, "blue", 10, 1, 200);
-      HzbController *c;
+      HzbController *controller;
       HzbJob *known = NULL;
       guint leader;
       double since;
@@ -429,27 +429,27 @@
       sim_run (sim, 40);
       service = add_service (sim, 40, "red", 4, 1, 400);
       leader = (guint) sim_leader (sim);
-      c = sim->nodes[leader].c;
+      controller = sim->nodes[leader].controller;
       while (!known || !known->released)
         {
           sim_run (sim, sim->now + 0.05);
-          known = hzb_jobs_find (c->jobs, service->uid);
+          known = hzb_jobs_find (controller->jobs, service->uid);
         }
       sim_crash (sim, leader);
       for (guint i = 0; i < sim->machines->len; i++)
         {
-          SimMachine *m = sim->machines->pdata[i];
-          m->cut = m->spot;
+          SimMachine *machine = sim->machines->pdata[i];
+          machine->cut = machine->spot;
         }
       since = sim->now;
-      while (sim_leader (sim) < 0 || sim->nodes[sim_leader (sim)].c->ownership < HZB_OWNERSHIP_RECOVERING)
+      while (sim_leader (sim) < 0 || sim->nodes[sim_leader (sim)].controller->ownership < HZB_OWNERSHIP_RECOVERING)
         sim_run (sim, sim->now + 0.1);
       since = sim->now;
       sim_run (sim, since + 8); /* workers give a leader up after 4 s */
       g_assert_cmpuint (sim_running (sim, service, NULL), ==, 4);
-      c = sim->nodes[sim_leader (sim)].c;
-      g_assert_cmpint (c->ownership, ==, HZB_OWNERSHIP_RECOVERING);
-      g_assert_cmpuint (hzb_jobs_find (c->jobs, batch->uid)->unknown, >, 0);
+      controller = sim->nodes[sim_leader (sim)].controller;
+      g_assert_cmpint (controller->ownership, ==, HZB_OWNERSHIP_RECOVERING);
+      g_assert_cmpuint (hzb_jobs_find (controller->jobs, batch->uid)->unknown, >, 0);
       sim_start (sim, leader);
       sim_run (sim, sim->now + 5);
       for (guint i = 0; i < sim->machines->len; i++)
