--- a/tests/sim-cluster.h
+++ b/tests/sim-cluster.h
@@ -22,7 +22,7 @@
   guint life;
   gboolean cut_store, cut_peers, cut_workers, refused;
   gboolean old;    /* says and answers nothing that version 1 did not */
-  gboolean stands; /* still, while its clock runs on; what comes meanwhile it takes up on waking */
+  gboolean paused; /* still, while its clock runs on; what comes meanwhile it takes up on waking */
   GPtrArray *late; /* what came */
 } SimNode;
 
--- /dev/null
+++ b/tests/sim-network.c
@@ -0,0 +1,215 @@
+/* Calls between hosts: delays, losses, cuts, late copies, and processes that stand still. */
+#include "sim-internal.h"
+
+#include <string.h>
+
+static void
+call_unref (SimCall *call)
+{
+  if (--call->refs)
+    return;
+  g_free (call->method);
+  g_free (call->addr);
+  g_free (call->path);
+  g_free (call->body);
+  g_free (call->reply);
+  g_free (call);
+}
+
+static void
+call_finish (Sim *sim, SimCall *call, guint status, const char *body)
+{
+  SimNode *node = &sim->nodes[call->node];
+  if (call->over)
+    return;
+  call->over = TRUE;
+  if (node->controller && node->life == call->life)
+    call->done (status, body ? body : "", body ? strlen (body) : 0, call->user);
+}
+
+static void
+on_timeout (Sim *sim, gpointer data)
+{
+  if (sim_node_paused (&sim->nodes[((SimCall *) data)->node], on_timeout, data))
+    return;
+  call_finish (sim, data, 0, NULL);
+  call_unref (data);
+}
+
+/* Kept until the node wakes; TRUE: it stands. */
+gboolean
+sim_node_paused (SimNode *node, void (*run) (Sim *sim, gpointer data), gpointer data)
+{
+  SimEvent *late;
+  if (!node->controller || !node->paused)
+    return FALSE;
+  late = g_new0 (SimEvent, 1);
+  late->run = run;
+  late->data = data;
+  g_ptr_array_add (node->late, late);
+  return TRUE;
+}
+
+void
+sim_wake (Sim *sim, guint at)
+{
+  SimNode *node = &sim->nodes[at];
+  g_autoptr (GPtrArray) late = node->late;
+  node->late = g_ptr_array_new_with_free_func (g_free);
+  node->paused = FALSE;
+  for (guint i = 0; i < late->len; i++)
+    ((SimEvent *) late->pdata[i])->run (sim, ((SimEvent *) late->pdata[i])->data);
+}
+
+static void
+on_answer (Sim *sim, gpointer data)
+{
+  SimCall *call = data;
+  if (sim_node_paused (&sim->nodes[call->node], on_answer, call))
+    return;
+  call_finish (sim, call, call->status, call->reply);
+  call_unref (call);
+}
+
+double
+sim_delay (Sim *sim)
+{
+  return g_rand_double_range (sim->rand, 0.001, 0.01);
+}
+
+static gboolean
+is_cut (Sim *sim, const SimCall *call)
+{
+  const SimNode *node = &sim->nodes[call->node];
+  gboolean store = g_str_equal (call->addr, SIM_STORE_ADDRESS), cloud = g_str_equal (call->addr, SIM_CLOUD_ADDRESS);
+  if (store)
+    return node->cut_store;
+  if (cloud)
+    return FALSE;
+  return node->cut_peers || sim->nodes[call->addr[7] - '1'].cut_peers;
+}
+
+/* Takes body and the call's part of the way back. */
+void
+sim_answer (Sim *sim, SimCall *call, guint status, char *body)
+{
+  call->status = status;
+  call->reply = body;
+  if (sim_chance (sim, sim->lose) || is_cut (sim, call))
+    call_unref (call);
+  else
+    sim_at (sim, sim->now + sim_delay (sim), on_answer, call);
+}
+
+/* What a process of version 1 never said. */
+static char *
+as_version_1 (const char *body)
+{
+  cJSON *root = cJSON_Parse (body ? body : "");
+  char *text;
+  cJSON_DeleteItemFromObject (root, "format");
+  cJSON_DeleteItemFromObject (root, "cancelled");
+  cJSON_DeleteItemFromObject (root, "heard");
+  text = cJSON_PrintUnformatted (root);
+  cJSON_Delete (root);
+  return text;
+}
+
+static void
+peer_reply (HzbExchange *exchange, guint status, const char *body, guint retry)
+{
+  gpointer *pair = exchange->impl;
+  {
+    Sim *sim = pair[0];
+    SimCall *call = pair[1];
+    gboolean old = sim->nodes[call->addr[7] - '1'].old;
+    sim_answer (sim, call, status, old ? as_version_1 (body) : g_strdup (body));
+  }
+  g_free (pair);
+}
+
+static void
+on_arrival (Sim *sim, gpointer data)
+{
+  SimCall *call = data;
+  if (g_str_equal (call->addr, SIM_STORE_ADDRESS))
+    sim_store_request (sim, call);
+  else if (g_str_equal (call->addr, SIM_CLOUD_ADDRESS))
+    sim_cloud_request (sim, call);
+  else
+    {
+      SimNode *target = &sim->nodes[call->addr[7] - '1'];
+      HzbExchange *exchange;
+      gpointer *pair;
+      if (!target->controller)
+        {
+          sim_answer (sim, call, 0, NULL);
+          return;
+        }
+      if (sim_node_paused (target, on_arrival, call))
+        return;
+      exchange = g_new0 (HzbExchange, 1);
+      pair = g_new0 (gpointer, 2);
+      pair[0] = sim;
+      pair[1] = call;
+      exchange->method = g_strdup (call->method);
+      exchange->path = g_strdup (call->path);
+      exchange->body = g_strdup (call->body ? call->body : "");
+      exchange->length = strlen (exchange->body);
+      exchange->reply = peer_reply;
+      exchange->impl = pair;
+      hzb_controller_peer_request (exchange, target->controller);
+    }
+}
+
+/* The same message, whose answer nobody hears. */
+static SimCall *
+unheard_copy (const SimCall *call)
+{
+  SimCall *copy = g_new0 (SimCall, 1);
+  copy->node = call->node;
+  copy->life = G_MAXUINT;
+  copy->method = g_strdup (call->method);
+  copy->addr = g_strdup (call->addr);
+  copy->path = g_strdup (call->path);
+  copy->body = g_strdup (call->body);
+  copy->refs = 1;
+  return copy;
+}
+
+void
+sim_send (HzbTransport *transport, const char *method, const char *addr, const char *path, char *body, guint timeout_ms,
+          HzbReplyFunc done, gpointer user)
+{
+  SimTransport *from = (SimTransport *) transport;
+  Sim *sim = from->world;
+  SimCall *call = g_new0 (SimCall, 1);
+  call->node = from->at;
+  call->life = from->life;
+  call->method = g_strdup (method);
+  call->addr = g_strdup (addr);
+  call->path = g_strdup (path);
+  call->body = body;
+  if (sim->nodes[from->at].old && !g_str_has_prefix (addr, "10.9."))
+    {
+      call->body = as_version_1 (body);
+      g_free (body);
+    }
+  call->done = done;
+  call->user = user;
+  call->refs = 1;
+  sim_at (sim, sim->now + timeout_ms / 1000.0, on_timeout, call);
+  if (sim_chance (sim, sim->lose) || is_cut (sim, call))
+    return;
+  if (!g_str_has_prefix (addr, "10.9.") && sim_chance (sim, sim->peer_copies))
+    sim_at (sim, sim->now + g_rand_double_range (sim->rand, 0.2, 30), on_arrival, unheard_copy (call));
+  if (g_str_equal (path, "/multi") && sim_chance (sim, sim->late_writes))
+    {
+      sim_at (sim, sim->now + g_rand_double_range (sim->rand, 2, 12), on_arrival, unheard_copy (call));
+      return;
+    }
+  call->refs++;
+  /* Held back: it is carried out long after its sender has given up. */
+  sim_at (sim, sim->now + (sim_chance (sim, sim->late) ? g_rand_double_range (sim->rand, 1, 9) : sim_delay (sim)),
+          on_arrival, call);
+}
--- /dev/null
+++ b/tests/sim-user.c
@@ -0,0 +1,184 @@
+/* Fakes of the users: each submits a job, asks about it and perhaps cancels it. */
+#include "sim-internal.h"
+
+#include <string.h>
+
+typedef struct
+{
+  SimJob *job;
+  enum
+  {
+    USER_SUBMITS,
+    USER_POLLS,
+    USER_CANCELS
+  } what;
+} UserCall;
+
+static void user_step (Sim *sim, gpointer data);
+
+void
+sim_told (Sim *sim, SimJob *job, guint status, const char *state)
+{
+  gboolean all = TRUE;
+  for (guint i = 0; i < job->n; i++)
+    all = all && job->finished[i];
+  if (status == 200 || status == 201 || status == 400 || status == 404 || status == 422)
+    job->answered_at = sim->now;
+  if (status == 200 || status == 201)
+    {
+      gboolean done = g_strcmp0 (state, "done") == 0, cancelled = g_strcmp0 (state, "cancelled") == 0;
+      if (!job->accepted)
+        job->accepted_at = sim->now;
+      job->accepted = TRUE;
+      if (!job->submitted)
+        sim_broken (sim, "invented", "%s", job->uid);
+      if (done && !all)
+        sim_broken (sim, "not_done", "%s is called done", job->uid);
+      if ((job->told_done && !done) || (job->told_cancelled && !cancelled) || (cancelled && !job->asked_cancel))
+        sim_broken (sim, "went_back", "%s is called %s", job->uid, state);
+      if (cancelled && !job->told_cancelled)
+        job->cancelled_at = sim->now;
+      job->told_done = job->told_done || done;
+      job->told_cancelled = job->told_cancelled || cancelled;
+    }
+  else if (status == 503 || status == 429)
+    {
+      sim->refused_services += job->service && !job->accepted;
+      return;
+    }
+  else if (job->accepted && (status == 404 || status == 400 || status == 422))
+    sim_broken (sim, "forgotten", "%s got %u", job->uid, status);
+}
+
+static void
+user_reply (HzbExchange *exchange, guint status, const char *body, guint retry)
+{
+  gpointer *pair = exchange->impl;
+  UserCall *call = pair[1];
+  cJSON *root = cJSON_Parse (body ? body : "");
+  sim_told (pair[0], call->job, status, hzb_json_text (root, "status"));
+  cJSON_Delete (root);
+  g_free (call);
+  g_free (pair);
+}
+
+static void
+user_arrives (Sim *sim, gpointer data)
+{
+  UserCall *call = data;
+  SimJob *job = call->job;
+  guint at = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
+  HzbExchange *exchange;
+  gpointer *pair;
+  if (!sim->nodes[at].controller)
+    {
+      g_free (call);
+      return;
+    }
+  if (sim->nodes[at].paused)
+    {
+      g_free (call); /* the user gives it up */
+      return;
+    }
+  exchange = g_new0 (HzbExchange, 1);
+  pair = g_new0 (gpointer, 2);
+  pair[0] = sim;
+  pair[1] = call;
+  exchange->reply = user_reply;
+  exchange->impl = pair;
+  exchange->method = g_strdup (call->what == USER_POLLS ? "GET" : "POST");
+  exchange->body = g_strdup ("");
+  if (call->what == USER_SUBMITS)
+    {
+      g_autofree char *types = job->type ? g_strdup_printf ("[\"%s\"]", job->type) : g_strdup ("null");
+      g_autofree char *zone = job->zone ? g_strdup_printf ("\"%s\"", job->zone) : g_strdup ("null");
+      exchange->path = g_strdup ("/api/jobs");
+      g_free (exchange->body);
+      exchange->body = g_strdup_printf (
+          "{\"uid\":\"%s\",\"lane\":\"%s\",\"owner\":\"%s\",\"shape\":\"%s\",\"urgency\":\"%s\",\"pieces\":%u,"
+          "\"cpus\":%g,\"gpus\":0,\"ramGb\":1,\"bundle\":\"img\",\"sizeGb\":0.5,\"flavors\":%s,\"yard\":%s,"
+          "\"samePlace\":%s,\"spread\":%s,\"loaners\":%s,\"expectS\":%g,\"snapshotEveryS\":0,\"snapshotS\":0}",
+          job->uid, job->job_class, job->team,
+          job->gang      ? "ensemble"
+          : job->service ? "standing"
+                         : "sweep",
+          job->service                               ? "production"
+          : g_str_equal (job->job_class, "pressing") ? "urgent"
+                                                     : "normal",
+          job->n, job->cpus, types, zone, job->same_zone ? "true" : "false", job->spread ? "true" : "false",
+          job->spot ? "true" : "false", job->service ? 0 : job->run_s);
+      job->submitted = TRUE;
+    }
+  else
+    exchange->path = g_strdup_printf ("/api/jobs/%s%s", job->uid, call->what == USER_CANCELS ? "/cancel" : "");
+  if (call->what == USER_CANCELS)
+    job->asked_cancel = TRUE;
+  exchange->length = strlen (exchange->body);
+  hzb_controller_request (exchange, sim->nodes[at].controller);
+}
+
+static void
+user_step (Sim *sim, gpointer data)
+{
+  SimJob *job = data;
+  UserCall *call = g_new0 (UserCall, 1);
+  call->job = job;
+  call->what = !job->accepted ? USER_SUBMITS
+               : job->wants_cancel && !job->told_cancelled
+                       && sim->now > (job->cancel_at > 0 ? job->cancel_at : job->submit_at + 8)
+                       && !(job->polls_only && job->asked_cancel)
+                   ? USER_CANCELS
+               : sim_chance (sim, 0.1) ? USER_SUBMITS
+                                       : USER_POLLS;
+  sim_at (sim, sim->now + sim_delay (sim), user_arrives, call);
+  sim_at (sim, sim->now + g_rand_double_range (sim->rand, 1, 3), user_step, job);
+}
+
+SimJob *
+sim_add_job (Sim *sim, double at, const char *team, guint n, double cpus, double run_s)
+{
+  SimJob *job = g_new0 (SimJob, 1);
+  job->uid = g_strdup_printf ("run-%06u", 100000 + sim->jobs->len);
+  job->team = g_strdup (team);
+  job->n = n;
+  job->job_class = n % 3 == 0 ? "pressing" : "batch";
+  job->cpus = cpus;
+  job->run_s = run_s;
+  job->spot = TRUE;
+  job->submit_at = at;
+  job->finished = g_new0 (guchar, n);
+  g_ptr_array_add (sim->jobs, job);
+  g_hash_table_insert (sim->by_uid, job->uid, job);
+  sim_at (sim, at, user_step, job);
+  return job;
+}
+
+guint
+sim_unfinished (Sim *sim)
+{
+  guint n = 0;
+  for (guint i = 0; i < sim->jobs->len; i++)
+    {
+      const SimJob *job = sim->jobs->pdata[i];
+      n += !job->told_done && !job->told_cancelled;
+    }
+  return n;
+}
+
+guint
+sim_running (Sim *sim, const SimJob *job, const char *zone)
+{
+  guint n = 0;
+  for (guint i = 0; i < sim->machines->len; i++)
+    {
+      const SimMachine *machine = sim->machines->pdata[i];
+      for (guint k = 0; k < machine->tasks->len && !machine->gone && !machine->failed
+                        && (!zone || g_str_equal (machine->zone, zone));
+           k++)
+        {
+          const SimTask *task = machine->tasks->pdata[k];
+          n += task->state == 2 && g_str_equal (task->uid, job->uid);
+        }
+    }
+  return n;
+}
--- /dev/null
+++ b/tests/sim-worker.c
@@ -0,0 +1,372 @@
+/* Fakes of the workers, one to a machine: reports, leases, tasks. */
+#include "sim-internal.h"
+
+#include <math.h>
+#include <string.h>
+
+#define IN_FLIGHT_S 0.05 /* an answer with a start takes less */
+
+static const char *const state_names[] = { "fetching", "gathering", "running", "saving", "ended" };
+
+static void
+forget_tasks (SimMachine *machine)
+{
+  for (guint i = 0; i < machine->tasks->len; i++)
+    {
+      g_free (((SimTask *) machine->tasks->pdata[i])->uid);
+      g_free (machine->tasks->pdata[i]);
+    }
+  g_ptr_array_set_size (machine->tasks, 0);
+}
+
+static void
+end_task (SimTask *task, const char *why)
+{
+  task->state = 4;
+  g_strlcpy (task->why, why, sizeof task->why);
+}
+
+SimTask *
+sim_put_task (Sim *sim, SimMachine *machine, SimJob *job, guint number, guint64 attempt)
+{
+  SimTask *task = g_new0 (SimTask, 1);
+  task->uid = g_strdup (job->uid);
+  task->task = number;
+  task->attempt = attempt;
+  task->ready_at = sim->now + 0.5;
+  task->end_at = task->ready_at + job->run_s * g_rand_double_range (sim->rand, 0.6, 1.5);
+  g_ptr_array_add (machine->tasks, task);
+  sim->started++;
+  if (job->began_at <= 0)
+    job->began_at = sim->now;
+  return task;
+}
+
+/* spread: at most half of the tasks, rounded up, in one zone; the one just put there is counted. */
+static gboolean
+zone_has_place (Sim *sim, const SimJob *job, const SimMachine *machine)
+{
+  guint here = 0;
+  for (guint i = 0; i < sim->machines->len; i++)
+    {
+      const SimMachine *other = sim->machines->pdata[i];
+      for (guint k = 0; k < other->tasks->len && !other->gone; k++)
+        {
+          const SimTask *task = other->tasks->pdata[k];
+          here += task->state < 4 && g_str_equal (task->uid, job->uid) && g_str_equal (other->zone, machine->zone);
+        }
+    }
+  return here <= (job->n + 1) / 2;
+}
+
+/* samePlace: all tasks that are on a machine, or may be, are in one zone. */
+static gboolean
+in_one_zone (Sim *sim, const SimJob *job, const SimMachine *machine)
+{
+  for (guint i = 0; i < sim->machines->len; i++)
+    {
+      const SimMachine *other = sim->machines->pdata[i];
+      for (guint k = 0; k < other->tasks->len && !other->gone && !g_str_equal (other->zone, machine->zone); k++)
+        {
+          const SimTask *task = other->tasks->pdata[k];
+          if (task->state < 4 && g_str_equal (task->uid, job->uid))
+            return FALSE;
+        }
+    }
+  return TRUE;
+}
+
+void
+sim_start_task (Sim *sim, SimMachine *machine, const char *task_report, guint64 attempt)
+{
+  const char *slash = strrchr (task_report, '/');
+  g_autofree char *uid = g_strndup (task_report, (gsize) (slash - task_report));
+  guint number = (guint) g_ascii_strtoull (slash + 1, NULL, 10);
+  SimJob *job = sim_find_job (sim, uid);
+  double used = 0;
+  gboolean same = FALSE;
+  SimTask *task;
+  for (guint i = 0; i < machine->tasks->len; i++)
+    {
+      const SimTask *other = machine->tasks->pdata[i];
+      gboolean this_one = g_str_equal (other->uid, uid) && other->task == number;
+      if (this_one && other->attempt == attempt)
+        return;
+      if (other->state < 4)
+        {
+          used += sim_find_job (sim, other->uid)->cpus;
+          same = same || this_one;
+        }
+    }
+  if (!job)
+    return;
+  if (job->told_cancelled && sim->now > job->cancelled_at + IN_FLIGHT_S)
+    sim_broken (sim, "started_cancelled", "%s on %s", task_report, machine->name);
+  task = sim_put_task (sim, machine, job, number, attempt);
+  if (same)
+    end_task (task, "in_use");
+  else if (used + job->cpus > machine->cpus)
+    end_task (task, "full");
+  else if (job->spot == FALSE && machine->spot)
+    sim_broken (sim, "wrong_place", "%s on a spot machine", task_report);
+  else if (job->spread && !zone_has_place (sim, job, machine))
+    sim_broken (sim, "wrong_place", "%s: too many in %s", task_report, machine->zone);
+  else if (job->same_zone && !in_one_zone (sim, job, machine))
+    sim_broken (sim, "wrong_place", "%s in %s, others are in another zone", task_report, machine->zone);
+  else if ((job->zone && !g_str_equal (job->zone, machine->zone))
+           || (job->type && !g_str_equal (job->type, machine->type)))
+    sim_broken (sim, "wrong_place", "%s on %s in %s", task_report, machine->type, machine->zone);
+}
+
+static void
+carry_out (Sim *sim, SimMachine *machine, const cJSON *commands)
+{
+  const cJSON *order;
+  cJSON_ArrayForEach (order, commands)
+  {
+    const char *verb = hzb_json_text (order, "verb"), *task_report = hzb_json_text (order, "piece");
+    guint64 attempt = hzb_json_u64 (order, "try");
+    if (g_str_equal (verb, "run"))
+      {
+        sim_start_task (sim, machine, task_report, attempt);
+        continue;
+      }
+    for (guint i = 0; i < machine->tasks->len; i++)
+      {
+        SimTask *task = machine->tasks->pdata[i];
+        g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
+        if (!g_str_equal (name, task_report) || task->attempt != attempt)
+          continue;
+        if (g_str_equal (verb, "kill") && task->state < 4)
+          end_task (task, "stopped");
+        else if (g_str_equal (verb, "reap") && task->state == 4)
+          {
+            g_free (task->uid);
+            g_free (task);
+            g_ptr_array_remove_index (machine->tasks, i);
+            break;
+          }
+      }
+  }
+}
+
+static char *
+report_of (Sim *sim, SimMachine *machine)
+{
+  cJSON *root = cJSON_CreateObject (), *list;
+  char *text;
+  cJSON_AddStringToObject (root, "host", machine->name);
+  cJSON_AddStringToObject (root, "addr", "10.1.0.1:1");
+  cJSON_AddStringToObject (root, "flavor", machine->type);
+  cJSON_AddStringToObject (root, "yard", machine->zone);
+  cJSON_AddBoolToObject (root, "loaners", machine->spot);
+  hzb_json_add_u64 (root, "tenure", machine->session);
+  hzb_json_add_u64 (root, "tick", ++machine->seq);
+  hzb_json_add_u64 (root, "baton", machine->token);
+  if (machine->taken_at > 0)
+    cJSON_AddNumberToObject (root, "reclaimInS", machine->taken_at - sim->now);
+  list = cJSON_AddArrayToObject (root, "pieces");
+  for (guint i = 0; i < machine->tasks->len; i++)
+    {
+      const SimTask *task = machine->tasks->pdata[i];
+      cJSON *item = cJSON_CreateObject ();
+      g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
+      cJSON_AddStringToObject (item, "piece", name);
+      hzb_json_add_u64 (item, "try", task->attempt);
+      cJSON_AddStringToObject (item, "status", state_names[task->state]);
+      if (task->state == 4)
+        cJSON_AddStringToObject (item, "cause", task->why);
+      cJSON_AddItemToArray (list, item);
+    }
+  text = cJSON_PrintUnformatted (root);
+  cJSON_Delete (root);
+  return text;
+}
+
+typedef struct
+{
+  SimMachine *machine;
+  char *body;
+  guint number, node;
+  guint64 session;
+  double sent;
+  guint status;
+  gboolean over, copy;
+} Report;
+
+/* The answer, or that none came within 4 s. */
+static void
+report_over (Sim *sim, gpointer data)
+{
+  Report *r = data;
+  SimMachine *machine = r->machine;
+  cJSON *root;
+  if (machine->gone || machine->hung || !machine->asking || machine->report_number != r->number)
+    return; /* given up already: the late answer is dropped */
+  if (machine->cut)
+    r->status = 0;
+  machine->asking = FALSE;
+  root = r->status ? cJSON_Parse (r->body) : NULL;
+  if (r->status == 200)
+    {
+      guint64 token = hzb_json_u64 (root, "baton");
+      if (token >= machine->token && token > 0 && r->session == machine->session)
+        {
+          if (token > machine->token)
+            machine->next_report = MIN (machine->next_report, sim->now + 0.5);
+          machine->token = token;
+          machine->lease_from = r->sent;
+          carry_out (sim, machine, cJSON_GetObjectItem (root, "orders"));
+        }
+    }
+  else
+    {
+      const char *steward = r->status == 421 ? hzb_json_text (root, "steward") : NULL;
+      guint to = steward ? (guint) (steward[strlen (steward) - 1] - '0') : r->node;
+      machine->node = to != r->node ? to : (r->node + 1) % SIM_NODES;
+      machine->next_report = sim->now + (to != r->node ? 0.2 : 1);
+    }
+  cJSON_Delete (root);
+}
+
+static void
+worker_reply (HzbExchange *exchange, guint status, const char *body, guint retry)
+{
+  gpointer *pair = exchange->impl;
+  Sim *sim = pair[0];
+  Report *r = pair[1];
+  g_free (pair);
+  r->status = status;
+  r->body = g_strdup (body);
+  if (!r->copy && !r->machine->deaf && !sim_chance (sim, sim->lose) && !sim->nodes[r->node].cut_workers)
+    sim_at (sim, sim->now + sim_delay (sim), report_over, r);
+}
+
+static void
+report_arrives (Sim *sim, gpointer data)
+{
+  Report *r = data;
+  SimNode *node = &sim->nodes[r->node];
+  HzbExchange *exchange;
+  gpointer *pair;
+  if (!node->controller || node->cut_workers || sim_node_paused (node, report_arrives, r))
+    return;
+  exchange = g_new0 (HzbExchange, 1);
+  pair = g_new0 (gpointer, 2);
+  pair[0] = sim;
+  pair[1] = r;
+  exchange->method = g_strdup ("POST");
+  exchange->path = g_strdup ("/hello");
+  exchange->body = g_steal_pointer (&r->body);
+  exchange->length = strlen (exchange->body);
+  exchange->reply = worker_reply;
+  exchange->impl = pair;
+  hzb_controller_request (exchange, node->controller);
+}
+
+static void
+report_gives_up (Sim *sim, gpointer data)
+{
+  Report *r = data;
+  r->status = 0;
+  report_over (sim, r);
+}
+
+static void
+send_report (Sim *sim, SimMachine *machine)
+{
+  Report *r = g_new0 (Report, 1);
+  r->machine = machine;
+  r->body = report_of (sim, machine);
+  r->number = ++machine->report_number;
+  r->node = machine->node;
+  r->session = machine->session;
+  r->sent = sim->now;
+  machine->asking = TRUE;
+  machine->next_report = sim->now + sim->size.report_s * g_rand_double_range (sim->rand, 0.75, 1.25);
+  sim_at (sim, sim->now + 4, report_gives_up, r);
+  if (sim_chance (sim, sim->copies))
+    {
+      /* From seconds to well over a lease. */
+      Report *copy = g_new0 (Report, 1);
+      *copy = *r;
+      copy->body = g_strdup (r->body);
+      copy->copy = TRUE;
+      copy->node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
+      sim_at (sim, sim->now + g_rand_double_range (sim->rand, 1, 4 * sim->size.lease_s), report_arrives, copy);
+    }
+  if (!machine->cut && !sim_chance (sim, sim->lose))
+    sim_at (sim, sim->now + (sim_chance (sim, sim->late) ? g_rand_double_range (sim->rand, 1, 9) : sim_delay (sim)),
+            report_arrives, r);
+}
+
+void
+sim_machine_tick (Sim *sim, gpointer data)
+{
+  SimMachine *machine = data;
+  gboolean changed = FALSE;
+  if (machine->gone || machine->failed)
+    return;
+  sim_at (sim, sim->now + 0.25, sim_machine_tick, machine);
+  if (!machine->up)
+    {
+      machine->up = TRUE;
+      machine->lease_from = machine->next_report = sim->now;
+    }
+  if (sim->now - machine->lease_from > sim->size.lease_s)
+    {
+      forget_tasks (machine); /* a hung machine's lease ends as well */
+      machine->session++;
+      machine->seq = 0;
+      machine->asking = FALSE;
+      machine->lease_from = sim->now;
+    }
+  if (machine->hung)
+    return;
+  for (guint i = 0; i < machine->tasks->len; i++)
+    {
+      SimTask *task = machine->tasks->pdata[i];
+      SimJob *job = sim_find_job (sim, task->uid);
+      if (job->gang && task->state >= 1 && task->state <= 2)
+        {
+          guint here = 0;
+          for (guint a = 0; a < sim->machines->len; a++)
+            {
+              const SimMachine *other = sim->machines->pdata[a];
+              for (guint k = 0; k < other->tasks->len && !other->gone; k++)
+                {
+                  const SimTask *mate = other->tasks->pdata[k];
+                  here += g_str_equal (mate->uid, task->uid) && mate->attempt == task->attempt
+                          && ((mate->state >= 1 && mate->state <= 2)
+                              || (mate->state == 4 && g_str_equal (mate->why, "done")));
+                }
+            }
+          if (task->state == 1 && here == job->n)
+            {
+              task->state = 2;
+              task->end_at = sim->now + job->run_s;
+            }
+          else if (task->state == 2 && here < job->n)
+            end_task (task, "mates_gone");
+        }
+      if (task->state == 0 && sim->now >= task->ready_at)
+        {
+          task->state = job->gang ? 1 : 2;
+          if (machine->sick || job->bad)
+            end_task (task, "error");
+        }
+      else if (task->state == 2 && sim->now >= task->end_at)
+        {
+          end_task (task, "done");
+          job->finished[task->task] = !job->service;
+          sim->ran++;
+        }
+      else
+        continue;
+      changed = TRUE;
+    }
+  if (changed)
+    machine->next_report = MIN (machine->next_report, sim->now + 0.3);
+  if (!machine->asking && sim->now >= machine->next_report)
+    send_report (sim, machine);
+}
--- a/tests/test-scale.c
+++ b/tests/test-scale.c
@@ -215,7 +215,7 @@
   Sim *sim = large_world (14, 900, 120, 40);
   int old = sim_leader (sim);
   g_assert_cmpint (old, !=, -1);
-  sim->nodes[old].stands = TRUE;
+  sim->nodes[old].paused = TRUE;
   sim_run (sim, sim->now + 22);
   sim_wake (sim, (guint) old);
   sim_run (sim, sim->now + 3);
@@ -223,7 +223,7 @@
   g_assert_cmpint (sim_leader (sim), !=, -1);
   /* And a lessee. */
   old = (sim_leader (sim) + 1) % SIM_NODES;
-  sim->nodes[old].stands = TRUE;
+  sim->nodes[old].paused = TRUE;
   sim_run (sim, sim->now + 13);
   sim_wake (sim, (guint) old);
   sim_run (sim, sim->now + 30);
