--- a/src/cancellations.c
+++ b/src/cancellations.c
@@ -59,7 +59,7 @@
 static gboolean
 mirror_has (HzbController *controller, const HzbJob *job)
 {
-  return job->version && controller->revision >= job->version;
+  return job->version && hzb_mirror_revision (controller->mirror) >= job->version;
 }
 
 /* The owner's own view: nothing of the job can be where this cancellation is not known. */
@@ -191,7 +191,7 @@
 hzb_cancellations_acknowledged_revision (HzbCancellations *cancellations)
 {
   HzbController *controller = cancellations->controller;
-  guint64 clear = controller->revision;
+  guint64 clear = hzb_mirror_revision (controller->mirror);
 
   if (controller->ownership < HZB_OWNERSHIP_RECOVERING)
     return 0;
--- a/src/controller.c
+++ b/src/controller.c
@@ -3,13 +3,10 @@
 #include <math.h>
 #include <string.h>
 
-#define WATCH_MS 2000
-#define LEASE_SLACK_S 1.0 /* beyond the lease and the drift of clocks */
+#define STORE_SILENT_S (HZB_MIRROR_WATCH_MS / 1000.0 + 1) /* longer than a watch takes */
 
 /* ---- the mirror ---- */
 
-static void mirror_step (HzbController *controller);
-
 void
 hzb_controller_apply_record (HzbController *controller, const HzbItem *item)
 {
@@ -35,162 +32,66 @@
     hzb_election_apply_record (controller->election, item);
 }
 
-static void
-on_loaded (HzbStoreResult result, const char *body, gpointer user)
-{
-  HzbController *controller = user;
-  gboolean more = FALSE;
-  guint64 revision = 0;
-  g_autoptr (GArray) items = result == HZB_STORE_OK ? hzb_wire_parse_range (body, &more, &revision) : NULL;
-
-  if (!items)
-    {
-      controller->mirror = HZB_MIRROR_EMPTY;
-      controller->mirror_next = hzb_time_plus (hzb_clock_now (controller->clock), 0.4);
-      return;
-    }
-  if (!controller->mirror_load_cursor)
-    controller->mirror_load_revision = revision;
-  for (guint i = 0; i < items->len; i++)
-    {
-      HzbItem *item = &g_array_index (items, HzbItem, i);
-      if (g_str_equal (item->key, HZB_KEY_LEADER) || g_str_equal (item->key, HZB_KEY_LEADER_2))
-        controller->mirror_load_saw_leader = controller->mirror_load_saw_leader || hzb_json_u64 (item->value, "lease");
-      hzb_controller_apply_record (controller, item);
-      g_free (controller->mirror_load_cursor);
-      controller->mirror_load_cursor = g_strdup (item->key);
-    }
-  if (more && items->len)
-    {
-      hzb_store_range (controller->store, HZB_KEY_MIRROR, controller->mirror_load_cursor, on_loaded, controller);
-      return;
-    }
-  if (!controller->mirror_load_saw_leader)
-    {
-      HzbItem none = { (char *) HZB_KEY_LEADER, NULL, controller->mirror_load_revision };
-      hzb_election_apply_record (controller->election, &none);
-    }
-  hzb_dispatch_clear_indexes (controller->dispatch);
-  hzb_jobs_load_end (controller->jobs);
-  controller->revision = controller->mirror_load_revision;
-  controller->mirror = HZB_MIRROR_FOLLOWING;
-  controller->mirror_fresh = hzb_clock_now (controller->clock);
-  g_message ("the mirror has been read, at revision %" G_GUINT64_FORMAT, controller->revision);
-  mirror_step (controller);
-}
-
-/* Too far behind: all is read anew. Who has missed so much can't tell which of the jobs that it holds are over. */
-void
-hzb_controller_reset_mirror (HzbController *controller)
+/* What is owned is given up first: a job that is over must not be taken for open because of it. */
+static gboolean
+mirror_may_load (gpointer user)
 {
-  controller->mirror = HZB_MIRROR_EMPTY;
-  hzb_election_step_down (controller->election, "the mirror is too far behind");
-  hzb_controller_end_leased (controller, "the mirror is too far behind");
+  return ((HzbController *) user)->ownership == HZB_OWNERSHIP_NONE;
 }
 
 static void
-on_watched (HzbStoreResult result, const char *body, gpointer user)
+mirror_load_begin (gpointer user)
 {
   HzbController *controller = user;
-  guint64 revision = 0;
-  g_autoptr (GArray) items = result == HZB_STORE_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
-
-  controller->watching = FALSE;
-  if (result == HZB_STORE_ABSENT)
-    hzb_controller_reset_mirror (controller);
-  else if (!items)
-    controller->mirror_next = hzb_time_plus (hzb_clock_now (controller->clock), 0.3);
-  else
-    {
-      for (guint i = 0; i < items->len; i++)
-        hzb_controller_apply_record (controller, &g_array_index (items, HzbItem, i));
-      controller->revision = MAX (controller->revision, revision);
-      controller->mirror_fresh = hzb_clock_now (controller->clock);
-    }
-  mirror_step (controller);
+  controller->load_saw_leader = FALSE;
+  hzb_jobs_load_begin (controller->jobs);
 }
 
-typedef struct
-{
-  HzbController *controller;
-  HzbSyncFunc done;
-  gpointer user;
-} Sync;
-
 static void
-on_synced (HzbStoreResult result, const char *body, gpointer user)
+mirror_apply (const HzbItem *item, gpointer user)
 {
-  g_autofree Sync *sync = user;
-  HzbController *controller = sync->controller;
-  guint64 revision = 0;
-  g_autoptr (GArray) items = result == HZB_STORE_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
-
-  for (guint i = 0; items && i < items->len; i++)
-    hzb_controller_apply_record (controller, &g_array_index (items, HzbItem, i));
-  if (items)
-    controller->revision = MAX (controller->revision, revision);
-  sync->done (items != NULL, sync->user);
+  HzbController *controller = user;
+  if (g_str_equal (item->key, HZB_KEY_LEADER) || g_str_equal (item->key, HZB_KEY_LEADER_2))
+    controller->load_saw_leader = controller->load_saw_leader || hzb_json_u64 (item->value, "lease");
+  hzb_controller_apply_record (controller, item);
 }
 
-/* A watch that does not wait brings all that has changed up to now. */
-void
-hzb_controller_sync (HzbController *controller, HzbSyncFunc done, gpointer user)
+static void
+mirror_load_end (guint64 revision, gpointer user)
 {
-  Sync *sync;
-  if (controller->mirror != HZB_MIRROR_FOLLOWING)
+  HzbController *controller = user;
+  if (!controller->load_saw_leader)
     {
-      done (FALSE, user);
-      return;
+      HzbItem none = { (char *) HZB_KEY_LEADER, NULL, revision };
+      hzb_election_apply_record (controller->election, &none);
     }
-  sync = g_new0 (Sync, 1);
-  sync->controller = controller;
-  sync->done = done;
-  sync->user = user;
-  hzb_store_news (controller->store, HZB_KEY_MIRROR, controller->revision, on_synced, sync);
+  hzb_dispatch_clear_indexes (controller->dispatch);
+  hzb_jobs_load_end (controller->jobs);
 }
 
+/* A node that has missed so much can't tell which of the jobs that it owns are over. */
 static void
-mirror_step (HzbController *controller)
+mirror_lost (gpointer user)
 {
-  if (hzb_time_before (hzb_clock_now (controller->clock), controller->mirror_next))
-    return;
-  if (controller->mirror == HZB_MIRROR_EMPTY)
-    {
-      if (controller->ownership != HZB_OWNERSHIP_NONE)
-        return; /* what is held is given up first: a job that is over must not be taken for open because of it */
-      controller->mirror = HZB_MIRROR_LOADING;
-      controller->mirror_load_saw_leader = FALSE;
-      hzb_jobs_load_begin (controller->jobs);
-      g_clear_pointer (&controller->mirror_load_cursor, g_free);
-      hzb_store_range (controller->store, HZB_KEY_MIRROR, NULL, on_loaded, controller);
-    }
-  else if (controller->mirror == HZB_MIRROR_FOLLOWING && !controller->watching)
-    {
-      controller->watching = TRUE;
-      hzb_store_watch (controller->store, HZB_KEY_MIRROR, controller->revision, WATCH_MS, on_watched, controller);
-    }
+  HzbController *controller = user;
+  hzb_election_step_down (controller->election, "the mirror is too far behind");
+  hzb_controller_end_leased (controller, "the mirror is too far behind");
 }
 
-static gboolean
-mirror_is_fresh (HzbController *controller)
-{
-  return controller->mirror == HZB_MIRROR_FOLLOWING
-         && hzb_time_between (controller->mirror_fresh, hzb_clock_now (controller->clock)) < WATCH_MS / 1000.0 + 2;
-}
+static const HzbMirrorFuncs mirror_funcs = { mirror_may_load, mirror_load_begin, mirror_apply, mirror_load_end,
+                                             mirror_lost };
 
 /* It has not answered for longer than a watch takes: what has to be asked there is better refused at once. */
 gboolean
 hzb_controller_store_silent (HzbController *controller)
 {
-  return hzb_store_silence (controller->store) > WATCH_MS / 1000.0 + 1;
+  return hzb_store_silence (controller->store) > STORE_SILENT_S;
 }
 
 gboolean
 hzb_controller_ready (HzbController *controller)
 {
-  if (controller->mirror == HZB_MIRROR_EMPTY && !controller->revision)
-    return FALSE;
-  if (!controller->machines->types || (controller->mirror == HZB_MIRROR_LOADING && !controller->revision))
+  if (!controller->machines->types || !hzb_mirror_revision (controller->mirror))
     return FALSE;
   /* In an outage for all it makes no difference where users ask; alone, or cut off from the others as well, another
    * node serves them better. */
@@ -198,7 +99,7 @@
          || (hzb_peers_any_reachable (controller->peers) && !hzb_peers_any_reaches_store (controller->peers));
 }
 
-/* ---- holding the block ---- */
+/* ---- ownership ---- */
 
 HzbEpochCall *
 hzb_epoch_call_new (HzbController *controller, gpointer data)
@@ -260,6 +161,12 @@
   set_ownership (controller, HZB_OWNERSHIP_RECOVERING, "the records have been read");
 }
 
+void
+hzb_controller_recovered (HzbController *controller)
+{
+  set_ownership (controller, HZB_OWNERSHIP_READY, "every machine has answered or is gone");
+}
+
 /* Between being elected and reading what jobs there are, the mirror must have caught up with the term's
  * own record: a job that the predecessor could have started is in it then. */
 static void
@@ -364,170 +271,7 @@
                  hzb_epoch_call_new (controller, g_strdup (job->uid)));
 }
 
-/* ---- over time ---- */
-
-static void
-check_leases (HzbController *controller, struct timespec now)
-{
-  double over = controller->settings->lease_s * 1.002 + LEASE_SLACK_S;
-
-  if (!hzb_election_lease_valid (controller->election))
-    return; /* a newer owner could have renewed them */
-  for (guint i = 0; i < controller->machines->all->len; i++)
-    {
-      HzbMachine *machine = controller->machines->all->pdata[i];
-      if ((machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_DRAINING) && machine->verified
-          && hzb_time_between (machine->last_answer, now) > over)
-        {
-          hzb_machine_lose_tasks (controller->jobs, machine);
-          machine->over_session = machine->session;
-          hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_LEASE_EXPIRED, "its lease is over");
-        }
-      else if (machine->state == HZB_MACHINE_ACTIVE
-               && hzb_time_between (machine->last_report, now) > 3 * controller->settings->report_s
-               && hzb_machine_listed (machine))
-        hzb_machine_empty_lists (controller->jobs, machine); /* others may take what waits for a quiet machine */
-    }
-}
-
-/* A gang that has lost a task starts anew once all its tasks are gone: those that wait for the others are told
- * so, those that run notice it themselves. When one is done, all are, even one whose machine is lost. */
-static void
-maintain_gang (HzbController *controller, HzbJob *job)
-{
-  gboolean over = job->finished + job->done > 0;
-
-  if (!job->pending || job->pending == job->n_tasks)
-    return;
-  for (guint k = 0; k < job->n_tasks; k++)
-    {
-      HzbTask *task = &job->tasks[k];
-      if (over && task->state == HZB_TASK_PENDING && !job->placed)
-        hzb_task_set_state (controller->jobs, task, HZB_TASK_FINISHED, NULL);
-      else if (task->state == HZB_TASK_BOOKED)
-        hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
-      else if (!over && (task->state == HZB_TASK_FETCHING || task->state == HZB_TASK_WAITING))
-        task->stopping = TRUE;
-    }
-}
-
-static void
-maintain_jobs (HzbController *controller, struct timespec now)
-{
-  for (guint i = 0; i < controller->jobs->active->len; i++)
-    {
-      HzbJob *job = controller->jobs->active->pdata[i];
-      if (job->state == HZB_JOB_ACCEPTED)
-        {
-          if (job->spec->gang)
-            maintain_gang (controller, job);
-          if (job->finished + job->done == job->n_tasks)
-            hzb_controller_record_completion (controller, job);
-          continue;
-        }
-      hzb_leases_announce_cancellation (controller->leases, job);
-      for (guint k = 0; job->listed && k < job->n_tasks; k++)
-        if (job->tasks[k].state == HZB_TASK_LISTED)
-          hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
-      for (guint k = 0; job->placed && k < job->n_tasks; k++)
-        if (job->tasks[k].state == HZB_TASK_BOOKED)
-          hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
-      if (!job->placed && !job->unknown && !job->ending)
-        {
-          hzb_records_drop_job (controller->records, job);
-          hzb_jobs_retire (controller->jobs, job);
-          i--;
-        }
-    }
-}
-
-/* One line that tells an operator how the fleet stands, leased machines included. */
-static void
-log_summary (HzbController *controller)
-{
-  guint up = 0, leased = 0, booting = 0, other = 0;
-  double cpus = 0, spare = 0, booting_cpus = 0, running = 0, epoch_call = 0, waiting = 0;
-
-  for (guint i = 0; i < controller->machines->all->len; i++)
-    {
-      const HzbMachine *machine = controller->machines->all->pdata[i];
-      if ((machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_LEASED) && machine->type)
-        {
-          up++;
-          leased += machine->state == HZB_MACHINE_LEASED;
-          cpus += machine->type->cpus;
-          spare += machine->spare ? machine->type->cpus : 0;
-        }
-      else if (machine->state == HZB_MACHINE_BOOTING && machine->type)
-        {
-          booting++;
-          booting_cpus += machine->type->cpus;
-        }
-      else
-        other++;
-    }
-  for (guint i = 0; i < controller->jobs->active->len; i++)
-    {
-      const HzbJob *job = controller->jobs->active->pdata[i];
-      if (job->state != HZB_JOB_ACCEPTED)
-        continue;
-      waiting += (job->pending + job->listed) * job->spec->cpus;
-      epoch_call += job->placed * job->spec->cpus;
-      running += (job->running + job->delegated_running) * job->spec->cpus;
-    }
-  g_message (
-      "fleet: %u up, %u of them leased (%g CPUs: %g held, %g running; %g spare), %u booting (%g CPUs), %u other; %g CPUs' "
-      "worth wait; timers are %.0f ms late",
-      up, leased, cpus, epoch_call, running, spare, booting, booting_cpus, other, waiting,
-      controller->dispatch->lag_s * 1e3);
-}
-
-/* A task waits only for machines that could have been told to start it: a replica, say, for no spot machine. */
-static void
-resolve_unknown (HzbController *controller)
-{
-  if (controller->ownership != HZB_OWNERSHIP_RECOVERING && !hzb_jobs_any_unknown (controller->jobs))
-    return;
-  for (guint block = 0; block <= controller->settings->peers->len; block++)
-    {
-      g_autoptr (GPtrArray) unverified = hzb_machines_unverified_kinds (controller->machines, block);
-      for (guint i = 0; i < controller->jobs->active->len; i++)
-        {
-          HzbJob *job = controller->jobs->active->pdata[i];
-          if (job->unknown && !hzb_job_may_run_on_unverified (job, unverified))
-            hzb_job_resolve_unknown (controller->jobs, job, block);
-        }
-      if (block == HZB_UNKNOWN_TASKS_OF_LEADER && controller->ownership == HZB_OWNERSHIP_RECOVERING && !unverified->len)
-        set_ownership (controller, HZB_OWNERSHIP_READY, "every machine has answered or is gone");
-    }
-}
-
-static void
-owner_tick (HzbController *controller, struct timespec now)
-{
-  resolve_unknown (controller);
-  check_leases (controller, now);
-  maintain_jobs (controller, now);
-  if (!hzb_time_before (now, controller->next_plan))
-    {
-      controller->next_plan = hzb_time_plus (now, 1);
-      hzb_dispatch_consolidate (controller->dispatch, now);
-    }
-  if (!hzb_time_before (now, controller->next_summary))
-    {
-      controller->next_summary = hzb_time_plus (now, 10);
-      log_summary (controller);
-    }
-  if (!hzb_time_before (now, controller->next_dispatch))
-    {
-      controller->next_dispatch = hzb_time_plus (now, 0.2);
-      hzb_dispatch_run (controller->dispatch, now);
-      hzb_records_flush_soon (controller->records); /* of jobs that could start now */
-    }
-  hzb_records_flush_soon (controller->records);
-}
-
-/* ---- standing ---- */
+/* ---- connectivity ---- */
 
 /* Guards against a leader that only the workers can't reach: they are sent back to it by all others, until every
  * lease is over and all work is lost. That all machines fall silent together for any other reason is rare, and then a change
@@ -589,12 +333,12 @@
 
   hzb_store_pump (controller->store);
   hzb_cloud_pump (controller->cloud);
-  mirror_step (controller);
+  hzb_mirror_tick (controller->mirror);
   /* In a rollout the others are about to be replaced: whoever leads after them should be one that is not. */
   hzb_election_set_eager (controller->election, controller->format == HZB_FORMAT
                                                     && hzb_election_format (controller->election) < HZB_FORMAT
                                                     && hzb_peers_any_older_format (controller->peers));
-  hzb_election_tick (controller->election, mirror_is_fresh (controller));
+  hzb_election_tick (controller->election, hzb_mirror_is_fresh (controller->mirror));
   check_own_connectivity (controller);
   if (hzb_election_leading (controller->election))
     hzb_controller_end_leased (controller, "this node leads now");
@@ -602,7 +346,8 @@
       && hzb_token_leader (controller->block->token) != hzb_election_term (controller->election))
     end_ownership (controller); /* elected anew before the loss was seen */
   if (hzb_election_leading (controller->election) && controller->ownership == HZB_OWNERSHIP_NONE
-      && controller->mirror == HZB_MIRROR_FOLLOWING && hzb_election_term_mirrored (controller->election))
+      && hzb_mirror_state (controller->mirror) == HZB_MIRROR_FOLLOWING
+      && hzb_election_term_mirrored (controller->election))
     begin_ownership (controller);
   else if (!hzb_election_leading (controller->election) && controller->ownership > HZB_OWNERSHIP_LESSEE)
     end_ownership (controller);
@@ -625,7 +370,7 @@
       hzb_dispatch_consolidate (controller->dispatch, now);
     }
   if (controller->ownership >= HZB_OWNERSHIP_RECOVERING)
-    owner_tick (controller, now);
+    hzb_owner_tick (controller, now);
   hzb_provisioning_tick (controller->provisioning, now);
   hzb_peers_tick (controller->peers, now);
   hzb_cancellations_tick (controller->cancellations, now);
@@ -692,6 +437,7 @@
   controller->transport = transport;
   controller->rand = g_rand_new_with_seed (seed);
   controller->store = hzb_store_new (transport, clock, settings);
+  controller->mirror = hzb_mirror_new (controller->store, clock, HZB_KEY_MIRROR, &mirror_funcs, controller);
   controller->cloud = hzb_cloud_new (transport, clock, settings);
   controller->election = hzb_election_new (controller->store, clock, settings, controller->rand);
   controller->jobs = hzb_jobs_new (clock, settings);
@@ -734,7 +480,7 @@
   hzb_cloud_free (controller->cloud);
   hzb_store_free (controller->store);
   hzb_provisioning_free (controller->provisioning);
-  g_free (controller->mirror_load_cursor);
+  hzb_mirror_free (controller->mirror);
   g_free (controller->owner_load_cursor);
   g_rand_free (controller->rand);
   g_free (controller);
--- a/src/controller.h
+++ b/src/controller.h
@@ -10,6 +10,8 @@
 #include "http.h"
 #include "lessee.h"
 #include "metrics.h"
+#include "mirror.h"
+#include "owner.h"
 #include "peers.h"
 #include "provisioning.h"
 #include "records.h"
@@ -28,13 +30,6 @@
  * services can be accepted. Nothing that a version 1 would misread is written while one may be about. */
 #define HZB_FORMAT 2
 
-typedef enum
-{
-  HZB_MIRROR_EMPTY,
-  HZB_MIRROR_LOADING,
-  HZB_MIRROR_FOLLOWING
-} HzbMirrorState;
-
 /* What this node does as owner of the block. */
 typedef enum
 {
@@ -72,11 +67,8 @@
   HzbPeers *peers;
   HzbProvisioning *provisioning;
 
-  HzbMirrorState mirror;
-  guint64 revision, mirror_load_revision;
-  char *mirror_load_cursor;
-  gboolean mirror_load_saw_leader, watching;
-  struct timespec mirror_fresh, mirror_next;
+  HzbMirror *mirror;
+  gboolean load_saw_leader; /* the reading of all records under way has shown who leads */
 
   HzbOwnershipState ownership;
   guint64 ownership_epoch; /* told apart: answers to an earlier holding are dropped */
@@ -93,10 +85,6 @@
 void hzb_controller_request (HzbExchange *exchange, gpointer controller); /* users and workers */
 gboolean hzb_controller_ready (HzbController *controller);
 gboolean hzb_controller_store_silent (HzbController *controller);
-/* Brings the mirror up to this moment; FALSE: it could not be. */
-typedef void (*HzbSyncFunc) (gboolean fresh, gpointer user);
-void hzb_controller_sync (HzbController *controller, HzbSyncFunc done, gpointer user);
-void hzb_controller_reset_mirror (HzbController *controller);
 void hzb_controller_apply_record (HzbController *controller, const HzbItem *item);
 void hzb_controller_record_completion (HzbController *controller, HzbJob *job); /* all its tasks have finished */
 
@@ -115,3 +103,6 @@
 
 /** hzb_controller_end_leased: no more. Does nothing if it was not a lessee. */
 void hzb_controller_end_leased (HzbController *controller, const char *why);
+
+/** hzb_controller_recovered: every machine on record has answered the new leader, or is gone. */
+void hzb_controller_recovered (HzbController *controller);
--- a/src/lessee.c
+++ b/src/lessee.c
@@ -251,7 +251,8 @@
         hzb_controller_end_leased (controller, "the leader took the block back");
       else if (token
                && (controller->ownership == HZB_OWNERSHIP_LESSEE
-                   || (controller->ownership == HZB_OWNERSHIP_NONE && controller->mirror == HZB_MIRROR_FOLLOWING)))
+                   || (controller->ownership == HZB_OWNERSHIP_NONE
+                       && hzb_mirror_state (controller->mirror) == HZB_MIRROR_FOLLOWING)))
         {
           if (controller->ownership == HZB_OWNERSHIP_NONE)
             {
@@ -336,7 +337,7 @@
   for (guint i = 0; leader && i < controller->settings->peers->len; i++)
     if (g_str_equal (((HzbPeer *) controller->settings->peers->pdata[i])->node, leader))
       addr = ((HzbPeer *) controller->settings->peers->pdata[i])->address;
-  if (!addr || controller->mirror != HZB_MIRROR_FOLLOWING)
+  if (!addr || hzb_mirror_state (controller->mirror) != HZB_MIRROR_FOLLOWING)
     return;
   lessee->asking = TRUE;
   lessee->requests = now;
--- /dev/null
+++ b/src/owner.c
@@ -0,0 +1,166 @@
+#include "owner.h"
+
+#include "controller.h"
+
+#define LEASE_SLACK_S 1.0 /* beyond the lease and the drift of clocks */
+
+static void
+check_leases (HzbController *controller, struct timespec now)
+{
+  double over = controller->settings->lease_s * 1.002 + LEASE_SLACK_S;
+
+  if (!hzb_election_lease_valid (controller->election))
+    return; /* a newer owner could have renewed them */
+  for (guint i = 0; i < controller->machines->all->len; i++)
+    {
+      HzbMachine *machine = controller->machines->all->pdata[i];
+      if ((machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_DRAINING) && machine->verified
+          && hzb_time_between (machine->last_answer, now) > over)
+        {
+          hzb_machine_lose_tasks (controller->jobs, machine);
+          machine->over_session = machine->session;
+          hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_LEASE_EXPIRED, "its lease is over");
+        }
+      else if (machine->state == HZB_MACHINE_ACTIVE
+               && hzb_time_between (machine->last_report, now) > 3 * controller->settings->report_s
+               && hzb_machine_listed (machine))
+        hzb_machine_empty_lists (controller->jobs, machine); /* others may take what waits for a quiet machine */
+    }
+}
+
+/* A gang that has lost a task starts anew once all its tasks are gone: those that wait for the others are told
+ * so, those that run notice it themselves. When one is done, all are, even one whose machine is lost. */
+static void
+maintain_gang (HzbController *controller, HzbJob *job)
+{
+  gboolean over = job->finished + job->done > 0;
+
+  if (!job->pending || job->pending == job->n_tasks)
+    return;
+  for (guint k = 0; k < job->n_tasks; k++)
+    {
+      HzbTask *task = &job->tasks[k];
+      if (over && task->state == HZB_TASK_PENDING && !job->placed)
+        hzb_task_set_state (controller->jobs, task, HZB_TASK_FINISHED, NULL);
+      else if (task->state == HZB_TASK_BOOKED)
+        hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
+      else if (!over && (task->state == HZB_TASK_FETCHING || task->state == HZB_TASK_WAITING))
+        task->stopping = TRUE;
+    }
+}
+
+static void
+maintain_jobs (HzbController *controller, struct timespec now)
+{
+  for (guint i = 0; i < controller->jobs->active->len; i++)
+    {
+      HzbJob *job = controller->jobs->active->pdata[i];
+      if (job->state == HZB_JOB_ACCEPTED)
+        {
+          if (job->spec->gang)
+            maintain_gang (controller, job);
+          if (job->finished + job->done == job->n_tasks)
+            hzb_controller_record_completion (controller, job);
+          continue;
+        }
+      hzb_leases_announce_cancellation (controller->leases, job);
+      for (guint k = 0; job->listed && k < job->n_tasks; k++)
+        if (job->tasks[k].state == HZB_TASK_LISTED)
+          hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
+      for (guint k = 0; job->placed && k < job->n_tasks; k++)
+        if (job->tasks[k].state == HZB_TASK_BOOKED)
+          hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
+      if (!job->placed && !job->unknown && !job->ending)
+        {
+          hzb_records_drop_job (controller->records, job);
+          hzb_jobs_retire (controller->jobs, job);
+          i--;
+        }
+    }
+}
+
+/* One line that tells an operator how the fleet stands, leased machines included. */
+static void
+log_summary (HzbController *controller)
+{
+  guint up = 0, leased = 0, booting = 0, other = 0;
+  double cpus = 0, spare = 0, booting_cpus = 0, running = 0, epoch_call = 0, waiting = 0;
+
+  for (guint i = 0; i < controller->machines->all->len; i++)
+    {
+      const HzbMachine *machine = controller->machines->all->pdata[i];
+      if ((machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_LEASED) && machine->type)
+        {
+          up++;
+          leased += machine->state == HZB_MACHINE_LEASED;
+          cpus += machine->type->cpus;
+          spare += machine->spare ? machine->type->cpus : 0;
+        }
+      else if (machine->state == HZB_MACHINE_BOOTING && machine->type)
+        {
+          booting++;
+          booting_cpus += machine->type->cpus;
+        }
+      else
+        other++;
+    }
+  for (guint i = 0; i < controller->jobs->active->len; i++)
+    {
+      const HzbJob *job = controller->jobs->active->pdata[i];
+      if (job->state != HZB_JOB_ACCEPTED)
+        continue;
+      waiting += (job->pending + job->listed) * job->spec->cpus;
+      epoch_call += job->placed * job->spec->cpus;
+      running += (job->running + job->delegated_running) * job->spec->cpus;
+    }
+  g_message (
+      "fleet: %u up, %u of them leased (%g CPUs: %g held, %g running; %g spare), %u booting (%g CPUs), %u other; %g CPUs' "
+      "worth wait; timers are %.0f ms late",
+      up, leased, cpus, epoch_call, running, spare, booting, booting_cpus, other, waiting,
+      controller->dispatch->lag_s * 1e3);
+}
+
+/* A task waits only for machines that could have been told to start it: a replica, say, for no spot machine. */
+static void
+resolve_unknown (HzbController *controller)
+{
+  if (controller->ownership != HZB_OWNERSHIP_RECOVERING && !hzb_jobs_any_unknown (controller->jobs))
+    return;
+  for (guint block = 0; block <= controller->settings->peers->len; block++)
+    {
+      g_autoptr (GPtrArray) unverified = hzb_machines_unverified_kinds (controller->machines, block);
+      for (guint i = 0; i < controller->jobs->active->len; i++)
+        {
+          HzbJob *job = controller->jobs->active->pdata[i];
+          if (job->unknown && !hzb_job_may_run_on_unverified (job, unverified))
+            hzb_job_resolve_unknown (controller->jobs, job, block);
+        }
+      if (block == HZB_UNKNOWN_TASKS_OF_LEADER && controller->ownership == HZB_OWNERSHIP_RECOVERING && !unverified->len)
+        hzb_controller_recovered (controller);
+    }
+}
+
+void
+hzb_owner_tick (HzbController *controller, struct timespec now)
+{
+  resolve_unknown (controller);
+  check_leases (controller, now);
+  maintain_jobs (controller, now);
+  if (!hzb_time_before (now, controller->next_plan))
+    {
+      controller->next_plan = hzb_time_plus (now, 1);
+      hzb_dispatch_consolidate (controller->dispatch, now);
+    }
+  if (!hzb_time_before (now, controller->next_summary))
+    {
+      controller->next_summary = hzb_time_plus (now, 10);
+      log_summary (controller);
+    }
+  if (!hzb_time_before (now, controller->next_dispatch))
+    {
+      controller->next_dispatch = hzb_time_plus (now, 0.2);
+      hzb_dispatch_run (controller->dispatch, now);
+      hzb_records_flush_soon (controller->records); /* of jobs that could start now */
+    }
+  hzb_records_flush_soon (controller->records);
+}
--- a/src/user-api.c
+++ b/src/user-api.c
@@ -363,7 +363,7 @@
   while ((check = g_queue_pop_head (&api->syncs)))
     g_ptr_array_add (batch->entries, check);
   api->syncing++;
-  hzb_controller_sync (api->controller, on_synced, batch);
+  hzb_mirror_sync (api->controller->mirror, on_synced, batch);
 }
 
 /* Resolved by reading, never guessed. */
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -139,8 +139,7 @@
           sim_run (sim, 85);
           sim->nodes[1].cut_store = FALSE;
           if (sim->nodes[1].controller)
-            hzb_controller_reset_mirror (
-                sim->nodes[1].controller); /* as when the changes since are not kept any more */
+            hzb_mirror_reset (sim->nodes[1].controller->mirror); /* as when the changes since are not kept any more */
         }
       sim_run (sim, 112);
       start_all (sim, NULL);
