--- a/src/block-leases.c
+++ b/src/block-leases.c
@@ -13,6 +13,7 @@
  *
  * This file is the leader's part; lessee.c is the other side. */
 #include "controller.h"
+#include "levels.h"
 #include "outbox.h"
 
 #include <string.h>
@@ -483,7 +484,7 @@
           && !hzb_time_before (now, job->not_before))
         g_ptr_array_add (order, job);
     }
-  g_ptr_array_sort (order, hzb_dispatch_order);
+  g_ptr_array_sort (order, hzb_levels_compare);
   for (guint i = 0; i < order->len && room > 0 && n < MOST_PER_ANSWER; i++)
     {
       HzbJob *job = order->pdata[i];
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -1,3 +1,5 @@
+#include "gang.h"
+#include "levels.h"
 #include "preemption.h"
 #include "search.h"
 
@@ -6,10 +8,6 @@
 
 /* What lower-priority work on a machine counts for a task that could have it stopped. */
 #define PREEMPTIBLE_PART 0.3
-/* Where the least goes first, the largest would wait for as long as smaller ones keep coming. Users want the largest
- * to begin within four minutes: after half of that the first task of any job goes before all but urgent work. */
-#define OVERDUE_AFTER_S 120.0
-#define OVERDUE_LEVEL 5u
 
 HzbDispatch *
 hzb_dispatch_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings, GRand *rand)
@@ -169,224 +167,6 @@
     }
 }
 
-double
-hzb_job_slack_s (const HzbSettings *settings, const HzbJob *job, struct timespec now, double *aim)
-{
-  double mean = hzb_job_mean_s (job), age = hzb_time_between (job->since, now), least = INFINITY, allows = 120;
-
-  for (guint i = 0; i < settings->objectives->len; i++)
-    {
-      const HzbObjective *objective = settings->objectives->pdata[i];
-      double by;
-      if (g_strcmp0 (objective->job_class, job->spec->job_class) != 0)
-        continue;
-      if (g_str_equal (objective->kind, "finished"))
-        by = objective->within_s - 1.3 * mean;
-      else if (g_str_equal (objective->kind, "wait"))
-        by = objective->within_s;
-      else if (g_str_equal (objective->kind, "deadline") && job->spec->deadline_s > 0)
-        by = job->spec->deadline_s * MAX (objective->times, 1) - 1.3 * mean;
-      else
-        continue;
-      if (by > age && by - age < least)
-        {
-          least = by - age;
-          allows = by;
-        }
-    }
-  if (aim)
-    *aim = allows;
-  return isfinite (least) ? least : MAX (120 - 1.3 * mean, 10);
-}
-
-/* High priorities come first, then what a team is guaranteed, then what will miss its aim unless it starts
- * soon, then the rest by priority. */
-static guint
-level_of (const HzbSettings *settings, const HzbJob *job, struct timespec now)
-{
-  double aim, slack = hzb_job_slack_s (settings, job, now, &aim);
-  switch (job->spec->priority)
-    {
-    case HZB_PRIORITY_PRODUCTION:
-      return 7;
-    case HZB_PRIORITY_HIGH:
-      return job->guaranteed ? 6 : 5;
-    default:
-      if (job->guaranteed)
-        return job->spec->priority == HZB_PRIORITY_NORMAL ? 4 : 3;
-      /* Once pressing it stays so, or it would move back and forth as an aim is passed. */
-      if (job->level == 2 || slack < 0.25 * aim)
-        return 2;
-      return job->spec->priority == HZB_PRIORITY_NORMAL ? 1 : 0;
-    }
-}
-
-void
-hzb_dispatch_update_levels (HzbDispatch *dispatch, struct timespec now)
-{
-  guint n = dispatch->settings->teams->len;
-  g_autofree double *cpus = g_new0 (double, n), *gpus = g_new0 (double, n);
-
-  for (guint i = 0; i < dispatch->jobs->active->len; i++) /* by age */
-    {
-      HzbJob *job = dispatch->jobs->active->pdata[i];
-      const HzbTeam *team = dispatch->settings->teams->pdata[job->team];
-      guint level;
-      if (job->state != HZB_JOB_ACCEPTED)
-        continue;
-      job->mean_s = hzb_jobs_mean_s (dispatch->jobs, job);
-      /* Within its team's guarantee when it fits there together with the team's earlier unfinished jobs. */
-      cpus[job->team] += job->spec->cpus * job->n_tasks;
-      gpus[job->team] += job->spec->gpus * job->n_tasks;
-      job->guaranteed = cpus[job->team] <= team->cpus + 1e-6 && gpus[job->team] <= team->gpus + 1e-6;
-      level = level_of (dispatch->settings, job, now);
-      job->start_overdue = !(job->placed || job->finished || job->done || job->unknown || job->spec->gang)
-                           && hzb_time_between (job->since, now) > OVERDUE_AFTER_S;
-      if (job->start_overdue)
-        level = MAX (level, OVERDUE_LEVEL);
-      if (level != job->level)
-        {
-          /* What waits in lists goes through them anew. */
-          for (guint k = 0; job->listed && k < job->n_tasks; k++)
-            if (job->tasks[k].state == HZB_TASK_LISTED)
-              hzb_task_set_state (dispatch->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
-          job->level = (guint8) level;
-        }
-    }
-}
-
-/* Of a job that has to begin only one task goes first. */
-static gboolean
-overdue_start_placed (const HzbJob *job)
-{
-  return job->start_overdue && (job->listed || job->placed);
-}
-
-static double
-work_left (const HzbJob *job)
-{
-  return (job->pending + job->listed + job->unknown + 0.5 * job->placed) * hzb_job_mean_s (job)
-         * MAX (job->spec->cpus, 0.1);
-}
-
-/* Within a class first come, first served, except where many wait: of batch work the job with least left goes
- * first, since the aims count jobs that are over in time. What gets late is moved to a higher class. */
-gint
-hzb_dispatch_order (gconstpointer a, gconstpointer b)
-{
-  const HzbJob *x = *(HzbJob *const *) a, *y = *(HzbJob *const *) b;
-  int order = (int) y->level - (int) x->level;
-  if (order)
-    return order;
-  if (x->level <= 2)
-    {
-      double left = work_left (x), right = work_left (y);
-      if (left != right)
-        return left < right ? -1 : 1;
-    }
-  if (hzb_time_before (x->accepted, y->accepted))
-    return -1;
-  return hzb_time_before (y->accepted, x->accepted) ? 1 : strcmp (x->uid, y->uid);
-}
-
-/* ---- gangs ---- */
-
-/* A gang starts when there is room for all of it at once. */
-static gboolean
-place_gang (HzbDispatch *dispatch, HzbJob *job, struct timespec now)
-{
-  const HzbSpec *spec = job->spec;
-  GPtrArray *all = dispatch->machines->all;
-  g_autofree guint *taken = g_new0 (guint, all->len);
-  g_autoptr (GPtrArray) zones = g_ptr_array_new ();
-  const HzbBlock *block = dispatch->jobs->block;
-  guint n = job->n_tasks, half = (n + 1) / 2;
-
-  if (job->pending != n || job->released < n || hzb_time_before (now, job->not_before))
-    return FALSE;
-  if (!hzb_block_fits (block, job->team, spec->cpus * n, spec->gpus * n))
-    return FALSE;
-  for (guint i = 0; i < all->len; i++)
-    {
-      HzbMachine *machine = all->pdata[i];
-      gboolean known = FALSE;
-      for (guint z = 0; z < zones->len; z++)
-        known = known || g_str_equal (zones->pdata[z], machine->zone);
-      if (!known)
-        g_ptr_array_add (zones, machine->zone);
-    }
-  /* samePlace: each zone by itself; otherwise all zones together. */
-  for (guint z = 0; z < (spec->same_zone ? zones->len : 1); z++)
-    {
-      guint left = n;
-      g_autoptr (GHashTable) in_zone = g_hash_table_new (g_str_hash, g_str_equal);
-      memset (taken, 0, all->len * sizeof *taken);
-      while (left)
-        {
-          HzbMachine *best = NULL;
-          guint at = 0;
-          double least = INFINITY;
-          for (guint i = 0; i < all->len; i++)
-            {
-              HzbMachine *machine = all->pdata[i];
-              guint here = GPOINTER_TO_UINT (g_hash_table_lookup (in_zone, machine->zone));
-              double cost;
-              if (!hzb_machine_usable (machine) || !hzb_machine_allowed (machine, spec)
-                  || (spec->same_zone && !g_str_equal (zones->pdata[z], machine->zone))
-                  || (spec->spread && here >= half)
-                  || machine->cpus + spec->cpus * (taken[i] + 1) > machine->type->cpus + 1e-6
-                  || machine->gpus + spec->gpus * (taken[i] + 1) > machine->type->gpus + 1e-6
-                  || machine->memory + spec->memory_gb * (taken[i] + 1) > machine->type->memory_gb + 1e-6)
-                continue;
-              hzb_estimate_shift (&machine->estimates[job->level], now);
-              cost = hzb_estimate_mean (&machine->estimates[job->level]) + hzb_fetch_s (machine, spec);
-              if (cost < least)
-                {
-                  least = cost;
-                  best = machine;
-                  at = i;
-                }
-            }
-          if (!best)
-            break;
-          taken[at]++;
-          left--;
-          g_hash_table_insert (in_zone, best->zone,
-                               GUINT_TO_POINTER (GPOINTER_TO_UINT (g_hash_table_lookup (in_zone, best->zone)) + 1));
-        }
-      if (!left)
-        {
-          guint next = 0;
-          job->next_attempt++;
-          for (guint i = 0; i < all->len; i++)
-            for (guint k = 0; k < taken[i]; k++)
-              {
-                HzbTask *task = &job->tasks[next++];
-                task->attempt = job->next_attempt;
-                hzb_task_set_state (dispatch->jobs, task, HZB_TASK_BOOKED, all->pdata[i]);
-              }
-          job->cursor = n;
-          return TRUE;
-        }
-    }
-  return FALSE;
-}
-
-/* A gang that waits halts list starts of lower classes on machines it could use. */
-static gboolean
-halted_by_gang (HzbDispatch *dispatch, const HzbMachine *machine, guint level, struct timespec now)
-{
-  for (guint i = 0; dispatch->gang_waits && i < dispatch->jobs->active->len; i++)
-    {
-      const HzbJob *job = dispatch->jobs->active->pdata[i];
-      if (job->spec->gang && job->state == HZB_JOB_ACCEPTED && job->pending == job->n_tasks && job->level >= level
-          && !hzb_time_before (now, job->not_before) && hzb_machine_allowed (machine, job->spec)
-          && hzb_time_between (job->since, now) > 5)
-        return TRUE;
-    }
-  return FALSE;
-}
-
 /* Some machine of any block could take it. */
 static gboolean
 has_machine (HzbDispatch *dispatch, const HzbSpec *spec)
@@ -440,7 +220,7 @@
       HzbMachine *machine;
       if (sampled)
         hzb_search_look (&search, dispatch->sample);
-      machine = overdue_start_placed (job) ? NULL : hzb_search_best (&search);
+      machine = hzb_job_overdue_start_placed (job) ? NULL : hzb_search_best (&search);
       /* No machine, or even the least loaded has work for a while: it waits here, where what comes later and is
        * more pressing can still go first. Only what a machine could take is asked for, and so released. */
       if (!machine || listed_s (machine, job->level) > dispatch->list_ahead_s
@@ -465,7 +245,7 @@
   g_autofree double *cpus = g_new0 (double, n), *gpus = g_new0 (double, n);
   guint budget = dispatch->lagging ? 50 : 400, examined = LOOKS_PER_RUN;
 
-  hzb_dispatch_update_levels (dispatch, now);
+  hzb_levels_update (dispatch->jobs, dispatch->settings, now);
   index_usable_machines (dispatch);
   for (guint i = 0; i < dispatch->usable->len; i++)
     {
@@ -497,7 +277,7 @@
       dispatch->ahead_cpus[at] += waiting * job->spec->cpus;
       dispatch->ahead_gpus[at] += waiting * job->spec->gpus;
     }
-  g_ptr_array_sort (order, hzb_dispatch_order);
+  g_ptr_array_sort (order, hzb_levels_compare);
   for (guint i = 0; i < order->len; i++)
     {
       HzbJob *job = order->pdata[i];
@@ -516,7 +296,7 @@
         continue; /* a job that failed wherever it started is tried with one task at a time */
       if (spec->gang)
         {
-          place_gang (dispatch, job, now);
+          hzb_gang_place (dispatch, job, now);
           continue;
         }
       if (!hzb_block_fits (block, job->team, cpus[job->team] + spec->cpus, gpus[job->team] + spec->gpus))
@@ -653,7 +433,7 @@
             || (cached && !g_hash_table_contains (machine->images, job->spec->image))
             || !hzb_dispatch_team_may_use (dispatch, job))
           continue;
-        while (!overdue_start_placed (job) && hzb_machine_has_room (machine, job->spec)
+        while (!hzb_job_overdue_start_placed (job) && hzb_machine_has_room (machine, job->spec)
                && (task = hzb_job_next_pending (job, now)))
           {
             if (!may_start (dispatch, task, machine))
@@ -686,7 +466,7 @@
   for (gint level = HZB_N_LEVELS - 1; level >= 0 && has_some_room (dispatch, machine); level--)
     {
       gboolean held_up = FALSE;
-      if (halted_by_gang (dispatch, machine, (guint) level, now))
+      if (hzb_gang_blocks_machine (dispatch, machine, (guint) level, now))
         break;
       for (GList *l = machine->lists[level].head; l;)
         {
--- a/src/dispatch.h
+++ b/src/dispatch.h
@@ -40,7 +40,6 @@
 void hzb_dispatch_start_tasks (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands);
 /* A timer fired this much late: what the processor's share does not cover shows there first. */
 void hzb_dispatch_note_lag (HzbDispatch *dispatch, double late_s);
-gint hzb_dispatch_order (gconstpointer a, gconstpointer b); /* HzbJob**, the first served first */
 double hzb_job_mean_s (const HzbJob *job);
 /* Tasks that can save leave machines that are to go back and are half empty, where others have room for them. */
 void hzb_dispatch_consolidate (HzbDispatch *dispatch, struct timespec now);
@@ -48,8 +47,3 @@
 /* One more task of the job may be started: its team's limit allows it, besides what goes first. */
 gboolean hzb_dispatch_team_may_use (HzbDispatch *dispatch, const HzbJob *job);
 void hzb_dispatch_note_started (HzbDispatch *dispatch, const HzbJob *job); /* one more was */
-/* The classes of waiting work, from priorities, guarantees and what the aims leave of time. */
-void hzb_dispatch_update_levels (HzbDispatch *dispatch, struct timespec now);
-/* How long from now the job's tasks may start so that the nearest aim not yet missed is met; *aim gets what
- * the aim allows in all. Far ahead for a job without aims. */
-double hzb_job_slack_s (const HzbSettings *settings, const HzbJob *job, struct timespec now, double *aim);
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -2,7 +2,7 @@
  * where each task is. */
 #pragma once
 #include "block.h"
-#include "clock.h"
+#include "task.h"
 #include "wire.h"
 
 /* Room for tenants: main is the only one so far. Jobs are accepted many to a record; how each ends has one of its own. */
@@ -14,9 +14,6 @@
 /* Progress is kept in parts of so many tasks: a part has to fit a value. A part of another size says so. */
 #define HZB_CHUNK_OF_1 32768u /* of version 1, which says none */
 
-typedef struct _HzbMachine HzbMachine;
-typedef struct _HzbJob HzbJob;
-
 typedef enum
 {
   HZB_JOB_ACCEPTED,
@@ -24,39 +21,6 @@
   HZB_JOB_DONE
 } HzbJobState;
 
-typedef enum
-{
-  HZB_TASK_PENDING,     /* on no machine, in no list */
-  HZB_TASK_LISTED,      /* in a machine's list */
-  HZB_TASK_UNKNOWN,     /* may run on a machine that has not answered under our token */
-  HZB_TASK_OTHER_OWNER, /* in another block (on a lessee only) */
-  HZB_TASK_DELEGATED,   /* in a block that is leased to another controller, which may run it (on the leader only) */
-  HZB_TASK_BOOKED,      /* a place is held for it; the start order has not been sent */
-  HZB_TASK_STARTING,    /* a start order was sent; no newer report yet */
-  HZB_TASK_FETCHING,
-  HZB_TASK_WAITING,
-  HZB_TASK_RUNNING,
-  HZB_TASK_SAVING,
-  HZB_TASK_FINISHED, /* its result is known, not yet durable */
-  HZB_TASK_DONE,     /* durable */
-  HZB_TASK_N_STATES
-} HzbTaskState;
-
-typedef struct
-{
-  HzbJob *job;
-  HzbMachine *machine;
-  guint index;
-  guint8 state; /* HzbTaskState, changed by hzb_task_set_state() only */
-  guint8 tries;
-  guint8 lessee; /* 1 and up: whom it was delegated to */
-  gboolean stopping : 1;
-  guint seen; /* the machine's last round of reports that named it */
-  guint64 attempt;
-  struct timespec since;      /* in this state */
-  struct timespec not_before; /* after a failure */
-} HzbTask;
-
 /* A record of jobs that were accepted together. */
 typedef struct
 {
@@ -107,7 +71,7 @@
   double mean_s; /* the best guess of a task's run time, kept by hzb_dispatch_classes(); 0: the owner's */
 };
 
-typedef struct
+struct _HzbJobs
 {
   GHashTable *by_uid;       /* uid -> HzbJob */
   GHashTable *acceptances;  /* key -> HzbAcceptance */
@@ -121,7 +85,7 @@
   GHashTable *estimate_biases; /* class name -> double*, see hzb_jobs_observe() */
   guint chunk;                 /* tasks of a part */
   gboolean lessee;             /* of the jobs only what was delegated is in the block */
-} HzbJobs;
+};
 
 HzbJobs *hzb_jobs_new (HzbClock *clock, const HzbSettings *settings);
 void hzb_jobs_free (HzbJobs *jobs);
@@ -147,21 +111,13 @@
 void hzb_jobs_end_ownership (HzbJobs *jobs);
 void hzb_jobs_activate (HzbJobs *jobs, HzbJob *job);
 void hzb_jobs_retire (HzbJobs *jobs, HzbJob *job); /* nothing of it is anywhere any more */
-/* FALSE: the value makes no sense for the job. *ours: the part is one of those that would be written now. */
-gboolean hzb_job_read_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const cJSON *value, gboolean *ours);
-cJSON *hzb_job_pack_progress (const HzbJobs *jobs, const HzbJob *job, guint chunk);
-guint hzb_job_chunks (const HzbJobs *jobs, const HzbJob *job);
 /* Every machine that might hold them has answered or is gone: a job's unknown tasks of a leader before us (0), or of the
  * block of a lessee that was taken back (1 and up), wait again. */
 void hzb_job_resolve_unknown (HzbJobs *jobs, HzbJob *job, guint lessee);
 gboolean hzb_jobs_any_unknown (HzbJobs *jobs);
 
-gboolean hzb_task_set_state (HzbJobs *jobs, HzbTask *task, HzbTaskState to, HzbMachine *machine);
 /* A task ran for so long. Owners' estimates of a class may all lean one way, which the paper's known distribution
  * leaves no room for: the mean run time of a job is its owner's estimate, corrected by how its class has been
  * leaning. What a job's own tasks took is not used: the short ones end first. */
 void hzb_jobs_record_run_time (HzbJobs *jobs, HzbJob *job, double seconds);
 double hzb_jobs_mean_s (const HzbJobs *jobs, const HzbJob *job);
-gboolean hzb_task_on_machine (const HzbTask *task); /* holds a machine's room */
-const char *hzb_task_state_name (HzbTaskState state);
-HzbTask *hzb_job_next_pending (HzbJob *job, struct timespec now); /* takes it off; NULL: none may start */
--- /dev/null
+++ b/src/levels.c
@@ -0,0 +1,131 @@
+#include "levels.h"
+
+#include "dispatch.h"
+
+#include <math.h>
+#include <string.h>
+
+/* Where the least goes first, the largest would wait for as long as smaller ones keep coming. Users want the largest
+ * to begin within four minutes: after half of that the first task of any job goes before all but urgent work. */
+#define OVERDUE_AFTER_S 120.0
+#define OVERDUE_LEVEL 5u
+
+double
+hzb_job_slack_s (const HzbSettings *settings, const HzbJob *job, struct timespec now, double *aim)
+{
+  double mean = hzb_job_mean_s (job), age = hzb_time_between (job->since, now), least = INFINITY, allows = 120;
+
+  for (guint i = 0; i < settings->objectives->len; i++)
+    {
+      const HzbObjective *objective = settings->objectives->pdata[i];
+      double by;
+      if (g_strcmp0 (objective->job_class, job->spec->job_class) != 0)
+        continue;
+      if (g_str_equal (objective->kind, "finished"))
+        by = objective->within_s - 1.3 * mean;
+      else if (g_str_equal (objective->kind, "wait"))
+        by = objective->within_s;
+      else if (g_str_equal (objective->kind, "deadline") && job->spec->deadline_s > 0)
+        by = job->spec->deadline_s * MAX (objective->times, 1) - 1.3 * mean;
+      else
+        continue;
+      if (by > age && by - age < least)
+        {
+          least = by - age;
+          allows = by;
+        }
+    }
+  if (aim)
+    *aim = allows;
+  return isfinite (least) ? least : MAX (120 - 1.3 * mean, 10);
+}
+
+/* High priorities come first, then what a team is guaranteed, then what will miss its aim unless it starts
+ * soon, then the rest by priority. */
+static guint
+level_of (const HzbSettings *settings, const HzbJob *job, struct timespec now)
+{
+  double aim, slack = hzb_job_slack_s (settings, job, now, &aim);
+  switch (job->spec->priority)
+    {
+    case HZB_PRIORITY_PRODUCTION:
+      return 7;
+    case HZB_PRIORITY_HIGH:
+      return job->guaranteed ? 6 : 5;
+    default:
+      if (job->guaranteed)
+        return job->spec->priority == HZB_PRIORITY_NORMAL ? 4 : 3;
+      /* Once pressing it stays so, or it would move back and forth as an aim is passed. */
+      if (job->level == 2 || slack < 0.25 * aim)
+        return 2;
+      return job->spec->priority == HZB_PRIORITY_NORMAL ? 1 : 0;
+    }
+}
+
+void
+hzb_levels_update (HzbJobs *jobs, const HzbSettings *settings, struct timespec now)
+{
+  guint n = settings->teams->len;
+  g_autofree double *cpus = g_new0 (double, n), *gpus = g_new0 (double, n);
+
+  for (guint i = 0; i < jobs->active->len; i++) /* by age */
+    {
+      HzbJob *job = jobs->active->pdata[i];
+      const HzbTeam *team = settings->teams->pdata[job->team];
+      guint level;
+      if (job->state != HZB_JOB_ACCEPTED)
+        continue;
+      job->mean_s = hzb_jobs_mean_s (jobs, job);
+      /* Within its team's guarantee when it fits there together with the team's earlier unfinished jobs. */
+      cpus[job->team] += job->spec->cpus * job->n_tasks;
+      gpus[job->team] += job->spec->gpus * job->n_tasks;
+      job->guaranteed = cpus[job->team] <= team->cpus + 1e-6 && gpus[job->team] <= team->gpus + 1e-6;
+      level = level_of (settings, job, now);
+      job->start_overdue = !(job->placed || job->finished || job->done || job->unknown || job->spec->gang)
+                           && hzb_time_between (job->since, now) > OVERDUE_AFTER_S;
+      if (job->start_overdue)
+        level = MAX (level, OVERDUE_LEVEL);
+      if (level != job->level)
+        {
+          /* What waits in lists goes through them anew. */
+          for (guint k = 0; job->listed && k < job->n_tasks; k++)
+            if (job->tasks[k].state == HZB_TASK_LISTED)
+              hzb_task_set_state (jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
+          job->level = (guint8) level;
+        }
+    }
+}
+
+/* Of a job that has to begin only one task goes first. */
+gboolean
+hzb_job_overdue_start_placed (const HzbJob *job)
+{
+  return job->start_overdue && (job->listed || job->placed);
+}
+
+static double
+work_left (const HzbJob *job)
+{
+  return (job->pending + job->listed + job->unknown + 0.5 * job->placed) * hzb_job_mean_s (job)
+         * MAX (job->spec->cpus, 0.1);
+}
+
+/* Within a class first come, first served, except where many wait: of batch work the job with least left goes
+ * first, since the aims count jobs that are over in time. What gets late is moved to a higher class. */
+gint
+hzb_levels_compare (gconstpointer a, gconstpointer b)
+{
+  const HzbJob *x = *(HzbJob *const *) a, *y = *(HzbJob *const *) b;
+  int order = (int) y->level - (int) x->level;
+  if (order)
+    return order;
+  if (x->level <= 2)
+    {
+      double left = work_left (x), right = work_left (y);
+      if (left != right)
+        return left < right ? -1 : 1;
+    }
+  if (hzb_time_before (x->accepted, y->accepted))
+    return -1;
+  return hzb_time_before (y->accepted, x->accepted) ? 1 : strcmp (x->uid, y->uid);
+}
--- /dev/null
+++ b/src/levels.h
@@ -0,0 +1,26 @@
+/**
+ * SECTION: levels
+ * @short_description: the order in which waiting work is served
+ *
+ * Each job has a level, from its priority, its team's guarantee and how soon its aim would be missed. Higher levels are
+ * served first; within a level hzb_levels_compare() decides.
+ */
+#pragma once
+#include "jobs.h"
+
+/** hzb_levels_update: sets the level of every job of the owner, and its expected run time. */
+void hzb_levels_update (HzbJobs *jobs, const HzbSettings *settings, struct timespec now);
+
+/** hzb_levels_compare: sorts an array of #HzbJob, the first to be served first. */
+gint hzb_levels_compare (gconstpointer a, gconstpointer b);
+
+/**
+ * hzb_job_slack_s:
+ * @aim: (out) (nullable): what the nearest aim that is not yet missed allows in all
+ *
+ * Returns: how long from now the job's tasks may start so that this aim is met. Far ahead for a job without aims.
+ */
+double hzb_job_slack_s (const HzbSettings *settings, const HzbJob *job, struct timespec now, double *aim);
+
+/** hzb_job_overdue_start_placed: of a job whose start is overdue only one task goes first, and it has its place. */
+gboolean hzb_job_overdue_start_placed (const HzbJob *job);
--- a/src/records.c
+++ b/src/records.c
@@ -12,6 +12,7 @@
  * One transaction at a time. Each raises the flush record and is conditional on the version that the one before gave
  * it, so one that comes late fails: without that an older set of results could overwrite a newer one of the same term. */
 #include "controller.h"
+#include "job-progress.h"
 
 #include <string.h>
 
--- a/tests/support.h
+++ b/tests/support.h
@@ -1,6 +1,7 @@
 /* What several tests begin with. */
 #pragma once
 #include "dispatch.h"
+#include "levels.h"
 
 #include <string.h>
 
@@ -102,7 +103,7 @@
   job = hzb_jobs_apply (b->jobs, spec->uid, value, 0);
   cJSON_Delete (value);
   job->released = job->releasing = tasks;
-  hzb_dispatch_update_levels (b->dispatch, hzb_clock_now (b->clock));
+  hzb_levels_update (b->dispatch->jobs, b->dispatch->settings, hzb_clock_now (b->clock));
   return job;
 }
 
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -1,3 +1,4 @@
+#include "job-progress.h"
 #include "support.h"
 
 #include <math.h>
