--- a/src/admin.c
+++ b/src/admin.c
@@ -134,20 +134,20 @@
   if (!cJSON_IsObject (demanded_units) || !cJSON_IsNumber (version))
     fault = g_strdup ("expected {\"version\": the one read, \"settings\": {…}}");
   cJSON_ArrayForEach (item, demanded_units)
-  {
-    const Setting *known = NULL;
-    for (guint i = 0; i < G_N_ELEMENTS (settings); i++)
-      if (g_strcmp0 (settings[i].name, item->string) == 0)
-        known = &settings[i];
-    if (fault)
-      break;
-    if (!known)
-      fault = g_strdup_printf ("%s: no such setting", item->string);
-    else if (!cJSON_IsNumber (item) || !(item->valuedouble >= known->least && item->valuedouble <= known->most))
-      fault = g_strdup_printf ("%s: expected a number from %g to %g", known->name, known->least, known->most);
-    else
-      cJSON_ReplaceItemInObjectCaseSensitive (value, known->name, cJSON_CreateNumber (item->valuedouble));
-  }
+    {
+      const Setting *known = NULL;
+      for (guint i = 0; i < G_N_ELEMENTS (settings); i++)
+        if (g_strcmp0 (settings[i].name, item->string) == 0)
+          known = &settings[i];
+      if (fault)
+        break;
+      if (!known)
+        fault = g_strdup_printf ("%s: no such setting", item->string);
+      else if (!cJSON_IsNumber (item) || !(item->valuedouble >= known->least && item->valuedouble <= known->most))
+        fault = g_strdup_printf ("%s: expected a number from %g to %g", known->name, known->least, known->most);
+      else
+        cJSON_ReplaceItemInObjectCaseSensitive (value, known->name, cJSON_CreateNumber (item->valuedouble));
+    }
   if (!fault && hzb_json_u64 (root, "version") != controller->settings_version)
     {
       refuse (exchange, 409, "version: the settings are at %" G_GUINT64_FORMAT ": read them again",
--- a/src/autoscaler.c
+++ b/src/autoscaler.c
@@ -455,8 +455,8 @@
       total += demanded_units (demand, 1);
       /* There are few kinds of machines, but many machines: what is wanted is counted once a kind. */
       for (guint k = 0; k < kinds; k++)
-        want[i * kinds + k] =
-            demanded_units (demand, unit_price (autoscaler->machines->types->pdata[k / 2], k % 2, demand) / least);
+        want[i * kinds + k] = demanded_units (
+            demand, unit_price (autoscaler->machines->types->pdata[k / 2], (k % 2) != 0, demand) / least);
     }
   autoscaler->usual += (total - autoscaler->usual) * ease; /* called once a second */
   for (guint i = 0; i < autoscaler->machines->all->len; i++)
@@ -500,6 +500,29 @@
     }
 }
 
+#define PAID_IN_ANY_CASE_S 55.0 /* a machine that is deleted costs a minute at least */
+#define SPARE_IDLE_S 2.0
+#define BOOT_OVERDUE_FACTOR 2.2
+#define BOOT_OVERDUE_LEAST_S 40.0
+#define BOOT_OVERDUE_UNKNOWN_TYPE_S 300.0
+
+static gboolean
+is_idle_for_long (const HzbAutoscaler *autoscaler, const HzbMachine *machine, struct timespec now)
+{
+  double idle = hzb_time_between (machine->idle_since, now);
+  return machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len == 0 && hzb_machine_listed (machine) == 0
+         && hzb_time_between (machine->rented, now) > PAID_IN_ANY_CASE_S
+         && idle > (machine->spare ? SPARE_IDLE_S : autoscaler->idle_s);
+}
+
+static gboolean
+never_came_up (const HzbMachine *machine, struct timespec now)
+{
+  double overdue = machine->type ? MAX (BOOT_OVERDUE_LEAST_S, BOOT_OVERDUE_FACTOR * machine->type->boot_s)
+                                 : BOOT_OVERDUE_UNKNOWN_TYPE_S;
+  return machine->state == HZB_MACHINE_BOOTING && hzb_time_between (machine->rented, now) > overdue;
+}
+
 GPtrArray *
 hzb_autoscaler_returns (HzbAutoscaler *autoscaler, struct timespec now)
 {
@@ -511,18 +534,12 @@
   for (guint i = 0; i < autoscaler->machines->all->len; i++)
     {
       HzbMachine *machine = autoscaler->machines->all->pdata[i];
-      double age = hzb_time_between (machine->rented, now), idle = hzb_time_between (machine->idle_since, now);
       if (machine->to_be_returned || machine->reserved)
         continue;
       if (machine->spare && hzb_machine_listed (machine))
         hzb_machine_empty_lists (autoscaler->jobs, machine);
-      if (machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len == 0 && hzb_machine_listed (machine) == 0
-          && age > 55 /* the first minute is paid in any case */
-          && (machine->spare ? idle > 2 : idle > autoscaler->idle_s))
+      if (is_idle_for_long (autoscaler, machine, now) || never_came_up (machine, now))
         g_ptr_array_add (out, machine);
-      else if (machine->state == HZB_MACHINE_BOOTING
-               && age > (machine->type ? MAX (40, 2.2 * machine->type->boot_s) : 300))
-        g_ptr_array_add (out, machine); /* some never come up */
     }
   return out;
 }
--- a/src/block-leases.c
+++ b/src/block-leases.c
@@ -136,12 +136,13 @@
         && G_STRUCT_MEMBER (guint, job, member) >= GPOINTER_TO_UINT (count))
       G_STRUCT_MEMBER (guint, job, member) -= GPOINTER_TO_UINT (count);
   g_hash_table_remove_all (counts);
-  cJSON_ArrayForEach (item, said) if (cJSON_IsNumber (item) && item->valueint > 0
-                                      && (job = hzb_jobs_find (leases->controller->jobs, item->string)) && job->tasks)
-  {
-    G_STRUCT_MEMBER (guint, job, member) += (guint) item->valueint;
-    g_hash_table_insert (counts, g_strdup (item->string), GUINT_TO_POINTER ((guint) item->valueint));
-  }
+  cJSON_ArrayForEach (item, said)
+    if (cJSON_IsNumber (item) && item->valueint > 0 && (job = hzb_jobs_find (leases->controller->jobs, item->string))
+        && job->tasks)
+      {
+        G_STRUCT_MEMBER (guint, job, member) += (guint) item->valueint;
+        g_hash_table_insert (counts, g_strdup (item->string), GUINT_TO_POINTER ((guint) item->valueint));
+      }
 }
 
 static void
@@ -577,15 +578,15 @@
       machine->session = hzb_json_u64 (event, "session");
     }
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (event, "lost"))
-  {
-    HzbTask *task =
-        hzb_tasks_find (controller->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
-    if (!task || task->state != HZB_TASK_DELEGATED || task->lessee != lessee->id)
-      continue;
-    task->attempt = hzb_json_u64 (item, "attempt");
-    task->lessee = 0;
-    hzb_task_set_state (controller->jobs, task, HZB_TASK_STARTING, machine);
-  }
+    {
+      HzbTask *task =
+          hzb_tasks_find (controller->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
+      if (!task || task->state != HZB_TASK_DELEGATED || task->lessee != lessee->id)
+        continue;
+      task->attempt = hzb_json_u64 (item, "attempt");
+      task->lessee = 0;
+      hzb_task_set_state (controller->jobs, task, HZB_TASK_STARTING, machine);
+    }
 }
 
 static void
@@ -681,12 +682,12 @@
         {
           /* An answer to an older question may have been lost: what it brought comes again. */
           hzb_outbox_acknowledged (&lessee->out, hzb_json_u64 (root, "have"));
-          cJSON_ArrayForEach (event, cJSON_GetObjectItemCaseSensitive (root, "events")) if (hzb_json_u64 (event, "n")
-                                                                                            == lessee->in_number + 1)
-          {
-            lessee->in_number++;
-            handle_event (leases, lessee, event);
-          }
+          cJSON_ArrayForEach (event, cJSON_GetObjectItemCaseSensitive (root, "events"))
+            if (hzb_json_u64 (event, "n") == lessee->in_number + 1)
+              {
+                lessee->in_number++;
+                handle_event (leases, lessee, event);
+              }
           set_running (leases, lessee, cJSON_GetObjectItemCaseSensitive (root, "running"),
                        cJSON_GetObjectItemCaseSensitive (root, "leaving"));
           recall_machines (leases, lessee, gang_waits (controller) || !controller->lease_blocks);
--- a/src/cancellations.c
+++ b/src/cancellations.c
@@ -143,29 +143,29 @@
 }
 
 cJSON *
-hzb_cancellations_handle_request (HzbCancellations *cancellations, const cJSON *question)
+hzb_cancellations_handle_request (HzbCancellations *cancellations, const cJSON *request)
 {
   HzbController *controller = cancellations->controller;
   cJSON *last_report = cJSON_CreateArray ();
   const cJSON *of;
 
-  cJSON_ArrayForEach (of, question)
-  {
-    guint64 version = hzb_json_u64 (of, "version");
-    HzbJob *job;
-    if (!version || !hzb_wire_uid_ok (of->string))
-      continue;
-    /* Perhaps before this node's own mirror shows it, which may be refused, or behind. */
-    job = hzb_jobs_find (controller->jobs, of->string);
-    if (!job || !job->version)
-      {
-        cJSON *record = hzb_jobs_pack_final (HZB_JOB_CANCELLED, (guint) hzb_json_number (of, "n", 0));
-        job = hzb_jobs_apply (controller->jobs, of->string, record, version);
-        cJSON_Delete (record);
-      }
-    if (job && acknowledged_by_all (controller, job))
-      cJSON_AddItemToArray (last_report, cJSON_CreateString (job->uid));
-  }
+  cJSON_ArrayForEach (of, request)
+    {
+      guint64 version = hzb_json_u64 (of, "version");
+      HzbJob *job;
+      if (!version || !hzb_wire_uid_ok (of->string))
+        continue;
+      /* Perhaps before this node's own mirror shows it, which may be refused, or behind. */
+      job = hzb_jobs_find (controller->jobs, of->string);
+      if (!job || !job->version)
+        {
+          cJSON *record = hzb_jobs_pack_final (HZB_JOB_CANCELLED, (guint) hzb_json_number (of, "n", 0));
+          job = hzb_jobs_apply (controller->jobs, of->string, record, version);
+          cJSON_Delete (record);
+        }
+      if (job && acknowledged_by_all (controller, job))
+        cJSON_AddItemToArray (last_report, cJSON_CreateString (job->uid));
+    }
   return last_report;
 }
 
@@ -178,13 +178,15 @@
 }
 
 void
-hzb_cancellations_handle_response (HzbCancellations *cancellations, guint64 term, const cJSON *last_report)
+hzb_cancellations_handle_response (HzbCancellations *cancellations, guint64 term, const cJSON *acknowledged)
 {
   HzbController *controller = cancellations->controller;
   const cJSON *uid;
   if (hzb_election_leading (controller->election) || term < hzb_election_leader_term (controller->election))
     return; /* there is a later owner */
-  cJSON_ArrayForEach (uid, last_report) if (cJSON_IsString (uid)) set_acknowledged (controller, uid->valuestring);
+  cJSON_ArrayForEach (uid, acknowledged)
+    if (cJSON_IsString (uid))
+      set_acknowledged (controller, uid->valuestring);
 }
 
 guint64
--- a/src/controller.c
+++ b/src/controller.c
@@ -399,9 +399,9 @@
 }
 
 void
-hzb_controller_request (HzbExchange *exchange, gpointer user)
+hzb_controller_request (HzbExchange *exchange, gpointer data)
 {
-  HzbController *controller = user;
+  HzbController *controller = data;
 
   exchange->began = hzb_clock_now (controller->clock);
   exchange->kind = kind_of (exchange);
--- a/src/http.h
+++ b/src/http.h
@@ -21,7 +21,7 @@
 }
 
 HzbTransport *hzb_http_client_new (void);
-void hzb_http_client_free (HzbTransport *client);
+void hzb_http_client_free (HzbTransport *transport);
 
 /* One request that waits for its answer. hzb_exchange_reply() must be called once; it ends the exchange. */
 typedef struct _HzbExchange HzbExchange;
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -86,7 +86,7 @@
 {
   cJSON *value = cJSON_CreateObject ();
   cJSON_AddStringToObject (value, "state", "accepted");
-  cJSON_AddNumberToObject (value, "at", (double) wall.tv_sec + (double) (wall.tv_nsec / 1000000) / 1e3);
+  cJSON_AddNumberToObject (value, "at", (double) wall.tv_sec + floor ((double) wall.tv_nsec / 1e6) / 1e3);
   cJSON_AddItemToObject (value, "spec", hzb_wire_pack_spec (spec));
   return value;
 }
@@ -196,21 +196,21 @@
   acceptance->jobs = g_ptr_array_new ();
   g_hash_table_insert (jobs->acceptances, acceptance->key, acceptance);
   cJSON_ArrayForEach (entry, value)
-  {
-    HzbJob *job = hzb_jobs_apply (jobs, entry->string, entry, 0);
-    if (job)
-      {
-        job->named++;
-        g_ptr_array_add (acceptance->jobs, job);
-      }
-    /* Guards against a job that two nodes have accepted: nodes may see the two records in different order, so
+    {
+      HzbJob *job = hzb_jobs_apply (jobs, entry->string, entry, 0);
+      if (job)
+        {
+          job->named++;
+          g_ptr_array_add (acceptance->jobs, job);
+        }
+      /* Guards against a job that two nodes have accepted: nodes may see the two records in different order, so
        * neither goes before the job is over. */
-    if (job && !job->version)
-      {
-        job->acceptances = g_slist_prepend (job->acceptances, acceptance);
-        acceptance->open++;
-      }
-  }
+      if (job && !job->version)
+        {
+          job->acceptances = g_slist_prepend (job->acceptances, acceptance);
+          acceptance->open++;
+        }
+    }
 }
 
 HzbAcceptance *
--- a/src/lessee.c
+++ b/src/lessee.c
@@ -125,15 +125,15 @@
   HzbMachine *machine;
 
   cJSON_ArrayForEach (item, holds)
-  {
-    const char *uid = hzb_json_text (item, "job");
-    HzbJob *job = uid ? hzb_jobs_find (controller->jobs, uid) : NULL;
-    HzbTask *task;
-    if (job && job->state == HZB_JOB_ACCEPTED)
-      hzb_jobs_activate (controller->jobs, job);
-    task = hzb_tasks_find (controller->jobs, uid, (int) hzb_json_number (item, "task", -1));
-    known = known && task && task->state == HZB_TASK_OTHER_OWNER;
-  }
+    {
+      const char *uid = hzb_json_text (item, "job");
+      HzbJob *job = uid ? hzb_jobs_find (controller->jobs, uid) : NULL;
+      HzbTask *task;
+      if (job && job->state == HZB_JOB_ACCEPTED)
+        hzb_jobs_activate (controller->jobs, job);
+      task = hzb_tasks_find (controller->jobs, uid, (int) hzb_json_number (item, "task", -1));
+      known = known && task && task->state == HZB_TASK_OTHER_OWNER;
+    }
   if (!known)
     {
       /* Of a job that is not in this node's mirror yet, or over: back it goes, as it came. */
@@ -156,15 +156,15 @@
   machine->seq = hzb_json_u64 (batch, "seq");
   machine->last_report = hzb_clock_now (controller->clock);
   cJSON_ArrayForEach (item, holds)
-  {
-    HzbTask *task =
-        hzb_tasks_find (controller->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
-    gboolean runs = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "runs"));
-    hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
-    g_queue_remove (&task->job->retry, task);
-    task->attempt = hzb_json_u64 (item, "attempt");
-    hzb_task_set_state (controller->jobs, task, runs ? HZB_TASK_RUNNING : HZB_TASK_FETCHING, machine);
-  }
+    {
+      HzbTask *task =
+          hzb_tasks_find (controller->jobs, hzb_json_text (item, "job"), (int) hzb_json_number (item, "task", -1));
+      gboolean runs = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "runs"));
+      hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
+      g_queue_remove (&task->job->retry, task);
+      task->attempt = hzb_json_u64 (item, "attempt");
+      hzb_task_set_state (controller->jobs, task, runs ? HZB_TASK_RUNNING : HZB_TASK_FETCHING, machine);
+    }
 }
 
 static void
@@ -183,18 +183,18 @@
     {
       cJSON *unknown = NULL;
       cJSON_ArrayForEach (group, tasks)
-      {
-        HzbJob *job = hzb_jobs_find (controller->jobs, group->string);
-        if (job && job->state == HZB_JOB_ACCEPTED)
-          hzb_jobs_activate (controller->jobs, job);
-        if (!job || !job->tasks)
-          {
-            /* Not in this node's mirror yet, or over: back they go. */
-            if (!unknown)
-              unknown = cJSON_CreateObject ();
-            cJSON_AddItemToObject (unknown, group->string, cJSON_Duplicate (group, TRUE));
-          }
-      }
+        {
+          HzbJob *job = hzb_jobs_find (controller->jobs, group->string);
+          if (job && job->state == HZB_JOB_ACCEPTED)
+            hzb_jobs_activate (controller->jobs, job);
+          if (!job || !job->tasks)
+            {
+              /* Not in this node's mirror yet, or over: back they go. */
+              if (!unknown)
+                unknown = cJSON_CreateObject ();
+              cJSON_AddItemToObject (unknown, group->string, cJSON_Duplicate (group, TRUE));
+            }
+        }
       if (unknown)
         {
           cJSON *body = cJSON_CreateObject ();
@@ -265,12 +265,12 @@
           /* From when it was asked for: after standing still the answer may be old. */
           lessee->valid_until = hzb_time_plus (lessee->requests, hzb_json_number (root, "leaseS", 0));
           hzb_outbox_acknowledged (&lessee->out, hzb_json_u64 (root, "have"));
-          cJSON_ArrayForEach (batch, cJSON_GetObjectItemCaseSensitive (root, "batches")) if (hzb_json_u64 (batch, "n")
-                                                                                             == lessee->in_number + 1)
-          {
-            lessee->in_number++;
-            apply_batch (lessee, batch);
-          }
+          cJSON_ArrayForEach (batch, cJSON_GetObjectItemCaseSensitive (root, "batches"))
+            if (hzb_json_u64 (batch, "n") == lessee->in_number + 1)
+              {
+                lessee->in_number++;
+                apply_batch (lessee, batch);
+              }
           if (cJSON_GetArraySize (cJSON_GetObjectItemCaseSensitive (root, "batches")))
             {
               hzb_dispatch_run (controller->dispatch, hzb_clock_now (controller->clock));
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -16,56 +16,56 @@
 HzbMetrics *
 hzb_metrics_new (void)
 {
-  HzbMetrics *machine = g_new0 (HzbMetrics, 1);
+  HzbMetrics *metrics = g_new0 (HzbMetrics, 1);
   for (guint i = 0; i < HZB_METRIC_N_KINDS; i++)
     {
-      machine->seconds[i] = gsl_histogram_alloc (G_N_ELEMENTS (edges) - 1);
-      gsl_histogram_set_ranges (machine->seconds[i], edges, G_N_ELEMENTS (edges));
+      metrics->seconds[i] = gsl_histogram_alloc (G_N_ELEMENTS (edges) - 1);
+      gsl_histogram_set_ranges (metrics->seconds[i], edges, G_N_ELEMENTS (edges));
     }
-  return machine;
+  return metrics;
 }
 
 void
-hzb_metrics_free (HzbMetrics *machine)
+hzb_metrics_free (HzbMetrics *metrics)
 {
   for (guint i = 0; i < HZB_METRIC_N_KINDS; i++)
-    gsl_histogram_free (machine->seconds[i]);
-  g_free (machine);
+    gsl_histogram_free (metrics->seconds[i]);
+  g_free (metrics);
 }
 
 void
-hzb_metrics_answered (HzbMetrics *machine, HzbMetricKind kind, guint status, double seconds)
+hzb_metrics_answered (HzbMetrics *metrics, HzbMetricKind kind, guint status, double seconds)
 {
-  machine->answers[kind][MIN (status / 100, 5)]++;
-  gsl_histogram_increment (machine->seconds[kind], CLAMP (seconds, 0, 1e8));
+  metrics->answers[kind][MIN (status / 100, 5)]++;
+  gsl_histogram_increment (metrics->seconds[kind], CLAMP (seconds, 0, 1e8));
 }
 
 cJSON *
-hzb_metrics_pack (const HzbMetrics *machine)
+hzb_metrics_pack (const HzbMetrics *metrics)
 {
   cJSON *root = cJSON_CreateObject ();
   for (guint i = 0; i < HZB_METRIC_N_KINDS; i++)
     {
       cJSON *kind = cJSON_AddObjectToObject (root, names[i]), *buckets;
-      double sum = gsl_histogram_sum (machine->seconds[i]);
+      double sum = gsl_histogram_sum (metrics->seconds[i]);
       for (guint d = 2; d < 6; d++)
         {
           char name[8];
           g_snprintf (name, sizeof name, "%uxx", d);
-          cJSON_AddNumberToObject (kind, name, (double) machine->answers[i][d]);
+          cJSON_AddNumberToObject (kind, name, (double) metrics->answers[i][d]);
         }
       cJSON_AddNumberToObject (kind, "count", sum);
       buckets = cJSON_AddArrayToObject (kind, "latency");
-      for (gsize b = 0; b < gsl_histogram_bins (machine->seconds[i]); b++)
+      for (gsize b = 0; b < gsl_histogram_bins (metrics->seconds[i]); b++)
         {
           double low, high;
           cJSON *bucket = cJSON_CreateObject ();
-          gsl_histogram_get_range (machine->seconds[i], b, &low, &high);
+          gsl_histogram_get_range (metrics->seconds[i], b, &low, &high);
           if (high < 1e8)
             cJSON_AddNumberToObject (bucket, "belowS", high);
           else
             cJSON_AddNullToObject (bucket, "belowS");
-          cJSON_AddNumberToObject (bucket, "count", gsl_histogram_get (machine->seconds[i], b));
+          cJSON_AddNumberToObject (bucket, "count", gsl_histogram_get (metrics->seconds[i], b));
           cJSON_AddItemToArray (buckets, bucket);
         }
     }
--- a/src/outbox.c
+++ b/src/outbox.c
@@ -102,10 +102,11 @@
 hzb_tasks_each (HzbJobs *jobs, const cJSON *groups, HzbTaskFunc func, gpointer user)
 {
   const cJSON *group, *item;
-  cJSON_ArrayForEach (group, groups) cJSON_ArrayForEach (item, group)
-  {
-    HzbTask *task = cJSON_IsNumber (item) ? hzb_tasks_find (jobs, group->string, item->valueint) : NULL;
-    if (task)
-      func (task, user);
-  }
+  cJSON_ArrayForEach (group, groups)
+    cJSON_ArrayForEach (item, group)
+      {
+        HzbTask *task = cJSON_IsNumber (item) ? hzb_tasks_find (jobs, group->string, item->valueint) : NULL;
+        if (task)
+          func (task, user);
+      }
 }
--- a/src/peers.c
+++ b/src/peers.c
@@ -291,12 +291,12 @@
     {
       g_hash_table_remove_all (peers->display);
       cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, "jobs"))
-      {
-        const cJSON *done = cJSON_GetArrayItem (item, 0), *running = cJSON_GetArrayItem (item, 1);
-        if (done && running)
-          g_hash_table_insert (peers->display, g_strdup (item->string),
-                               GSIZE_TO_POINTER (((gsize) done->valueint << 24) | (gsize) running->valueint));
-      }
+        {
+          const cJSON *done = cJSON_GetArrayItem (item, 0), *running = cJSON_GetArrayItem (item, 1);
+          if (done && running)
+            g_hash_table_insert (peers->display, g_strdup (item->string),
+                                 GSIZE_TO_POINTER (((gsize) done->valueint << 24) | (gsize) running->valueint));
+        }
     }
   peers->highest_known_term = MAX (peers->highest_known_term, view->term);
   /* A owner that the state service does not reach learns here that it has been replaced. */
@@ -350,9 +350,9 @@
 }
 
 void
-hzb_controller_peer_request (HzbExchange *exchange, gpointer user)
+hzb_controller_peer_request (HzbExchange *exchange, gpointer data)
 {
-  HzbController *controller = user;
+  HzbController *controller = data;
   gboolean block = g_str_equal (exchange->path, "/peer/v1/block");
   cJSON *root = cJSON_ParseWithLength (exchange->body, exchange->length);
   View *view = sender (controller->peers, block ? HZB_PEER_BLOCK : HZB_PEER_HEARTBEAT, root);
--- a/src/records.c
+++ b/src/records.c
@@ -324,10 +324,13 @@
   page = page_new (records, (guint) g_ascii_strtoull (strrchr (item->key, '/') + 1, NULL, 10), of_machines);
   page->exists = TRUE;
   text = cJSON_PrintUnformatted (item->value);
-  page->retiring = strlen (text) > records->controller->settings->store_value_kb * 1024;
+  page->retiring = (double) strlen (text) > records->controller->settings->store_value_kb * 1024;
   cJSON_free (text);
-  cJSON_ArrayForEach (entry, item->value) if (of_machines) load_machine (records, page, entry);
-  else load_progress (records, page, entry);
+  cJSON_ArrayForEach (entry, item->value)
+    if (of_machines)
+      load_machine (records, page, entry);
+    else
+      load_progress (records, page, entry);
 }
 
 /* All has been read: what stands on pages that are to go is put on others. */
--- a/src/settings.c
+++ b/src/settings.c
@@ -128,32 +128,34 @@
 
   settings->size = (guint) MIN (number_at (cluster, "cluster", "size", 1, NAN, faults), G_MAXUINT16);
   settings->skew_ms = number_at (cluster, "cluster", "skew_ms", 0, 0, faults);
-  cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster, "zones")) if (cJSON_IsString (item))
+  cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster, "zones"))
+    if (cJSON_IsString (item))
       g_ptr_array_add (settings->zones, g_strdup (item->valuestring));
-  else fault (faults, "cluster", "zones", "a list of texts");
+    else
+      fault (faults, "cluster", "zones", "a list of texts");
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster, "teams"))
-  {
-    HzbTeam *team = g_new0 (HzbTeam, 1);
-    team->name = text_at (item, "cluster.teams", "name", faults);
-    team->cpus = number_at (item, "cluster.teams", "cpus", 0, 0, faults);
-    team->gpus = number_at (item, "cluster.teams", "gpus", 0, 0, faults);
-    team->cpus_max = limit_at (item, "cpus_max", faults);
-    team->gpus_max = limit_at (item, "gpus_max", faults);
-    g_ptr_array_add (settings->teams, team);
-  }
+    {
+      HzbTeam *team = g_new0 (HzbTeam, 1);
+      team->name = text_at (item, "cluster.teams", "name", faults);
+      team->cpus = number_at (item, "cluster.teams", "cpus", 0, 0, faults);
+      team->gpus = number_at (item, "cluster.teams", "gpus", 0, 0, faults);
+      team->cpus_max = limit_at (item, "cpus_max", faults);
+      team->gpus_max = limit_at (item, "gpus_max", faults);
+      g_ptr_array_add (settings->teams, team);
+    }
   if (settings->teams->len == 0)
     fault (faults, "cluster", "teams", "at least one team");
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster, "objectives"))
-  {
-    HzbObjective *objective = g_new0 (HzbObjective, 1);
-    const cJSON *job_class = cJSON_GetObjectItemCaseSensitive (item, "class");
-    objective->kind = text_at (item, "cluster.objectives", "kind", faults);
-    objective->job_class = cJSON_IsString (job_class) ? g_strdup (job_class->valuestring) : NULL;
-    objective->within_s = number_at (item, "cluster.objectives", "within_s", 0, 0, faults);
-    objective->share = number_at (item, "cluster.objectives", "share", 0, 0, faults);
-    objective->times = number_at (item, "cluster.objectives", "times", 0, 0, faults);
-    g_ptr_array_add (settings->objectives, objective);
-  }
+    {
+      HzbObjective *objective = g_new0 (HzbObjective, 1);
+      const cJSON *job_class = cJSON_GetObjectItemCaseSensitive (item, "class");
+      objective->kind = text_at (item, "cluster.objectives", "kind", faults);
+      objective->job_class = cJSON_IsString (job_class) ? g_strdup (job_class->valuestring) : NULL;
+      objective->within_s = number_at (item, "cluster.objectives", "within_s", 0, 0, faults);
+      objective->share = number_at (item, "cluster.objectives", "share", 0, 0, faults);
+      objective->times = number_at (item, "cluster.objectives", "times", 0, 0, faults);
+      g_ptr_array_add (settings->objectives, objective);
+    }
   if ((table = table_at (cluster, "cluster", "workers", faults)))
     {
       settings->report_s = number_at (table, "cluster.workers", "report_s", 0.1, NAN, faults);
@@ -208,14 +210,14 @@
   settings->api_addr = addr_at (root, "", "api_addr", faults);
   settings->peer_addr = addr_at (root, "", "cluster_listen", faults);
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, "peers"))
-  {
-    HzbPeer *peer = g_new0 (HzbPeer, 1);
-    const cJSON *zone = cJSON_GetObjectItemCaseSensitive (item, "site");
-    peer->node = text_at (item, "peers", "node", faults);
-    peer->zone = cJSON_IsString (zone) ? g_strdup (zone->valuestring) : NULL;
-    peer->address = addr_at (item, "peers", "address", faults);
-    g_ptr_array_add (settings->peers, peer);
-  }
+    {
+      HzbPeer *peer = g_new0 (HzbPeer, 1);
+      const cJSON *zone = cJSON_GetObjectItemCaseSensitive (item, "site");
+      peer->node = text_at (item, "peers", "node", faults);
+      peer->zone = cJSON_IsString (zone) ? g_strdup (zone->valuestring) : NULL;
+      peer->address = addr_at (item, "peers", "address", faults);
+      g_ptr_array_add (settings->peers, peer);
+    }
   if ((table = table_at (root, "", "external", faults)))
     {
       settings->cloud_addr = addr_at (table, "external", "cloud", faults);
--- a/src/user-api.c
+++ b/src/user-api.c
@@ -721,7 +721,7 @@
   accept->packed = cJSON_PrintUnformatted (packed);
   accept->deadline = hzb_time_plus (hzb_clock_now (controller->clock), 2.5);
   cJSON_Delete (packed);
-  if (strlen (accept->packed) > controller->settings->store_value_kb * 1024 - 64)
+  if ((double) strlen (accept->packed) > controller->settings->store_value_kb * 1024 - 64)
     {
       hzb_exchange_reply (exchange, 400, hzb_wire_error ("the job's texts are too long"), 0);
       accept_free (accept);
--- a/src/wire.c
+++ b/src/wire.c
@@ -72,7 +72,9 @@
 {
   g_autoptr (GStrvBuilder) out = g_strv_builder_new ();
   const cJSON *item;
-  cJSON_ArrayForEach (item, array) if (cJSON_IsString (item)) g_strv_builder_add (out, item->valuestring);
+  cJSON_ArrayForEach (item, array)
+    if (cJSON_IsString (item))
+      g_strv_builder_add (out, item->valuestring);
   return g_strv_builder_end (out);
 }
 
@@ -230,8 +232,9 @@
       const cJSON *entry;
       if (!cJSON_IsArray (item))
         return bad (error, "flavors", "a list of machine types, or null");
-      cJSON_ArrayForEach (entry, item) if (!cJSON_IsString (entry)) return bad (error, "flavors",
-                                                                                "a list of machine types, or null");
+      cJSON_ArrayForEach (entry, item)
+        if (!cJSON_IsString (entry))
+          return bad (error, "flavors", "a list of machine types, or null");
       spec->types = text_list (item);
     }
   item = cJSON_GetObjectItemCaseSensitive (root, "yard");
@@ -367,23 +370,23 @@
   report->token = hzb_json_u64 (root, "baton");
   report->notice_s = hzb_json_number (root, "reclaimInS", -1);
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, "pieces"))
-  {
-    HzbTaskReport task_report = { 0 };
-    const char *name = hzb_json_text (item, "piece");
-    const char *slash = name ? strrchr (name, '/') : NULL;
-    int state = index_of (hzb_json_text (item, "status"), piece_states, G_N_ELEMENTS (piece_states));
-    int why = index_of (hzb_json_text (item, "cause"), whys, G_N_ELEMENTS (whys));
-    guint64 task;
-    if (!slash || state < 0 || !g_ascii_string_to_unsigned (slash + 1, 10, 0, G_MAXUINT32, &task, NULL))
-      continue;
-    task_report.uid = g_strndup (name, (gsize) (slash - name));
-    task_report.task = (guint) task;
-    task_report.attempt = hzb_json_u64 (item, "try");
-    task_report.state = (HzbTaskReportState) state;
-    task_report.exit_cause = why < 0 ? HZB_EXIT_NONE : (HzbExitCause) why;
-    task_report.saved = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "stored"));
-    g_array_append_val (report->task_reports, task_report);
-  }
+    {
+      HzbTaskReport task_report = { 0 };
+      const char *name = hzb_json_text (item, "piece");
+      const char *slash = name ? strrchr (name, '/') : NULL;
+      int state = index_of (hzb_json_text (item, "status"), piece_states, G_N_ELEMENTS (piece_states));
+      int why = index_of (hzb_json_text (item, "cause"), whys, G_N_ELEMENTS (whys));
+      guint64 task;
+      if (!slash || state < 0 || !g_ascii_string_to_unsigned (slash + 1, 10, 0, G_MAXUINT32, &task, NULL))
+        continue;
+      task_report.uid = g_strndup (name, (gsize) (slash - name));
+      task_report.task = (guint) task;
+      task_report.attempt = hzb_json_u64 (item, "try");
+      task_report.state = (HzbTaskReportState) state;
+      task_report.exit_cause = why < 0 ? HZB_EXIT_NONE : (HzbExitCause) why;
+      task_report.saved = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "stored"));
+      g_array_append_val (report->task_reports, task_report);
+    }
   cJSON_Delete (root);
   if (!report->host || !report->addr || !report->type || !report->zone || !report->session)
     {
@@ -438,23 +441,23 @@
     return NULL;
   types = g_ptr_array_new_with_free_func ((GDestroyNotify) hzb_machine_type_free);
   cJSON_ArrayForEach (item, list)
-  {
-    HzbMachineType *type;
-    if (!hzb_json_text (item, "sku"))
-      continue;
-    type = g_new0 (HzbMachineType, 1);
-    type->name = g_strdup (hzb_json_text (item, "sku"));
-    type->cpus = hzb_json_number (item, "cpus", 0);
-    type->gpus = hzb_json_number (item, "gpus", 0);
-    type->memory_gb = hzb_json_number (item, "ramGb", 0);
-    type->cache_gb = hzb_json_number (item, "localGb", 0);
-    type->fetch_gb_per_s = hzb_json_number (item, "pullGbPerS", 1);
-    type->price = hzb_json_number (item, "price", 0);
-    type->spot_price = hzb_json_number (item, "lowPrice", type->price);
-    type->boot_s = hzb_json_number (item, "readyS", 60);
-    type->zones = text_list (cJSON_GetObjectItemCaseSensitive (item, "yards"));
-    g_ptr_array_add (types, type);
-  }
+    {
+      HzbMachineType *type;
+      if (!hzb_json_text (item, "sku"))
+        continue;
+      type = g_new0 (HzbMachineType, 1);
+      type->name = g_strdup (hzb_json_text (item, "sku"));
+      type->cpus = hzb_json_number (item, "cpus", 0);
+      type->gpus = hzb_json_number (item, "gpus", 0);
+      type->memory_gb = hzb_json_number (item, "ramGb", 0);
+      type->cache_gb = hzb_json_number (item, "localGb", 0);
+      type->fetch_gb_per_s = hzb_json_number (item, "pullGbPerS", 1);
+      type->price = hzb_json_number (item, "price", 0);
+      type->spot_price = hzb_json_number (item, "lowPrice", type->price);
+      type->boot_s = hzb_json_number (item, "readyS", 60);
+      type->zones = text_list (cJSON_GetObjectItemCaseSensitive (item, "yards"));
+      g_ptr_array_add (types, type);
+    }
   return types;
 }
 
@@ -489,7 +492,9 @@
   if (cJSON_IsArray (list))
     {
       names = g_ptr_array_new_with_free_func (g_free);
-      cJSON_ArrayForEach (item, list) if (cJSON_IsString (item)) g_ptr_array_add (names, g_strdup (item->valuestring));
+      cJSON_ArrayForEach (item, list)
+        if (cJSON_IsString (item))
+          g_ptr_array_add (names, g_strdup (item->valuestring));
     }
   cJSON_Delete (root);
   return names;
@@ -524,23 +529,23 @@
       machines = g_ptr_array_new_with_free_func ((GDestroyNotify) hzb_listed_free);
       *more = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "hasNext"));
       cJSON_ArrayForEach (item, list)
-      {
-        HzbListed *listed;
-        const char *state = hzb_json_text (item, "status");
-        if (!hzb_json_text (item, "uid"))
-          continue;
-        listed = g_new0 (HzbListed, 1);
-        listed->name = g_strdup (hzb_json_text (item, "uid"));
-        listed->addr = g_strdup (hzb_json_text (item, "addr"));
-        listed->type = g_strdup (hzb_json_text (item, "flavor"));
-        listed->zone = g_strdup (hzb_json_text (item, "yard"));
-        listed->spot = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "loaners"));
-        listed->state = g_strcmp0 (state, "failed") == 0    ? HZB_LISTED_FAILED
-                        : g_strcmp0 (state, "running") == 0 ? HZB_LISTED_RUNNING
-                                                            : HZB_LISTED_STARTING;
-        listed->age_s = hzb_json_number (item, "ageS", 0);
-        g_ptr_array_add (machines, listed);
-      }
+        {
+          HzbListed *listed;
+          const char *state = hzb_json_text (item, "status");
+          if (!hzb_json_text (item, "uid"))
+            continue;
+          listed = g_new0 (HzbListed, 1);
+          listed->name = g_strdup (hzb_json_text (item, "uid"));
+          listed->addr = g_strdup (hzb_json_text (item, "addr"));
+          listed->type = g_strdup (hzb_json_text (item, "flavor"));
+          listed->zone = g_strdup (hzb_json_text (item, "yard"));
+          listed->spot = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "loaners"));
+          listed->state = g_strcmp0 (state, "failed") == 0    ? HZB_LISTED_FAILED
+                          : g_strcmp0 (state, "running") == 0 ? HZB_LISTED_RUNNING
+                                                              : HZB_LISTED_STARTING;
+          listed->age_s = hzb_json_number (item, "ageS", 0);
+          g_ptr_array_add (machines, listed);
+        }
     }
   cJSON_Delete (root);
   return machines;
@@ -603,7 +608,8 @@
   if (failed)
     {
       *failed = g_ptr_array_new_with_free_func (g_free);
-      cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, "failed")) if (cJSON_IsString (item))
+      cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, "failed"))
+        if (cJSON_IsString (item))
           g_ptr_array_add (*failed, g_strdup (item->valuestring));
     }
   cJSON_Delete (root);
@@ -665,11 +671,11 @@
       *more = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "hasNext"));
       *revision = hzb_json_u64 (root, "epoch");
       cJSON_ArrayForEach (entry, list)
-      {
-        HzbItem item = { 0 };
-        if (take_item (entry, &item))
-          g_array_append_val (items, item);
-      }
+        {
+          HzbItem item = { 0 };
+          if (take_item (entry, &item))
+            g_array_append_val (items, item);
+        }
     }
   cJSON_Delete (root);
   return items;
@@ -693,17 +699,17 @@
       items = item_array ();
       *revision = hzb_json_u64 (root, "epoch");
       cJSON_ArrayForEach (entry, list)
-      {
-        HzbItem item = { 0 };
-        const char *put = hzb_json_text (entry, "put"), *removed = hzb_json_text (entry, "remove");
-        if (!put && !removed)
-          continue;
-        item.key = g_strdup (put ? put : removed);
-        item.version = hzb_json_u64 (entry, "stamp");
-        if (put)
-          item.value = cJSON_Duplicate (cJSON_GetObjectItemCaseSensitive (entry, "value"), TRUE);
-        g_array_append_val (items, item);
-      }
+        {
+          HzbItem item = { 0 };
+          const char *put = hzb_json_text (entry, "put"), *removed = hzb_json_text (entry, "remove");
+          if (!put && !removed)
+            continue;
+          item.key = g_strdup (put ? put : removed);
+          item.version = hzb_json_u64 (entry, "stamp");
+          if (put)
+            item.value = cJSON_Duplicate (cJSON_GetObjectItemCaseSensitive (entry, "value"), TRUE);
+          g_array_append_val (items, item);
+        }
     }
   cJSON_Delete (root);
   return items;
--- a/tests/sim-cloud.c
+++ b/tests/sim-cloud.c
@@ -79,16 +79,17 @@
       cJSON *root = cJSON_Parse (call->body);
       const cJSON *item;
       sim->most_returned = MAX (sim->most_returned, (guint) cJSON_GetArraySize (cJSON_GetObjectItem (root, "hosts")));
-      cJSON_ArrayForEach (item, cJSON_GetObjectItem (root, "hosts")) for (guint i = 0; i < sim->machines->len; i++)
-      {
-        SimMachine *machine = sim->machines->pdata[i];
-        if (g_str_equal (machine->name, item->valuestring) && !machine->gone)
+      cJSON_ArrayForEach (item, cJSON_GetObjectItem (root, "hosts"))
+        for (guint i = 0; i < sim->machines->len; i++)
           {
-            machine->gone = TRUE;
-            machine->gone_at = sim->now;
-            g_ptr_array_set_size (machine->tasks, 0);
+            SimMachine *machine = sim->machines->pdata[i];
+            if (g_str_equal (machine->name, item->valuestring) && !machine->gone)
+              {
+                machine->gone = TRUE;
+                machine->gone_at = sim->now;
+                g_ptr_array_set_size (machine->tasks, 0);
+              }
           }
-      }
       cJSON_Delete (root);
       sim_answer (sim, call, 200, g_strdup ("{}"));
     }
--- a/tests/sim-cluster.h
+++ b/tests/sim-cluster.h
@@ -129,12 +129,12 @@
 Sim *sim_new_sized (guint32 seed, const SimSize *size);
 void sim_free (Sim *sim);
 void sim_run (Sim *sim, double until);
-void sim_crash (Sim *sim, guint node);
-void sim_start (Sim *sim, guint node);
-void sim_wake (Sim *sim, guint node); /* of a node that stands */
+void sim_crash (Sim *sim, guint at);
+void sim_start (Sim *sim, guint at);
+void sim_wake (Sim *sim, guint at); /* of a node that stands */
 SimJob *sim_add_job (Sim *sim, double at, const char *team, guint n, double cpus, double run_s);
 SimMachine *sim_add_machine (Sim *sim, const char *type, const char *zone, gboolean spot, double up_after);
-SimTask *sim_put_task (Sim *sim, SimMachine *machine, SimJob *job, guint task, guint64 attempt);
+SimTask *sim_put_task (Sim *sim, SimMachine *machine, SimJob *job, guint number, guint64 attempt);
 void sim_start_task (Sim *sim, SimMachine *machine, const char *task_report, guint64 attempt); /* as an order does */
 void sim_told (Sim *sim, SimJob *job, guint status, const char *state); /* an answer to its user */
 void sim_check (Sim *sim);
--- a/tests/sim-internal.h
+++ b/tests/sim-internal.h
@@ -45,4 +45,4 @@
 void sim_store_free (Sim *sim);
 void sim_store_init (Sim *sim);
 void sim_cloud_request (Sim *sim, SimCall *call);
-void sim_machine_tick (Sim *sim, gpointer machine);
+void sim_machine_tick (Sim *sim, gpointer data); /* data: SimMachine */
--- a/tests/sim-store.c
+++ b/tests/sim-store.c
@@ -106,20 +106,20 @@
   cJSON *before = cJSON_Parse (from), *after = cJSON_Parse (to);
   const cJSON *old;
   cJSON_ArrayForEach (old, before)
-  {
-    const cJSON *new = cJSON_GetObjectItemCaseSensitive (after, old->string);
-    const char *a = hzb_json_text (old, "done"), *b = hzb_json_text (new, "done");
-    gsize n = 0, machine = 0;
-    g_autofree guchar *x = a && *a ? g_base64_decode (a, &n) : NULL,
-                      *y = b && *b ? g_base64_decode (b, &machine) : NULL;
-    gboolean back = hzb_json_number (new, "released", 0) < hzb_json_number (old, "released", 0);
-    if (!new)
-      continue;
-    for (gsize i = 0; i < n; i++)
-      back = back || (x[i] & ~(i < machine ? y[i] : 0));
-    if (back)
-      sim_broken (sim, "progress_went_back", "%s, %s: %s -> %s", key, old->string, from, to);
-  }
+    {
+      const cJSON *new = cJSON_GetObjectItemCaseSensitive (after, old->string);
+      const char *a = hzb_json_text (old, "done"), *b = hzb_json_text (new, "done");
+      gsize n = 0, machine = 0;
+      g_autofree guchar *x = a && *a ? g_base64_decode (a, &n) : NULL,
+                        *y = b && *b ? g_base64_decode (b, &machine) : NULL;
+      gboolean back = hzb_json_number (new, "released", 0) < hzb_json_number (old, "released", 0);
+      if (!new)
+        continue;
+      for (gsize i = 0; i < n; i++)
+        back = back || (x[i] & ~(i < machine ? y[i] : 0));
+      if (back)
+        sim_broken (sim, "progress_went_back", "%s, %s: %s -> %s", key, old->string, from, to);
+    }
   cJSON_Delete (before);
   cJSON_Delete (after);
 }
@@ -211,41 +211,42 @@
       status = 400;
     }
   cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then"))
-  {
-    char *value = cJSON_PrintUnformatted (cJSON_GetObjectItem (item, "value"));
-    if (sim->most_value && value && strlen (value) > sim->most_value)
-      {
-        sim_broken (sim, "too_large", "%s has %u bytes", hzb_json_text (item, "put"), (guint) strlen (value));
-        status = 400;
-      }
-    cJSON_free (value);
-  }
+    {
+      char *value = cJSON_PrintUnformatted (cJSON_GetObjectItem (item, "value"));
+      if (sim->most_value && value && strlen (value) > sim->most_value)
+        {
+          sim_broken (sim, "too_large", "%s has %u bytes", hzb_json_text (item, "put"), (guint) strlen (value));
+          status = 400;
+        }
+      cJSON_free (value);
+    }
   sim->write_budget -= changes;
   sim->written += changes;
   cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "when"))
-  {
-    const Value *value = g_hash_table_lookup (sim->kv, hzb_json_text (item, "path"));
-    if ((value ? value->version : 0) != hzb_json_u64 (item, "stamp"))
-      cJSON_AddItemToArray (failed, cJSON_CreateString (hzb_json_text (item, "path")));
-  }
+    {
+      const Value *value = g_hash_table_lookup (sim->kv, hzb_json_text (item, "path"));
+      if ((value ? value->version : 0) != hzb_json_u64 (item, "stamp"))
+        cJSON_AddItemToArray (failed, cJSON_CreateString (hzb_json_text (item, "path")));
+    }
   cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then"))
-  {
-    guint64 lease = hzb_json_u64 (item, "permit");
-    if (lease && !g_hash_table_contains (sim->leases, GSIZE_TO_POINTER (lease)))
-      status = 400;
-  }
+    {
+      guint64 lease = hzb_json_u64 (item, "permit");
+      if (lease && !g_hash_table_contains (sim->leases, GSIZE_TO_POINTER (lease)))
+        status = 400;
+    }
   if (status == 200 && cJSON_GetArraySize (failed))
     status = 409;
   if (status == 200 && cJSON_GetArraySize (cJSON_GetObjectItem (txn, "then")))
     {
       sim->revision++;
-      cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then")) if (hzb_json_text (item, "put"))
-      {
-        char *text = cJSON_PrintUnformatted (cJSON_GetObjectItem (item, "value"));
-        put_record (sim, hzb_json_text (item, "put"), text, hzb_json_u64 (item, "permit"));
-        cJSON_free (text);
-      }
-      else if (g_hash_table_contains (sim->kv, hzb_json_text (item, "remove")))
+      cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then"))
+        if (hzb_json_text (item, "put"))
+          {
+            char *text = cJSON_PrintUnformatted (cJSON_GetObjectItem (item, "value"));
+            put_record (sim, hzb_json_text (item, "put"), text, hzb_json_u64 (item, "permit"));
+            cJSON_free (text);
+          }
+        else if (g_hash_table_contains (sim->kv, hzb_json_text (item, "remove")))
           put_record (sim, hzb_json_text (item, "remove"), NULL, 0);
     }
   cJSON_AddItemToObject (root, "failed", failed);
--- a/tests/sim-worker.c
+++ b/tests/sim-worker.c
@@ -123,31 +123,31 @@
 {
   const cJSON *order;
   cJSON_ArrayForEach (order, commands)
-  {
-    const char *verb = hzb_json_text (order, "verb"), *task_report = hzb_json_text (order, "piece");
-    guint64 attempt = hzb_json_u64 (order, "try");
-    if (g_str_equal (verb, "run"))
-      {
-        sim_start_task (sim, machine, task_report, attempt);
-        continue;
-      }
-    for (guint i = 0; i < machine->tasks->len; i++)
-      {
-        SimTask *task = machine->tasks->pdata[i];
-        g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
-        if (!g_str_equal (name, task_report) || task->attempt != attempt)
+    {
+      const char *verb = hzb_json_text (order, "verb"), *task_report = hzb_json_text (order, "piece");
+      guint64 attempt = hzb_json_u64 (order, "try");
+      if (g_str_equal (verb, "run"))
+        {
+          sim_start_task (sim, machine, task_report, attempt);
           continue;
-        if (g_str_equal (verb, "kill") && task->state < 4)
-          end_task (task, "stopped");
-        else if (g_str_equal (verb, "reap") && task->state == 4)
-          {
-            g_free (task->uid);
-            g_free (task);
-            g_ptr_array_remove_index (machine->tasks, i);
-            break;
-          }
-      }
-  }
+        }
+      for (guint i = 0; i < machine->tasks->len; i++)
+        {
+          SimTask *task = machine->tasks->pdata[i];
+          g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
+          if (!g_str_equal (name, task_report) || task->attempt != attempt)
+            continue;
+          if (g_str_equal (verb, "kill") && task->state < 4)
+            end_task (task, "stopped");
+          else if (g_str_equal (verb, "reap") && task->state == 4)
+            {
+              g_free (task->uid);
+              g_free (task);
+              g_ptr_array_remove_index (machine->tasks, i);
+              break;
+            }
+        }
+    }
 }
 
 static char *
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -15,7 +15,7 @@
       HzbMachine *machine = b->machines->all->pdata[i];
       HzbEstimate *e = &machine->estimates[job->level];
       double u = 0, v = floor (machine->type->cpus / spec->cpus + 1e-9);
-      if (machine->state != HZB_MACHINE_ACTIVE || (spec->zone && strcmp (spec->zone, machine->zone))
+      if (machine->state != HZB_MACHINE_ACTIVE || (spec->zone && strcmp (spec->zone, machine->zone) != 0)
           || (machine->spot && !spec->spot))
         continue;
       v = MIN (v, floor (machine->type->memory_gb / spec->memory_gb + 1e-9));
@@ -310,7 +310,7 @@
       now = hzb_clock_now (b.clock);
       with = bench_machine (&b, "small", "za", FALSE);
       job = bench_job (&b, "red", HZB_PRIORITY_PRODUCTION, 1, 1, 10);
-      job->spec->service = service;
+      job->spec->service = service != 0;
       job->spec->image_gb = 5;
       g_hash_table_add (with->images, g_ref_string_acquire (job->spec->image));
       hzb_dispatch_run (b.dispatch, now);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -287,7 +287,7 @@
       g_assert_cmpuint (sim_largest_record (sim, "hzb/x/machines/"), >, 2048);
       sim->most_value = 2048;
       sim->most_changes = 8;
-      sim->nodes[1].old = seed % 2;
+      sim->nodes[1].old = seed % 2 == 1;
       start_all (sim, NULL);
       for (guint i = 0; i < sim->jobs->len; i++)
         {
