--- a/src/levels.c
+++ b/src/levels.c
@@ -8,12 +8,15 @@
 /* Where the least goes first, the largest would wait for as long as smaller ones keep coming. Users want the largest
  * to begin within four minutes: after half of that the first task of any job goes before all but urgent work. */
 #define OVERDUE_AFTER_S 120.0
-#define OVERDUE_LEVEL 5u
+#define OVERDUE_LEVEL HZB_LEVEL_URGENT
+#define PRESSING_PART 0.25 /* of what the aim allows: with less left the job is pressing */
+#define NO_AIM_ALLOWS_S 120.0
 
 double
 hzb_job_slack_s (const HzbSettings *settings, const HzbJob *job, struct timespec now, double *aim)
 {
-  double mean = hzb_job_mean_s (job), age = hzb_time_between (job->since, now), least = INFINITY, allows = 120;
+  double mean = hzb_job_mean_s (job), age = hzb_time_between (job->since, now), least = INFINITY,
+         allows = NO_AIM_ALLOWS_S;
 
   for (guint i = 0; i < settings->objectives->len; i++)
     {
@@ -37,42 +40,97 @@
     }
   if (aim)
     *aim = allows;
-  return isfinite (least) ? least : MAX (120 - 1.3 * mean, 10);
+  return isfinite (least) ? least : MAX (NO_AIM_ALLOWS_S - 1.3 * mean, 10);
 }
 
-/* High priorities come first, then what a team is guaranteed, then what will miss its aim unless it starts
- * soon, then the rest by priority. */
-static guint
-level_of (const HzbSettings *settings, const HzbJob *job, struct timespec now)
+static gboolean
+has_aim (const HzbSettings *settings, const HzbJob *job)
+{
+  for (guint i = 0; i < settings->objectives->len; i++)
+    if (g_strcmp0 (((HzbObjective *) settings->objectives->pdata[i])->job_class, job->spec->job_class) == 0)
+      return TRUE;
+  return FALSE;
+}
+
+static gboolean
+is_pressing (const HzbSettings *settings, const HzbJob *job, struct timespec now)
 {
   double aim, slack = hzb_job_slack_s (settings, job, now, &aim);
+  /* Once pressing it stays so, or it would move back and forth as an aim is passed. */
+  return job->level == HZB_LEVEL_PRESSING || (slack < PRESSING_PART * aim && has_aim (settings, job));
+}
+
+/* High priorities come first, then what a team is guaranteed, then what will miss its aim unless it starts
+ * soon, then the rest by priority; last the work of teams that are guaranteed nothing. */
+static HzbLevel
+level_of (const HzbSettings *settings, const HzbJob *job, gboolean guest, struct timespec now)
+{
+  gboolean normal = job->spec->priority == HZB_PRIORITY_NORMAL;
   switch (job->spec->priority)
     {
     case HZB_PRIORITY_PRODUCTION:
-      return 7;
+      return HZB_LEVEL_PRODUCTION;
     case HZB_PRIORITY_HIGH:
-      return job->guaranteed ? 6 : 5;
+      return job->guaranteed ? HZB_LEVEL_GUARANTEED_URGENT : HZB_LEVEL_URGENT;
     default:
+      if (guest)
+        return HZB_LEVEL_LEFTOVER;
       if (job->guaranteed)
-        return job->spec->priority == HZB_PRIORITY_NORMAL ? 4 : 3;
-      /* Once pressing it stays so, or it would move back and forth as an aim is passed. */
-      if (job->level == 2 || slack < 0.25 * aim)
-        return 2;
-      return job->spec->priority == HZB_PRIORITY_NORMAL ? 1 : 0;
+        return normal ? HZB_LEVEL_GUARANTEED_NORMAL : HZB_LEVEL_GUARANTEED_IDLE;
+      if (is_pressing (settings, job, now))
+        return HZB_LEVEL_PRESSING;
+      return normal ? HZB_LEVEL_NORMAL : HZB_LEVEL_IDLE;
     }
 }
 
+static gboolean
+has_guarantee (const HzbTeam *team)
+{
+  return team->cpus > 0 || team->gpus > 0;
+}
+
+static gboolean
+any_has_guarantee (const HzbSettings *settings)
+{
+  for (guint i = 0; i < settings->teams->len; i++)
+    if (has_guarantee (settings->teams->pdata[i]))
+      return TRUE;
+  return FALSE;
+}
+
+static gboolean
+is_start_overdue (const HzbJob *job, struct timespec now)
+{
+  return !(job->placed || job->finished || job->done || job->unknown || job->spec->gang)
+         && hzb_time_between (job->since, now) > OVERDUE_AFTER_S;
+}
+
+static void
+set_level (HzbJobs *jobs, HzbJob *job, HzbLevel level)
+{
+  if (level == job->level)
+    return;
+  /* What waits in lists goes through them anew. */
+  for (guint k = 0; job->listed && k < job->n_tasks; k++)
+    if (job->tasks[k].state == HZB_TASK_LISTED)
+      hzb_task_set_state (jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
+  job->level = (guint8) level;
+}
+
 void
 hzb_levels_update (HzbJobs *jobs, const HzbSettings *settings, struct timespec now)
 {
   guint n = settings->teams->len;
   g_autofree double *cpus = g_new0 (double, n), *gpus = g_new0 (double, n);
+  g_autoptr (GHashTable) overdue_guests = g_hash_table_new (g_str_hash, g_str_equal); /* classes */
+  gboolean any_guarantee = any_has_guarantee (settings);
 
   for (guint i = 0; i < jobs->active->len; i++) /* by age */
     {
       HzbJob *job = jobs->active->pdata[i];
       const HzbTeam *team = settings->teams->pdata[job->team];
-      guint level;
+      gboolean guest = any_guarantee && !has_guarantee (team);
+      HzbLevel level;
       if (job->state != HZB_JOB_ACCEPTED)
         continue;
       job->mean_s = hzb_jobs_mean_s (jobs, job);
@@ -80,19 +138,14 @@
       cpus[job->team] += job->spec->cpus * job->n_tasks;
       gpus[job->team] += job->spec->gpus * job->n_tasks;
       job->guaranteed = cpus[job->team] <= team->cpus + 1e-6 && gpus[job->team] <= team->gpus + 1e-6;
-      level = level_of (settings, job, now);
-      job->start_overdue = !(job->placed || job->finished || job->done || job->unknown || job->spec->gang)
-                           && hzb_time_between (job->since, now) > OVERDUE_AFTER_S;
+      level = level_of (settings, job, guest, now);
+      /* Guards against a guest's swarm of small jobs that goes before all other work once it has waited: one job of
+       * each class at a time does. */
+      job->start_overdue =
+          is_start_overdue (job, now) && (!guest || g_hash_table_add (overdue_guests, job->spec->job_class));
       if (job->start_overdue)
         level = MAX (level, OVERDUE_LEVEL);
-      if (level != job->level)
-        {
-          /* What waits in lists goes through them anew. */
-          for (guint k = 0; job->listed && k < job->n_tasks; k++)
-            if (job->tasks[k].state == HZB_TASK_LISTED)
-              hzb_task_set_state (jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
-          job->level = (guint8) level;
-        }
+      set_level (jobs, job, level);
     }
 }
 
@@ -119,7 +172,7 @@
   int order = (int) y->level - (int) x->level;
   if (order)
     return order;
-  if (x->level <= 2)
+  if (x->level <= HZB_LEVEL_PRESSING)
     {
       double left = work_left (x), right = work_left (y);
       if (left != right)
--- a/src/machines.h
+++ b/src/machines.h
@@ -19,8 +19,20 @@
   HZB_MACHINE_N_STATES
 } HzbMachineState;
 
-/* Classes of waiting work, the highest served first. See hzb_dispatch_classes(). */
-#define HZB_N_LEVELS 8
+/** HzbLevel: of waiting work; higher ones are served first, see levels.h. */
+typedef enum
+{
+  HZB_LEVEL_LEFTOVER, /* of a team without a guarantee: it takes what others leave */
+  HZB_LEVEL_IDLE,
+  HZB_LEVEL_NORMAL,
+  HZB_LEVEL_PRESSING, /* its aim will be missed unless it starts soon */
+  HZB_LEVEL_GUARANTEED_IDLE,
+  HZB_LEVEL_GUARANTEED_NORMAL,
+  HZB_LEVEL_URGENT,
+  HZB_LEVEL_GUARANTEED_URGENT,
+  HZB_LEVEL_PRODUCTION,
+  HZB_N_LEVELS
+} HzbLevel;
 
 /* Until it has answered, an unverified machine may hold tasks of its own only, of the block of a lessee (1 and up) that
  * was taken back, or of an earlier leader. */
--- a/src/preemption.c
+++ b/src/preemption.c
@@ -161,7 +161,7 @@
           memory += task->job->spec->memory_gb;
         }
     }
-  for (guint level = HZB_N_LEVELS - 1; level >= 3; level--)
+  for (guint level = HZB_N_LEVELS - 1; level > HZB_LEVEL_PRESSING; level--)
     for (GList *l = machine->lists[level].head; l && examined < 32; l = l->next, examined++)
       {
         HzbTask *preemptor = l->data;
