--- a/src/levels.c
+++ b/src/levels.c
@@ -17,6 +17,7 @@
 {
   double mean = hzb_job_mean_s (job), age = hzb_time_between (job->since, now), least = INFINITY,
          allows = NO_AIM_ALLOWS_S;
+  gboolean any_aim = FALSE;
 
   for (guint i = 0; i < settings->objectives->len; i++)
     {
@@ -24,6 +25,7 @@
       double by;
       if (g_strcmp0 (objective->job_class, job->spec->job_class) != 0)
         continue;
+      any_aim = TRUE;
       if (g_str_equal (objective->kind, "finished"))
         by = objective->within_s - 1.3 * mean;
       else if (g_str_equal (objective->kind, "wait"))
@@ -40,7 +42,11 @@
     }
   if (aim)
     *aim = allows;
-  return isfinite (least) ? least : MAX (NO_AIM_ALLOWS_S - 1.3 * mean, 10);
+  if (isfinite (least))
+    return least;
+  /* Guards against a fleet that stays as small as for a job that just came, however long one without an aim waits. One
+   * that has missed all its aims is in no such hurry. */
+  return MAX (NO_AIM_ALLOWS_S - 1.3 * mean - (any_aim ? 0 : age), 10);
 }
 
 static gboolean
--- a/src/levels.h
+++ b/src/levels.h
@@ -18,7 +18,7 @@
  * hzb_job_slack_s:
  * @aim: (out) (nullable): what the nearest aim that is not yet missed allows in all
  *
- * Returns: how long from now the job's tasks may start so that this aim is met. Far ahead for a job without aims.
+ * Returns: how long from now the job's tasks may start so that this aim is met. A job without aims is treated as if it had one of two minutes.
  */
 double hzb_job_slack_s (const HzbSettings *settings, const HzbJob *job, struct timespec now, double *aim);
 
--- a/src/user-api.c
+++ b/src/user-api.c
@@ -14,16 +14,16 @@
 /* What a request waits for. */
 typedef enum
 {
-  ASK_STATUS,
-  ASK_SUBMITTED, /* a submission of a job that seems known, or that can never run */
-  ASK_CANCEL
-} Ask;
+  QUESTION_STATUS,
+  QUESTION_SUBMISSION, /* a submission of a job that seems known, or that can never run */
+  QUESTION_CANCELLATION
+} Question;
 
 typedef struct
 {
   HzbExchange *exchange;
   char *uid;
-  Ask poll_leader;
+  Question question;
   char *refusal; /* ASK_SUBMITTED: why it is not taken, if it is not known */
   guint refusal_status;
   struct timespec deadline;
@@ -40,10 +40,11 @@
 struct _HzbUserApi
 {
   HzbController *controller;
-  GQueue checks, syncs, accepts; /* waiting to be sent */
-  GQueue pending_cancellations;  /* Check: of cancelled jobs, until every owner has heard of it */
-  guint checking, syncing, accepting;
-  guint records; /* of acceptances, by this process */
+  GQueue checks, accepts;       /* waiting to be sent */
+  GQueue pending_cancellations; /* Check: of cancelled jobs, until every owner has heard of it */
+  gboolean checking;
+  guint accepting; /* records on their way */
+  guint records;   /* of acceptances, by this process */
   struct timespec next_check;
 };
 
@@ -57,7 +58,6 @@
 
 static void flush_accepts (HzbUserApi *api);
 static void flush_checks (HzbUserApi *api);
-static void flush_syncs (HzbUserApi *api);
 static void read_check (HzbUserApi *api, Check *check);
 static void send_cancel (HzbUserApi *api, Check *check);
 
@@ -108,8 +108,7 @@
 {
   Check *check;
   Accept *accept;
-  while ((check = g_queue_pop_head (&api->checks)) || (check = g_queue_pop_head (&api->syncs))
-         || (check = g_queue_pop_head (&api->pending_cancellations)))
+  while ((check = g_queue_pop_head (&api->checks)) || (check = g_queue_pop_head (&api->pending_cancellations)))
     {
       hzb_exchange_reply (check->exchange, 503, NULL, 1);
       check_free (check);
@@ -176,7 +175,7 @@
 
   if (job->state != HZB_JOB_CANCELLED || hzb_cancellations_acknowledged (controller->cancellations, job))
     {
-      reply_status (api, check->exchange, job, 200, check->poll_leader == ASK_STATUS);
+      reply_status (api, check->exchange, job, 200, check->question == QUESTION_STATUS);
       check_free (check);
     }
   else if (!hzb_cancellations_request (controller->cancellations, job)
@@ -218,12 +217,12 @@
 }
 
 static Check *
-check_new (HzbExchange *exchange, const char *uid, Ask poll_leader)
+check_new (HzbExchange *exchange, const char *uid, Question question)
 {
   Check *check = g_new0 (Check, 1);
   check->exchange = exchange;
   check->uid = g_strdup (uid);
-  check->poll_leader = poll_leader;
+  check->question = question;
   return check;
 }
 
@@ -243,9 +242,9 @@
 static void
 settle_unknown (HzbUserApi *api, Check *check)
 {
-  if (check->poll_leader == ASK_SUBMITTED && check->refusal)
+  if (check->question == QUESTION_SUBMISSION && check->refusal)
     hzb_exchange_reply (check->exchange, check->refusal_status, hzb_wire_error (check->refusal), 0);
-  else if (check->poll_leader == ASK_SUBMITTED)
+  else if (check->question == QUESTION_SUBMISSION)
     reply_unavailable (check->exchange, "not decided"); /* a write without an answer may still come */
   else
     hzb_exchange_reply (check->exchange, 404, hzb_wire_error ("no such job"), 0);
@@ -265,7 +264,7 @@
       const char *state = hzb_json_text (item.value, "state");
       guint n = (guint) hzb_json_number (item.value, "n", 0);
       hzb_exchange_reply (check->exchange, 200,
-                          hzb_wire_job_status (check->uid, state, check->poll_leader == ASK_STATUS,
+                          hzb_wire_job_status (check->uid, state, check->question == QUESTION_STATUS,
                                                g_strcmp0 (state, "done") == 0 ? n : 0, 0),
                           0);
       check_free (check);
@@ -292,7 +291,7 @@
 {
   HzbJob *job = hzb_jobs_find (api->controller->jobs, check->uid);
 
-  if (check->poll_leader == ASK_CANCEL && job && job->state == HZB_JOB_ACCEPTED)
+  if (check->question == QUESTION_CANCELLATION && job && job->state == HZB_JOB_ACCEPTED)
     {
       send_cancel (api, check);
       return;
@@ -338,7 +337,7 @@
   Batch *batch = user;
   HzbUserApi *api = batch->api;
 
-  api->syncing--;
+  api->checking = FALSE;
   for (guint i = 0; i < batch->entries->len; i++)
     {
       Check *check = batch->entries->pdata[i];
@@ -348,60 +347,43 @@
         give_up (check, "the state service can't be asked");
     }
   batch_free (batch);
-  flush_syncs (api);
+  flush_checks (api);
 }
 
+/* All nodes together use no more than this part of the requests that the state service takes. */
+#define CHECK_PART 0.5
+#define CHECK_MOST_S 0.8 /* users wait 2 s for an answer */
+
+static double
+check_interval_s (const HzbController *controller)
+{
+  double all_nodes = controller->settings->size / (CHECK_PART * controller->settings->store_rps);
+  return CLAMP (all_nodes, CHECK_EVERY_S, CHECK_MOST_S);
+}
+
+/* One request proves for all questions that wait that the mirror has everything up to now, however many they are. */
 static void
-flush_syncs (HzbUserApi *api)
+flush_checks (HzbUserApi *api)
 {
+  HzbController *controller = api->controller;
+  struct timespec now = hzb_clock_now (controller->clock);
   Batch *batch;
   Check *check;
 
-  if (api->syncing || !api->syncs.length)
+  if (api->checking || !api->checks.length || hzb_time_before (now, api->next_check))
     return;
+  api->next_check = hzb_time_plus (now, check_interval_s (controller));
   batch = batch_new (api);
-  while ((check = g_queue_pop_head (&api->syncs)))
+  while ((check = g_queue_pop_head (&api->checks)))
     g_ptr_array_add (batch->entries, check);
-  api->syncing++;
-  hzb_mirror_sync (api->controller->mirror, on_synced, batch);
+  api->checking = TRUE;
+  hzb_mirror_sync (controller->mirror, on_synced, batch);
 }
 
-/* Resolved by reading, never guessed. */
 static void
-sync_check (HzbUserApi *api, Check *check)
+queue_check (HzbUserApi *api, Check *check)
 {
-  g_queue_push_tail (&api->syncs, check);
-  flush_syncs (api);
-}
-
-static void
-on_checked (HzbStoreResult result, const char *body, gpointer user)
-{
-  Batch *batch = user;
-  HzbUserApi *api = batch->api;
-  g_autoptr (GPtrArray) failed = NULL;
-
-  api->checking--;
-  if (result == HZB_STORE_CONFLICT)
-    hzb_wire_parse_txn (body, NULL, &failed);
-  for (guint i = 0; i < batch->entries->len; i++)
-    {
-      Check *check = batch->entries->pdata[i];
-      if (result == HZB_STORE_OK)
-        settle (api, check);
-      else if (result == HZB_STORE_CONFLICT)
-        {
-          /* A compare that failed on one key says nothing sure of the others: all are read again, the
-           * changed ones from their records. */
-          if (failed_by (failed, check->uid) || batch->entries->len == 1)
-            read_check (api, check);
-          else
-            g_queue_push_head (&api->checks, check);
-        }
-      else
-        give_up (check, "the state service can't be asked");
-    }
-  batch_free (batch);
+  g_queue_push_tail (&api->checks, check);
   flush_checks (api);
 }
 
@@ -413,31 +395,7 @@
 }
 
 static void
-flush_checks (HzbUserApi *api)
-{
-  HzbController *controller = api->controller;
-  struct timespec now = hzb_clock_now (controller->clock);
-  guint most = conditions (controller) / 2;
-  Batch *batch;
-  cJSON *txn;
-
-  if (api->checking || !api->checks.length || hzb_time_before (now, api->next_check))
-    return;
-  api->next_check = hzb_time_plus (now, CHECK_EVERY_S);
-  batch = batch_new (api);
-  txn = hzb_wire_txn ();
-  while (batch->entries->len < most && api->checks.length)
-    {
-      Check *check = g_queue_pop_head (&api->checks);
-      hzb_jobs_txn_if_not_over (txn, check->uid);
-      g_ptr_array_add (batch->entries, check);
-    }
-  api->checking++;
-  hzb_store_txn (controller->store, HZB_STORE_READ, txn, on_checked, batch);
-}
-
-static void
-add_check (HzbUserApi *api, HzbExchange *exchange, const char *uid, Ask poll_leader, const char *refusal,
+add_check (HzbUserApi *api, HzbExchange *exchange, const char *uid, Question question, const char *refusal,
            guint refusal_status)
 {
   Check *check;
@@ -447,23 +405,17 @@
       reply_unavailable (exchange, "the state service does not answer");
       return;
     }
-  if (api->checks.length + api->syncs.length >= MAX_QUEUED_CHECKS)
+  if (api->checks.length >= MAX_QUEUED_CHECKS)
     {
-      hzb_exchange_reply (exchange, poll_leader == ASK_SUBMITTED ? 429 : 503,
+      hzb_exchange_reply (exchange, question == QUESTION_SUBMISSION ? 429 : 503,
                           hzb_wire_error ("too much is asked at once"), 2);
       return;
     }
-  check = check_new (exchange, uid, poll_leader);
+  check = check_new (exchange, uid, question);
   check->refusal = g_strdup (refusal);
   check->refusal_status = refusal_status;
   check->deadline = hzb_time_plus (hzb_clock_now (api->controller->clock), 3);
-  if (!hzb_jobs_find (api->controller->jobs, uid))
-    {
-      sync_check (api, check);
-      return;
-    }
-  g_queue_push_tail (&api->checks, check);
-  flush_checks (api);
+  queue_check (api, check);
 }
 
 /* ---- cancelling ---- */
@@ -489,7 +441,7 @@
   else if (result == HZB_STORE_REFUSED)
     give_up (check, "the state service can't be asked");
   else
-    sync_check (api, check);
+    queue_check (api, check);
 }
 
 static void
@@ -538,7 +490,7 @@
         {
           HzbJob *job = hzb_jobs_find (controller->jobs, uid);
           if (job && job->state == HZB_JOB_CANCELLED)
-            reply_final (api, check_new (accept->exchange, uid, ASK_SUBMITTED), job);
+            reply_final (api, check_new (accept->exchange, uid, QUESTION_SUBMISSION), job);
           else
             hzb_exchange_reply (accept->exchange, 201,
                                 hzb_wire_job_status (uid, job ? hzb_job_status (job) : "queued", FALSE, 0, 0), 0);
@@ -551,11 +503,11 @@
       else if (result == HZB_STORE_CONFLICT || result == HZB_STORE_UNKNOWN)
         {
           /* Not there: it may still come, so the user is told to come back. */
-          Check *check = check_new (accept->exchange, uid, ASK_SUBMITTED);
+          Check *check = check_new (accept->exchange, uid, QUESTION_SUBMISSION);
           if (over)
             read_check (api, check);
           else
-            sync_check (api, check);
+            queue_check (api, check);
         }
       else
         reply_unavailable (accept->exchange, "the state service can't be asked");
@@ -681,9 +633,9 @@
   if ((job = hzb_jobs_find (controller->jobs, spec->uid)))
     {
       if (job->state != HZB_JOB_ACCEPTED)
-        reply_final (api, check_new (exchange, spec->uid, ASK_SUBMITTED), job);
+        reply_final (api, check_new (exchange, spec->uid, QUESTION_SUBMISSION), job);
       else
-        add_check (api, exchange, spec->uid, ASK_SUBMITTED, NULL, 0);
+        add_check (api, exchange, spec->uid, QUESTION_SUBMISSION, NULL, 0);
       return;
     }
   if (!hzb_controller_ready (controller) || !controller->machines->types || hzb_controller_store_silent (controller))
@@ -694,12 +646,12 @@
   /* A repeat of an accepted job must not be refused, whatever has changed since; the version before took any estimate. */
   if (spec->service && spec->estimate_s > 0)
     {
-      add_check (api, exchange, spec->uid, ASK_SUBMITTED, "expectS: expected 0 for standing jobs", 400);
+      add_check (api, exchange, spec->uid, QUESTION_SUBMISSION, "expectS: expected 0 for standing jobs", 400);
       return;
     }
   if ((refusal = reason_it_never_runs (controller, spec)))
     {
-      add_check (api, exchange, spec->uid, ASK_SUBMITTED, refusal, 422);
+      add_check (api, exchange, spec->uid, QUESTION_SUBMISSION, refusal, 422);
       return;
     }
   /* A version 1 would take a replica that ends for a task that is done. */
@@ -733,16 +685,16 @@
 }
 
 static void
-ask_about (HzbUserApi *api, HzbExchange *exchange, const char *uid, Ask poll_leader)
+handle_question (HzbUserApi *api, HzbExchange *exchange, const char *uid, Question question)
 {
   HzbJob *job = hzb_jobs_find (api->controller->jobs, uid);
 
   if (!hzb_wire_uid_ok (uid))
     hzb_exchange_reply (exchange, 404, hzb_wire_error ("no such job"), 0);
   else if (job && job->state != HZB_JOB_ACCEPTED)
-    reply_final (api, check_new (exchange, uid, poll_leader), job);
+    reply_final (api, check_new (exchange, uid, question), job);
   else
-    add_check (api, exchange, uid, poll_leader, NULL, 0);
+    add_check (api, exchange, uid, question, NULL, 0);
 }
 
 void
@@ -765,9 +717,9 @@
       const char *slash = strchr (rest + 1, '/');
       g_autofree char *uid = slash ? g_strndup (rest + 1, (gsize) (slash - rest - 1)) : g_strdup (rest + 1);
       if (!slash && get)
-        ask_about (api, exchange, uid, ASK_STATUS);
+        handle_question (api, exchange, uid, QUESTION_STATUS);
       else if (slash && g_str_equal (slash, hzb_path_cancel) && post)
-        ask_about (api, exchange, uid, ASK_CANCEL);
+        handle_question (api, exchange, uid, QUESTION_CANCELLATION);
       else if (!slash || g_str_equal (slash, hzb_path_cancel))
         hzb_exchange_reply (exchange, 405, hzb_wire_error (slash ? "POST here" : "GET a job here"), 0);
       else
@@ -782,6 +734,5 @@
 {
   flush_accepts (api);
   flush_checks (api);
-  flush_syncs (api);
   check_pending_cancellations (api);
 }
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -320,7 +320,7 @@
 {
   static const char *const records[][2] = {
     { "hzb/a/accepted/main/node-1-0a0b0c0d0e0f1011-1",
-      "{\"run-000777\":{\"state\":\"accepted\",\"at\":5.25,\"spec\":{\"uid\":\"run-000777\",\"lane\":\"web\",\"owner\":\"red\","
+      "{\"run-100000\":{\"state\":\"accepted\",\"at\":5.25,\"spec\":{\"uid\":\"run-100000\",\"lane\":\"web\",\"owner\":\"red\","
       "\"shape\":\"standing\",\"urgency\":\"production\",\"pieces\":2,\"cpus\":1,\"gpus\":0,\"ramGb\":1,\"bundle\":\"img\","
       "\"sizeGb\":0.5,\"samePlace\":false,\"spread\":true,\"loaners\":false,\"expectS\":5,\"snapshotEveryS\":0,\"snapshotS\":0}}}" },
     { "hzb/a/jobs/main/run-000778", "{\"state\":\"cancelled\",\"n\":3}" },
@@ -330,10 +330,12 @@
     { "hzb/a/leader", "{\"node\":\"(none of version 1)\",\"term\":5}" },
     { "hzb/x/flush", "{\"n\":31,\"term\":7,\"clear\":212}" },
     { "hzb/x/machines/000002", "{\"i-900001\":{\"type\":\"big\",\"zone\":\"za\",\"spot\":false,\"at\":5}}" },
-    { "hzb/x/progress/main/000001", "{\"run-000777/0\":{\"released\":2,\"team\":\"red\",\"cpus\":1,\"gpus\":0}}" },
+    { "hzb/x/progress/main/000001", "{\"run-100000/0\":{\"released\":2,\"team\":\"red\",\"cpus\":1,\"gpus\":0}}" },
   };
   Sim *sim = sim_new (465);
-  const HzbJob *service;
+  SimJob *service = sim_add_job (sim, 1e6, "red", 2, 1, 1e9); /* run-100000: its user comes no more */
+  service->service = service->spread = service->submitted = service->accepted = TRUE;
+  service->spot = FALSE;
   for (guint i = 0; i < SIM_NODES; i++)
     sim_crash (sim, i);
   for (guint i = 0; i < G_N_ELEMENTS (records); i++)
@@ -343,7 +345,7 @@
   for (guint i = 0; i < SIM_NODES; i++)
     {
       g_assert_cmpint (hzb_election_format (sim->nodes[i].controller->election), ==, 2);
-      g_assert_cmpuint (submit_service (sim, i, 777, "red", 2, 1, "5", NULL), ==, 200);
+      g_assert_cmpuint (submit_service (sim, i, 100000, "red", 2, 1, "5", NULL), ==, 200);
       g_assert_cmpuint (submit_service (sim, i, 778, "red", 2, 1, "0", NULL), ==, 200);
       g_assert_nonnull (strstr (last_body, "cancelled"));
       g_assert_cmpuint (ask (sim, i, "GET", "/api/jobs/run-000779", "", NULL), ==, 200);
@@ -351,9 +353,11 @@
       g_assert_cmpuint (submit_service (sim, i, 780, "red", 2, 1, "5", NULL), ==, 400);
     }
   g_assert_cmpint (sim_leader (sim), !=, -1);
-  service = hzb_jobs_find (sim->nodes[sim_leader (sim)].controller->jobs, "run-000777");
-  g_assert_cmpuint (service->placed, ==, 2);
-  g_assert_cmpuint (ask (sim, 0, "POST", "/api/jobs/run-000777/cancel", "", NULL), ==, 200);
+  g_assert_cmpuint (sim_running (sim, service, NULL), ==, 2);
+  g_assert_cmpuint (ask (sim, 0, "POST", "/api/jobs/run-100000/cancel", "", NULL), ==, 200);
+  service->asked_cancel = TRUE;
+  sim_run (sim, sim->now + 10);
+  g_assert_cmpuint (sim_running (sim, service, NULL), ==, 0);
   expect_no_fault (sim, "records of production", 465);
   sim_free (sim);
 }
