--- a/src/block-leases.c
+++ b/src/block-leases.c
@@ -608,15 +608,73 @@
     }
 }
 
+/* Tasks of the team that could be stopped for a replica: on the leader's machines (0), or delegated to this lessee. */
+static gboolean
+team_has_lower_work (const HzbController *controller, int team, guint8 lessee)
+{
+  for (guint i = 0; i < controller->jobs->active->len; i++)
+    {
+      const HzbJob *job = controller->jobs->active->pdata[i];
+      if (job->team != team || job->spec->service || job->spec->gang || job->state != HZB_JOB_ACCEPTED)
+        continue;
+      for (guint k = 0; job->placed && k < job->n_tasks; k++)
+        {
+          const HzbTask *task = &job->tasks[k];
+          if (lessee ? task->state == HZB_TASK_DELEGATED && task->lessee == lessee : hzb_task_on_machine (task))
+            return TRUE;
+        }
+    }
+  return FALSE;
+}
+
+/* Guards against a service whose team is at its limit with all of its other work delegated: the leader can stop only what
+ * runs in its own block, so the service would wait until that work ends. */
+static gboolean
+service_waits_for_delegated_work (const HzbController *controller, const Lessee *lessee)
+{
+  for (guint i = 0; i < controller->jobs->active->len; i++)
+    {
+      const HzbJob *job = controller->jobs->active->pdata[i];
+      if (job->state == HZB_JOB_ACCEPTED && job->spec->service && (job->pending || job->listed)
+          && !hzb_block_fits (controller->block, job->team, job->spec->cpus, job->spec->gpus)
+          && !team_has_lower_work (controller, job->team, 0) && team_has_lower_work (controller, job->team, lessee->id))
+        return TRUE;
+    }
+  return FALSE;
+}
+
+/* One machine at a time comes back with its tasks; which of them hold the team's the leader does not know. */
+static void
+recall_for_service (HzbLeases *leases, const Lessee *lessee)
+{
+  const HzbController *controller = leases->controller;
+  HzbMachine *next = NULL;
+
+  if (!service_waits_for_delegated_work (controller, lessee))
+    return;
+  for (guint i = 0; i < controller->machines->all->len; i++)
+    {
+      HzbMachine *machine = controller->machines->all->pdata[i];
+      if (machine->state != HZB_MACHINE_LEASED || machine->lessee != lessee->id || !machine->lease_sent)
+        continue;
+      if (machine->recall_at_once)
+        return; /* it is on its way */
+      next = next ? next : machine;
+    }
+  if (next)
+    next->recall_at_once = TRUE;
+}
+
 /* Machines that are spare are asked back, and left where they are when there is work for them after all. */
 static void
 recall_machines (HzbLeases *leases, Lessee *lessee, gboolean all)
 {
   HzbController *controller = leases->controller;
+
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       HzbMachine *machine = controller->machines->all->pdata[i];
-      gboolean back = all || machine->spare || machine->to_be_returned || machine->reserved;
+      gboolean back = all || machine->spare || machine->to_be_returned || machine->reserved || machine->recall_at_once;
       cJSON *body;
       if (machine->state != HZB_MACHINE_LEASED || machine->lessee != lessee->id || machine->recall_requested == back
           || !machine->lease_sent)
@@ -625,7 +683,7 @@
       body = cJSON_CreateObject ();
       cJSON_AddStringToObject (body, back ? "back" : "keep", machine->name);
       /* Replicas wait for its room: what runs there comes along, and can give way here. */
-      if (back && machine->reserved)
+      if (back && (machine->reserved || machine->recall_at_once))
         cJSON_AddTrueToObject (body, "now");
       hzb_outbox_push (&lessee->out, body);
     }
@@ -690,6 +748,7 @@
               }
           set_running (leases, lessee, cJSON_GetObjectItemCaseSensitive (root, "running"),
                        cJSON_GetObjectItemCaseSensitive (root, "leaving"));
+          recall_for_service (leases, lessee);
           recall_machines (leases, lessee, gang_waits (controller) || !controller->lease_blocks);
           /* Only once it has all that was sent before, or its room would be filled twice. */
           if (!lessee->out.waiting.length)
