--- a/src/controller.c
+++ b/src/controller.c
@@ -428,6 +428,16 @@
     hzb_user_api_request (controller->api, exchange);
 }
 
+/* Guards against watches that use up the requests of the state service: each change ends the watch of every node, and
+ * opening the next one counts as a request. */
+#define WATCH_PART 0.25 /* of the requests that the state service takes, for the watches of all nodes */
+
+static double
+watch_interval_s (const HzbSettings *settings)
+{
+  return settings->size / (WATCH_PART * settings->store_rps);
+}
+
 HzbController *
 hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed)
 {
@@ -437,7 +447,8 @@
   controller->transport = transport;
   controller->rand = g_rand_new_with_seed (seed);
   controller->store = hzb_store_new (transport, clock, settings);
-  controller->mirror = hzb_mirror_new (controller->store, clock, HZB_KEY_MIRROR, &mirror_funcs, controller);
+  controller->mirror =
+      hzb_mirror_new (controller->store, clock, HZB_KEY_MIRROR, watch_interval_s (settings), &mirror_funcs, controller);
   controller->cloud = hzb_cloud_new (transport, clock, settings);
   controller->election = hzb_election_new (controller->store, clock, settings, controller->rand);
   controller->jobs = hzb_jobs_new (clock, settings);
--- a/src/mirror.c
+++ b/src/mirror.c
@@ -15,6 +15,8 @@
   HzbMirrorState state; /* changed by set_state() only */
   guint64 revision;
   gboolean watching;
+  double watch_interval_s;
+  struct timespec next_watch;
   struct timespec last_watch, next_step;
   /* of the reading under way: */
   guint64 load_revision; /* of its first page: changes since then are brought by the watch */
@@ -151,7 +153,8 @@
 static void
 step (HzbMirror *mirror)
 {
-  if (hzb_time_before (hzb_clock_now (mirror->clock), mirror->next_step))
+  struct timespec now = hzb_clock_now (mirror->clock);
+  if (hzb_time_before (now, mirror->next_step))
     return;
   if (mirror->state == HZB_MIRROR_EMPTY && mirror->funcs.may_load (mirror->user))
     {
@@ -160,9 +163,10 @@
       g_clear_pointer (&mirror->load_cursor, g_free);
       hzb_store_range (mirror->store, mirror->prefix, NULL, on_loaded, mirror);
     }
-  else if (mirror->state == HZB_MIRROR_FOLLOWING && !mirror->watching)
+  else if (mirror->state == HZB_MIRROR_FOLLOWING && !mirror->watching && !hzb_time_before (now, mirror->next_watch))
     {
       mirror->watching = TRUE;
+      mirror->next_watch = hzb_time_plus (now, mirror->watch_interval_s);
       hzb_store_watch (mirror->store, mirror->prefix, mirror->revision, HZB_MIRROR_WATCH_MS, on_watched, mirror);
     }
 }
@@ -194,12 +198,14 @@
 }
 
 HzbMirror *
-hzb_mirror_new (HzbStore *store, HzbClock *clock, const char *prefix, const HzbMirrorFuncs *funcs, gpointer user)
+hzb_mirror_new (HzbStore *store, HzbClock *clock, const char *prefix, double watch_interval_s,
+                const HzbMirrorFuncs *funcs, gpointer user)
 {
   HzbMirror *mirror = g_new0 (HzbMirror, 1);
   mirror->store = store;
   mirror->clock = clock;
   mirror->prefix = g_strdup (prefix);
+  mirror->watch_interval_s = watch_interval_s;
   mirror->funcs = *funcs;
   mirror->user = user;
   return mirror;
--- a/src/mirror.h
+++ b/src/mirror.h
@@ -30,8 +30,12 @@
 /** HzbSyncFunc: @fresh is FALSE if the mirror could not be brought up to this moment. */
 typedef void (*HzbSyncFunc) (gboolean fresh, gpointer user);
 
-HzbMirror *
-hzb_mirror_new (HzbStore *store, HzbClock *clock, const char *prefix, const HzbMirrorFuncs *funcs, gpointer user);
+/**
+ * hzb_mirror_new:
+ * @watch_interval_s: watches are opened no more often than this; what changes meanwhile comes with the next one
+ */
+HzbMirror *hzb_mirror_new (HzbStore *store, HzbClock *clock, const char *prefix, double watch_interval_s,
+                           const HzbMirrorFuncs *funcs, gpointer user);
 void hzb_mirror_free (HzbMirror *mirror);
 
 /** hzb_mirror_tick: starts whatever is to be done next: reading all, or the next watch. */
