--- a/src/autoscaler.c
+++ b/src/autoscaler.c
@@ -207,6 +207,9 @@
       cpus_left[job->team] -= (job->placed - placed) * spec->cpus; /* they count all the same */
       gpus_left[job->team] -= (job->placed - placed) * spec->gpus;
       tasks = job->pending + job->listed + job->unknown + placed;
+      /* Guards against machines that are rented for a job that fails wherever it starts: it is tried one task at a time. */
+      if (job->failures && !job->did_well)
+        tasks = MIN (tasks, placed + 1);
       at_once = tasks;
       if (spec->cpus > 0)
         at_once = MIN (at_once, floor (cpus_left[job->team] / spec->cpus + 1e-9));
--- a/src/block-leases.c
+++ b/src/block-leases.c
@@ -536,6 +536,7 @@
     task->lessee = lessee->id; /* of a machine that was handed over with its result */
   if (task->state != HZB_TASK_DELEGATED || task->lessee != lessee->id)
     return;
+  task->job->did_well = TRUE;
   hzb_jobs_record_run_time (controller->jobs, task->job, lessee->ran_s);
   hzb_task_set_state (controller->jobs, task, HZB_TASK_FINISHED, NULL);
   task->job->dirty = TRUE;
--- a/src/job-progress.c
+++ b/src/job-progress.c
@@ -69,5 +69,6 @@
     if (job->tasks[i].state == HZB_TASK_PENDING)
       hzb_task_set_state (jobs, &job->tasks[i], HZB_TASK_UNKNOWN, NULL);
   job->cursor = MAX (job->cursor, job->released);
+  job->did_well = job->did_well || job->done > 0;
   return TRUE;
 }
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -64,7 +64,10 @@
   gboolean start_overdue; /* nothing of it has started for long: its first task goes before others */
   guint8 level;           /* of waiting work, see hzb_dispatch_classes() */
   guint64 next_attempt;
-  guint failures; /* in a row, without a task of the job doing well */
+  guint failures;             /* in a row, without a task of the job doing well */
+  char *failed_on;            /* the first machine on which a task failed */
+  gboolean failed_on_several; /* machines */
+  gboolean did_well;          /* a task has ended well, or ran for a while */
   struct timespec not_before, since;
   guint begun; /* tasks, when it was last looked at: nothing more of it has begun since: */
   struct timespec waits_since;
--- a/src/machines.c
+++ b/src/machines.c
@@ -15,6 +15,7 @@
   g_free (machine->type_name);
   g_free (machine->zone);
   g_free (machine->last_failed_job);
+  g_hash_table_unref (machine->failed_jobs);
   g_ptr_array_unref (machine->tasks);
   g_hash_table_unref (machine->images);
   g_hash_table_unref (machine->expected);
@@ -99,6 +100,7 @@
   machine->state = state;
   machine->since = machine->rented = machine->idle_since = now;
   machine->tasks = g_ptr_array_new ();
+  machine->failed_jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   machine->images = g_hash_table_new_full (NULL, NULL, (GDestroyNotify) g_ref_string_release, NULL);
   machine->expected = g_hash_table_new_full (NULL, NULL, (GDestroyNotify) g_ref_string_release, NULL);
   machine->estimate_stale = TRUE;
@@ -310,6 +312,48 @@
  * only work that did well there used to lift it. */
 #define AVOID_S 30.0
 
+#define FAULTY_AFTER 3u /* failures */
+#define FAULTY_JOBS 3u  /* that have done well nowhere yet, and failed nowhere else */
+
+void
+hzb_machine_note_failure (HzbMachine *machine, const HzbJob *job, struct timespec now)
+{
+  guint failures = GPOINTER_TO_UINT (g_hash_table_lookup (machine->failed_jobs, job->uid));
+  g_hash_table_insert (machine->failed_jobs, g_strdup (job->uid), GUINT_TO_POINTER (failures + 1));
+  machine->last_failure = now;
+  g_free (machine->last_failed_job);
+  machine->last_failed_job = g_strdup (job->uid);
+}
+
+void
+hzb_machine_note_success (HzbMachine *machine)
+{
+  g_hash_table_remove_all (machine->failed_jobs);
+  g_clear_pointer (&machine->last_failed_job, g_free);
+}
+
+gboolean
+hzb_machine_seems_faulty (const HzbMachine *machine, HzbJobs *jobs)
+{
+  GHashTableIter iter;
+  gpointer uid, count;
+  guint failures = 0, unproven = 0;
+  gboolean any_sound = FALSE;
+
+  g_hash_table_iter_init (&iter, machine->failed_jobs);
+  while (g_hash_table_iter_next (&iter, &uid, &count))
+    {
+      const HzbJob *job = hzb_jobs_find (jobs, uid);
+      /* Guards against jobs with a mistake, which would drive out one machine after another. */
+      if (!job || (job->failed_on_several && !job->did_well))
+        continue;
+      failures += GPOINTER_TO_UINT (count);
+      any_sound = any_sound || job->did_well;
+      unproven += !job->did_well;
+    }
+  return failures >= FAULTY_AFTER && (any_sound || unproven >= FAULTY_JOBS);
+}
+
 gboolean
 hzb_machine_avoids (const HzbMachine *machine, const HzbJob *job, struct timespec now)
 {
--- a/src/machines.h
+++ b/src/machines.h
@@ -75,10 +75,10 @@
   GQueue lists[HZB_N_LEVELS];
   HzbEstimate estimates[HZB_N_LEVELS]; /* work that a task of the class waits behind */
   gboolean estimate_stale;
-  GHashTable *images;          /* names (interned) known to be on it */
-  GHashTable *expected;        /* names that tasks sent or listed here will bring, as of the last report */
-  guint round;                 /* counts reports, see HzbTask.seen */
-  guint failures, failed_jobs; /* in a row */
+  GHashTable *images;      /* names (interned) known to be on it */
+  GHashTable *expected;    /* names that tasks sent or listed here will bring, as of the last report */
+  guint round;             /* counts reports, see HzbTask.seen */
+  GHashTable *failed_jobs; /* uid -> failures since a task did well here */
   char *last_failed_job;
   struct timespec last_failure;
 };
@@ -126,6 +126,17 @@
 /* A replica of such a service fits beside those that are there or listed, whatever else would have to go. */
 gboolean hzb_machine_takes_replica (const HzbMachine *machine, const HzbSpec *spec);
 gboolean hzb_machine_allowed (const HzbMachine *machine, const HzbSpec *spec);
+/** hzb_machine_note_failure: a task of the job failed there. */
+void hzb_machine_note_failure (HzbMachine *machine, const HzbJob *job, struct timespec now);
+
+/** hzb_machine_note_success: a task did well there. */
+void hzb_machine_note_success (HzbMachine *machine);
+
+/**
+ * hzb_machine_seems_faulty: it fails what it starts, and not for the jobs' sake: a job that has done well elsewhere failed, or
+ * several that have not failed elsewhere.
+ */
+gboolean hzb_machine_seems_faulty (const HzbMachine *machine, HzbJobs *jobs);
 /* The last failure on the machine was one of this job, not long ago: the job's tasks are tried on others first. */
 gboolean hzb_machine_avoids (const HzbMachine *machine, const HzbJob *job, struct timespec now);
 gboolean hzb_machine_has_room (const HzbMachine *machine, const HzbSpec *spec);
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -4,9 +4,8 @@
 #include <math.h>
 #include <string.h>
 
-#define SICK_AFTER 3u
+#define DOES_WELL_AFTER_S 5.0 /* a task that runs for so long */
 #define DEAF_AFTER 2u
-#define QUICK_END_S 5.0 /* a replica that ends by itself sooner is tried ever more seldom: */
 #define QUICK_END_PAUSE_S 0.5
 #define QUICK_END_MOST_S 30.0
 /* Estimates are often wrong: only a task that should need this many times what is left is given up. */
@@ -20,32 +19,29 @@
 }
 
 static void
-task_failed (HzbController *controller, HzbMachine *machine, HzbTask *task, HzbExitCause cause, struct timespec now)
+task_failed (HzbController *controller, HzbMachine *machine, HzbTask *task, HzbExitCause cause, gboolean ran_well,
+             struct timespec now)
 {
   HzbJob *job = task->job;
 
   if (cause == HZB_EXIT_ERROR)
     {
-      gboolean same = g_strcmp0 (machine->last_failed_job, job->uid) == 0, service = job->spec->service;
+      gboolean service = job->spec->service, same = g_strcmp0 (machine->last_failed_job, job->uid) == 0;
       task->tries = (guint8) MIN (task->tries + 1, 10);
-      machine->failures++;
-      machine->last_failure = now;
-      if (!same)
-        {
-          machine->failed_jobs++;
-          g_free (machine->last_failed_job);
-          machine->last_failed_job = g_strdup (job->uid);
-        }
-      /* One machine that fails all it starts must not pass for a job that fails everywhere. */
-      if (machine->failures >= SICK_AFTER
-          && (machine->failed_jobs >= 2 || job->running + job->done + job->finished > 0))
+      if (!job->failed_on)
+        job->failed_on = g_strdup (machine->name);
+      job->failed_on_several = job->failed_on_several || !g_str_equal (job->failed_on, machine->name);
+      /* That its tasks run for a while shows nothing of a job whose tasks fail after that. */
+      job->did_well = job->did_well && (!ran_well || job->done + job->finished > 0);
+      hzb_machine_note_failure (machine, job, now);
+      if (hzb_machine_seems_faulty (machine, controller->jobs))
         {
           if (!machine->to_be_returned)
             g_message ("machine %s fails what it starts and is set aside", machine->name);
           machine->to_be_returned = TRUE;
         }
       /* One machine that fails all replicas of a service says no more of the service than one that fails one. */
-      else if (job->running + job->done + job->finished == 0 && !(service && same))
+      else if (!job->did_well && !(service && same))
         {
           job->failures++;
           job->not_before = hzb_time_plus (now, MIN (60, 1 << MIN (job->failures, 6)));
@@ -101,8 +97,8 @@
           hzb_task_set_state (controller->jobs, task, HZB_TASK_FINISHED, NULL);
           job->dirty = TRUE;
           job->failures = 0;
-          machine->failures = machine->failed_jobs = 0;
-          g_clear_pointer (&machine->last_failed_job, g_free);
+          job->did_well = TRUE;
+          hzb_machine_note_success (machine);
           if (controller->ownership == HZB_OWNERSHIP_LESSEE)
             hzb_lessee_report_finished (controller->lessee, task, ran);
           else if (job->finished + job->done == job->n_tasks)
@@ -115,9 +111,9 @@
     }
   if (here)
     {
-      gboolean ran_well = task->state == HZB_TASK_RUNNING && hzb_time_between (task->since, now) > QUICK_END_S;
+      gboolean ran_well = task->state == HZB_TASK_RUNNING && hzb_time_between (task->since, now) > DOES_WELL_AFTER_S;
       hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
-      task_failed (controller, machine, task, task_report->exit_cause, now);
+      task_failed (controller, machine, task, task_report->exit_cause, ran_well, now);
       if (task_report->exit_cause == HZB_EXIT_DONE)
         replica_ended (task, ran_well, now);
     }
@@ -194,8 +190,12 @@
     g_hash_table_add (machine->images, g_ref_string_acquire (job->spec->image));
   if (task_report->state == HZB_TASK_REPORT_RUNNING && task)
     {
-      machine->failures = machine->failures > 0 && hzb_time_between (task->since, now) > 5 ? 0 : machine->failures;
-      job->failures = hzb_time_between (task->since, now) > 5 ? 0 : job->failures;
+      if (hzb_time_between (task->since, now) > DOES_WELL_AFTER_S)
+        {
+          job->did_well = TRUE;
+          job->failures = 0;
+          hzb_machine_note_success (machine);
+        }
     }
   if (over)
     command (commands, HZB_COMMAND_STOP, job->uid, task_report->task, task_report->attempt, 0);
--- /dev/null
+++ b/tests/test-overload.c
@@ -0,0 +1,295 @@
+/* Faults and loads that no list named: controllers that fall silent, many times as many questions, guest teams, jobs that
+ * were submitted with a mistake. */
+#include "sim-faults.h"
+
+#include <string.h>
+
+/* ---- silent controllers ---- */
+
+/* Whoever falls silent accepts what comes and answers nothing; the others are served, and on waking nothing is done that
+ * a later leader did not allow. */
+static void
+test_silent_controllers (void)
+{
+  for (guint32 seed = 600; seed < 612; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      guint leader, other, silent = 1 + seed % 2;
+      SimJob *meanwhile;
+      for (guint i = 0; i < 10; i++)
+        sim_add_job (sim, 1 + 2 * i, i % 2 ? "red" : "blue", 1 + i % 6, 1.5, 15)->wants_cancel = i % 4 == 3;
+      sim_run (sim, 20);
+      leader = (guint) MAX (sim_leader (sim), 0);
+      other = (leader + 1) % SIM_NODES;
+      sim->nodes[seed % 3 ? leader : other].paused = TRUE;
+      if (silent > 1)
+        sim->nodes[seed % 3 ? other : leader].paused = TRUE;
+      sim_run (sim, 40);
+      meanwhile = sim_add_job (sim, 40, "red", 3, 1, 5);
+      sim_run (sim, 85);
+      g_assert_true (meanwhile->told_done);
+      for (guint i = 0; i < SIM_NODES; i++)
+        if (sim->nodes[i].paused)
+          {
+            sim_wake (sim, i);
+            sim_run (sim, sim->now + g_rand_double_range (sim->rand, 0, 4));
+          }
+      if (seed % 4 == 0)
+        crash_one (sim, NULL);
+      sim_run (sim, sim->now + 5);
+      start_all (sim, NULL);
+      sim->calm_at = sim->now + 5;
+      sim_run (sim, 330);
+      expect_all_over (sim, "silent controllers", seed);
+      sim_free (sim);
+    }
+}
+
+/* ---- many questions ---- */
+
+typedef struct
+{
+  Sim *sim;
+  SimJob *job;
+  guint *answers, *refusals;
+  double asked;
+  double *slowest;
+} Question;
+
+static void
+on_answer (HzbExchange *exchange, guint status, const char *body, guint retry)
+{
+  Question *question = exchange->impl;
+  cJSON *root = cJSON_Parse (body ? body : "");
+  sim_told (question->sim, question->job, status, hzb_json_text (root, "status"));
+  *question->answers += 1;
+  *question->refusals += status == 503;
+  *question->slowest = MAX (*question->slowest, question->sim->now - question->asked);
+  if (status == 503)
+    g_assert_cmpuint (retry, >, 0);
+  cJSON_Delete (root);
+  g_free (question);
+}
+
+static guint answers, refusals;
+static double slowest;
+
+static void
+ask_status (Sim *sim, guint node, SimJob *job)
+{
+  HzbExchange *exchange;
+  Question *question;
+  if (!sim->nodes[node].controller || sim->nodes[node].paused)
+    return;
+  exchange = g_new0 (HzbExchange, 1);
+  question = g_new0 (Question, 1);
+  *question = (Question){ sim, job, &answers, &refusals, sim->now, &slowest };
+  exchange->method = g_strdup ("GET");
+  exchange->path = g_strdup_printf ("/api/jobs/%s", job->uid);
+  exchange->body = g_strdup ("");
+  exchange->reply = on_answer;
+  exchange->impl = question;
+  hzb_controller_request (exchange, sim->nodes[node].controller);
+}
+
+/* So many questions about each accepted job within the second, at all nodes. */
+static guint
+ask_for_a_second (Sim *sim, guint each)
+{
+  guint asked = 0;
+  double until = sim->now + 1;
+  for (guint k = 0; k < each; k++)
+    {
+      for (guint i = 0; i < sim->jobs->len; i++)
+        {
+          SimJob *job = sim->jobs->pdata[i];
+          if (!job->accepted)
+            continue;
+          ask_status (sim, (i + k) % SIM_NODES, job);
+          asked++;
+        }
+      sim_run (sim, sim->now + 1.0 / each);
+    }
+  sim_run (sim, until);
+  return asked;
+}
+
+/* Ten times as many questions cost the state service hardly more requests, since one proves freshness for all that wait;
+ * each is answered within the time that its user waits, no answer is older than one before, and submissions go on. */
+static void
+test_many_questions (void)
+{
+  for (guint32 seed = 620; seed < 624; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      guint before, few, many, asked_few = 0, asked_many = 0;
+      SimJob *meanwhile;
+      for (guint i = 0; i < 40; i++)
+        sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 2, 1, 20)->wants_cancel = i % 5 == 0;
+      sim_run (sim, 20);
+      answers = refusals = 0;
+      slowest = 0;
+      before = sim->requests;
+      for (guint s = 0; s < 8; s++)
+        asked_few += ask_for_a_second (sim, 2);
+      few = sim->requests - before;
+      before = sim->requests;
+      if (seed % 2)
+        sim->nodes[(sim_leader (sim) + 1) % SIM_NODES].paused = TRUE;
+      meanwhile = sim_add_job (sim, sim->now, "red", 1, 1, 3);
+      for (guint s = 0; s < 8; s++)
+        asked_many += ask_for_a_second (sim, 20);
+      many = sim->requests - before;
+      g_assert_cmpuint (asked_many, >, 8 * asked_few);
+      g_assert_cmpuint (many, <, 8 * (guint) (0.5 * sim->size.store_rps)); /* paced, and shared: */
+      g_assert_cmpuint (8 * many, <, asked_many);
+      g_assert_cmpuint (many, <, 4 * few);
+      g_assert_cmpfloat (slowest, <, 2);
+      g_assert_cmpuint (refusals, <, answers / 10);
+      g_assert_true (meanwhile->accepted && meanwhile->accepted_at < 32);
+      for (guint i = 0; i < SIM_NODES; i++)
+        if (sim->nodes[i].paused)
+          sim_wake (sim, i);
+      sim->calm_at = sim->now + 10;
+      sim_run (sim, 330);
+      expect_all_over (sim, "many questions", seed);
+      sim_free (sim);
+    }
+}
+
+/* While the state service is out, each of many questions gets its refusal at once. */
+static void
+test_many_questions_in_an_outage (void)
+{
+  Sim *sim = sim_new (626);
+  for (guint i = 0; i < 30; i++)
+    sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 2, 1, 60);
+  sim_run (sim, 20);
+  sim->outage = TRUE;
+  sim_run (sim, 26);
+  answers = refusals = 0;
+  slowest = 0;
+  for (guint s = 0; s < 5; s++)
+    ask_for_a_second (sim, 10);
+  g_assert_cmpuint (answers, >, 1000);
+  g_assert_cmpuint (refusals, ==, answers);
+  g_assert_cmpfloat (slowest, <, 0.1);
+  sim->outage = FALSE;
+  sim_run (sim, 330);
+  expect_all_over (sim, "many questions in an outage", 626);
+  sim_free (sim);
+}
+
+/* ---- guest teams ---- */
+
+/* A swarm of a guest's single tasks costs few changes in the store, and takes its room from nobody: work of a team with a
+ * guarantee is as soon over as without it. */
+static void
+test_guest_swarm (void)
+{
+  for (guint32 seed = 630; seed < 634; seed++)
+    {
+      double over[2] = { 0 };
+      for (guint guests = 0; guests < 2; guests++)
+        {
+          Sim *sim = sim_new (seed);
+          GPtrArray *own = g_ptr_array_new ();
+          for (guint i = 0; i < 80 * guests; i++)
+            sim_add_job (sim, 15 + 0.25 * i, "guest", 1, 0.5, 8)->job_class = "single";
+          if (guests)
+            sim_add_job (sim, 12, "guest", 150, 0.5, 10)->job_class = "sweep";
+          for (guint i = 0; i < 8; i++)
+            g_ptr_array_add (own, sim_add_job (sim, 20 + i, i % 2 ? "red" : "blue", 8, 1, 12));
+          sim->calm_at = 60;
+          while (sim->now < 400 && over[guests] <= 0)
+            {
+              gboolean all = TRUE;
+              sim_run (sim, sim->now + 1);
+              for (guint i = 0; i < own->len; i++)
+                all = all && ((SimJob *) own->pdata[i])->told_done;
+              if (all)
+                over[guests] = sim->now;
+            }
+          sim_run (sim, 420);
+          g_assert_cmpuint (sim->written, <, 8 * sim->jobs->len + 200);
+          expect_all_over (sim, "guest swarm", seed);
+          g_ptr_array_unref (own);
+          sim_free (sim);
+        }
+      g_assert_cmpfloat (over[1], <, over[0] + 30);
+    }
+}
+
+/* ---- jobs with a mistake ---- */
+
+static guint set_aside; /* machines */
+
+static void
+count_set_aside (const gchar *domain, GLogLevelFlags level, const gchar *message, gpointer user)
+{
+  set_aside += strstr (message, "is set aside") != NULL;
+}
+
+/* Jobs that fail wherever they start: no machine goes back or is rented for them, a faulty machine is still found, all else
+ * goes on, and they stay known and can be cancelled. */
+static void
+test_jobs_with_a_mistake (void)
+{
+  for (guint32 seed = 640; seed < 646; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      SimMachine *sick;
+      SimJob *mistaken[3];
+      guint rented, handler;
+      set_aside = 0;
+      handler = g_log_set_handler ("hazelbank", G_LOG_LEVEL_MESSAGE, count_set_aside, NULL);
+      for (guint i = 0; i < 3; i++)
+        {
+          mistaken[i] = sim_add_job (sim, 18 + i, i == 2 ? "guest" : i ? "red" : "blue", 6, 1, 10);
+          mistaken[i]->bad = mistaken[i]->wants_cancel = TRUE;
+          mistaken[i]->cancel_at = 150;
+        }
+      for (guint i = 0; i < 14; i++)
+        sim_add_job (sim, 1 + 5 * i, i % 2 ? "red" : "blue", 4, 1.5, 12);
+      sim_run (sim, 25);
+      while (!(sick = machine_with_tasks (sim)) || sick->gone)
+        sim_run (sim, sim->now + 0.5);
+      sick->sick = TRUE;
+      if (seed % 2)
+        crash_one (sim, NULL);
+      sim_run (sim, sim->now + 7);
+      start_all (sim, NULL);
+      sim_run (sim, 110);
+      g_assert_true (sick->gone);
+      g_assert_cmpuint (set_aside, <=, 1); /* no sound machine for the jobs' sake */
+      rented = sim->machine_number;
+      sim_run (sim, 148);
+      g_assert_cmpuint (sim->machine_number - rented, <=, 2); /* only failures are left to do */
+      g_assert_cmpuint (sim->started, <, 14 * 4 + 120);
+      for (guint i = 0; i < 3; i++)
+        {
+          g_autofree char *path = g_strdup_printf ("/api/jobs/%s", mistaken[i]->uid);
+          g_assert_cmpuint (ask (sim, i, "GET", path, "", NULL), ==, 200);
+        }
+      sim->calm_at = 150;
+      sim_run (sim, 330);
+      for (guint i = 0; i < 3; i++)
+        g_assert_true (mistaken[i]->told_cancelled);
+      g_log_remove_handler ("hazelbank", handler);
+      expect_all_over (sim, "jobs with a mistake", seed);
+      sim_free (sim);
+    }
+}
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
+  g_test_add_func ("/cluster/silent-controllers", test_silent_controllers);
+  g_test_add_func ("/cluster/many-questions", test_many_questions);
+  g_test_add_func ("/cluster/many-questions-in-an-outage", test_many_questions_in_an_outage);
+  g_test_add_func ("/cluster/guest-swarm", test_guest_swarm);
+  g_test_add_func ("/cluster/jobs-with-a-mistake", test_jobs_with_a_mistake);
+  return g_test_run ();
+}
