--- /dev/null
+++ b/src/submissions.c
@@ -0,0 +1,241 @@
+/* Submissions of users: whether a job can run, and its acceptance. What comes at once is accepted in one record, on condition
+ * that none of its jobs is over. */
+#include "controller.h"
+#include "user-api-private.h"
+
+#include <string.h>
+
+#define MAX_QUEUED_SUBMISSIONS 256u
+
+void
+hzb_submissions_free (HzbSubmission *submission)
+{
+  hzb_spec_free (submission->spec);
+  cJSON_free (submission->packed);
+  g_free (submission);
+}
+
+/* So many a transaction takes. */
+static guint
+conditions (HzbController *controller)
+{
+  return CLAMP (controller->settings->store_txn_ops * 4, 3, 256);
+}
+
+static void
+on_accepted (HzbStoreResult result, const char *body, gpointer user)
+{
+  HzbBatch *batch = user;
+  HzbUserApi *api = batch->api;
+  HzbController *controller = api->controller;
+  g_autoptr (GPtrArray) failed = NULL;
+
+  api->accepting--;
+  if (result == HZB_STORE_CONFLICT)
+    hzb_wire_parse_txn (body, NULL, &failed);
+  if (result == HZB_STORE_OK)
+    hzb_jobs_apply_acceptance (controller->jobs, batch->key, batch->record);
+  for (guint i = 0; i < batch->entries->len; i++)
+    {
+      HzbSubmission *submission = batch->entries->pdata[i];
+      const char *uid = submission->spec->uid;
+      gboolean over = hzb_user_api_failed_by (failed, uid);
+      if (result == HZB_STORE_OK)
+        {
+          HzbJob *job = hzb_jobs_find (controller->jobs, uid);
+          if (job && job->state == HZB_JOB_CANCELLED)
+            hzb_user_api_reply_final (api, hzb_user_api_check_new (submission->exchange, uid, HZB_QUESTION_SUBMISSION),
+                                      job);
+          else
+            hzb_exchange_reply (submission->exchange, 201,
+                                hzb_wire_job_status (uid, job ? hzb_job_status (job) : "queued", FALSE, 0, 0), 0);
+        }
+      else if (result == HZB_STORE_CONFLICT && !over && batch->entries->len > 1)
+        {
+          g_queue_push_head (&api->submissions, submission); /* another of the batch was the reason */
+          continue;
+        }
+      else if (result == HZB_STORE_CONFLICT || result == HZB_STORE_UNKNOWN)
+        {
+          /* Not there: it may still come, so the user is told to come back. */
+          HzbCheck *check = hzb_user_api_check_new (submission->exchange, uid, HZB_QUESTION_SUBMISSION);
+          if (over)
+            hzb_user_api_read_check (api, check);
+          else
+            hzb_user_api_queue_check (api, check);
+        }
+      else
+        hzb_user_api_reply_unavailable (submission->exchange, "the state service can't be asked");
+      hzb_submissions_free (submission);
+    }
+  hzb_user_api_batch_free (batch);
+  hzb_submissions_flush (api);
+}
+
+void
+hzb_submissions_flush (HzbUserApi *api)
+{
+  HzbController *controller = api->controller;
+  struct timespec now = hzb_clock_now (controller->clock);
+
+  while (api->accepting < 2 && api->submissions.length)
+    {
+      HzbBatch *batch = hzb_user_api_batch_new (api);
+      cJSON *txn = hzb_wire_txn ();
+      gsize bytes = 0, most = (gsize) (controller->settings->store_value_kb * 1024) - 64;
+      batch->record = cJSON_CreateObject ();
+      while (api->submissions.length && batch->entries->len < (conditions (controller) - 1) / 2)
+        {
+          HzbSubmission *submission = g_queue_peek_head (&api->submissions);
+          const char *uid = submission->spec->uid;
+          gsize length = strlen (submission->packed) + strlen (uid) + 8;
+          if (hzb_time_before (submission->deadline, now))
+            {
+              g_queue_pop_head (&api->submissions);
+              hzb_user_api_reply_unavailable (submission->exchange, "not decided in time");
+              hzb_submissions_free (submission);
+              continue;
+            }
+          if (cJSON_HasObjectItem (batch->record, uid) || (batch->entries->len && bytes + length > most))
+            break;
+          g_queue_pop_head (&api->submissions);
+          bytes += length;
+          hzb_jobs_txn_if_not_over (txn, uid); /* long since */
+          cJSON_AddItemToObject (batch->record, uid, cJSON_Parse (submission->packed));
+          g_ptr_array_add (batch->entries, submission);
+        }
+      if (!batch->entries->len)
+        {
+          cJSON_Delete (txn);
+          hzb_user_api_batch_free (batch);
+          return;
+        }
+      batch->key = g_strdup_printf ("%s%s-%s-%u", HZB_KEY_ACCEPTED, controller->settings->node, controller->incarnation,
+                                    ++api->records);
+      hzb_wire_txn_if (txn, batch->key, 0);
+      hzb_wire_txn_put (txn, batch->key, cJSON_Duplicate (batch->record, TRUE), 0);
+      api->accepting++;
+      hzb_store_txn (controller->store, HZB_STORE_ACCEPT, txn, on_accepted, batch);
+    }
+}
+
+/* NULL: it can run. */
+static const char *
+reason_it_never_runs (HzbController *controller, const HzbSpec *spec)
+{
+  int at = hzb_settings_team (controller->settings, spec->team);
+  const HzbTeam *team;
+  double times = spec->gang || spec->service ? spec->tasks : 1; /* all of them at once */
+  gboolean known_zone = spec->zone == NULL;
+
+  if (at < 0)
+    return "owner: no such team";
+  team = controller->settings->teams->pdata[at];
+  for (guint i = 0; i < controller->settings->zones->len && !known_zone; i++)
+    known_zone = g_str_equal (controller->settings->zones->pdata[i], spec->zone);
+  if (!known_zone)
+    return "yard: no such zone";
+  if (spec->cpus * times > team->cpus_max + 1e-9 || spec->gpus * times > team->gpus_max + 1e-9)
+    return "the job needs more than its team's limit";
+  if (spec->same_zone && spec->spread && spec->tasks > 1)
+    return "samePlace and spread exclude each other";
+  if (spec->gang && spec->spread && spec->zone && spec->tasks > 1)
+    return "a gang that is to be spread can't be in one zone";
+  for (guint i = 0; i < controller->machines->types->len; i++)
+    {
+      const HzbMachineType *type = controller->machines->types->pdata[i];
+      if (hzb_type_holds (type, spec)
+          && (!spec->zone || g_strv_contains ((const char *const *) type->zones, spec->zone)))
+        return NULL;
+    }
+  return "a task fits no allowed machine type";
+}
+
+/* Types that do not exist never fit: the record need not hold them. */
+static void
+drop_unknown_types (HzbController *controller, HzbSpec *spec)
+{
+  g_autoptr (GStrvBuilder) reserved = g_strv_builder_new ();
+  if (!spec->types)
+    return;
+  for (guint i = 0; i < controller->machines->types->len; i++)
+    {
+      const HzbMachineType *type = controller->machines->types->pdata[i];
+      if (g_strv_contains ((const char *const *) spec->types, type->name))
+        g_strv_builder_add (reserved, type->name);
+    }
+  g_strfreev (spec->types);
+  spec->types = g_strv_builder_end (reserved);
+}
+
+void
+hzb_submissions_submit (HzbUserApi *api, HzbExchange *exchange)
+{
+  HzbController *controller = api->controller;
+  g_autoptr (GError) error = NULL;
+  g_autoptr (HzbSpec) spec = hzb_wire_parse_job (exchange->body, exchange->length, &error);
+  HzbJob *job;
+  const char *refusal;
+  HzbSubmission *submission;
+  cJSON *packed;
+
+  if (!spec)
+    {
+      g_message ("a submission is malformed: %s", error->message);
+      hzb_exchange_reply (exchange, 400, hzb_wire_error (error->message), 0);
+      return;
+    }
+  if ((job = hzb_jobs_find (controller->jobs, spec->uid)))
+    {
+      if (job->state != HZB_JOB_ACCEPTED)
+        hzb_user_api_reply_final (api, hzb_user_api_check_new (exchange, spec->uid, HZB_QUESTION_SUBMISSION), job);
+      else
+        hzb_user_api_add_check (api, exchange, spec->uid, HZB_QUESTION_SUBMISSION, NULL, 0);
+      return;
+    }
+  if (!hzb_controller_ready (controller) || !controller->machines->types || hzb_controller_store_silent (controller))
+    {
+      hzb_user_api_reply_unavailable (exchange, "not ready yet");
+      return;
+    }
+  /* A repeat of an accepted job must not be refused, whatever has changed since; the version before took any estimate. */
+  if (spec->service && spec->estimate_s > 0)
+    {
+      hzb_user_api_add_check (api, exchange, spec->uid, HZB_QUESTION_SUBMISSION,
+                              "expectS: expected 0 for standing jobs", 400);
+      return;
+    }
+  if ((refusal = reason_it_never_runs (controller, spec)))
+    {
+      hzb_user_api_add_check (api, exchange, spec->uid, HZB_QUESTION_SUBMISSION, refusal, 422);
+      return;
+    }
+  /* A version 1 would take a replica that ends for a task that is done. */
+  if (spec->service && hzb_election_format (controller->election) < HZB_FORMAT)
+    {
+      hzb_exchange_reply (exchange, 503, hzb_wire_error ("services are taken once every controller runs this version"),
+                          2);
+      return;
+    }
+  if (api->submissions.length >= MAX_QUEUED_SUBMISSIONS)
+    {
+      hzb_exchange_reply (exchange, 429, hzb_wire_error ("more submissions than can be taken"), 2);
+      return;
+    }
+  drop_unknown_types (controller, spec);
+  packed = hzb_jobs_pack_accepted (spec, hzb_clock_wall (controller->clock));
+  submission = g_new0 (HzbSubmission, 1);
+  submission->exchange = exchange;
+  submission->packed = cJSON_PrintUnformatted (packed);
+  submission->deadline = hzb_time_plus (hzb_clock_now (controller->clock), 2.5);
+  cJSON_Delete (packed);
+  if ((double) strlen (submission->packed) > controller->settings->store_value_kb * 1024 - 64)
+    {
+      hzb_exchange_reply (exchange, 400, hzb_wire_error ("the job's texts are too long"), 0);
+      hzb_submissions_free (submission);
+      return;
+    }
+  submission->spec = g_steal_pointer (&spec);
+  g_queue_push_tail (&api->submissions, submission);
+  hzb_submissions_flush (api);
+}
