--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -399,6 +399,48 @@
     }
 }
 
+/* Cancellations meet the end of their job's last task, and the transactions of both are held up: a job ends one way only, and
+ * whoever was told how is never told otherwise. */
+static void
+test_cancel_at_end (void)
+{
+  for (guint32 seed = 700; seed < 708; seed++)
+    {
+      Sim *sim = sim_new (seed);
+      guint done = 0, cancelled = 0;
+      for (guint i = 0; i < 30; i++)
+        sim_add_job (sim, 1 + 1.5 * i, i % 2 ? "red" : "blue", 2, 1, 6);
+      sim_run (sim, 20);
+      sim->late = 0.3;
+      while (sim->now < 90)
+        {
+          sim_run (sim, sim->now + 0.1);
+          for (guint i = 0; i < sim->jobs->len; i++)
+            {
+              SimJob *job = sim->jobs->pdata[i];
+              if (job->finished[0] && job->finished[1] && job->cancel_at <= 0)
+                {
+                  job->wants_cancel = g_rand_boolean (sim->rand);
+                  job->cancel_at = sim->now;
+                }
+            }
+        }
+      sim->late = 0;
+      sim_at (sim, 100, crash_all, NULL); /* what is recorded is read anew */
+      sim->calm_at = 120;
+      sim_run (sim, 300);
+      for (guint i = 0; i < sim->jobs->len; i++)
+        {
+          done += ((SimJob *) sim->jobs->pdata[i])->told_done;
+          cancelled += ((SimJob *) sim->jobs->pdata[i])->told_cancelled;
+        }
+      g_assert_cmpuint (done, >, 0);
+      g_assert_cmpuint (cancelled, >, 0);
+      expect_all_over (sim, "cancel at end", seed);
+      sim_free (sim);
+    }
+}
+
 int
 main (int argc, char **argv)
 {
@@ -409,5 +451,6 @@
   g_test_add_func ("/cluster/lessee-unaware", test_lessee_unaware);
   g_test_add_func ("/cluster/lessee-left-alone", test_lessee_left_alone);
   g_test_add_func ("/cluster/any-two", test_any_two);
+  g_test_add_func ("/cluster/cancel-at-end", test_cancel_at_end);
   return g_test_run ();
 }
