--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -400,10 +400,11 @@
   sim_run (sim, 20);
   controller = sim->nodes[at].controller;
   leader = sim->nodes[sim_leader (sim)].controller;
-  text[0] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":99999}", at, old);
-  text[1] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":1}", at,
+  text[0] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":99999,\"format\":2}",
+                             at, old);
+  text[1] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":1,\"format\":2}", at,
                              controller->incarnation);
-  text[2] = g_strdup ("{\"node\":\"node-9\",\"incarnation\":\"x\",\"born\":1,\"number\":1}");
+  text[2] = g_strdup ("{\"node\":\"node-9\",\"incarnation\":\"x\",\"born\":1,\"number\":1,\"format\":2}");
   for (guint i = 0; i < 3; i++)
     {
       exchange = g_new0 (HzbExchange, 1);
