--- a/src/block-leases.c
+++ b/src/block-leases.c
@@ -8,7 +8,7 @@
  * finished it. A block that is taken back leaves its machines unverified, under a higher token, and its tasks unknown:
  * they start elsewhere only once every machine that might hold them has answered under that token or is gone. The
  * lessee starts what it was delegated on the block's machines only, so there is nothing that this wait does not cover.
- * A lessee frees a task only by a newer report under its own token; of a silent machine it concludes nothing and
+ * A lessee frees a task only by a newer report under its own token; of an unreachable machine it concludes nothing and
  * gives it back.
  *
  * This file is the leader's part; lessee.c is the other side. */
@@ -19,7 +19,7 @@
 #include <string.h>
 
 #define LEASE_S 10.0 /* as the design page starts with */
-#define MISSED_S 4.0 /* the leader takes a block back when its lessee was silent for so long */
+#define MISSED_S 4.0 /* the leader takes a block back when its lessee has not polled for so long */
 #define STEADY_S 3.0 /* and leases to it again once it has asked for so long */
 #define MOST_PER_ANSWER 160u
 #define UNLEVEL 0.7            /* a block this much smaller than the leader's gets machines that work */
@@ -683,7 +683,7 @@
       machine->recall_requested = back;
       body = cJSON_CreateObject ();
       cJSON_AddStringToObject (body, back ? "back" : "keep", machine->name);
-      /* Replicas wait for its room: what runs there comes along, and can give way here. */
+      /* Replicas wait for its room: what runs there comes along, and can be stopped here. */
       if (back && (machine->reserved || machine->recall_at_once))
         cJSON_AddTrueToObject (body, "now");
       hzb_outbox_push (&lessee->out, body);
--- a/src/controller.c
+++ b/src/controller.c
@@ -298,7 +298,7 @@
 }
 
 /* In an outage of the state service for all, an owner goes on answering workers, so that their leases live.
- * One that is refused alone, or cut off from everything, gives way to those that are not. */
+ * One that is refused alone, or cut off from everything, steps down, so that one that is not can lead. */
 static void
 check_own_connectivity (HzbController *controller)
 {
@@ -308,7 +308,7 @@
       && controller->settings->peers->len && no_worker_reports (controller))
     {
       controller->lost_workers = hzb_clock_now (controller->clock);
-      hzb_election_step_down (controller->election, "no worker is heard any more, while all else can be reached");
+      hzb_election_step_down (controller->election, "no worker reports any more, while all else can be reached");
       hzb_election_back_off (controller->election, 20);
       return;
     }
--- a/src/controller.h
+++ b/src/controller.h
@@ -71,10 +71,10 @@
   gboolean load_saw_leader; /* the reading of all records under way has shown who leads */
 
   HzbOwnershipState ownership;
-  guint64 ownership_epoch; /* told apart: answers to an earlier holding are dropped */
+  guint64 ownership_epoch; /* told apart: answers to an earlier ownership are dropped */
   char *owner_load_cursor;
   struct timespec last_tick;    /* the timer's */
-  struct timespec lost_workers; /* when this node last gave way because it heard no worker */
+  struct timespec lost_workers; /* when this node last stepped down because no worker reported */
   struct timespec redirected;   /* when a worker was last sent to the leader from here */
   struct timespec owner_since, next_plan, next_dispatch, next_summary;
 };
@@ -88,7 +88,7 @@
 void hzb_controller_apply_record (HzbController *controller, const HzbItem *item);
 void hzb_controller_record_completion (HzbController *controller, HzbJob *job); /* all its tasks have finished */
 
-/* What an answer belongs to: of an earlier holding it is dropped. */
+/* What an answer belongs to: of an earlier ownership it is dropped. */
 typedef struct
 {
   HzbController *controller;
--- a/src/dispatch.h
+++ b/src/dispatch.h
@@ -14,12 +14,12 @@
   guint sample;                    /* machines looked at for one task when lagging; 0: all */
   gboolean lagging;                /* more is asked than can be done: samples in place of full searches */
   double lag_s;                    /* how late timers fire, smoothed */
-  double *ahead_cpus, *ahead_gpus; /* [team][class]: what waits and goes first */
+  double *ahead_cpus, *ahead_gpus; /* [team][level]: what waits and goes first */
   /* As of the last run, so that a report costs no look at every machine or job: */
   GPtrArray *waiting[HZB_N_LEVELS];             /* HzbJob, in the order of service */
   GPtrArray *usable;                            /* HzbMachine that may take work */
   GPtrArray *machines_with_lists[HZB_N_LEVELS]; /* HzbMachine that have such work in their lists */
-  guint generation;                             /* of the machines, when listers were found */
+  guint generation;                             /* of the machines, when machines with lists were indexed */
   gboolean gang_waits;
   double least_cpus; /* of a waiting task: a machine with less than that free needs no look */
   guint examined;    /* machines looked at so far, for tests */
@@ -36,7 +36,7 @@
 void hzb_dispatch_clear_indexes (HzbDispatch *dispatch);
 /* A report came: the distribution goes back to the booked work. */
 void hzb_dispatch_reset_estimates (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now);
-/* Orders for a machine that has just reported. */
+/* Commands for a machine that has just reported. */
 void hzb_dispatch_start_tasks (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands);
 /* A timer fired this much late: what the processor's share does not cover shows there first. */
 void hzb_dispatch_note_lag (HzbDispatch *dispatch, double late_s);
--- a/src/http.c
+++ b/src/http.c
@@ -257,7 +257,7 @@
     g_hash_table_remove (connection->server->connections, &connection->name);
 }
 
-/* It is told of once: then libsoup has it until it is idle again. */
+/* It is reported once: then libsoup has it until it is idle again. */
 static void
 watch_idle (Connection *connection, int operation)
 {
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -316,7 +316,7 @@
   hzb_wire_txn_if (txn, old, 0);
 }
 
-/* ---- holding ---- */
+/* ---- ownership ---- */
 
 void
 hzb_jobs_begin_ownership (HzbJobs *jobs, HzbBlock *block)
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -62,7 +62,7 @@
   gboolean release_requested; /* a machine could take more of it than is released */
   gboolean guaranteed, announced_to_lessees;
   gboolean start_overdue; /* nothing of it has started for long: its first task goes before others */
-  guint8 level;           /* of waiting work, see hzb_dispatch_classes() */
+  guint8 level;           /* of waiting work, see hzb_levels_update() */
   guint64 next_attempt;
   guint failures;             /* in a row, without a task of the job doing well */
   char *failed_on;            /* the first machine on which a task failed */
@@ -71,7 +71,7 @@
   struct timespec not_before, since;
   guint begun; /* tasks, when it was last looked at: nothing more of it has begun since: */
   struct timespec waits_since;
-  double mean_s; /* the best guess of a task's run time, kept by hzb_dispatch_classes(); 0: the owner's */
+  double mean_s; /* the best guess of a task's run time, kept by hzb_levels_update(); 0: the owner's */
 };
 
 struct _HzbJobs
@@ -79,13 +79,13 @@
   GHashTable *by_uid;       /* uid -> HzbJob */
   GHashTable *acceptances;  /* key -> HzbAcceptance */
   GQueue ended;             /* HzbJob, over, about in the order of their ends */
-  guint max_mirrored_ended; /* so many stay mirrored */
+  guint max_mirrored_ended; /* so many ended jobs stay mirrored */
   guint load;               /* counts readings of all records */
   GPtrArray *active;        /* the owner's: jobs with a part of it, by age */
   HzbClock *clock;
   const HzbSettings *settings;
   HzbBlock *block;             /* NULL: not an owner */
-  GHashTable *estimate_biases; /* class name -> double*, see hzb_jobs_observe() */
+  GHashTable *estimate_biases; /* class name -> double*, see hzb_jobs_record_run_time() */
   guint chunk;                 /* tasks of a part */
   gboolean lessee;             /* of the jobs only what was delegated is in the block */
 };
@@ -109,7 +109,7 @@
 cJSON *hzb_jobs_pack_final (HzbJobState state, guint n_tasks);
 const char *hzb_job_status (const HzbJob *job);
 
-/* Holding. */
+/* Of the owner. */
 void hzb_jobs_begin_ownership (HzbJobs *jobs, HzbBlock *block);
 void hzb_jobs_end_ownership (HzbJobs *jobs);
 void hzb_jobs_activate (HzbJobs *jobs, HzbJob *job);
--- a/src/lessee.c
+++ b/src/lessee.c
@@ -462,7 +462,7 @@
     }
 }
 
-/* Called when a leased holding begins or ends. */
+/* Called when ownership as a lessee begins or ends. */
 void
 hzb_lessee_clear (HzbLessee *lessee)
 {
--- a/src/machines.h
+++ b/src/machines.h
@@ -48,7 +48,7 @@
   HzbMachineState state; /* changed by hzb_machine_set_state() only */
   guint64 session, seq;
   guint64 token;     /* the one under which it is answered */
-  guint64 own_token; /* from this one on nobody but this owner has given it orders: what it reports under it is all */
+  guint64 own_token; /* from this one on nobody but this owner has given it commands: what it reports under it is all */
   guint64 over_session;    /* this session has ended for certain: what still comes of it is late */
   guint8 lessee;           /* 1 and up: whom it is leased to */
   guint8 unknown_tasks_of; /* while unverified: the block whose unknown tasks may be on it, or HZB_SUSPECT_… */
--- a/src/peers.c
+++ b/src/peers.c
@@ -1,4 +1,4 @@
-/* What the controllers tell each other: once a second how each stands, and whatever goes with leased blocks.
+/* Messages between controllers: a heartbeat once a second, and the polls of lessees.
  *
  * Copies of old messages may come late, also from a process that has ended since. So each says which process sent it,
  * when that began, and counts: what is not the newest of its kind is refused, whoever it is from. */
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define MOST_RETIRED 64u
-#define MOST_SHOWN 1000u /* jobs whose counts go with a word: some 35 bytes each */
+#define MOST_SHOWN 1000u /* jobs whose counts go with a heartbeat: some 35 bytes each */
 #define REDIRECTS_S 3.0
 #define LOST_WORKERS_S 120.0
 #define BORN_SLACK_MS 1000u /* times of day differ a little */
@@ -35,7 +35,7 @@
   GArray *views;              /* View */
   GHashTable *retired;        /* incarnations that others have followed */
   guint64 highest_known_term; /* the highest that a peer knew of */
-  GHashTable *display;        /* uid -> (done, running), by the owner's last word */
+  GHashTable *display;        /* uid -> (done, running), by the owner's last heartbeat */
   guint64 born, number;
   struct timespec next;
 };
@@ -245,7 +245,7 @@
   return view;
 }
 
-/* ---- words ---- */
+/* ---- heartbeats ---- */
 
 static void
 pack_heartbeat (HzbPeers *peers, cJSON *root)
--- a/src/preemption.c
+++ b/src/preemption.c
@@ -99,7 +99,7 @@
   return x->cost < y->cost ? -1 : x->cost > y->cost;
 }
 
-/* Urgent tasks that their own team's limit keeps waiting: lower work of the team gives way. Its stop is sent
+/* Urgent tasks that their own team's limit keeps waiting: lower work of the team is stopped. Its stop is sent
  * with the answer to its machine's next report. */
 void
 hzb_preempt_within_team (HzbDispatch *dispatch, const HzbJob *preemptor, struct timespec now)
--- a/src/preemption.h
+++ b/src/preemption.h
@@ -1,4 +1,7 @@
-/* Which work gives way: to more pressing work on its machine or of its team, and where machines are to be emptied. */
+/**
+ * SECTION: preemption
+ * @short_description: work that is stopped for more pressing work, or to empty a machine
+ */
 #pragma once
 #include "dispatch.h"
 
--- a/src/provisioning.c
+++ b/src/provisioning.c
@@ -175,7 +175,7 @@
       /* It is paid for as long as it is there. */
       if (machine->state == HZB_MACHINE_DRAINING && !machine->tasks->len)
         machine->to_be_returned = TRUE;
-      /* A short deafness costs no machine; one that stays deaf longer than its lease is of no use. */
+      /* A short one-way partition costs no machine; one that lasts longer than its lease makes it useless. */
       if (machine->unreachable
           && hzb_time_between (machine->unreachable_since, now) > controller->settings->lease_s + FORGET_SILENT_S)
         machine->to_be_returned = TRUE;
--- a/src/user-api-private.h
+++ b/src/user-api-private.h
@@ -36,7 +36,7 @@
 {
   HzbController *controller;
   GQueue checks, submissions;   /* waiting to be sent */
-  GQueue pending_cancellations; /* Check: of cancelled jobs, until every owner has heard of it */
+  GQueue pending_cancellations; /* Check: of cancelled jobs, until every owner has acknowledged it */
   gboolean checking;
   guint accepting; /* records on their way */
   guint records;   /* of acceptances, by this process */
--- a/src/user-api.c
+++ b/src/user-api.c
@@ -126,7 +126,7 @@
     }
   else if (!hzb_cancellations_request (controller->cancellations, job)
            || api->pending_cancellations.length >= MAX_QUEUED_CHECKS)
-    give_up (check, "not every controller has heard of the cancellation");
+    give_up (check, "not every controller has acknowledged the cancellation");
   else
     {
       check->deadline = hzb_time_plus (hzb_clock_now (controller->clock), CANCEL_ACKNOWLEDGE_S);
@@ -156,7 +156,7 @@
       else if (!hzb_time_before (now, check->deadline))
         {
           g_queue_delete_link (&api->pending_cancellations, l);
-          give_up (check, "not every controller has heard of the cancellation");
+          give_up (check, "not every controller has acknowledged the cancellation");
         }
       l = next;
     }
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -1,4 +1,4 @@
-/* The workers' side: reports in, orders out. */
+/* The workers' side: reports in, commands out. */
 #include "controller.h"
 
 #include <math.h>
