--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -118,6 +118,19 @@
     }
 }
 
+/* What is wrong with a service is refused by any node in any phase, perhaps only once it can be decided, and never accepted. */
+static void
+expect_refused (Sim *sim, guint uid, gboolean may_wait)
+{
+  guint node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES), status;
+  g_autofree char *path = g_strdup_printf ("/api/jobs/run-%06u", uid + 1);
+  g_assert_cmpuint (submit_changed (sim, node, uid, "pieces", "0"), ==, 400);
+  status = submit_changed (sim, node, uid + 1, "pieces", "25"); /* beyond the team's limit */
+  g_assert_true (status == 422 || (may_wait && status == 503));
+  status = ask (sim, (node + 1) % SIM_NODES, "GET", path, "", NULL);
+  g_assert_true (status == 404 || (may_wait && status == 503));
+}
+
 /* The steps of a rollout in any order: two nodes at once, one that ends before its turn and comes back old after a new one
  * has led, a step inside an outage; with cancellations, repeats and questions all along, and a service that asks from the
  * beginning. */
@@ -151,6 +164,7 @@
           sim_run (sim, sim->now + g_rand_double_range (sim->rand, 1, 5));
           sim->outage = FALSE;
           sim_run (sim, sim->now + g_rand_double_range (sim->rand, 5, 9));
+          expect_refused (sim, 60 + 10 * i, TRUE);
           if (i + 1 < SIM_NODES && seed % 2)
             {
               int leader = sim_leader (sim);
@@ -162,6 +176,7 @@
             }
         }
       sim_run (sim, sim->now + 12);
+      expect_refused (sim, 95, FALSE);
       for (guint i = 0; i < SIM_NODES; i++)
         g_assert_cmpint (hzb_election_format (sim->nodes[i].controller->election), ==, 2);
       sim->calm_at = sim->now;
