--- a/tests/sim-cluster.c
+++ b/tests/sim-cluster.c
@@ -87,9 +87,17 @@
 sim_ask (Sim *sim, guint node, HzbExchange *exchange)
 {
   if (sim->ask_process)
-    sim->ask_process (sim, node, exchange);
-  else
-    hzb_controller_request (exchange, sim->nodes[node].controller);
+    {
+      sim->ask_process (sim, node, exchange);
+      return;
+    }
+  sim_trace (&(SimTraceEvent){ .at = sim->now,
+                               .kind = "request",
+                               .node = node,
+                               .method = exchange->method,
+                               .path = exchange->path,
+                               .body = exchange->body });
+  hzb_controller_request (exchange, sim->nodes[node].controller);
 }
 
 static void
--- a/tests/sim-internal.h
+++ b/tests/sim-internal.h
@@ -1,6 +1,7 @@
 /* What the parts of the simulated cluster share. Tests include sim-cluster.h only. */
 #pragma once
 #include "sim-cluster.h"
+#include "sim-trace.h"
 
 #define SIM_STORE_ADDRESS "10.9.0.1:1"
 #define SIM_CLOUD_ADDRESS "10.9.0.2:1"
--- a/tests/sim-network.c
+++ b/tests/sim-network.c
@@ -102,6 +102,13 @@
   double late = of_peer && status ? node->peer_answer_delay_s : 0;
   call->status = status;
   call->reply = body;
+  sim_trace (&(SimTraceEvent){ .at = sim->now,
+                               .kind = "reply",
+                               .node = call->node,
+                               .peer = call->addr,
+                               .path = call->path,
+                               .status = status,
+                               .body = body });
   if (of_peer && body)
     sim->largest_reply = MAX (sim->largest_reply, strlen (body));
   if (sim_chance (sim, sim->lose) || is_cut (sim, call))
@@ -220,6 +227,13 @@
   call->done = done;
   call->user = user;
   call->refs = 1;
+  sim_trace (&(SimTraceEvent){ .at = sim->now,
+                               .kind = "call",
+                               .node = call->node,
+                               .peer = addr,
+                               .method = method,
+                               .path = path,
+                               .body = call->body });
   sim_at (sim, sim->now + timeout_ms / 1000.0, on_timeout, call);
   if (sim_chance (sim, sim->lose) || is_cut (sim, call))
     return;
--- a/tests/sim-store.c
+++ b/tests/sim-store.c
@@ -139,6 +139,7 @@
   const Value *known = g_hash_table_lookup (sim->kv, key);
   if (known && text && strstr (key, "/progress/"))
     check_progress (sim, key, known->text, text);
+  sim_trace (&(SimTraceEvent){ .at = sim->now, .kind = "record", .path = key, .body = text });
   {
     Change *change = g_new0 (Change, 1);
     change->key = g_strdup (key);
--- a/tests/sim-user.c
+++ b/tests/sim-user.c
@@ -84,6 +84,8 @@
   Sim *sim = pair[0];
   UserCall *call = pair[1];
   cJSON *root = cJSON_Parse (body ? body : "");
+  sim_trace (
+      &(SimTraceEvent){ .at = sim->now, .kind = "response", .path = call->job->uid, .status = status, .body = body });
   if (sim->now - call->sent <= (call->what == USER_POLLS ? POLL_WAIT_S : REQUEST_WAIT_S))
     sim_told (sim, call->job, status, hzb_json_text (root, "status"));
   cJSON_Delete (root);
--- a/tests/sim-worker.c
+++ b/tests/sim-worker.c
@@ -236,6 +236,7 @@
   Sim *sim = pair[0];
   Report *r = pair[1];
   g_free (pair);
+  sim_trace (&(SimTraceEvent){ .at = sim->now, .kind = "response", .node = r->node, .status = status, .body = body });
   r->status = status;
   r->body = g_strdup (body);
   if (!r->copy && !r->machine->deaf && !sim_chance (sim, sim->lose) && !sim->nodes[r->node].cut_workers)
