--- a/src/admin.c
+++ b/src/admin.c
@@ -30,7 +30,7 @@
 
 /* ---- settings ---- */
 
-/* Operators' settings: kept in the state service, mirrored by every node and applied there at once. */
+/* Operators' settings: kept in the key-value store, mirrored by every node and applied there at once. */
 typedef struct
 {
   const char *name, *meaning;
@@ -101,23 +101,23 @@
 } Change;
 
 static void
-on_changed (HzbStoreResult result, const char *body, gpointer user)
+on_changed (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree Change *change = user;
   guint64 revision = 0;
 
-  if (result == HZB_STORE_OK)
+  if (result == HZB_KV_OK)
     {
       hzb_wire_parse_txn (body, &revision, NULL);
       hzb_admin_apply_settings (change->controller, change->value, revision);
       reply_json (change->exchange, 200, pack_settings (change->controller));
     }
-  else if (result == HZB_STORE_CONFLICT)
+  else if (result == HZB_KV_CONFLICT)
     refuse (change->exchange, 409, "the settings have been changed meanwhile: read them again");
   else
     refuse (change->exchange, 503,
-            result == HZB_STORE_UNKNOWN ? "it is not known whether the change was made: read the settings"
-                                        : "the state service can't be asked");
+            result == HZB_KV_UNKNOWN ? "it is not known whether the change was made: read the settings"
+                                     : "the state service can't be asked");
   cJSON_Delete (change->value);
 }
 
@@ -169,7 +169,7 @@
       txn = hzb_wire_txn ();
       hzb_wire_txn_if (txn, HZB_KEY_SETTINGS, controller->settings_version);
       hzb_wire_txn_put (txn, HZB_KEY_SETTINGS, cJSON_Duplicate (value, TRUE), 0);
-      hzb_store_txn (controller->store, HZB_STORE_ACCEPT, txn, on_changed, change);
+      hzb_kv_client_commit (controller->kv, HZB_KV_ACCEPT, txn, on_changed, change);
     }
   cJSON_Delete (root);
 }
@@ -188,7 +188,7 @@
   else
     cJSON_AddNullToObject (root, "leader");
   hzb_json_add_u64 (root, "term", hzb_election_leader_term (controller->election));
-  cJSON_AddNumberToObject (root, "stateServiceSilentS", MIN (hzb_store_silence (controller->store), 1e6));
+  cJSON_AddNumberToObject (root, "stateServiceSilentS", MIN (hzb_kv_client_unresponsive_s (controller->kv), 1e6));
   /* During an upgrade: 2 once every controller has said so, and what each says now. */
   cJSON_AddNumberToObject (root, "format", hzb_election_format (controller->election));
   formats = cJSON_AddObjectToObject (root, "formats");
--- a/src/cancellations.c
+++ b/src/cancellations.c
@@ -1,9 +1,9 @@
 /* A cancelled job is called so only once no owner can act without its cancellation.
  *
- * The record alone does not do: a leader that the state service refuses takes it for an outage while the others are
+ * The record alone does not do: a leader that the key-value store refuses takes it for an outage while the others are
  * still served, and an outage for all that begins a moment later keeps it from being replaced. It would go on renewing
  * the leases of tasks whose cancellation it can't see, for as long as the outage lasts. So whoever is to tell a user
- * asks the owner, with the question that a lessee asks anyway; that needs no state service. The owner takes the
+ * asks the owner, with the question that a lessee asks anyway; that needs no key-value store. The owner takes the
  * cancellation from the question (its record is durable and never changes) and answers which of the jobs it has heard
  * of for good: nothing of them may be on a machine that has not answered under its token, and each lessee that was
  * delegated a task of them has acknowledged it.
@@ -14,8 +14,8 @@
  * Where the owner can't be reached, how far it has come can be read beside its flush record, which it writes anyway.
  *
  * None of this rests on machines where every controller knows of the cancellation: each stops what it finds of the job, and
- * machines obey controllers only. Controllers tell each other what they lack, so that one that the state service refuses learns
- * of it too. And one that learns of nothing, since it stands still or reaches neither the state service nor a peer, does not
+ * machines obey controllers only. Controllers tell each other what they lack, so that one that the key-value store refuses learns
+ * of it too. And one that learns of nothing, since it stands still or reaches neither the key-value store nor a peer, does not
  * have to be waited for: it answers no worker once it could have missed a cancellation (may_answer_workers ()), so some
  * seconds after all others knew, nobody acts without it (hzb_peers_withheld_revision ()). */
 #include "controller.h"
@@ -255,14 +255,14 @@
 }
 
 static void
-on_flush_record_read (HzbStoreResult result, const char *body, gpointer user)
+on_flush_record_read (HzbKvResult result, const char *body, gpointer user)
 {
   HzbCancellations *cancellations = user;
   HzbController *controller = cancellations->controller;
-  HzbItem item = { 0 };
+  HzbKvEntry item = { 0 };
 
   cancellations->reading = FALSE;
-  if (result != HZB_STORE_OK || !hzb_wire_parse_item (body, &item))
+  if (result != HZB_KV_OK || !hzb_wire_parse_item (body, &item))
     return;
   if (!hzb_election_leading (controller->election) && hzb_json_u64 (item.value, "term")
       && hzb_json_u64 (item.value, "term") >= hzb_election_leader_term (controller->election))
@@ -272,10 +272,10 @@
         if (job && job->version <= hzb_json_u64 (item.value, "clear"))
           set_acknowledged (controller, job->uid);
       }
-  hzb_item_clear (&item);
+  hzb_kv_entry_clear (&item);
 }
 
-/* A leader of version 1 acknowledges nothing. That it was served by the state service well after the record came here
+/* A leader of version 1 acknowledges nothing. That it was served by the key-value store well after the record came here
  * shows that one of its watches has been renewed since, and so has brought it. */
 static void
 check_old_leader (HzbCancellations *cancellations)
@@ -285,7 +285,7 @@
   struct timespec served;
 
   if (!leader || hzb_peers_unreachable (controller->peers, leader) || hzb_peers_format (controller->peers, leader) > 1
-      || !hzb_peers_last_store_contact (controller->peers, leader, &served))
+      || !hzb_peers_last_kv_contact (controller->peers, leader, &served))
     return;
   for (GList *l = cancellations->requests.head; l; l = l->next)
     {
@@ -308,10 +308,10 @@
   check_old_leader (cancellations);
   leader = hzb_election_leader (controller->election);
   if (cancellations->reading || !leader || !hzb_peers_unreachable (controller->peers, leader)
-      || hzb_controller_store_silent (controller))
+      || hzb_controller_kv_unresponsive (controller))
     return;
   cancellations->reading = TRUE;
-  hzb_store_get (controller->store, HZB_STORE_READ, HZB_KEY_FLUSH, on_flush_record_read, cancellations);
+  hzb_kv_client_get (controller->kv, HZB_KV_READ, HZB_KEY_FLUSH, on_flush_record_read, cancellations);
 }
 
 /* ---- what controllers tell each other ---- */
@@ -372,7 +372,7 @@
 {
   HzbController *controller = cancellations->controller;
   /* For good: others rely on it while they can't reach this process. Not before every peer can tell what it knows, or work
-   * would be given up in an outage of the state service. */
+   * would be given up in an outage of the key-value store. */
   if (!cancellations->withholds && controller->settings->peers->len)
     cancellations->withholds = hzb_peers_all_tell_cancellations (controller->peers);
   return cancellations->withholds;
--- a/src/controller.c
+++ b/src/controller.c
@@ -3,13 +3,13 @@
 #include <math.h>
 #include <string.h>
 
-#define OWNER_PAGE_PAUSE_S 0.4                            /* after a page of the owner's records that did not come */
-#define STORE_SILENT_S (HZB_MIRROR_WATCH_MS / 1000.0 + 1) /* longer than a watch takes */
+#define OWNER_PAGE_PAUSE_S 0.4                               /* after a page of the owner's records that did not come */
+#define KV_UNRESPONSIVE_S (HZB_MIRROR_WATCH_MS / 1000.0 + 1) /* longer than a watch takes */
 
 /* ---- the mirror ---- */
 
 void
-hzb_controller_apply_record (HzbController *controller, const HzbItem *item)
+hzb_controller_apply_record (HzbController *controller, const HzbKvEntry *item)
 {
   if (g_str_has_prefix (item->key, HZB_KEY_JOBS))
     {
@@ -49,7 +49,7 @@
 }
 
 static void
-note_job_end (HzbController *controller, const HzbItem *item)
+note_job_end (HzbController *controller, const HzbKvEntry *item)
 {
   const HzbJob *job = NULL;
   if (item->value && g_str_has_prefix (item->key, HZB_KEY_JOBS))
@@ -59,7 +59,7 @@
 }
 
 static void
-mirror_apply (const HzbItem *item, gpointer user)
+mirror_apply (const HzbKvEntry *item, gpointer user)
 {
   HzbController *controller = user;
   if (g_str_equal (item->key, HZB_KEY_LEADER) || g_str_equal (item->key, HZB_KEY_LEADER_2))
@@ -74,7 +74,7 @@
   HzbController *controller = user;
   if (!controller->load_saw_leader)
     {
-      HzbItem none = { (char *) HZB_KEY_LEADER, NULL, revision };
+      HzbKvEntry none = { (char *) HZB_KEY_LEADER, NULL, revision };
       hzb_election_apply_record (controller->election, &none);
     }
   hzb_dispatch_clear_indexes (controller->dispatch);
@@ -96,9 +96,9 @@
 
 /* It has not answered for longer than a watch takes: what has to be asked there is better refused at once. */
 gboolean
-hzb_controller_store_silent (HzbController *controller)
+hzb_controller_kv_unresponsive (HzbController *controller)
 {
-  return hzb_store_silence (controller->store) > STORE_SILENT_S;
+  return hzb_kv_client_unresponsive_s (controller->kv) > KV_UNRESPONSIVE_S;
 }
 
 gboolean
@@ -108,8 +108,8 @@
     return FALSE;
   /* In an outage for all it makes no difference where users ask; alone, or cut off from the others as well, another
    * node serves them better. */
-  return !hzb_controller_store_silent (controller)
-         || (hzb_peers_any_reachable (controller->peers) && !hzb_peers_any_reaches_store (controller->peers));
+  return !hzb_controller_kv_unresponsive (controller)
+         || (hzb_peers_any_reachable (controller->peers) && !hzb_peers_any_reaches_kv (controller->peers));
 }
 
 /* ---- ownership ---- */
@@ -144,18 +144,18 @@
   controller->ownership = to;
 }
 
-static void on_owner_records_loaded (HzbStoreResult result, const char *body, gpointer user);
+static void on_owner_records_loaded (HzbKvResult result, const char *body, gpointer user);
 
 static void
 ask_for_owner_page (HzbController *controller)
 {
   controller->owner_page_asked = TRUE;
-  hzb_store_range (controller->store, HZB_KEY_OWNER, controller->owner_load_cursor, on_owner_records_loaded,
-                   hzb_epoch_call_new (controller, NULL));
+  hzb_kv_client_range (controller->kv, HZB_KEY_OWNER, controller->owner_load_cursor, on_owner_records_loaded,
+                       hzb_epoch_call_new (controller, NULL));
 }
 
 static void
-on_owner_records_loaded (HzbStoreResult result, const char *body, gpointer user)
+on_owner_records_loaded (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
   HzbController *controller = epoch_call->controller;
@@ -166,16 +166,16 @@
   if (epoch_call->epoch != controller->ownership_epoch || controller->ownership != HZB_OWNERSHIP_LOADING)
     return;
   controller->owner_page_asked = FALSE;
-  items = result == HZB_STORE_OK ? hzb_wire_parse_range (body, &more, &revision) : NULL;
+  items = result == HZB_KV_OK ? hzb_wire_parse_range (body, &more, &revision) : NULL;
   if (!items)
     {
-      /* Guards against a leader that asks again at once, all the time, while the state service refuses it. */
+      /* Guards against a leader that asks again at once, all the time, while the key-value store refuses it. */
       controller->next_owner_page = hzb_time_plus (hzb_clock_now (controller->clock), OWNER_PAGE_PAUSE_S);
       return;
     }
   for (guint i = 0; i < items->len; i++)
     {
-      HzbItem *item = &g_array_index (items, HzbItem, i);
+      HzbKvEntry *item = &g_array_index (items, HzbKvEntry, i);
       hzb_records_load (controller->records, item);
       hzb_reconciliation_load (controller->reconciliation, item);
       g_free (controller->owner_load_cursor);
@@ -259,7 +259,7 @@
 /* ---- the end of a job ---- */
 
 static void
-on_ended (HzbStoreResult result, const char *body, gpointer user)
+on_ended (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
   HzbController *controller = epoch_call->controller;
@@ -267,7 +267,7 @@
   HzbJob *job = hzb_jobs_find (controller->jobs, uid);
   guint64 revision = 0;
 
-  if (result == HZB_STORE_OK && job)
+  if (result == HZB_KV_OK && job)
     {
       cJSON *value = hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks);
       hzb_wire_parse_txn (body, &revision, NULL);
@@ -277,7 +277,7 @@
   if (epoch_call->epoch == controller->ownership_epoch && job)
     {
       job->ending = FALSE;
-      if (result == HZB_STORE_OK && job->tasks)
+      if (result == HZB_KV_OK && job->tasks)
         {
           g_message ("job %s is done", uid);
           hzb_records_drop_job (controller->records, job);
@@ -301,8 +301,8 @@
   hzb_election_add_condition (controller->election, txn);
   hzb_jobs_txn_if_not_over (txn, job->uid); /* it has not been cancelled */
   hzb_wire_txn_put (txn, key, hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks), 0);
-  hzb_store_txn (controller->store, HZB_STORE_ACCEPT, txn, on_ended,
-                 hzb_epoch_call_new (controller, g_strdup (job->uid)));
+  hzb_kv_client_commit (controller->kv, HZB_KV_ACCEPT, txn, on_ended,
+                        hzb_epoch_call_new (controller, g_strdup (job->uid)));
 }
 
 /* ---- connectivity ---- */
@@ -331,12 +331,12 @@
   return n >= 3 && (!hzb_peers_any_lost_workers (controller->peers) || hzb_peers_any_sends_workers (controller->peers));
 }
 
-/* In an outage of the state service for all, an owner goes on answering workers, so that their leases live.
+/* In an outage of the key-value store for all, an owner goes on answering workers, so that their leases live.
  * One that is refused alone, or cut off from everything, steps down, so that one that is not can lead. */
 static void
 check_own_connectivity (HzbController *controller)
 {
-  double silence = hzb_store_silence (controller->store);
+  double silence = hzb_kv_client_unresponsive_s (controller->kv);
 
   if (hzb_election_leading (controller->election) && silence < 2.5 && hzb_peers_any_reachable (controller->peers)
       && controller->settings->peers->len && no_worker_reports (controller))
@@ -348,7 +348,7 @@
     }
   if (!hzb_election_leading (controller->election) || silence < 5)
     return;
-  if (hzb_peers_any_reaches_store (controller->peers))
+  if (hzb_peers_any_reaches_kv (controller->peers))
     hzb_election_step_down (controller->election, "the state service refuses this node alone");
   else if (!hzb_peers_any_reachable (controller->peers))
     hzb_election_step_down (controller->election, "neither the state service nor a peer can be reached");
@@ -365,7 +365,7 @@
     hzb_dispatch_note_lag (controller->dispatch, hzb_time_between (controller->last_tick, now) - HZB_TICK_MS / 1000.0);
   controller->last_tick = now;
 
-  hzb_store_pump (controller->store);
+  hzb_kv_client_pump (controller->kv);
   hzb_cloud_pump (controller->cloud);
   hzb_mirror_tick (controller->mirror);
   /* In a rollout the others are about to be replaced: whoever leads after them should be one that is not. */
@@ -465,14 +465,14 @@
     hzb_user_api_request (controller->api, exchange);
 }
 
-/* Guards against watches that use up the requests of the state service: each change ends the watch of every node, and
+/* Guards against watches that use up the requests of the key-value store: each change ends the watch of every node, and
  * opening the next one counts as a request. */
-#define WATCH_PART 0.25 /* of the requests that the state service takes, for the watches of all nodes */
+#define WATCH_PART 0.25 /* of the requests that the key-value store takes, for the watches of all nodes */
 
 static double
 watch_interval_s (const HzbSettings *settings)
 {
-  return settings->size / (WATCH_PART * settings->store_rps);
+  return settings->size / (WATCH_PART * settings->kv_rps);
 }
 
 HzbController *
@@ -483,11 +483,11 @@
   controller->clock = clock;
   controller->transport = transport;
   controller->rand = g_rand_new_with_seed (seed);
-  controller->store = hzb_store_new (transport, clock, settings);
+  controller->kv = hzb_kv_client_new (transport, clock, settings);
   controller->mirror =
-      hzb_mirror_new (controller->store, clock, HZB_KEY_MIRROR, watch_interval_s (settings), &mirror_funcs, controller);
+      hzb_mirror_new (controller->kv, clock, HZB_KEY_MIRROR, watch_interval_s (settings), &mirror_funcs, controller);
   controller->cloud = hzb_cloud_new (transport, clock, settings);
-  controller->election = hzb_election_new (controller->store, clock, settings, controller->rand);
+  controller->election = hzb_election_new (controller->kv, clock, settings, controller->rand);
   controller->jobs = hzb_jobs_new (clock, settings);
   controller->machines = hzb_machines_new (clock, settings);
   controller->dispatch = hzb_dispatch_new (controller->jobs, controller->machines, settings, controller->rand);
@@ -531,7 +531,7 @@
   hzb_block_free (controller->block);
   hzb_election_free (controller->election);
   hzb_cloud_free (controller->cloud);
-  hzb_store_free (controller->store);
+  hzb_kv_client_free (controller->kv);
   hzb_provisioning_free (controller->provisioning);
   hzb_mirror_free (controller->mirror);
   g_free (controller->owner_load_cursor);
--- a/src/controller.h
+++ b/src/controller.h
@@ -8,6 +8,7 @@
 #include "dispatch.h"
 #include "election.h"
 #include "http.h"
+#include "kv-client.h"
 #include "lessee.h"
 #include "metrics.h"
 #include "mirror.h"
@@ -17,7 +18,6 @@
 #include "provisioning.h"
 #include "reconciliation/reconciliation.h"
 #include "records.h"
-#include "store.h"
 #include "user-api.h"
 #include "worker-api.h"
 
@@ -48,7 +48,7 @@
   HzbClock *clock;
   HzbTransport *transport;
   GRand *rand;
-  HzbStore *store;
+  HzbKvClient *kv;
   HzbCloud *cloud;
   HzbElection *election;
   HzbJobs *jobs;
@@ -92,8 +92,8 @@
 void hzb_controller_tick (HzbController *controller);
 void hzb_controller_request (HzbExchange *exchange, gpointer data); /* users and workers */
 gboolean hzb_controller_ready (HzbController *controller);
-gboolean hzb_controller_store_silent (HzbController *controller);
-void hzb_controller_apply_record (HzbController *controller, const HzbItem *item);
+gboolean hzb_controller_kv_unresponsive (HzbController *controller);
+void hzb_controller_apply_record (HzbController *controller, const HzbKvEntry *item);
 void hzb_controller_record_completion (HzbController *controller, HzbJob *job); /* all its tasks have finished */
 
 /* What an answer belongs to: of an earlier ownership it is dropped. */
--- a/src/election.c
+++ b/src/election.c
@@ -5,7 +5,7 @@
 
 struct _HzbElection
 {
-  HzbStore *store;
+  HzbKvClient *kv;
   HzbClock *clock;
   const HzbSettings *settings;
   GRand *rand;
@@ -48,10 +48,10 @@
 }
 
 HzbElection *
-hzb_election_new (HzbStore *store, HzbClock *clock, const HzbSettings *settings, GRand *rand)
+hzb_election_new (HzbKvClient *kv, HzbClock *clock, const HzbSettings *settings, GRand *rand)
 {
   HzbElection *election = g_new0 (HzbElection, 1);
-  election->store = store;
+  election->kv = kv;
   election->clock = clock;
   election->settings = settings;
   election->rand = rand;
@@ -130,7 +130,7 @@
 }
 
 static void
-on_ended (HzbStoreResult result, const char *body, gpointer user)
+on_ended (HzbKvResult result, const char *body, gpointer user)
 {
   HzbElection *election = user;
   if (election->state == HZB_ELECTION_ENDING_OLD)
@@ -141,17 +141,17 @@
 }
 
 static void
-ignore_result (HzbStoreResult result, const char *body, gpointer user)
+ignore_result (HzbKvResult result, const char *body, gpointer user)
 {
 }
 
 /* Guards against a lease left behind after a try whose end is not known: once it is over, a late
- * transaction that names it is refused by the state service. */
+ * transaction that names it is refused by the key-value store. */
 static void
 give_up (HzbElection *election, const char *why)
 {
   if (election->lease)
-    hzb_store_end_lease (election->store, election->lease, ignore_result, election);
+    hzb_kv_client_revoke_lease (election->kv, election->lease, ignore_result, election);
   election->lease = 0;
   election->next = hzb_time_plus (hzb_clock_now (election->clock), 0.3 + jitter (election));
   set_state (election, HZB_ELECTION_FOLLOWING, why);
@@ -181,12 +181,12 @@
 }
 
 static void
-on_campaign (HzbStoreResult result, const char *body, gpointer user)
+on_campaign (HzbKvResult result, const char *body, gpointer user)
 {
   HzbElection *election = user;
   if (election->state != HZB_ELECTION_CAMPAIGNING)
     return;
-  if (result != HZB_STORE_OK)
+  if (result != HZB_KV_OK)
     {
       give_up (election, "the campaign failed");
       return;
@@ -216,7 +216,7 @@
 }
 
 static void
-on_raised (HzbStoreResult result, const char *body, gpointer user)
+on_raised (HzbKvResult result, const char *body, gpointer user)
 {
   HzbElection *election = user;
   election->raising = FALSE; /* the mirror shows whether it is so */
@@ -241,18 +241,18 @@
   hzb_json_add_u64 (value, "term", election->term);
   hzb_wire_txn_put (txn, HZB_KEY_LEADER, value, 0);
   hzb_wire_txn_put (txn, HZB_KEY_LEADER_2, pack_leader (election), election->lease);
-  hzb_store_txn (election->store, HZB_STORE_LEASE, txn, on_raised, election);
+  hzb_kv_client_commit (election->kv, HZB_KV_LEASE, txn, on_raised, election);
 }
 
 static void
-on_lease (HzbStoreResult result, const char *body, gpointer user)
+on_lease (HzbKvResult result, const char *body, gpointer user)
 {
   HzbElection *election = user;
   cJSON *txn, *value;
 
   if (election->state != HZB_ELECTION_LEASING)
     return;
-  election->lease = result == HZB_STORE_OK ? hzb_wire_parse_lease (body) : 0;
+  election->lease = result == HZB_KV_OK ? hzb_wire_parse_lease (body) : 0;
   if (!election->lease || election->leader)
     {
       give_up (election, election->leader ? "another leads" : "no lease");
@@ -268,7 +268,7 @@
   cJSON_AddStringToObject (value, "node", election->settings->node);
   hzb_wire_txn_put (txn, HZB_KEY_TERM, value, 0);
   set_state (election, HZB_ELECTION_CAMPAIGNING, "got a lease");
-  hzb_store_txn (election->store, HZB_STORE_LEASE, txn, on_campaign, election);
+  hzb_kv_client_commit (election->kv, HZB_KV_LEASE, txn, on_campaign, election);
 }
 
 /* A renewal, and of which lease. */
@@ -279,7 +279,7 @@
 } Renewal;
 
 static void
-on_renewed (HzbStoreResult result, const char *body, gpointer user)
+on_renewed (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree Renewal *renewal = user;
   HzbElection *election = renewal->election;
@@ -287,9 +287,9 @@
   if (election->state != HZB_ELECTION_LEADING || renewal->lease != election->lease)
     return;
   election->renewing = FALSE;
-  if (result == HZB_STORE_OK)
+  if (result == HZB_KV_OK)
     election->lease_valid_until = hzb_time_plus (election->renew_sent, TTL_MS / 1000.0 * 0.999 - 0.05);
-  else if (result == HZB_STORE_ABSENT)
+  else if (result == HZB_KV_NOT_FOUND)
     {
       election->lease = 0;
       give_up (election, "the lease has ended");
@@ -304,11 +304,11 @@
   renewal->lease = election->lease;
   election->renewing = TRUE;
   election->renew_sent = now;
-  hzb_store_renew (election->store, election->lease, on_renewed, renewal);
+  hzb_kv_client_renew_lease (election->kv, election->lease, on_renewed, renewal);
 }
 
 void
-hzb_election_apply_record (HzbElection *election, const HzbItem *item)
+hzb_election_apply_record (HzbElection *election, const HzbKvEntry *item)
 {
   if (g_str_equal (item->key, HZB_KEY_TERM))
     {
@@ -366,12 +366,12 @@
     {
       /* An earlier incarnation, or a campaign of ours whose answer was lost: it is ended, not trusted. */
       set_state (election, HZB_ELECTION_ENDING_OLD, election->leader_incarnation);
-      hzb_store_end_lease (election->store, election->leader_lease, on_ended, election);
+      hzb_kv_client_revoke_lease (election->kv, election->leader_lease, on_ended, election);
     }
   else if (!election->leader)
     {
       set_state (election, HZB_ELECTION_LEASING, "nobody leads");
       election->requests = now;
-      hzb_store_lease (election->store, TTL_MS, on_lease, election);
+      hzb_kv_client_grant_lease (election->kv, TTL_MS, on_lease, election);
     }
 }
--- a/src/election.h
+++ b/src/election.h
@@ -1,7 +1,7 @@
-/* Leadership by a lease of the state service. The term comes from one counter that is raised in the
+/* Leadership by a lease of the key-value store. The term comes from one counter that is raised in the
  * transaction that takes the leadership, so a later leader's term exceeds all before it. */
 #pragma once
-#include "store.h"
+#include "kv-client.h"
 
 #define HZB_KEY_LEADER "hzb/a/leader"
 #define HZB_KEY_TERM "hzb/a/term"
@@ -22,9 +22,9 @@
 
 typedef struct _HzbElection HzbElection;
 
-HzbElection *hzb_election_new (HzbStore *store, HzbClock *clock, const HzbSettings *settings, GRand *rand);
+HzbElection *hzb_election_new (HzbKvClient *kv, HzbClock *clock, const HzbSettings *settings, GRand *rand);
 void hzb_election_free (HzbElection *election);
-void hzb_election_apply_record (HzbElection *election, const HzbItem *item); /* from the mirror */
+void hzb_election_apply_record (HzbElection *election, const HzbKvEntry *item); /* from the mirror */
 void hzb_election_tick (HzbElection *election, gboolean mirror_fresh);
 void hzb_election_step_down (HzbElection *election, const char *why);
 void hzb_election_set_eager (HzbElection *election, gboolean eager); /* try before others do */
--- a/src/http.c
+++ b/src/http.c
@@ -72,7 +72,7 @@
 }
 
 /* Guards against libsoup 2.74, which does not always end a message that is cancelled (seen with transactions that the
- * state service took and never answered): whoever called would wait for ever, and with it all that waits its turn
+ * key-value store took and never answered): whoever called would wait for ever, and with it all that waits its turn
  * behind. So the caller is told here, whatever libsoup does; and once it keeps several, new calls get a new pool. */
 static gboolean
 call_expired (gpointer data)
--- a/src/job-progress.h
+++ b/src/job-progress.h
@@ -2,7 +2,7 @@
  * SECTION: job-progress
  * @short_description: the durable form of how far a job has come
  *
- * A job's progress is recorded in parts, each of which fits a value of the state service: which tasks are done, and up to
+ * A job's progress is recorded in parts, each of which fits a value of the key-value store: which tasks are done, and up to
  * which number tasks may have been started.
  */
 #pragma once
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -50,7 +50,7 @@
   jobs->acceptances = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, acceptance_free);
   jobs->active = g_ptr_array_new ();
   jobs->max_mirrored_ended = MAX_MIRRORED_ENDED;
-  jobs->chunk = settings->store_value_kb >= 2 ? 8192 : 4096;
+  jobs->chunk = settings->kv_value_kb >= 2 ? 8192 : 4096;
   jobs->estimate_biases = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   jobs->clock = clock;
   jobs->settings = settings;
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -95,7 +95,7 @@
 HzbJobs *hzb_jobs_new (HzbClock *clock, const HzbSettings *settings);
 void hzb_jobs_free (HzbJobs *jobs);
 HzbJob *hzb_jobs_find (HzbJobs *jobs, const char *uid);
-/* A record as the state service has it; NULL if it makes no sense. Of a job that is over nothing changes any more. */
+/* A record as the key-value store has it; NULL if it makes no sense. Of a job that is over nothing changes any more. */
 HzbJob *hzb_jobs_apply (HzbJobs *jobs, const char *uid, const cJSON *value, guint64 version);
 void hzb_jobs_apply_acceptance (HzbJobs *jobs, const char *key, const cJSON *value); /* NULL: it is removed */
 HzbAcceptance *hzb_jobs_completed_acceptance (HzbJobs *jobs); /* one whose jobs are all over; NULL: none */
--- a/src/mirror.c
+++ b/src/mirror.c
@@ -18,7 +18,7 @@
 
 struct _HzbMirror
 {
-  HzbStore *store;
+  HzbKvClient *kv;
   HzbClock *clock;
   char *prefix;
   HzbMirrorFuncs funcs;
@@ -94,7 +94,7 @@
 apply_page (HzbMirror *mirror, const GArray *items)
 {
   for (guint i = 0; i < items->len; i++)
-    mirror->funcs.apply (&g_array_index (items, HzbItem, i), mirror->user);
+    mirror->funcs.apply (&g_array_index (items, HzbKvEntry, i), mirror->user);
 }
 
 /* Each change once, in their order: what a watch has brought, a sync that was sent before it may bring again.
@@ -104,7 +104,7 @@
 {
   for (guint i = 0; i < items->len; i++)
     {
-      const HzbItem *item = &g_array_index (items, HzbItem, i);
+      const HzbKvEntry *item = &g_array_index (items, HzbKvEntry, i);
       if (item->version > applied)
         mirror->funcs.apply (item, mirror->user);
     }
@@ -140,7 +140,7 @@
 }
 
 static void
-on_page (HzbStoreResult result, const char *body, gpointer user)
+on_page (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree Call *call = user;
   HzbMirror *mirror = call->mirror;
@@ -151,7 +151,7 @@
   if (!is_current (call))
     return;
   mirror->load_asked = FALSE;
-  items = result == HZB_STORE_OK ? hzb_wire_parse_range (body, &more, &revision) : NULL;
+  items = result == HZB_KV_OK ? hzb_wire_parse_range (body, &more, &revision) : NULL;
   if (!items)
     {
       ask_again_later (mirror);
@@ -169,14 +169,14 @@
   if (more)
     {
       g_free (mirror->load_cursor);
-      mirror->load_cursor = g_strdup (g_array_index (items, HzbItem, items->len - 1).key);
+      mirror->load_cursor = g_strdup (g_array_index (items, HzbKvEntry, items->len - 1).key);
     }
   mirror->load_step = more ? LOAD_CHANGES : LOAD_LAST_CHANGES;
   ask_for_load (mirror);
 }
 
 static void
-on_load_changes (HzbStoreResult result, const char *body, gpointer user)
+on_load_changes (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree Call *call = user;
   HzbMirror *mirror = call->mirror;
@@ -186,14 +186,14 @@
   if (!is_current (call))
     return;
   mirror->load_asked = FALSE;
-  if (result == HZB_STORE_ABSENT)
+  if (result == HZB_KV_NOT_FOUND)
     {
       g_message ("the changes since a page are not kept any more: all records are read anew");
       set_state (mirror, HZB_MIRROR_EMPTY);
       ask_again_later (mirror);
       return;
     }
-  items = result == HZB_STORE_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
+  items = result == HZB_KV_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
   if (!items)
     {
       ask_again_later (mirror);
@@ -216,9 +216,9 @@
 {
   mirror->load_asked = TRUE;
   if (mirror->load_step == LOAD_PAGE)
-    hzb_store_range (mirror->store, mirror->prefix, mirror->load_cursor, on_page, call_new (mirror));
+    hzb_kv_client_range (mirror->kv, mirror->prefix, mirror->load_cursor, on_page, call_new (mirror));
   else
-    hzb_store_news (mirror->store, mirror->prefix, mirror->load_revision, on_load_changes, call_new (mirror));
+    hzb_kv_client_changes (mirror->kv, mirror->prefix, mirror->load_revision, on_load_changes, call_new (mirror));
 }
 
 static void
@@ -242,19 +242,19 @@
 /* ---- following ---- */
 
 static void
-watch_failed (HzbMirror *mirror, HzbStoreResult result)
+watch_failed (HzbMirror *mirror, HzbKvResult result)
 {
   mirror->next_step = hzb_time_plus (hzb_clock_now (mirror->clock), REWATCH_PAUSE_S);
-  if (result != HZB_STORE_UNKNOWN)
+  if (result != HZB_KV_UNKNOWN)
     return;
-  if (hzb_store_silence (mirror->store) > SERVED_LATELY_S)
+  if (hzb_kv_client_unresponsive_s (mirror->kv) > SERVED_LATELY_S)
     mirror->lost_watches = 0; /* nothing comes through */
   else if (++mirror->lost_watches >= MAX_LOST_WATCHES)
     hzb_mirror_reset (mirror);
 }
 
 static void
-on_watched (HzbStoreResult result, const char *body, gpointer user)
+on_watched (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree Call *call = user;
   HzbMirror *mirror = call->mirror;
@@ -264,8 +264,8 @@
   if (!is_current (call))
     return;
   mirror->watching = FALSE;
-  items = result == HZB_STORE_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
-  if (result == HZB_STORE_ABSENT)
+  items = result == HZB_KV_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
+  if (result == HZB_KV_NOT_FOUND)
     hzb_mirror_reset (mirror);
   else if (!items)
     watch_failed (mirror, result);
@@ -280,7 +280,7 @@
 }
 
 static void
-on_synced (HzbStoreResult result, const char *body, gpointer user)
+on_synced (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree Call *call = user;
   HzbMirror *mirror = call->mirror;
@@ -292,13 +292,13 @@
       call->done (FALSE, call->user);
       return;
     }
-  items = result == HZB_STORE_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
+  items = result == HZB_KV_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
   if (items)
     {
       mirror->revision = apply_changes (mirror, items, mirror->revision, revision);
       note_current (mirror, call->sent);
     }
-  else if (result == HZB_STORE_ABSENT)
+  else if (result == HZB_KV_NOT_FOUND)
     hzb_mirror_reset (mirror); /* the watch would find the same a moment later */
   call->done (items != NULL, call->user);
 }
@@ -316,7 +316,7 @@
   call = call_new (mirror);
   call->done = done;
   call->user = user;
-  hzb_store_news (mirror->store, mirror->prefix, mirror->revision, on_synced, call);
+  hzb_kv_client_changes (mirror->kv, mirror->prefix, mirror->revision, on_synced, call);
 }
 
 static void
@@ -333,8 +333,8 @@
     {
       mirror->watching = TRUE;
       mirror->next_watch = hzb_time_plus (now, mirror->watch_interval_s);
-      hzb_store_watch (mirror->store, mirror->prefix, mirror->revision, HZB_MIRROR_WATCH_MS, on_watched,
-                       call_new (mirror));
+      hzb_kv_client_watch (mirror->kv, mirror->prefix, mirror->revision, HZB_MIRROR_WATCH_MS, on_watched,
+                           call_new (mirror));
     }
 }
 
@@ -377,11 +377,11 @@
 }
 
 HzbMirror *
-hzb_mirror_new (HzbStore *store, HzbClock *clock, const char *prefix, double watch_interval_s,
+hzb_mirror_new (HzbKvClient *kv, HzbClock *clock, const char *prefix, double watch_interval_s,
                 const HzbMirrorFuncs *funcs, gpointer user)
 {
   HzbMirror *mirror = g_new0 (HzbMirror, 1);
-  mirror->store = store;
+  mirror->kv = kv;
   mirror->clock = clock;
   mirror->prefix = g_strdup (prefix);
   mirror->watch_interval_s = watch_interval_s;
--- a/src/mirror.h
+++ b/src/mirror.h
@@ -6,7 +6,7 @@
  * whoever made the mirror: it is handed each record, in the order of changes, through #HzbMirrorFuncs.
  */
 #pragma once
-#include "store.h"
+#include "kv-client.h"
 
 typedef enum
 {
@@ -22,7 +22,7 @@
 {
   gboolean (*may_load) (gpointer user); /* FALSE: not now, ask again */
   void (*load_begin) (gpointer user);
-  void (*apply) (const HzbItem *item, gpointer user);
+  void (*apply) (const HzbKvEntry *item, gpointer user);
   void (*load_end) (guint64 revision, gpointer user);
   void (*lost) (gpointer user); /* too much was missed: all will be read anew */
 } HzbMirrorFuncs;
@@ -34,7 +34,7 @@
  * hzb_mirror_new:
  * @watch_interval_s: watches are opened no more often than this; what changes meanwhile comes with the next one
  */
-HzbMirror *hzb_mirror_new (HzbStore *store, HzbClock *clock, const char *prefix, double watch_interval_s,
+HzbMirror *hzb_mirror_new (HzbKvClient *kv, HzbClock *clock, const char *prefix, double watch_interval_s,
                            const HzbMirrorFuncs *funcs, gpointer user);
 void hzb_mirror_free (HzbMirror *mirror);
 
--- a/src/old-ends.c
+++ b/src/old-ends.c
@@ -3,7 +3,7 @@
 #include "controller.h"
 
 #define MOVE_EVERY_S 1.0
-#define MOVE_PART 0.15 /* of the changes that the state service takes */
+#define MOVE_PART 0.15 /* of the changes that the key-value store takes */
 #define CHANGES_PER_JOB 2u
 
 struct _HzbOldEnds
@@ -34,14 +34,14 @@
 }
 
 static void
-on_moved (HzbStoreResult result, const char *body, gpointer user)
+on_moved (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
   HzbController *controller = epoch_call->controller;
   g_autoptr (GPtrArray) uids = epoch_call->data;
   g_autoptr (GPtrArray) failed = NULL;
 
-  if (result == HZB_STORE_CONFLICT)
+  if (result == HZB_KV_CONFLICT)
     hzb_wire_parse_txn (body, NULL, &failed);
   for (guint i = 0; i < uids->len && epoch_call->epoch == controller->ownership_epoch; i++)
     {
@@ -69,9 +69,9 @@
 
   if (old_ends->moving || hzb_time_before (now, old_ends->next_move))
     return;
-  old = hzb_jobs_ended_long_ago (controller->jobs, MAX (1, controller->settings->store_txn_ops / CHANGES_PER_JOB));
+  old = hzb_jobs_ended_long_ago (controller->jobs, MAX (1, controller->settings->kv_txn_ops / CHANGES_PER_JOB));
   old_ends->next_move = hzb_time_plus (
-      now, MAX (MOVE_EVERY_S, old->len * CHANGES_PER_JOB / (MOVE_PART * controller->settings->store_write_rps)));
+      now, MAX (MOVE_EVERY_S, old->len * CHANGES_PER_JOB / (MOVE_PART * controller->settings->kv_write_rps)));
   if (!old->len)
     return;
   uids = g_ptr_array_new_with_free_func (g_free);
@@ -89,5 +89,5 @@
       g_ptr_array_add (uids, g_strdup (job->uid));
     }
   old_ends->moving = TRUE;
-  hzb_store_txn (controller->store, HZB_STORE_RECORD, txn, on_moved, hzb_epoch_call_new (controller, uids));
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_moved, hzb_epoch_call_new (controller, uids));
 }
--- a/src/peers.c
+++ b/src/peers.c
@@ -27,7 +27,7 @@
   gboolean asking;
   struct timespec confirmed; /* when the last heartbeat was sent there that it has answered */
   struct timespec last_report;
-  double store_silence;
+  double kv_unresponsive_s;
   guint64 term;
   gboolean leads;
   gboolean sends_workers; /* to the leader, lately */
@@ -78,7 +78,7 @@
   hzb_known_marks_init (&peers->known_marks, WITHHELD_AFTER_S);
   for (guint i = 0; i < controller->settings->peers->len; i++)
     {
-      View view = { .peer = controller->settings->peers->pdata[i], .store_silence = 1e6 };
+      View view = { .peer = controller->settings->peers->pdata[i], .kv_unresponsive_s = 1e6 };
       g_array_append_val (peers->views, view);
     }
   return peers;
@@ -105,12 +105,12 @@
 }
 
 gboolean
-hzb_peers_any_reaches_store (HzbPeers *peers)
+hzb_peers_any_reaches_kv (HzbPeers *peers)
 {
   for (guint i = 0; i < peers->views->len; i++)
     {
       const View *view = &g_array_index (peers->views, View, i);
-      if (silence (peers, view) < 3 && view->store_silence < 2.5)
+      if (silence (peers, view) < 3 && view->kv_unresponsive_s < 2.5)
         return TRUE;
     }
   return FALSE;
@@ -293,12 +293,12 @@
 }
 
 gboolean
-hzb_peers_last_store_contact (HzbPeers *peers, const char *node, struct timespec *at)
+hzb_peers_last_kv_contact (HzbPeers *peers, const char *node, struct timespec *at)
 {
   const View *view = view_of (peers, node);
-  if (!view || !hzb_time_is_set (view->last_report) || view->store_silence > 1e5)
+  if (!view || !hzb_time_is_set (view->last_report) || view->kv_unresponsive_s > 1e5)
     return FALSE;
-  *at = hzb_time_plus (view->last_report, -view->store_silence);
+  *at = hzb_time_plus (view->last_report, -view->kv_unresponsive_s);
   return TRUE;
 }
 
@@ -450,12 +450,12 @@
 
   heartbeat->format = controller->format;
   heartbeat->leads = hzb_election_leading (controller->election);
-  /* Also what others told: an owner may reach only nodes that the state service does not reach either. */
+  /* Also what others told: an owner may reach only nodes that the key-value store does not reach either. */
   heartbeat->term = MAX (hzb_election_leader_term (controller->election), peers->highest_known_term);
   heartbeat->sends_workers =
       hzb_time_is_set (controller->redirected) && hzb_time_between (controller->redirected, now) < REDIRECTS_S;
   heartbeat->lost_workers = lost_workers (controller);
-  heartbeat->store_silence_s = hzb_store_silence (controller->store);
+  heartbeat->kv_unresponsive_s = hzb_kv_client_unresponsive_s (controller->kv);
   heartbeat->mirrored = hzb_mirror_revision (controller->mirror);
   heartbeat->cancellations_known = hzb_cancellations_known_revision (controller->cancellations);
   heartbeat->withholds_answers = hzb_cancellations_withholds_answers (controller->cancellations);
@@ -497,7 +497,7 @@
   HzbController *controller = peers->controller;
 
   view->last_report = hzb_clock_now (controller->clock);
-  view->store_silence = heartbeat->store_silence_s;
+  view->kv_unresponsive_s = heartbeat->kv_unresponsive_s;
   view->term = heartbeat->term;
   view->sends_workers = heartbeat->sends_workers;
   view->lost_workers = heartbeat->lost_workers;
@@ -510,7 +510,7 @@
   if (view->leads)
     take_counts (peers, heartbeat);
   peers->highest_known_term = MAX (peers->highest_known_term, view->term);
-  /* A owner that the state service does not reach learns here that it has been replaced. */
+  /* A owner that the key-value store does not reach learns here that it has been replaced. */
   if (view->term > hzb_election_term (controller->election))
     hzb_election_step_down (controller->election, "a peer knows a newer term");
 }
--- a/src/peers.h
+++ b/src/peers.h
@@ -35,8 +35,8 @@
 /** hzb_peers_any_lost_workers: a node, this one included, lately stepped down because no worker reported to it. */
 gboolean hzb_peers_any_lost_workers (HzbPeers *peers);
 
-/** hzb_peers_any_reaches_store: a reachable peer is served by the state service, so an outage would be ours alone. */
-gboolean hzb_peers_any_reaches_store (HzbPeers *peers);
+/** hzb_peers_any_reaches_kv: a reachable peer is served by the key-value store, so an outage would be ours alone. */
+gboolean hzb_peers_any_reaches_kv (HzbPeers *peers);
 
 /** hzb_peers_unreachable: no heartbeat of this node lately, or there is no node of that name. */
 gboolean hzb_peers_unreachable (HzbPeers *peers, const char *node);
@@ -81,8 +81,8 @@
  */
 guint64 hzb_peers_withheld_revision (HzbPeers *peers);
 
-/** hzb_peers_last_store_contact: when the state service last served the node, as it said. Returns: FALSE if unknown. */
-gboolean hzb_peers_last_store_contact (HzbPeers *peers, const char *node, struct timespec *at);
+/** hzb_peers_last_kv_contact: when the key-value store last served the node, as it said. Returns: FALSE if unknown. */
+gboolean hzb_peers_last_kv_contact (HzbPeers *peers, const char *node, struct timespec *at);
 
 /** hzb_peers_task_counts: how many of a job's tasks are done and running, from the leader's last heartbeat. */
 void hzb_peers_task_counts (HzbPeers *peers, const char *uid, guint *done, guint *running);
--- a/src/reconciliation/archive-store.c
+++ b/src/reconciliation/archive-store.c
@@ -108,13 +108,13 @@
 static void write_next (HzbEpochCall *epoch_call);
 
 static void
-on_index_read (HzbStoreResult result, const char *body, gpointer user)
+on_index_read (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
   WriteCall *call = epoch_call->data;
-  HzbItem item = { 0 };
+  HzbKvEntry item = { 0 };
 
-  if (result != HZB_STORE_ABSENT && (result != HZB_STORE_OK || !hzb_wire_parse_item (body, &item)))
+  if (result != HZB_KV_NOT_FOUND && (result != HZB_KV_OK || !hzb_wire_parse_item (body, &item)))
     {
       write_call_finish (epoch_call, FALSE);
       return;
@@ -122,25 +122,25 @@
   call->index = index_decode (item.value);
   call->index_version = item.version;
   call->index_known = TRUE;
-  hzb_item_clear (&item);
+  hzb_kv_entry_clear (&item);
   write_next (epoch_call);
 }
 
 static void
-on_part_written (HzbStoreResult result, const char *body, gpointer user)
+on_part_written (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
 
-  if (result != HZB_STORE_OK || epoch_call->epoch != epoch_call->controller->ownership_epoch)
+  if (result != HZB_KV_OK || epoch_call->epoch != epoch_call->controller->ownership_epoch)
     write_call_finish (epoch_call, FALSE);
   else
     write_next (epoch_call);
 }
 
 static void
-on_index_written (HzbStoreResult result, const char *body, gpointer user)
+on_index_written (HzbKvResult result, const char *body, gpointer user)
 {
-  write_call_finish (user, result == HZB_STORE_OK);
+  write_call_finish (user, result == HZB_KV_OK);
 }
 
 static void
@@ -150,7 +150,7 @@
   WriteCall *call = epoch_call->data;
   cJSON *txn = hzb_wire_txn ();
   gsize bytes = 0;
-  guint room = controller->settings->store_txn_ops;
+  guint room = controller->settings->kv_txn_ops;
 
   hzb_election_add_condition (controller->election, txn);
   for (; call->written < call->parts->len && room; call->written++, room--)
@@ -166,7 +166,7 @@
       cJSON_AddNumberToObject (value, "of", call->parts->len);
       hzb_wire_txn_put (txn, key, value, 0);
     }
-  hzb_store_txn (controller->store, HZB_STORE_RECORD, txn, on_part_written, epoch_call);
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_part_written, epoch_call);
 }
 
 /* The oldest goes once there are too many; what doesn't fit this transaction goes with the next archive. */
@@ -177,8 +177,8 @@
   const HzbSettings *settings = controller->settings;
   WriteCall *call = epoch_call->data;
   IndexEntry added = { call->id, call->parts->len };
-  guint keep = (guint) MIN (settings->reconciliation.keep, settings->store_value_kb * 1024 / INDEX_BYTES);
-  guint room = settings->store_txn_ops - 1;
+  guint keep = (guint) MIN (settings->reconciliation.keep, settings->kv_value_kb * 1024 / INDEX_BYTES);
+  guint room = settings->kv_txn_ops - 1;
   cJSON *txn = hzb_wire_txn ();
 
   for (guint i = call->index->len; i-- > 0;)
@@ -204,7 +204,7 @@
       g_array_remove_index (call->index, 0);
     }
   hzb_wire_txn_put (txn, KEY_INDEX, index_encode (call->index), 0);
-  hzb_store_txn (controller->store, HZB_STORE_RECORD, txn, on_index_written, epoch_call);
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_index_written, epoch_call);
 }
 
 static void
@@ -216,7 +216,7 @@
   if (call->written < call->parts->len)
     write_parts (epoch_call);
   else if (!call->index_known)
-    hzb_store_get (controller->store, HZB_STORE_RECORD, KEY_INDEX, on_index_read, epoch_call);
+    hzb_kv_client_get (controller->kv, HZB_KV_RECORD, KEY_INDEX, on_index_read, epoch_call);
   else
     write_index (epoch_call);
 }
@@ -226,7 +226,7 @@
 {
   HzbController *controller = store->controller;
   WriteCall *call = g_new0 (WriteCall, 1);
-  gsize length, part = (gsize) (controller->settings->store_value_kb * 1024 * PART_OF_VALUE);
+  gsize length, part = (gsize) (controller->settings->kv_value_kb * 1024 * PART_OF_VALUE);
   const guchar *data = g_bytes_get_data (bytes, &length);
   g_autofree char *text = g_base64_encode (data, length);
 
@@ -276,24 +276,24 @@
   read_call_finish (call, 200, print_and_free (root));
 }
 
-static void on_part_read (HzbStoreResult result, const char *body, gpointer user);
+static void on_part_read (HzbKvResult result, const char *body, gpointer user);
 
 static void
 read_part (ReadCall *call)
 {
   g_autofree char *key = part_key (call->id, call->parts);
-  hzb_store_get (call->store->controller->store, HZB_STORE_READ, key, on_part_read, call);
+  hzb_kv_client_get (call->store->controller->kv, HZB_KV_READ, key, on_part_read, call);
 }
 
 static void
-on_part_read (HzbStoreResult result, const char *body, gpointer user)
+on_part_read (HzbKvResult result, const char *body, gpointer user)
 {
   ReadCall *call = user;
-  HzbItem item = { 0 };
+  HzbKvEntry item = { 0 };
 
-  if (result == HZB_STORE_ABSENT)
+  if (result == HZB_KV_NOT_FOUND)
     read_call_finish (call, 404, hzb_wire_error ("no such archive"));
-  else if (result != HZB_STORE_OK || !hzb_wire_parse_item (body, &item))
+  else if (result != HZB_KV_OK || !hzb_wire_parse_item (body, &item))
     read_call_finish (call, 503, hzb_wire_error ("the state service can't be asked"));
   else
     {
@@ -301,7 +301,7 @@
       g_string_append (call->text, data ? data : "");
       if (!call->parts++)
         call->of = (guint) CLAMP (hzb_json_number (item.value, "of", 1), 1, MOST_PARTS);
-      hzb_item_clear (&item);
+      hzb_kv_entry_clear (&item);
       if (call->parts < call->of)
         read_part (call);
       else
@@ -310,19 +310,19 @@
 }
 
 static void
-on_list_read (HzbStoreResult result, const char *body, gpointer user)
+on_list_read (HzbKvResult result, const char *body, gpointer user)
 {
   ReadCall *call = user;
-  HzbItem item = { 0 };
+  HzbKvEntry item = { 0 };
   g_autoptr (GArray) index = NULL;
 
-  if (result != HZB_STORE_ABSENT && (result != HZB_STORE_OK || !hzb_wire_parse_item (body, &item)))
+  if (result != HZB_KV_NOT_FOUND && (result != HZB_KV_OK || !hzb_wire_parse_item (body, &item)))
     {
       read_call_finish (call, 503, hzb_wire_error ("the state service can't be asked"));
       return;
     }
   index = index_decode (item.value);
-  hzb_item_clear (&item);
+  hzb_kv_entry_clear (&item);
   read_call_finish (call, 200, print_and_free (index_encode (index)));
 }
 
@@ -341,8 +341,7 @@
 void
 hzb_archive_store_list (HzbArchiveStore *store, HzbArchiveRead read, gpointer user)
 {
-  hzb_store_get (store->controller->store, HZB_STORE_READ, KEY_INDEX, on_list_read,
-                 read_call_new (store, 0, read, user));
+  hzb_kv_client_get (store->controller->kv, HZB_KV_READ, KEY_INDEX, on_list_read, read_call_new (store, 0, read, user));
 }
 
 void
--- a/src/reconciliation/archive-store.h
+++ b/src/reconciliation/archive-store.h
@@ -1,13 +1,13 @@
 /**
  * SECTION: archive-store
- * @short_description: archives in the state service
+ * @short_description: archives in the key-value store
  *
  * Outside of what controllers mirror and of what a new leader reads: an archive is written once and read when an operator
  * asks for it. The newest ones are kept, as many as the settings say.
  */
 #pragma once
 #include "archive.h"
-#include "store.h"
+#include "kv-client.h"
 
 typedef struct _HzbController HzbController;
 typedef struct _HzbArchiveStore HzbArchiveStore;
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -9,7 +9,7 @@
 #define MOST_ENTRIES 4096u
 #define MOST_READS 8u      /* of old ends, at a time */
 #define MOST_KEPT 64u      /* tasks: the record has to fit the least value */
-#define RETRY_S 2.0        /* after the state service could not be asked */
+#define RETRY_S 2.0        /* after the key-value store could not be asked */
 #define FORGET_REPORTS 4.0 /* reports that do not come, in a row: the task is not there any more */
 
 struct _HzbQuarantine
@@ -88,7 +88,7 @@
 }
 
 void
-hzb_quarantine_load (HzbQuarantine *quarantine, const HzbItem *item)
+hzb_quarantine_load (HzbQuarantine *quarantine, const HzbKvEntry *item)
 {
   g_autoptr (GError) error = NULL;
 
@@ -184,7 +184,7 @@
 /* ---- proofs ---- */
 
 static void
-on_old_end_read (HzbStoreResult result, const char *body, gpointer user)
+on_old_end_read (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
   HzbController *controller = epoch_call->controller;
@@ -203,10 +203,10 @@
   /* It may have come while the old place was read; then it is ordinary work. */
   if (hzb_jobs_find (controller->jobs, entry->uid))
     set_proof (entry, HZB_PROOF_WAITING);
-  else if (result == HZB_STORE_ABSENT)
+  else if (result == HZB_KV_NOT_FOUND)
     set_proof (entry, HZB_PROOF_ABSENT);
   else
-    set_proof (entry, result == HZB_STORE_OK ? HZB_PROOF_OVER : HZB_PROOF_WAITING);
+    set_proof (entry, result == HZB_KV_OK ? HZB_PROOF_OVER : HZB_PROOF_WAITING);
 }
 
 static void
@@ -216,8 +216,8 @@
 
   set_proof (entry, HZB_PROOF_READING);
   quarantine->reading++;
-  hzb_store_get (quarantine->controller->store, HZB_STORE_READ, key, on_old_end_read,
-                 hzb_epoch_call_new (quarantine->controller, g_strdup (name)));
+  hzb_kv_client_get (quarantine->controller->kv, HZB_KV_READ, key, on_old_end_read,
+                     hzb_epoch_call_new (quarantine->controller, g_strdup (name)));
 }
 
 static void
@@ -342,7 +342,7 @@
 }
 
 static void
-on_kept (HzbStoreResult result, const char *body, gpointer user)
+on_kept (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
   HzbController *controller = epoch_call->controller;
@@ -354,11 +354,11 @@
   g_free (epoch_call);
   if (current)
     quarantine->writing = FALSE;
-  if (result == HZB_STORE_OK)
+  if (result == HZB_KV_OK)
     outcome = HZB_KEEP_DONE;
-  else if (result == HZB_STORE_CONFLICT)
+  else if (result == HZB_KV_CONFLICT)
     outcome = HZB_KEEP_CONFLICT;
-  if (current && result == HZB_STORE_OK)
+  if (current && result == HZB_KV_OK)
     {
       hzb_wire_parse_txn (body, &quarantine->kept_version, NULL);
       g_hash_table_unref (quarantine->kept);
@@ -394,7 +394,7 @@
   hzb_election_add_condition (controller->election, txn);
   hzb_wire_txn_if (txn, HZB_KEY_RECONCILIATION_KEPT, quarantine->kept_version);
   hzb_wire_txn_put (txn, HZB_KEY_RECONCILIATION_KEPT, hzb_kept_encode (kept), 0);
-  hzb_store_txn (controller->store, HZB_STORE_RECORD, txn, on_kept, hzb_epoch_call_new (controller, call));
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_kept, hzb_epoch_call_new (controller, call));
 }
 
 /* All attempts of the task, on whatever machines. Returns: how many there are; *proven: no record names it, or will. */
--- a/src/reconciliation/quarantine.h
+++ b/src/reconciliation/quarantine.h
@@ -7,8 +7,8 @@
  * leadership while reconciliation is switched on, so that what an operator keeps stays kept after a change of leader.
  */
 #pragma once
+#include "kv-client.h"
 #include "machines.h"
-#include "store.h"
 #include "verdicts.h"
 
 typedef struct _HzbController HzbController;
@@ -46,7 +46,7 @@
   HZB_KEEP_NOT_PROVEN,  /* a record may still come */
   HZB_KEEP_TOO_MANY,    /* as many are kept as fit the record */
   HZB_KEEP_CONFLICT,    /* the decisions were changed meanwhile, or another leads */
-  HZB_KEEP_UNAVAILABLE, /* the state service can't be asked, or the answer was lost */
+  HZB_KEEP_UNAVAILABLE, /* the key-value store can't be asked, or the answer was lost */
   HZB_KEEP_BUSY         /* another decision is on its way */
 } HzbKeepResult;
 
@@ -59,7 +59,7 @@
 void hzb_quarantine_reset (HzbQuarantine *quarantine);
 
 /** hzb_quarantine_load: the operators' decisions, as recorded. */
-void hzb_quarantine_load (HzbQuarantine *quarantine, const HzbItem *item);
+void hzb_quarantine_load (HzbQuarantine *quarantine, const HzbKvEntry *item);
 
 /** hzb_quarantine_judge: a report of the machine shows a task that no record here names. */
 HzbTaskVerdict hzb_quarantine_judge (HzbQuarantine *quarantine, const HzbMachine *machine,
--- a/src/reconciliation/reconciliation-private.h
+++ b/src/reconciliation/reconciliation-private.h
@@ -14,7 +14,7 @@
 {
   HZB_PHASE_OPEN,
   HZB_PHASE_DECIDED,
-  HZB_PHASE_SENT, /* on its way to the state service, perhaps for the second time */
+  HZB_PHASE_SENT, /* on its way to the key-value store, perhaps for the second time */
   HZB_PHASE_RECORDED
 } HzbJobPhase;
 
@@ -43,7 +43,7 @@
   HzbQuarantine *quarantine;
   HzbArchiveStore *archives;
   HzbPacing pacing;
-  /* what the state service has */
+  /* what the key-value store has */
   HzbReconciliationRecord record;
   guint64 record_version;
   gboolean has_record, record_durable;
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -203,7 +203,7 @@
 /* ---- reading ---- */
 
 static void
-load_page (HzbReconciliation *reconciliation, const HzbItem *item)
+load_page (HzbReconciliation *reconciliation, const HzbKvEntry *item)
 {
   guint number = (guint) g_ascii_strtoull (item->key + strlen (HZB_KEY_RECONCILIATION_VERDICTS), NULL, 10);
   g_autoptr (GError) error = NULL;
@@ -237,7 +237,7 @@
 }
 
 void
-hzb_reconciliation_load (HzbReconciliation *reconciliation, const HzbItem *item)
+hzb_reconciliation_load (HzbReconciliation *reconciliation, const HzbKvEntry *item)
 {
   g_autoptr (GError) error = NULL;
 
--- a/src/reconciliation/reconciliation.h
+++ b/src/reconciliation/reconciliation.h
@@ -33,7 +33,7 @@
 void hzb_reconciliation_reset (HzbReconciliation *reconciliation);
 
 /** hzb_reconciliation_load: takes one of the owner's records, whichever it is. */
-void hzb_reconciliation_load (HzbReconciliation *reconciliation, const HzbItem *item);
+void hzb_reconciliation_load (HzbReconciliation *reconciliation, const HzbKvEntry *item);
 
 /** hzb_reconciliation_loaded: all records were taken. From here on commands may be withheld. */
 void hzb_reconciliation_loaded (HzbReconciliation *reconciliation);
--- a/src/reconciliation/recorder.c
+++ b/src/reconciliation/recorder.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define WRITE_EVERY_S 0.2   /* verdicts that fall within it share a transaction */
-#define RETRY_S 0.5         /* after the state service refused, or gave no answer */
+#define RETRY_S 0.5         /* after the key-value store refused, or gave no answer */
 #define ARCHIVE_RETRY_S 5.0 /* the archive is in nobody's way */
 #define PAGE_PART 0.9       /* of what a value may have */
 #define TXN_BYTES 40000u
@@ -27,8 +27,8 @@
 fill_pages (HzbReconciliation *reconciliation)
 {
   const HzbSettings *settings = reconciliation->controller->settings;
-  gsize page_bytes = (gsize) (PAGE_PART * settings->store_value_kb * 1024), bytes = 0, total = 0;
-  guint room = MAX (1, settings->store_txn_ops - 1);
+  gsize page_bytes = (gsize) (PAGE_PART * settings->kv_value_kb * 1024), bytes = 0, total = 0;
+  guint room = MAX (1, settings->kv_txn_ops - 1);
   HzbVerdictPage *page = NULL;
   GHashTableIter iter;
   gpointer value;
@@ -82,16 +82,16 @@
 
 /* Both the record and pages name the term that wrote them. */
 static void
-on_written_read (HzbStoreResult result, const char *body, gpointer user)
+on_written_read (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
   HzbReconciliation *reconciliation = epoch_call->controller->reconciliation;
-  HzbItem item = { 0 };
+  HzbKvEntry item = { 0 };
   gboolean known;
 
   if (epoch_call->epoch != epoch_call->controller->ownership_epoch)
     return;
-  known = result == HZB_STORE_ABSENT || (result == HZB_STORE_OK && hzb_wire_parse_item (body, &item));
+  known = result == HZB_KV_NOT_FOUND || (result == HZB_KV_OK && hzb_wire_parse_item (body, &item));
   /* Until it is durable it is the record that was read: what is there now is what the next try is conditional on. */
   if (known && !reconciliation->record_durable)
     reconciliation->record_version = item.version;
@@ -99,11 +99,11 @@
     written (reconciliation);
   else
     try_again_later (reconciliation);
-  hzb_item_clear (&item);
+  hzb_kv_entry_clear (&item);
 }
 
 static void
-on_written (HzbStoreResult result, const char *body, gpointer user)
+on_written (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
   HzbController *controller = epoch_call->controller;
@@ -111,17 +111,17 @@
 
   if (epoch_call->epoch != controller->ownership_epoch)
     return;
-  if (result == HZB_STORE_OK)
+  if (result == HZB_KV_OK)
     {
       if (!reconciliation->record_durable)
         hzb_wire_parse_txn (body, &reconciliation->record_version, NULL);
       written (reconciliation);
     }
-  else if (result == HZB_STORE_UNKNOWN || result == HZB_STORE_CONFLICT)
+  else if (result == HZB_KV_UNKNOWN || result == HZB_KV_CONFLICT)
     {
       const HzbVerdictPage *page = reconciliation->in_flight->len ? reconciliation->in_flight->pdata[0] : NULL;
-      hzb_store_get (controller->store, HZB_STORE_RECORD, page ? page->key : HZB_KEY_RECONCILIATION_STATE,
-                     on_written_read, hzb_epoch_call_new (controller, NULL));
+      hzb_kv_client_get (controller->kv, HZB_KV_RECORD, page ? page->key : HZB_KEY_RECONCILIATION_STATE,
+                         on_written_read, hzb_epoch_call_new (controller, NULL));
     }
   else
     try_again_later (reconciliation);
@@ -156,7 +156,7 @@
     }
   reconciliation->sending = TRUE;
   reconciliation->next_write = hzb_time_plus (now, WRITE_EVERY_S);
-  hzb_store_txn (controller->store, HZB_STORE_RECORD, txn, on_written, hzb_epoch_call_new (controller, NULL));
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_written, hzb_epoch_call_new (controller, NULL));
 }
 
 /* ---- the end ---- */
@@ -211,7 +211,7 @@
 }
 
 static void
-on_cleaned (HzbStoreResult result, const char *body, gpointer user)
+on_cleaned (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
   HzbReconciliation *reconciliation = epoch_call->controller->reconciliation;
@@ -219,7 +219,7 @@
 
   if (epoch_call->epoch != epoch_call->controller->ownership_epoch)
     return;
-  if (result != HZB_STORE_OK)
+  if (result != HZB_KV_OK)
     {
       try_again_later (reconciliation);
       return;
@@ -239,7 +239,7 @@
 hzb_recorder_clean_up (HzbReconciliation *reconciliation, struct timespec now)
 {
   HzbController *controller = reconciliation->controller;
-  guint left = reconciliation->page_keys->len, removed = MIN (left, controller->settings->store_txn_ops - 1);
+  guint left = reconciliation->page_keys->len, removed = MIN (left, controller->settings->kv_txn_ops - 1);
   cJSON *txn;
 
   if (reconciliation->sending || hzb_time_before (now, reconciliation->next_write))
@@ -252,8 +252,8 @@
     hzb_wire_txn_delete (txn, HZB_KEY_RECONCILIATION_STATE);
   reconciliation->sending = TRUE;
   reconciliation->next_write = hzb_time_plus (now, WRITE_EVERY_S);
-  hzb_store_txn (controller->store, HZB_STORE_RECORD, txn, on_cleaned,
-                 hzb_epoch_call_new (controller, GUINT_TO_POINTER (removed)));
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_cleaned,
+                        hzb_epoch_call_new (controller, GUINT_TO_POINTER (removed)));
 }
 
 /* Commands are counted for a minute, and the archive has them. */
--- a/src/reconciliation/roster.h
+++ b/src/reconciliation/roster.h
@@ -15,7 +15,7 @@
 typedef struct
 {
   HzbController *controller;
-  GPtrArray *recorded; /* char*, processes as the state service has them; NULL: none is recorded */
+  GPtrArray *recorded; /* char*, processes as the key-value store has them; NULL: none is recorded */
   GPtrArray *sent;     /* the same, on its way */
   gboolean has_flush_record;
   guint64 flush_term; /* of the leader that wrote the flush record */
--- a/src/reconciliation/verdicts.h
+++ b/src/reconciliation/verdicts.h
@@ -116,7 +116,7 @@
   HZB_TASK_N_REASONS
 } HzbTaskReason;
 
-/** HzbRecordEvidence: what the state service says of a job. */
+/** HzbRecordEvidence: what the key-value store says of a job. */
 typedef enum
 {
   HZB_RECORD_OPEN,            /* accepted, not over */
--- a/src/record-flush.c
+++ b/src/record-flush.c
@@ -123,12 +123,12 @@
 
 /* What became of a flush without an answer: its number is in the flush record, or not. */
 static void
-on_flush_read (HzbStoreResult result, const char *body, gpointer user)
+on_flush_read (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
   HzbRecords *records = epoch_call->controller->records;
   HzbFlush *flush = epoch_call->data;
-  HzbItem item = { 0 };
+  HzbKvEntry item = { 0 };
 
   if (epoch_call->epoch != epoch_call->controller->ownership_epoch)
     {
@@ -136,14 +136,14 @@
       g_free (epoch_call);
       return;
     }
-  if (result == HZB_STORE_ABSENT || (result == HZB_STORE_OK && hzb_wire_parse_item (body, &item)))
+  if (result == HZB_KV_NOT_FOUND || (result == HZB_KV_OK && hzb_wire_parse_item (body, &item)))
     {
       records->version = item.version;
       if (item.value && hzb_json_u64 (item.value, "n") == flush->number)
         flush_applied (records, flush);
       else
         flush_failed (records, flush);
-      hzb_item_clear (&item);
+      hzb_kv_entry_clear (&item);
       hzb_flush_free (flush);
       records->flushing = FALSE;
       g_free (epoch_call);
@@ -157,12 +157,12 @@
 static void
 read_flush (HzbRecords *records)
 {
-  hzb_store_get (records->controller->store, HZB_STORE_RECORD, HZB_KEY_FLUSH, on_flush_read,
-                 g_steal_pointer (&records->unresolved));
+  hzb_kv_client_get (records->controller->kv, HZB_KV_RECORD, HZB_KEY_FLUSH, on_flush_read,
+                     g_steal_pointer (&records->unresolved));
 }
 
 static void
-on_flushed (HzbStoreResult result, const char *body, gpointer user)
+on_flushed (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
   HzbRecords *records = epoch_call->controller->records;
@@ -174,12 +174,12 @@
       g_free (epoch_call);
       return;
     }
-  if (result == HZB_STORE_UNKNOWN || result == HZB_STORE_CONFLICT)
+  if (result == HZB_KV_UNKNOWN || result == HZB_KV_CONFLICT)
     {
-      hzb_store_get (epoch_call->controller->store, HZB_STORE_RECORD, HZB_KEY_FLUSH, on_flush_read, epoch_call);
+      hzb_kv_client_get (epoch_call->controller->kv, HZB_KV_RECORD, HZB_KEY_FLUSH, on_flush_read, epoch_call);
       return;
     }
-  if (result == HZB_STORE_OK)
+  if (result == HZB_KV_OK)
     {
       hzb_wire_parse_txn (body, &records->version, NULL);
       flush_applied (records, flush);
@@ -358,7 +358,7 @@
 static GPtrArray *
 due_pages (HzbRecords *records, guint dirty, struct timespec now)
 {
-  double write_rps = records->controller->settings->store_write_rps;
+  double write_rps = records->controller->settings->kv_write_rps;
   double progress_s = MAX (PROGRESS_EVERY_S, dirty / (PROGRESS_PART * write_rps));
   GPtrArray *due = g_ptr_array_new ();
 
@@ -428,7 +428,7 @@
 {
   HzbController *controller = records->controller;
   g_autoptr (GPtrArray) due = NULL;
-  guint room = controller->settings->store_txn_ops - 1; /* beside the flush record */
+  guint room = controller->settings->kv_txn_ops - 1; /* beside the flush record */
   gsize bytes = 0;
   gboolean clean;
   HzbFlush *out;
@@ -455,7 +455,7 @@
       records->next_clean = hzb_time_plus (now, CLEAN_EVERY_S);
     }
   records->flushing = TRUE;
-  hzb_store_txn (controller->store, HZB_STORE_RECORD, txn, on_flushed, hzb_epoch_call_new (controller, out));
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_flushed, hzb_epoch_call_new (controller, out));
 }
 
 void
--- a/src/record-pages.c
+++ b/src/record-pages.c
@@ -52,7 +52,7 @@
 static gsize
 most_bytes (const HzbPages *pages)
 {
-  return MIN (PAGE_BYTES, (gsize) (pages->settings->store_value_kb * 1024 * PAGE_VALUE_PART));
+  return MIN (PAGE_BYTES, (gsize) (pages->settings->kv_value_kb * 1024 * PAGE_VALUE_PART));
 }
 
 HzbPage *
--- a/src/record-pages.h
+++ b/src/record-pages.h
@@ -1,8 +1,8 @@
 /**
  * SECTION: record-pages
- * @short_description: which jobs and machines share a value of the state service
+ * @short_description: which jobs and machines share a value of the key-value store
  *
- * Changes are the scarcest thing in the state service, and hundreds of jobs and machines change at once, so many of
+ * Changes are the scarcest thing in the key-value store, and hundreds of jobs and machines change at once, so many of
  * them share one value: a page. A job or machine stays on the page it was first put on until it is gone, and a page is
  * written anew as a whole. What is written when is the business of records.c.
  */
@@ -51,7 +51,7 @@
 /** hzb_page_new: an empty page of that number, owned by @pages. */
 HzbPage *hzb_page_new (HzbPages *pages, guint number, gboolean of_machines);
 
-/** hzb_page_key: its key in the state service. Returns: (transfer full) */
+/** hzb_page_key: its key in the key-value store. Returns: (transfer full) */
 char *hzb_page_key (const HzbPage *page);
 
 /** hzb_pages_with_room: the first page that takes so many bytes more, or a new one. */
--- a/src/records.c
+++ b/src/records.c
@@ -1,4 +1,4 @@
-/* What the owner keeps in the state service for the next one: how far jobs have come, and which machines there are, on
+/* What the owner keeps in the key-value store for the next one: how far jobs have come, and which machines there are, on
  * pages (record-pages.h).
  *
  * A page of version 1 may be larger than a value will be allowed to be. What it names is put on pages of our size; once
@@ -133,7 +133,7 @@
 }
 
 void
-hzb_records_load (HzbRecords *records, const HzbItem *item)
+hzb_records_load (HzbRecords *records, const HzbKvEntry *item)
 {
   gboolean of_machines = g_str_has_prefix (item->key, HZB_KEY_MACHINES);
   const cJSON *entry;
@@ -151,7 +151,7 @@
   page = hzb_page_new (&records->pages, (guint) g_ascii_strtoull (strrchr (item->key, '/') + 1, NULL, 10), of_machines);
   page->exists = TRUE;
   text = cJSON_PrintUnformatted (item->value);
-  page->retiring = (double) strlen (text) > records->controller->settings->store_value_kb * 1024;
+  page->retiring = (double) strlen (text) > records->controller->settings->kv_value_kb * 1024;
   cJSON_free (text);
   cJSON_ArrayForEach (entry, item->value)
     if (of_machines)
--- a/src/records.h
+++ b/src/records.h
@@ -7,8 +7,8 @@
  */
 #pragma once
 #include "jobs.h"
+#include "kv-client.h"
 #include "machines.h"
-#include "store.h"
 
 typedef struct _HzbController HzbController;
 typedef struct _HzbRecords HzbRecords;
@@ -19,8 +19,8 @@
 /** hzb_records_reset: drops all pages; called when ownership begins or ends. */
 void hzb_records_reset (HzbRecords *records);
 
-/** hzb_records_load: takes one record as the state service has it, while ownership is being loaded. */
-void hzb_records_load (HzbRecords *records, const HzbItem *item);
+/** hzb_records_load: takes one record as the key-value store has it, while ownership is being loaded. */
+void hzb_records_load (HzbRecords *records, const HzbKvEntry *item);
 
 /** hzb_records_load_finished: all records were loaded; pages that are too large are laid out anew. */
 void hzb_records_load_finished (HzbRecords *records);
--- a/src/settings.c
+++ b/src/settings.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 
 #define MOST_PEERS 250u   /* an owner is told apart by a byte */
-#define OTHER_SOCKETS 16u /* to the state service and the cloud, and from the load balancer */
+#define OTHER_SOCKETS 16u /* to the key-value store and the cloud, and from the load balancer */
 #define MOST_TXN_OPS 1e6  /* no transaction of ours comes near */
 
 GQuark
@@ -99,7 +99,7 @@
   g_free (objective);
 }
 
-/* The state service's limits fall to these without notice, some time after a start: what is written keeps to the lesser
+/* The key-value store's limits fall to these without notice, some time after a start: what is written keeps to the lesser
  * of both from the beginning. A key that is absent does not change. */
 static void
 read_next_limits (HzbSettings *settings, const cJSON *state, GString *faults)
@@ -113,14 +113,13 @@
       fault (faults, "cluster.state", "next", "a table");
       return;
     }
-  settings->store_rps =
-      MIN (settings->store_rps, number_at (next, "cluster.state.next", "rps", 1, settings->store_rps, faults));
-  settings->store_write_rps = MIN (settings->store_write_rps, number_at (next, "cluster.state.next", "write_rps", 1,
-                                                                         settings->store_write_rps, faults));
-  settings->store_value_kb = MIN (settings->store_value_kb, number_at (next, "cluster.state.next", "value_kb", 1,
-                                                                       settings->store_value_kb, faults));
-  settings->store_txn_ops = (guint) MIN (
-      settings->store_txn_ops, number_at (next, "cluster.state.next", "txn_ops", 3, settings->store_txn_ops, faults));
+  settings->kv_rps = MIN (settings->kv_rps, number_at (next, "cluster.state.next", "rps", 1, settings->kv_rps, faults));
+  settings->kv_write_rps = MIN (settings->kv_write_rps,
+                                number_at (next, "cluster.state.next", "write_rps", 1, settings->kv_write_rps, faults));
+  settings->kv_value_kb =
+      MIN (settings->kv_value_kb, number_at (next, "cluster.state.next", "value_kb", 1, settings->kv_value_kb, faults));
+  settings->kv_txn_ops = (guint) MIN (
+      settings->kv_txn_ops, number_at (next, "cluster.state.next", "txn_ops", 3, settings->kv_txn_ops, faults));
 }
 
 static void
@@ -168,11 +167,10 @@
     }
   if ((table = table_at (cluster, "cluster", "state", faults)))
     {
-      settings->store_rps = number_at (table, "cluster.state", "rps", 1, NAN, faults);
-      settings->store_write_rps = number_at (table, "cluster.state", "write_rps", 1, NAN, faults);
-      settings->store_value_kb = number_at (table, "cluster.state", "value_kb", 1, NAN, faults);
-      settings->store_txn_ops =
-          (guint) MIN (number_at (table, "cluster.state", "txn_ops", 3, NAN, faults), MOST_TXN_OPS);
+      settings->kv_rps = number_at (table, "cluster.state", "rps", 1, NAN, faults);
+      settings->kv_write_rps = number_at (table, "cluster.state", "write_rps", 1, NAN, faults);
+      settings->kv_value_kb = number_at (table, "cluster.state", "value_kb", 1, NAN, faults);
+      settings->kv_txn_ops = (guint) MIN (number_at (table, "cluster.state", "txn_ops", 3, NAN, faults), MOST_TXN_OPS);
       read_next_limits (settings, table, faults);
     }
   if ((table = table_at (cluster, "cluster", "cloud", faults)))
@@ -210,7 +208,7 @@
     }
 }
 
-/* Beside the workers': to each other controller, to the state service and the cloud, from the load balancer. */
+/* Beside the workers': to each other controller, to the key-value store and the cloud, from the load balancer. */
 static void
 check_sockets (const HzbSettings *settings, GString *faults)
 {
@@ -257,7 +255,7 @@
   if ((table = table_at (root, "", "external", faults)))
     {
       settings->cloud_addr = addr_at (table, "external", "cloud", faults);
-      settings->store_addr = addr_at (table, "external", "state", faults);
+      settings->kv_addr = addr_at (table, "external", "state", faults);
     }
   if ((table = table_at (root, "", "cluster", faults)))
     read_cluster (settings, table, faults);
@@ -386,7 +384,7 @@
   g_free (settings->api_addr);
   g_free (settings->peer_addr);
   g_free (settings->cloud_addr);
-  g_free (settings->store_addr);
+  g_free (settings->kv_addr);
   g_ptr_array_unref (settings->peers);
   g_ptr_array_unref (settings->zones);
   g_ptr_array_unref (settings->teams);
--- a/src/settings.h
+++ b/src/settings.h
@@ -37,7 +37,7 @@
 typedef struct
 {
   char *node, *zone, *api_addr, *peer_addr;
-  char *cloud_addr, *store_addr;
+  char *cloud_addr, *kv_addr;
   GPtrArray *peers;      /* HzbPeer */
   GPtrArray *zones;      /* char* */
   GPtrArray *teams;      /* HzbTeam */
@@ -45,9 +45,9 @@
   guint size;
   double skew_ms;
   double report_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
-  /* Of the state service: the lesser of what it takes now and what it will take. */
-  double store_rps, store_write_rps, store_value_kb;
-  guint store_txn_ops;
+  /* Of the key-value store: the lesser of what it takes now and what it will take. */
+  double kv_rps, kv_write_rps, kv_value_kb;
+  guint kv_txn_ops;
   double cloud_rps, list_lag_s;
   double cpu_share, mem_mb;
   guint sockets;
--- a/src/submissions.c
+++ b/src/submissions.c
@@ -24,7 +24,7 @@
 static double
 max_record_bytes (const HzbController *controller)
 {
-  return controller->settings->store_value_kb * 1024 - RECORD_SLACK_BYTES;
+  return controller->settings->kv_value_kb * 1024 - RECORD_SLACK_BYTES;
 }
 
 static HzbSubmission *
@@ -44,7 +44,7 @@
 static guint
 conditions (HzbController *controller)
 {
-  return CLAMP (controller->settings->store_txn_ops * 4, 3, 256);
+  return CLAMP (controller->settings->kv_txn_ops * 4, 3, 256);
 }
 
 static void
@@ -73,7 +73,7 @@
 }
 
 static void
-on_accepted (HzbStoreResult result, const char *body, gpointer user)
+on_accepted (HzbKvResult result, const char *body, gpointer user)
 {
   HzbBatch *batch = user;
   HzbUserApi *api = batch->api;
@@ -82,25 +82,25 @@
   guint64 revision = 0;
 
   api->accepting--;
-  if (result == HZB_STORE_CONFLICT)
+  if (result == HZB_KV_CONFLICT)
     hzb_wire_parse_txn (body, NULL, &failed);
   /* Guards against an answer that comes after the mirror has shown all that became of the record: it would be back for
    * good, and its jobs with it. */
-  if (result == HZB_STORE_OK && hzb_wire_parse_txn (body, &revision, NULL)
+  if (result == HZB_KV_OK && hzb_wire_parse_txn (body, &revision, NULL)
       && !hzb_mirror_covers (controller->mirror, revision))
     hzb_jobs_apply_acceptance (controller->jobs, batch->key, batch->record);
   for (guint i = 0; i < batch->entries->len; i++)
     {
       HzbSubmission *submission = batch->entries->pdata[i];
       gboolean over = hzb_user_api_failed_by (failed, submission->spec->uid);
-      if (result == HZB_STORE_CONFLICT && !over && batch->entries->len > 1)
+      if (result == HZB_KV_CONFLICT && !over && batch->entries->len > 1)
         {
           g_queue_push_head (&api->submissions, submission); /* another of the batch was the reason */
           continue;
         }
-      if (result == HZB_STORE_OK)
+      if (result == HZB_KV_OK)
         reply_accepted (api, submission);
-      else if (result == HZB_STORE_CONFLICT || result == HZB_STORE_UNKNOWN)
+      else if (result == HZB_KV_CONFLICT || result == HZB_KV_UNKNOWN)
         check_undecided (api, submission, over);
       else
         hzb_user_api_reply_unavailable (submission->exchange, "the state service can't be asked");
@@ -163,7 +163,7 @@
   hzb_wire_txn_if (txn, batch->key, 0);
   hzb_wire_txn_put (txn, batch->key, cJSON_Duplicate (batch->record, TRUE), 0);
   api->accepting++;
-  hzb_store_txn (controller->store, HZB_STORE_ACCEPT, txn, on_accepted, batch);
+  hzb_kv_client_commit (controller->kv, HZB_KV_ACCEPT, txn, on_accepted, batch);
   return TRUE;
 }
 
@@ -248,7 +248,7 @@
         hzb_user_api_add_check (api, exchange, spec->uid, HZB_QUESTION_SUBMISSION, NULL, 0);
       return;
     }
-  if (!hzb_controller_ready (controller) || !controller->machines->types || hzb_controller_store_silent (controller))
+  if (!hzb_controller_ready (controller) || !controller->machines->types || hzb_controller_kv_unresponsive (controller))
     {
       hzb_user_api_reply_unavailable (exchange, "not ready yet");
       return;
--- a/src/user-api.c
+++ b/src/user-api.c
@@ -1,5 +1,5 @@
 /* Questions and cancellations of users, on every node. An answer that is not final is given only once the mirror is proven
- * to have everything up to the moment of the question. One request to the state service proves it for all that wait. */
+ * to have everything up to the moment of the question. One request to the key-value store proves it for all that wait. */
 #include "user-api.h"
 
 #include "controller.h"
@@ -183,12 +183,12 @@
 
 /* done gets a batch of this one check. */
 static void
-read_record (HzbUserApi *api, HzbCheck *check, const char *prefix, HzbStoreFunc done)
+read_record (HzbUserApi *api, HzbCheck *check, const char *prefix, HzbKvFunc done)
 {
   HzbBatch *batch = hzb_user_api_batch_new (api);
   g_autofree char *key = g_strconcat (prefix, check->uid, NULL);
   g_ptr_array_add (batch->entries, check);
-  hzb_store_get (api->controller->store, HZB_STORE_READ, key, done, batch);
+  hzb_kv_client_get (api->controller->kv, HZB_KV_READ, key, done, batch);
 }
 
 /* Neither the mirror nor the place of old records has it. */
@@ -205,14 +205,14 @@
 }
 
 static void
-on_read_old (HzbStoreResult result, const char *body, gpointer user)
+on_read_old (HzbKvResult result, const char *body, gpointer user)
 {
   HzbBatch *batch = user;
   HzbUserApi *api = batch->api;
   HzbCheck *check = batch->entries->pdata[0];
-  HzbItem item = { 0 };
+  HzbKvEntry item = { 0 };
 
-  if (result == HZB_STORE_OK && hzb_wire_parse_item (body, &item))
+  if (result == HZB_KV_OK && hzb_wire_parse_item (body, &item))
     {
       const char *state = hzb_json_text (item.value, "state");
       guint n = (guint) hzb_json_number (item.value, "n", 0);
@@ -221,9 +221,9 @@
                                                g_strcmp0 (state, "done") == 0 ? n : 0, 0),
                           0);
       check_free (check);
-      hzb_item_clear (&item);
+      hzb_kv_entry_clear (&item);
     }
-  else if (result == HZB_STORE_ABSENT)
+  else if (result == HZB_KV_NOT_FOUND)
     settle_unknown (api, check);
   else
     give_up (check, "the state service can't be asked");
@@ -258,20 +258,20 @@
 }
 
 static void
-on_read (HzbStoreResult result, const char *body, gpointer user)
+on_read (HzbKvResult result, const char *body, gpointer user)
 {
   HzbBatch *batch = user;
   HzbUserApi *api = batch->api;
   HzbCheck *check = batch->entries->pdata[0];
-  HzbItem item = { 0 };
+  HzbKvEntry item = { 0 };
 
-  if (result == HZB_STORE_OK && hzb_wire_parse_item (body, &item))
+  if (result == HZB_KV_OK && hzb_wire_parse_item (body, &item))
     {
       hzb_controller_apply_record (api->controller, &item);
-      hzb_item_clear (&item);
+      hzb_kv_entry_clear (&item);
       settle (api, check);
     }
-  else if (result == HZB_STORE_ABSENT)
+  else if (result == HZB_KV_NOT_FOUND)
     read_old (api, check); /* it has moved away */
   else
     give_up (check, "the state service can't be asked");
@@ -303,14 +303,14 @@
   flush_checks (api);
 }
 
-/* All nodes together use no more than this part of the requests that the state service takes. */
+/* All nodes together use no more than this part of the requests that the key-value store takes. */
 #define CHECK_PART 0.5
 #define CHECK_MOST_S 0.8 /* users wait 2 s for an answer */
 
 static double
 check_interval_s (const HzbController *controller)
 {
-  double all_nodes = controller->settings->size / (CHECK_PART * controller->settings->store_rps);
+  double all_nodes = controller->settings->size / (CHECK_PART * controller->settings->kv_rps);
   return CLAMP (all_nodes, CHECK_EVERY_S, CHECK_MOST_S);
 }
 
@@ -346,7 +346,7 @@
 {
   HzbCheck *check;
 
-  if (hzb_controller_store_silent (api->controller))
+  if (hzb_controller_kv_unresponsive (api->controller))
     {
       hzb_user_api_reply_unavailable (exchange, "the state service does not answer");
       return;
@@ -367,7 +367,7 @@
 /* ---- cancelling ---- */
 
 static void
-on_cancelled (HzbStoreResult result, const char *body, gpointer user)
+on_cancelled (HzbKvResult result, const char *body, gpointer user)
 {
   HzbBatch *batch = user;
   HzbUserApi *api = batch->api;
@@ -375,7 +375,7 @@
   HzbJob *job = hzb_jobs_find (api->controller->jobs, check->uid);
 
   hzb_user_api_batch_free (batch);
-  if (result == HZB_STORE_OK && job)
+  if (result == HZB_KV_OK && job)
     {
       guint64 revision = 0;
       cJSON *value = hzb_jobs_pack_final (HZB_JOB_CANCELLED, job->n_tasks);
@@ -384,7 +384,7 @@
       cJSON_Delete (value);
       settle (api, check);
     }
-  else if (result == HZB_STORE_REFUSED)
+  else if (result == HZB_KV_REFUSED)
     give_up (check, "the state service can't be asked");
   else
     hzb_user_api_queue_check (api, check);
@@ -409,7 +409,7 @@
   g_ptr_array_add (batch->entries, check);
   hzb_jobs_txn_if_not_over (txn, check->uid);
   hzb_wire_txn_put (txn, key, hzb_jobs_pack_final (HZB_JOB_CANCELLED, job->n_tasks), 0);
-  hzb_store_txn (api->controller->store, HZB_STORE_ACCEPT, txn, on_cancelled, batch);
+  hzb_kv_client_commit (api->controller->kv, HZB_KV_ACCEPT, txn, on_cancelled, batch);
 }
 
 static void
--- a/src/wire.c
+++ b/src/wire.c
@@ -124,7 +124,7 @@
 }
 
 void
-hzb_item_clear (HzbItem *item)
+hzb_kv_entry_clear (HzbKvEntry *item)
 {
   g_clear_pointer (&item->key, g_free);
   g_clear_pointer (&item->value, cJSON_Delete);
@@ -551,7 +551,7 @@
   return machines;
 }
 
-/* ---- state service ---- */
+/* ---- key-value store ---- */
 
 cJSON *
 hzb_wire_txn (void)
@@ -623,7 +623,7 @@
 }
 
 static gboolean
-take_item (const cJSON *from, HzbItem *item)
+take_item (const cJSON *from, HzbKvEntry *item)
 {
   const cJSON *value = cJSON_GetObjectItemCaseSensitive (from, "value");
   if (!hzb_json_text (from, "path") || !value)
@@ -635,7 +635,7 @@
 }
 
 gboolean
-hzb_wire_parse_item (const char *body, HzbItem *item)
+hzb_wire_parse_item (const char *body, HzbKvEntry *item)
 {
   cJSON *root = cJSON_Parse (body);
   gboolean ok = take_item (root, item);
@@ -653,8 +653,8 @@
 static GArray *
 item_array (void)
 {
-  GArray *items = g_array_new (FALSE, TRUE, sizeof (HzbItem));
-  g_array_set_clear_func (items, (GDestroyNotify) hzb_item_clear);
+  GArray *items = g_array_new (FALSE, TRUE, sizeof (HzbKvEntry));
+  g_array_set_clear_func (items, (GDestroyNotify) hzb_kv_entry_clear);
   return items;
 }
 
@@ -672,7 +672,7 @@
       *revision = hzb_json_u64 (root, "epoch");
       cJSON_ArrayForEach (entry, list)
         {
-          HzbItem item = { 0 };
+          HzbKvEntry item = { 0 };
           if (take_item (entry, &item))
             g_array_append_val (items, item);
         }
@@ -700,7 +700,7 @@
       *revision = hzb_json_u64 (root, "epoch");
       cJSON_ArrayForEach (entry, list)
         {
-          HzbItem item = { 0 };
+          HzbKvEntry item = { 0 };
           const char *put = hzb_json_text (entry, "put"), *removed = hzb_json_text (entry, "remove");
           if (!put && !removed)
             continue;
--- a/src/wire.h
+++ b/src/wire.h
@@ -126,9 +126,9 @@
   char *key;
   cJSON *value; /* NULL: removed */
   guint64 version;
-} HzbItem;
+} HzbKvEntry;
 
-void hzb_item_clear (HzbItem *item);
+void hzb_kv_entry_clear (HzbKvEntry *item);
 
 #define HZB_WIRE_ERROR (hzb_wire_error_quark ())
 GQuark hzb_wire_error_quark (void);
@@ -156,7 +156,7 @@
 char *hzb_wire_list_path (const char *after, guint limit);
 GPtrArray *hzb_wire_parse_list (const char *body, gboolean *more); /* HzbListed */
 
-/* state service */
+/* key-value store */
 extern const char hzb_path_txn[], hzb_path_leases[];
 cJSON *hzb_wire_txn (void);
 void hzb_wire_txn_if (cJSON *txn, const char *key, guint64 version);
@@ -165,11 +165,11 @@
 guint hzb_wire_txn_writes (const cJSON *txn);
 gboolean hzb_wire_parse_txn (const char *body, guint64 *revision, GPtrArray **failed);
 char *hzb_wire_get_path (const char *key);
-gboolean hzb_wire_parse_item (const char *body, HzbItem *item);
+gboolean hzb_wire_parse_item (const char *body, HzbKvEntry *item);
 char *hzb_wire_range_path (const char *prefix, const char *after, guint limit);
-GArray *hzb_wire_parse_range (const char *body, gboolean *more, guint64 *revision); /* HzbItem */
+GArray *hzb_wire_parse_range (const char *body, gboolean *more, guint64 *revision); /* HzbKvEntry */
 char *hzb_wire_watch_path (const char *prefix, guint64 after, guint wait_ms);
-GArray *hzb_wire_parse_watch (const char *body, guint64 *revision); /* HzbItem */
+GArray *hzb_wire_parse_watch (const char *body, guint64 *revision); /* HzbKvEntry */
 char *hzb_wire_lease (guint ttl_ms);
 guint64 hzb_wire_parse_lease (const char *body); /* 0: not one */
 char *hzb_wire_renew_path (guint64 lease);
--- a/tests/fake-transport.h
+++ b/tests/fake-transport.h
@@ -2,7 +2,7 @@
 #pragma once
 #include "clock.h"
 #include "http.h"
-#include "store.h"
+#include "kv-client.h"
 
 #define LONGER_THAN_ANY_CALL_S 60.0
 
@@ -66,13 +66,13 @@
 
 /* Ends what is on its way and what waits to be sent, so that whoever called is told and lets go of what it keeps. */
 static inline void
-fake_transport_end (FakeTransport *fake, HzbStore *store)
+fake_transport_end (FakeTransport *fake, HzbKvClient *kv)
 {
   FakeCall *call;
   while ((call = g_queue_peek_head (&fake->calls)))
     fake_answer (fake, call, 0, "");
   hzb_clock_advance (fake->clock, LONGER_THAN_ANY_CALL_S);
-  hzb_store_pump (store);
+  hzb_kv_client_pump (kv);
   while ((call = g_queue_peek_head (&fake->calls)))
     fake_answer (fake, call, 0, "");
 }
--- a/tests/load-workers.c
+++ b/tests/load-workers.c
@@ -1,4 +1,4 @@
-/* Load tool: one real controller process on loopback, with fakes of the state service and the cloud behind HTTP, and as many
+/* Load tool: one real controller process on loopback, with fakes of the key-value store and the cloud behind HTTP, and as many
  * connections of workers as asked for. It measures how reports are answered at rest and after the controller was killed and
  * started again, and stops by itself. Not part of the tests:
  *
--- a/tests/real-processes.h
+++ b/tests/real-processes.h
@@ -1,11 +1,11 @@
-/* Real controller processes on loopback, with the fakes of the state service and the cloud behind HTTP. */
+/* Real controller processes on loopback, with the fakes of the key-value store and the cloud behind HTTP. */
 #pragma once
 #include "sim-internal.h"
 
 /** real_sim_new: the fakes of a simulated cluster without its controllers, which are processes here. */
 Sim *real_sim_new (guint32 seed, const SimSize *size);
 
-/** real_serve: answers HTTP at the port as the state service, or the cloud, of @sim. */
+/** real_serve: answers HTTP at the port as the key-value store, or the cloud, of @sim. */
 void real_serve (Sim *sim, guint port, gboolean store);
 
 /** real_start: starts a controller; it ends with this process. @log: (nullable): what it logs is added to this file */
--- a/tests/sim-cluster.c
+++ b/tests/sim-cluster.c
@@ -155,7 +155,7 @@
       "[cluster.workers]\nreport_s = %g\nlease_s = %g\ngang_wait_s = 20\ngang_peer_s = 4\ncancel_s = %g\n"
       "[cluster.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = 16\ntxn_ops = %u\n[cluster.state.next]\nvalue_kb = 2\n%s"
       "[cluster.cloud]\nrps = %g\nlist_lag_s = 3\n",
-      sim->size.report_s, sim->size.lease_s, sim->size.cancel_s, sim->size.store_rps, sim->size.store_write_rps,
+      sim->size.report_s, sim->size.lease_s, sim->size.cancel_s, sim->size.kv_rps, sim->size.kv_write_rps,
       sim->size.txn_ops, next, sim->size.cloud_rps);
   for (guint i = 0; i < sim->size.teams; i++)
     {
@@ -206,8 +206,8 @@
                                   .report_s = 1.5,
                                   .lease_s = 10,
                                   .cancel_s = 30,
-                                  .store_rps = 200,
-                                  .store_write_rps = 60,
+                                  .kv_rps = 200,
+                                  .kv_write_rps = 60,
                                   .txn_ops = 8,
                                   .cloud_rps = 6,
                                   .rows = 5 };
@@ -219,8 +219,8 @@
                                  .report_s = 5,
                                  .lease_s = 26.5,
                                  .cancel_s = 46.5,
-                                 .store_rps = 800,
-                                 .store_write_rps = 70,
+                                 .kv_rps = 800,
+                                 .kv_write_rps = 70,
                                  .txn_ops = 16,
                                  .cloud_rps = 15,
                                  .rows = 500,
--- a/tests/sim-cluster.h
+++ b/tests/sim-cluster.h
@@ -1,4 +1,4 @@
-/* A small deployment in simulated time: fakes of the state service, the cloud, the workers and the users,
+/* A small deployment in simulated time: fakes of the key-value store, the cloud, the workers and the users,
  * written from the published protocol, around real controllers. After every step the rules are checked. */
 #pragma once
 #include "controller.h"
@@ -85,14 +85,14 @@
   guint teams;    /* 2: red and blue; more are named team-00 and on */
   double team_max, team_guarantee;
   double report_s, lease_s, cancel_s;
-  double store_rps, store_write_rps; /* as the settings say; limits only where write_rate says so */
+  double kv_rps, kv_write_rps; /* as the settings say; limits only where write_rate says so */
   guint txn_ops;
   double cloud_rps;
   guint rows;               /* of a range read */
   guint max_mirrored_ended; /* jobs that are over stay mirrored; 0: as usual */
   double check_s;           /* the rules are checked so often; 0: after every event */
-  guint kept_changes;       /* the state service keeps so many: a watch from before them gets 410; 0: all */
-  guint next_txn_ops;       /* limits of the state service that will come, as the settings say; 0: not named */
+  guint kept_changes;       /* the key-value store keeps so many: a watch from before them gets 410; 0: all */
+  guint next_txn_ops;       /* limits of the key-value store that will come, as the settings say; 0: not named */
   double next_write_rps;
   const char *features; /* a features file's text; NULL: what HZB_SIM_FEATURES names, or none */
 } SimSize;
@@ -104,7 +104,7 @@
   SIM_PART_REPORTS,
   SIM_PART_USERS,
   SIM_PART_PEERS,   /* what other controllers ask */
-  SIM_PART_ANSWERS, /* of the state service, the cloud and other controllers */
+  SIM_PART_ANSWERS, /* of the key-value store, the cloud and other controllers */
   SIM_N_PARTS
 } SimPart;
 
@@ -116,7 +116,7 @@
   SimNode nodes[SIM_NODES];
   GSequence *events;
   guint64 event_number;
-  /* state service */
+  /* key-value store */
   GHashTable *kv, *leases;
   GPtrArray *history, *watchers;
   guint64 revision, lease_number;
@@ -141,7 +141,7 @@
   double next_check, next_wait_check, next_silence_check, counted_at;
   double calm_at;                       /* all troubles are over; 0: nobody said */
   GHashTable *by_uid;                   /* SimJob */
-  guint requests, rows_read;            /* of the state service */
+  guint requests, rows_read;            /* of the key-value store */
   guint rentals, most_returned;         /* calls */
   guint oversized_requests;             /* between controllers: larger than a request may be */
   gsize largest_request, largest_reply; /* between controllers, in bytes */
--- a/tests/sim-store.c
+++ b/tests/sim-store.c
@@ -1,4 +1,4 @@
-/* Fake of the state service: keys, versions, leases and watches. */
+/* Fake of the key-value store: keys, versions, leases and watches. */
 #include "sim-internal.h"
 
 #include <string.h>
--- a/tests/sim-trace.h
+++ b/tests/sim-trace.h
@@ -2,7 +2,7 @@
  * SECTION: sim-trace
  * @short_description: a trace of what the simulated cluster exchanges, to compare two revisions of the sources
  *
- * With HZB_SIM_TRACE=DIRECTORY set, every message that crosses the simulated network and every change of the fake state service
+ * With HZB_SIM_TRACE=DIRECTORY set, every message that crosses the simulated network and every change of the fake key-value store
  * is hashed, and one digest for each test case is written into a file of that directory when the case ends. With
  * HZB_SIM_TRACE_TEXT=1 the messages themselves are written as well. tests/compare-behaviour reads both.
  */
--- a/tests/test-away.c
+++ b/tests/test-away.c
@@ -97,7 +97,7 @@
     }
 }
 
-/* The state service refuses one controller alone: it learns of cancellations from its peers, so nobody waits for it. */
+/* The key-value store refuses one controller alone: it learns of cancellations from its peers, so nobody waits for it. */
 static void
 test_refused_alone (void)
 {
@@ -178,7 +178,7 @@
     }
 }
 
-/* An outage of the state service for all is no reason to answer no workers: controllers prove to each other that none knows
+/* An outage of the key-value store for all is no reason to answer no workers: controllers prove to each other that none knows
  * more, so no lease ends and no work is lost, however long it lasts. */
 static void
 test_outage (void)
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -127,7 +127,7 @@
   sim_free (sim);
 }
 
-/* While the state service is away, workers' leases live and running tasks are kept. */
+/* While the key-value store is away, workers' leases live and running tasks are kept. */
 static void
 test_outage_keeps_tasks (void)
 {
@@ -324,7 +324,7 @@
   hzb_controller_request (exchange, sim->nodes[at].controller);
 }
 
-/* A controller that loses the state service and the other controllers, but not its workers: it soon stops answering
+/* A controller that loses the key-value store and the other controllers, but not its workers: it soon stops answering
  * them, so that they go on elsewhere with their leases alive, and tells users at once that it can't say. */
 static void
 test_cut_off_but_for_workers (void)
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/* ---- the gap: the state service refuses the leader alone, then everybody ---- */
+/* ---- the gap: the key-value store refuses the leader alone, then everybody ---- */
 
 typedef enum
 {
@@ -104,7 +104,7 @@
   for (guint gap = 0; gap < GAP_N; gap++)
     for (guint32 seed = 200; seed < 210; seed++)
       told[gap] += play_gap (seed, gap);
-  /* The leader can be asked though the state service refuses it, so it is not by silence that the rule holds. */
+  /* The leader can be asked though the key-value store refuses it, so it is not by silence that the rule holds. */
   g_assert_cmpuint (told[GAP_PLAIN], >, 20);
   g_assert_cmpuint (told[GAP_BY_STATUS], >, 15);
   g_assert_cmpuint (told[GAP_PEERS_CUT], ==, 0);
@@ -171,7 +171,7 @@
         }
 }
 
-/* A lessee that the state service refuses does not see the cancellation: nobody is told before the leader has told it,
+/* A lessee that the key-value store refuses does not see the cancellation: nobody is told before the leader has told it,
  * and so nothing starts afterwards. */
 static void
 test_lessee_unaware (void)
@@ -330,7 +330,7 @@
   crash_leader_again (sim, GUINT_TO_POINTER (9)); /* ten times */
 }
 
-/* A zone with a controller: its workers reach that one only, which reaches nobody but the state service. */
+/* A zone with a controller: its workers reach that one only, which reaches nobody but the key-value store. */
 static void
 cut_zone (Sim *sim, gpointer data)
 {
--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -3,14 +3,14 @@
 
 #include "election.h"
 #include "fake-transport.h"
-#include "store.h"
+#include "kv-client.h"
 
 typedef struct
 {
   HzbSettings *settings;
   HzbClock *clock;
   FakeTransport transport;
-  HzbStore *store;
+  HzbKvClient *kv;
   HzbElection *election;
   GRand *rand;
 } Fixture;
@@ -22,16 +22,16 @@
   fixture->clock = hzb_clock_new_manual ();
   fixture->rand = g_rand_new_with_seed (1);
   fake_transport_init (&fixture->transport, fixture->clock);
-  fixture->store = hzb_store_new (&fixture->transport.parent, fixture->clock, fixture->settings);
-  fixture->election = hzb_election_new (fixture->store, fixture->clock, fixture->settings, fixture->rand);
+  fixture->kv = hzb_kv_client_new (&fixture->transport.parent, fixture->clock, fixture->settings);
+  fixture->election = hzb_election_new (fixture->kv, fixture->clock, fixture->settings, fixture->rand);
 }
 
 static void
 fixture_down (Fixture *fixture)
 {
-  fake_transport_end (&fixture->transport, fixture->store);
+  fake_transport_end (&fixture->transport, fixture->kv);
   hzb_election_free (fixture->election);
-  hzb_store_free (fixture->store);
+  hzb_kv_client_free (fixture->kv);
   hzb_clock_free (fixture->clock);
   hzb_settings_free (fixture->settings);
   g_rand_free (fixture->rand);
@@ -43,7 +43,7 @@
   for (double at = 0; at < seconds; at += 0.05)
     {
       hzb_clock_advance (fixture->clock, 0.05);
-      hzb_store_pump (fixture->store);
+      hzb_kv_client_pump (fixture->kv);
       hzb_election_tick (fixture->election, TRUE);
     }
 }
@@ -68,7 +68,7 @@
 static void
 apply (Fixture *fixture, const char *key, const char *value, guint64 version)
 {
-  HzbItem item = { (char *) key, value ? cJSON_Parse (value) : NULL, version };
+  HzbKvEntry item = { (char *) key, value ? cJSON_Parse (value) : NULL, version };
   hzb_election_apply_record (fixture->election, &item);
   cJSON_Delete (item.value);
 }
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -322,7 +322,7 @@
   gboolean exists;
 } RecordedAcceptance;
 
-/* The records as the state service has them, and what has changed since the reader looked last. */
+/* The records as the key-value store has them, and what has changed since the reader looked last. */
 typedef struct
 {
   RecordedJob jobs[RECORDED_JOBS];
--- a/tests/test-store.c
+++ b/tests/test-kv-client.c
@@ -1,8 +1,8 @@
-/* The client of the state service: no caller waits for ever, and none behind what it does not need. */
+/* The client of the key-value store: no caller waits for ever, and none behind what it does not need. */
 #include "support.h"
 
 #include "fake-transport.h"
-#include "store.h"
+#include "kv-client.h"
 
 #define STEP_S 0.05
 
@@ -11,7 +11,7 @@
   HzbSettings *settings;
   HzbClock *clock;
   FakeTransport transport;
-  HzbStore *store;
+  HzbKvClient *kv;
   GRand *rand;
 } Fixture;
 
@@ -19,19 +19,19 @@
 fixture_up (Fixture *fixture, guint32 seed, double rps, double write_rps)
 {
   fixture->settings = test_settings ();
-  fixture->settings->store_rps = rps;
-  fixture->settings->store_write_rps = write_rps;
+  fixture->settings->kv_rps = rps;
+  fixture->settings->kv_write_rps = write_rps;
   fixture->clock = hzb_clock_new_manual ();
   fake_transport_init (&fixture->transport, fixture->clock);
-  fixture->store = hzb_store_new (&fixture->transport.parent, fixture->clock, fixture->settings);
+  fixture->kv = hzb_kv_client_new (&fixture->transport.parent, fixture->clock, fixture->settings);
   fixture->rand = g_rand_new_with_seed (seed);
 }
 
 static void
 fixture_down (Fixture *fixture)
 {
-  fake_transport_end (&fixture->transport, fixture->store);
-  hzb_store_free (fixture->store);
+  fake_transport_end (&fixture->transport, fixture->kv);
+  hzb_kv_client_free (fixture->kv);
   hzb_clock_free (fixture->clock);
   hzb_settings_free (fixture->settings);
   g_rand_free (fixture->rand);
@@ -41,20 +41,20 @@
 step (Fixture *fixture)
 {
   hzb_clock_advance (fixture->clock, STEP_S);
-  hzb_store_pump (fixture->store);
+  hzb_kv_client_pump (fixture->kv);
 }
 
 /* What one caller was told. */
 typedef struct
 {
   guint told;
-  HzbStoreResult result;
+  HzbKvResult result;
   struct timespec asked, at;
   HzbClock *clock;
 } Caller;
 
 static void
-on_told (HzbStoreResult result, const char *body, gpointer user)
+on_told (HzbKvResult result, const char *body, gpointer user)
 {
   Caller *caller = user;
   caller->told++;
@@ -73,11 +73,11 @@
 }
 
 static void
-put (Fixture *fixture, HzbStorePriority priority, Caller *caller)
+put (Fixture *fixture, HzbKvPriority priority, Caller *caller)
 {
   cJSON *txn = hzb_wire_txn ();
   hzb_wire_txn_put (txn, "a/b", cJSON_CreateObject (), 0);
-  hzb_store_txn (fixture->store, priority, txn, on_told, caller);
+  hzb_kv_client_commit (fixture->kv, priority, txn, on_told, caller);
 }
 
 static void
@@ -101,9 +101,9 @@
   for (guint i = 0; i < 600; i++)
     {
       if (i % 2)
-        put (&fixture, HZB_STORE_ACCEPT, caller_new (&fixture, writes));
+        put (&fixture, HZB_KV_ACCEPT, caller_new (&fixture, writes));
       if (i % 10 == 0)
-        hzb_store_news (fixture.store, "a/", 4, on_told, caller_new (&fixture, reads));
+        hzb_kv_client_changes (fixture.kv, "a/", 4, on_told, caller_new (&fixture, reads));
       answer_all (&fixture);
       step (&fixture);
     }
@@ -112,13 +112,13 @@
     {
       const Caller *caller = reads->pdata[i];
       g_assert_cmpuint (caller->told, ==, 1);
-      g_assert_cmpint (caller->result, ==, HZB_STORE_OK);
+      g_assert_cmpint (caller->result, ==, HZB_KV_OK);
       g_assert_cmpfloat (hzb_time_between (caller->asked, caller->at), <, 0.3);
     }
   for (guint i = 0; i < writes->len; i++)
     {
       const Caller *caller = writes->pdata[i];
-      changed += caller->told && caller->result == HZB_STORE_OK;
+      changed += caller->told && caller->result == HZB_KV_OK;
     }
   /* And the changes have their budget: 30 s of 0.6 times 10, and what was saved up at the start. */
   g_assert_cmpuint (changed, >=, 170);
@@ -138,16 +138,16 @@
   fixture_up (&fixture, 2, 10, 100);
   for (guint i = 0; i < 600; i++)
     {
-      put (&fixture, HZB_STORE_ACCEPT, caller_new (&fixture, writes));
+      put (&fixture, HZB_KV_ACCEPT, caller_new (&fixture, writes));
       if (i % 20 == 0)
-        hzb_store_news (fixture.store, "a/", 4, on_told, caller_new (&fixture, reads));
+        hzb_kv_client_changes (fixture.kv, "a/", 4, on_told, caller_new (&fixture, reads));
       answer_all (&fixture);
       step (&fixture);
     }
   for (guint i = 0; i < reads->len; i++)
-    answered += ((Caller *) reads->pdata[i])->result == HZB_STORE_OK && ((Caller *) reads->pdata[i])->told;
+    answered += ((Caller *) reads->pdata[i])->result == HZB_KV_OK && ((Caller *) reads->pdata[i])->told;
   for (guint i = 0; i < writes->len; i++)
-    changed += ((Caller *) writes->pdata[i])->result == HZB_STORE_OK && ((Caller *) writes->pdata[i])->told;
+    changed += ((Caller *) writes->pdata[i])->result == HZB_KV_OK && ((Caller *) writes->pdata[i])->told;
   g_assert_cmpuint (answered, >=, reads->len - 2);
   g_assert_cmpuint (changed, >=, 100);
   fixture_down (&fixture);
@@ -156,17 +156,17 @@
 static void
 random_request (Fixture *fixture, GPtrArray *callers)
 {
-  HzbStorePriority priority = (HzbStorePriority) g_rand_int_range (fixture->rand, 0, HZB_STORE_N_PRIORITIES);
+  HzbKvPriority priority = (HzbKvPriority) g_rand_int_range (fixture->rand, 0, HZB_KV_N_PRIORITIES);
   switch (g_rand_int_range (fixture->rand, 0, 4))
     {
     case 0:
-      hzb_store_get (fixture->store, priority, "a/b", on_told, caller_new (fixture, callers));
+      hzb_kv_client_get (fixture->kv, priority, "a/b", on_told, caller_new (fixture, callers));
       break;
     case 1:
-      hzb_store_range (fixture->store, "a/", NULL, on_told, caller_new (fixture, callers));
+      hzb_kv_client_range (fixture->kv, "a/", NULL, on_told, caller_new (fixture, callers));
       break;
     case 2:
-      hzb_store_news (fixture->store, "a/", 4, on_told, caller_new (fixture, callers));
+      hzb_kv_client_changes (fixture->kv, "a/", 4, on_told, caller_new (fixture, callers));
       break;
     default:
       put (fixture, priority, caller_new (fixture, callers));
--- a/tests/test-mirror.c
+++ b/tests/test-mirror.c
@@ -1,4 +1,4 @@
-/* The mirror against a plain model of the state service, whose replies come late, in any order, or not at all. */
+/* The mirror against a plain model of the key-value store, whose replies come late, in any order, or not at all. */
 #include "support.h"
 
 #include "fake-transport.h"
@@ -101,7 +101,7 @@
   HzbSettings *settings;
   HzbClock *clock;
   FakeTransport transport;
-  HzbStore *store;
+  HzbKvClient *kv;
   HzbMirror *mirror;
   Model model;
   GRand *rand;
@@ -123,7 +123,7 @@
 }
 
 static void
-apply (const HzbItem *item, gpointer user)
+apply (const HzbKvEntry *item, gpointer user)
 {
   Fixture *fixture = user;
   guint key = (guint) g_ascii_strtoull (item->key + strlen (PREFIX), NULL, 10);
@@ -153,11 +153,11 @@
 {
   memset (fixture, 0, sizeof *fixture);
   fixture->settings = test_settings ();
-  fixture->settings->store_rps = 1000;
+  fixture->settings->kv_rps = 1000;
   fixture->clock = hzb_clock_new_manual ();
   fake_transport_init (&fixture->transport, fixture->clock);
-  fixture->store = hzb_store_new (&fixture->transport.parent, fixture->clock, fixture->settings);
-  fixture->mirror = hzb_mirror_new (fixture->store, fixture->clock, PREFIX, 0, &funcs, fixture);
+  fixture->kv = hzb_kv_client_new (&fixture->transport.parent, fixture->clock, fixture->settings);
+  fixture->mirror = hzb_mirror_new (fixture->kv, fixture->clock, PREFIX, 0, &funcs, fixture);
   fixture->model.changes = g_array_new (FALSE, FALSE, sizeof (Change));
   fixture->model.kept = kept;
   fixture->rand = g_rand_new_with_seed (seed);
@@ -180,9 +180,9 @@
   for (guint i = 0; i < fixture->replies->len; i++)
     reply_free (fixture->replies->pdata[i]);
   g_ptr_array_unref (fixture->replies);
-  fake_transport_end (&fixture->transport, fixture->store);
+  fake_transport_end (&fixture->transport, fixture->kv);
   hzb_mirror_free (fixture->mirror);
-  hzb_store_free (fixture->store);
+  hzb_kv_client_free (fixture->kv);
   hzb_clock_free (fixture->clock);
   hzb_settings_free (fixture->settings);
   g_array_unref (fixture->model.changes);
@@ -193,7 +193,7 @@
 tick (Fixture *fixture)
 {
   hzb_clock_advance (fixture->clock, STEP_S);
-  hzb_store_pump (fixture->store);
+  hzb_kv_client_pump (fixture->kv);
   hzb_mirror_tick (fixture->mirror);
 }
 
@@ -510,7 +510,7 @@
 }
 
 static void
-ignore_result (HzbStoreResult result, const char *body, gpointer user)
+ignore_result (HzbKvResult result, const char *body, gpointer user)
 {
 }
 
@@ -529,7 +529,7 @@
         lose_expired (&fixture);
       if (follows && i % 10 == 0)
         {
-          hzb_store_get (fixture.store, HZB_STORE_READ, "hzb/o/other", ignore_result, NULL);
+          hzb_kv_client_get (fixture.kv, HZB_KV_READ, "hzb/o/other", ignore_result, NULL);
           fake_answer (&fixture.transport, g_queue_peek_tail (&fixture.transport.calls), 404, "");
         }
       tick (&fixture);
--- a/tests/test-overload.c
+++ b/tests/test-overload.c
@@ -114,7 +114,7 @@
   return asked;
 }
 
-/* Ten times as many questions cost the state service hardly more requests, since one proves freshness for all that wait;
+/* Ten times as many questions cost the key-value store hardly more requests, since one proves freshness for all that wait;
  * each is answered within the time that its user waits, no answer is older than one before, and submissions go on. */
 static void
 test_many_questions (void)
@@ -141,7 +141,7 @@
         asked_many += ask_for_a_second (sim, 20);
       many = sim->requests - before;
       g_assert_cmpuint (asked_many, >, 8 * asked_few);
-      g_assert_cmpuint (many, <, 8 * (guint) (0.5 * sim->size.store_rps)); /* paced, and shared: */
+      g_assert_cmpuint (many, <, 8 * (guint) (0.5 * sim->size.kv_rps)); /* paced, and shared: */
       g_assert_cmpuint (8 * many, <, asked_many);
       g_assert_cmpuint (many, <, 4 * few);
       g_assert_cmpfloat (slowest, <, 2);
@@ -157,7 +157,7 @@
     }
 }
 
-/* While the state service is out, each of many questions gets its refusal at once. */
+/* While the key-value store is out, each of many questions gets its refusal at once. */
 static void
 test_many_questions_in_an_outage (void)
 {
@@ -281,7 +281,7 @@
     }
 }
 
-/* In an outage nobody calls the state service all the time: neither a leader that can't read its records, nor one that does
+/* In an outage nobody calls the key-value store all the time: neither a leader that can't read its records, nor one that does
  * not know what became of what it wrote. */
 static void
 test_calls_in_an_outage (void)
--- a/tests/test-reconciliation.c
+++ b/tests/test-reconciliation.c
@@ -262,7 +262,7 @@
   cJSON_Delete (value);
 }
 
-/* As the state service gives it back. Takes the value. */
+/* As the key-value store gives it back. Takes the value. */
 static cJSON *
 stored (cJSON *value)
 {
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/* While the state service is away a finished job is not called done, and its results are kept by the workers. */
+/* While the key-value store is away a finished job is not called done, and its results are kept by the workers. */
 static void
 test_done_is_durable_first (void)
 {
@@ -50,7 +50,7 @@
     }
 }
 
-/* The state service takes few changes: what is refused with 429 is sent once more, whole, and neither a new job nor a
+/* The key-value store takes few changes: what is refused with 429 is sent once more, whole, and neither a new job nor a
  * new machine waits for the records of all the others. */
 static void
 test_few_changes (void)
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -108,7 +108,7 @@
 }
 
 /* The leader ends under load, then a zone is cut off while half of the others are silent, users cancel by the hundred, the
- * state service is out, and all controllers end. */
+ * key-value store is out, and all controllers end. */
 static void
 play_failures (guint32 seed, guint machines)
 {
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,4 +1,4 @@
-/* Lower limits of the state service, and two versions side by side. The records of version 1 that are read
+/* Lower limits of the key-value store, and two versions side by side. The records of version 1 that are read
  * here were written for the purpose, as that version's code wrote them; what a process of version 1 does not say is taken
  * out of the messages of a node that stands for one. */
 #include "sim-faults.h"
@@ -377,7 +377,7 @@
   sim_free (sim);
 }
 
-/* The state service calls every larger value malformed, also beyond what the settings say: the node neither loops nor
+/* The key-value store calls every larger value malformed, also beyond what the settings say: the node neither loops nor
  * stops serving, and goes on once it can. */
 static void
 test_malformed (void)
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -237,21 +237,21 @@
   };
   g_autoptr (HzbSettings) none = settings_with_next ("", &error), some = NULL, higher = NULL, all = NULL;
   g_assert_no_error (error);
-  g_assert_cmpfloat (none->store_value_kb, ==, 16);
+  g_assert_cmpfloat (none->kv_value_kb, ==, 16);
   some = settings_with_next ("[cluster.state.next]\nvalue_kb = 2.0\n", &error);
   g_assert_no_error (error);
-  g_assert_cmpfloat (some->store_value_kb, ==, 2);
-  g_assert_cmpuint (some->store_txn_ops, ==, 24);
-  g_assert_cmpfloat (some->store_write_rps, ==, 30);
+  g_assert_cmpfloat (some->kv_value_kb, ==, 2);
+  g_assert_cmpuint (some->kv_txn_ops, ==, 24);
+  g_assert_cmpfloat (some->kv_write_rps, ==, 30);
   all = settings_with_next ("[cluster.state.next]\nvalue_kb = 2\ntxn_ops = 5\nwrite_rps = 15\nrps = 40\nnew = 1\n",
                             &error);
   g_assert_no_error (error);
-  g_assert_cmpuint (all->store_txn_ops, ==, 5);
-  g_assert_cmpfloat (all->store_write_rps, ==, 15);
-  g_assert_cmpfloat (all->store_rps, ==, 40);
+  g_assert_cmpuint (all->kv_txn_ops, ==, 5);
+  g_assert_cmpfloat (all->kv_write_rps, ==, 15);
+  g_assert_cmpfloat (all->kv_rps, ==, 40);
   higher = settings_with_next ("[cluster.state.next]\ntxn_ops = 50\n", &error);
   g_assert_no_error (error);
-  g_assert_cmpuint (higher->store_txn_ops, ==, 24);
+  g_assert_cmpuint (higher->kv_txn_ops, ==, 24);
   g_assert_null (settings_with_next ("[cluster.state.next]\nvalue_kb = \"small\"\n", &error));
   g_assert_nonnull (strstr (error->message, "cluster.state.next.value_kb"));
   g_clear_error (&error);
@@ -269,8 +269,8 @@
   g_clear_error (&error);
   higher = settings_with_next ("[cluster.state.next]\ntxn_ops = 1e15\nrps = 1e15\n", &error);
   g_assert_no_error (error);
-  g_assert_cmpuint (higher->store_txn_ops, ==, 24);
-  g_assert_cmpfloat (higher->store_rps, ==, 80);
+  g_assert_cmpuint (higher->kv_txn_ops, ==, 24);
+  g_assert_cmpfloat (higher->kv_rps, ==, 80);
 }
 
 int
