--- a/src/admin.c
+++ b/src/admin.c
@@ -30,7 +30,7 @@
 
 /* ---- settings ---- */
 
-/* Operators' settings: kept in the key-value store, mirrored by every node and applied there at once. */
+/* Operators' settings: kept in the key-value store, replicated by every node and applied there at once. */
 typedef struct
 {
   const char *name, *meaning;
--- a/src/block-leases.c
+++ b/src/block-leases.c
@@ -188,7 +188,7 @@
   hzb_tasks_add (cJSON_GetObjectItemCaseSensitive (body, "durable"), task);
 }
 
-/* A lessee's own mirror may be behind, or cut off. */
+/* A lessee's own replica of the records may be behind, or cut off. */
 void
 hzb_leases_announce_cancellation (HzbLeases *leases, HzbJob *job)
 {
--- a/src/cancellation-log.h
+++ b/src/cancellation-log.h
@@ -3,7 +3,7 @@
  * @short_description: the latest cancellations on record, in the order of their revisions
  *
  * A controller that the key-value store does not serve learns of cancellations from its peers: each keeps the latest ones that
- * its mirror has shown, and tells what came after a revision. The log knows from which revision on it is complete.
+ * its replica of the records has shown, and tells what came after a revision. The log knows from which revision on it is complete.
  */
 #pragma once
 #include <glib.h>
--- a/src/cancellations.c
+++ b/src/cancellations.c
@@ -8,7 +8,7 @@
  * of for good: nothing of them may be on a machine that has not answered under its token, and each lessee that was
  * delegated a task of them has acknowledged it.
  *
- * The answer holds if no later owner exists: this node's mirror must have come as far as the job's record, and the
+ * The answer holds if no later owner exists: this node's replica must have come as far as the job's record, and the
  * owner's term must be the highest seen there. A later one reads the record before it holds anything.
  *
  * Where the owner can't be reached, how far it has come can be read beside its flush record, which it writes anyway.
@@ -69,11 +69,11 @@
   g_free (cancellations);
 }
 
-/* This node's mirror has all that was before the job's record, the elections too. */
+/* This node's replica has all that was before the job's record, the elections too. */
 static gboolean
-mirror_has (HzbController *controller, const HzbJob *job)
+kv_replica_has (HzbController *controller, const HzbJob *job)
 {
-  return job->version && hzb_mirror_revision (controller->mirror) >= job->version;
+  return job->version && hzb_kv_replica_revision (controller->kv_replica) >= job->version;
 }
 
 /* Guards against a cancellation that nobody may be told of for as long as leaders change: each new one waits anew for the
@@ -109,7 +109,7 @@
   HzbController *controller = cancellations->controller;
   if (!job->cancel_acknowledged
       && (known_to_every_controller (controller, job)
-          || (hzb_election_leading (controller->election) && mirror_has (controller, job)
+          || (hzb_election_leading (controller->election) && kv_replica_has (controller, job)
               && acknowledged_by_all (controller, job))))
     job->cancel_acknowledged = TRUE;
   return job->cancel_acknowledged;
@@ -176,7 +176,7 @@
           continue;
         }
       g_queue_push_tail (&cancellations->requests, request);
-      if (!mirror_has (controller, job))
+      if (!kv_replica_has (controller, job))
         continue;
       if (!message)
         message = cJSON_CreateObject ();
@@ -199,7 +199,7 @@
       HzbJob *job;
       if (!version || !hzb_wire_uid_ok (asked->string))
         continue;
-      /* Perhaps before this node's own mirror shows it, which may be refused, or behind. */
+      /* Perhaps before this node's own replica of the records shows it, which may be refused, or behind. */
       job = hzb_jobs_find (controller->jobs, asked->string);
       if (!job || !job->version)
         {
@@ -217,7 +217,7 @@
 set_acknowledged (HzbController *controller, const char *uid)
 {
   HzbJob *job = uid ? hzb_jobs_find (controller->jobs, uid) : NULL;
-  if (job && job->state == HZB_JOB_CANCELLED && mirror_has (controller, job))
+  if (job && job->state == HZB_JOB_CANCELLED && kv_replica_has (controller, job))
     job->cancel_acknowledged = TRUE;
 }
 
@@ -237,7 +237,7 @@
 hzb_cancellations_acknowledged_revision (HzbCancellations *cancellations)
 {
   HzbController *controller = cancellations->controller;
-  guint64 clear = hzb_mirror_revision (controller->mirror);
+  guint64 clear = hzb_kv_replica_revision (controller->kv_replica);
 
   if (controller->ownership < HZB_OWNERSHIP_RECOVERING)
     return 0;
@@ -332,33 +332,33 @@
 guint64
 hzb_cancellations_known_revision (HzbCancellations *cancellations)
 {
-  return MAX (hzb_mirror_revision (cancellations->controller->mirror), cancellations->learned_revision);
+  return MAX (hzb_kv_replica_revision (cancellations->controller->kv_replica), cancellations->learned_revision);
 }
 
 guint64
 hzb_cancellations_since (HzbCancellations *cancellations, guint64 after, GArray *into)
 {
-  const HzbMirror *mirror = cancellations->controller->mirror;
-  if (hzb_mirror_state (mirror) != HZB_MIRROR_FOLLOWING)
+  const HzbKvReplica *kv_replica = cancellations->controller->kv_replica;
+  if (hzb_kv_replica_state (kv_replica) != HZB_KV_REPLICA_FOLLOWING)
     return 0;
-  return hzb_cancellation_log_read (cancellations->log, after, hzb_mirror_revision (mirror), MOST_TOLD, into);
+  return hzb_cancellation_log_read (cancellations->log, after, hzb_kv_replica_revision (kv_replica), MOST_TOLD, into);
 }
 
 void
 hzb_cancellations_learn (HzbCancellations *cancellations, const GArray *learned, guint64 up_to)
 {
   HzbJobs *jobs = cancellations->controller->jobs;
-  guint64 mirrored = hzb_mirror_revision (cancellations->controller->mirror);
+  guint64 replicated_revision = hzb_kv_replica_revision (cancellations->controller->kv_replica);
 
   /* While all is read anew this node owns nothing, and what the reading does not show has moved to the old ends. */
-  if (hzb_mirror_state (cancellations->controller->mirror) != HZB_MIRROR_FOLLOWING)
+  if (hzb_kv_replica_state (cancellations->controller->kv_replica) != HZB_KV_REPLICA_FOLLOWING)
     return;
   for (guint i = 0; i < learned->len; i++)
     {
       const HzbCancellation *cancellation = &g_array_index (learned, HzbCancellation, i);
       cJSON *record;
-      /* What the mirror has shown by now may have moved to the old ends since. */
-      if (cancellation->revision <= mirrored)
+      /* What the replica of the records has shown by now may have moved to the old ends since. */
+      if (cancellation->revision <= replicated_revision)
         continue;
       record = hzb_jobs_pack_final (HZB_JOB_CANCELLED, cancellation->n_tasks);
       hzb_jobs_apply (jobs, cancellation->uid, record, cancellation->revision);
@@ -382,14 +382,14 @@
 hzb_cancellations_may_answer_workers (HzbCancellations *cancellations)
 {
   HzbController *controller = cancellations->controller;
-  struct timespec mirror, peers;
+  struct timespec kv_replica, peers;
 
   /* Also while nobody was heard yet: others may rely on what an earlier process of this node had said. */
   if (!hzb_cancellations_withholds_answers (cancellations)
       && (!controller->settings->peers->len || hzb_peers_any_tells_none (controller->peers)))
     return TRUE;
-  mirror = hzb_mirror_current_as_of (controller->mirror);
+  kv_replica = hzb_kv_replica_current_as_of (controller->kv_replica);
   peers = hzb_peers_current_as_of (controller->peers);
-  return hzb_time_between (hzb_time_before (mirror, peers) ? peers : mirror, hzb_clock_now (controller->clock))
+  return hzb_time_between (hzb_time_before (kv_replica, peers) ? peers : kv_replica, hzb_clock_now (controller->clock))
          < HZB_CANCELLATIONS_KNOWN_S;
 }
--- a/src/cancellations.h
+++ b/src/cancellations.h
@@ -31,13 +31,13 @@
 /** hzb_cancellations_handle_response: takes the acknowledgements of the leader of this term. */
 void hzb_cancellations_handle_response (HzbCancellations *cancellations, guint64 term, const cJSON *acknowledged);
 
-/** hzb_cancellations_note_record: the mirror has shown the record of a job's end. */
+/** hzb_cancellations_note_record: the replica of the records has shown the record of a job's end. */
 void hzb_cancellations_note_record (HzbCancellations *cancellations, const HzbJob *job, guint64 revision);
 
-/** hzb_cancellations_note_reading: the mirror has read all records anew, as of this revision. */
+/** hzb_cancellations_note_reading: the replica of the records has read all records anew, as of this revision. */
 void hzb_cancellations_note_reading (HzbCancellations *cancellations, guint64 revision);
 
-/** hzb_cancellations_known_revision: all cancellations up to it are known here, by the mirror or by peers. */
+/** hzb_cancellations_known_revision: all cancellations up to it are known here, by the replica of the records or by peers. */
 guint64 hzb_cancellations_known_revision (HzbCancellations *cancellations);
 
 /**
--- a/src/controller.c
+++ b/src/controller.c
@@ -3,10 +3,10 @@
 #include <math.h>
 #include <string.h>
 
-#define OWNER_PAGE_PAUSE_S 0.4                               /* after a page of the owner's records that did not come */
-#define KV_UNRESPONSIVE_S (HZB_MIRROR_WATCH_MS / 1000.0 + 1) /* longer than a watch takes */
+#define OWNER_PAGE_PAUSE_S 0.4 /* after a page of the owner's records that did not come */
+#define KV_UNRESPONSIVE_S (HZB_KV_REPLICA_WATCH_MS / 1000.0 + 1) /* longer than a watch takes */
 
-/* ---- the mirror ---- */
+/* ---- the replica of the records ---- */
 
 void
 hzb_controller_apply_record (HzbController *controller, const HzbKvEntry *item)
@@ -35,13 +35,13 @@
 
 /* What is owned is given up first: a job that is over must not be taken for open because of it. */
 static gboolean
-mirror_may_load (gpointer user)
+kv_replica_may_load (gpointer user)
 {
   return ((HzbController *) user)->ownership == HZB_OWNERSHIP_NONE;
 }
 
 static void
-mirror_load_begin (gpointer user)
+kv_replica_load_begin (gpointer user)
 {
   HzbController *controller = user;
   controller->load_saw_leader = FALSE;
@@ -59,7 +59,7 @@
 }
 
 static void
-mirror_apply (const HzbKvEntry *item, gpointer user)
+kv_replica_apply (const HzbKvEntry *item, gpointer user)
 {
   HzbController *controller = user;
   if (g_str_equal (item->key, HZB_KEY_LEADER) || g_str_equal (item->key, HZB_KEY_LEADER_2))
@@ -69,7 +69,7 @@
 }
 
 static void
-mirror_load_end (guint64 revision, gpointer user)
+kv_replica_load_end (guint64 revision, gpointer user)
 {
   HzbController *controller = user;
   if (!controller->load_saw_leader)
@@ -84,15 +84,15 @@
 
 /* A node that has missed so much can't tell which of the jobs that it owns are over. */
 static void
-mirror_lost (gpointer user)
+kv_replica_lost (gpointer user)
 {
   HzbController *controller = user;
   hzb_election_step_down (controller->election, "the mirror is too far behind");
   hzb_controller_end_leased (controller, "the mirror is too far behind");
 }
 
-static const HzbMirrorFuncs mirror_funcs = { mirror_may_load, mirror_load_begin, mirror_apply, mirror_load_end,
-                                             mirror_lost };
+static const HzbKvReplicaFuncs kv_replica_funcs = { kv_replica_may_load, kv_replica_load_begin, kv_replica_apply,
+                                                    kv_replica_load_end, kv_replica_lost };
 
 /* It has not answered for longer than a watch takes: what has to be asked there is better refused at once. */
 gboolean
@@ -104,7 +104,7 @@
 gboolean
 hzb_controller_ready (HzbController *controller)
 {
-  if (!controller->machines->types || !hzb_mirror_revision (controller->mirror))
+  if (!controller->machines->types || !hzb_kv_replica_revision (controller->kv_replica))
     return FALSE;
   /* In an outage for all it makes no difference where users ask; alone, or cut off from the others as well, another
    * node serves them better. */
@@ -198,7 +198,7 @@
   set_ownership (controller, HZB_OWNERSHIP_READY, "every machine has answered or is gone");
 }
 
-/* Between being elected and reading what jobs there are, the mirror must have caught up with the term's
+/* Between being elected and reading what jobs there are, the replica of the records must have caught up with the term's
  * own record: a job that the predecessor could have started is in it then. */
 static void
 begin_ownership (HzbController *controller)
@@ -367,12 +367,12 @@
 
   hzb_kv_client_pump (controller->kv);
   hzb_cloud_pump (controller->cloud);
-  hzb_mirror_tick (controller->mirror);
+  hzb_kv_replica_tick (controller->kv_replica);
   /* In a rollout the others are about to be replaced: whoever leads after them should be one that is not. */
   hzb_election_set_eager (controller->election, controller->format == HZB_FORMAT
                                                     && hzb_election_format (controller->election) < HZB_FORMAT
                                                     && hzb_peers_any_older_format (controller->peers));
-  hzb_election_tick (controller->election, hzb_mirror_is_fresh (controller->mirror));
+  hzb_election_tick (controller->election, hzb_kv_replica_is_fresh (controller->kv_replica));
   check_own_connectivity (controller);
   if (hzb_election_leading (controller->election))
     hzb_controller_end_leased (controller, "this node leads now");
@@ -380,8 +380,8 @@
       && hzb_token_leader (controller->block->token) != hzb_election_term (controller->election))
     end_ownership (controller); /* elected anew before the loss was seen */
   if (hzb_election_leading (controller->election) && controller->ownership == HZB_OWNERSHIP_NONE
-      && hzb_mirror_state (controller->mirror) == HZB_MIRROR_FOLLOWING
-      && hzb_election_term_mirrored (controller->election))
+      && hzb_kv_replica_state (controller->kv_replica) == HZB_KV_REPLICA_FOLLOWING
+      && hzb_election_term_replicated (controller->election))
     begin_ownership (controller);
   else if (!hzb_election_leading (controller->election) && controller->ownership > HZB_OWNERSHIP_LESSEE)
     end_ownership (controller);
@@ -484,8 +484,8 @@
   controller->transport = transport;
   controller->rand = g_rand_new_with_seed (seed);
   controller->kv = hzb_kv_client_new (transport, clock, settings);
-  controller->mirror =
-      hzb_mirror_new (controller->kv, clock, HZB_KEY_MIRROR, watch_interval_s (settings), &mirror_funcs, controller);
+  controller->kv_replica = hzb_kv_replica_new (controller->kv, clock, HZB_KEY_REPLICATED, watch_interval_s (settings),
+                                               &kv_replica_funcs, controller);
   controller->cloud = hzb_cloud_new (transport, clock, settings);
   controller->election = hzb_election_new (controller->kv, clock, settings, controller->rand);
   controller->jobs = hzb_jobs_new (clock, settings);
@@ -533,7 +533,7 @@
   hzb_cloud_free (controller->cloud);
   hzb_kv_client_free (controller->kv);
   hzb_provisioning_free (controller->provisioning);
-  hzb_mirror_free (controller->mirror);
+  hzb_kv_replica_free (controller->kv_replica);
   g_free (controller->owner_load_cursor);
   g_rand_free (controller->rand);
   g_free (controller);
--- a/src/controller.h
+++ b/src/controller.h
@@ -1,4 +1,4 @@
-/* Ties the parts together: the mirror of durable records, leadership, and what an owner does over time. */
+/* Ties the parts together: the replica of the records of durable records, leadership, and what an owner does over time. */
 #pragma once
 #include "admin.h"
 #include "autoscaler.h"
@@ -9,9 +9,9 @@
 #include "election.h"
 #include "http.h"
 #include "kv-client.h"
+#include "kv-replica.h"
 #include "lessee.h"
 #include "metrics.h"
-#include "mirror.h"
 #include "old-ends.h"
 #include "owner.h"
 #include "peers.h"
@@ -21,7 +21,7 @@
 #include "user-api.h"
 #include "worker-api.h"
 
-#define HZB_KEY_MIRROR "hzb/a/"
+#define HZB_KEY_REPLICATED "hzb/a/"
 #define HZB_KEY_OWNER "hzb/x/"
 #define HZB_KEY_FLUSH "hzb/x/flush"
 #define HZB_KEY_SETTINGS "hzb/a/settings"
@@ -73,7 +73,7 @@
 
   HzbHttpServer *api_server, *peer_server; /* NULL in tests: for what they count */
 
-  HzbMirror *mirror;
+  HzbKvReplica *kv_replica;
   gboolean load_saw_leader; /* the reading of all records under way has shown who leads */
 
   HzbOwnershipState ownership;
--- a/src/election.c
+++ b/src/election.c
@@ -13,7 +13,7 @@
   char *incarnation;
   guint64 lease, term, term_version; /* ours, while leading */
   guint64 seen_term, seen_term_version;
-  char *leader, *leader_incarnation; /* by the mirror */
+  char *leader, *leader_incarnation; /* by the replica of the records */
   guint64 leader_lease, leader_term, leader_version;
   struct timespec next, requests, lease_valid_until, renew_sent;
   gboolean renewing, backing_off, raising, eager;
@@ -95,7 +95,7 @@
 }
 
 gboolean
-hzb_election_term_mirrored (HzbElection *election)
+hzb_election_term_replicated (HzbElection *election)
 {
   return election->state == HZB_ELECTION_LEADING && election->seen_term == election->term;
 }
@@ -219,7 +219,7 @@
 on_raised (HzbKvResult result, const char *body, gpointer user)
 {
   HzbElection *election = user;
-  election->raising = FALSE; /* the mirror shows whether it is so */
+  election->raising = FALSE; /* the replica of the records shows whether it is so */
 }
 
 void
@@ -349,7 +349,7 @@
 }
 
 void
-hzb_election_tick (HzbElection *election, gboolean mirror_fresh)
+hzb_election_tick (HzbElection *election, gboolean kv_replica_fresh)
 {
   struct timespec now = hzb_clock_now (election->clock);
 
@@ -359,7 +359,7 @@
         renew (election, now);
       return;
     }
-  if (election->state != HZB_ELECTION_FOLLOWING || !mirror_fresh || hzb_time_before (now, election->next))
+  if (election->state != HZB_ELECTION_FOLLOWING || !kv_replica_fresh || hzb_time_before (now, election->next))
     return;
   election->backing_off = FALSE;
   if (election->leader && g_strcmp0 (election->leader, election->settings->node) == 0)
--- a/src/election.h
+++ b/src/election.h
@@ -24,8 +24,8 @@
 
 HzbElection *hzb_election_new (HzbKvClient *kv, HzbClock *clock, const HzbSettings *settings, GRand *rand);
 void hzb_election_free (HzbElection *election);
-void hzb_election_apply_record (HzbElection *election, const HzbKvEntry *item); /* from the mirror */
-void hzb_election_tick (HzbElection *election, gboolean mirror_fresh);
+void hzb_election_apply_record (HzbElection *election, const HzbKvEntry *item); /* from the replica of the records */
+void hzb_election_tick (HzbElection *election, gboolean kv_replica_fresh);
 void hzb_election_step_down (HzbElection *election, const char *why);
 void hzb_election_set_eager (HzbElection *election, gboolean eager); /* try before others do */
 void hzb_election_back_off (HzbElection *election, double seconds);  /* let others try first */
@@ -36,8 +36,9 @@
 guint64 hzb_election_term (HzbElection *election);
 void
 hzb_election_add_condition (HzbElection *election, cJSON *txn); /* the transaction fails once a newer term exists */
-gboolean hzb_election_term_mirrored (HzbElection *election); /* the mirror shows our own term: it has all before it */
-const char *hzb_election_leader (HzbElection *election);     /* NULL: none known */
-guint hzb_election_format (HzbElection *election);           /* of records, that every controller reads */
-void hzb_election_raise_format (HzbElection *election);      /* by the leader; every controller has said so */
+gboolean hzb_election_term_replicated (
+    HzbElection *election); /* the replica of the records shows our own term: it has all before it */
+const char *hzb_election_leader (HzbElection *election); /* NULL: none known */
+guint hzb_election_format (HzbElection *election);       /* of records, that every controller reads */
+void hzb_election_raise_format (HzbElection *election);  /* by the leader; every controller has said so */
 guint64 hzb_election_leader_term (HzbElection *election);
--- a/src/heartbeat.c
+++ b/src/heartbeat.c
@@ -125,7 +125,7 @@
   cJSON_AddBoolToObject (message, "sendsWorkers", heartbeat->sends_workers);
   cJSON_AddBoolToObject (message, "lostWorkers", heartbeat->lost_workers);
   cJSON_AddNumberToObject (message, "storeSilenceS", MIN (heartbeat->kv_unresponsive_s, NEVER_SERVED_S));
-  hzb_json_add_u64 (message, "mirrored", heartbeat->mirrored);
+  hzb_json_add_u64 (message, "mirrored", heartbeat->replicated_revision);
   hzb_json_add_u64 (message, "cancelledKnown", heartbeat->cancellations_known);
   cJSON_AddBoolToObject (message, "withholds", heartbeat->withholds_answers);
   encode_peer_states (heartbeat, message);
@@ -209,7 +209,7 @@
   heartbeat->sends_workers = !cJSON_IsFalse (cJSON_GetObjectItemCaseSensitive (message, "sendsWorkers"));
   heartbeat->lost_workers = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "lostWorkers"));
   heartbeat->kv_unresponsive_s = hzb_json_number (message, "storeSilenceS", NEVER_SERVED_S);
-  heartbeat->mirrored = hzb_json_u64 (message, "mirrored");
+  heartbeat->replicated_revision = hzb_json_u64 (message, "mirrored");
   heartbeat->cancellations_known = hzb_json_u64 (message, "cancelledKnown");
   heartbeat->tells_cancellations = cJSON_HasObjectItem (message, "cancelledKnown");
   heartbeat->withholds_answers = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "withholds"));
--- a/src/heartbeat.h
+++ b/src/heartbeat.h
@@ -43,8 +43,9 @@
   gboolean sends_workers;   /* it lately redirected workers to the leader; TRUE for a version that does not say */
   gboolean lost_workers;    /* it stepped down since no worker reported to it, not long ago */
   double kv_unresponsive_s; /* since the key-value store last served it */
-  guint64 mirrored;         /* its mirror has all changes up to this revision; 0: a version that does not say */
-  /* All cancellations recorded up to here are known to the sender, by its mirror or by peers; 0: a version that does not say. */
+  guint64
+      replicated_revision; /* its replica of the records has all changes up to this revision; 0: a version that does not say */
+  /* All cancellations recorded up to here are known to the sender, by its replica of the records or by peers; 0: a version that does not say. */
   guint64 cancellations_known;
   gboolean tells_cancellations; /* its replies name what the receiver lacks; FALSE: a version that does not */
   /* It answers no worker once it could have missed a cancellation, see cancellations.h. */
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -5,7 +5,7 @@
 #include <math.h>
 #include <string.h>
 
-#define MAX_MIRRORED_ENDED 2000u /* more than users ask about often; 600 bytes each */
+#define MAX_REPLICATED_COMPLETED 2000u /* more than users ask about often; 600 bytes each */
 
 static void
 clear_owner_state (HzbJob *job)
@@ -49,7 +49,7 @@
   jobs->by_uid = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, job_free);
   jobs->acceptances = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, acceptance_free);
   jobs->active = g_ptr_array_new ();
-  jobs->max_mirrored_ended = MAX_MIRRORED_ENDED;
+  jobs->max_replicated_completed = MAX_REPLICATED_COMPLETED;
   jobs->chunk = settings->kv_value_kb >= 2 ? 8192 : 4096;
   jobs->estimate_biases = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   jobs->clock = clock;
@@ -264,7 +264,8 @@
 hzb_jobs_ended_long_ago (HzbJobs *jobs, guint most)
 {
   GPtrArray *old = g_ptr_array_new ();
-  guint beyond = jobs->ended.length > jobs->max_mirrored_ended ? jobs->ended.length - jobs->max_mirrored_ended : 0;
+  guint beyond =
+      jobs->ended.length > jobs->max_replicated_completed ? jobs->ended.length - jobs->max_replicated_completed : 0;
 
   if (!beyond)
     return old;
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -1,4 +1,4 @@
-/* Jobs and tasks. Every node keeps the durable state of jobs, from the mirror; the owner also keeps
+/* Jobs and tasks. Every node keeps the durable state of jobs, from the replica of the records; the owner also keeps
  * where each task is. */
 #pragma once
 #include "block.h"
@@ -8,7 +8,7 @@
 /* Room for tenants: main is the only one so far. Jobs are accepted many to a record; how each ends has one of its own. */
 #define HZB_KEY_ACCEPTED "hzb/a/accepted/main/"
 #define HZB_KEY_JOBS "hzb/a/jobs/main/"
-/* Of jobs that ended long ago: not mirrored, since a month of them would not fit a node's memory. */
+/* Of jobs that ended long ago: not replicated, since a month of them would not fit a node's memory. */
 #define HZB_KEY_ENDED "hzb/o/ended/main/"
 #define HZB_KEY_PROGRESS "hzb/x/progress/main/"
 /* Progress is kept in parts of so many tasks: a part has to fit a value. A part of another size says so. */
@@ -78,12 +78,12 @@
 
 struct _HzbJobs
 {
-  GHashTable *by_uid;       /* uid -> HzbJob */
-  GHashTable *acceptances;  /* key -> HzbAcceptance */
-  GQueue ended;             /* HzbJob, over, about in the order of their ends */
-  guint max_mirrored_ended; /* so many ended jobs stay mirrored */
-  guint load;               /* counts readings of all records */
-  GPtrArray *active;        /* the owner's: jobs with a part of it, by age */
+  GHashTable *by_uid;             /* uid -> HzbJob */
+  GHashTable *acceptances;        /* key -> HzbAcceptance */
+  GQueue ended;                   /* HzbJob, over, about in the order of their ends */
+  guint max_replicated_completed; /* so many ended jobs stay replicated */
+  guint load;                     /* counts readings of all records */
+  GPtrArray *active;              /* the owner's: jobs with a part of it, by age */
   HzbClock *clock;
   const HzbSettings *settings;
   HzbBlock *block;             /* NULL: not an owner */
@@ -99,7 +99,7 @@
 HzbJob *hzb_jobs_apply (HzbJobs *jobs, const char *uid, const cJSON *value, guint64 version);
 void hzb_jobs_apply_acceptance (HzbJobs *jobs, const char *key, const cJSON *value); /* NULL: it is removed */
 HzbAcceptance *hzb_jobs_completed_acceptance (HzbJobs *jobs); /* one whose jobs are all over; NULL: none */
-/* Of the oldest that are over, beyond those that stay mirrored: up to so many whose record may move away. */
+/* Of the oldest that are over, beyond those that stay replicated: up to so many whose record may move away. */
 GPtrArray *hzb_jobs_ended_long_ago (HzbJobs *jobs, guint most);
 gboolean hzb_jobs_forget (HzbJobs *jobs, const char *uid); /* its record has moved away; FALSE: it is kept */
 /* All records are read anew: what they do not show any more is dropped at the end. */
--- a/src/lessee.c
+++ b/src/lessee.c
@@ -139,7 +139,7 @@
   return known;
 }
 
-/* It holds a task of a job that is not in this node's mirror yet, or over: back it goes, as it came. */
+/* It holds a task of a job that is not in this node's replica yet, or over: back it goes, as it came. */
 static void
 refuse_machine (HzbLessee *lessee, HzbMachineLease *lease)
 {
@@ -185,7 +185,7 @@
     put_on_machine (lessee, &g_array_index (lease->holds, HzbHeldTask, i), machine);
 }
 
-/* Tasks that the leader delegates. Those of jobs that are not in this node's mirror yet, or over, go back. */
+/* Tasks that the leader delegates. Those of jobs that are not in this node's replica yet, or over, go back. */
 static void
 receive_tasks (HzbLessee *lessee, const cJSON *groups)
 {
@@ -299,7 +299,8 @@
     }
   if (!answer->token)
     return;
-  if (controller->ownership == HZB_OWNERSHIP_NONE && hzb_mirror_state (controller->mirror) == HZB_MIRROR_FOLLOWING)
+  if (controller->ownership == HZB_OWNERSHIP_NONE
+      && hzb_kv_replica_state (controller->kv_replica) == HZB_KV_REPLICA_FOLLOWING)
     {
       lessee->token = answer->token;
       hzb_controller_begin_leased (controller, answer->token);
@@ -410,7 +411,7 @@
   for (guint i = 0; leader && i < controller->settings->peers->len; i++)
     if (g_str_equal (((HzbPeer *) controller->settings->peers->pdata[i])->node, leader))
       addr = ((HzbPeer *) controller->settings->peers->pdata[i])->address;
-  if (!addr || hzb_mirror_state (controller->mirror) != HZB_MIRROR_FOLLOWING)
+  if (!addr || hzb_kv_replica_state (controller->kv_replica) != HZB_KV_REPLICA_FOLLOWING)
     return;
   lessee->asking = TRUE;
   lessee->asked_epoch = controller->ownership_epoch;
--- a/src/old-ends.c
+++ b/src/old-ends.c
@@ -48,7 +48,7 @@
       HzbJob *job = hzb_jobs_find (controller->jobs, uids->pdata[i]);
       if (!job)
         continue;
-      /* One that changed under us (moved by an earlier leader, which the mirror will show) is left alone. */
+      /* One that changed under us (moved by an earlier leader, which the replica of the records will show) is left alone. */
       job->moving = FALSE;
       for (guint k = 0; failed && k < failed->len; k++)
         job->moving = job->moving || g_str_has_suffix (failed->pdata[k], job->uid);
--- a/src/old-ends.h
+++ b/src/old-ends.h
@@ -1,6 +1,6 @@
 /**
  * SECTION: old-ends
- * @short_description: moves the records of jobs that ended long ago to where no node mirrors them
+ * @short_description: moves the records of jobs that ended long ago to where no node replicas of the records them
  *
  * The leader's part. Whoever is asked about such a job reads its one record (user-api.c).
  */
--- a/src/peers.c
+++ b/src/peers.c
@@ -282,7 +282,7 @@
       else
         second = MIN (second, known);
     }
-  return withholds ? MIN (second, hzb_mirror_revision (peers->controller->mirror)) : 0;
+  return withholds ? MIN (second, hzb_kv_replica_revision (peers->controller->kv_replica)) : 0;
 }
 
 static void
@@ -456,7 +456,7 @@
       hzb_time_is_set (controller->redirected) && hzb_time_between (controller->redirected, now) < REDIRECTS_S;
   heartbeat->lost_workers = lost_workers (controller);
   heartbeat->kv_unresponsive_s = hzb_kv_client_unresponsive_s (controller->kv);
-  heartbeat->mirrored = hzb_mirror_revision (controller->mirror);
+  heartbeat->replicated_revision = hzb_kv_replica_revision (controller->kv_replica);
   heartbeat->cancellations_known = hzb_cancellations_known_revision (controller->cancellations);
   heartbeat->withholds_answers = hzb_cancellations_withholds_answers (controller->cancellations);
   add_hearsay (peers, heartbeat, now);
@@ -502,7 +502,8 @@
   view->sends_workers = heartbeat->sends_workers;
   view->lost_workers = heartbeat->lost_workers;
   view->format = heartbeat->format;
-  view->known_revision = MAX (view->known_revision, MAX (heartbeat->mirrored, heartbeat->cancellations_known));
+  view->known_revision =
+      MAX (view->known_revision, MAX (heartbeat->replicated_revision, heartbeat->cancellations_known));
   view->tells_cancellations = heartbeat->tells_cancellations;
   view->withholds_answers = heartbeat->withholds_answers;
   view->leads = heartbeat->leads;
@@ -522,14 +523,14 @@
   struct timespec sent;
 } Call;
 
-/* Guards against a peer whose own mirror is behind what it lists, or that could not list all: it proves nothing. */
+/* Guards against a peer whose own replica of the records is behind what it lists, or that could not list all: it proves nothing. */
 static void
 learn_cancellations (HzbPeers *peers, const HzbHeartbeat *reply, struct timespec sent)
 {
   if (!reply->cancellations_up_to)
     return;
   hzb_cancellations_learn (peers->controller->cancellations, reply->cancellations, reply->cancellations_up_to);
-  if (reply->cancellations_up_to >= reply->mirrored
+  if (reply->cancellations_up_to >= reply->replicated_revision
       && hzb_cancellations_known_revision (peers->controller->cancellations) >= reply->cancellations_up_to
       && hzb_time_before (peers->current_as_of, sent))
     peers->current_as_of = sent;
--- a/src/peers.h
+++ b/src/peers.h
@@ -55,7 +55,7 @@
 
 /**
  * hzb_peers_all_know_cancellations: every other controller has said that it knows all cancellations up to this revision, by
- * its mirror or by peers, so whatever any of them owns, it decides with these in view. A process that takes the place of one
+ * its replica of the records or by peers, so whatever any of them owns, it decides with these in view. A process that takes the place of one
  * of them reads them before it owns anything.
  */
 gboolean hzb_peers_all_know_cancellations (HzbPeers *peers, guint64 revision);
--- a/src/reconciliation/archive-store.h
+++ b/src/reconciliation/archive-store.h
@@ -2,7 +2,7 @@
  * SECTION: archive-store
  * @short_description: archives in the key-value store
  *
- * Outside of what controllers mirror and of what a new leader reads: an archive is written once and read when an operator
+ * Outside of what controllers replica and of what a new leader reads: an archive is written once and read when an operator
  * asks for it. The newest ones are kept, as many as the settings say.
  */
 #pragma once
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -247,7 +247,7 @@
     }
 }
 
-/* One request brings the mirror up to the moment for all that have waited long enough. */
+/* One request brings the replica of the records up to the moment for all that have waited long enough. */
 static void
 prove_some (HzbQuarantine *quarantine, struct timespec now)
 {
@@ -271,7 +271,8 @@
     return;
   quarantine->syncing = TRUE;
   quarantine->next_proof = hzb_time_plus (now, RETRY_S);
-  hzb_mirror_sync (quarantine->controller->mirror, on_synced, hzb_epoch_call_new (quarantine->controller, NULL));
+  hzb_kv_replica_sync (quarantine->controller->kv_replica, on_synced,
+                       hzb_epoch_call_new (quarantine->controller, NULL));
 }
 
 /* Guards against a task that starts elsewhere although a machine has it: its job's acceptance was carried out late. It
--- a/src/reconciliation/quarantine.h
+++ b/src/reconciliation/quarantine.h
@@ -18,7 +18,7 @@
 typedef enum
 {
   HZB_PROOF_WAITING, /* a late acceptance could still be carried out */
-  HZB_PROOF_SYNCING, /* the mirror is brought up to the moment */
+  HZB_PROOF_SYNCING, /* the replica of the records is brought up to the moment */
   HZB_PROOF_READING, /* the place of old ends is read */
   HZB_PROOF_ABSENT,  /* no record names it */
   HZB_PROOF_OVER     /* its job ended long ago */
--- a/src/reconciliation/verdicts.h
+++ b/src/reconciliation/verdicts.h
@@ -121,8 +121,8 @@
 {
   HZB_RECORD_OPEN,            /* accepted, not over */
   HZB_RECORD_OVER,            /* done or cancelled */
-  HZB_RECORD_ABSENT_UNPROVEN, /* not in this node's mirror */
-  HZB_RECORD_ABSENT           /* neither in the mirror nor among old ends, both proven, and no late write can come */
+  HZB_RECORD_ABSENT_UNPROVEN, /* not in this node's replica */
+  HZB_RECORD_ABSENT /* neither in the replica of the records nor among old ends, both proven, and no late write can come */
 } HzbRecordEvidence;
 
 /** HzbTaskStanding: where the owner has the task. */
--- a/src/submissions.c
+++ b/src/submissions.c
@@ -84,10 +84,10 @@
   api->accepting--;
   if (result == HZB_KV_CONFLICT)
     hzb_wire_parse_txn (body, NULL, &failed);
-  /* Guards against an answer that comes after the mirror has shown all that became of the record: it would be back for
+  /* Guards against an answer that comes after the replica of the records has shown all that became of the record: it would be back for
    * good, and its jobs with it. */
   if (result == HZB_KV_OK && hzb_wire_parse_txn (body, &revision, NULL)
-      && !hzb_mirror_covers (controller->mirror, revision))
+      && !hzb_kv_replica_covers (controller->kv_replica, revision))
     hzb_jobs_apply_acceptance (controller->jobs, batch->key, batch->record);
   for (guint i = 0; i < batch->entries->len; i++)
     {
--- a/src/user-api-private.h
+++ b/src/user-api-private.h
@@ -59,7 +59,7 @@
 
 HzbCheck *hzb_user_api_check_new (HzbExchange *exchange, const char *uid, HzbQuestion question);
 
-/** hzb_user_api_queue_check: answers once the mirror is proven to be up to date. Takes @check. */
+/** hzb_user_api_queue_check: answers once the replica of the records is proven to be up to date. Takes @check. */
 void hzb_user_api_queue_check (HzbUserApi *api, HzbCheck *check);
 
 /** hzb_user_api_read_check: answers from the record of the job's end. Takes @check. */
--- a/src/user-api.c
+++ b/src/user-api.c
@@ -1,4 +1,4 @@
-/* Questions and cancellations of users, on every node. An answer that is not final is given only once the mirror is proven
+/* Questions and cancellations of users, on every node. An answer that is not final is given only once the replica of the records is proven
  * to have everything up to the moment of the question. One request to the key-value store proves it for all that wait. */
 #include "user-api.h"
 
@@ -191,7 +191,7 @@
   hzb_kv_client_get (api->controller->kv, HZB_KV_READ, key, done, batch);
 }
 
-/* Neither the mirror nor the place of old records has it. */
+/* Neither the replica of the records nor the place of old records has it. */
 static void
 settle_unknown (HzbUserApi *api, HzbCheck *check)
 {
@@ -230,7 +230,7 @@
   hzb_user_api_batch_free (batch);
 }
 
-/* The mirror, brought up to this moment, does not know the job; what is over moves away from it in one transaction, so
+/* The replica of the records, brought up to this moment, does not know the job; what is over moves away from it in one transaction, so
  * a job that was ever accepted is found in one of the two places, in this order. */
 static void
 read_old (HzbUserApi *api, HzbCheck *check)
@@ -314,7 +314,7 @@
   return CLAMP (all_nodes, CHECK_EVERY_S, CHECK_MOST_S);
 }
 
-/* One request proves for all questions that wait that the mirror has everything up to now, however many they are. */
+/* One request proves for all questions that wait that the replica of the records has everything up to now, however many they are. */
 static void
 flush_checks (HzbUserApi *api)
 {
@@ -330,7 +330,7 @@
   while ((check = g_queue_pop_head (&api->checks)))
     g_ptr_array_add (batch->entries, check);
   api->checking = TRUE;
-  hzb_mirror_sync (controller->mirror, on_synced, batch);
+  hzb_kv_replica_sync (controller->kv_replica, on_synced, batch);
 }
 
 void
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -120,7 +120,7 @@
   command (commands, HZB_COMMAND_REAP, job->uid, task->index, task_report->attempt, 0);
 }
 
-#define NOBODYS_AFTER_S 15.0 /* the mirror may be a moment behind */
+#define NOBODYS_AFTER_S 15.0 /* the replica of the records may be a moment behind */
 
 /* A task that no record here names. */
 static void
--- a/tests/sim-cluster.c
+++ b/tests/sim-cluster.c
@@ -177,8 +177,8 @@
   node->controller = hzb_controller_new (settings, sim->clock, &node->transport->parent, g_rand_int (sim->rand));
   if (node->old)
     node->controller->format = 1;
-  if (sim->size.max_mirrored_ended)
-    node->controller->jobs->max_mirrored_ended = sim->size.max_mirrored_ended;
+  if (sim->size.max_replicated_completed)
+    node->controller->jobs->max_replicated_completed = sim->size.max_replicated_completed;
 }
 
 /* What the process held is gone with it; its memory is left alone, as calls on their way still name it. */
--- a/tests/sim-cluster.h
+++ b/tests/sim-cluster.h
@@ -88,11 +88,11 @@
   double kv_rps, kv_write_rps; /* as the settings say; limits only where write_rate says so */
   guint txn_ops;
   double cloud_rps;
-  guint rows;               /* of a range read */
-  guint max_mirrored_ended; /* jobs that are over stay mirrored; 0: as usual */
-  double check_s;           /* the rules are checked so often; 0: after every event */
-  guint kept_changes;       /* the key-value store keeps so many: a watch from before them gets 410; 0: all */
-  guint next_txn_ops;       /* limits of the key-value store that will come, as the settings say; 0: not named */
+  guint rows;                     /* of a range read */
+  guint max_replicated_completed; /* jobs that are over stay replicated; 0: as usual */
+  double check_s;                 /* the rules are checked so often; 0: after every event */
+  guint kept_changes;             /* the key-value store keeps so many: a watch from before them gets 410; 0: all */
+  guint next_txn_ops;             /* limits of the key-value store that will come, as the settings say; 0: not named */
   double next_write_rps;
   const char *features; /* a features file's text; NULL: what HZB_SIM_FEATURES names, or none */
 } SimSize;
--- a/tests/test-away.c
+++ b/tests/test-away.c
@@ -108,7 +108,7 @@
       guint64 before;
       sim->nodes[refused].refused = TRUE;
       sim_run (sim, 30);
-      before = hzb_mirror_revision (sim->nodes[refused].controller->mirror);
+      before = hzb_kv_replica_revision (sim->nodes[refused].controller->kv_replica);
       cancel_all (sim);
       sim_run (sim, 48);
       for (guint i = 0; i < sim->jobs->len; i++)
@@ -116,7 +116,7 @@
           const SimJob *job = sim->jobs->pdata[i];
           const HzbJob *known = hzb_jobs_find (sim->nodes[refused].controller->jobs, job->uid);
           g_assert_cmpint (known->state, ==, HZB_JOB_CANCELLED);
-          g_assert_cmpuint (known->version, >, before); /* not by its own mirror */
+          g_assert_cmpuint (known->version, >, before); /* not by its own replica of the records */
         }
       sim_run (sim, 300);
       expect_all_over (sim, "refused alone", seed);
--- a/tests/test-forgotten.c
+++ b/tests/test-forgotten.c
@@ -332,7 +332,7 @@
   size.machines = machines;
   size.kept_changes = 600;
   size.rows = 100;
-  size.max_mirrored_ended = 150;
+  size.max_replicated_completed = 150;
   sim = sim_new_sized (seed, &size);
   for (guint i = 0; i < machines; i++)
     sim_add_machine (sim, i % 3 ? "small" : "big", i % 2 ? "za" : "zb", TRUE, g_rand_double_range (sim->rand, 1, 5));
--- a/tests/test-heartbeat.c
+++ b/tests/test-heartbeat.c
@@ -116,7 +116,7 @@
   heartbeat->leads = heartbeat->withholds_answers = heartbeat->lost_workers = TRUE;
   heartbeat->term = 12;
   heartbeat->format = 2;
-  heartbeat->mirrored = 4000000120;
+  heartbeat->replicated_revision = 4000000120;
   heartbeat->cancellations_known = 4000000130;
   heartbeat->cancellations_up_to = 4000000140;
   g_array_append_val (heartbeat->cancellations, cancellation);
@@ -127,7 +127,7 @@
   g_assert_false (received->sends_workers);
   g_assert_cmpuint (received->term, ==, 12);
   g_assert_cmpuint (received->format, ==, 2);
-  g_assert_cmpuint (received->mirrored, ==, 4000000120);
+  g_assert_cmpuint (received->replicated_revision, ==, 4000000120);
   g_assert_cmpuint (received->cancellations_known, ==, 4000000130);
   g_assert_cmpuint (received->cancellations_up_to, ==, 4000000140);
   g_assert_cmpuint (received->cancellations->len, ==, 1);
@@ -158,7 +158,7 @@
 
   g_assert_false (old->tells_cancellations || old->withholds_answers);
   g_assert_true (old->sends_workers);
-  g_assert_cmpuint (old->cancellations_known + old->mirrored + old->cancellations_up_to, ==, 0);
+  g_assert_cmpuint (old->cancellations_known + old->replicated_revision + old->cancellations_up_to, ==, 0);
   g_assert_cmpuint (old->format, ==, 1);
   g_assert_cmpuint (old->counts->len, ==, 1);
   g_assert_cmpuint (broken->cancellations_up_to, ==, 0);
--- a/tests/test-mirror.c
+++ b/tests/test-kv-replica.c
@@ -1,8 +1,8 @@
-/* The mirror against a plain model of the key-value store, whose replies come late, in any order, or not at all. */
+/* The replica of the records against a plain model of the key-value store, whose replies come late, in any order, or not at all. */
 #include "support.h"
 
 #include "fake-transport.h"
-#include "mirror.h"
+#include "kv-replica.h"
 
 #define PREFIX "hzb/a/"
 #define KEYS 60u
@@ -86,7 +86,7 @@
   return g_string_free (text, FALSE);
 }
 
-/* ---- the mirror, and who follows it ---- */
+/* ---- the replica of the records, and who follows it ---- */
 
 /* A call that the service has carried out, and whose reply is on its way. */
 typedef struct
@@ -102,11 +102,11 @@
   HzbClock *clock;
   FakeTransport transport;
   HzbKvClient *kv;
-  HzbMirror *mirror;
+  HzbKvReplica *kv_replica;
   Model model;
   GRand *rand;
   GPtrArray *replies;
-  guint64 versions[KEYS]; /* as the mirror has shown them, applied as they come */
+  guint64 versions[KEYS]; /* as the replica of the records has shown them, applied as they come */
   guint loads[KEYS], load, pages, lost;
 } Fixture;
 
@@ -146,7 +146,7 @@
   ((Fixture *) user)->lost++;
 }
 
-static const HzbMirrorFuncs funcs = { may_load, load_begin, apply, load_end, lost };
+static const HzbKvReplicaFuncs funcs = { may_load, load_begin, apply, load_end, lost };
 
 static void
 fixture_up (Fixture *fixture, guint32 seed, guint kept)
@@ -157,7 +157,7 @@
   fixture->clock = hzb_clock_new_manual ();
   fake_transport_init (&fixture->transport, fixture->clock);
   fixture->kv = hzb_kv_client_new (&fixture->transport.parent, fixture->clock, fixture->settings);
-  fixture->mirror = hzb_mirror_new (fixture->kv, fixture->clock, PREFIX, 0, &funcs, fixture);
+  fixture->kv_replica = hzb_kv_replica_new (fixture->kv, fixture->clock, PREFIX, 0, &funcs, fixture);
   fixture->model.changes = g_array_new (FALSE, FALSE, sizeof (Change));
   fixture->model.kept = kept;
   fixture->rand = g_rand_new_with_seed (seed);
@@ -181,7 +181,7 @@
     reply_free (fixture->replies->pdata[i]);
   g_ptr_array_unref (fixture->replies);
   fake_transport_end (&fixture->transport, fixture->kv);
-  hzb_mirror_free (fixture->mirror);
+  hzb_kv_replica_free (fixture->kv_replica);
   hzb_kv_client_free (fixture->kv);
   hzb_clock_free (fixture->clock);
   hzb_settings_free (fixture->settings);
@@ -194,7 +194,7 @@
 {
   hzb_clock_advance (fixture->clock, STEP_S);
   hzb_kv_client_pump (fixture->kv);
-  hzb_mirror_tick (fixture->mirror);
+  hzb_kv_replica_tick (fixture->kv_replica);
 }
 
 static gboolean
@@ -269,7 +269,7 @@
 static void
 expect_same (const Fixture *fixture, guint32 seed)
 {
-  g_assert_cmpint (hzb_mirror_state (fixture->mirror), ==, HZB_MIRROR_FOLLOWING);
+  g_assert_cmpint (hzb_kv_replica_state (fixture->kv_replica), ==, HZB_KV_REPLICA_FOLLOWING);
   for (guint key = 0; key < KEYS; key++)
     if (fixture->versions[key] != fixture->model.versions[key])
       g_error ("seed %u: key %u is shown with version %u, and has %u", seed, key, (guint) fixture->versions[key],
@@ -278,7 +278,7 @@
 
 #define SOON_TURNS 200u /* 10 s */
 
-/* Once every call is answered at once, the mirror shows what there is. */
+/* Once every call is answered at once, the replica of the records shows what there is. */
 static void
 expect_same_soon (Fixture *fixture, guint32 seed)
 {
@@ -344,7 +344,7 @@
   FakeCall *call = calls->length
                        ? g_queue_peek_nth (calls, (guint) g_rand_int_range (fixture->rand, 0, (gint32) calls->length))
                        : NULL;
-  guint64 before = hzb_mirror_revision (fixture->mirror);
+  guint64 before = hzb_kv_replica_revision (fixture->kv_replica);
 
   switch (g_rand_int_range (fixture->rand, 0, 20))
     {
@@ -361,7 +361,7 @@
       {
         Question *question = g_new0 (Question, 1);
         *question = (Question){ fixture, seed, fixture->model.revision };
-        hzb_mirror_sync (fixture->mirror, on_synced, question);
+        hzb_kv_replica_sync (fixture->kv_replica, on_synced, question);
         break;
       }
     case 4:
@@ -370,7 +370,7 @@
       break;
     case 5:
       if (g_rand_int_range (fixture->rand, 0, 40) == 0)
-        hzb_mirror_reset (fixture->mirror);
+        hzb_kv_replica_reset (fixture->kv_replica);
       break;
     case 6:
     case 7:
@@ -385,7 +385,7 @@
         deliver (fixture, (guint) g_rand_int_range (fixture->rand, 0, (gint32) fixture->replies->len));
       break;
     }
-  g_assert_cmpuint (hzb_mirror_revision (fixture->mirror), >=, before);
+  g_assert_cmpuint (hzb_kv_replica_revision (fixture->kv_replica), >=, before);
 }
 
 static void
@@ -418,7 +418,7 @@
   Fixture fixture;
   FakeCall *old;
   fixture_up (&fixture, 1, 1000);
-  hzb_mirror_tick (fixture.mirror);
+  hzb_kv_replica_tick (fixture.kv_replica);
   for (guint i = 0; i < 4; i++) /* two pages, and the changes after each */
     {
       carry_out (&fixture, only_call (&fixture));
@@ -426,7 +426,7 @@
     }
   old = only_call (&fixture);
   carry_out (&fixture, old);
-  hzb_mirror_reset (fixture.mirror);
+  hzb_kv_replica_reset (fixture.kv_replica);
   model_change (&fixture.model, 3, TRUE);
   tick (&fixture);
   deliver (&fixture, 0);
@@ -441,7 +441,7 @@
   Fixture fixture;
   guint calls = 0;
   fixture_up (&fixture, 1, 1000);
-  for (guint i = 0; i < 2000 && hzb_mirror_state (fixture.mirror) != HZB_MIRROR_FOLLOWING; i++)
+  for (guint i = 0; i < 2000 && hzb_kv_replica_state (fixture.kv_replica) != HZB_KV_REPLICA_FOLLOWING; i++)
     {
       FakeCall *call = g_queue_peek_head (&fixture.transport.calls);
       if (call && ++calls % 2)
@@ -453,7 +453,7 @@
         }
       tick (&fixture);
     }
-  g_assert_cmpint (hzb_mirror_state (fixture.mirror), ==, HZB_MIRROR_FOLLOWING);
+  g_assert_cmpint (hzb_kv_replica_state (fixture.kv_replica), ==, HZB_KV_REPLICA_FOLLOWING);
   g_assert_cmpuint (fixture.load, ==, 1);
   g_assert_cmpuint (fixture.pages, <=, KEYS / ROWS + 1);
   fixture_down (&fixture);
@@ -465,7 +465,7 @@
 {
   Fixture fixture;
   fixture_up (&fixture, 1, 20);
-  for (guint i = 0; i < 400 && hzb_mirror_state (fixture.mirror) != HZB_MIRROR_FOLLOWING; i++)
+  for (guint i = 0; i < 400 && hzb_kv_replica_state (fixture.kv_replica) != HZB_KV_REPLICA_FOLLOWING; i++)
     {
       FakeCall *call = g_queue_peek_head (&fixture.transport.calls);
       if (call)
@@ -492,15 +492,15 @@
   fixture_up (&fixture, 1, 20);
   for (guint i = 0; i < 20; i++)
     {
-      if (fixture.transport.calls.length && hzb_mirror_state (fixture.mirror) != HZB_MIRROR_FOLLOWING)
+      if (fixture.transport.calls.length && hzb_kv_replica_state (fixture.kv_replica) != HZB_KV_REPLICA_FOLLOWING)
         answer_all (&fixture);
       tick (&fixture);
     }
-  g_assert_cmpint (hzb_mirror_state (fixture.mirror), ==, HZB_MIRROR_FOLLOWING);
+  g_assert_cmpint (hzb_kv_replica_state (fixture.kv_replica), ==, HZB_KV_REPLICA_FOLLOWING);
   for (guint i = 0; i < 30; i++)
     model_change (&fixture.model, i, TRUE);
   *question = (Question){ &fixture, 1, fixture.model.revision };
-  hzb_mirror_sync (fixture.mirror, on_synced, question);
+  hzb_kv_replica_sync (fixture.kv_replica, on_synced, question);
   call = g_queue_peek_tail (&fixture.transport.calls);
   carry_out (&fixture, call);
   deliver (&fixture, 0);
@@ -522,7 +522,7 @@
   fixture_up (&fixture, 1, 1000);
   for (guint i = 0; i < 1500 && fixture.load < 2; i++)
     {
-      gboolean follows = hzb_mirror_state (fixture.mirror) == HZB_MIRROR_FOLLOWING;
+      gboolean follows = hzb_kv_replica_state (fixture.kv_replica) == HZB_KV_REPLICA_FOLLOWING;
       if (!follows)
         answer_all (&fixture);
       else
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -112,13 +112,13 @@
   sim_free (sim);
 }
 
-/* Records of jobs that ended long ago are not mirrored, and still answer: users go on asking, submit again and cancel,
+/* Records of jobs that ended long ago are not replicated, and still answer: users go on asking, submit again and cancel,
  * while nodes end and one misses so much that it has to read all anew. */
 static void
 test_old_ones_move (void)
 {
   SimSize size = sim_size_little;
-  size.max_mirrored_ended = 4;
+  size.max_replicated_completed = 4;
   for (guint32 seed = 130; seed < 134; seed++)
     {
       Sim *sim = sim_new_sized (seed, &size);
@@ -139,7 +139,8 @@
           sim_run (sim, 85);
           sim->nodes[1].cut_store = FALSE;
           if (sim->nodes[1].controller)
-            hzb_mirror_reset (sim->nodes[1].controller->mirror); /* as when the changes since are not kept any more */
+            hzb_kv_replica_reset (
+                sim->nodes[1].controller->kv_replica); /* as when the changes since are not kept any more */
         }
       sim_run (sim, 112);
       start_all (sim, NULL);
@@ -154,9 +155,10 @@
               g_assert_false (g_hash_table_contains (sim->kv, other));
             }
         }
-      g_assert_cmpuint (moved, ==, 40 - size.max_mirrored_ended);
+      g_assert_cmpuint (moved, ==, 40 - size.max_replicated_completed);
       for (guint i = 0; i < SIM_NODES; i++)
-        g_assert_cmpuint (g_hash_table_size (sim->nodes[i].controller->jobs->by_uid), ==, size.max_mirrored_ended);
+        g_assert_cmpuint (g_hash_table_size (sim->nodes[i].controller->jobs->by_uid), ==,
+                          size.max_replicated_completed);
       /* Users come back long after, and one asks about what was never submitted. */
       sim_run (sim, 300);
       expect_all_over (sim, "old ones move", seed);
--- a/tests/test-services.c
+++ b/tests/test-services.c
@@ -251,7 +251,7 @@
     }
 }
 
-/* Many services come and go, as over months: how they ended moves out of what every node mirrors, each node still answers
+/* Many services come and go, as over months: how they ended moves out of what every node replicas of the records, each node still answers
  * for all of them, and the owner's pages name none. */
 static void
 test_services_over_months (void)
@@ -259,7 +259,7 @@
   SimSize size = sim_size_little;
   Sim *sim;
   guint kept = 0;
-  size.max_mirrored_ended = 4;
+  size.max_replicated_completed = 4;
   sim = sim_new_sized (490, &size);
   for (guint i = 0; i < 80; i++)
     {
@@ -271,7 +271,7 @@
   for (guint node = 0; node < SIM_NODES; node++)
     {
       kept = g_hash_table_size (sim->nodes[node].controller->jobs->by_uid);
-      g_assert_cmpuint (kept, ==, size.max_mirrored_ended);
+      g_assert_cmpuint (kept, ==, size.max_replicated_completed);
     }
   for (guint i = 0; i < sim->jobs->len; i += 7)
     {
