--- a/src/admin.c
+++ b/src/admin.c
@@ -66,7 +66,7 @@
   controller->dispatch->list_ahead_s = v[2];
   controller->autoscaler->idle_s = v[3];
   controller->autoscaler->patience = v[4];
-  controller->lease_blocks = v[5] >= 0.5;
+  controller->lease_shards = v[5] >= 0.5;
   if (value)
     g_message ("the operators' settings of revision %" G_GUINT64_FORMAT " apply", version);
 }
@@ -76,7 +76,7 @@
 {
   const double v[G_N_ELEMENTS (settings)] = {
     controller->dispatch->h,        controller->dispatch->sample,     controller->dispatch->list_ahead_s,
-    controller->autoscaler->idle_s, controller->autoscaler->patience, controller->lease_blocks
+    controller->autoscaler->idle_s, controller->autoscaler->patience, controller->lease_shards
   };
   cJSON *root = cJSON_CreateObject (), *list;
   hzb_json_add_u64 (root, "version", controller->settings_version);
@@ -249,8 +249,8 @@
       add_limit (item, "cpusMax", team->cpus_max);
       cJSON_AddNumberToObject (item, "gpusGuaranteed", team->gpus);
       add_limit (item, "gpusMax", team->gpus_max);
-      cJSON_AddNumberToObject (item, "cpusUsed", controller->block->cpus[i]);
-      cJSON_AddNumberToObject (item, "gpusUsed", controller->block->gpus[i]);
+      cJSON_AddNumberToObject (item, "cpusUsed", controller->shard->cpus[i]);
+      cJSON_AddNumberToObject (item, "gpusUsed", controller->shard->gpus[i]);
       cJSON_AddItemToArray (list, item);
     }
   return root;
@@ -330,9 +330,9 @@
 }
 
 static cJSON *
-blocks (HzbController *controller)
+shards (HzbController *controller)
 {
-  return hzb_leases_pack (controller->leases);
+  return hzb_shard_leases_pack (controller->shard_leases);
 }
 
 gboolean
@@ -345,7 +345,7 @@
     gboolean holder; /* only the leader knows */
   } views[] = {
     { "leadership", leadership, FALSE }, { "metrics", metrics, FALSE }, { "settings", pack_settings, FALSE },
-    { "machines", machines, TRUE },      { "blocks", blocks, TRUE },    { TENANT "teams", teams, TRUE },
+    { "machines", machines, TRUE },      { "blocks", shards, TRUE },    { TENANT "teams", teams, TRUE },
     { TENANT "jobs", jobs, TRUE },
   };
   const char *what = exchange->path + strlen (PREFIX);
--- a/src/autoscaler.c
+++ b/src/autoscaler.c
@@ -189,8 +189,8 @@
 
   for (guint i = 0; i < n; i++)
     {
-      cpus_left[i] = autoscaler->jobs->block->cpus_allowed[i];
-      gpus_left[i] = autoscaler->jobs->block->gpus_allowed[i];
+      cpus_left[i] = autoscaler->jobs->shard->cpus_allowed[i];
+      gpus_left[i] = autoscaler->jobs->shard->gpus_allowed[i];
     }
   for (guint i = 0; i < autoscaler->jobs->active->len; i++)
     {
--- a/src/cancellations.c
+++ b/src/cancellations.c
@@ -99,8 +99,8 @@
     return FALSE;
   if (!job->tasks)
     return TRUE; /* nothing of it was ever released, or all of it is gone */
-  hzb_leases_announce_cancellation (controller->leases, job);
-  return !job->unknown && hzb_leases_all_acknowledged (controller->leases, job);
+  hzb_shard_leases_announce_cancellation (controller->shard_leases, job);
+  return !job->unknown && hzb_shard_leases_all_acknowledged (controller->shard_leases, job);
 }
 
 gboolean
--- a/src/controller.c
+++ b/src/controller.c
@@ -204,15 +204,15 @@
 begin_ownership (HzbController *controller)
 {
   controller->ownership_epoch++;
-  controller->block = hzb_block_new (controller->settings, hzb_token (hzb_election_term (controller->election), 0));
-  hzb_leases_reset (controller->leases);
+  controller->shard = hzb_shard_new (controller->settings, hzb_token (hzb_election_term (controller->election), 0));
+  hzb_shard_leases_reset (controller->shard_leases);
   hzb_records_reset (controller->records);
   hzb_reconciliation_reset (controller->reconciliation);
   hzb_old_ends_reset (controller->old_ends);
   hzb_provisioning_reset (controller->provisioning);
   g_clear_pointer (&controller->owner_load_cursor, g_free);
   hzb_machines_clear (controller->machines);
-  hzb_jobs_begin_ownership (controller->jobs, controller->block);
+  hzb_jobs_begin_ownership (controller->jobs, controller->shard);
   set_ownership (controller, HZB_OWNERSHIP_LOADING, "elected");
   ask_for_owner_page (controller);
 }
@@ -227,19 +227,19 @@
   hzb_old_ends_reset (controller->old_ends);
   hzb_jobs_end_ownership (controller->jobs);
   hzb_machines_clear (controller->machines);
-  g_clear_pointer (&controller->block, hzb_block_free);
+  g_clear_pointer (&controller->shard, hzb_shard_free);
 }
 
 void
 hzb_controller_begin_leased (HzbController *controller, guint64 token)
 {
   controller->ownership_epoch++;
-  controller->block = hzb_block_new_leased (controller->settings, token);
+  controller->shard = hzb_shard_new_leased (controller->settings, token);
   controller->jobs->lessee = TRUE;
   controller->owner_since = hzb_clock_now (controller->clock);
   hzb_machines_clear (controller->machines);
   hzb_lessee_clear (controller->lessee);
-  hzb_jobs_begin_ownership (controller->jobs, controller->block);
+  hzb_jobs_begin_ownership (controller->jobs, controller->shard);
   set_ownership (controller, HZB_OWNERSHIP_LESSEE, "the leader leased us a block");
 }
 
@@ -253,7 +253,7 @@
   hzb_jobs_end_ownership (controller->jobs);
   hzb_machines_clear (controller->machines);
   hzb_lessee_clear (controller->lessee);
-  g_clear_pointer (&controller->block, hzb_block_free);
+  g_clear_pointer (&controller->shard, hzb_shard_free);
 }
 
 /* ---- the end of a job ---- */
@@ -377,7 +377,7 @@
   if (hzb_election_leading (controller->election))
     hzb_controller_end_leased (controller, "this node leads now");
   if (hzb_election_leading (controller->election) && controller->ownership != HZB_OWNERSHIP_NONE
-      && hzb_token_leader (controller->block->token) != hzb_election_term (controller->election))
+      && hzb_token_leader (controller->shard->token) != hzb_election_term (controller->election))
     end_ownership (controller); /* elected anew before the loss was seen */
   if (hzb_election_leading (controller->election) && controller->ownership == HZB_OWNERSHIP_NONE
       && hzb_kv_replica_state (controller->kv_replica) == HZB_KV_REPLICA_FOLLOWING
@@ -393,7 +393,7 @@
       && hzb_peers_all_have_format (controller->peers, HZB_FORMAT))
     hzb_election_raise_format (controller->election);
   if (hzb_election_leading (controller->election))
-    hzb_leases_tick (controller->leases, now);
+    hzb_shard_leases_tick (controller->shard_leases, now);
   else
     hzb_lessee_tick (controller->lessee, now);
   if (controller->ownership == HZB_OWNERSHIP_LESSEE && !hzb_time_before (now, controller->next_dispatch))
@@ -495,10 +495,10 @@
   controller->api = hzb_user_api_new (controller);
   controller->peers = hzb_peers_new (controller);
   controller->cancellations = hzb_cancellations_new (controller);
-  controller->leases = hzb_leases_new (controller);
+  controller->shard_leases = hzb_shard_leases_new (controller);
   controller->lessee = hzb_lessee_new (controller);
   controller->metrics = hzb_metrics_new ();
-  controller->lease_blocks = TRUE;
+  controller->lease_shards = TRUE;
   controller->format = HZB_FORMAT;
   controller->incarnation = g_strdup_printf ("%08x%08x", g_rand_int (controller->rand), g_rand_int (controller->rand));
   controller->provisioning = hzb_provisioning_new (controller);
@@ -514,7 +514,7 @@
 {
   hzb_user_api_free (controller->api);
   hzb_cancellations_free (controller->cancellations);
-  hzb_leases_free (controller->leases);
+  hzb_shard_leases_free (controller->shard_leases);
   hzb_lessee_free (controller->lessee);
   hzb_peers_free (controller->peers);
   hzb_records_free (controller->records);
@@ -528,7 +528,7 @@
   hzb_dispatch_free (controller->dispatch);
   hzb_jobs_free (controller->jobs);
   hzb_machines_free (controller->machines);
-  hzb_block_free (controller->block);
+  hzb_shard_free (controller->shard);
   hzb_election_free (controller->election);
   hzb_cloud_free (controller->cloud);
   hzb_kv_client_free (controller->kv);
--- a/src/controller.h
+++ b/src/controller.h
@@ -2,7 +2,6 @@
 #pragma once
 #include "admin.h"
 #include "autoscaler.h"
-#include "block-leases.h"
 #include "cancellations.h"
 #include "cloud.h"
 #include "dispatch.h"
@@ -18,6 +17,7 @@
 #include "provisioning.h"
 #include "reconciliation/reconciliation.h"
 #include "records.h"
+#include "shard-leases.h"
 #include "user-api.h"
 #include "worker-api.h"
 
@@ -32,11 +32,11 @@
  * services can be accepted. Nothing that a version 1 would misread is written while one may be about. */
 #define HZB_FORMAT 2
 
-/* What this node does as owner of the block. */
+/* What this node does as owner of the shard. */
 typedef enum
 {
   HZB_OWNERSHIP_NONE,
-  HZB_OWNERSHIP_LESSEE,     /* holds a block that the leader leased to it */
+  HZB_OWNERSHIP_LESSEE,     /* holds a shard that the leader leased to it */
   HZB_OWNERSHIP_LOADING,    /* elected, reads progress and machines */
   HZB_OWNERSHIP_RECOVERING, /* some machines have not answered under our term */
   HZB_OWNERSHIP_READY
@@ -55,16 +55,16 @@
   HzbMachines *machines;
   HzbDispatch *dispatch;
   HzbAutoscaler *autoscaler;
-  HzbBlock *block;
+  HzbShard *shard;
   HzbUserApi *api;
   HzbCancellations *cancellations;
-  HzbLeases *leases;
+  HzbShardLeases *shard_leases;
   HzbLessee *lessee;
   HzbRecords *records;
   HzbOldEnds *old_ends;
   HzbMetrics *metrics;
   guint64 settings_version; /* of the operators' settings */
-  gboolean lease_blocks;
+  gboolean lease_shards;
   char *incarnation;
   guint format; /* of records and messages, that this process says it reads */
   HzbPeers *peers;
@@ -106,7 +106,7 @@
 
 HzbEpochCall *hzb_epoch_call_new (HzbController *controller, gpointer data);
 
-/** hzb_controller_begin_leased: this node owns a block that the leader leased to it. */
+/** hzb_controller_begin_leased: this node owns a shard that the leader leased to it. */
 void hzb_controller_begin_leased (HzbController *controller, guint64 token);
 
 /** hzb_controller_end_leased: no more. Does nothing if it was not a lessee. */
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -167,7 +167,7 @@
     }
 }
 
-/* Some machine of any block could take it. */
+/* Some machine of any shard could take it. */
 static gboolean
 has_machine (HzbDispatch *dispatch, const HzbSpec *spec)
 {
@@ -203,7 +203,7 @@
 list_tasks (HzbDispatch *dispatch, HzbJob *job, double *cpus, double *gpus, guint *budget, guint *examined,
             struct timespec now)
 {
-  const HzbBlock *block = dispatch->jobs->block;
+  const HzbShard *shard = dispatch->jobs->shard;
   const HzbSpec *spec = job->spec;
   g_auto (HzbSearch) search = { 0 };
   gboolean sampled = dispatch->lagging || *examined < dispatch->usable->len;
@@ -214,7 +214,7 @@
       *examined -= dispatch->usable->len;
       hzb_search_look (&search, 0);
     }
-  while (*budget && hzb_block_fits (block, job->team, cpus[job->team] + spec->cpus, gpus[job->team] + spec->gpus))
+  while (*budget && hzb_shard_fits (shard, job->team, cpus[job->team] + spec->cpus, gpus[job->team] + spec->gpus))
     {
       HzbTask *task;
       HzbMachine *machine;
@@ -240,8 +240,8 @@
 hzb_dispatch_run (HzbDispatch *dispatch, struct timespec now)
 {
   g_autoptr (GPtrArray) order = g_ptr_array_new ();
-  const HzbBlock *block = dispatch->jobs->block;
-  guint n = block->n_teams;
+  const HzbShard *shard = dispatch->jobs->shard;
+  guint n = shard->n_teams;
   g_autofree double *cpus = g_new0 (double, n), *gpus = g_new0 (double, n);
   guint budget = dispatch->lagging ? 50 : 400, examined = LOOKS_PER_RUN;
 
@@ -299,7 +299,7 @@
           hzb_gang_place (dispatch, job, now);
           continue;
         }
-      if (!hzb_block_fits (block, job->team, cpus[job->team] + spec->cpus, gpus[job->team] + spec->gpus))
+      if (!hzb_shard_fits (shard, job->team, cpus[job->team] + spec->cpus, gpus[job->team] + spec->gpus))
         {
           if (spec->priority >= HZB_PRIORITY_HIGH)
             hzb_preempt_within_team (dispatch, job, now);
@@ -325,7 +325,7 @@
       kept_cpus += cpus[at_level];
       kept_gpus += gpus[at_level];
     }
-  return hzb_block_fits (dispatch->jobs->block, job->team, job->spec->cpus + kept_cpus, job->spec->gpus + kept_gpus);
+  return hzb_shard_fits (dispatch->jobs->shard, job->team, job->spec->cpus + kept_cpus, job->spec->gpus + kept_gpus);
 }
 
 void
--- a/src/gang.c
+++ b/src/gang.c
@@ -13,12 +13,12 @@
   GPtrArray *all = dispatch->machines->all;
   g_autofree guint *taken = g_new0 (guint, all->len);
   g_autoptr (GPtrArray) zones = g_ptr_array_new ();
-  const HzbBlock *block = dispatch->jobs->block;
+  const HzbShard *shard = dispatch->jobs->shard;
   guint n = job->n_tasks, half = (n + 1) / 2;
 
   if (job->pending != n || job->released < n || hzb_time_before (now, job->not_before))
     return FALSE;
-  if (!hzb_block_fits (block, job->team, spec->cpus * n, spec->gpus * n))
+  if (!hzb_shard_fits (shard, job->team, spec->cpus * n, spec->gpus * n))
     return FALSE;
   for (guint i = 0; i < all->len; i++)
     {
--- a/src/headroom.c
+++ b/src/headroom.c
@@ -121,7 +121,7 @@
       if (!job->spec || job->spec->service || job->state != HZB_JOB_ACCEPTED)
         continue;
       if (!(job->pending || job->listed) || begun > job->begun || !hzb_time_is_set (job->waits_since)
-          || !hzb_block_fits (jobs->block, job->team, job->spec->cpus, job->spec->gpus))
+          || !hzb_shard_fits (jobs->shard, job->team, job->spec->cpus, job->spec->gpus))
         job->waits_since = now;
       else if (hzb_time_between (job->waits_since, now) > OTHERS_WAIT_S)
         found = job;
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -176,7 +176,7 @@
       job->spec = g_steal_pointer (&spec);
       job->n_tasks = job->spec->tasks;
       job->team = hzb_settings_team (jobs->settings, job->spec->team);
-      if (jobs->block && !jobs->lessee)
+      if (jobs->shard && !jobs->lessee)
         hzb_jobs_activate (jobs, job);
       return job;
     }
@@ -355,12 +355,12 @@
 /* ---- ownership ---- */
 
 void
-hzb_jobs_begin_ownership (HzbJobs *jobs, HzbBlock *block)
+hzb_jobs_begin_ownership (HzbJobs *jobs, HzbShard *shard)
 {
   GHashTableIter iter;
   gpointer value;
 
-  jobs->block = block;
+  jobs->shard = shard;
   if (jobs->lessee)
     return;
   g_hash_table_iter_init (&iter, jobs->by_uid);
@@ -380,7 +380,7 @@
         g_clear_pointer (&job->spec, hzb_spec_free);
     }
   g_ptr_array_set_size (jobs->active, 0);
-  jobs->block = NULL;
+  jobs->shard = NULL;
   jobs->lessee = FALSE;
 }
 
@@ -422,7 +422,7 @@
       job->release_requested = job->spec->gang || job->spec->service; /* which need all of them at once */
     }
   /* Tokens are never used twice, so neither are attempts. */
-  job->next_attempt = jobs->block->token << 17;
+  job->next_attempt = jobs->shard->token << 17;
   waited = hzb_time_between (job->accepted, hzb_clock_wall (jobs->clock));
   job->since = hzb_time_plus (now, -CLAMP (waited, 0, 86400));
   g_message ("job %s (%s, %s): %u tasks of %g CPUs, %g GB, %g s expected, image %s", job->uid, job->spec->job_class,
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -1,7 +1,7 @@
 /* Jobs and tasks. Every node keeps the durable state of jobs, from the replica of the records; the owner also keeps
  * where each task is. */
 #pragma once
-#include "block.h"
+#include "shard.h"
 #include "task.h"
 #include "wire.h"
 
@@ -86,10 +86,10 @@
   GPtrArray *active;              /* the owner's: jobs with a part of it, by age */
   HzbClock *clock;
   const HzbSettings *settings;
-  HzbBlock *block;             /* NULL: not an owner */
+  HzbShard *shard;             /* NULL: not an owner */
   GHashTable *estimate_biases; /* class name -> double*, see hzb_jobs_record_run_time() */
   guint chunk;                 /* tasks of a part */
-  gboolean lessee;             /* of the jobs only what was delegated is in the block */
+  gboolean lessee;             /* of the jobs only what was delegated is in the shard */
 };
 
 HzbJobs *hzb_jobs_new (HzbClock *clock, const HzbSettings *settings);
@@ -112,12 +112,12 @@
 const char *hzb_job_status (const HzbJob *job);
 
 /* Of the owner. */
-void hzb_jobs_begin_ownership (HzbJobs *jobs, HzbBlock *block);
+void hzb_jobs_begin_ownership (HzbJobs *jobs, HzbShard *shard);
 void hzb_jobs_end_ownership (HzbJobs *jobs);
 void hzb_jobs_activate (HzbJobs *jobs, HzbJob *job);
 void hzb_jobs_retire (HzbJobs *jobs, HzbJob *job); /* nothing of it is anywhere any more */
 /* Every machine that might hold them has answered or is gone: a job's unknown tasks of a leader before us (0), or of the
- * block of a lessee that was taken back (1 and up), wait again. */
+ * shard of a lessee that was taken back (1 and up), wait again. */
 void hzb_job_resolve_unknown (HzbJobs *jobs, HzbJob *job, guint lessee);
 gboolean hzb_jobs_any_unknown (HzbJobs *jobs);
 
--- a/src/lessee.c
+++ b/src/lessee.c
@@ -1,7 +1,7 @@
-/* This node's part as a lessee: the block that the leader has leased to it. lease.c says how leasing goes. */
-#include "block-messages.h"
+/* This node's part as a lessee: the shard that the leader has leased to it. lease.c says how leasing goes. */
 #include "controller.h"
 #include "outbox.h"
+#include "shard-messages.h"
 
 #include <string.h>
 
@@ -9,12 +9,12 @@
 #define ASK_SOON_S 0.25 /* with news; a question costs both sides as much as a worker's report */
 #define ASK_TIMEOUT_MS 1500
 #define GIVE_UP_S 5.0 /* it lets go when the leader has not answered for so long: it sits on no machines */
-/* Of the block's CPUs: tasks requested beyond its free room, so that no slot waits for the next answer. */
+/* Of the shard's CPUs: tasks requested beyond its free room, so that no slot waits for the next answer. */
 #define PREFETCH_PART 0.12
 #define UNSTARTED_TTL_S 6.0 /* an unstarted task goes back to the leader after this */
 #define IDLE_S 10.0         /* and an idle machine */
 /* Guards against a poll that is larger than a request may be: it would be refused each time, nothing in it acknowledged,
- * and the whole block lost, when hundreds of machines fall silent together. With what else goes along, below 64 KiB. */
+ * and the whole shard lost, when hundreds of machines fall silent together. With what else goes along, below 64 KiB. */
 #define MAX_EVENT_BYTES (36 * 1024)
 /* Jobs whose counts go with a poll, up to 25 bytes each in two lists. Of more the next polls tell, in turn. */
 #define COUNTS_PER_POLL 350u
@@ -119,7 +119,7 @@
     hzb_task_set_state (jobs, task, HZB_TASK_DONE, NULL);
 }
 
-/* Every task that may be on the machine is of a job that is known here, and nowhere else in the block. */
+/* Every task that may be on the machine is of a job that is known here, and nowhere else in the shard. */
 static gboolean
 knows_all_held (HzbLessee *lessee, const HzbMachineLease *lease)
 {
@@ -245,12 +245,12 @@
     apply_recall (lessee, &recall);
 }
 
-/* The block's term was raised: nothing is concluded from its machines until they have reported under it. */
+/* The shard's term was raised: nothing is concluded from its machines until they have reported under it. */
 static void
 raise_token (HzbLessee *lessee, guint64 token)
 {
   HzbController *controller = lessee->controller;
-  lessee->token = controller->block->token = token;
+  lessee->token = controller->shard->token = token;
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       HzbMachine *machine = controller->machines->all->pdata[i];
@@ -260,10 +260,10 @@
 
 /* The answer is to a poll of the ownership that is, and from the leader that is. */
 static gboolean
-answer_counts (const HzbLessee *lessee, const HzbBlockAnswer *answer)
+answer_counts (const HzbLessee *lessee, const HzbShardAnswer *answer)
 {
   const HzbController *controller = lessee->controller;
-  /* Guards against an answer to a poll of before this node let go of its block: it would hold the block again without what
+  /* Guards against an answer to a poll of before this node let go of its shard: it would hold the shard again without what
    * it had been sent before, and the leader would go on believing that all of it is in good hands. */
   return lessee->asked_epoch == controller->ownership_epoch && !hzb_election_leading (controller->election)
          && answer->term == hzb_election_leader_term (controller->election);
@@ -288,7 +288,7 @@
 }
 
 static void
-apply_answer (HzbLessee *lessee, const HzbBlockAnswer *answer, const cJSON *batches)
+apply_answer (HzbLessee *lessee, const HzbShardAnswer *answer, const cJSON *batches)
 {
   HzbController *controller = lessee->controller;
 
@@ -321,12 +321,12 @@
 {
   HzbLessee *lessee = user;
   cJSON *root = status == 200 ? cJSON_ParseWithLength (body, length) : NULL;
-  HzbBlockAnswer answer;
+  HzbShardAnswer answer;
 
   lessee->asking = FALSE;
   if (!root)
     return;
-  hzb_block_answer_decode (root, &answer);
+  hzb_shard_answer_decode (root, &answer);
   hzb_cancellations_handle_response (lessee->controller->cancellations, answer.term,
                                      cJSON_GetObjectItemCaseSensitive (root, "heard"));
   if (answer_counts (lessee, &answer))
@@ -334,7 +334,7 @@
   cJSON_Delete (root);
 }
 
-/* CPUs' worth of tasks that the block could start now, and a little beyond. */
+/* CPUs' worth of tasks that the shard could start now, and a little beyond. */
 static double
 room (HzbController *controller)
 {
@@ -374,7 +374,7 @@
   return counts;
 }
 
-/* How many tasks of each job run in the block, and are about to leave it. All jobs if they fit; of more some with each poll,
+/* How many tasks of each job run in the shard, and are about to leave it. All jobs if they fit; of more some with each poll,
  * in turn, and then those of which nothing runs are named too, since what is not named stays as it was. */
 static void
 pack_counts (HzbLessee *lessee, cJSON *message)
@@ -416,7 +416,7 @@
   lessee->asking = TRUE;
   lessee->asked_epoch = controller->ownership_epoch;
   lessee->requests = now;
-  root = hzb_peers_message (controller->peers, HZB_PEER_BLOCK);
+  root = hzb_peers_message (controller->peers, HZB_PEER_SHARD_POLL);
   if ((cancelled = hzb_cancellations_pack_request (controller->cancellations)))
     cJSON_AddItemToObject (root, "cancelled", cancelled);
   if (controller->ownership == HZB_OWNERSHIP_LESSEE)
--- a/src/machines.c
+++ b/src/machines.c
@@ -444,19 +444,19 @@
 }
 
 GPtrArray *
-hzb_machines_unverified_kinds (const HzbMachines *machines, guint n_blocks)
+hzb_machines_unverified_kinds (const HzbMachines *machines, guint n_shards)
 {
-  GPtrArray *of_blocks = g_ptr_array_new_with_free_func (kinds_free);
+  GPtrArray *of_shards = g_ptr_array_new_with_free_func (kinds_free);
 
-  for (guint i = 0; i < n_blocks; i++)
-    g_ptr_array_add (of_blocks, g_ptr_array_new ());
+  for (guint i = 0; i < n_shards; i++)
+    g_ptr_array_add (of_shards, g_ptr_array_new ());
   for (guint i = 0; i < machines->all->len; i++)
     {
       HzbMachine *machine = machines->all->pdata[i];
-      if (machine->unknown_tasks_of < n_blocks && is_unverified (machine))
-        hzb_machines_add_kind (of_blocks->pdata[machine->unknown_tasks_of], machine);
+      if (machine->unknown_tasks_of < n_shards && is_unverified (machine))
+        hzb_machines_add_kind (of_shards->pdata[machine->unknown_tasks_of], machine);
     }
-  return of_blocks;
+  return of_shards;
 }
 
 /* With 4,000 machines five times a second, with a few hundred at each turn of the timer. */
--- a/src/machines.h
+++ b/src/machines.h
@@ -1,4 +1,4 @@
-/* The machines of a block: what the cloud and the workers say of them, their sessions and leases,
+/* The machines of a shard: what the cloud and the workers say of them, their sessions and leases,
  * their lists, and the room on them. */
 #pragma once
 #include "estimate.h"
@@ -11,7 +11,7 @@
   HZB_MACHINE_BOOTING,       /* rented, its worker has not reported */
   HZB_MACHINE_UNVERIFIED,    /* an earlier owner may have started tasks on it; it has not answered under our token */
   HZB_MACHINE_ACTIVE,        /* its last report was sent under our token */
-  HZB_MACHINE_LEASED,        /* in a block that is leased to another controller */
+  HZB_MACHINE_LEASED,        /* in a shard that is leased to another controller */
   HZB_MACHINE_LEASE_EXPIRED, /* its lease is over: it has no tasks */
   HZB_MACHINE_DRAINING,      /* takes no more tasks */
   HZB_MACHINE_RETURNING,     /* the cloud has been told; until it confirms the machine may still run */
@@ -34,7 +34,7 @@
   HZB_N_LEVELS
 } HzbLevel;
 
-/* Until it has answered, an unverified machine may hold tasks of its own only, of the block of a lessee (1 and up) that
+/* Until it has answered, an unverified machine may hold tasks of its own only, of the shard of a lessee (1 and up) that
  * was taken back, or of an earlier leader. */
 #define HZB_UNKNOWN_TASKS_OF_LEADER 0u
 #define HZB_UNKNOWN_TASKS_OF_NOBODY 255u
@@ -51,7 +51,7 @@
   guint64 own_token; /* from this one on nobody but this owner has given it commands: what it reports under it is all */
   guint64 over_session;    /* this session has ended for certain: what still comes of it is late */
   guint8 lessee;           /* 1 and up: whom it is leased to */
-  guint8 unknown_tasks_of; /* while unverified: the block whose unknown tasks may be on it, or HZB_SUSPECT_… */
+  guint8 unknown_tasks_of; /* while unverified: the shard whose unknown tasks may be on it, or HZB_SUSPECT_… */
   gboolean recall_requested, lease_sent;
   gboolean recall_at_once; /* with all that is on it */
   struct timespec rented;  /* or, of a machine found in the records, first known */
@@ -146,12 +146,12 @@
 void hzb_machine_lose_tasks (HzbJobs *jobs, HzbMachine *machine);
 void hzb_machine_empty_lists (HzbJobs *jobs, HzbMachine *machine);
 /**
- * hzb_machines_unverified_kinds: of the machines that may hold unknown tasks of a block, and have neither answered under our
- * token nor are gone, one (HzbMachine) of each type, zone and kind. Looks at every machine once, for all blocks.
+ * hzb_machines_unverified_kinds: of the machines that may hold unknown tasks of a shard, and have neither answered under our
+ * token nor are gone, one (HzbMachine) of each type, zone and kind. Looks at every machine once, for all shards.
  *
- * Returns: (transfer full) (element-type GPtrArray): an array for each of the first @n_blocks blocks
+ * Returns: (transfer full) (element-type GPtrArray): an array for each of the first @n_shards shards
  */
-GPtrArray *hzb_machines_unverified_kinds (const HzbMachines *machines, guint n_blocks);
+GPtrArray *hzb_machines_unverified_kinds (const HzbMachines *machines, guint n_shards);
 
 /** hzb_machines_add_kind: adds the machine to the array unless it has one of the same type, zone and kind. */
 void hzb_machines_add_kind (GPtrArray *kinds, HzbMachine *machine);
--- a/src/owner.c
+++ b/src/owner.c
@@ -78,7 +78,7 @@
             hzb_controller_record_completion (controller, job);
           continue;
         }
-      hzb_leases_announce_cancellation (controller->leases, job);
+      hzb_shard_leases_announce_cancellation (controller->shard_leases, job);
       for (guint k = 0; job->listed && k < job->n_tasks; k++)
         if (job->tasks[k].state == HZB_TASK_LISTED)
           hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
@@ -162,22 +162,22 @@
 static void
 resolve_unknown (HzbController *controller)
 {
-  g_autoptr (GPtrArray) of_blocks = NULL;
+  g_autoptr (GPtrArray) of_shards = NULL;
 
   if (controller->ownership != HZB_OWNERSHIP_RECOVERING && !hzb_jobs_any_unknown (controller->jobs))
     return;
-  of_blocks = hzb_machines_unverified_kinds (controller->machines, controller->settings->peers->len + 1);
-  for (guint block = 0; block < of_blocks->len; block++)
+  of_shards = hzb_machines_unverified_kinds (controller->machines, controller->settings->peers->len + 1);
+  for (guint shard = 0; shard < of_shards->len; shard++)
     {
-      const GPtrArray *unverified = of_blocks->pdata[block];
+      const GPtrArray *unverified = of_shards->pdata[shard];
       for (guint i = 0; i < controller->jobs->active->len; i++)
         {
           HzbJob *job = controller->jobs->active->pdata[i];
           if (job->unknown && hzb_reconciliation_may_resolve (controller->reconciliation, job)
               && !hzb_job_may_run_on_unverified (job, unverified))
-            hzb_job_resolve_unknown (controller->jobs, job, block);
+            hzb_job_resolve_unknown (controller->jobs, job, shard);
         }
-      if (block == HZB_UNKNOWN_TASKS_OF_LEADER && controller->ownership == HZB_OWNERSHIP_RECOVERING && !unverified->len)
+      if (shard == HZB_UNKNOWN_TASKS_OF_LEADER && controller->ownership == HZB_OWNERSHIP_RECOVERING && !unverified->len)
         hzb_controller_recovered (controller);
     }
 }
--- a/src/peers.c
+++ b/src/peers.c
@@ -610,14 +610,14 @@
 hzb_controller_peer_request (HzbExchange *exchange, gpointer data)
 {
   HzbController *controller = data;
-  gboolean block = g_str_equal (exchange->path, "/peer/v1/block");
+  gboolean shard = g_str_equal (exchange->path, "/peer/v1/block");
   cJSON *root = cJSON_ParseWithLength (exchange->body, exchange->length);
-  View *view = sender (controller->peers, block ? HZB_PEER_BLOCK : HZB_PEER_HEARTBEAT, root);
+  View *view = sender (controller->peers, shard ? HZB_PEER_SHARD_POLL : HZB_PEER_HEARTBEAT, root);
 
   if (!view)
     hzb_exchange_reply (exchange, 400, hzb_wire_error ("not a message of a peer, or an old one"), 0);
-  else if (block)
-    hzb_leases_request (controller->leases, exchange, root);
+  else if (shard)
+    hzb_shard_leases_request (controller->shard_leases, exchange, root);
   else
     {
       g_autoptr (HzbHeartbeat) theirs = hzb_heartbeat_decode (root);
--- a/src/preemption.c
+++ b/src/preemption.c
@@ -42,7 +42,7 @@
 static gboolean
 may_preempt (HzbDispatch *dispatch, const HzbJob *preemptor, const HzbTask *victim)
 {
-  const HzbBlock *block = dispatch->jobs->block;
+  const HzbShard *shard = dispatch->jobs->shard;
   const HzbJob *other = victim->job;
   const HzbTeam *team;
 
@@ -51,8 +51,8 @@
   if (!preemptor->guaranteed || other->team == preemptor->team || other->guaranteed)
     return FALSE;
   team = dispatch->settings->teams->pdata[other->team];
-  return block->cpus[other->team] - other->spec->cpus >= team->cpus - 1e-6
-         && block->gpus[other->team] - other->spec->gpus >= team->gpus - 1e-6;
+  return shard->cpus[other->team] - other->spec->cpus >= team->cpus - 1e-6
+         && shard->gpus[other->team] - other->spec->gpus >= team->gpus - 1e-6;
 }
 
 static double
@@ -104,14 +104,14 @@
 void
 hzb_preempt_within_team (HzbDispatch *dispatch, const HzbJob *preemptor, struct timespec now)
 {
-  const HzbBlock *block = dispatch->jobs->block;
+  const HzbShard *shard = dispatch->jobs->shard;
   int team = preemptor->team;
-  double lack, limit = block->cpus_allowed[team];
+  double lack, limit = shard->cpus_allowed[team];
   g_autoptr (GArray) victims = g_array_new (FALSE, FALSE, sizeof (Victim));
 
   if (preemptor->spec->gang || hzb_time_between (preemptor->since, now) < preempt_after_s (dispatch, preemptor))
     return;
-  lack = block->cpus[team] + MIN ((preemptor->pending + preemptor->listed) * preemptor->spec->cpus, limit) - limit;
+  lack = shard->cpus[team] + MIN ((preemptor->pending + preemptor->listed) * preemptor->spec->cpus, limit) - limit;
   for (guint i = 0; i < dispatch->jobs->active->len && lack > 1e-6; i++)
     {
       const HzbJob *job = dispatch->jobs->active->pdata[i];
@@ -167,7 +167,7 @@
         HzbTask *preemptor = l->data;
         const HzbSpec *spec = preemptor->job->spec;
         /* Over the team's limit only the team's own lower work can make room. */
-        gboolean own = !hzb_block_fits (dispatch->jobs->block, preemptor->job->team, spec->cpus, spec->gpus);
+        gboolean own = !hzb_shard_fits (dispatch->jobs->shard, preemptor->job->team, spec->cpus, spec->gpus);
         if (preemptor->job->state != HZB_JOB_ACCEPTED || !hzb_zone_allowed (preemptor->job, machine)
             || hzb_time_between (preemptor->job->since, now) < preempt_after_s (dispatch, preemptor->job))
           continue;
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -464,7 +464,7 @@
 survey (HzbReconciliation *reconciliation, struct timespec now)
 {
   HzbController *controller = reconciliation->controller;
-  g_autoptr (GPtrArray) of_blocks = NULL;
+  g_autoptr (GPtrArray) of_shards = NULL;
   GHashTableIter iter;
   gpointer value;
 
@@ -475,11 +475,11 @@
   /* Guards against decisions before it is durable that there is something to decide: the next leader goes by the record. */
   if (!reconciliation->open || !reconciliation->record_durable)
     return;
-  of_blocks = hzb_machines_unverified_kinds (controller->machines, 1);
+  of_shards = hzb_machines_unverified_kinds (controller->machines, 1);
   g_hash_table_iter_init (&iter, reconciliation->tracked);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((HzbTrackedJob *) value)->phase == HZB_PHASE_OPEN)
-      decide_job (reconciliation, value, of_blocks->pdata[HZB_UNKNOWN_TASKS_OF_LEADER]);
+      decide_job (reconciliation, value, of_shards->pdata[HZB_UNKNOWN_TASKS_OF_LEADER]);
 }
 
 /* ---- over time ---- */
--- a/src/record-flush.c
+++ b/src/record-flush.c
@@ -74,7 +74,7 @@
           if (task->state == HZB_TASK_FINISHED)
             {
               hzb_task_set_state (controller->jobs, task, HZB_TASK_DONE, NULL);
-              hzb_leases_announce_durable (controller->leases, task);
+              hzb_shard_leases_announce_durable (controller->shard_leases, task);
             }
         }
     }
--- a/src/block-delegation.c
+++ b/src/shard-delegation.c
@@ -1,11 +1,11 @@
 /* Which unstarted tasks go to a lessee that has room, and which of its machines come back for a service. */
-#include "block-leases-private.h"
 #include "controller.h"
 #include "levels.h"
+#include "shard-leases-private.h"
 
 #define MOST_PER_ANSWER 640u /* tasks: what thousands of machines start between two polls */
 
-/* Such a job may run in any block. Where all tasks have to be looked at together, or none may wait, the leader's it is. */
+/* Such a job may run in any shard. Where all tasks have to be looked at together, or none may wait, the leader's it is. */
 gboolean
 hzb_job_is_delegable (const HzbJob *job)
 {
@@ -13,9 +13,9 @@
   return job->state == HZB_JOB_ACCEPTED && !spec->gang && !spec->service && !spec->same_zone && !spec->spread;
 }
 
-/* Some machine of the block may hold such a task. */
+/* Some machine of the shard may hold such a task. */
 static gboolean
-block_accepts (const HzbLesseeView *lessee, const HzbSpec *spec)
+shard_accepts (const HzbLesseeView *lessee, const HzbSpec *spec)
 {
   for (guint i = 0; i < lessee->kinds->len; i++)
     {
@@ -44,9 +44,9 @@
 
 /* A lessee with room is as an idle machine is to a list: unstarted tasks move there. */
 void
-hzb_blocks_delegate (HzbLeases *leases, HzbLesseeView *lessee, double room_cpus, struct timespec now)
+hzb_shards_delegate (HzbShardLeases *shard_leases, HzbLesseeView *lessee, double room_cpus, struct timespec now)
 {
-  HzbController *controller = leases->controller;
+  HzbController *controller = shard_leases->controller;
   g_autoptr (GPtrArray) order = g_ptr_array_new ();
   cJSON *groups = NULL;
   guint n = 0;
@@ -65,7 +65,7 @@
     {
       HzbJob *job = order->pdata[i];
       guint at = 0;
-      gboolean holds = block_accepts (lessee, job->spec) && !(job->start_overdue && (job->listed || job->placed));
+      gboolean holds = shard_accepts (lessee, job->spec) && !(job->start_overdue && (job->listed || job->placed));
       if (holds && job->cursor >= job->released)
         job->release_requested = TRUE;
       while (holds && n < MOST_PER_ANSWER && job->spec->cpus <= room_cpus
@@ -116,7 +116,7 @@
 }
 
 /* Guards against a service whose team is at its limit with all of its other work delegated: the leader can stop only what
- * runs in its own block, so the service would wait until that work ends. */
+ * runs in its own shard, so the service would wait until that work ends. */
 static gboolean
 service_waits_for_delegated_work (const HzbController *controller, const HzbLesseeView *lessee)
 {
@@ -124,7 +124,7 @@
     {
       const HzbJob *job = controller->jobs->active->pdata[i];
       if (job->state == HZB_JOB_ACCEPTED && job->spec->service && (job->pending || job->listed)
-          && !hzb_block_fits (controller->block, job->team, job->spec->cpus, job->spec->gpus)
+          && !hzb_shard_fits (controller->shard, job->team, job->spec->cpus, job->spec->gpus)
           && !team_has_lower_work (controller, job->team, 0) && team_has_lower_work (controller, job->team, lessee->id))
         return TRUE;
     }
@@ -133,9 +133,9 @@
 
 /* One machine at a time comes back with its tasks; which of them hold the team's the leader does not know. */
 void
-hzb_blocks_recall_for_service (HzbLeases *leases, const HzbLesseeView *lessee)
+hzb_shards_recall_for_service (HzbShardLeases *shard_leases, const HzbLesseeView *lessee)
 {
-  const HzbController *controller = leases->controller;
+  const HzbController *controller = shard_leases->controller;
   HzbMachine *next = NULL;
 
   if (!service_waits_for_delegated_work (controller, lessee))
--- a/src/block-leases.c
+++ b/src/shard-leases.c
@@ -1,49 +1,49 @@
-/* Blocks that the leader leases to the other controllers: machines, and the unstarted tasks that they have room for.
+/* Shards that the leader leases to the other controllers: machines, and the unstarted tasks that they have room for.
  *
  * A lessee asks the leader twice a second; the answer renews its lease and brings, in numbered batches that are
  * repeated until they are acknowledged, machines, tasks and news of what has become durable. The question brings
  * events, numbered and repeated likewise: tasks finished, tasks given back, machines given back.
  *
  * Safety does not rest on the lease's time. A delegated task counts as running until the lessee gives it back or has
- * finished it. A block that is taken back leaves its machines unverified, under a higher token, and its tasks unknown:
+ * finished it. A shard that is taken back leaves its machines unverified, under a higher token, and its tasks unknown:
  * they start elsewhere only once every machine that might hold them has answered under that token or is gone. The
- * lessee starts what it was delegated on the block's machines only, so there is nothing that this wait does not cover.
+ * lessee starts what it was delegated on the shard's machines only, so there is nothing that this wait does not cover.
  * A lessee frees a task only by a newer report under its own token; of an unreachable machine it concludes nothing and
  * gives it back.
  *
  * This file is the leader's part; lessee.c is the other side. */
-#include "block-leases-private.h"
 #include "controller.h"
+#include "shard-leases-private.h"
 
 #define LEASE_S 10.0 /* as the design page starts with */
-#define MISSED_S 4.0 /* the leader takes a block back when its lessee has not polled for so long */
+#define MISSED_S 4.0 /* the leader takes a shard back when its lessee has not polled for so long */
 
-HzbLeases *
-hzb_leases_new (HzbController *controller)
+HzbShardLeases *
+hzb_shard_leases_new (HzbController *controller)
 {
-  HzbLeases *leases = g_new0 (HzbLeases, 1);
-  leases->controller = controller;
-  leases->lessees = g_array_new (FALSE, TRUE, sizeof (HzbLesseeView));
-  leases->cpus = g_new0 (double, controller->settings->peers->len + 1);
+  HzbShardLeases *shard_leases = g_new0 (HzbShardLeases, 1);
+  shard_leases->controller = controller;
+  shard_leases->lessees = g_array_new (FALSE, TRUE, sizeof (HzbLesseeView));
+  shard_leases->cpus = g_new0 (double, controller->settings->peers->len + 1);
   for (guint i = 0; i < controller->settings->peers->len; i++)
     {
-      HzbLesseeView lessee = { .leases = leases,
+      HzbLesseeView lessee = { .shard_leases = shard_leases,
                                .id = (guint8) (i + 1),
                                .peer = controller->settings->peers->pdata[i] };
       lessee.running = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       lessee.leaving = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       lessee.kinds = g_ptr_array_new ();
-      g_array_append_val (leases->lessees, lessee);
+      g_array_append_val (shard_leases->lessees, lessee);
     }
-  return leases;
+  return shard_leases;
 }
 
 void
-hzb_leases_reset (HzbLeases *leases)
+hzb_shard_leases_reset (HzbShardLeases *shard_leases)
 {
-  for (guint i = 0; i < leases->lessees->len; i++)
+  for (guint i = 0; i < shard_leases->lessees->len; i++)
     {
-      HzbLesseeView *lessee = &g_array_index (leases->lessees, HzbLesseeView, i);
+      HzbLesseeView *lessee = &g_array_index (shard_leases->lessees, HzbLesseeView, i);
       hzb_outbox_clear (&lessee->out);
       g_clear_pointer (&lessee->incarnation, g_free);
       g_hash_table_remove_all (lessee->running);
@@ -52,73 +52,74 @@
       lessee->holds = FALSE;
       lessee->requests = lessee->steady_since = (struct timespec){ 0 };
     }
-  leases->tokens = 0;
-  leases->surveyed = (struct timespec){ 0 };
+  shard_leases->tokens = 0;
+  shard_leases->surveyed = (struct timespec){ 0 };
 }
 
 void
-hzb_leases_free (HzbLeases *leases)
+hzb_shard_leases_free (HzbShardLeases *shard_leases)
 {
-  hzb_leases_reset (leases);
-  for (guint i = 0; i < leases->lessees->len; i++)
+  hzb_shard_leases_reset (shard_leases);
+  for (guint i = 0; i < shard_leases->lessees->len; i++)
     {
-      g_hash_table_unref (g_array_index (leases->lessees, HzbLesseeView, i).running);
-      g_hash_table_unref (g_array_index (leases->lessees, HzbLesseeView, i).leaving);
-      g_ptr_array_unref (g_array_index (leases->lessees, HzbLesseeView, i).kinds);
+      g_hash_table_unref (g_array_index (shard_leases->lessees, HzbLesseeView, i).running);
+      g_hash_table_unref (g_array_index (shard_leases->lessees, HzbLesseeView, i).leaving);
+      g_ptr_array_unref (g_array_index (shard_leases->lessees, HzbLesseeView, i).kinds);
     }
-  g_array_unref (leases->lessees);
-  g_free (leases->cpus);
-  g_free (leases);
+  g_array_unref (shard_leases->lessees);
+  g_free (shard_leases->cpus);
+  g_free (shard_leases);
 }
 
 guint64
-hzb_leases_next_token (HzbLeases *leases)
+hzb_shard_leases_next_token (HzbShardLeases *shard_leases)
 {
-  return hzb_token (hzb_election_term (leases->controller->election), ++leases->tokens);
+  return hzb_token (hzb_election_term (shard_leases->controller->election), ++shard_leases->tokens);
 }
 
 const char *
-hzb_leases_lessee_name (HzbLeases *leases, const HzbMachine *machine)
+hzb_shard_leases_lessee_name (HzbShardLeases *shard_leases, const HzbMachine *machine)
 {
-  return machine->lessee ? hzb_leases_lessee (leases, machine->lessee)->peer->node : NULL;
+  return machine->lessee ? hzb_shard_leases_lessee (shard_leases, machine->lessee)->peer->node : NULL;
 }
 
 /* A job's count of this lessee is no more part of the sum. */
 static void
-subtract_count (HzbLeases *leases, glong member, const char *uid, guint count)
+subtract_count (HzbShardLeases *shard_leases, glong member, const char *uid, guint count)
 {
-  HzbJob *job = hzb_jobs_find (leases->controller->jobs, uid);
+  HzbJob *job = hzb_jobs_find (shard_leases->controller->jobs, uid);
   if (job && G_STRUCT_MEMBER (guint, job, member) >= count)
     G_STRUCT_MEMBER (guint, job, member) -= count;
 }
 
 static void
-clear_counts (HzbLeases *leases, GHashTable *counts, glong member)
+clear_counts (HzbShardLeases *shard_leases, GHashTable *counts, glong member)
 {
   GHashTableIter iter;
   gpointer uid, count;
 
   g_hash_table_iter_init (&iter, counts);
   while (g_hash_table_iter_next (&iter, &uid, &count))
-    subtract_count (leases, member, uid, GPOINTER_TO_UINT (count));
+    subtract_count (shard_leases, member, uid, GPOINTER_TO_UINT (count));
   g_hash_table_remove_all (counts);
 }
 
 /* What a lessee says of its tasks, by job, beside what the others say: a member of the job has the sum. What a partial message
  * does not name stays as it was. */
 static void
-set_counts (HzbLeases *leases, GHashTable *counts, glong member, const cJSON *said, gboolean partial)
+set_counts (HzbShardLeases *shard_leases, GHashTable *counts, glong member, const cJSON *said, gboolean partial)
 {
   const cJSON *item;
 
   if (!partial)
-    clear_counts (leases, counts, member);
+    clear_counts (shard_leases, counts, member);
   cJSON_ArrayForEach (item, said)
     {
-      HzbJob *job = hzb_jobs_find (leases->controller->jobs, item->string);
+      HzbJob *job = hzb_jobs_find (shard_leases->controller->jobs, item->string);
       if (!cJSON_IsNumber (item) || item->valueint < 0 || !job || !job->tasks)
         continue;
-      subtract_count (leases, member, item->string, GPOINTER_TO_UINT (g_hash_table_lookup (counts, item->string)));
+      subtract_count (shard_leases, member, item->string,
+                      GPOINTER_TO_UINT (g_hash_table_lookup (counts, item->string)));
       G_STRUCT_MEMBER (guint, job, member) += (guint) item->valueint;
       g_hash_table_insert (counts, g_strdup (item->string), GUINT_TO_POINTER ((guint) item->valueint));
     }
@@ -126,20 +127,20 @@
 
 /* poll: NULL, nothing of it runs or leaves any more. */
 static void
-set_running (HzbLeases *leases, HzbLesseeView *lessee, const cJSON *poll)
+set_running (HzbShardLeases *shard_leases, HzbLesseeView *lessee, const cJSON *poll)
 {
   gboolean partial = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (poll, "partial"));
-  set_counts (leases, lessee->running, G_STRUCT_OFFSET (HzbJob, delegated_running),
+  set_counts (shard_leases, lessee->running, G_STRUCT_OFFSET (HzbJob, delegated_running),
               cJSON_GetObjectItemCaseSensitive (poll, "running"), partial);
-  set_counts (leases, lessee->leaving, G_STRUCT_OFFSET (HzbJob, delegated_leaving),
+  set_counts (shard_leases, lessee->leaving, G_STRUCT_OFFSET (HzbJob, delegated_leaving),
               cJSON_GetObjectItemCaseSensitive (poll, "leaving"), partial);
 }
 
 static void
-reclaim_block (HzbLeases *leases, HzbLesseeView *lessee, const char *why)
+reclaim_shard (HzbShardLeases *shard_leases, HzbLesseeView *lessee, const char *why)
 {
-  HzbController *controller = leases->controller;
-  guint64 token = hzb_leases_next_token (leases);
+  HzbController *controller = shard_leases->controller;
+  guint64 token = hzb_shard_leases_next_token (shard_leases);
   guint machines = 0, tasks = 0;
 
   for (guint i = 0; i < controller->machines->all->len; i++)
@@ -161,7 +162,7 @@
             tasks++;
           }
     }
-  set_running (leases, lessee, NULL);
+  set_running (shard_leases, lessee, NULL);
   g_message ("block of %s is taken back with %u machines and %u tasks: %s", lessee->peer->node, machines, tasks, why);
   hzb_outbox_clear (&lessee->out);
   lessee->token = lessee->in_number = lessee->acknowledged = 0;
@@ -170,9 +171,9 @@
 }
 
 void
-hzb_leases_announce_durable (HzbLeases *leases, HzbTask *task)
+hzb_shard_leases_announce_durable (HzbShardLeases *shard_leases, HzbTask *task)
 {
-  HzbLesseeView *lessee = hzb_leases_lessee (leases, task->lessee);
+  HzbLesseeView *lessee = hzb_shard_leases_lessee (shard_leases, task->lessee);
   cJSON *body;
 
   task->lessee = 0;
@@ -190,14 +191,14 @@
 
 /* A lessee's own replica of the records may be behind, or cut off. */
 void
-hzb_leases_announce_cancellation (HzbLeases *leases, HzbJob *job)
+hzb_shard_leases_announce_cancellation (HzbShardLeases *shard_leases, HzbJob *job)
 {
   if (job->announced_to_lessees)
     return;
   job->announced_to_lessees = TRUE;
-  for (guint i = 0; i < leases->lessees->len; i++)
+  for (guint i = 0; i < shard_leases->lessees->len; i++)
     {
-      HzbLesseeView *lessee = &g_array_index (leases->lessees, HzbLesseeView, i);
+      HzbLesseeView *lessee = &g_array_index (shard_leases->lessees, HzbLesseeView, i);
       cJSON *body;
       if (!lessee->token)
         continue;
@@ -208,11 +209,11 @@
 }
 
 gboolean
-hzb_leases_all_acknowledged (HzbLeases *leases, const HzbJob *job)
+hzb_shard_leases_all_acknowledged (HzbShardLeases *shard_leases, const HzbJob *job)
 {
-  for (guint i = 0; i < leases->lessees->len; i++)
+  for (guint i = 0; i < shard_leases->lessees->len; i++)
     {
-      const HzbLesseeView *lessee = &g_array_index (leases->lessees, HzbLesseeView, i);
+      const HzbLesseeView *lessee = &g_array_index (shard_leases->lessees, HzbLesseeView, i);
       if (!hzb_outbox_holds (&lessee->out, "cancelled", job->uid))
         continue;
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
@@ -226,12 +227,12 @@
 task_finished (HzbTask *task, gpointer user)
 {
   HzbLesseeView *lessee = user;
-  HzbLeases *leases = lessee->leases;
-  HzbController *controller = leases->controller;
+  HzbShardLeases *shard_leases = lessee->shard_leases;
+  HzbController *controller = shard_leases->controller;
   if (task->state == HZB_TASK_DONE)
     {
       task->lessee = lessee->id; /* said again after a takeover: it may be reaped */
-      hzb_leases_announce_durable (leases, task);
+      hzb_shard_leases_announce_durable (shard_leases, task);
     }
   else if (task->state == HZB_TASK_FINISHED)
     task->lessee = lessee->id; /* of a machine that was handed over with its result */
@@ -253,7 +254,7 @@
   HzbLesseeView *lessee = user;
   if (task->state == HZB_TASK_DELEGATED && task->lessee == lessee->id)
     {
-      hzb_task_set_state (lessee->leases->controller->jobs, task, HZB_TASK_PENDING, NULL);
+      hzb_task_set_state (lessee->shard_leases->controller->jobs, task, HZB_TASK_PENDING, NULL);
       task->lessee = 0;
     }
 }
@@ -261,12 +262,12 @@
 /* A machine that comes back with tasks: they are on it or nowhere, so nothing but its next report, or its end, is
  * waited for. */
 static void
-accept_returned_machine (HzbLeases *leases, HzbLesseeView *lessee, HzbMachine *machine,
+accept_returned_machine (HzbShardLeases *shard_leases, HzbLesseeView *lessee, HzbMachine *machine,
                          const HzbMachineReturn *returned)
 {
-  HzbController *controller = leases->controller;
+  HzbController *controller = shard_leases->controller;
 
-  hzb_machine_unverify (controller->machines, machine, hzb_leases_next_token (leases), returned->why);
+  hzb_machine_unverify (controller->machines, machine, hzb_shard_leases_next_token (shard_leases), returned->why);
   machine->unknown_tasks_of = HZB_UNKNOWN_TASKS_OF_NOBODY;
   machine->idle_since = hzb_clock_now (controller->clock);
   if (returned->sick)
@@ -290,41 +291,41 @@
 }
 
 static void
-handle_event (HzbLeases *leases, HzbLesseeView *lessee, const cJSON *event)
+handle_event (HzbShardLeases *shard_leases, HzbLesseeView *lessee, const cJSON *event)
 {
-  HzbController *controller = leases->controller;
+  HzbController *controller = shard_leases->controller;
   g_autoptr (HzbMachineReturn) returned = hzb_machine_return_decode (event);
 
   lessee->ran_s = hzb_json_number (event, "ranS", 0);
-  hzb_tasks_each (leases->controller->jobs, cJSON_GetObjectItemCaseSensitive (event, "finished"), task_finished,
+  hzb_tasks_each (shard_leases->controller->jobs, cJSON_GetObjectItemCaseSensitive (event, "finished"), task_finished,
                   lessee);
-  hzb_tasks_each (leases->controller->jobs, cJSON_GetObjectItemCaseSensitive (event, "returned"), task_returned,
+  hzb_tasks_each (shard_leases->controller->jobs, cJSON_GetObjectItemCaseSensitive (event, "returned"), task_returned,
                   lessee);
   if (returned)
     {
       HzbMachine *machine = hzb_machines_find (controller->machines, returned->name);
       if (machine && machine->state == HZB_MACHINE_LEASED && machine->lessee == lessee->id)
-        accept_returned_machine (leases, lessee, machine, returned);
+        accept_returned_machine (shard_leases, lessee, machine, returned);
     }
 }
 
 void
-hzb_leases_request (HzbLeases *leases, HzbExchange *exchange, const cJSON *root)
+hzb_shard_leases_request (HzbShardLeases *shard_leases, HzbExchange *exchange, const cJSON *root)
 {
-  HzbController *controller = leases->controller;
+  HzbController *controller = shard_leases->controller;
   const char *node = hzb_json_text (root, "node"), *incarnation = hzb_json_text (root, "incarnation");
   struct timespec now = hzb_clock_now (controller->clock);
   HzbLesseeView *lessee = NULL;
   const cJSON *event;
   cJSON *reply;
   guint64 token = hzb_json_u64 (root, "token");
-  HzbBlockAnswer answer = { .lease_s = LEASE_S };
+  HzbShardAnswer answer = { .lease_s = LEASE_S };
 
   if (hzb_election_leading (controller->election))
-    hzb_blocks_survey (leases, now);
-  for (guint i = 0; node && i < leases->lessees->len; i++)
-    if (g_str_equal (g_array_index (leases->lessees, HzbLesseeView, i).peer->node, node))
-      lessee = &g_array_index (leases->lessees, HzbLesseeView, i);
+    hzb_shards_survey (shard_leases, now);
+  for (guint i = 0; node && i < shard_leases->lessees->len; i++)
+    if (g_str_equal (g_array_index (shard_leases->lessees, HzbLesseeView, i).peer->node, node))
+      lessee = &g_array_index (shard_leases->lessees, HzbLesseeView, i);
   if (!lessee || !incarnation || !hzb_election_leading (controller->election)
       || controller->ownership < HZB_OWNERSHIP_RECOVERING)
     {
@@ -334,7 +335,7 @@
   if (g_strcmp0 (lessee->incarnation, incarnation) != 0)
     {
       if (lessee->token)
-        reclaim_block (leases, lessee, "its controller has started anew");
+        reclaim_shard (shard_leases, lessee, "its controller has started anew");
       g_free (lessee->incarnation);
       lessee->incarnation = g_strdup (incarnation);
       lessee->steady_since = now;
@@ -345,11 +346,11 @@
   if (token == lessee->token && token)
     lessee->holds = TRUE;
   else if (!token && lessee->holds)
-    reclaim_block (leases, lessee, "it has let go");
-  /* Guards against a lessee that holds the block anew without what it was sent before (those of earlier versions could):
+    reclaim_shard (shard_leases, lessee, "it has let go");
+  /* Guards against a lessee that holds the shard anew without what it was sent before (those of earlier versions could):
    * nothing in it would ever be heard of again. */
   if (token && token == lessee->token && hzb_json_u64 (root, "have") < lessee->acknowledged)
-    reclaim_block (leases, lessee, "it has lost what it held");
+    reclaim_shard (shard_leases, lessee, "it has lost what it held");
   reply = cJSON_CreateObject ();
   answer.term = hzb_election_term (controller->election);
   if (cJSON_HasObjectItem (root, "cancelled"))
@@ -368,19 +369,19 @@
             if (hzb_json_u64 (event, "n") == lessee->in_number + 1)
               {
                 lessee->in_number++;
-                handle_event (leases, lessee, event);
+                handle_event (shard_leases, lessee, event);
               }
-          set_running (leases, lessee, root);
-          hzb_blocks_recall_for_service (leases, lessee);
+          set_running (shard_leases, lessee, root);
+          hzb_shards_recall_for_service (shard_leases, lessee);
           /* Only once it has all that was sent before, or its room would be filled twice. */
           if (!lessee->out.waiting.length)
-            hzb_blocks_delegate (leases, lessee, hzb_json_number (root, "room", 0), now);
+            hzb_shards_delegate (shard_leases, lessee, hzb_json_number (root, "room", 0), now);
         }
       answer.token = lessee->token;
       answer.have = lessee->in_number;
       cJSON_AddItemToObject (reply, "batches", hzb_outbox_pack (&lessee->out, G_MAXSIZE));
     }
-  hzb_block_answer_encode (&answer, reply);
+  hzb_shard_answer_encode (&answer, reply);
   {
     char *text = cJSON_PrintUnformatted (reply);
     cJSON_Delete (reply);
@@ -389,15 +390,15 @@
 }
 
 cJSON *
-hzb_leases_pack (HzbLeases *leases)
+hzb_shard_leases_pack (HzbShardLeases *shard_leases)
 {
-  HzbController *controller = leases->controller;
+  HzbController *controller = shard_leases->controller;
   cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "blocks");
 
-  for (guint i = 0; i <= leases->lessees->len; i++)
+  for (guint i = 0; i <= shard_leases->lessees->len; i++)
     {
-      const HzbLesseeView *lessee = i ? &g_array_index (leases->lessees, HzbLesseeView, i - 1) : NULL;
-      cJSON *block = cJSON_CreateObject ();
+      const HzbLesseeView *lessee = i ? &g_array_index (shard_leases->lessees, HzbLesseeView, i - 1) : NULL;
+      cJSON *shard = cJSON_CreateObject ();
       guint n = 0, delegated = 0;
       double cpus = 0;
       for (guint k = 0; k < controller->machines->all->len; k++)
@@ -417,26 +418,26 @@
           for (guint t = 0; job->placed && t < job->n_tasks; t++)
             delegated += job->tasks[t].state == HZB_TASK_DELEGATED && job->tasks[t].lessee == lessee->id;
         }
-      cJSON_AddStringToObject (block, "holder", lessee ? lessee->peer->node : controller->settings->node);
-      hzb_json_add_u64 (block, "token", lessee ? lessee->token : controller->block->token);
-      cJSON_AddNumberToObject (block, "machines", n);
-      cJSON_AddNumberToObject (block, "cpus", cpus);
+      cJSON_AddStringToObject (shard, "holder", lessee ? lessee->peer->node : controller->settings->node);
+      hzb_json_add_u64 (shard, "token", lessee ? lessee->token : controller->shard->token);
+      cJSON_AddNumberToObject (shard, "machines", n);
+      cJSON_AddNumberToObject (shard, "cpus", cpus);
       if (lessee)
-        cJSON_AddNumberToObject (block, "tasksGranted", delegated);
-      cJSON_AddItemToArray (list, block);
+        cJSON_AddNumberToObject (shard, "tasksGranted", delegated);
+      cJSON_AddItemToArray (list, shard);
     }
   return root;
 }
 
 void
-hzb_leases_tick (HzbLeases *leases, struct timespec now)
+hzb_shard_leases_tick (HzbShardLeases *shard_leases, struct timespec now)
 {
-  HzbController *controller = leases->controller;
+  HzbController *controller = shard_leases->controller;
 
-  for (guint i = 0; i < leases->lessees->len && controller->ownership >= HZB_OWNERSHIP_RECOVERING; i++)
+  for (guint i = 0; i < shard_leases->lessees->len && controller->ownership >= HZB_OWNERSHIP_RECOVERING; i++)
     {
-      HzbLesseeView *lessee = &g_array_index (leases->lessees, HzbLesseeView, i);
+      HzbLesseeView *lessee = &g_array_index (shard_leases->lessees, HzbLesseeView, i);
       if (lessee->token && hzb_time_between (lessee->requests, now) > MISSED_S)
-        reclaim_block (leases, lessee, "its controller is silent");
+        reclaim_shard (shard_leases, lessee, "its controller is silent");
     }
 }
--- a/src/block-machines.c
+++ b/src/shard-machines.c
@@ -1,13 +1,13 @@
-/* Which machine is in whose block: leased as they come up or stand idle, handed over with their work while the leader is late,
+/* Which machine is in whose shard: leased as they come up or stand idle, handed over with their work while the leader is late,
  * asked back when they are spare or needed here. */
-#include "block-leases-private.h"
 #include "controller.h"
+#include "shard-leases-private.h"
 
 #include <string.h>
 
 #define STEADY_S 3.0          /* a lessee is leased machines again once it has polled for so long */
 #define MOST_HANDED_OVER 400u /* tasks on a machine that changes hands: they have to fit a message when it comes back */
-#define UNLEVEL 0.7           /* a block this much smaller than the leader's gets machines that work */
+#define UNLEVEL 0.7           /* a shard this much smaller than the leader's gets machines that work */
 #define HAND_OVER_EVERY_S 0.25 /* each costs its machine a second or so; of a large fleet more often: */
 #define HAND_OVER_ALL_S 10.0   /* as many machines as there are in so long */
 #define LATE_S 0.015           /* only a leader whose timers are so late on average hands working machines over */
@@ -24,7 +24,7 @@
   return FALSE;
 }
 
-/* Guards against machines that stand idle in other blocks while the only work that waits is bound to the leader's. */
+/* Guards against machines that stand idle in other shards while the only work that waits is bound to the leader's. */
 static gboolean
 only_leader_work_waits (const HzbController *controller)
 {
@@ -75,59 +75,60 @@
 }
 
 static void
-survey_machine (HzbLeases *leases, HzbMachine *machine)
+survey_machine (HzbShardLeases *shard_leases, HzbMachine *machine)
 {
-  const HzbController *controller = leases->controller;
-  HzbLesseeView *lessee = machine->state == HZB_MACHINE_LEASED ? hzb_leases_lessee (leases, machine->lessee) : NULL;
+  const HzbController *controller = shard_leases->controller;
+  HzbLesseeView *lessee =
+      machine->state == HZB_MACHINE_LEASED ? hzb_shard_leases_lessee (shard_leases, machine->lessee) : NULL;
 
   if (machine->type && lessee)
-    leases->cpus[machine->lessee] += machine->type->cpus;
+    shard_leases->cpus[machine->lessee] += machine->type->cpus;
   else if (machine->type && machine->state == HZB_MACHINE_ACTIVE)
-    leases->cpus[0] += machine->type->cpus;
+    shard_leases->cpus[0] += machine->type->cpus;
   if (!lessee)
     return;
   tell_of_leased_machine (lessee, machine);
   if (lessee->holds)
-    recall_or_keep (lessee, machine, leases->gang_waits || !controller->lease_blocks);
+    recall_or_keep (lessee, machine, shard_leases->gang_waits || !controller->lease_shards);
   if (!machine->recall_requested)
     hzb_machines_add_kind (lessee->kinds, machine);
 }
 
 /* Not at every report or poll: it looks at every machine. */
 void
-hzb_blocks_survey (HzbLeases *leases, struct timespec now)
+hzb_shards_survey (HzbShardLeases *shard_leases, struct timespec now)
 {
-  const HzbController *controller = leases->controller;
+  const HzbController *controller = shard_leases->controller;
 
-  if (hzb_time_is_set (leases->surveyed) && leases->generation == controller->machines->generation
-      && hzb_time_between (leases->surveyed, now) < hzb_machines_survey_s (controller->machines))
+  if (hzb_time_is_set (shard_leases->surveyed) && shard_leases->generation == controller->machines->generation
+      && hzb_time_between (shard_leases->surveyed, now) < hzb_machines_survey_s (controller->machines))
     return;
-  leases->surveyed = now;
-  leases->generation = controller->machines->generation;
-  leases->gang_waits = gang_waits (controller);
-  leases->only_leader_work_waits = only_leader_work_waits (controller);
-  memset (leases->cpus, 0, (leases->lessees->len + 1) * sizeof *leases->cpus);
-  for (guint i = 0; i < leases->lessees->len; i++)
-    g_ptr_array_set_size (g_array_index (leases->lessees, HzbLesseeView, i).kinds, 0);
+  shard_leases->surveyed = now;
+  shard_leases->generation = controller->machines->generation;
+  shard_leases->gang_waits = gang_waits (controller);
+  shard_leases->only_leader_work_waits = only_leader_work_waits (controller);
+  memset (shard_leases->cpus, 0, (shard_leases->lessees->len + 1) * sizeof *shard_leases->cpus);
+  for (guint i = 0; i < shard_leases->lessees->len; i++)
+    g_ptr_array_set_size (g_array_index (shard_leases->lessees, HzbLesseeView, i).kinds, 0);
   for (guint i = 0; i < controller->machines->all->len; i++)
-    survey_machine (leases, controller->machines->all->pdata[i]);
+    survey_machine (shard_leases, controller->machines->all->pdata[i]);
 }
 
-/* The lessee whose block has the fewest CPUs, if fewer than the leader would then have times so much; or NULL. */
+/* The lessee whose shard has the fewest CPUs, if fewer than the leader would then have times so much; or NULL. */
 static HzbLesseeView *
-smallest_lessee (HzbLeases *leases, const HzbMachine *machine, double part, struct timespec now)
+smallest_lessee (HzbShardLeases *shard_leases, const HzbMachine *machine, double part, struct timespec now)
 {
-  const double *cpus = leases->cpus;
+  const double *cpus = shard_leases->cpus;
   double own, least;
   HzbLesseeView *best = NULL;
 
-  hzb_blocks_survey (leases, now);
+  hzb_shards_survey (shard_leases, now);
   own = cpus[0];
-  /* One that works here already is leased only where that makes the blocks more level. */
+  /* One that works here already is leased only where that makes the shards more level. */
   least = part * (machine->state == HZB_MACHINE_ACTIVE ? own - machine->type->cpus : own);
-  for (guint i = 0; i < leases->lessees->len; i++)
+  for (guint i = 0; i < shard_leases->lessees->len; i++)
     {
-      HzbLesseeView *lessee = &g_array_index (leases->lessees, HzbLesseeView, i);
+      HzbLesseeView *lessee = &g_array_index (shard_leases->lessees, HzbLesseeView, i);
       if (!hzb_time_is_set (lessee->requests) || hzb_time_between (lessee->requests, now) > 1.5
           || hzb_time_between (lessee->steady_since, now) < STEADY_S)
         continue;
@@ -141,61 +142,61 @@
 }
 
 static gboolean
-may_lease (const HzbLeases *leases, const HzbMachine *machine)
+may_lease (const HzbShardLeases *shard_leases, const HzbMachine *machine)
 {
-  const HzbController *controller = leases->controller;
-  return controller->lease_blocks && machine->type && !machine->to_be_returned && !machine->spare && !machine->reserved
+  const HzbController *controller = shard_leases->controller;
+  return controller->lease_shards && machine->type && !machine->to_be_returned && !machine->spare && !machine->reserved
          && !machine->unreachable && machine->known_to_cloud && controller->ownership >= HZB_OWNERSHIP_RECOVERING
-         && !leases->gang_waits && !leases->only_leader_work_waits;
+         && !shard_leases->gang_waits && !shard_leases->only_leader_work_waits;
 }
 
 static void
-lease_to (HzbLeases *leases, HzbLesseeView *lessee, HzbMachine *machine)
+lease_to (HzbShardLeases *shard_leases, HzbLesseeView *lessee, HzbMachine *machine)
 {
   if (!lessee->token || machine->token >= lessee->token)
-    lessee->token = hzb_leases_next_token (leases);
+    lessee->token = hzb_shard_leases_next_token (shard_leases);
   if (machine->state == HZB_MACHINE_ACTIVE)
-    leases->cpus[0] -= machine->type->cpus;
-  leases->cpus[lessee->id] += machine->type->cpus;
+    shard_leases->cpus[0] -= machine->type->cpus;
+  shard_leases->cpus[lessee->id] += machine->type->cpus;
   machine->lessee = lessee->id;
   machine->lease_sent = FALSE;
-  hzb_machine_set_state (leases->controller->machines, machine, HZB_MACHINE_LEASED, lessee->peer->node);
+  hzb_machine_set_state (shard_leases->controller->machines, machine, HZB_MACHINE_LEASED, lessee->peer->node);
 }
 
-/* Blocks are kept level: the leader feeds each with work as it has room, so waiting work is level as well. */
+/* Shards are kept level: the leader feeds each with work as it has room, so waiting work is level as well. */
 const char *
-hzb_leases_lease_idle (HzbLeases *leases, HzbMachine *machine)
+hzb_shard_leases_lease_idle (HzbShardLeases *shard_leases, HzbMachine *machine)
 {
-  HzbController *controller = leases->controller;
+  HzbController *controller = shard_leases->controller;
   HzbLesseeView *best;
 
-  hzb_blocks_survey (leases, hzb_clock_now (controller->clock));
+  hzb_shards_survey (shard_leases, hzb_clock_now (controller->clock));
   if ((machine->state != HZB_MACHINE_BOOTING && machine->state != HZB_MACHINE_ACTIVE) || machine->tasks->len
-      || hzb_machine_listed (machine) || machine->quarantined || !may_lease (leases, machine))
+      || hzb_machine_listed (machine) || machine->quarantined || !may_lease (shard_leases, machine))
     return NULL;
-  best = smallest_lessee (leases, machine, 1, hzb_clock_now (controller->clock));
+  best = smallest_lessee (shard_leases, machine, 1, hzb_clock_now (controller->clock));
   if (!best)
     return NULL;
-  lease_to (leases, best, machine);
+  lease_to (shard_leases, best, machine);
   return best->peer->node;
 }
 
 /* After a takeover the leader has every machine, and under load hardly one is ever without tasks. Such a machine goes
  * to a lessee with the names of all tasks that may be on it, those asked for in the last answer included; they count
- * as delegated. The lessee concludes nothing until the machine has reported under the block's token. */
+ * as delegated. The lessee concludes nothing until the machine has reported under the shard's token. */
 const char *
-hzb_leases_hand_over (HzbLeases *leases, HzbMachine *machine)
+hzb_shard_leases_hand_over (HzbShardLeases *shard_leases, HzbMachine *machine)
 {
-  HzbController *controller = leases->controller;
+  HzbController *controller = shard_leases->controller;
   struct timespec now = hzb_clock_now (controller->clock);
   HzbLesseeView *best;
   g_autoptr (HzbMachineLease) lease = NULL;
 
-  hzb_blocks_survey (leases, now);
+  hzb_shards_survey (shard_leases, now);
   /* Nothing waits for the takeover to be over: this machine has just shown all that is on it. */
-  if (controller->dispatch->lag_s < LATE_S || hzb_time_before (now, leases->next_hand_over)
+  if (controller->dispatch->lag_s < LATE_S || hzb_time_before (now, shard_leases->next_hand_over)
       || machine->tasks->len > MOST_HANDED_OVER || machine->state != HZB_MACHINE_ACTIVE || !machine->verified
-      || !machine->recorded || machine->ignored_answers || machine->quarantined || !may_lease (leases, machine)
+      || !machine->recorded || machine->ignored_answers || machine->quarantined || !may_lease (shard_leases, machine)
       || !hzb_election_lease_valid (controller->election))
     return NULL;
   for (guint i = 0; i < machine->tasks->len; i++)
@@ -206,11 +207,11 @@
           || task->job->spec->same_zone || task->job->spec->spread || task->job->state != HZB_JOB_ACCEPTED)
         return NULL;
     }
-  best = smallest_lessee (leases, machine, UNLEVEL, now);
-  /* A higher token for the block would have all its machines wait for their next reports. */
+  best = smallest_lessee (shard_leases, machine, UNLEVEL, now);
+  /* A higher token for the shard would have all its machines wait for their next reports. */
   if (!best || (best->token && machine->token >= best->token))
     return NULL;
-  leases->next_hand_over =
+  shard_leases->next_hand_over =
       hzb_time_plus (now, MIN (HAND_OVER_EVERY_S, HAND_OVER_ALL_S / controller->machines->all->len));
   hzb_machine_empty_lists (controller->jobs, machine);
   lease = hzb_machine_lease_new (machine);
@@ -224,7 +225,7 @@
       hzb_task_set_state (controller->jobs, task, HZB_TASK_DELEGATED, NULL);
       g_return_val_if_fail (machine->tasks->len < before, NULL);
     }
-  lease_to (leases, best, machine);
+  lease_to (shard_leases, best, machine);
   machine->lease_sent = TRUE;
   push_lease (best, lease);
   return best->peer->node;
--- a/src/block-messages.c
+++ b/src/shard-messages.c
@@ -1,4 +1,4 @@
-#include "block-messages.h"
+#include "shard-messages.h"
 
 #include "machines.h"
 #include "wire.h"
@@ -200,7 +200,7 @@
 /* ---- answers ---- */
 
 void
-hzb_block_answer_encode (const HzbBlockAnswer *answer, cJSON *message)
+hzb_shard_answer_encode (const HzbShardAnswer *answer, cJSON *message)
 {
   hzb_json_add_u64 (message, "term", answer->term);
   if (answer->end)
@@ -214,7 +214,7 @@
 }
 
 void
-hzb_block_answer_decode (const cJSON *message, HzbBlockAnswer *answer)
+hzb_shard_answer_decode (const cJSON *message, HzbShardAnswer *answer)
 {
   answer->term = hzb_json_u64 (message, "term");
   answer->end = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "end"));
--- a/src/block-messages.h
+++ b/src/shard-messages.h
@@ -1,5 +1,5 @@
 /**
- * SECTION: block-messages
+ * SECTION: shard-messages
  * @short_description: what the leader and its lessees tell each other of machines, and its encoding
  *
  * The one place that knows how these messages are written. Groups of tasks, which are merged while they wait to be sent, are
@@ -78,15 +78,15 @@
 /** hzb_recall_decode: the name stays the message's. Returns: FALSE if the message says nothing of that kind */
 gboolean hzb_recall_decode (const cJSON *message, HzbRecall *recall);
 
-/** HzbBlockAnswer: what each answer to a poll begins with. */
+/** HzbShardAnswer: what each answer to a poll begins with. */
 typedef struct
 {
   guint64 term;
-  gboolean end;   /* the block was taken back; what follows is not said then */
-  guint64 token;  /* of the block; 0: there is none */
+  gboolean end;   /* the shard was taken back; what follows is not said then */
+  guint64 token;  /* of the shard; 0: there is none */
   guint64 have;   /* all events up to this number have come */
   double lease_s; /* from when it was asked for */
-} HzbBlockAnswer;
+} HzbShardAnswer;
 
-void hzb_block_answer_encode (const HzbBlockAnswer *answer, cJSON *message);
-void hzb_block_answer_decode (const cJSON *message, HzbBlockAnswer *answer);
+void hzb_shard_answer_encode (const HzbShardAnswer *answer, cJSON *message);
+void hzb_shard_answer_decode (const cJSON *message, HzbShardAnswer *answer);
--- a/src/task.c
+++ b/src/task.c
@@ -112,9 +112,9 @@
   if (hzb_task_on_machine (task) && machine)
     hzb_machine_add (machine, task);
   if (holds && !held)
-    hzb_block_reserve (jobs->block, job->team, spec->cpus, spec->gpus);
+    hzb_shard_reserve (jobs->shard, job->team, spec->cpus, spec->gpus);
   else if (held && !holds)
-    hzb_block_release (jobs->block, job->team, spec->cpus, spec->gpus);
+    hzb_shard_release (jobs->shard, job->team, spec->cpus, spec->gpus);
   if (to == HZB_TASK_PENDING)
     {
       task->stopping = FALSE;
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -297,7 +297,7 @@
   if (controller->ownership == HZB_OWNERSHIP_LESSEE)
     machine->unreachable = TRUE; /* it goes back to the leader, who can raise its token */
   else
-    hzb_machine_mark_unreachable (machine, hzb_leases_next_token (controller->leases), now);
+    hzb_machine_mark_unreachable (machine, hzb_shard_leases_next_token (controller->shard_leases), now);
   hzb_machine_empty_lists (controller->jobs, machine);
 }
 
@@ -359,7 +359,7 @@
   hzb_exchange_reply (exchange, 503, hzb_wire_error ("an older report"), 0);
 }
 
-/* On a lessee: the machine, if it is in the block and the block is still ours. */
+/* On a lessee: the machine, if it is in the shard and the shard is still ours. */
 static HzbMachine *
 leased_machine (HzbController *controller, const HzbReport *report)
 {
@@ -429,7 +429,7 @@
     machine = hzb_machines_add (controller->machines, report->host, report->addr, report->type, report->zone,
                                 report->spot, HZB_MACHINE_BOOTING);
   if (!machine->token)
-    hzb_machine_set_token (machine, controller->block->token);
+    hzb_machine_set_token (machine, controller->shard->token);
   if (is_late (machine, report) && machine->state != HZB_MACHINE_LEASED)
     {
       refuse_late (exchange);
@@ -437,11 +437,11 @@
     }
   /* A token that a worker has seen beyond what we know of: ours for it must not be lower. */
   if (report->token > machine->token && machine->state != HZB_MACHINE_LEASED)
-    hzb_machine_set_token (machine, hzb_leases_next_token (controller->leases));
+    hzb_machine_set_token (machine, hzb_shard_leases_next_token (controller->shard_leases));
   if (machine->state == HZB_MACHINE_LEASED)
-    lessee = hzb_leases_lessee_name (controller->leases, machine);
+    lessee = hzb_shard_leases_lessee_name (controller->shard_leases, machine);
   else if (report->task_reports->len == 0 && report->notice_s < 0)
-    lessee = hzb_leases_lease_idle (controller->leases, machine);
+    lessee = hzb_shard_leases_lease_idle (controller->shard_leases, machine);
   if (lessee)
     {
       /* The lessee is told how far its reports have come, and only once it is on record. */
@@ -528,7 +528,7 @@
     {
       apply_report (controller, machine, report, now, commands);
       if (leads && report->notice_s < 0 && report->token == machine->token
-          && (lessee = hzb_leases_hand_over (controller->leases, machine)))
+          && (lessee = hzb_shard_leases_hand_over (controller->shard_leases, machine)))
         {
           hzb_exchange_reply (exchange, 421, hzb_wire_redirect (lessee), 0);
           return;
--- a/tests/support.h
+++ b/tests/support.h
@@ -43,7 +43,7 @@
   HzbClock *clock;
   HzbJobs *jobs;
   HzbMachines *machines;
-  HzbBlock *block;
+  HzbShard *shard;
   HzbDispatch *dispatch;
   GRand *rand;
   guint made;
@@ -62,9 +62,9 @@
   b->jobs = hzb_jobs_new (b->clock, b->settings);
   b->machines = hzb_machines_new (b->clock, b->settings);
   hzb_machines_set_types (b->machines, types);
-  b->block = hzb_block_new (b->settings, 3);
+  b->shard = hzb_shard_new (b->settings, 3);
   b->dispatch = hzb_dispatch_new (b->jobs, b->machines, b->settings, b->rand);
-  hzb_jobs_begin_ownership (b->jobs, b->block);
+  hzb_jobs_begin_ownership (b->jobs, b->shard);
 }
 
 static inline void
@@ -75,7 +75,7 @@
   hzb_dispatch_free (b->dispatch);
   hzb_jobs_free (b->jobs);
   hzb_machines_free (b->machines);
-  hzb_block_free (b->block);
+  hzb_shard_free (b->shard);
   hzb_settings_free (b->settings);
   hzb_clock_free (b->clock);
   g_rand_free (b->rand);
--- a/tests/test-block-messages.c
+++ b/tests/test-block-messages.c
@@ -1,5 +1,5 @@
 /* Messages about machines between the leader and its lessees: as the versions before wrote them, and back. */
-#include "block-messages.h"
+#include "shard-messages.h"
 #include "wire.h"
 
 #include <string.h>
@@ -62,7 +62,7 @@
 {
   HzbRecall recall = { "i-1", FALSE, TRUE }, back;
   g_autofree char *keep = print_and_free (hzb_recall_encode (&recall)), *now = NULL;
-  HzbBlockAnswer answer = { .term = 4, .token = 9, .have = 2, .lease_s = 10 }, read;
+  HzbShardAnswer answer = { .term = 4, .token = 9, .have = 2, .lease_s = 10 }, read;
   cJSON *message;
 
   g_assert_cmpstr (keep, ==, "{\"keep\":\"i-1\"}");
@@ -75,12 +75,12 @@
   g_assert_false (hzb_recall_decode (message, &back));
   cJSON_Delete (message);
   message = cJSON_Parse ("{\"term\":4,\"token\":9,\"have\":2,\"leaseS\":10,\"batches\":[]}");
-  hzb_block_answer_decode (message, &read);
+  hzb_shard_answer_decode (message, &read);
   g_assert_true (read.term == 4 && read.token == 9 && read.have == 2 && read.lease_s == 10 && !read.end);
   cJSON_Delete (message);
   message = cJSON_CreateObject ();
   answer.end = TRUE;
-  hzb_block_answer_encode (&answer, message);
+  hzb_shard_answer_encode (&answer, message);
   g_free (now);
   now = print_and_free (message);
   g_assert_cmpstr (now, ==, "{\"term\":4,\"end\":true}");
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -383,7 +383,7 @@
     }
 }
 
-/* A message of an earlier process does not count as the new one's: no block is taken back for it. */
+/* A message of an earlier process does not count as the new one's: no shard is taken back for it. */
 static void
 test_earlier_process (void)
 {
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -265,7 +265,7 @@
         }
     }
   g_assert_cmpuint (started, ==, 20); /* 40 CPUs at most */
-  g_assert_cmpfloat (b.block->cpus[0], ==, 40);
+  g_assert_cmpfloat (b.shard->cpus[0], ==, 40);
   bench_down (&b);
 }
 
--- a/tests/test-forgotten.c
+++ b/tests/test-forgotten.c
@@ -188,7 +188,7 @@
 }
 
 /* Hundreds of machines with dozens of tasks each fall silent together, while for a moment the leader can't be asked: what
- * their lessees have to say fits no single request, and no block is lost for that. */
+ * their lessees have to say fits no single request, and no shard is lost for that. */
 static void
 test_much_to_say (void)
 {
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -83,7 +83,7 @@
           g_assert_cmpuint (hzb_machine_listed (machine[0]) + hzb_machine_listed (machine[1])
                                 + hzb_machine_listed (machine[2]),
                             ==, counts[HZB_TASK_LISTED]);
-          g_assert_cmpfloat_with_epsilon (b.block->cpus[0], used, 1e-9);
+          g_assert_cmpfloat_with_epsilon (b.shard->cpus[0], used, 1e-9);
           for (guint k = 0; k < 3; k++)
             g_assert_cmpfloat_with_epsilon (machine[k]->cpus, room[k], 1e-9);
         }
@@ -220,11 +220,11 @@
   /* What may have been started counts against the team until it is found or ruled out. */
   g_assert_cmpuint (again->unknown, ==, 34);
   g_assert_cmpuint (again->pending, ==, 8);
-  g_assert_cmpfloat (after.block->cpus[0], ==, 34);
+  g_assert_cmpfloat (after.shard->cpus[0], ==, 34);
   for (guint i = 0; i < after.jobs->active->len; i++)
     hzb_job_resolve_unknown (after.jobs, after.jobs->active->pdata[i], 0);
   g_assert_cmpuint (again->unknown, ==, 0);
-  g_assert_cmpfloat (after.block->cpus[0], ==, 0);
+  g_assert_cmpfloat (after.shard->cpus[0], ==, 0);
   cJSON_Delete (value);
   bench_down (&b);
   bench_down (&after);
--- a/tests/test-leases.c
+++ b/tests/test-leases.c
@@ -1,4 +1,4 @@
-/* Blocks leased to other controllers, while these, the leader or the network fail. */
+/* Shards leased to other controllers, while these, the leader or the network fail. */
 #include "sim-faults.h"
 
 #include <string.h>
@@ -41,11 +41,11 @@
 {
   HzbController *controller = sim->nodes[sim_leader (sim)].controller;
   const char *name =
-      hzb_leases_lessee_name (controller->leases, hzb_machines_find (controller->machines, machine->name));
+      hzb_shard_leases_lessee_name (controller->shard_leases, hzb_machines_find (controller->machines, machine->name));
   return (guint) (name[strlen (name) - 1] - '0');
 }
 
-/* A lessee ends: its block goes back to the leader, and what runs on its machines runs on. */
+/* A lessee ends: its shard goes back to the leader, and what runs on its machines runs on. */
 static void
 test_lessee_ends (void)
 {
@@ -64,7 +64,7 @@
 }
 
 /* A lessee is cut off from the leader but not from its machines: it goes on under its token, while the leader takes
- * the block back. Nothing of it starts elsewhere until every machine has answered the leader. */
+ * the shard back. Nothing of it starts elsewhere until every machine has answered the leader. */
 static void
 test_lessee_cut_off (void)
 {
@@ -152,7 +152,7 @@
     }
 }
 
-/* Much work, leased blocks, and everything fails. */
+/* Much work, leased shards, and everything fails. */
 static void
 test_leases_and_failures (void)
 {
@@ -182,7 +182,7 @@
     }
 }
 
-/* Work that only the leader's block may have waits: machines are not leased, to stand idle elsewhere. */
+/* Work that only the leader's shard may have waits: machines are not leased, to stand idle elsewhere. */
 static void
 test_own_work (void)
 {
@@ -202,7 +202,7 @@
   sim_free (sim);
 }
 
-/* A leader can't be asked for a while, and then answers slowly: the lessee has given its block up by then. It is not a lessee
+/* A leader can't be asked for a while, and then answers slowly: the lessee has given its shard up by then. It is not a lessee
  * again by that answer, without all that it was sent before. */
 static void
 test_answer_after_giving_up (void)
--- a/tests/test-scale.c
+++ b/tests/test-scale.c
@@ -17,8 +17,8 @@
 
   bench_up (&b, 7);
   now = hzb_clock_now (b.clock);
-  for (guint i = 0; i < b.block->n_teams; i++)
-    b.block->cpus_allowed[i] = 1e9;
+  for (guint i = 0; i < b.shard->n_teams; i++)
+    b.shard->cpus_allowed[i] = 1e9;
   for (guint i = 0; i < machines; i++)
     bench_machine (&b, "small", i % 2 ? "za" : "zb", TRUE);
   for (guint i = 0; i < jobs; i++)
