--- a/src/cancellations.c
+++ b/src/cancellations.c
@@ -3,9 +3,9 @@
  * The record alone does not do: a leader that the key-value store refuses takes it for an outage while the others are
  * still served, and an outage for all that begins a moment later keeps it from being replaced. It would go on renewing
  * the leases of tasks whose cancellation it can't see, for as long as the outage lasts. So whoever is to tell a user
- * asks the owner, with the question that a lessee asks anyway; that needs no key-value store. The owner takes the
+ * asks the owner, with the question that a leaseholder asks anyway; that needs no key-value store. The owner takes the
  * cancellation from the question (its record is durable and never changes) and answers which of the jobs it has heard
- * of for good: nothing of them may be on a machine that has not answered under its token, and each lessee that was
+ * of for good: nothing of them may be on a machine that has not answered under its token, and each leaseholder that was
  * delegated a task of them has acknowledged it.
  *
  * The answer holds if no later owner exists: this node's replica must have come as far as the job's record, and the
@@ -142,7 +142,7 @@
       g_queue_push_head (&cancellations->requests, request); /* it was never asked */
     }
   request->until = hzb_time_plus (now, REQUEST_KEPT_S);
-  hzb_lessee_poll_soon (controller->lessee);
+  hzb_leaseholder_poll_soon (controller->leaseholder);
   return hzb_election_leader (controller->election)
          && !hzb_peers_unreachable (controller->peers, hzb_election_leader (controller->election));
 }
--- a/src/controller.c
+++ b/src/controller.c
@@ -129,8 +129,8 @@
 {
   static const char *const names[] = { "none", "lessee", "loading", "recovering", "ready" };
   static const guint legal[] = {
-    [HZB_OWNERSHIP_NONE] = 1 << HZB_OWNERSHIP_LOADING | 1 << HZB_OWNERSHIP_LESSEE,
-    [HZB_OWNERSHIP_LESSEE] = 1 << HZB_OWNERSHIP_NONE,
+    [HZB_OWNERSHIP_NONE] = 1 << HZB_OWNERSHIP_LOADING | 1 << HZB_OWNERSHIP_LEASEHOLDER,
+    [HZB_OWNERSHIP_LEASEHOLDER] = 1 << HZB_OWNERSHIP_NONE,
     [HZB_OWNERSHIP_LOADING] = 1 << HZB_OWNERSHIP_NONE | 1 << HZB_OWNERSHIP_RECOVERING,
     [HZB_OWNERSHIP_RECOVERING] = 1 << HZB_OWNERSHIP_NONE | 1 << HZB_OWNERSHIP_READY,
     [HZB_OWNERSHIP_READY] = 1 << HZB_OWNERSHIP_NONE,
@@ -235,24 +235,24 @@
 {
   controller->ownership_epoch++;
   controller->shard = hzb_shard_new_leased (controller->settings, token);
-  controller->jobs->lessee = TRUE;
+  controller->jobs->leaseholder = TRUE;
   controller->owner_since = hzb_clock_now (controller->clock);
   hzb_machines_clear (controller->machines);
-  hzb_lessee_clear (controller->lessee);
+  hzb_leaseholder_clear (controller->leaseholder);
   hzb_jobs_begin_ownership (controller->jobs, controller->shard);
-  set_ownership (controller, HZB_OWNERSHIP_LESSEE, "the leader leased us a block");
+  set_ownership (controller, HZB_OWNERSHIP_LEASEHOLDER, "the leader leased us a block");
 }
 
 void
 hzb_controller_end_leased (HzbController *controller, const char *why)
 {
-  if (controller->ownership != HZB_OWNERSHIP_LESSEE)
+  if (controller->ownership != HZB_OWNERSHIP_LEASEHOLDER)
     return;
   controller->ownership_epoch++;
   set_ownership (controller, HZB_OWNERSHIP_NONE, why);
   hzb_jobs_end_ownership (controller->jobs);
   hzb_machines_clear (controller->machines);
-  hzb_lessee_clear (controller->lessee);
+  hzb_leaseholder_clear (controller->leaseholder);
   g_clear_pointer (&controller->shard, hzb_shard_free);
 }
 
@@ -383,7 +383,7 @@
       && hzb_kv_replica_state (controller->kv_replica) == HZB_KV_REPLICA_FOLLOWING
       && hzb_election_term_replicated (controller->election))
     begin_ownership (controller);
-  else if (!hzb_election_leading (controller->election) && controller->ownership > HZB_OWNERSHIP_LESSEE)
+  else if (!hzb_election_leading (controller->election) && controller->ownership > HZB_OWNERSHIP_LEASEHOLDER)
     end_ownership (controller);
   if (controller->ownership == HZB_OWNERSHIP_LOADING && !controller->owner_page_asked
       && !hzb_time_before (now, controller->next_owner_page))
@@ -395,13 +395,13 @@
   if (hzb_election_leading (controller->election))
     hzb_shard_leases_tick (controller->shard_leases, now);
   else
-    hzb_lessee_tick (controller->lessee, now);
-  if (controller->ownership == HZB_OWNERSHIP_LESSEE && !hzb_time_before (now, controller->next_dispatch))
+    hzb_leaseholder_tick (controller->leaseholder, now);
+  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER && !hzb_time_before (now, controller->next_dispatch))
     {
       controller->next_dispatch = hzb_time_plus (now, 0.2);
       hzb_dispatch_run (controller->dispatch, now);
     }
-  if (controller->ownership == HZB_OWNERSHIP_LESSEE && !hzb_time_before (now, controller->next_plan))
+  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER && !hzb_time_before (now, controller->next_plan))
     {
       controller->next_plan = hzb_time_plus (now, 1);
       hzb_dispatch_consolidate (controller->dispatch, now);
@@ -496,7 +496,7 @@
   controller->peers = hzb_peers_new (controller);
   controller->cancellations = hzb_cancellations_new (controller);
   controller->shard_leases = hzb_shard_leases_new (controller);
-  controller->lessee = hzb_lessee_new (controller);
+  controller->leaseholder = hzb_leaseholder_new (controller);
   controller->metrics = hzb_metrics_new ();
   controller->lease_shards = TRUE;
   controller->format = HZB_FORMAT;
@@ -515,7 +515,7 @@
   hzb_user_api_free (controller->api);
   hzb_cancellations_free (controller->cancellations);
   hzb_shard_leases_free (controller->shard_leases);
-  hzb_lessee_free (controller->lessee);
+  hzb_leaseholder_free (controller->leaseholder);
   hzb_peers_free (controller->peers);
   hzb_records_free (controller->records);
   hzb_old_ends_free (controller->old_ends);
--- a/src/controller.h
+++ b/src/controller.h
@@ -9,7 +9,7 @@
 #include "http.h"
 #include "kv-client.h"
 #include "kv-replica.h"
-#include "lessee.h"
+#include "leaseholder.h"
 #include "metrics.h"
 #include "old-ends.h"
 #include "owner.h"
@@ -36,9 +36,9 @@
 typedef enum
 {
   HZB_OWNERSHIP_NONE,
-  HZB_OWNERSHIP_LESSEE,     /* holds a shard that the leader leased to it */
-  HZB_OWNERSHIP_LOADING,    /* elected, reads progress and machines */
-  HZB_OWNERSHIP_RECOVERING, /* some machines have not answered under our term */
+  HZB_OWNERSHIP_LEASEHOLDER, /* holds a shard that the leader leased to it */
+  HZB_OWNERSHIP_LOADING,     /* elected, reads progress and machines */
+  HZB_OWNERSHIP_RECOVERING,  /* some machines have not answered under our term */
   HZB_OWNERSHIP_READY
 } HzbOwnershipState;
 
@@ -59,7 +59,7 @@
   HzbUserApi *api;
   HzbCancellations *cancellations;
   HzbShardLeases *shard_leases;
-  HzbLessee *lessee;
+  HzbLeaseholder *leaseholder;
   HzbRecords *records;
   HzbOldEnds *old_ends;
   HzbMetrics *metrics;
@@ -109,7 +109,7 @@
 /** hzb_controller_begin_leased: this node owns a shard that the leader leased to it. */
 void hzb_controller_begin_leased (HzbController *controller, guint64 token);
 
-/** hzb_controller_end_leased: no more. Does nothing if it was not a lessee. */
+/** hzb_controller_end_leased: no more. Does nothing if it was not a leaseholder. */
 void hzb_controller_end_leased (HzbController *controller, const char *why);
 
 /** hzb_controller_recovered: every machine on record has answered the new leader, or is gone. */
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -15,7 +15,8 @@
   job->other_owner = job->delegated_running = job->delegated_leaving = 0;
   job->cursor = job->pending = job->listed = job->unknown = job->placed = job->running = 0;
   job->finished = job->done = job->released = job->releasing = 0;
-  job->dirty = job->ending = job->on_pages = job->unsplit = job->release_requested = job->announced_to_lessees = FALSE;
+  job->dirty = job->ending = job->on_pages = job->unsplit = job->release_requested = job->announced_to_leaseholders =
+      FALSE;
   job->failures = job->begun = 0;
   job->failed_on_several = job->did_well = job->awaits_verdict = FALSE;
   g_clear_pointer (&job->failed_on, g_free);
@@ -176,7 +177,7 @@
       job->spec = g_steal_pointer (&spec);
       job->n_tasks = job->spec->tasks;
       job->team = hzb_settings_team (jobs->settings, job->spec->team);
-      if (jobs->shard && !jobs->lessee)
+      if (jobs->shard && !jobs->leaseholder)
         hzb_jobs_activate (jobs, job);
       return job;
     }
@@ -361,7 +362,7 @@
   gpointer value;
 
   jobs->shard = shard;
-  if (jobs->lessee)
+  if (jobs->leaseholder)
     return;
   g_hash_table_iter_init (&iter, jobs->by_uid);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -381,7 +382,7 @@
     }
   g_ptr_array_set_size (jobs->active, 0);
   jobs->shard = NULL;
-  jobs->lessee = FALSE;
+  jobs->leaseholder = FALSE;
 }
 
 static gint
@@ -409,9 +410,9 @@
       job->tasks[i].job = job;
       job->tasks[i].index = i;
       job->tasks[i].since = now;
-      job->tasks[i].state = jobs->lessee ? HZB_TASK_OTHER_OWNER : HZB_TASK_PENDING;
+      job->tasks[i].state = jobs->leaseholder ? HZB_TASK_OTHER_OWNER : HZB_TASK_PENDING;
     }
-  if (jobs->lessee)
+  if (jobs->leaseholder)
     {
       job->other_owner = job->n_tasks;
       job->cursor = job->released = job->releasing = job->n_tasks;
@@ -451,13 +452,13 @@
 }
 
 void
-hzb_job_resolve_unknown (HzbJobs *jobs, HzbJob *job, guint lessee)
+hzb_job_resolve_unknown (HzbJobs *jobs, HzbJob *job, guint leaseholder)
 {
   for (guint k = 0; job->unknown && k < job->n_tasks; k++)
-    if (job->tasks[k].state == HZB_TASK_UNKNOWN && job->tasks[k].lessee == lessee)
+    if (job->tasks[k].state == HZB_TASK_UNKNOWN && job->tasks[k].leaseholder == leaseholder)
       {
         hzb_task_set_state (jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
-        job->tasks[k].lessee = 0;
+        job->tasks[k].leaseholder = 0;
       }
 }
 
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -60,7 +60,7 @@
   gboolean on_pages;          /* of the owner's records */
   gboolean unsplit;           /* in parts that only a version 1 writes; they can't be changed while one is about */
   gboolean release_requested; /* a machine could take more of it than is released */
-  gboolean guaranteed, announced_to_lessees;
+  gboolean guaranteed, announced_to_leaseholders;
   gboolean
       awaits_verdict; /* after a cold start: no command is given for it until its fate is durable, see reconciliation.h */
   gboolean start_overdue; /* nothing of it has started for long: its first task goes before others */
@@ -89,7 +89,7 @@
   HzbShard *shard;             /* NULL: not an owner */
   GHashTable *estimate_biases; /* class name -> double*, see hzb_jobs_record_run_time() */
   guint chunk;                 /* tasks of a part */
-  gboolean lessee;             /* of the jobs only what was delegated is in the shard */
+  gboolean leaseholder;        /* of the jobs only what was delegated is in the shard */
 };
 
 HzbJobs *hzb_jobs_new (HzbClock *clock, const HzbSettings *settings);
@@ -117,8 +117,8 @@
 void hzb_jobs_activate (HzbJobs *jobs, HzbJob *job);
 void hzb_jobs_retire (HzbJobs *jobs, HzbJob *job); /* nothing of it is anywhere any more */
 /* Every machine that might hold them has answered or is gone: a job's unknown tasks of a leader before us (0), or of the
- * shard of a lessee that was taken back (1 and up), wait again. */
-void hzb_job_resolve_unknown (HzbJobs *jobs, HzbJob *job, guint lessee);
+ * shard of a leaseholder that was taken back (1 and up), wait again. */
+void hzb_job_resolve_unknown (HzbJobs *jobs, HzbJob *job, guint leaseholder);
 gboolean hzb_jobs_any_unknown (HzbJobs *jobs);
 
 /* A task ran for so long. Owners' estimates of a class may all lean one way, which the paper's known distribution
--- a/src/lessee.c
+++ b/src/leaseholder.c
@@ -1,4 +1,4 @@
-/* This node's part as a lessee: the shard that the leader has leased to it. lease.c says how leasing goes. */
+/* This node's part as a leaseholder: the shard that the leader has leased to it. lease.c says how leasing goes. */
 #include "controller.h"
 #include "outbox.h"
 #include "shard-messages.h"
@@ -21,7 +21,7 @@
 #define RETURNED_PER_EVENT 800u /* tasks, up to 30 bytes each */
 #define MAINTAIN_EVERY_S 0.5    /* tasks that may have to go back are looked for so often */
 
-struct _HzbLessee
+struct _HzbLeaseholder
 {
   HzbController *controller;
   gboolean asking;
@@ -32,56 +32,56 @@
   struct timespec requests, next_ask, next_maintenance, last_answer, valid_until;
 };
 
-HzbLessee *
-hzb_lessee_new (HzbController *controller)
+HzbLeaseholder *
+hzb_leaseholder_new (HzbController *controller)
 {
-  HzbLessee *lessee = g_new0 (HzbLessee, 1);
-  lessee->controller = controller;
-  return lessee;
+  HzbLeaseholder *leaseholder = g_new0 (HzbLeaseholder, 1);
+  leaseholder->controller = controller;
+  return leaseholder;
 }
 
 void
-hzb_lessee_free (HzbLessee *lessee)
+hzb_leaseholder_free (HzbLeaseholder *leaseholder)
 {
-  hzb_outbox_clear (&lessee->out);
-  g_free (lessee);
+  hzb_outbox_clear (&leaseholder->out);
+  g_free (leaseholder);
 }
 
 gboolean
-hzb_lessee_valid (HzbLessee *lessee)
+hzb_leaseholder_valid (HzbLeaseholder *leaseholder)
 {
-  return lessee->controller->ownership == HZB_OWNERSHIP_LESSEE
-         && hzb_time_before (hzb_clock_now (lessee->controller->clock), lessee->valid_until);
+  return leaseholder->controller->ownership == HZB_OWNERSHIP_LEASEHOLDER
+         && hzb_time_before (hzb_clock_now (leaseholder->controller->clock), leaseholder->valid_until);
 }
 
 static void
-poll_soon (HzbLessee *lessee)
+poll_soon (HzbLeaseholder *leaseholder)
 {
-  struct timespec soon = hzb_time_plus (lessee->requests, ASK_SOON_S);
-  if (hzb_time_before (soon, lessee->next_ask))
-    lessee->next_ask = soon;
+  struct timespec soon = hzb_time_plus (leaseholder->requests, ASK_SOON_S);
+  if (hzb_time_before (soon, leaseholder->next_ask))
+    leaseholder->next_ask = soon;
 }
 
 void
-hzb_lessee_poll_soon (HzbLessee *lessee)
+hzb_leaseholder_poll_soon (HzbLeaseholder *leaseholder)
 {
-  poll_soon (lessee);
+  poll_soon (leaseholder);
 }
 
 void
-hzb_lessee_report_finished (HzbLessee *lessee, const HzbTask *task, double ran_s)
+hzb_leaseholder_report_finished (HzbLeaseholder *leaseholder, const HzbTask *task, double ran_s)
 {
   cJSON *body = cJSON_CreateObject ();
   hzb_tasks_add (cJSON_AddObjectToObject (body, "finished"), task);
   cJSON_AddNumberToObject (body, "ranS", ran_s);
-  hzb_outbox_push (&lessee->out, body);
-  poll_soon (lessee);
+  hzb_outbox_push (&leaseholder->out, body);
+  poll_soon (leaseholder);
 }
 
 void
-hzb_lessee_return_machine (HzbLessee *lessee, HzbMachine *machine, const char *why)
+hzb_leaseholder_return_machine (HzbLeaseholder *leaseholder, HzbMachine *machine, const char *why)
 {
-  HzbController *controller = lessee->controller;
+  HzbController *controller = leaseholder->controller;
   g_autoptr (HzbMachineReturn) returned = hzb_machine_return_new (machine->name, why, machine->session, machine->seq);
 
   returned->sick = machine->to_be_returned && !machine->recall_requested;
@@ -99,7 +99,7 @@
         }
       g_return_if_fail (machine->tasks->len < before);
     }
-  hzb_outbox_push (&lessee->out, hzb_machine_return_encode (returned));
+  hzb_outbox_push (&leaseholder->out, hzb_machine_return_encode (returned));
   hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_RETURNING, why);
   hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_GONE, "from this block, back to the leader");
   hzb_machines_remove (controller->machines, machine);
@@ -121,9 +121,9 @@
 
 /* Every task that may be on the machine is of a job that is known here, and nowhere else in the shard. */
 static gboolean
-knows_all_held (HzbLessee *lessee, const HzbMachineLease *lease)
+knows_all_held (HzbLeaseholder *leaseholder, const HzbMachineLease *lease)
 {
-  HzbJobs *jobs = lessee->controller->jobs;
+  HzbJobs *jobs = leaseholder->controller->jobs;
   gboolean known = TRUE;
 
   for (guint i = 0; lease->holds && i < lease->holds->len; i++)
@@ -141,19 +141,19 @@
 
 /* It holds a task of a job that is not in this node's replica yet, or over: back it goes, as it came. */
 static void
-refuse_machine (HzbLessee *lessee, HzbMachineLease *lease)
+refuse_machine (HzbLeaseholder *leaseholder, HzbMachineLease *lease)
 {
   g_autoptr (HzbMachineReturn) returned = hzb_machine_return_new (
       lease->name, "it holds tasks of jobs that are not known here", lease->session, lease->seq);
   g_array_unref (returned->lost);
   returned->lost = g_array_ref (lease->holds);
-  hzb_outbox_push (&lessee->out, hzb_machine_return_encode (returned));
+  hzb_outbox_push (&leaseholder->out, hzb_machine_return_encode (returned));
 }
 
 static void
-put_on_machine (HzbLessee *lessee, const HzbHeldTask *held, HzbMachine *machine)
+put_on_machine (HzbLeaseholder *leaseholder, const HzbHeldTask *held, HzbMachine *machine)
 {
-  HzbJobs *jobs = lessee->controller->jobs;
+  HzbJobs *jobs = leaseholder->controller->jobs;
   HzbTask *task = hzb_tasks_find (jobs, held->uid, held->number);
 
   hzb_task_set_state (jobs, task, HZB_TASK_PENDING, NULL);
@@ -164,32 +164,32 @@
 
 /* A machine, with the tasks that may be on it. Nothing is concluded from it until it has reported under our token. */
 static void
-receive_machine (HzbLessee *lessee, HzbMachineLease *lease)
+receive_machine (HzbLeaseholder *leaseholder, HzbMachineLease *lease)
 {
-  HzbController *controller = lessee->controller;
+  HzbController *controller = leaseholder->controller;
   HzbMachine *machine;
 
-  if (!knows_all_held (lessee, lease))
+  if (!knows_all_held (leaseholder, lease))
     {
-      refuse_machine (lessee, lease);
+      refuse_machine (leaseholder, lease);
       return;
     }
   machine = hzb_machines_add (controller->machines, lease->name, lease->addr, lease->type, lease->zone, lease->spot,
                               lease->holds ? HZB_MACHINE_UNVERIFIED : HZB_MACHINE_BOOTING);
   machine->recorded = machine->known_to_cloud = TRUE;
-  hzb_machine_set_token (machine, lessee->token);
+  hzb_machine_set_token (machine, leaseholder->token);
   machine->session = lease->session;
   machine->seq = lease->seq;
   machine->last_report = hzb_clock_now (controller->clock);
   for (guint i = 0; lease->holds && i < lease->holds->len; i++)
-    put_on_machine (lessee, &g_array_index (lease->holds, HzbHeldTask, i), machine);
+    put_on_machine (leaseholder, &g_array_index (lease->holds, HzbHeldTask, i), machine);
 }
 
 /* Tasks that the leader delegates. Those of jobs that are not in this node's replica yet, or over, go back. */
 static void
-receive_tasks (HzbLessee *lessee, const cJSON *groups)
+receive_tasks (HzbLeaseholder *leaseholder, const cJSON *groups)
 {
-  HzbController *controller = lessee->controller;
+  HzbController *controller = leaseholder->controller;
   cJSON *unknown = NULL;
   const cJSON *group;
 
@@ -208,15 +208,15 @@
     {
       cJSON *body = cJSON_CreateObject ();
       cJSON_AddItemToObject (body, "returned", unknown);
-      hzb_outbox_push (&lessee->out, body);
+      hzb_outbox_push (&leaseholder->out, body);
     }
   hzb_tasks_each (controller->jobs, groups, task_delegated, controller->jobs);
 }
 
 static void
-apply_recall (HzbLessee *lessee, const HzbRecall *recall)
+apply_recall (HzbLeaseholder *leaseholder, const HzbRecall *recall)
 {
-  HzbMachine *machine = hzb_machines_find (lessee->controller->machines, recall->machine);
+  HzbMachine *machine = hzb_machines_find (leaseholder->controller->machines, recall->machine);
   if (!machine)
     return;
   machine->recall_requested = machine->spare = recall->back;
@@ -224,9 +224,9 @@
 }
 
 static void
-apply_batch (HzbLessee *lessee, const cJSON *batch)
+apply_batch (HzbLeaseholder *leaseholder, const cJSON *batch)
 {
-  HzbController *controller = lessee->controller;
+  HzbController *controller = leaseholder->controller;
   const cJSON *tasks = cJSON_GetObjectItemCaseSensitive (batch, "tasks");
   g_autoptr (HzbMachineLease) lease = hzb_machine_lease_decode (batch);
   HzbRecall recall;
@@ -236,21 +236,21 @@
   if (cancelled && cancelled->state == HZB_JOB_ACCEPTED)
     cancelled->state = HZB_JOB_CANCELLED; /* as its record is, which this node may not have seen yet */
   if (tasks)
-    receive_tasks (lessee, tasks);
+    receive_tasks (leaseholder, tasks);
   hzb_tasks_each (controller->jobs, cJSON_GetObjectItemCaseSensitive (batch, "durable"), task_durable,
                   controller->jobs);
   if (lease && !hzb_machines_find (controller->machines, lease->name))
-    receive_machine (lessee, lease);
+    receive_machine (leaseholder, lease);
   if (hzb_recall_decode (batch, &recall))
-    apply_recall (lessee, &recall);
+    apply_recall (leaseholder, &recall);
 }
 
 /* The shard's term was raised: nothing is concluded from its machines until they have reported under it. */
 static void
-raise_token (HzbLessee *lessee, guint64 token)
+raise_token (HzbLeaseholder *leaseholder, guint64 token)
 {
-  HzbController *controller = lessee->controller;
-  lessee->token = controller->shard->token = token;
+  HzbController *controller = leaseholder->controller;
+  leaseholder->token = controller->shard->token = token;
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       HzbMachine *machine = controller->machines->all->pdata[i];
@@ -260,37 +260,37 @@
 
 /* The answer is to a poll of the ownership that is, and from the leader that is. */
 static gboolean
-answer_counts (const HzbLessee *lessee, const HzbShardAnswer *answer)
+answer_counts (const HzbLeaseholder *leaseholder, const HzbShardAnswer *answer)
 {
-  const HzbController *controller = lessee->controller;
+  const HzbController *controller = leaseholder->controller;
   /* Guards against an answer to a poll of before this node let go of its shard: it would hold the shard again without what
    * it had been sent before, and the leader would go on believing that all of it is in good hands. */
-  return lessee->asked_epoch == controller->ownership_epoch && !hzb_election_leading (controller->election)
+  return leaseholder->asked_epoch == controller->ownership_epoch && !hzb_election_leading (controller->election)
          && answer->term == hzb_election_leader_term (controller->election);
 }
 
 static void
-apply_batches (HzbLessee *lessee, const cJSON *batches)
+apply_batches (HzbLeaseholder *leaseholder, const cJSON *batches)
 {
-  HzbController *controller = lessee->controller;
+  HzbController *controller = leaseholder->controller;
   const cJSON *batch;
 
   cJSON_ArrayForEach (batch, batches)
-    if (hzb_json_u64 (batch, "n") == lessee->in_number + 1)
+    if (hzb_json_u64 (batch, "n") == leaseholder->in_number + 1)
       {
-        lessee->in_number++;
-        apply_batch (lessee, batch);
+        leaseholder->in_number++;
+        apply_batch (leaseholder, batch);
       }
   if (!cJSON_GetArraySize (batches))
     return;
   hzb_dispatch_run (controller->dispatch, hzb_clock_now (controller->clock));
-  poll_soon (lessee);
+  poll_soon (leaseholder);
 }
 
 static void
-apply_answer (HzbLessee *lessee, const HzbShardAnswer *answer, const cJSON *batches)
+apply_answer (HzbLeaseholder *leaseholder, const HzbShardAnswer *answer, const cJSON *batches)
 {
-  HzbController *controller = lessee->controller;
+  HzbController *controller = leaseholder->controller;
 
   if (answer->end)
     {
@@ -302,35 +302,35 @@
   if (controller->ownership == HZB_OWNERSHIP_NONE
       && hzb_kv_replica_state (controller->kv_replica) == HZB_KV_REPLICA_FOLLOWING)
     {
-      lessee->token = answer->token;
+      leaseholder->token = answer->token;
       hzb_controller_begin_leased (controller, answer->token);
     }
-  else if (controller->ownership != HZB_OWNERSHIP_LESSEE)
+  else if (controller->ownership != HZB_OWNERSHIP_LEASEHOLDER)
     return;
-  else if (answer->token > lessee->token)
-    raise_token (lessee, answer->token);
-  lessee->last_answer = hzb_clock_now (controller->clock);
+  else if (answer->token > leaseholder->token)
+    raise_token (leaseholder, answer->token);
+  leaseholder->last_answer = hzb_clock_now (controller->clock);
   /* From when it was asked for: after standing still the answer may be old. */
-  lessee->valid_until = hzb_time_plus (lessee->requests, answer->lease_s);
-  hzb_outbox_acknowledged (&lessee->out, answer->have);
-  apply_batches (lessee, batches);
+  leaseholder->valid_until = hzb_time_plus (leaseholder->requests, answer->lease_s);
+  hzb_outbox_acknowledged (&leaseholder->out, answer->have);
+  apply_batches (leaseholder, batches);
 }
 
 static void
 on_answer (guint status, const char *body, gsize length, gpointer user)
 {
-  HzbLessee *lessee = user;
+  HzbLeaseholder *leaseholder = user;
   cJSON *root = status == 200 ? cJSON_ParseWithLength (body, length) : NULL;
   HzbShardAnswer answer;
 
-  lessee->asking = FALSE;
+  leaseholder->asking = FALSE;
   if (!root)
     return;
   hzb_shard_answer_decode (root, &answer);
-  hzb_cancellations_handle_response (lessee->controller->cancellations, answer.term,
+  hzb_cancellations_handle_response (leaseholder->controller->cancellations, answer.term,
                                      cJSON_GetObjectItemCaseSensitive (root, "heard"));
-  if (answer_counts (lessee, &answer))
-    apply_answer (lessee, &answer, cJSON_GetObjectItemCaseSensitive (root, "batches"));
+  if (answer_counts (leaseholder, &answer))
+    apply_answer (leaseholder, &answer, cJSON_GetObjectItemCaseSensitive (root, "batches"));
   cJSON_Delete (root);
 }
 
@@ -377,15 +377,15 @@
 /* How many tasks of each job run in the shard, and are about to leave it. All jobs if they fit; of more some with each poll,
  * in turn, and then those of which nothing runs are named too, since what is not named stays as it was. */
 static void
-pack_counts (HzbLessee *lessee, cJSON *message)
+pack_counts (HzbLeaseholder *leaseholder, cJSON *message)
 {
-  const HzbController *controller = lessee->controller;
+  const HzbController *controller = leaseholder->controller;
   const GPtrArray *jobs = controller->jobs->active;
   g_autoptr (GHashTable) leaving_counts = count_leaving (controller);
   cJSON *leaving = cJSON_AddObjectToObject (message, "leaving"),
         *running = cJSON_AddObjectToObject (message, "running");
   gboolean partial = jobs->len > COUNTS_PER_POLL;
-  guint first = partial ? lessee->next_counted % jobs->len : 0;
+  guint first = partial ? leaseholder->next_counted % jobs->len : 0;
 
   for (guint i = 0; i < MIN (jobs->len, COUNTS_PER_POLL); i++)
     {
@@ -398,13 +398,13 @@
     }
   if (partial)
     cJSON_AddTrueToObject (message, "partial");
-  lessee->next_counted = first + COUNTS_PER_POLL;
+  leaseholder->next_counted = first + COUNTS_PER_POLL;
 }
 
 static void
-poll_leader (HzbLessee *lessee, struct timespec now)
+poll_leader (HzbLeaseholder *leaseholder, struct timespec now)
 {
-  HzbController *controller = lessee->controller;
+  HzbController *controller = leaseholder->controller;
   const char *leader = hzb_election_leader (controller->election), *addr = NULL;
   cJSON *root, *cancelled;
 
@@ -413,29 +413,29 @@
       addr = ((HzbPeer *) controller->settings->peers->pdata[i])->address;
   if (!addr || hzb_kv_replica_state (controller->kv_replica) != HZB_KV_REPLICA_FOLLOWING)
     return;
-  lessee->asking = TRUE;
-  lessee->asked_epoch = controller->ownership_epoch;
-  lessee->requests = now;
+  leaseholder->asking = TRUE;
+  leaseholder->asked_epoch = controller->ownership_epoch;
+  leaseholder->requests = now;
   root = hzb_peers_message (controller->peers, HZB_PEER_SHARD_POLL);
   if ((cancelled = hzb_cancellations_pack_request (controller->cancellations)))
     cJSON_AddItemToObject (root, "cancelled", cancelled);
-  if (controller->ownership == HZB_OWNERSHIP_LESSEE)
+  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
     {
-      hzb_json_add_u64 (root, "token", lessee->token);
-      hzb_json_add_u64 (root, "have", lessee->in_number);
-      cJSON_AddItemToObject (root, "events", hzb_outbox_pack (&lessee->out, MAX_EVENT_BYTES));
-      cJSON_AddNumberToObject (root, "room", hzb_lessee_valid (lessee) ? room (controller) : 0);
-      pack_counts (lessee, root);
+      hzb_json_add_u64 (root, "token", leaseholder->token);
+      hzb_json_add_u64 (root, "have", leaseholder->in_number);
+      cJSON_AddItemToObject (root, "events", hzb_outbox_pack (&leaseholder->out, MAX_EVENT_BYTES));
+      cJSON_AddNumberToObject (root, "room", hzb_leaseholder_valid (leaseholder) ? room (controller) : 0);
+      pack_counts (leaseholder, root);
     }
   hzb_send (controller->transport, "POST", addr, "/peer/v1/block", cJSON_PrintUnformatted (root), ASK_TIMEOUT_MS,
-            on_answer, lessee);
+            on_answer, leaseholder);
   cJSON_Delete (root);
 }
 
 /* Tasks on their way back, in messages that are not too large. */
 typedef struct
 {
-  HzbLessee *lessee;
+  HzbLeaseholder *leaseholder;
   cJSON *groups; /* NULL: none yet */
   guint tasks;
 } ReturnedTasks;
@@ -448,7 +448,7 @@
     return;
   body = cJSON_CreateObject ();
   cJSON_AddItemToObject (body, "returned", returned->groups);
-  hzb_outbox_push (&returned->lessee->out, body);
+  hzb_outbox_push (&returned->leaseholder->out, body);
   returned->groups = NULL;
   returned->tasks = 0;
 }
@@ -456,7 +456,7 @@
 static void
 return_task (ReturnedTasks *returned, HzbTask *task)
 {
-  HzbJobs *jobs = returned->lessee->controller->jobs;
+  HzbJobs *jobs = returned->leaseholder->controller->jobs;
 
   if (task->state == HZB_TASK_LISTED)
     hzb_task_set_state (jobs, task, HZB_TASK_PENDING, NULL);
@@ -471,10 +471,10 @@
 
 /* Tasks that have not started for a while, and those of jobs that are over, go back. */
 static void
-return_unstarted_tasks (HzbLessee *lessee, struct timespec now)
+return_unstarted_tasks (HzbLeaseholder *leaseholder, struct timespec now)
 {
-  HzbController *controller = lessee->controller;
-  ReturnedTasks returned = { lessee, NULL, 0 };
+  HzbController *controller = leaseholder->controller;
+  ReturnedTasks returned = { leaseholder, NULL, 0 };
 
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
@@ -497,67 +497,69 @@
 }
 
 static void
-maintain_machines (HzbLessee *lessee, struct timespec now)
+maintain_machines (HzbLeaseholder *leaseholder, struct timespec now)
 {
-  HzbController *controller = lessee->controller;
+  HzbController *controller = leaseholder->controller;
   for (guint i = controller->machines->all->len; i-- > 0;)
     {
       HzbMachine *machine = controller->machines->all->pdata[i];
       double quiet = hzb_time_between (machine->last_report, now);
       if (quiet > 3 * controller->settings->report_s)
-        hzb_lessee_return_machine (lessee, machine, "it is silent");
+        hzb_leaseholder_return_machine (leaseholder, machine, "it is silent");
       else if (machine->unreachable)
-        hzb_lessee_return_machine (lessee, machine, "it does not seem to hear its answers");
+        hzb_leaseholder_return_machine (leaseholder, machine, "it does not seem to hear its answers");
       else if (machine->to_be_returned && machine->tasks->len == 0)
-        hzb_lessee_return_machine (lessee, machine, "it fails what it starts");
+        hzb_leaseholder_return_machine (leaseholder, machine, "it fails what it starts");
       else if (machine->state == HZB_MACHINE_DRAINING && machine->tasks->len == 0)
         {
           machine->to_be_returned = TRUE;
-          hzb_lessee_return_machine (lessee, machine, "the cloud takes it back");
+          hzb_leaseholder_return_machine (leaseholder, machine, "the cloud takes it back");
         }
       else if (machine->recall_requested
                && (machine->tasks->len == 0 || (machine->recall_at_once && machine->state == HZB_MACHINE_ACTIVE)))
-        hzb_lessee_return_machine (lessee, machine, "the leader asked for it");
+        hzb_leaseholder_return_machine (leaseholder, machine, "the leader asked for it");
       else if (machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len == 0 && hzb_machine_listed (machine) == 0
                && hzb_time_between (machine->idle_since, now) > IDLE_S)
-        hzb_lessee_return_machine (lessee, machine, "it has nothing to do");
+        hzb_leaseholder_return_machine (leaseholder, machine, "it has nothing to do");
     }
 }
 
 void
-hzb_lessee_tick (HzbLessee *lessee, struct timespec now)
+hzb_leaseholder_tick (HzbLeaseholder *leaseholder, struct timespec now)
 {
-  HzbController *controller = lessee->controller;
+  HzbController *controller = leaseholder->controller;
 
   if (hzb_election_leading (controller->election))
     return;
-  if (controller->ownership == HZB_OWNERSHIP_LESSEE
-      && (hzb_election_leader_term (controller->election) != hzb_token_leader (lessee->token)))
+  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER
+      && (hzb_election_leader_term (controller->election) != hzb_token_leader (leaseholder->token)))
     hzb_controller_end_leased (controller, "another leads");
-  if (controller->ownership == HZB_OWNERSHIP_LESSEE && !hzb_lessee_valid (lessee))
+  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER && !hzb_leaseholder_valid (leaseholder))
     hzb_controller_end_leased (controller, "the lease is over");
-  if (controller->ownership == HZB_OWNERSHIP_LESSEE && hzb_time_between (lessee->last_answer, now) > GIVE_UP_S)
+  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER
+      && hzb_time_between (leaseholder->last_answer, now) > GIVE_UP_S)
     hzb_controller_end_leased (controller, "the leader does not answer");
-  if (controller->ownership == HZB_OWNERSHIP_LESSEE)
+  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
     {
-      maintain_machines (lessee, now);
-      if (!hzb_time_before (now, lessee->next_maintenance))
+      maintain_machines (leaseholder, now);
+      if (!hzb_time_before (now, leaseholder->next_maintenance))
         {
-          lessee->next_maintenance = hzb_time_plus (now, MAINTAIN_EVERY_S);
-          return_unstarted_tasks (lessee, now);
+          leaseholder->next_maintenance = hzb_time_plus (now, MAINTAIN_EVERY_S);
+          return_unstarted_tasks (leaseholder, now);
         }
     }
-  if (hzb_election_leader (controller->election) && !lessee->asking && !hzb_time_before (now, lessee->next_ask))
+  if (hzb_election_leader (controller->election) && !leaseholder->asking
+      && !hzb_time_before (now, leaseholder->next_ask))
     {
-      lessee->next_ask = hzb_time_plus (now, ASK_S);
-      poll_leader (lessee, now);
+      leaseholder->next_ask = hzb_time_plus (now, ASK_S);
+      poll_leader (leaseholder, now);
     }
 }
 
-/* Called when ownership as a lessee begins or ends. */
+/* Called when ownership as a leaseholder begins or ends. */
 void
-hzb_lessee_clear (HzbLessee *lessee)
+hzb_leaseholder_clear (HzbLeaseholder *leaseholder)
 {
-  hzb_outbox_clear (&lessee->out);
-  lessee->in_number = 0;
+  hzb_outbox_clear (&leaseholder->out);
+  leaseholder->in_number = 0;
 }
--- a/src/machines.c
+++ b/src/machines.c
@@ -171,7 +171,7 @@
 {
   hzb_machine_set_token (machine, token);
   machine->recall_requested = machine->recall_at_once = FALSE;
-  machine->lessee = 0;
+  machine->leaseholder = 0;
   hzb_machine_set_state (machines, machine, HZB_MACHINE_UNVERIFIED, why);
 }
 
--- a/src/machines.h
+++ b/src/machines.h
@@ -34,7 +34,7 @@
   HZB_N_LEVELS
 } HzbLevel;
 
-/* Until it has answered, an unverified machine may hold tasks of its own only, of the shard of a lessee (1 and up) that
+/* Until it has answered, an unverified machine may hold tasks of its own only, of the shard of a leaseholder (1 and up) that
  * was taken back, or of an earlier leader. */
 #define HZB_UNKNOWN_TASKS_OF_LEADER 0u
 #define HZB_UNKNOWN_TASKS_OF_NOBODY 255u
@@ -50,7 +50,7 @@
   guint64 token;     /* the one under which it is answered */
   guint64 own_token; /* from this one on nobody but this owner has given it commands: what it reports under it is all */
   guint64 over_session;    /* this session has ended for certain: what still comes of it is late */
-  guint8 lessee;           /* 1 and up: whom it is leased to */
+  guint8 leaseholder;      /* 1 and up: whom it is leased to */
   guint8 unknown_tasks_of; /* while unverified: the shard whose unknown tasks may be on it, or HZB_SUSPECT_… */
   gboolean recall_requested, lease_sent;
   gboolean recall_at_once; /* with all that is on it */
--- a/src/peers.c
+++ b/src/peers.c
@@ -1,4 +1,4 @@
-/* Messages between controllers: a heartbeat once a second, and the polls of lessees.
+/* Messages between controllers: a heartbeat once a second, and the polls of leaseholders.
  *
  * Copies of old messages may come late, also from a process that has ended since. So each says which process sent it,
  * when that began, and counts: what is not the newest of its kind is refused, whoever it is from. */
--- a/src/peers.h
+++ b/src/peers.h
@@ -16,7 +16,7 @@
 typedef enum
 {
   HZB_PEER_HEARTBEAT,
-  HZB_PEER_SHARD_POLL, /* a lessee polls the leader */
+  HZB_PEER_SHARD_POLL, /* a leaseholder polls the leader */
   HZB_PEER_N_KINDS
 } HzbPeerKind;
 
--- a/src/provisioning.c
+++ b/src/provisioning.c
@@ -171,7 +171,7 @@
       HzbMachine *machine = controller->machines->all->pdata[i];
       double in_state = hzb_time_between (machine->since, now);
       if (machine->state == HZB_MACHINE_LEASED)
-        continue; /* its lessee is asked for it */
+        continue; /* its leaseholder is asked for it */
       if (machine->state == HZB_MACHINE_UNVERIFIED && in_state > controller->settings->lease_s + 2)
         machine->to_be_returned = TRUE; /* silence proves nothing: only the cloud can say that it is gone */
       if (machine->state == HZB_MACHINE_LEASE_EXPIRED && in_state > FORGET_SILENT_S)
--- a/src/shard-delegation.c
+++ b/src/shard-delegation.c
@@ -1,4 +1,4 @@
-/* Which unstarted tasks go to a lessee that has room, and which of its machines come back for a service. */
+/* Which unstarted tasks go to a leaseholder that has room, and which of its machines come back for a service. */
 #include "controller.h"
 #include "levels.h"
 #include "shard-leases-private.h"
@@ -15,13 +15,14 @@
 
 /* Some machine of the shard may hold such a task. */
 static gboolean
-shard_accepts (const HzbLesseeView *lessee, const HzbSpec *spec)
+shard_accepts (const HzbLeaseholderView *leaseholder, const HzbSpec *spec)
 {
-  for (guint i = 0; i < lessee->kinds->len; i++)
+  for (guint i = 0; i < leaseholder->kinds->len; i++)
     {
-      const HzbMachine *machine = lessee->kinds->pdata[i];
+      const HzbMachine *machine = leaseholder->kinds->pdata[i];
       /* It may have come back since the survey. */
-      if (machine->state == HZB_MACHINE_LEASED && machine->lessee == lessee->id && hzb_machine_allowed (machine, spec))
+      if (machine->state == HZB_MACHINE_LEASED && machine->leaseholder == leaseholder->id
+          && hzb_machine_allowed (machine, spec))
         return TRUE;
     }
   return FALSE;
@@ -42,9 +43,10 @@
   return task;
 }
 
-/* A lessee with room is as an idle machine is to a list: unstarted tasks move there. */
+/* A leaseholder with room is as an idle machine is to a list: unstarted tasks move there. */
 void
-hzb_shards_delegate (HzbShardLeases *shard_leases, HzbLesseeView *lessee, double room_cpus, struct timespec now)
+hzb_shards_delegate (HzbShardLeases *shard_leases, HzbLeaseholderView *leaseholder, double room_cpus,
+                     struct timespec now)
 {
   HzbController *controller = shard_leases->controller;
   g_autoptr (GPtrArray) order = g_ptr_array_new ();
@@ -65,7 +67,7 @@
     {
       HzbJob *job = order->pdata[i];
       guint at = 0;
-      gboolean holds = shard_accepts (lessee, job->spec) && !(job->start_overdue && (job->listed || job->placed));
+      gboolean holds = shard_accepts (leaseholder, job->spec) && !(job->start_overdue && (job->listed || job->placed));
       if (holds && job->cursor >= job->released)
         job->release_requested = TRUE;
       while (holds && n < MOST_PER_ANSWER && job->spec->cpus <= room_cpus
@@ -77,7 +79,7 @@
             break;
           if (!hzb_task_set_state (controller->jobs, task, HZB_TASK_DELEGATED, NULL))
             continue;
-          task->lessee = lessee->id;
+          task->leaseholder = leaseholder->id;
           hzb_dispatch_note_started (controller->dispatch, job);
           room_cpus -= MAX (job->spec->cpus, 0.01);
           n++;
@@ -92,13 +94,13 @@
     {
       cJSON *body = cJSON_CreateObject ();
       cJSON_AddItemToObject (body, "tasks", groups);
-      hzb_outbox_push (&lessee->out, body);
+      hzb_outbox_push (&leaseholder->out, body);
     }
 }
 
-/* Tasks of the team that could be stopped for a replica: on the leader's machines (0), or delegated to this lessee. */
+/* Tasks of the team that could be stopped for a replica: on the leader's machines (0), or delegated to this leaseholder. */
 static gboolean
-team_has_lower_work (const HzbController *controller, int team, guint8 lessee)
+team_has_lower_work (const HzbController *controller, int team, guint8 leaseholder)
 {
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
@@ -108,7 +110,8 @@
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
         {
           const HzbTask *task = &job->tasks[k];
-          if (lessee ? task->state == HZB_TASK_DELEGATED && task->lessee == lessee : hzb_task_on_machine (task))
+          if (leaseholder ? task->state == HZB_TASK_DELEGATED && task->leaseholder == leaseholder
+                          : hzb_task_on_machine (task))
             return TRUE;
         }
     }
@@ -118,14 +121,15 @@
 /* Guards against a service whose team is at its limit with all of its other work delegated: the leader can stop only what
  * runs in its own shard, so the service would wait until that work ends. */
 static gboolean
-service_waits_for_delegated_work (const HzbController *controller, const HzbLesseeView *lessee)
+service_waits_for_delegated_work (const HzbController *controller, const HzbLeaseholderView *leaseholder)
 {
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
       const HzbJob *job = controller->jobs->active->pdata[i];
       if (job->state == HZB_JOB_ACCEPTED && job->spec->service && (job->pending || job->listed)
           && !hzb_shard_fits (controller->shard, job->team, job->spec->cpus, job->spec->gpus)
-          && !team_has_lower_work (controller, job->team, 0) && team_has_lower_work (controller, job->team, lessee->id))
+          && !team_has_lower_work (controller, job->team, 0)
+          && team_has_lower_work (controller, job->team, leaseholder->id))
         return TRUE;
     }
   return FALSE;
@@ -133,17 +137,17 @@
 
 /* One machine at a time comes back with its tasks; which of them hold the team's the leader does not know. */
 void
-hzb_shards_recall_for_service (HzbShardLeases *shard_leases, const HzbLesseeView *lessee)
+hzb_shards_recall_for_service (HzbShardLeases *shard_leases, const HzbLeaseholderView *leaseholder)
 {
   const HzbController *controller = shard_leases->controller;
   HzbMachine *next = NULL;
 
-  if (!service_waits_for_delegated_work (controller, lessee))
+  if (!service_waits_for_delegated_work (controller, leaseholder))
     return;
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       HzbMachine *machine = controller->machines->all->pdata[i];
-      if (machine->state != HZB_MACHINE_LEASED || machine->lessee != lessee->id || !machine->lease_sent)
+      if (machine->state != HZB_MACHINE_LEASED || machine->leaseholder != leaseholder->id || !machine->lease_sent)
         continue;
       if (machine->recall_at_once)
         return; /* it is on its way */
--- a/src/shard-leases-private.h
+++ b/src/shard-leases-private.h
@@ -2,7 +2,7 @@
  * SECTION: shard-leases-private
  * @short_description: what the leader's side of leased shards shares among its files
  *
- * shard-leases.c exchanges messages with lessees, shard-machines.c decides which machine is in whose shard, and
+ * shard-leases.c exchanges messages with leaseholders, shard-machines.c decides which machine is in whose shard, and
  * shard-delegation.c which tasks go there.
  */
 #pragma once
@@ -11,7 +11,7 @@
 #include "shard-leases.h"
 #include "shard-messages.h"
 
-/** HzbLesseeView: the leader's view of one lessee. */
+/** HzbLeaseholderView: the leader's view of one leaseholder. */
 typedef struct
 {
   HzbShardLeases *shard_leases;
@@ -27,14 +27,14 @@
   double ran_s;                  /* of the task that the event at hand is about */
   gboolean holds;
   GPtrArray *kinds; /* as of the last survey: one HzbMachine of each kind in its shard */
-} HzbLesseeView;
+} HzbLeaseholderView;
 
 /* HzbShardLeases: */
 struct _HzbShardLeases
 {
   HzbController *controller;
-  GArray *lessees; /* HzbLesseeView */
-  guint tokens;    /* numbers used in this term */
+  GArray *leaseholders; /* HzbLeaseholderView */
+  guint tokens;         /* numbers used in this term */
   struct timespec next_hand_over;
   double *cpus; /* of each shard, the leader's own first; as of the last survey, and of what was leased since */
   /* Of the last survey: */
@@ -44,21 +44,22 @@
   gboolean only_leader_work_waits; /* what waits may run in the leader's shard only */
 };
 
-/** hzb_shard_leases_lessee: Returns: (nullable): the lessee of this number; 0 is the leader itself */
-static inline HzbLesseeView *
-hzb_shard_leases_lessee (HzbShardLeases *shard_leases, guint8 id)
+/** hzb_shard_leases_leaseholder: Returns: (nullable): the leaseholder of this number; 0 is the leader itself */
+static inline HzbLeaseholderView *
+hzb_shard_leases_leaseholder (HzbShardLeases *shard_leases, guint8 id)
 {
-  return id ? &g_array_index (shard_leases->lessees, HzbLesseeView, id - 1) : NULL;
+  return id ? &g_array_index (shard_leases->leaseholders, HzbLeaseholderView, id - 1) : NULL;
 }
 
 /**
  * hzb_shards_survey: looks at all machines and jobs, unless that was done a moment ago: which shard has how many CPUs and which
- * kinds of machines, what lessees have to be told of machines that are theirs, or are asked back.
+ * kinds of machines, what leaseholders have to be told of machines that are theirs, or are asked back.
  */
 void hzb_shards_survey (HzbShardLeases *shard_leases, struct timespec now);
 
-/** hzb_shards_delegate: moves unstarted tasks to a lessee that has room for so many CPUs' worth. */
-void hzb_shards_delegate (HzbShardLeases *shard_leases, HzbLesseeView *lessee, double room_cpus, struct timespec now);
+/** hzb_shards_delegate: moves unstarted tasks to a leaseholder that has room for so many CPUs' worth. */
+void hzb_shards_delegate (HzbShardLeases *shard_leases, HzbLeaseholderView *leaseholder, double room_cpus,
+                          struct timespec now);
 
 /** hzb_shards_recall_for_service: asks a machine back whose work keeps a service of the same team from starting. */
-void hzb_shards_recall_for_service (HzbShardLeases *shard_leases, const HzbLesseeView *lessee);
+void hzb_shards_recall_for_service (HzbShardLeases *shard_leases, const HzbLeaseholderView *leaseholder);
--- a/src/shard-leases.c
+++ b/src/shard-leases.c
@@ -1,39 +1,39 @@
 /* Shards that the leader leases to the other controllers: machines, and the unstarted tasks that they have room for.
  *
- * A lessee asks the leader twice a second; the answer renews its lease and brings, in numbered batches that are
+ * A leaseholder asks the leader twice a second; the answer renews its lease and brings, in numbered batches that are
  * repeated until they are acknowledged, machines, tasks and news of what has become durable. The question brings
  * events, numbered and repeated likewise: tasks finished, tasks given back, machines given back.
  *
- * Safety does not rest on the lease's time. A delegated task counts as running until the lessee gives it back or has
+ * Safety does not rest on the lease's time. A delegated task counts as running until the leaseholder gives it back or has
  * finished it. A shard that is taken back leaves its machines unverified, under a higher token, and its tasks unknown:
  * they start elsewhere only once every machine that might hold them has answered under that token or is gone. The
- * lessee starts what it was delegated on the shard's machines only, so there is nothing that this wait does not cover.
- * A lessee frees a task only by a newer report under its own token; of an unreachable machine it concludes nothing and
+ * leaseholder starts what it was delegated on the shard's machines only, so there is nothing that this wait does not cover.
+ * A leaseholder frees a task only by a newer report under its own token; of an unreachable machine it concludes nothing and
  * gives it back.
  *
- * This file is the leader's part; lessee.c is the other side. */
+ * This file is the leader's part; leaseholder.c is the other side. */
 #include "controller.h"
 #include "shard-leases-private.h"
 
 #define LEASE_S 10.0 /* as the design page starts with */
-#define MISSED_S 4.0 /* the leader takes a shard back when its lessee has not polled for so long */
+#define MISSED_S 4.0 /* the leader takes a shard back when its leaseholder has not polled for so long */
 
 HzbShardLeases *
 hzb_shard_leases_new (HzbController *controller)
 {
   HzbShardLeases *shard_leases = g_new0 (HzbShardLeases, 1);
   shard_leases->controller = controller;
-  shard_leases->lessees = g_array_new (FALSE, TRUE, sizeof (HzbLesseeView));
+  shard_leases->leaseholders = g_array_new (FALSE, TRUE, sizeof (HzbLeaseholderView));
   shard_leases->cpus = g_new0 (double, controller->settings->peers->len + 1);
   for (guint i = 0; i < controller->settings->peers->len; i++)
     {
-      HzbLesseeView lessee = { .shard_leases = shard_leases,
-                               .id = (guint8) (i + 1),
-                               .peer = controller->settings->peers->pdata[i] };
-      lessee.running = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-      lessee.leaving = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-      lessee.kinds = g_ptr_array_new ();
-      g_array_append_val (shard_leases->lessees, lessee);
+      HzbLeaseholderView leaseholder = { .shard_leases = shard_leases,
+                                         .id = (guint8) (i + 1),
+                                         .peer = controller->settings->peers->pdata[i] };
+      leaseholder.running = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+      leaseholder.leaving = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+      leaseholder.kinds = g_ptr_array_new ();
+      g_array_append_val (shard_leases->leaseholders, leaseholder);
     }
   return shard_leases;
 }
@@ -41,16 +41,16 @@
 void
 hzb_shard_leases_reset (HzbShardLeases *shard_leases)
 {
-  for (guint i = 0; i < shard_leases->lessees->len; i++)
+  for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     {
-      HzbLesseeView *lessee = &g_array_index (shard_leases->lessees, HzbLesseeView, i);
-      hzb_outbox_clear (&lessee->out);
-      g_clear_pointer (&lessee->incarnation, g_free);
-      g_hash_table_remove_all (lessee->running);
-      g_hash_table_remove_all (lessee->leaving);
-      lessee->token = lessee->in_number = lessee->acknowledged = 0;
-      lessee->holds = FALSE;
-      lessee->requests = lessee->steady_since = (struct timespec){ 0 };
+      HzbLeaseholderView *leaseholder = &g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i);
+      hzb_outbox_clear (&leaseholder->out);
+      g_clear_pointer (&leaseholder->incarnation, g_free);
+      g_hash_table_remove_all (leaseholder->running);
+      g_hash_table_remove_all (leaseholder->leaving);
+      leaseholder->token = leaseholder->in_number = leaseholder->acknowledged = 0;
+      leaseholder->holds = FALSE;
+      leaseholder->requests = leaseholder->steady_since = (struct timespec){ 0 };
     }
   shard_leases->tokens = 0;
   shard_leases->surveyed = (struct timespec){ 0 };
@@ -60,13 +60,13 @@
 hzb_shard_leases_free (HzbShardLeases *shard_leases)
 {
   hzb_shard_leases_reset (shard_leases);
-  for (guint i = 0; i < shard_leases->lessees->len; i++)
+  for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     {
-      g_hash_table_unref (g_array_index (shard_leases->lessees, HzbLesseeView, i).running);
-      g_hash_table_unref (g_array_index (shard_leases->lessees, HzbLesseeView, i).leaving);
-      g_ptr_array_unref (g_array_index (shard_leases->lessees, HzbLesseeView, i).kinds);
+      g_hash_table_unref (g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i).running);
+      g_hash_table_unref (g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i).leaving);
+      g_ptr_array_unref (g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i).kinds);
     }
-  g_array_unref (shard_leases->lessees);
+  g_array_unref (shard_leases->leaseholders);
   g_free (shard_leases->cpus);
   g_free (shard_leases);
 }
@@ -78,12 +78,12 @@
 }
 
 const char *
-hzb_shard_leases_lessee_name (HzbShardLeases *shard_leases, const HzbMachine *machine)
+hzb_shard_leases_leaseholder_name (HzbShardLeases *shard_leases, const HzbMachine *machine)
 {
-  return machine->lessee ? hzb_shard_leases_lessee (shard_leases, machine->lessee)->peer->node : NULL;
+  return machine->leaseholder ? hzb_shard_leases_leaseholder (shard_leases, machine->leaseholder)->peer->node : NULL;
 }
 
-/* A job's count of this lessee is no more part of the sum. */
+/* A job's count of this leaseholder is no more part of the sum. */
 static void
 subtract_count (HzbShardLeases *shard_leases, glong member, const char *uid, guint count)
 {
@@ -104,7 +104,7 @@
   g_hash_table_remove_all (counts);
 }
 
-/* What a lessee says of its tasks, by job, beside what the others say: a member of the job has the sum. What a partial message
+/* What a leaseholder says of its tasks, by job, beside what the others say: a member of the job has the sum. What a partial message
  * does not name stays as it was. */
 static void
 set_counts (HzbShardLeases *shard_leases, GHashTable *counts, glong member, const cJSON *said, gboolean partial)
@@ -127,17 +127,17 @@
 
 /* poll: NULL, nothing of it runs or leaves any more. */
 static void
-set_running (HzbShardLeases *shard_leases, HzbLesseeView *lessee, const cJSON *poll)
+set_running (HzbShardLeases *shard_leases, HzbLeaseholderView *leaseholder, const cJSON *poll)
 {
   gboolean partial = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (poll, "partial"));
-  set_counts (shard_leases, lessee->running, G_STRUCT_OFFSET (HzbJob, delegated_running),
+  set_counts (shard_leases, leaseholder->running, G_STRUCT_OFFSET (HzbJob, delegated_running),
               cJSON_GetObjectItemCaseSensitive (poll, "running"), partial);
-  set_counts (shard_leases, lessee->leaving, G_STRUCT_OFFSET (HzbJob, delegated_leaving),
+  set_counts (shard_leases, leaseholder->leaving, G_STRUCT_OFFSET (HzbJob, delegated_leaving),
               cJSON_GetObjectItemCaseSensitive (poll, "leaving"), partial);
 }
 
 static void
-reclaim_shard (HzbShardLeases *shard_leases, HzbLesseeView *lessee, const char *why)
+reclaim_shard (HzbShardLeases *shard_leases, HzbLeaseholderView *leaseholder, const char *why)
 {
   HzbController *controller = shard_leases->controller;
   guint64 token = hzb_shard_leases_next_token (shard_leases);
@@ -146,78 +146,79 @@
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       HzbMachine *machine = controller->machines->all->pdata[i];
-      if (machine->state != HZB_MACHINE_LEASED || machine->lessee != lessee->id)
+      if (machine->state != HZB_MACHINE_LEASED || machine->leaseholder != leaseholder->id)
         continue;
       hzb_machine_unverify (controller->machines, machine, token, why);
-      machine->unknown_tasks_of = lessee->id;
+      machine->unknown_tasks_of = leaseholder->id;
       machines++;
     }
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
       HzbJob *job = controller->jobs->active->pdata[i];
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
-        if (job->tasks[k].state == HZB_TASK_DELEGATED && job->tasks[k].lessee == lessee->id)
+        if (job->tasks[k].state == HZB_TASK_DELEGATED && job->tasks[k].leaseholder == leaseholder->id)
           {
             hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_UNKNOWN, NULL);
             tasks++;
           }
     }
-  set_running (shard_leases, lessee, NULL);
-  g_message ("block of %s is taken back with %u machines and %u tasks: %s", lessee->peer->node, machines, tasks, why);
-  hzb_outbox_clear (&lessee->out);
-  lessee->token = lessee->in_number = lessee->acknowledged = 0;
-  lessee->holds = FALSE;
-  lessee->steady_since = hzb_clock_now (controller->clock);
+  set_running (shard_leases, leaseholder, NULL);
+  g_message ("block of %s is taken back with %u machines and %u tasks: %s", leaseholder->peer->node, machines, tasks,
+             why);
+  hzb_outbox_clear (&leaseholder->out);
+  leaseholder->token = leaseholder->in_number = leaseholder->acknowledged = 0;
+  leaseholder->holds = FALSE;
+  leaseholder->steady_since = hzb_clock_now (controller->clock);
 }
 
 void
 hzb_shard_leases_announce_durable (HzbShardLeases *shard_leases, HzbTask *task)
 {
-  HzbLesseeView *lessee = hzb_shard_leases_lessee (shard_leases, task->lessee);
+  HzbLeaseholderView *leaseholder = hzb_shard_leases_leaseholder (shard_leases, task->leaseholder);
   cJSON *body;
 
-  task->lessee = 0;
-  if (!lessee || !lessee->token)
+  task->leaseholder = 0;
+  if (!leaseholder || !leaseholder->token)
     return;
-  body = hzb_outbox_unsent (&lessee->out, "durable");
+  body = hzb_outbox_unsent (&leaseholder->out, "durable");
   if (!body)
     {
       body = cJSON_CreateObject ();
       cJSON_AddObjectToObject (body, "durable");
-      hzb_outbox_push (&lessee->out, body);
+      hzb_outbox_push (&leaseholder->out, body);
     }
   hzb_tasks_add (cJSON_GetObjectItemCaseSensitive (body, "durable"), task);
 }
 
-/* A lessee's own replica of the records may be behind, or cut off. */
+/* A leaseholder's own replica of the records may be behind, or cut off. */
 void
 hzb_shard_leases_announce_cancellation (HzbShardLeases *shard_leases, HzbJob *job)
 {
-  if (job->announced_to_lessees)
+  if (job->announced_to_leaseholders)
     return;
-  job->announced_to_lessees = TRUE;
-  for (guint i = 0; i < shard_leases->lessees->len; i++)
+  job->announced_to_leaseholders = TRUE;
+  for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     {
-      HzbLesseeView *lessee = &g_array_index (shard_leases->lessees, HzbLesseeView, i);
+      HzbLeaseholderView *leaseholder = &g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i);
       cJSON *body;
-      if (!lessee->token)
+      if (!leaseholder->token)
         continue;
       body = cJSON_CreateObject ();
       cJSON_AddStringToObject (body, "cancelled", job->uid);
-      hzb_outbox_push (&lessee->out, body);
+      hzb_outbox_push (&leaseholder->out, body);
     }
 }
 
 gboolean
 hzb_shard_leases_all_acknowledged (HzbShardLeases *shard_leases, const HzbJob *job)
 {
-  for (guint i = 0; i < shard_leases->lessees->len; i++)
+  for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     {
-      const HzbLesseeView *lessee = &g_array_index (shard_leases->lessees, HzbLesseeView, i);
-      if (!hzb_outbox_holds (&lessee->out, "cancelled", job->uid))
+      const HzbLeaseholderView *leaseholder = &g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i);
+      if (!hzb_outbox_holds (&leaseholder->out, "cancelled", job->uid))
         continue;
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
-        if (job->tasks[k].state == HZB_TASK_DELEGATED && job->tasks[k].lessee == lessee->id)
+        if (job->tasks[k].state == HZB_TASK_DELEGATED && job->tasks[k].leaseholder == leaseholder->id)
           return FALSE;
     }
   return TRUE;
@@ -226,20 +227,20 @@
 static void
 task_finished (HzbTask *task, gpointer user)
 {
-  HzbLesseeView *lessee = user;
-  HzbShardLeases *shard_leases = lessee->shard_leases;
+  HzbLeaseholderView *leaseholder = user;
+  HzbShardLeases *shard_leases = leaseholder->shard_leases;
   HzbController *controller = shard_leases->controller;
   if (task->state == HZB_TASK_DONE)
     {
-      task->lessee = lessee->id; /* said again after a takeover: it may be reaped */
+      task->leaseholder = leaseholder->id; /* said again after a takeover: it may be reaped */
       hzb_shard_leases_announce_durable (shard_leases, task);
     }
   else if (task->state == HZB_TASK_FINISHED)
-    task->lessee = lessee->id; /* of a machine that was handed over with its result */
-  if (task->state != HZB_TASK_DELEGATED || task->lessee != lessee->id)
+    task->leaseholder = leaseholder->id; /* of a machine that was handed over with its result */
+  if (task->state != HZB_TASK_DELEGATED || task->leaseholder != leaseholder->id)
     return;
   task->job->did_well = TRUE;
-  hzb_jobs_record_run_time (controller->jobs, task->job, lessee->ran_s);
+  hzb_jobs_record_run_time (controller->jobs, task->job, leaseholder->ran_s);
   hzb_task_set_state (controller->jobs, task, HZB_TASK_FINISHED, NULL);
   task->job->dirty = TRUE;
   if (task->job->finished + task->job->done == task->job->n_tasks)
@@ -251,18 +252,18 @@
 static void
 task_returned (HzbTask *task, gpointer user)
 {
-  HzbLesseeView *lessee = user;
-  if (task->state == HZB_TASK_DELEGATED && task->lessee == lessee->id)
+  HzbLeaseholderView *leaseholder = user;
+  if (task->state == HZB_TASK_DELEGATED && task->leaseholder == leaseholder->id)
     {
-      hzb_task_set_state (lessee->shard_leases->controller->jobs, task, HZB_TASK_PENDING, NULL);
-      task->lessee = 0;
+      hzb_task_set_state (leaseholder->shard_leases->controller->jobs, task, HZB_TASK_PENDING, NULL);
+      task->leaseholder = 0;
     }
 }
 
 /* A machine that comes back with tasks: they are on it or nowhere, so nothing but its next report, or its end, is
  * waited for. */
 static void
-accept_returned_machine (HzbShardLeases *shard_leases, HzbLesseeView *lessee, HzbMachine *machine,
+accept_returned_machine (HzbShardLeases *shard_leases, HzbLeaseholderView *leaseholder, HzbMachine *machine,
                          const HzbMachineReturn *returned)
 {
   HzbController *controller = shard_leases->controller;
@@ -272,7 +273,7 @@
   machine->idle_since = hzb_clock_now (controller->clock);
   if (returned->sick)
     machine->to_be_returned = TRUE;
-  /* The lessee's reports were newer than any copy of one that may still come here. */
+  /* The leaseholder's reports were newer than any copy of one that may still come here. */
   if (returned->session >= machine->session)
     {
       machine->seq = returned->session > machine->session ? returned->seq : MAX (machine->seq, returned->seq);
@@ -282,30 +283,30 @@
     {
       const HzbHeldTask *held = &g_array_index (returned->lost, HzbHeldTask, i);
       HzbTask *task = hzb_tasks_find (controller->jobs, held->uid, held->number);
-      if (!task || task->state != HZB_TASK_DELEGATED || task->lessee != lessee->id)
+      if (!task || task->state != HZB_TASK_DELEGATED || task->leaseholder != leaseholder->id)
         continue;
       task->attempt = held->attempt;
-      task->lessee = 0;
+      task->leaseholder = 0;
       hzb_task_set_state (controller->jobs, task, HZB_TASK_STARTING, machine);
     }
 }
 
 static void
-handle_event (HzbShardLeases *shard_leases, HzbLesseeView *lessee, const cJSON *event)
+handle_event (HzbShardLeases *shard_leases, HzbLeaseholderView *leaseholder, const cJSON *event)
 {
   HzbController *controller = shard_leases->controller;
   g_autoptr (HzbMachineReturn) returned = hzb_machine_return_decode (event);
 
-  lessee->ran_s = hzb_json_number (event, "ranS", 0);
+  leaseholder->ran_s = hzb_json_number (event, "ranS", 0);
   hzb_tasks_each (shard_leases->controller->jobs, cJSON_GetObjectItemCaseSensitive (event, "finished"), task_finished,
-                  lessee);
+                  leaseholder);
   hzb_tasks_each (shard_leases->controller->jobs, cJSON_GetObjectItemCaseSensitive (event, "returned"), task_returned,
-                  lessee);
+                  leaseholder);
   if (returned)
     {
       HzbMachine *machine = hzb_machines_find (controller->machines, returned->name);
-      if (machine && machine->state == HZB_MACHINE_LEASED && machine->lessee == lessee->id)
-        accept_returned_machine (shard_leases, lessee, machine, returned);
+      if (machine && machine->state == HZB_MACHINE_LEASED && machine->leaseholder == leaseholder->id)
+        accept_returned_machine (shard_leases, leaseholder, machine, returned);
     }
 }
 
@@ -315,7 +316,7 @@
   HzbController *controller = shard_leases->controller;
   const char *node = hzb_json_text (root, "node"), *incarnation = hzb_json_text (root, "incarnation");
   struct timespec now = hzb_clock_now (controller->clock);
-  HzbLesseeView *lessee = NULL;
+  HzbLeaseholderView *leaseholder = NULL;
   const cJSON *event;
   cJSON *reply;
   guint64 token = hzb_json_u64 (root, "token");
@@ -323,63 +324,64 @@
 
   if (hzb_election_leading (controller->election))
     hzb_shards_survey (shard_leases, now);
-  for (guint i = 0; node && i < shard_leases->lessees->len; i++)
-    if (g_str_equal (g_array_index (shard_leases->lessees, HzbLesseeView, i).peer->node, node))
-      lessee = &g_array_index (shard_leases->lessees, HzbLesseeView, i);
-  if (!lessee || !incarnation || !hzb_election_leading (controller->election)
+  for (guint i = 0; node && i < shard_leases->leaseholders->len; i++)
+    if (g_str_equal (g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i).peer->node, node))
+      leaseholder = &g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i);
+  if (!leaseholder || !incarnation || !hzb_election_leading (controller->election)
       || controller->ownership < HZB_OWNERSHIP_RECOVERING)
     {
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("no blocks to lease here"), 0);
       return;
     }
-  if (g_strcmp0 (lessee->incarnation, incarnation) != 0)
+  if (g_strcmp0 (leaseholder->incarnation, incarnation) != 0)
     {
-      if (lessee->token)
-        reclaim_shard (shard_leases, lessee, "its controller has started anew");
-      g_free (lessee->incarnation);
-      lessee->incarnation = g_strdup (incarnation);
-      lessee->steady_since = now;
+      if (leaseholder->token)
+        reclaim_shard (shard_leases, leaseholder, "its controller has started anew");
+      g_free (leaseholder->incarnation);
+      leaseholder->incarnation = g_strdup (incarnation);
+      leaseholder->steady_since = now;
     }
-  if (hzb_time_is_set (lessee->requests) && hzb_time_between (lessee->requests, now) > MISSED_S)
-    lessee->steady_since = now;
-  lessee->requests = now;
-  if (token == lessee->token && token)
-    lessee->holds = TRUE;
-  else if (!token && lessee->holds)
-    reclaim_shard (shard_leases, lessee, "it has let go");
-  /* Guards against a lessee that holds the shard anew without what it was sent before (those of earlier versions could):
+  if (hzb_time_is_set (leaseholder->requests) && hzb_time_between (leaseholder->requests, now) > MISSED_S)
+    leaseholder->steady_since = now;
+  leaseholder->requests = now;
+  if (token == leaseholder->token && token)
+    leaseholder->holds = TRUE;
+  else if (!token && leaseholder->holds)
+    reclaim_shard (shard_leases, leaseholder, "it has let go");
+  /* Guards against a leaseholder that holds the shard anew without what it was sent before (those of earlier versions could):
    * nothing in it would ever be heard of again. */
-  if (token && token == lessee->token && hzb_json_u64 (root, "have") < lessee->acknowledged)
-    reclaim_shard (shard_leases, lessee, "it has lost what it held");
+  if (token && token == leaseholder->token && hzb_json_u64 (root, "have") < leaseholder->acknowledged)
+    reclaim_shard (shard_leases, leaseholder, "it has lost what it held");
   reply = cJSON_CreateObject ();
   answer.term = hzb_election_term (controller->election);
   if (cJSON_HasObjectItem (root, "cancelled"))
     cJSON_AddItemToObject (reply, "heard",
                            hzb_cancellations_handle_request (controller->cancellations,
                                                              cJSON_GetObjectItemCaseSensitive (root, "cancelled")));
-  answer.end = token && (!lessee->token || hzb_token_leader (token) != answer.term); /* what it holds was taken back */
+  answer.end =
+      token && (!leaseholder->token || hzb_token_leader (token) != answer.term); /* what it holds was taken back */
   if (!answer.end)
     {
       if (token)
         {
           /* An answer to an older question may have been lost: what it brought comes again. */
-          lessee->acknowledged = MAX (lessee->acknowledged, hzb_json_u64 (root, "have"));
-          hzb_outbox_acknowledged (&lessee->out, lessee->acknowledged);
+          leaseholder->acknowledged = MAX (leaseholder->acknowledged, hzb_json_u64 (root, "have"));
+          hzb_outbox_acknowledged (&leaseholder->out, leaseholder->acknowledged);
           cJSON_ArrayForEach (event, cJSON_GetObjectItemCaseSensitive (root, "events"))
-            if (hzb_json_u64 (event, "n") == lessee->in_number + 1)
+            if (hzb_json_u64 (event, "n") == leaseholder->in_number + 1)
               {
-                lessee->in_number++;
-                handle_event (shard_leases, lessee, event);
+                leaseholder->in_number++;
+                handle_event (shard_leases, leaseholder, event);
               }
-          set_running (shard_leases, lessee, root);
-          hzb_shards_recall_for_service (shard_leases, lessee);
+          set_running (shard_leases, leaseholder, root);
+          hzb_shards_recall_for_service (shard_leases, leaseholder);
           /* Only once it has all that was sent before, or its room would be filled twice. */
-          if (!lessee->out.waiting.length)
-            hzb_shards_delegate (shard_leases, lessee, hzb_json_number (root, "room", 0), now);
+          if (!leaseholder->out.waiting.length)
+            hzb_shards_delegate (shard_leases, leaseholder, hzb_json_number (root, "room", 0), now);
         }
-      answer.token = lessee->token;
-      answer.have = lessee->in_number;
-      cJSON_AddItemToObject (reply, "batches", hzb_outbox_pack (&lessee->out, G_MAXSIZE));
+      answer.token = leaseholder->token;
+      answer.have = leaseholder->in_number;
+      cJSON_AddItemToObject (reply, "batches", hzb_outbox_pack (&leaseholder->out, G_MAXSIZE));
     }
   hzb_shard_answer_encode (&answer, reply);
   {
@@ -395,9 +397,10 @@
   HzbController *controller = shard_leases->controller;
   cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "blocks");
 
-  for (guint i = 0; i <= shard_leases->lessees->len; i++)
+  for (guint i = 0; i <= shard_leases->leaseholders->len; i++)
     {
-      const HzbLesseeView *lessee = i ? &g_array_index (shard_leases->lessees, HzbLesseeView, i - 1) : NULL;
+      const HzbLeaseholderView *leaseholder =
+          i ? &g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i - 1) : NULL;
       cJSON *shard = cJSON_CreateObject ();
       guint n = 0, delegated = 0;
       double cpus = 0;
@@ -405,24 +408,24 @@
         {
           const HzbMachine *machine = controller->machines->all->pdata[k];
           if (machine->type
-              && (lessee ? machine->state == HZB_MACHINE_LEASED && machine->lessee == lessee->id
-                         : machine->state == HZB_MACHINE_ACTIVE))
+              && (leaseholder ? machine->state == HZB_MACHINE_LEASED && machine->leaseholder == leaseholder->id
+                              : machine->state == HZB_MACHINE_ACTIVE))
             {
               n++;
               cpus += machine->type->cpus;
             }
         }
-      for (guint k = 0; lessee && k < controller->jobs->active->len; k++)
+      for (guint k = 0; leaseholder && k < controller->jobs->active->len; k++)
         {
           const HzbJob *job = controller->jobs->active->pdata[k];
           for (guint t = 0; job->placed && t < job->n_tasks; t++)
-            delegated += job->tasks[t].state == HZB_TASK_DELEGATED && job->tasks[t].lessee == lessee->id;
+            delegated += job->tasks[t].state == HZB_TASK_DELEGATED && job->tasks[t].leaseholder == leaseholder->id;
         }
-      cJSON_AddStringToObject (shard, "holder", lessee ? lessee->peer->node : controller->settings->node);
-      hzb_json_add_u64 (shard, "token", lessee ? lessee->token : controller->shard->token);
+      cJSON_AddStringToObject (shard, "holder", leaseholder ? leaseholder->peer->node : controller->settings->node);
+      hzb_json_add_u64 (shard, "token", leaseholder ? leaseholder->token : controller->shard->token);
       cJSON_AddNumberToObject (shard, "machines", n);
       cJSON_AddNumberToObject (shard, "cpus", cpus);
-      if (lessee)
+      if (leaseholder)
         cJSON_AddNumberToObject (shard, "tasksGranted", delegated);
       cJSON_AddItemToArray (list, shard);
     }
@@ -434,10 +437,10 @@
 {
   HzbController *controller = shard_leases->controller;
 
-  for (guint i = 0; i < shard_leases->lessees->len && controller->ownership >= HZB_OWNERSHIP_RECOVERING; i++)
+  for (guint i = 0; i < shard_leases->leaseholders->len && controller->ownership >= HZB_OWNERSHIP_RECOVERING; i++)
     {
-      HzbLesseeView *lessee = &g_array_index (shard_leases->lessees, HzbLesseeView, i);
-      if (lessee->token && hzb_time_between (lessee->requests, now) > MISSED_S)
-        reclaim_shard (shard_leases, lessee, "its controller is silent");
+      HzbLeaseholderView *leaseholder = &g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i);
+      if (leaseholder->token && hzb_time_between (leaseholder->requests, now) > MISSED_S)
+        reclaim_shard (shard_leases, leaseholder, "its controller is silent");
     }
 }
--- a/src/shard-machines.c
+++ b/src/shard-machines.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-#define STEADY_S 3.0          /* a lessee is leased machines again once it has polled for so long */
+#define STEADY_S 3.0          /* a leaseholder is leased machines again once it has polled for so long */
 #define MOST_HANDED_OVER 400u /* tasks on a machine that changes hands: they have to fit a message when it comes back */
 #define UNLEVEL 0.7           /* a shard this much smaller than the leader's gets machines that work */
 #define HAND_OVER_EVERY_S 0.25 /* each costs its machine a second or so; of a large fleet more often: */
@@ -42,14 +42,14 @@
 }
 
 static void
-push_lease (HzbLesseeView *lessee, const HzbMachineLease *lease)
+push_lease (HzbLeaseholderView *leaseholder, const HzbMachineLease *lease)
 {
-  hzb_outbox_push (&lessee->out, hzb_machine_lease_encode (lease));
+  hzb_outbox_push (&leaseholder->out, hzb_machine_lease_encode (lease));
 }
 
-/* A lessee may start tasks on a machine as soon as it knows of it, so the machine is on record before. */
+/* A leaseholder may start tasks on a machine as soon as it knows of it, so the machine is on record before. */
 static void
-tell_of_leased_machine (HzbLesseeView *lessee, HzbMachine *machine)
+tell_of_leased_machine (HzbLeaseholderView *leaseholder, HzbMachine *machine)
 {
   g_autoptr (HzbMachineLease) lease = NULL;
 
@@ -57,12 +57,12 @@
     return;
   machine->lease_sent = TRUE;
   lease = hzb_machine_lease_new (machine);
-  push_lease (lessee, lease);
+  push_lease (leaseholder, lease);
 }
 
 /* Machines that are spare are asked back, and left where they are when there is work for them after all. */
 static void
-recall_or_keep (HzbLesseeView *lessee, HzbMachine *machine, gboolean all)
+recall_or_keep (HzbLeaseholderView *leaseholder, HzbMachine *machine, gboolean all)
 {
   gboolean back = all || machine->spare || machine->to_be_returned || machine->reserved || machine->recall_at_once;
   /* Replicas wait for its room: what runs there comes along, and can be stopped here. */
@@ -71,27 +71,27 @@
   if (machine->recall_requested == back || !machine->lease_sent)
     return;
   machine->recall_requested = back;
-  hzb_outbox_push (&lessee->out, hzb_recall_encode (&recall));
+  hzb_outbox_push (&leaseholder->out, hzb_recall_encode (&recall));
 }
 
 static void
 survey_machine (HzbShardLeases *shard_leases, HzbMachine *machine)
 {
   const HzbController *controller = shard_leases->controller;
-  HzbLesseeView *lessee =
-      machine->state == HZB_MACHINE_LEASED ? hzb_shard_leases_lessee (shard_leases, machine->lessee) : NULL;
+  HzbLeaseholderView *leaseholder =
+      machine->state == HZB_MACHINE_LEASED ? hzb_shard_leases_leaseholder (shard_leases, machine->leaseholder) : NULL;
 
-  if (machine->type && lessee)
-    shard_leases->cpus[machine->lessee] += machine->type->cpus;
+  if (machine->type && leaseholder)
+    shard_leases->cpus[machine->leaseholder] += machine->type->cpus;
   else if (machine->type && machine->state == HZB_MACHINE_ACTIVE)
     shard_leases->cpus[0] += machine->type->cpus;
-  if (!lessee)
+  if (!leaseholder)
     return;
-  tell_of_leased_machine (lessee, machine);
-  if (lessee->holds)
-    recall_or_keep (lessee, machine, shard_leases->gang_waits || !controller->lease_shards);
+  tell_of_leased_machine (leaseholder, machine);
+  if (leaseholder->holds)
+    recall_or_keep (leaseholder, machine, shard_leases->gang_waits || !controller->lease_shards);
   if (!machine->recall_requested)
-    hzb_machines_add_kind (lessee->kinds, machine);
+    hzb_machines_add_kind (leaseholder->kinds, machine);
 }
 
 /* Not at every report or poll: it looks at every machine. */
@@ -107,35 +107,35 @@
   shard_leases->generation = controller->machines->generation;
   shard_leases->gang_waits = gang_waits (controller);
   shard_leases->only_leader_work_waits = only_leader_work_waits (controller);
-  memset (shard_leases->cpus, 0, (shard_leases->lessees->len + 1) * sizeof *shard_leases->cpus);
-  for (guint i = 0; i < shard_leases->lessees->len; i++)
-    g_ptr_array_set_size (g_array_index (shard_leases->lessees, HzbLesseeView, i).kinds, 0);
+  memset (shard_leases->cpus, 0, (shard_leases->leaseholders->len + 1) * sizeof *shard_leases->cpus);
+  for (guint i = 0; i < shard_leases->leaseholders->len; i++)
+    g_ptr_array_set_size (g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i).kinds, 0);
   for (guint i = 0; i < controller->machines->all->len; i++)
     survey_machine (shard_leases, controller->machines->all->pdata[i]);
 }
 
-/* The lessee whose shard has the fewest CPUs, if fewer than the leader would then have times so much; or NULL. */
-static HzbLesseeView *
-smallest_lessee (HzbShardLeases *shard_leases, const HzbMachine *machine, double part, struct timespec now)
+/* The leaseholder whose shard has the fewest CPUs, if fewer than the leader would then have times so much; or NULL. */
+static HzbLeaseholderView *
+smallest_leaseholder (HzbShardLeases *shard_leases, const HzbMachine *machine, double part, struct timespec now)
 {
   const double *cpus = shard_leases->cpus;
   double own, least;
-  HzbLesseeView *best = NULL;
+  HzbLeaseholderView *best = NULL;
 
   hzb_shards_survey (shard_leases, now);
   own = cpus[0];
   /* One that works here already is leased only where that makes the shards more level. */
   least = part * (machine->state == HZB_MACHINE_ACTIVE ? own - machine->type->cpus : own);
-  for (guint i = 0; i < shard_leases->lessees->len; i++)
+  for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     {
-      HzbLesseeView *lessee = &g_array_index (shard_leases->lessees, HzbLesseeView, i);
-      if (!hzb_time_is_set (lessee->requests) || hzb_time_between (lessee->requests, now) > 1.5
-          || hzb_time_between (lessee->steady_since, now) < STEADY_S)
+      HzbLeaseholderView *leaseholder = &g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i);
+      if (!hzb_time_is_set (leaseholder->requests) || hzb_time_between (leaseholder->requests, now) > 1.5
+          || hzb_time_between (leaseholder->steady_since, now) < STEADY_S)
         continue;
-      if (cpus[lessee->id] < least)
+      if (cpus[leaseholder->id] < least)
         {
-          least = cpus[lessee->id];
-          best = lessee;
+          least = cpus[leaseholder->id];
+          best = leaseholder;
         }
     }
   return best;
@@ -151,16 +151,16 @@
 }
 
 static void
-lease_to (HzbShardLeases *shard_leases, HzbLesseeView *lessee, HzbMachine *machine)
+lease_to (HzbShardLeases *shard_leases, HzbLeaseholderView *leaseholder, HzbMachine *machine)
 {
-  if (!lessee->token || machine->token >= lessee->token)
-    lessee->token = hzb_shard_leases_next_token (shard_leases);
+  if (!leaseholder->token || machine->token >= leaseholder->token)
+    leaseholder->token = hzb_shard_leases_next_token (shard_leases);
   if (machine->state == HZB_MACHINE_ACTIVE)
     shard_leases->cpus[0] -= machine->type->cpus;
-  shard_leases->cpus[lessee->id] += machine->type->cpus;
-  machine->lessee = lessee->id;
+  shard_leases->cpus[leaseholder->id] += machine->type->cpus;
+  machine->leaseholder = leaseholder->id;
   machine->lease_sent = FALSE;
-  hzb_machine_set_state (shard_leases->controller->machines, machine, HZB_MACHINE_LEASED, lessee->peer->node);
+  hzb_machine_set_state (shard_leases->controller->machines, machine, HZB_MACHINE_LEASED, leaseholder->peer->node);
 }
 
 /* Shards are kept level: the leader feeds each with work as it has room, so waiting work is level as well. */
@@ -168,13 +168,13 @@
 hzb_shard_leases_lease_idle (HzbShardLeases *shard_leases, HzbMachine *machine)
 {
   HzbController *controller = shard_leases->controller;
-  HzbLesseeView *best;
+  HzbLeaseholderView *best;
 
   hzb_shards_survey (shard_leases, hzb_clock_now (controller->clock));
   if ((machine->state != HZB_MACHINE_BOOTING && machine->state != HZB_MACHINE_ACTIVE) || machine->tasks->len
       || hzb_machine_listed (machine) || machine->quarantined || !may_lease (shard_leases, machine))
     return NULL;
-  best = smallest_lessee (shard_leases, machine, 1, hzb_clock_now (controller->clock));
+  best = smallest_leaseholder (shard_leases, machine, 1, hzb_clock_now (controller->clock));
   if (!best)
     return NULL;
   lease_to (shard_leases, best, machine);
@@ -182,14 +182,14 @@
 }
 
 /* After a takeover the leader has every machine, and under load hardly one is ever without tasks. Such a machine goes
- * to a lessee with the names of all tasks that may be on it, those asked for in the last answer included; they count
- * as delegated. The lessee concludes nothing until the machine has reported under the shard's token. */
+ * to a leaseholder with the names of all tasks that may be on it, those asked for in the last answer included; they count
+ * as delegated. The leaseholder concludes nothing until the machine has reported under the shard's token. */
 const char *
 hzb_shard_leases_hand_over (HzbShardLeases *shard_leases, HzbMachine *machine)
 {
   HzbController *controller = shard_leases->controller;
   struct timespec now = hzb_clock_now (controller->clock);
-  HzbLesseeView *best;
+  HzbLeaseholderView *best;
   g_autoptr (HzbMachineLease) lease = NULL;
 
   hzb_shards_survey (shard_leases, now);
@@ -207,7 +207,7 @@
           || task->job->spec->same_zone || task->job->spec->spread || task->job->state != HZB_JOB_ACCEPTED)
         return NULL;
     }
-  best = smallest_lessee (shard_leases, machine, UNLEVEL, now);
+  best = smallest_leaseholder (shard_leases, machine, UNLEVEL, now);
   /* A higher token for the shard would have all its machines wait for their next reports. */
   if (!best || (best->token && machine->token >= best->token))
     return NULL;
@@ -221,7 +221,7 @@
       HzbTask *task = machine->tasks->pdata[machine->tasks->len - 1];
       guint before = machine->tasks->len;
       hzb_held_tasks_add (lease->holds, task);
-      task->lessee = best->id;
+      task->leaseholder = best->id;
       hzb_task_set_state (controller->jobs, task, HZB_TASK_DELEGATED, NULL);
       g_return_val_if_fail (machine->tasks->len < before, NULL);
     }
--- a/src/shard-messages.h
+++ b/src/shard-messages.h
@@ -1,6 +1,6 @@
 /**
  * SECTION: shard-messages
- * @short_description: what the leader and its lessees tell each other of machines, and its encoding
+ * @short_description: what the leader and its leaseholders tell each other of machines, and its encoding
  *
  * The one place that knows how these messages are written. Groups of tasks, which are merged while they wait to be sent, are
  * in outbox.h.
@@ -46,7 +46,7 @@
 /** hzb_machine_lease_decode: Returns: (transfer full) (nullable): NULL if the message leases no machine */
 HzbMachineLease *hzb_machine_lease_decode (const cJSON *message);
 
-/** HzbMachineReturn: a lessee gives a machine back. */
+/** HzbMachineReturn: a leaseholder gives a machine back. */
 typedef struct
 {
   char *name, *why;
--- a/src/shard.h
+++ b/src/shard.h
@@ -26,7 +26,7 @@
 }
 
 HzbShard *hzb_shard_new (const HzbSettings *settings, guint64 token);
-/* A lessee's shard: what its teams may use is what was delegated, and is counted by the leader. */
+/* A leaseholder's shard: what its teams may use is what was delegated, and is counted by the leader. */
 HzbShard *hzb_shard_new_leased (const HzbSettings *settings, guint64 token);
 void hzb_shard_free (HzbShard *shard);
 gboolean hzb_shard_fits (const HzbShard *shard, int team, double cpus, double gpus);
--- a/src/task.h
+++ b/src/task.h
@@ -16,7 +16,7 @@
   HZB_TASK_PENDING,     /* on no machine, in no list */
   HZB_TASK_LISTED,      /* in a machine's list */
   HZB_TASK_UNKNOWN,     /* may run on a machine that has not answered under our token */
-  HZB_TASK_OTHER_OWNER, /* in another shard (on a lessee only) */
+  HZB_TASK_OTHER_OWNER, /* in another shard (on a leaseholder only) */
   HZB_TASK_DELEGATED,   /* in a shard that is leased to another controller, which may run it (on the leader only) */
   HZB_TASK_BOOKED,      /* a place is held for it; the start order has not been sent */
   HZB_TASK_STARTING,    /* a start order was sent; no newer report yet */
@@ -36,7 +36,7 @@
   guint index;
   guint8 state; /* HzbTaskState, changed by hzb_task_set_state() only */
   guint8 tries;
-  guint8 lessee; /* 1 and up: whom it was delegated to */
+  guint8 leaseholder; /* 1 and up: whom it was delegated to */
   gboolean stopping : 1;
   guint seen; /* the machine's last round of reports that named it */
   guint64 attempt;
--- a/src/user-api.c
+++ b/src/user-api.c
@@ -110,7 +110,7 @@
     done = job->n_tasks;
   if (job->state != HZB_JOB_ACCEPTED)
     running = 0;
-  else if (!job->tasks || api->controller->jobs->lessee)
+  else if (!job->tasks || api->controller->jobs->leaseholder)
     {
       /* Only for display: what the owner last told its peers. */
       hzb_peers_task_counts (api->controller->peers, job->uid, &done, &running);
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -99,8 +99,8 @@
           job->failures = 0;
           job->did_well = TRUE;
           hzb_machine_note_success (machine);
-          if (controller->ownership == HZB_OWNERSHIP_LESSEE)
-            hzb_lessee_report_finished (controller->lessee, task, ran);
+          if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
+            hzb_leaseholder_report_finished (controller->leaseholder, task, ran);
           else if (job->finished + job->done == job->n_tasks)
             hzb_controller_record_completion (controller, job);
           else
@@ -129,7 +129,7 @@
 {
   gboolean over = hzb_time_between (controller->owner_since, now) > NOBODYS_AFTER_S;
 
-  if (controller->settings->reconciliation.enabled && controller->ownership != HZB_OWNERSHIP_LESSEE)
+  if (controller->settings->reconciliation.enabled && controller->ownership != HZB_OWNERSHIP_LEASEHOLDER)
     {
       HzbTaskVerdict verdict =
           hzb_reconciliation_judge_unrecorded (controller->reconciliation, machine, task_report, now);
@@ -229,7 +229,7 @@
   guint given = commands->len;
   HzbTaskVerdict verdict;
 
-  if (job && !over && !job->tasks && controller->ownership == HZB_OWNERSHIP_LESSEE)
+  if (job && !over && !job->tasks && controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
     hzb_jobs_activate (controller->jobs, job); /* a result that came with a machine that was handed over */
   if (!job || (!reported_task (job, task_report) && !over))
     {
@@ -294,7 +294,7 @@
 {
   if (machine->unreachable)
     return;
-  if (controller->ownership == HZB_OWNERSHIP_LESSEE)
+  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
     machine->unreachable = TRUE; /* it goes back to the leader, who can raise its token */
   else
     hzb_machine_mark_unreachable (machine, hzb_shard_leases_next_token (controller->shard_leases), now);
@@ -359,15 +359,15 @@
   hzb_exchange_reply (exchange, 503, hzb_wire_error ("an older report"), 0);
 }
 
-/* On a lessee: the machine, if it is in the shard and the shard is still ours. */
+/* On a leaseholder: the machine, if it is in the shard and the shard is still ours. */
 static HzbMachine *
 leased_machine (HzbController *controller, const HzbReport *report)
 {
   HzbMachine *machine =
-      hzb_lessee_valid (controller->lessee) ? hzb_machines_find (controller->machines, report->host) : NULL;
+      hzb_leaseholder_valid (controller->leaseholder) ? hzb_machines_find (controller->machines, report->host) : NULL;
   if (machine && report->token > machine->token)
     {
-      hzb_lessee_return_machine (controller->lessee, machine, "it has seen a newer token");
+      hzb_leaseholder_return_machine (controller->leaseholder, machine, "it has seen a newer token");
       return NULL;
     }
   return machine;
@@ -405,7 +405,7 @@
 own_machine (HzbController *controller, const HzbReport *report, HzbExchange *exchange)
 {
   guint64 term = hzb_election_term (controller->election);
-  const char *lessee = NULL;
+  const char *leaseholder = NULL;
   HzbMachine *machine;
 
   if (hzb_token_leader (report->token) > term)
@@ -439,12 +439,12 @@
   if (report->token > machine->token && machine->state != HZB_MACHINE_LEASED)
     hzb_machine_set_token (machine, hzb_shard_leases_next_token (controller->shard_leases));
   if (machine->state == HZB_MACHINE_LEASED)
-    lessee = hzb_shard_leases_lessee_name (controller->shard_leases, machine);
+    leaseholder = hzb_shard_leases_leaseholder_name (controller->shard_leases, machine);
   else if (report->task_reports->len == 0 && report->notice_s < 0)
-    lessee = hzb_shard_leases_lease_idle (controller->shard_leases, machine);
-  if (lessee)
+    leaseholder = hzb_shard_leases_lease_idle (controller->shard_leases, machine);
+  if (leaseholder)
     {
-      /* The lessee is told how far its reports have come, and only once it is on record. */
+      /* The leaseholder is told how far its reports have come, and only once it is on record. */
       if (report->session > machine->session || (report->session == machine->session && report->seq > machine->seq))
         {
           machine->session = report->session;
@@ -452,7 +452,7 @@
         }
       if (!machine->recorded)
         hzb_records_flush_soon (controller->records);
-      hzb_exchange_reply (exchange, 421, hzb_wire_redirect (lessee), 0);
+      hzb_exchange_reply (exchange, 421, hzb_wire_redirect (leaseholder), 0);
       return NULL;
     }
   return machine;
@@ -466,10 +466,10 @@
   g_autoptr (HzbReport) report = NULL;
   g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
   gboolean leads = hzb_election_leading (controller->election);
-  const char *lessee;
+  const char *leaseholder;
   HzbMachine *machine = NULL;
 
-  if (!leads && controller->ownership != HZB_OWNERSHIP_LESSEE)
+  if (!leads && controller->ownership != HZB_OWNERSHIP_LEASEHOLDER)
     {
       redirect (controller, exchange);
       return;
@@ -528,14 +528,15 @@
     {
       apply_report (controller, machine, report, now, commands);
       if (leads && report->notice_s < 0 && report->token == machine->token
-          && (lessee = hzb_shard_leases_hand_over (controller->shard_leases, machine)))
+          && (leaseholder = hzb_shard_leases_hand_over (controller->shard_leases, machine)))
         {
-          hzb_exchange_reply (exchange, 421, hzb_wire_redirect (lessee), 0);
+          hzb_exchange_reply (exchange, 421, hzb_wire_redirect (leaseholder), 0);
           return;
         }
       /* Starts only while nobody else can have been elected, or the lease is good; see docs/safety.md. */
       if (machine->ignored_answers < DEAF_AFTER
-          && (leads ? hzb_election_lease_valid (controller->election) : hzb_lessee_valid (controller->lessee)))
+          && (leads ? hzb_election_lease_valid (controller->election)
+                    : hzb_leaseholder_valid (controller->leaseholder)))
         hzb_dispatch_start_tasks (controller->dispatch, machine, now, commands);
     }
   else
--- a/tests/test-block-messages.c
+++ b/tests/test-block-messages.c
@@ -1,4 +1,4 @@
-/* Messages about machines between the leader and its lessees: as the versions before wrote them, and back. */
+/* Messages about machines between the leader and its leaseholders: as the versions before wrote them, and back. */
 #include "shard-messages.h"
 #include "wire.h"
 
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -135,10 +135,10 @@
 }
 
 static int
-a_lessee (Sim *sim)
+a_leaseholder (Sim *sim)
 {
   for (guint i = 0; i < SIM_NODES; i++)
-    if (sim->nodes[i].controller && sim->nodes[i].controller->ownership == HZB_OWNERSHIP_LESSEE
+    if (sim->nodes[i].controller && sim->nodes[i].controller->ownership == HZB_OWNERSHIP_LEASEHOLDER
         && sim->nodes[i].controller->machines->all->len >= 1)
       return (int) i;
   return -1;
@@ -171,21 +171,21 @@
         }
 }
 
-/* A lessee that the key-value store refuses does not see the cancellation: nobody is told before the leader has told it,
+/* A leaseholder that the key-value store refuses does not see the cancellation: nobody is told before the leader has told it,
  * and so nothing starts afterwards. */
 static void
-test_lessee_unaware (void)
+test_leaseholder_unaware (void)
 {
   guint told = 0;
   for (guint32 seed = 230; seed < 242; seed++)
     {
       Sim *sim = sim_new (seed);
-      int lessee;
+      int leaseholder;
       short_tasks (sim);
-      while ((lessee = a_lessee (sim)) < 0 && sim->now < 40)
+      while ((leaseholder = a_leaseholder (sim)) < 0 && sim->now < 40)
         sim_run (sim, sim->now + 0.5);
-      g_assert_cmpint (lessee, !=, -1);
-      sim->nodes[lessee].refused = TRUE;
+      g_assert_cmpint (leaseholder, !=, -1);
+      sim->nodes[leaseholder].refused = TRUE;
       sim_run (sim, sim->now + 0.3);
       cancel_all (sim);
       watch_holders (sim, 5);
@@ -198,21 +198,21 @@
   g_assert_cmpuint (told, >, 24); /* of 96, some of which are done before */
 }
 
-/* The leader ends, and a lessee that nobody reaches goes on for a while: what the next leader can't rule out there is
+/* The leader ends, and a leaseholder that nobody reaches goes on for a while: what the next leader can't rule out there is
  * not called cancelled yet. */
 static void
-test_lessee_left_alone (void)
+test_leaseholder_left_alone (void)
 {
   for (guint32 seed = 242; seed < 254; seed++)
     {
       Sim *sim = sim_new (seed);
-      int lessee, leader;
+      int leaseholder, leader;
       short_tasks (sim);
-      while ((lessee = a_lessee (sim)) < 0 && sim->now < 40)
+      while ((leaseholder = a_leaseholder (sim)) < 0 && sim->now < 40)
         sim_run (sim, sim->now + 0.5);
-      g_assert_cmpint (lessee, !=, -1);
+      g_assert_cmpint (leaseholder, !=, -1);
       leader = sim_leader (sim);
-      sim->nodes[lessee].refused = sim->nodes[lessee].cut_peers = TRUE;
+      sim->nodes[leaseholder].refused = sim->nodes[leaseholder].cut_peers = TRUE;
       sim_crash (sim, (guint) leader);
       cancel_all (sim);
       watch_holders (sim, 15);
@@ -441,8 +441,8 @@
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
   g_test_add_func ("/cluster/gap", test_gap);
   g_test_add_func ("/cluster/told-at-once", test_told_at_once);
-  g_test_add_func ("/cluster/lessee-unaware", test_lessee_unaware);
-  g_test_add_func ("/cluster/lessee-left-alone", test_lessee_left_alone);
+  g_test_add_func ("/cluster/lessee-unaware", test_leaseholder_unaware);
+  g_test_add_func ("/cluster/lessee-left-alone", test_leaseholder_left_alone);
   g_test_add_func ("/cluster/any-two", test_any_two);
   g_test_add_func ("/cluster/cancel-at-end", test_cancel_at_end);
   return g_test_run ();
--- a/tests/test-forgotten.c
+++ b/tests/test-forgotten.c
@@ -173,11 +173,11 @@
 /* ---- messages between controllers ---- */
 
 static guint
-lessees (const Sim *sim)
+leaseholders (const Sim *sim)
 {
   guint n = 0;
   for (guint i = 0; i < SIM_NODES; i++)
-    n += sim->nodes[i].controller && sim->nodes[i].controller->ownership == HZB_OWNERSHIP_LESSEE;
+    n += sim->nodes[i].controller && sim->nodes[i].controller->ownership == HZB_OWNERSHIP_LEASEHOLDER;
   return n;
 }
 
@@ -188,7 +188,7 @@
 }
 
 /* Hundreds of machines with dozens of tasks each fall silent together, while for a moment the leader can't be asked: what
- * their lessees have to say fits no single request, and no shard is lost for that. */
+ * their leaseholders have to say fits no single request, and no shard is lost for that. */
 static void
 test_much_to_say (void)
 {
@@ -198,7 +198,7 @@
   for (guint i = 0; i < 60; i++)
     sim_add_job (sim, 1 + 0.1 * i, i % 2 ? "red" : "blue", 150, 0.25, 300);
   sim_run (sim, 40);
-  g_assert_cmpuint (lessees (sim), ==, SIM_NODES - 1);
+  g_assert_cmpuint (leaseholders (sim), ==, SIM_NODES - 1);
   for (guint i = 0; i < sim->machines->len; i++)
     ((SimMachine *) sim->machines->pdata[i])->cut = i % 3 > 0;
   for (guint i = 0; i < 60; i++) /* silent after three reports of 5 s */
@@ -207,7 +207,7 @@
       sim_run (sim, sim->now + 0.5);
     }
   cut_leader_from_peers (sim, FALSE);
-  g_assert_cmpuint (lessees (sim), ==, SIM_NODES - 1);
+  g_assert_cmpuint (leaseholders (sim), ==, SIM_NODES - 1);
   g_assert_cmpuint (sim->oversized_requests, ==, 0);
   expect_no_fault (sim, "much to say", 350);
   sim_free (sim);
--- a/tests/test-leases.c
+++ b/tests/test-leases.c
@@ -37,23 +37,23 @@
 }
 
 static guint
-node_of_lessee (Sim *sim, const SimMachine *machine)
+node_of_leaseholder (Sim *sim, const SimMachine *machine)
 {
   HzbController *controller = sim->nodes[sim_leader (sim)].controller;
-  const char *name =
-      hzb_shard_leases_lessee_name (controller->shard_leases, hzb_machines_find (controller->machines, machine->name));
+  const char *name = hzb_shard_leases_leaseholder_name (controller->shard_leases,
+                                                        hzb_machines_find (controller->machines, machine->name));
   return (guint) (name[strlen (name) - 1] - '0');
 }
 
-/* A lessee ends: its shard goes back to the leader, and what runs on its machines runs on. */
+/* A leaseholder ends: its shard goes back to the leader, and what runs on its machines runs on. */
 static void
-test_lessee_ends (void)
+test_leaseholder_ends (void)
 {
   Sim *sim = sim_new (40);
   SimMachine *machine = run_until_lent (sim);
   guint64 session = machine->session;
   guint tasks = machine->tasks->len;
-  sim_crash (sim, node_of_lessee (sim, machine));
+  sim_crash (sim, node_of_leaseholder (sim, machine));
   sim_run (sim, sim->now + 9);
   g_assert_cmpuint (machine->session, ==, session); /* its lease lived */
   g_assert_cmpuint (machine->tasks->len, >=, tasks > 0);
@@ -63,16 +63,16 @@
   sim_free (sim);
 }
 
-/* A lessee is cut off from the leader but not from its machines: it goes on under its token, while the leader takes
+/* A leaseholder is cut off from the leader but not from its machines: it goes on under its token, while the leader takes
  * the shard back. Nothing of it starts elsewhere until every machine has answered the leader. */
 static void
-test_lessee_cut_off (void)
+test_leaseholder_cut_off (void)
 {
   for (guint32 seed = 41; seed < 47; seed++)
     {
       Sim *sim = sim_new (seed);
       SimMachine *machine = run_until_lent (sim);
-      guint at = node_of_lessee (sim, machine);
+      guint at = node_of_leaseholder (sim, machine);
       HzbController *controller = sim->nodes[sim_leader (sim)].controller;
       guint64 token = hzb_machines_find (controller->machines, machine->name)->token, seen = machine->token;
       HzbMachine *known;
@@ -80,7 +80,7 @@
       sim_run (sim, sim->now + 6);
       known = hzb_machines_find (controller->machines, machine->name);
       g_assert_nonnull (known);
-      /* Nothing that the old lessee sends is obeyed once the machine has heard the leader. */
+      /* Nothing that the old leaseholder sends is obeyed once the machine has heard the leader. */
       g_assert_cmpint (known->state, !=, HZB_MACHINE_LEASED);
       g_assert_cmpuint (known->token, >, MAX (token, seen));
       sim_run (sim, sim->now + 14);
@@ -93,7 +93,7 @@
 
 /* The leader ends: the next one hears every machine, leased or not, before it starts what might run. */
 static void
-test_leader_of_lessees_ends (void)
+test_leader_of_leaseholders_ends (void)
 {
   for (guint32 seed = 47; seed < 53; seed++)
     {
@@ -202,7 +202,7 @@
   sim_free (sim);
 }
 
-/* A leader can't be asked for a while, and then answers slowly: the lessee has given its shard up by then. It is not a lessee
+/* A leader can't be asked for a while, and then answers slowly: the leaseholder has given its shard up by then. It is not a leaseholder
  * again by that answer, without all that it was sent before. */
 static void
 test_answer_after_giving_up (void)
@@ -210,27 +210,27 @@
   for (guint32 seed = 90; seed < 106; seed++)
     {
       Sim *sim = sim_new (seed);
-      int lessee = -1;
+      int leaseholder = -1;
       guint leader;
       for (guint i = 0; i < 10; i++)
         sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 40, 1, 10)->type = "small";
-      while (lessee < 0 && sim->now < 40)
+      while (leaseholder < 0 && sim->now < 40)
         {
           sim_run (sim, sim->now + 0.5);
           for (guint i = 0; i < SIM_NODES; i++)
-            if (sim->nodes[i].controller->ownership == HZB_OWNERSHIP_LESSEE
+            if (sim->nodes[i].controller->ownership == HZB_OWNERSHIP_LEASEHOLDER
                 && sim->nodes[i].controller->machines->all->len >= 1)
-              lessee = (int) i;
+              leaseholder = (int) i;
         }
-      g_assert_cmpint (lessee, !=, -1);
+      g_assert_cmpint (leaseholder, !=, -1);
       leader = (guint) MAX (sim_leader (sim), 0);
       sim_run (sim, sim->now + g_rand_double_range (sim->rand, 0, 2));
-      sim->nodes[lessee].peer_answer_delay_s = 1.35;
+      sim->nodes[leaseholder].peer_answer_delay_s = 1.35;
       sim->nodes[leader].refuses_peers = TRUE;
       sim_run (sim, sim->now + 3.6);
       sim->nodes[leader].refuses_peers = FALSE;
       sim_run (sim, sim->now + 4);
-      sim->nodes[lessee].peer_answer_delay_s = 0;
+      sim->nodes[leaseholder].peer_answer_delay_s = 0;
       for (guint i = 0; i < sim->jobs->len; i++)
         {
           SimJob *job = sim->jobs->pdata[i];
@@ -249,9 +249,9 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/cluster/lessee-ends", test_lessee_ends);
-  g_test_add_func ("/cluster/lessee-cut-off", test_lessee_cut_off);
-  g_test_add_func ("/cluster/leader-of-lessees-ends", test_leader_of_lessees_ends);
+  g_test_add_func ("/cluster/lessee-ends", test_leaseholder_ends);
+  g_test_add_func ("/cluster/lessee-cut-off", test_leaseholder_cut_off);
+  g_test_add_func ("/cluster/leader-of-lessees-ends", test_leader_of_leaseholders_ends);
   g_test_add_func ("/cluster/hand-over", test_hand_over);
   g_test_add_func ("/cluster/own-work", test_own_work);
   g_test_add_func ("/cluster/leases-and-failures", test_leases_and_failures);
--- a/tests/test-scale.c
+++ b/tests/test-scale.c
@@ -169,7 +169,7 @@
   sim_run (sim, sim->now + 3);
   g_assert_false (hzb_election_leading (sim->nodes[old].controller->election));
   g_assert_cmpint (sim_leader (sim), !=, -1);
-  /* And a lessee. */
+  /* And a leaseholder. */
   old = (sim_leader (sim) + 1) % SIM_NODES;
   sim->nodes[old].paused = TRUE;
   sim_run (sim, sim->now + 13);
