--- a/src/cancellations.c
+++ b/src/cancellations.c
@@ -5,7 +5,7 @@
  * the leases of tasks whose cancellation it can't see, for as long as the outage lasts. So whoever is to tell a user
  * asks the owner, with the question that a leaseholder asks anyway; that needs no key-value store. The owner takes the
  * cancellation from the question (its record is durable and never changes) and answers which of the jobs it has heard
- * of for good: nothing of them may be on a machine that has not answered under its token, and each leaseholder that was
+ * of for good: nothing of them may be on a machine that has not answered under its fencing token, and each leaseholder that was
  * delegated a task of them has acknowledged it.
  *
  * The answer holds if no later owner exists: this node's replica must have come as far as the job's record, and the
--- a/src/controller.c
+++ b/src/controller.c
@@ -204,7 +204,8 @@
 begin_ownership (HzbController *controller)
 {
   controller->ownership_epoch++;
-  controller->shard = hzb_shard_new (controller->settings, hzb_token (hzb_election_term (controller->election), 0));
+  controller->shard =
+      hzb_shard_new (controller->settings, hzb_fencing_token (hzb_election_term (controller->election), 0));
   hzb_shard_leases_reset (controller->shard_leases);
   hzb_records_reset (controller->records);
   hzb_reconciliation_reset (controller->reconciliation);
@@ -231,10 +232,10 @@
 }
 
 void
-hzb_controller_begin_leased (HzbController *controller, guint64 token)
+hzb_controller_begin_leased (HzbController *controller, guint64 fencing_token)
 {
   controller->ownership_epoch++;
-  controller->shard = hzb_shard_new_leased (controller->settings, token);
+  controller->shard = hzb_shard_new_leased (controller->settings, fencing_token);
   controller->jobs->leaseholder = TRUE;
   controller->owner_since = hzb_clock_now (controller->clock);
   hzb_machines_clear (controller->machines);
@@ -377,7 +378,7 @@
   if (hzb_election_leading (controller->election))
     hzb_controller_end_leased (controller, "this node leads now");
   if (hzb_election_leading (controller->election) && controller->ownership != HZB_OWNERSHIP_NONE
-      && hzb_token_leader (controller->shard->token) != hzb_election_term (controller->election))
+      && hzb_fencing_token_term (controller->shard->fencing_token) != hzb_election_term (controller->election))
     end_ownership (controller); /* elected anew before the loss was seen */
   if (hzb_election_leading (controller->election) && controller->ownership == HZB_OWNERSHIP_NONE
       && hzb_kv_replica_state (controller->kv_replica) == HZB_KV_REPLICA_FOLLOWING
--- a/src/controller.h
+++ b/src/controller.h
@@ -107,7 +107,7 @@
 HzbEpochCall *hzb_epoch_call_new (HzbController *controller, gpointer data);
 
 /** hzb_controller_begin_leased: this node owns a shard that the leader leased to it. */
-void hzb_controller_begin_leased (HzbController *controller, guint64 token);
+void hzb_controller_begin_leased (HzbController *controller, guint64 fencing_token);
 
 /** hzb_controller_end_leased: no more. Does nothing if it was not a leaseholder. */
 void hzb_controller_end_leased (HzbController *controller, const char *why);
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -422,8 +422,8 @@
       job->pending = job->n_tasks;
       job->release_requested = job->spec->gang || job->spec->service; /* which need all of them at once */
     }
-  /* Tokens are never used twice, so neither are attempts. */
-  job->next_attempt = jobs->shard->token << 17;
+  /* fencing tokens are never used twice, so neither are attempts. */
+  job->next_attempt = jobs->shard->fencing_token << 17;
   waited = hzb_time_between (job->accepted, hzb_clock_wall (jobs->clock));
   job->since = hzb_time_plus (now, -CLAMP (waited, 0, 86400));
   g_message ("job %s (%s, %s): %u tasks of %g CPUs, %g GB, %g s expected, image %s", job->uid, job->spec->job_class,
--- a/src/leaseholder.c
+++ b/src/leaseholder.c
@@ -26,7 +26,7 @@
   HzbController *controller;
   gboolean asking;
   guint64 asked_epoch; /* the ownership in which the poll on its way was sent */
-  guint64 token, in_number;
+  guint64 fencing_token, in_number;
   HzbOutbox out;
   guint next_counted; /* of the jobs whose counts are told in turn */
   struct timespec requests, next_ask, next_maintenance, last_answer, valid_until;
@@ -162,7 +162,7 @@
   hzb_task_set_state (jobs, task, held->runs ? HZB_TASK_RUNNING : HZB_TASK_FETCHING, machine);
 }
 
-/* A machine, with the tasks that may be on it. Nothing is concluded from it until it has reported under our token. */
+/* A machine, with the tasks that may be on it. Nothing is concluded from it until it has reported under our fencing token. */
 static void
 receive_machine (HzbLeaseholder *leaseholder, HzbMachineLease *lease)
 {
@@ -177,7 +177,7 @@
   machine = hzb_machines_add (controller->machines, lease->name, lease->addr, lease->type, lease->zone, lease->spot,
                               lease->holds ? HZB_MACHINE_UNVERIFIED : HZB_MACHINE_BOOTING);
   machine->recorded = machine->known_to_cloud = TRUE;
-  hzb_machine_set_token (machine, leaseholder->token);
+  hzb_machine_set_fencing_token (machine, leaseholder->fencing_token);
   machine->session = lease->session;
   machine->seq = lease->seq;
   machine->last_report = hzb_clock_now (controller->clock);
@@ -247,14 +247,14 @@
 
 /* The shard's term was raised: nothing is concluded from its machines until they have reported under it. */
 static void
-raise_token (HzbLeaseholder *leaseholder, guint64 token)
+raise_fencing_token (HzbLeaseholder *leaseholder, guint64 fencing_token)
 {
   HzbController *controller = leaseholder->controller;
-  leaseholder->token = controller->shard->token = token;
+  leaseholder->fencing_token = controller->shard->fencing_token = fencing_token;
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       HzbMachine *machine = controller->machines->all->pdata[i];
-      hzb_machine_set_token (machine, token);
+      hzb_machine_set_fencing_token (machine, fencing_token);
     }
 }
 
@@ -297,18 +297,18 @@
       hzb_controller_end_leased (controller, "the leader took the block back");
       return;
     }
-  if (!answer->token)
+  if (!answer->fencing_token)
     return;
   if (controller->ownership == HZB_OWNERSHIP_NONE
       && hzb_kv_replica_state (controller->kv_replica) == HZB_KV_REPLICA_FOLLOWING)
     {
-      leaseholder->token = answer->token;
-      hzb_controller_begin_leased (controller, answer->token);
+      leaseholder->fencing_token = answer->fencing_token;
+      hzb_controller_begin_leased (controller, answer->fencing_token);
     }
   else if (controller->ownership != HZB_OWNERSHIP_LEASEHOLDER)
     return;
-  else if (answer->token > leaseholder->token)
-    raise_token (leaseholder, answer->token);
+  else if (answer->fencing_token > leaseholder->fencing_token)
+    raise_fencing_token (leaseholder, answer->fencing_token);
   leaseholder->last_answer = hzb_clock_now (controller->clock);
   /* From when it was asked for: after standing still the answer may be old. */
   leaseholder->valid_until = hzb_time_plus (leaseholder->requests, answer->lease_s);
@@ -421,7 +421,7 @@
     cJSON_AddItemToObject (root, "cancelled", cancelled);
   if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
     {
-      hzb_json_add_u64 (root, "token", leaseholder->token);
+      hzb_json_add_u64 (root, "token", leaseholder->fencing_token);
       hzb_json_add_u64 (root, "have", leaseholder->in_number);
       cJSON_AddItemToObject (root, "events", hzb_outbox_pack (&leaseholder->out, MAX_EVENT_BYTES));
       cJSON_AddNumberToObject (root, "room", hzb_leaseholder_valid (leaseholder) ? room (controller) : 0);
@@ -532,7 +532,7 @@
   if (hzb_election_leading (controller->election))
     return;
   if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER
-      && (hzb_election_leader_term (controller->election) != hzb_token_leader (leaseholder->token)))
+      && (hzb_election_leader_term (controller->election) != hzb_fencing_token_term (leaseholder->fencing_token)))
     hzb_controller_end_leased (controller, "another leads");
   if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER && !hzb_leaseholder_valid (leaseholder))
     hzb_controller_end_leased (controller, "the lease is over");
--- a/src/machines.c
+++ b/src/machines.c
@@ -150,26 +150,26 @@
 }
 
 void
-hzb_machine_set_token (HzbMachine *machine, guint64 token)
+hzb_machine_set_fencing_token (HzbMachine *machine, guint64 fencing_token)
 {
-  machine->token = machine->own_token = token;
+  machine->fencing_token = machine->first_exclusive_fencing_token = fencing_token;
   machine->verified = machine->unreachable = FALSE;
   machine->ignored_answers = 0;
 }
 
 void
-hzb_machine_mark_unreachable (HzbMachine *machine, guint64 token, struct timespec now)
+hzb_machine_mark_unreachable (HzbMachine *machine, guint64 fencing_token, struct timespec now)
 {
   g_message ("machine %s does not seem to hear its answers", machine->name);
-  machine->token = token;
+  machine->fencing_token = fencing_token;
   machine->unreachable = TRUE;
   machine->unreachable_since = now;
 }
 
 void
-hzb_machine_unverify (HzbMachines *machines, HzbMachine *machine, guint64 token, const char *why)
+hzb_machine_unverify (HzbMachines *machines, HzbMachine *machine, guint64 fencing_token, const char *why)
 {
-  hzb_machine_set_token (machine, token);
+  hzb_machine_set_fencing_token (machine, fencing_token);
   machine->recall_requested = machine->recall_at_once = FALSE;
   machine->leaseholder = 0;
   hzb_machine_set_state (machines, machine, HZB_MACHINE_UNVERIFIED, why);
--- a/src/machines.h
+++ b/src/machines.h
@@ -8,10 +8,10 @@
 
 typedef enum
 {
-  HZB_MACHINE_BOOTING,       /* rented, its worker has not reported */
-  HZB_MACHINE_UNVERIFIED,    /* an earlier owner may have started tasks on it; it has not answered under our token */
-  HZB_MACHINE_ACTIVE,        /* its last report was sent under our token */
-  HZB_MACHINE_LEASED,        /* in a shard that is leased to another controller */
+  HZB_MACHINE_BOOTING,    /* rented, its worker has not reported */
+  HZB_MACHINE_UNVERIFIED, /* an earlier owner may have started tasks on it; it has not answered under our fencing token */
+  HZB_MACHINE_ACTIVE,     /* its last report was sent under our fencing token */
+  HZB_MACHINE_LEASED,     /* in a shard that is leased to another controller */
   HZB_MACHINE_LEASE_EXPIRED, /* its lease is over: it has no tasks */
   HZB_MACHINE_DRAINING,      /* takes no more tasks */
   HZB_MACHINE_RETURNING,     /* the cloud has been told; until it confirms the machine may still run */
@@ -47,8 +47,9 @@
   gboolean spot;
   HzbMachineState state; /* changed by hzb_machine_set_state() only */
   guint64 session, seq;
-  guint64 token;     /* the one under which it is answered */
-  guint64 own_token; /* from this one on nobody but this owner has given it commands: what it reports under it is all */
+  guint64 fencing_token; /* the one under which it is answered */
+  guint64
+      first_exclusive_fencing_token; /* from this one on nobody but this owner has given it commands: what it reports under it is all */
   guint64 over_session;    /* this session has ended for certain: what still comes of it is late */
   guint8 leaseholder;      /* 1 and up: whom it is leased to */
   guint8 unknown_tasks_of; /* while unverified: the shard whose unknown tasks may be on it, or HZB_SUSPECT_… */
@@ -56,12 +57,13 @@
   gboolean recall_at_once; /* with all that is on it */
   struct timespec rented;  /* or, of a machine found in the records, first known */
   struct timespec since, last_answer, last_report, idle_since, notice_at;
-  gboolean verified; /* a report sent under our token has come */
+  gboolean verified; /* a report sent under our fencing token has come */
   gboolean
       known_to_cloud; /* rented by us, on record, or in the cloud's list: a report alone may be a copy of one long gone */
   guint quarantined;     /* tasks that its last report showed, which no record names and which are left alone */
   guint ignored_answers; /* reports in a row that show none of the starts that they should */
-  gboolean unreachable;  /* answers do not seem to reach it; it takes no work until it shows the token raised since */
+  gboolean
+      unreachable; /* answers do not seem to reach it; it takes no work until it shows the fencing token raised since */
   struct timespec unreachable_since;
   gboolean recorded, recording;
   guint page;                                        /* of the owner's records; 0: none */
@@ -104,11 +106,11 @@
                               const char *zone, gboolean spot, HzbMachineState state);
 void hzb_machines_remove (HzbMachines *machines, HzbMachine *machine); /* it must be gone */
 gboolean hzb_machine_set_state (HzbMachines *machines, HzbMachine *machine, HzbMachineState to, const char *why);
-/* Answers do not seem to reach it: it has to show that it has seen a token that was not used before. */
-void hzb_machine_mark_unreachable (HzbMachine *machine, guint64 token, struct timespec now);
-/* From now on it is answered under this token, and nothing is known of it until it has reported under it. */
-void hzb_machine_set_token (HzbMachine *machine, guint64 token);
-void hzb_machine_unverify (HzbMachines *machines, HzbMachine *machine, guint64 token, const char *why);
+/* Answers do not seem to reach it: it has to show that it has seen a fencing token that was not used before. */
+void hzb_machine_mark_unreachable (HzbMachine *machine, guint64 fencing_token, struct timespec now);
+/* From now on it is answered under this fencing token, and nothing is known of it until it has reported under it. */
+void hzb_machine_set_fencing_token (HzbMachine *machine, guint64 fencing_token);
+void hzb_machine_unverify (HzbMachines *machines, HzbMachine *machine, guint64 fencing_token, const char *why);
 const char *hzb_machine_state_name (HzbMachineState state);
 const char *hzb_machine_name (const HzbMachine *machine);
 cJSON *hzb_machine_pack (const HzbMachine *machine, struct timespec wall);
@@ -147,7 +149,7 @@
 void hzb_machine_empty_lists (HzbJobs *jobs, HzbMachine *machine);
 /**
  * hzb_machines_unverified_kinds: of the machines that may hold unknown tasks of a shard, and have neither answered under our
- * token nor are gone, one (HzbMachine) of each type, zone and kind. Looks at every machine once, for all shards.
+ * fencing token nor are gone, one (HzbMachine) of each type, zone and kind. Looks at every machine once, for all shards.
  *
  * Returns: (transfer full) (element-type GPtrArray): an array for each of the first @n_shards shards
  */
--- a/src/shard-leases-private.h
+++ b/src/shard-leases-private.h
@@ -18,7 +18,7 @@
   guint8 id; /* 1 and up, the peer's place in the settings */
   const HzbPeer *peer;
   char *incarnation;
-  guint64 token; /* 0: holds no shard */
+  guint64 fencing_token; /* 0: holds no shard */
   struct timespec requests, steady_since;
   HzbOutbox out;
   guint64 acknowledged; /* it has taken the messages up to this number */
@@ -34,7 +34,7 @@
 {
   HzbController *controller;
   GArray *leaseholders; /* HzbLeaseholderView */
-  guint tokens;         /* numbers used in this term */
+  guint fencing_tokens; /* numbers used in this term */
   struct timespec next_hand_over;
   double *cpus; /* of each shard, the leader's own first; as of the last survey, and of what was leased since */
   /* Of the last survey: */
--- a/src/shard-leases.c
+++ b/src/shard-leases.c
@@ -5,10 +5,10 @@
  * events, numbered and repeated likewise: tasks finished, tasks given back, machines given back.
  *
  * Safety does not rest on the lease's time. A delegated task counts as running until the leaseholder gives it back or has
- * finished it. A shard that is taken back leaves its machines unverified, under a higher token, and its tasks unknown:
- * they start elsewhere only once every machine that might hold them has answered under that token or is gone. The
+ * finished it. A shard that is taken back leaves its machines unverified, under a higher fencing token, and its tasks unknown:
+ * they start elsewhere only once every machine that might hold them has answered under that fencing token or is gone. The
  * leaseholder starts what it was delegated on the shard's machines only, so there is nothing that this wait does not cover.
- * A leaseholder frees a task only by a newer report under its own token; of an unreachable machine it concludes nothing and
+ * A leaseholder frees a task only by a newer report under its own fencing token; of an unreachable machine it concludes nothing and
  * gives it back.
  *
  * This file is the leader's part; leaseholder.c is the other side. */
@@ -48,11 +48,11 @@
       g_clear_pointer (&leaseholder->incarnation, g_free);
       g_hash_table_remove_all (leaseholder->running);
       g_hash_table_remove_all (leaseholder->leaving);
-      leaseholder->token = leaseholder->in_number = leaseholder->acknowledged = 0;
+      leaseholder->fencing_token = leaseholder->in_number = leaseholder->acknowledged = 0;
       leaseholder->holds = FALSE;
       leaseholder->requests = leaseholder->steady_since = (struct timespec){ 0 };
     }
-  shard_leases->tokens = 0;
+  shard_leases->fencing_tokens = 0;
   shard_leases->surveyed = (struct timespec){ 0 };
 }
 
@@ -72,9 +72,9 @@
 }
 
 guint64
-hzb_shard_leases_next_token (HzbShardLeases *shard_leases)
+hzb_shard_leases_next_fencing_token (HzbShardLeases *shard_leases)
 {
-  return hzb_token (hzb_election_term (shard_leases->controller->election), ++shard_leases->tokens);
+  return hzb_fencing_token (hzb_election_term (shard_leases->controller->election), ++shard_leases->fencing_tokens);
 }
 
 const char *
@@ -140,7 +140,7 @@
 reclaim_shard (HzbShardLeases *shard_leases, HzbLeaseholderView *leaseholder, const char *why)
 {
   HzbController *controller = shard_leases->controller;
-  guint64 token = hzb_shard_leases_next_token (shard_leases);
+  guint64 fencing_token = hzb_shard_leases_next_fencing_token (shard_leases);
   guint machines = 0, tasks = 0;
 
   for (guint i = 0; i < controller->machines->all->len; i++)
@@ -148,7 +148,7 @@
       HzbMachine *machine = controller->machines->all->pdata[i];
       if (machine->state != HZB_MACHINE_LEASED || machine->leaseholder != leaseholder->id)
         continue;
-      hzb_machine_unverify (controller->machines, machine, token, why);
+      hzb_machine_unverify (controller->machines, machine, fencing_token, why);
       machine->unknown_tasks_of = leaseholder->id;
       machines++;
     }
@@ -166,7 +166,7 @@
   g_message ("block of %s is taken back with %u machines and %u tasks: %s", leaseholder->peer->node, machines, tasks,
              why);
   hzb_outbox_clear (&leaseholder->out);
-  leaseholder->token = leaseholder->in_number = leaseholder->acknowledged = 0;
+  leaseholder->fencing_token = leaseholder->in_number = leaseholder->acknowledged = 0;
   leaseholder->holds = FALSE;
   leaseholder->steady_since = hzb_clock_now (controller->clock);
 }
@@ -178,7 +178,7 @@
   cJSON *body;
 
   task->leaseholder = 0;
-  if (!leaseholder || !leaseholder->token)
+  if (!leaseholder || !leaseholder->fencing_token)
     return;
   body = hzb_outbox_unsent (&leaseholder->out, "durable");
   if (!body)
@@ -201,7 +201,7 @@
     {
       HzbLeaseholderView *leaseholder = &g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i);
       cJSON *body;
-      if (!leaseholder->token)
+      if (!leaseholder->fencing_token)
         continue;
       body = cJSON_CreateObject ();
       cJSON_AddStringToObject (body, "cancelled", job->uid);
@@ -268,7 +268,8 @@
 {
   HzbController *controller = shard_leases->controller;
 
-  hzb_machine_unverify (controller->machines, machine, hzb_shard_leases_next_token (shard_leases), returned->why);
+  hzb_machine_unverify (controller->machines, machine, hzb_shard_leases_next_fencing_token (shard_leases),
+                        returned->why);
   machine->unknown_tasks_of = HZB_UNKNOWN_TASKS_OF_NOBODY;
   machine->idle_since = hzb_clock_now (controller->clock);
   if (returned->sick)
@@ -319,7 +320,7 @@
   HzbLeaseholderView *leaseholder = NULL;
   const cJSON *event;
   cJSON *reply;
-  guint64 token = hzb_json_u64 (root, "token");
+  guint64 fencing_token = hzb_json_u64 (root, "token");
   HzbShardAnswer answer = { .lease_s = LEASE_S };
 
   if (hzb_election_leading (controller->election))
@@ -335,7 +336,7 @@
     }
   if (g_strcmp0 (leaseholder->incarnation, incarnation) != 0)
     {
-      if (leaseholder->token)
+      if (leaseholder->fencing_token)
         reclaim_shard (shard_leases, leaseholder, "its controller has started anew");
       g_free (leaseholder->incarnation);
       leaseholder->incarnation = g_strdup (incarnation);
@@ -344,13 +345,14 @@
   if (hzb_time_is_set (leaseholder->requests) && hzb_time_between (leaseholder->requests, now) > MISSED_S)
     leaseholder->steady_since = now;
   leaseholder->requests = now;
-  if (token == leaseholder->token && token)
+  if (fencing_token == leaseholder->fencing_token && fencing_token)
     leaseholder->holds = TRUE;
-  else if (!token && leaseholder->holds)
+  else if (!fencing_token && leaseholder->holds)
     reclaim_shard (shard_leases, leaseholder, "it has let go");
   /* Guards against a leaseholder that holds the shard anew without what it was sent before (those of earlier versions could):
    * nothing in it would ever be heard of again. */
-  if (token && token == leaseholder->token && hzb_json_u64 (root, "have") < leaseholder->acknowledged)
+  if (fencing_token && fencing_token == leaseholder->fencing_token
+      && hzb_json_u64 (root, "have") < leaseholder->acknowledged)
     reclaim_shard (shard_leases, leaseholder, "it has lost what it held");
   reply = cJSON_CreateObject ();
   answer.term = hzb_election_term (controller->election);
@@ -358,11 +360,12 @@
     cJSON_AddItemToObject (reply, "heard",
                            hzb_cancellations_handle_request (controller->cancellations,
                                                              cJSON_GetObjectItemCaseSensitive (root, "cancelled")));
-  answer.end =
-      token && (!leaseholder->token || hzb_token_leader (token) != answer.term); /* what it holds was taken back */
+  answer.end = fencing_token
+               && (!leaseholder->fencing_token
+                   || hzb_fencing_token_term (fencing_token) != answer.term); /* what it holds was taken back */
   if (!answer.end)
     {
-      if (token)
+      if (fencing_token)
         {
           /* An answer to an older question may have been lost: what it brought comes again. */
           leaseholder->acknowledged = MAX (leaseholder->acknowledged, hzb_json_u64 (root, "have"));
@@ -379,7 +382,7 @@
           if (!leaseholder->out.waiting.length)
             hzb_shards_delegate (shard_leases, leaseholder, hzb_json_number (root, "room", 0), now);
         }
-      answer.token = leaseholder->token;
+      answer.fencing_token = leaseholder->fencing_token;
       answer.have = leaseholder->in_number;
       cJSON_AddItemToObject (reply, "batches", hzb_outbox_pack (&leaseholder->out, G_MAXSIZE));
     }
@@ -422,7 +425,7 @@
             delegated += job->tasks[t].state == HZB_TASK_DELEGATED && job->tasks[t].leaseholder == leaseholder->id;
         }
       cJSON_AddStringToObject (shard, "holder", leaseholder ? leaseholder->peer->node : controller->settings->node);
-      hzb_json_add_u64 (shard, "token", leaseholder ? leaseholder->token : controller->shard->token);
+      hzb_json_add_u64 (shard, "token", leaseholder ? leaseholder->fencing_token : controller->shard->fencing_token);
       cJSON_AddNumberToObject (shard, "machines", n);
       cJSON_AddNumberToObject (shard, "cpus", cpus);
       if (leaseholder)
@@ -440,7 +443,7 @@
   for (guint i = 0; i < shard_leases->leaseholders->len && controller->ownership >= HZB_OWNERSHIP_RECOVERING; i++)
     {
       HzbLeaseholderView *leaseholder = &g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i);
-      if (leaseholder->token && hzb_time_between (leaseholder->requests, now) > MISSED_S)
+      if (leaseholder->fencing_token && hzb_time_between (leaseholder->requests, now) > MISSED_S)
         reclaim_shard (shard_leases, leaseholder, "its controller is silent");
     }
 }
--- a/src/shard-leases.h
+++ b/src/shard-leases.h
@@ -35,8 +35,8 @@
 /** hzb_job_is_delegable: it may run in any shard. */
 gboolean hzb_job_is_delegable (const HzbJob *job);
 
-/** hzb_shard_leases_next_token: a token of this term that was never used before. */
-guint64 hzb_shard_leases_next_token (HzbShardLeases *shard_leases);
+/** hzb_shard_leases_next_fencing_token: a fencing token of this term that was never used before. */
+guint64 hzb_shard_leases_next_fencing_token (HzbShardLeases *shard_leases);
 
 /** hzb_shard_leases_announce_durable: a task that a leaseholder has finished is durable; its worker may forget it. */
 void hzb_shard_leases_announce_durable (HzbShardLeases *shard_leases, HzbTask *task);
--- a/src/shard-machines.c
+++ b/src/shard-machines.c
@@ -153,8 +153,8 @@
 static void
 lease_to (HzbShardLeases *shard_leases, HzbLeaseholderView *leaseholder, HzbMachine *machine)
 {
-  if (!leaseholder->token || machine->token >= leaseholder->token)
-    leaseholder->token = hzb_shard_leases_next_token (shard_leases);
+  if (!leaseholder->fencing_token || machine->fencing_token >= leaseholder->fencing_token)
+    leaseholder->fencing_token = hzb_shard_leases_next_fencing_token (shard_leases);
   if (machine->state == HZB_MACHINE_ACTIVE)
     shard_leases->cpus[0] -= machine->type->cpus;
   shard_leases->cpus[leaseholder->id] += machine->type->cpus;
@@ -183,7 +183,7 @@
 
 /* After a takeover the leader has every machine, and under load hardly one is ever without tasks. Such a machine goes
  * to a leaseholder with the names of all tasks that may be on it, those asked for in the last answer included; they count
- * as delegated. The leaseholder concludes nothing until the machine has reported under the shard's token. */
+ * as delegated. The leaseholder concludes nothing until the machine has reported under the shard's fencing token. */
 const char *
 hzb_shard_leases_hand_over (HzbShardLeases *shard_leases, HzbMachine *machine)
 {
@@ -208,8 +208,8 @@
         return NULL;
     }
   best = smallest_leaseholder (shard_leases, machine, UNLEVEL, now);
-  /* A higher token for the shard would have all its machines wait for their next reports. */
-  if (!best || (best->token && machine->token >= best->token))
+  /* A higher fencing token for the shard would have all its machines wait for their next reports. */
+  if (!best || (best->fencing_token && machine->fencing_token >= best->fencing_token))
     return NULL;
   shard_leases->next_hand_over =
       hzb_time_plus (now, MIN (HAND_OVER_EVERY_S, HAND_OVER_ALL_S / controller->machines->all->len));
--- a/src/shard-messages.c
+++ b/src/shard-messages.c
@@ -208,7 +208,7 @@
       cJSON_AddTrueToObject (message, "end");
       return;
     }
-  hzb_json_add_u64 (message, "token", answer->token);
+  hzb_json_add_u64 (message, "token", answer->fencing_token);
   hzb_json_add_u64 (message, "have", answer->have);
   cJSON_AddNumberToObject (message, "leaseS", answer->lease_s);
 }
@@ -218,7 +218,7 @@
 {
   answer->term = hzb_json_u64 (message, "term");
   answer->end = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "end"));
-  answer->token = hzb_json_u64 (message, "token");
+  answer->fencing_token = hzb_json_u64 (message, "token");
   answer->have = hzb_json_u64 (message, "have");
   answer->lease_s = hzb_json_number (message, "leaseS", 0);
 }
--- a/src/shard-messages.h
+++ b/src/shard-messages.h
@@ -82,10 +82,10 @@
 typedef struct
 {
   guint64 term;
-  gboolean end;   /* the shard was taken back; what follows is not said then */
-  guint64 token;  /* of the shard; 0: there is none */
-  guint64 have;   /* all events up to this number have come */
-  double lease_s; /* from when it was asked for */
+  gboolean end;          /* the shard was taken back; what follows is not said then */
+  guint64 fencing_token; /* of the shard; 0: there is none */
+  guint64 have;          /* all events up to this number have come */
+  double lease_s;        /* from when it was asked for */
 } HzbShardAnswer;
 
 void hzb_shard_answer_encode (const HzbShardAnswer *answer, cJSON *message);
--- a/src/shard.c
+++ b/src/shard.c
@@ -3,10 +3,10 @@
 #define ROUNDING 1e-6
 
 HzbShard *
-hzb_shard_new (const HzbSettings *settings, guint64 token)
+hzb_shard_new (const HzbSettings *settings, guint64 fencing_token)
 {
   HzbShard *shard = g_new0 (HzbShard, 1);
-  shard->token = token;
+  shard->fencing_token = fencing_token;
   shard->n_teams = settings->teams->len;
   shard->cpus = g_new0 (double, shard->n_teams);
   shard->gpus = g_new0 (double, shard->n_teams);
@@ -22,9 +22,9 @@
 }
 
 HzbShard *
-hzb_shard_new_leased (const HzbSettings *settings, guint64 token)
+hzb_shard_new_leased (const HzbSettings *settings, guint64 fencing_token)
 {
-  HzbShard *shard = hzb_shard_new (settings, token);
+  HzbShard *shard = hzb_shard_new (settings, fencing_token);
   for (guint i = 0; i < shard->n_teams; i++)
     shard->cpus_allowed[i] = shard->gpus_allowed[i] = 1e12;
   return shard;
--- a/src/wire.c
+++ b/src/wire.c
@@ -367,7 +367,7 @@
   report->spot = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "loaners"));
   report->session = hzb_json_u64 (root, "tenure");
   report->seq = hzb_json_u64 (root, "tick");
-  report->token = hzb_json_u64 (root, "baton");
+  report->fencing_token = hzb_json_u64 (root, "baton");
   report->notice_s = hzb_json_number (root, "reclaimInS", -1);
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, "pieces"))
     {
@@ -397,12 +397,12 @@
 }
 
 char *
-hzb_wire_commands (guint64 token, const GArray *commands)
+hzb_wire_commands (guint64 fencing_token, const GArray *commands)
 {
   static const char *const verbs[] = { "run", "kill", "reap" };
   cJSON *root = cJSON_CreateObject (), *list;
 
-  hzb_json_add_u64 (root, "baton", token);
+  hzb_json_add_u64 (root, "baton", fencing_token);
   list = cJSON_AddArrayToObject (root, "orders");
   for (guint i = 0; commands && i < commands->len; i++)
     {
--- a/src/wire.h
+++ b/src/wire.h
@@ -82,7 +82,7 @@
 {
   char *host, *addr, *type, *zone;
   gboolean spot;
-  guint64 session, seq, token;
+  guint64 session, seq, fencing_token;
   double notice_s;      /* below 0: none */
   GArray *task_reports; /* HzbPiece */
 } HzbReport;
@@ -144,8 +144,8 @@
 
 /* workers */
 HzbReport *hzb_wire_parse_report (const char *body, gsize length, GError **error);
-char *hzb_wire_commands (guint64 token, const GArray *commands); /* HzbOrder */
-char *hzb_wire_redirect (const char *node);                      /* NULL: nobody known */
+char *hzb_wire_commands (guint64 fencing_token, const GArray *commands); /* HzbOrder */
+char *hzb_wire_redirect (const char *node);                              /* NULL: nobody known */
 
 /* cloud */
 extern const char hzb_path_types[], hzb_path_rent[], hzb_path_return[];
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -288,16 +288,16 @@
 }
 
 /* Guards against a machine whose reports arrive while no answer reaches it: that a report came, and was answered, does
- * not show that the answer did. It has to show a token that was not used before, until then it gets no work. */
+ * not show that the answer did. It has to show a fencing token that was not used before, until then it gets no work. */
 static void
 mark_unreachable (HzbController *controller, HzbMachine *machine, struct timespec now)
 {
   if (machine->unreachable)
     return;
   if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
-    machine->unreachable = TRUE; /* it goes back to the leader, who can raise its token */
+    machine->unreachable = TRUE; /* it goes back to the leader, who can raise its fencing token */
   else
-    hzb_machine_mark_unreachable (machine, hzb_shard_leases_next_token (controller->shard_leases), now);
+    hzb_machine_mark_unreachable (machine, hzb_shard_leases_next_fencing_token (controller->shard_leases), now);
   hzb_machine_empty_lists (controller->jobs, machine);
 }
 
@@ -365,7 +365,7 @@
 {
   HzbMachine *machine =
       hzb_leaseholder_valid (controller->leaseholder) ? hzb_machines_find (controller->machines, report->host) : NULL;
-  if (machine && report->token > machine->token)
+  if (machine && report->fencing_token > machine->fencing_token)
     {
       hzb_leaseholder_return_machine (controller->leaseholder, machine, "it has seen a newer token");
       return NULL;
@@ -393,11 +393,11 @@
 answer_while_loading (HzbController *controller, const HzbReport *report, HzbExchange *exchange)
 {
   g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
-  guint64 token = hzb_token (hzb_election_term (controller->election), 0);
+  guint64 fencing_token = hzb_fencing_token (hzb_election_term (controller->election), 0);
 
   stop_cancelled (controller, report, commands);
-  /* A token that the worker has seen already is not lowered. */
-  hzb_exchange_reply (exchange, 200, hzb_wire_commands (MAX (token, report->token), commands), 0);
+  /* A fencing token that the worker has seen already is not lowered. */
+  hzb_exchange_reply (exchange, 200, hzb_wire_commands (MAX (fencing_token, report->fencing_token), commands), 0);
 }
 
 /* On the leader: its machines, and those nobody expected. NULL: the exchange has been answered. */
@@ -408,7 +408,7 @@
   const char *leaseholder = NULL;
   HzbMachine *machine;
 
-  if (hzb_token_leader (report->token) > term)
+  if (hzb_fencing_token_term (report->fencing_token) > term)
     {
       hzb_election_step_down (controller->election, "a worker has seen a newer token");
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("superseded"), 0);
@@ -428,16 +428,16 @@
   if (!machine)
     machine = hzb_machines_add (controller->machines, report->host, report->addr, report->type, report->zone,
                                 report->spot, HZB_MACHINE_BOOTING);
-  if (!machine->token)
-    hzb_machine_set_token (machine, controller->shard->token);
+  if (!machine->fencing_token)
+    hzb_machine_set_fencing_token (machine, controller->shard->fencing_token);
   if (is_late (machine, report) && machine->state != HZB_MACHINE_LEASED)
     {
       refuse_late (exchange);
       return NULL;
     }
-  /* A token that a worker has seen beyond what we know of: ours for it must not be lower. */
-  if (report->token > machine->token && machine->state != HZB_MACHINE_LEASED)
-    hzb_machine_set_token (machine, hzb_shard_leases_next_token (controller->shard_leases));
+  /* A fencing token that a worker has seen beyond what we know of: ours for it must not be lower. */
+  if (report->fencing_token > machine->fencing_token && machine->state != HZB_MACHINE_LEASED)
+    hzb_machine_set_fencing_token (machine, hzb_shard_leases_next_fencing_token (controller->shard_leases));
   if (machine->state == HZB_MACHINE_LEASED)
     leaseholder = hzb_shard_leases_leaseholder_name (controller->shard_leases, machine);
   else if (report->task_reports->len == 0 && report->notice_s < 0)
@@ -515,19 +515,20 @@
     }
   if (!machine->recorded)
     hzb_records_flush_soon (controller->records);
-  if (machine->unreachable && report->token == machine->token)
+  if (machine->unreachable && report->fencing_token == machine->fencing_token)
     {
       machine->unreachable = FALSE;
       machine->ignored_answers = 0;
     }
-  /* A machine that nobody has ever recorded, and that has seen no token, holds nothing and obeys nobody yet: its
+  /* A machine that nobody has ever recorded, and that has seen no fencing token, holds nothing and obeys nobody yet: its
    * report is as good as one under ours. (After a takeover every recorded machine is unverified, not booting.) */
-  if ((report->token >= machine->own_token && report->token <= machine->token)
-      || (report->token == 0 && machine->state == HZB_MACHINE_BOOTING && machine->known_to_cloud
+  if ((report->fencing_token >= machine->first_exclusive_fencing_token
+       && report->fencing_token <= machine->fencing_token)
+      || (report->fencing_token == 0 && machine->state == HZB_MACHINE_BOOTING && machine->known_to_cloud
           && !report->task_reports->len))
     {
       apply_report (controller, machine, report, now, commands);
-      if (leads && report->notice_s < 0 && report->token == machine->token
+      if (leads && report->notice_s < 0 && report->fencing_token == machine->fencing_token
           && (leaseholder = hzb_shard_leases_hand_over (controller->shard_leases, machine)))
         {
           hzb_exchange_reply (exchange, 421, hzb_wire_redirect (leaseholder), 0);
@@ -543,10 +544,10 @@
     {
       stop_cancelled (controller, report, commands);
       if (machine->state == HZB_MACHINE_ACTIVE)
-        machine->ignored_answers++; /* it has not seen the token that it was answered under */
+        machine->ignored_answers++; /* it has not seen the fencing token that it was answered under */
     }
   if (machine->ignored_answers >= DEAF_AFTER)
     mark_unreachable (controller, machine, now);
   hzb_reconciliation_note_commands (controller->reconciliation, commands);
-  hzb_exchange_reply (exchange, 200, hzb_wire_commands (machine->token, commands), 0);
+  hzb_exchange_reply (exchange, 200, hzb_wire_commands (machine->fencing_token, commands), 0);
 }
--- a/tests/load-workers.c
+++ b/tests/load-workers.c
@@ -29,7 +29,7 @@
   int fd;
   char name[16];
   guint tick;
-  guint64 token;
+  guint64 fencing_token;
   gboolean asking, answered; /* answered: since the last restart */
   double next_s, asked_s;
   guint refused, most_refused; /* in a row */
@@ -86,7 +86,7 @@
   body = g_strdup_printf (
       "{\"host\":\"%s\",\"addr\":\"127.0.0.1:1\",\"flavor\":\"small\",\"yard\":\"za\",\"loaners\":true,\"tenure\":1,"
       "\"tick\":%u,\"baton\":%" G_GUINT64_FORMAT ",\"pieces\":[]}",
-      worker->name, ++worker->tick, worker->token);
+      worker->name, ++worker->tick, worker->fencing_token);
   request = g_strdup_printf ("POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: %zu\r\n\r\n%s", strlen (body), body);
   sent = send (worker->fd, request, strlen (request), MSG_NOSIGNAL);
   if (sent != (gssize) strlen (request))
@@ -112,7 +112,7 @@
   cJSON *root = cJSON_Parse (body);
 
   g_array_append_val (latencies, latency);
-  worker->token = MAX (worker->token, hzb_json_u64 (root, "baton"));
+  worker->fencing_token = MAX (worker->fencing_token, hzb_json_u64 (root, "baton"));
   cJSON_Delete (root);
   answers += status == 200;
   refusals += status != 200;
--- a/tests/sim-faults.c
+++ b/tests/sim-faults.c
@@ -176,7 +176,7 @@
   exchange->body = g_strdup_printf (
       "{\"host\":\"%s\",\"addr\":\"10.1.0.1:1\",\"flavor\":\"%s\",\"yard\":\"%s\","
       "\"loaners\":false,\"tenure\":%u,\"tick\":%u,\"baton\":%" G_GUINT64_FORMAT ",\"pieces\":[%s]}",
-      machine->name, machine->type, machine->zone, (guint) session, (guint) seq, machine->token, task_reports);
+      machine->name, machine->type, machine->zone, (guint) session, (guint) seq, machine->fencing_token, task_reports);
   exchange->length = strlen (exchange->body);
   exchange->reply = keep_status;
   exchange->impl = &status;
--- a/tests/sim-worker.c
+++ b/tests/sim-worker.c
@@ -162,7 +162,7 @@
   cJSON_AddBoolToObject (root, "loaners", machine->spot);
   hzb_json_add_u64 (root, "tenure", machine->session);
   hzb_json_add_u64 (root, "tick", ++machine->seq);
-  hzb_json_add_u64 (root, "baton", machine->token);
+  hzb_json_add_u64 (root, "baton", machine->fencing_token);
   if (machine->taken_at > 0)
     cJSON_AddNumberToObject (root, "reclaimInS", machine->taken_at - sim->now);
   list = cJSON_AddArrayToObject (root, "pieces");
@@ -209,12 +209,12 @@
   root = r->status ? cJSON_Parse (r->body) : NULL;
   if (r->status == 200)
     {
-      guint64 token = hzb_json_u64 (root, "baton");
-      if (token >= machine->token && token > 0 && r->session == machine->session)
+      guint64 fencing_token = hzb_json_u64 (root, "baton");
+      if (fencing_token >= machine->fencing_token && fencing_token > 0 && r->session == machine->session)
         {
-          if (token > machine->token)
+          if (fencing_token > machine->fencing_token)
             machine->next_report = MIN (machine->next_report, sim->now + 0.5);
-          machine->token = token;
+          machine->fencing_token = fencing_token;
           machine->lease_from = r->sent;
           carry_out (sim, machine, cJSON_GetObjectItem (root, "orders"));
         }
--- a/tests/test-away.c
+++ b/tests/test-away.c
@@ -157,7 +157,7 @@
     {
       Sim *sim = cluster_at_work (seed);
       SimMachine *machine = run_until (sim, HZB_MACHINE_ACTIVE);
-      guint64 before = machine->token;
+      guint64 before = machine->fencing_token;
       guint leader;
       g_autofree char *uid = g_strdup (((SimTask *) machine->tasks->pdata[0])->uid);
       g_autofree char *task_report = g_strdup_printf ("{\"piece\":\"%s/0\",\"try\":1,\"status\":\"running\"}", uid);
@@ -170,7 +170,7 @@
       sim_start (sim, leader);
       sim_run (sim, sim->now + 8);
       g_assert_cmpint (sim_leader (sim), >=, 0);
-      g_assert_cmpuint (machine->token, ==, before);
+      g_assert_cmpuint (machine->fencing_token, ==, before);
       g_assert_cmpuint (report_again (sim, machine, machine->session, machine->seq + 5, task_report), ==, 200);
       g_assert_nonnull (strstr (last_body, "\"kill\""));
       g_assert_nonnull (strstr (last_body, uid));
--- a/tests/test-block-messages.c
+++ b/tests/test-block-messages.c
@@ -62,7 +62,7 @@
 {
   HzbRecall recall = { "i-1", FALSE, TRUE }, back;
   g_autofree char *keep = print_and_free (hzb_recall_encode (&recall)), *now = NULL;
-  HzbShardAnswer answer = { .term = 4, .token = 9, .have = 2, .lease_s = 10 }, read;
+  HzbShardAnswer answer = { .term = 4, .fencing_token = 9, .have = 2, .lease_s = 10 }, read;
   cJSON *message;
 
   g_assert_cmpstr (keep, ==, "{\"keep\":\"i-1\"}");
@@ -76,7 +76,7 @@
   cJSON_Delete (message);
   message = cJSON_Parse ("{\"term\":4,\"token\":9,\"have\":2,\"leaseS\":10,\"batches\":[]}");
   hzb_shard_answer_decode (message, &read);
-  g_assert_true (read.term == 4 && read.token == 9 && read.have == 2 && read.lease_s == 10 && !read.end);
+  g_assert_true (read.term == 4 && read.fencing_token == 9 && read.have == 2 && read.lease_s == 10 && !read.end);
   cJSON_Delete (message);
   message = cJSON_CreateObject ();
   answer.end = TRUE;
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -85,7 +85,8 @@
   for (guint k = 0; k < machine->tasks->len && !machine->gone; k++)
     {
       const SimTask *task = machine->tasks->pdata[k];
-      if (hzb_token_leader (task->attempt >> 17) <= witness->term || !g_hash_table_contains (witness->begun, task->uid))
+      if (hzb_fencing_token_term (task->attempt >> 17) <= witness->term
+          || !g_hash_table_contains (witness->begun, task->uid))
         continue;
       if (!g_hash_table_contains (witness->decided, task->uid))
         g_error ("%s/%u was started on %s before its job's verdict was durable", task->uid, task->task, machine->name);
--- a/tests/test-leases.c
+++ b/tests/test-leases.c
@@ -63,7 +63,7 @@
   sim_free (sim);
 }
 
-/* A leaseholder is cut off from the leader but not from its machines: it goes on under its token, while the leader takes
+/* A leaseholder is cut off from the leader but not from its machines: it goes on under its fencing token, while the leader takes
  * the shard back. Nothing of it starts elsewhere until every machine has answered the leader. */
 static void
 test_leaseholder_cut_off (void)
@@ -74,7 +74,8 @@
       SimMachine *machine = run_until_lent (sim);
       guint at = node_of_leaseholder (sim, machine);
       HzbController *controller = sim->nodes[sim_leader (sim)].controller;
-      guint64 token = hzb_machines_find (controller->machines, machine->name)->token, seen = machine->token;
+      guint64 fencing_token = hzb_machines_find (controller->machines, machine->name)->fencing_token,
+              seen = machine->fencing_token;
       HzbMachine *known;
       sim->nodes[at].cut_peers = TRUE;
       sim_run (sim, sim->now + 6);
@@ -82,7 +83,7 @@
       g_assert_nonnull (known);
       /* Nothing that the old leaseholder sends is obeyed once the machine has heard the leader. */
       g_assert_cmpint (known->state, !=, HZB_MACHINE_LEASED);
-      g_assert_cmpuint (known->token, >, MAX (token, seen));
+      g_assert_cmpuint (known->fencing_token, >, MAX (fencing_token, seen));
       sim_run (sim, sim->now + 14);
       sim->nodes[at].cut_peers = FALSE;
       sim_run (sim, 600);
--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -1,4 +1,4 @@
-/* Reports that come late, again or from machines that hear nothing, and tokens. */
+/* Reports that come late, again or from machines that hear nothing, and fencing tokens. */
 #include "sim-faults.h"
 
 #include <string.h>
@@ -50,7 +50,7 @@
   sim_free (sim);
 }
 
-/* A takeover does not wait for ever for a machine that never shows the new token though it reports all the time. */
+/* A takeover does not wait for ever for a machine that never shows the new fencing token though it reports all the time. */
 static void
 test_deaf_at_takeover (void)
 {
@@ -144,7 +144,7 @@
     }
 }
 
-/* A worker that has seen a newer token: whoever answers it with less has been replaced, and gives way. */
+/* A worker that has seen a newer fencing token: whoever answers it with less has been replaced, and gives way. */
 static void
 test_newer_token (void)
 {
@@ -155,16 +155,16 @@
   sim_run (sim, 20);
   machine = machine_with_tasks (sim);
   controller = sim->nodes[sim_leader (sim)].controller;
-  machine->token += hzb_token (7, 0);
+  machine->fencing_token += hzb_fencing_token (7, 0);
   g_assert_cmpuint (report_again (sim, machine, machine->session, machine->seq + 1, ""), ==, 503);
   g_assert_false (hzb_election_leading (controller->election));
-  machine->token -= hzb_token (7, 0);
+  machine->fencing_token -= hzb_fencing_token (7, 0);
   sim_run (sim, 120);
   expect_all_over (sim, "newer token", 12);
   sim_free (sim);
 }
 
-/* A report sent under an older token may still be overtaken by that token's orders: it is answered, so that the
+/* A report sent under an older fencing token may still be overtaken by that fencing token's orders: it is answered, so that the
  * lease lives, but nothing is concluded from it and nothing ordered. */
 static void
 test_older_token (void)
@@ -180,7 +180,7 @@
                     ==, 200);
   g_assert_nonnull (strstr (last_body, "\"orders\":[]"));
   g_assert_cmpint (hzb_machines_find (controller->machines, "i-900000")->state, ==, HZB_MACHINE_BOOTING);
-  machine.token = hzb_token (hzb_election_term (controller->election), 0);
+  machine.fencing_token = hzb_fencing_token (hzb_election_term (controller->election), 0);
   g_assert_cmpuint (report_again (sim, &machine, 1, 2,
                                   "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
                     ==, 200);
