--- a/src/leaseholder.c
+++ b/src/leaseholder.c
@@ -82,7 +82,8 @@
 hzb_leaseholder_return_machine (HzbLeaseholder *leaseholder, HzbMachine *machine, const char *why)
 {
   HzbController *controller = leaseholder->controller;
-  g_autoptr (HzbMachineReturn) returned = hzb_machine_return_new (machine->name, why, machine->session, machine->seq);
+  g_autoptr (HzbMachineReturn) returned =
+      hzb_machine_return_new (machine->name, why, machine->agent_epoch, machine->sequence);
 
   returned->sick = machine->to_be_returned && !machine->recall_requested;
   hzb_machine_empty_lists (controller->jobs, machine);
@@ -144,7 +145,7 @@
 refuse_machine (HzbLeaseholder *leaseholder, HzbMachineLease *lease)
 {
   g_autoptr (HzbMachineReturn) returned = hzb_machine_return_new (
-      lease->name, "it holds tasks of jobs that are not known here", lease->session, lease->seq);
+      lease->name, "it holds tasks of jobs that are not known here", lease->agent_epoch, lease->sequence);
   g_array_unref (returned->lost);
   returned->lost = g_array_ref (lease->holds);
   hzb_outbox_push (&leaseholder->out, hzb_machine_return_encode (returned));
@@ -178,8 +179,8 @@
                               lease->holds ? HZB_MACHINE_UNVERIFIED : HZB_MACHINE_BOOTING);
   machine->recorded = machine->known_to_cloud = TRUE;
   hzb_machine_set_fencing_token (machine, leaseholder->fencing_token);
-  machine->session = lease->session;
-  machine->seq = lease->seq;
+  machine->agent_epoch = lease->agent_epoch;
+  machine->sequence = lease->sequence;
   machine->last_report = hzb_clock_now (controller->clock);
   for (guint i = 0; lease->holds && i < lease->holds->len; i++)
     put_on_machine (leaseholder, &g_array_index (lease->holds, HzbHeldTask, i), machine);
--- a/src/machines.h
+++ b/src/machines.h
@@ -1,4 +1,4 @@
-/* The machines of a shard: what the cloud and the workers say of them, their sessions and leases,
+/* The machines of a shard: what the cloud and the workers say of them, their agent epochs and leases,
  * their lists, and the room on them. */
 #pragma once
 #include "estimate.h"
@@ -46,13 +46,13 @@
   char *type_name, *zone;
   gboolean spot;
   HzbMachineState state; /* changed by hzb_machine_set_state() only */
-  guint64 session, seq;
+  guint64 agent_epoch, sequence;
   guint64 fencing_token; /* the one under which it is answered */
   guint64
       first_exclusive_fencing_token; /* from this one on nobody but this owner has given it commands: what it reports under it is all */
-  guint64 over_session;    /* this session has ended for certain: what still comes of it is late */
-  guint8 leaseholder;      /* 1 and up: whom it is leased to */
-  guint8 unknown_tasks_of; /* while unverified: the shard whose unknown tasks may be on it, or HZB_SUSPECT_… */
+  guint64 expired_agent_epoch; /* this agent epoch has ended for certain: what still comes of it is late */
+  guint8 leaseholder;          /* 1 and up: whom it is leased to */
+  guint8 unknown_tasks_of;     /* while unverified: the shard whose unknown tasks may be on it, or HZB_SUSPECT_… */
   gboolean recall_requested, lease_sent;
   gboolean recall_at_once; /* with all that is on it */
   struct timespec rented;  /* or, of a machine found in the records, first known */
--- a/src/owner.c
+++ b/src/owner.c
@@ -19,7 +19,7 @@
           && hzb_time_between (machine->last_answer, now) > over)
         {
           hzb_machine_lose_tasks (controller->jobs, machine);
-          machine->over_session = machine->session;
+          machine->expired_agent_epoch = machine->agent_epoch;
           hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_LEASE_EXPIRED, "its lease is over");
         }
       else if (machine->state == HZB_MACHINE_ACTIVE
--- a/src/record-flush.c
+++ b/src/record-flush.c
@@ -330,7 +330,7 @@
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       HzbMachine *machine = controller->machines->all->pdata[i];
-      if (!machine->page && machine->session && !machine->recorded)
+      if (!machine->page && machine->agent_epoch && !machine->recorded)
         hzb_page_add_machine (hzb_pages_with_room (&records->pages, TRUE, hzb_page_machine_bytes (machine)), machine);
     }
 }
--- a/src/shard-leases.c
+++ b/src/shard-leases.c
@@ -275,10 +275,11 @@
   if (returned->sick)
     machine->to_be_returned = TRUE;
   /* The leaseholder's reports were newer than any copy of one that may still come here. */
-  if (returned->session >= machine->session)
+  if (returned->agent_epoch >= machine->agent_epoch)
     {
-      machine->seq = returned->session > machine->session ? returned->seq : MAX (machine->seq, returned->seq);
-      machine->session = returned->session;
+      machine->sequence = returned->agent_epoch > machine->agent_epoch ? returned->sequence
+                                                                       : MAX (machine->sequence, returned->sequence);
+      machine->agent_epoch = returned->agent_epoch;
     }
   for (guint i = 0; i < returned->lost->len; i++)
     {
--- a/src/shard-messages.c
+++ b/src/shard-messages.c
@@ -81,8 +81,8 @@
   lease->type = g_strdup (machine->type_name);
   lease->zone = g_strdup (machine->zone);
   lease->spot = machine->spot;
-  lease->session = machine->session;
-  lease->seq = machine->seq;
+  lease->agent_epoch = machine->agent_epoch;
+  lease->sequence = machine->sequence;
   return lease;
 }
 
@@ -95,8 +95,8 @@
   cJSON_AddStringToObject (message, "type", lease->type);
   cJSON_AddStringToObject (message, "zone", lease->zone);
   cJSON_AddBoolToObject (message, "spot", lease->spot);
-  hzb_json_add_u64 (message, "session", lease->session);
-  hzb_json_add_u64 (message, "seq", lease->seq);
+  hzb_json_add_u64 (message, "session", lease->agent_epoch);
+  hzb_json_add_u64 (message, "seq", lease->sequence);
   if (lease->holds)
     cJSON_AddItemToObject (message, "holds", held_tasks_encode (lease->holds));
   return message;
@@ -116,8 +116,8 @@
   lease->type = g_strdup (hzb_json_text (message, "type"));
   lease->zone = g_strdup (hzb_json_text (message, "zone"));
   lease->spot = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "spot"));
-  lease->session = hzb_json_u64 (message, "session");
-  lease->seq = hzb_json_u64 (message, "seq");
+  lease->agent_epoch = hzb_json_u64 (message, "session");
+  lease->sequence = hzb_json_u64 (message, "seq");
   lease->holds = holds ? held_tasks_decode (holds) : NULL;
   return lease;
 }
@@ -134,13 +134,13 @@
 }
 
 HzbMachineReturn *
-hzb_machine_return_new (const char *name, const char *why, guint64 session, guint64 seq)
+hzb_machine_return_new (const char *name, const char *why, guint64 agent_epoch, guint64 sequence)
 {
   HzbMachineReturn *returned = g_new0 (HzbMachineReturn, 1);
   returned->name = g_strdup (name);
   returned->why = g_strdup (why);
-  returned->session = session;
-  returned->seq = seq;
+  returned->agent_epoch = agent_epoch;
+  returned->sequence = sequence;
   returned->lost = hzb_held_tasks_new ();
   return returned;
 }
@@ -152,8 +152,8 @@
   cJSON_AddStringToObject (message, "machine", returned->name);
   cJSON_AddStringToObject (message, "why", returned->why);
   cJSON_AddBoolToObject (message, "sick", returned->sick);
-  hzb_json_add_u64 (message, "session", returned->session);
-  hzb_json_add_u64 (message, "seq", returned->seq);
+  hzb_json_add_u64 (message, "session", returned->agent_epoch);
+  hzb_json_add_u64 (message, "seq", returned->sequence);
   cJSON_AddItemToObject (message, "lost", held_tasks_encode (returned->lost));
   return message;
 }
--- a/src/shard-messages.h
+++ b/src/shard-messages.h
@@ -30,8 +30,8 @@
 {
   char *name, *addr, *type, *zone;
   gboolean spot;
-  guint64 session, seq; /* of its last report */
-  GArray *holds;        /* HzbHeldTask; NULL: it had no tasks when it was leased */
+  guint64 agent_epoch, sequence; /* of its last report */
+  GArray *holds;                 /* HzbHeldTask; NULL: it had no tasks when it was leased */
 } HzbMachineLease;
 
 void hzb_machine_lease_free (HzbMachineLease *lease);
@@ -50,16 +50,16 @@
 typedef struct
 {
   char *name, *why;
-  gboolean sick;        /* it should go back to the cloud */
-  guint64 session, seq; /* of its last report */
-  GArray *lost;         /* HzbHeldTask: what may be on it */
+  gboolean sick;                 /* it should go back to the cloud */
+  guint64 agent_epoch, sequence; /* of its last report */
+  GArray *lost;                  /* HzbHeldTask: what may be on it */
 } HzbMachineReturn;
 
 void hzb_machine_return_free (HzbMachineReturn *returned);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbMachineReturn, hzb_machine_return_free)
 
 /** hzb_machine_return_new: Returns: (transfer full): with no tasks yet */
-HzbMachineReturn *hzb_machine_return_new (const char *name, const char *why, guint64 session, guint64 seq);
+HzbMachineReturn *hzb_machine_return_new (const char *name, const char *why, guint64 agent_epoch, guint64 sequence);
 cJSON *hzb_machine_return_encode (const HzbMachineReturn *returned);
 
 /** hzb_machine_return_decode: Returns: (transfer full) (nullable): NULL if the message gives no machine back */
--- a/src/wire.c
+++ b/src/wire.c
@@ -365,8 +365,8 @@
   report->type = g_strdup (hzb_json_text (root, "flavor"));
   report->zone = g_strdup (hzb_json_text (root, "yard"));
   report->spot = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "loaners"));
-  report->session = hzb_json_u64 (root, "tenure");
-  report->seq = hzb_json_u64 (root, "tick");
+  report->agent_epoch = hzb_json_u64 (root, "tenure");
+  report->sequence = hzb_json_u64 (root, "tick");
   report->fencing_token = hzb_json_u64 (root, "baton");
   report->notice_s = hzb_json_number (root, "reclaimInS", -1);
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, "pieces"))
@@ -388,7 +388,7 @@
       g_array_append_val (report->task_reports, task_report);
     }
   cJSON_Delete (root);
-  if (!report->host || !report->addr || !report->type || !report->zone || !report->session)
+  if (!report->host || !report->addr || !report->type || !report->zone || !report->agent_epoch)
     {
       g_set_error (error, HZB_WIRE_ERROR, 400, "not a worker's report");
       return NULL;
--- a/src/wire.h
+++ b/src/wire.h
@@ -82,7 +82,7 @@
 {
   char *host, *addr, *type, *zone;
   gboolean spot;
-  guint64 session, seq, fencing_token;
+  guint64 agent_epoch, sequence, fencing_token;
   double notice_s;      /* below 0: none */
   GArray *task_reports; /* HzbPiece */
 } HzbReport;
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -345,12 +345,13 @@
 }
 
 /* Guards against reports that a cut held back, and copies of reports: what they say is as old as they are. Once a
- * session is over for certain, nothing of it is news, whatever its number. */
+ * agent epoch is over for certain, nothing of it is news, whatever its number. */
 static gboolean
 is_late (const HzbMachine *machine, const HzbReport *report)
 {
-  return report->session < machine->session || (report->session == machine->session && report->seq <= machine->seq)
-         || report->session <= machine->over_session;
+  return report->agent_epoch < machine->agent_epoch
+         || (report->agent_epoch == machine->agent_epoch && report->sequence <= machine->sequence)
+         || report->agent_epoch <= machine->expired_agent_epoch;
 }
 
 static void
@@ -445,10 +446,11 @@
   if (leaseholder)
     {
       /* The leaseholder is told how far its reports have come, and only once it is on record. */
-      if (report->session > machine->session || (report->session == machine->session && report->seq > machine->seq))
+      if (report->agent_epoch > machine->agent_epoch
+          || (report->agent_epoch == machine->agent_epoch && report->sequence > machine->sequence))
         {
-          machine->session = report->session;
-          machine->seq = report->seq;
+          machine->agent_epoch = report->agent_epoch;
+          machine->sequence = report->sequence;
         }
       if (!machine->recorded)
         hzb_records_flush_soon (controller->records);
@@ -499,14 +501,14 @@
       refuse_late (exchange);
       return;
     }
-  if (report->session > machine->session && machine->session && machine->verified)
+  if (report->agent_epoch > machine->agent_epoch && machine->agent_epoch && machine->verified)
     {
       /* Its lease ended, and with it all its tasks; perhaps although every report was answered. */
       hzb_machine_lose_tasks (controller->jobs, machine);
       mark_unreachable (controller, machine, now);
     }
-  machine->session = report->session;
-  machine->seq = report->seq;
+  machine->agent_epoch = report->agent_epoch;
+  machine->sequence = report->sequence;
   machine->last_report = machine->last_answer = now;
   if (!machine->addr || !*machine->addr)
     {
--- a/tests/sim-cloud.c
+++ b/tests/sim-cloud.c
@@ -17,7 +17,7 @@
   machine->up_at = sim->now + up_after;
   machine->listed_at = sim->now + g_rand_double_range (sim->rand, 1, 4);
   machine->gone_at = INFINITY;
-  machine->session = 1;
+  machine->agent_epoch = 1;
   machine->tasks = g_ptr_array_new ();
   machine->node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
   g_ptr_array_add (sim->machines, machine);
--- a/tests/sim-cluster.h
+++ b/tests/sim-cluster.h
@@ -48,7 +48,7 @@
   double taken_at;   /* the cloud takes it then, and says so; 0: not */
   gboolean unlisted; /* the cloud's lists leave it out, though it is there */
   double rented, up_at, listed_at, gone_at, cpus;
-  guint64 session, seq, fencing_token;
+  guint64 agent_epoch, sequence, fencing_token;
   double lease_from, next_report;
   guint node, report_number;
   gboolean asking;
--- a/tests/sim-faults.h
+++ b/tests/sim-faults.h
@@ -18,8 +18,9 @@
 SimMachine *machine_with_tasks (Sim *sim);
 void keep_status (HzbExchange *exchange, guint status, const char *body, guint retry);
 /* A report that the machine did not send itself, to one node, or to the leader. Returns: the status of the answer. */
-guint report_to (Sim *sim, guint node, SimMachine *machine, guint64 session, guint64 seq, const char *task_reports);
-guint report_again (Sim *sim, SimMachine *machine, guint64 session, guint64 seq, const char *task_reports);
+guint
+report_to (Sim *sim, guint node, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_reports);
+guint report_again (Sim *sim, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_reports);
 /* A service spread over zones, on ordinary machines, whose user cancels it from then on. */
 SimJob *add_service (Sim *sim, double at, const char *team, guint n, double cpus, double cancel_at);
 /* A user's request to one node; the cluster runs on for 3 s. retry: its Retry-After, or NULL. */
--- a/tests/sim-worker.c
+++ b/tests/sim-worker.c
@@ -160,8 +160,8 @@
   cJSON_AddStringToObject (root, "flavor", machine->type);
   cJSON_AddStringToObject (root, "yard", machine->zone);
   cJSON_AddBoolToObject (root, "loaners", machine->spot);
-  hzb_json_add_u64 (root, "tenure", machine->session);
-  hzb_json_add_u64 (root, "tick", ++machine->seq);
+  hzb_json_add_u64 (root, "tenure", machine->agent_epoch);
+  hzb_json_add_u64 (root, "tick", ++machine->sequence);
   hzb_json_add_u64 (root, "baton", machine->fencing_token);
   if (machine->taken_at > 0)
     cJSON_AddNumberToObject (root, "reclaimInS", machine->taken_at - sim->now);
@@ -188,7 +188,7 @@
   SimMachine *machine;
   char *body;
   guint number, node;
-  guint64 session;
+  guint64 agent_epoch;
   double sent;
   guint status;
   gboolean over, copy;
@@ -210,7 +210,7 @@
   if (r->status == 200)
     {
       guint64 fencing_token = hzb_json_u64 (root, "baton");
-      if (fencing_token >= machine->fencing_token && fencing_token > 0 && r->session == machine->session)
+      if (fencing_token >= machine->fencing_token && fencing_token > 0 && r->agent_epoch == machine->agent_epoch)
         {
           if (fencing_token > machine->fencing_token)
             machine->next_report = MIN (machine->next_report, sim->now + 0.5);
@@ -283,7 +283,7 @@
   r->body = report_of (sim, machine);
   r->number = ++machine->report_number;
   r->node = machine->node;
-  r->session = machine->session;
+  r->agent_epoch = machine->agent_epoch;
   r->sent = sim->now;
   machine->asking = TRUE;
   machine->next_report = sim->now + sim->size.report_s * g_rand_double_range (sim->rand, 0.75, 1.25);
@@ -319,8 +319,8 @@
   if (sim->now - machine->lease_from > sim->size.lease_s)
     {
       forget_tasks (machine); /* a hung machine's lease ends as well */
-      machine->session++;
-      machine->seq = 0;
+      machine->agent_epoch++;
+      machine->sequence = 0;
       machine->asking = FALSE;
       machine->lease_from = sim->now;
     }
--- a/tests/test-away.c
+++ b/tests/test-away.c
@@ -134,13 +134,13 @@
       Sim *sim = cluster_at_work (seed);
       guint leader = (guint) MAX (sim_leader (sim), 0);
       SimMachine *machine = run_until (sim, HZB_MACHINE_ACTIVE);
-      g_assert_cmpuint (report_to (sim, leader, machine, machine->session, machine->seq + 1, ""), ==, 200);
+      g_assert_cmpuint (report_to (sim, leader, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 200);
       machine->cut = TRUE; /* no other controller has answered it */
       sim->nodes[leader].paused = TRUE;
       sim_run (sim, sim->now + HZB_CANCELLATIONS_KNOWN_S + 1);
       g_assert_true (hzb_election_leading (sim->nodes[leader].controller->election));
-      machine->seq += 2;
-      g_assert_cmpuint (report_to (sim, leader, machine, machine->session, machine->seq + 1, ""), ==, 503);
+      machine->sequence += 2;
+      g_assert_cmpuint (report_to (sim, leader, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 503);
       sim_wake (sim, leader);
       sim_run (sim, sim->now + 20);
       expect_no_fault (sim, "waking", seed);
@@ -171,7 +171,7 @@
       sim_run (sim, sim->now + 8);
       g_assert_cmpint (sim_leader (sim), >=, 0);
       g_assert_cmpuint (machine->fencing_token, ==, before);
-      g_assert_cmpuint (report_again (sim, machine, machine->session, machine->seq + 5, task_report), ==, 200);
+      g_assert_cmpuint (report_again (sim, machine, machine->agent_epoch, machine->sequence + 5, task_report), ==, 200);
       g_assert_nonnull (strstr (last_body, "\"kill\""));
       g_assert_nonnull (strstr (last_body, uid));
       sim_free (sim);
@@ -189,7 +189,7 @@
       sim->outage = TRUE;
       sim_run (sim, 25 + 4 * sim->size.lease_s);
       for (guint i = 0; i < sim->machines->len; i++)
-        g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->session, ==, 1);
+        g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
       sim->outage = FALSE;
       sim_run (sim, 700);
       expect_all_over (sim, "outage", seed);
--- a/tests/test-block-messages.c
+++ b/tests/test-block-messages.c
@@ -32,7 +32,7 @@
   g_assert_cmpuint (lease->holds->len, ==, 2);
   held = &g_array_index (lease->holds, HzbHeldTask, 0);
   g_assert_cmpstr (held->uid, ==, "run-000001");
-  g_assert_true (held->number == 4 && held->runs && lease->session == 3 && lease->seq == 17 && lease->spot);
+  g_assert_true (held->number == 4 && held->runs && lease->agent_epoch == 3 && lease->sequence == 17 && lease->spot);
   /* One that names no job is not left out: the machine is not taken for one without it. */
   g_assert_null (g_array_index (lease->holds, HzbHeldTask, 1).uid);
   g_assert_null (of_idle->holds);
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -144,7 +144,7 @@
   /* Nothing starts once the leadership can't be proven any more. */
   g_assert_cmpuint (sim->started, ==, started);
   for (guint i = 0; i < sim->machines->len; i++)
-    g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->session, ==, 1);
+    g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
   sim->outage = FALSE;
   sim_run (sim, 200);
   g_assert_true (kept->told_done);
@@ -346,7 +346,7 @@
       g_assert_false (hzb_controller_ready (sim->nodes[at].controller));
       sim_run (sim, sim->now + 8);
       for (guint i = 0; i < sim->machines->len; i++)
-        g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->session, ==, 1);
+        g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
       heal (sim, NULL);
       sim_run (sim, 500);
       expect_all_over (sim, "cut off but for workers", seed);
@@ -436,7 +436,7 @@
   sim_run (sim, 40);
   g_assert_cmpint (sim_leader (sim), !=, leader);
   for (guint i = 0; i < sim->machines->len; i++)
-    g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->session, ==, 1);
+    g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
   sim->nodes[leader].cut_workers = FALSE;
   sim_run (sim, 500);
   expect_all_over (sim, "leader loses workers", 51);
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -20,7 +20,7 @@
   guint64 term;        /* of the last leader before the end */
   GHashTable *begun;   /* uids of jobs that had a task on a machine then */
   GHashTable *decided; /* uid -> its verdict's row */
-  GHashTable *ended;   /* tasks that had ended as of the last look, by machine, session, name and attempt -> uid */
+  GHashTable *ended;   /* tasks that had ended as of the last look, by machine, agent epoch, name and attempt -> uid */
   double ended_at, first_command, first_verdict, last_verdict;
   guint starts[60]; /* by second after the end of all */
 } Witness;
@@ -115,14 +115,14 @@
           if (task->state == 4)
             g_hash_table_insert (ended,
                                  g_strdup_printf ("%s %" G_GUINT64_FORMAT " %s/%u %" G_GUINT64_FORMAT, machine->name,
-                                                  machine->session, task->uid, task->task, task->attempt),
+                                                  machine->agent_epoch, task->uid, task->task, task->attempt),
                                  g_strdup (task->uid));
         }
     }
   return ended;
 }
 
-/* What a worker was told to forget. One that has begun another session has forgotten it by itself. */
+/* What a worker was told to forget. One that has begun another agent epoch has forgotten it by itself. */
 static void
 see_reaped (Witness *witness)
 {
@@ -135,15 +135,15 @@
   while (g_hash_table_iter_next (&iter, &key, &uid))
     {
       g_auto (GStrv) words = g_strsplit (key, " ", 3);
-      gboolean same_session = FALSE;
+      gboolean same_agent_epoch = FALSE;
       for (guint i = 0; i < sim->machines->len; i++)
         {
           const SimMachine *machine = sim->machines->pdata[i];
-          same_session = same_session
-                         || (g_str_equal (machine->name, words[0]) && !machine->gone && !machine->failed
-                             && machine->session == g_ascii_strtoull (words[1], NULL, 10));
+          same_agent_epoch = same_agent_epoch
+                             || (g_str_equal (machine->name, words[0]) && !machine->gone && !machine->failed
+                                 && machine->agent_epoch == g_ascii_strtoull (words[1], NULL, 10));
         }
-      if (same_session && !g_hash_table_contains (ended, key) && g_hash_table_contains (witness->begun, uid)
+      if (same_agent_epoch && !g_hash_table_contains (ended, key) && g_hash_table_contains (witness->begun, uid)
           && !g_hash_table_contains (witness->decided, uid) && !is_over (witness, uid))
         g_error ("%s was reaped before its job's verdict was durable", (char *) key);
     }
@@ -310,7 +310,7 @@
 }
 
 /* Half of the machines are silent through the restart, and back before or after their leases are over; some hear nothing,
- * some are in no list of the cloud, some have begun another session. */
+ * some are in no list of the cloud, some have begun another agent epoch. */
 static void
 test_silent_machines (void)
 {
@@ -328,8 +328,8 @@
           machine->unlisted = i % 5 == 3; /* the cloud does not show it, and it reports */
           if (i % 9 == 5)
             {
-              machine->session++; /* its lease ended, and it has begun another session */
-              machine->seq = 0;
+              machine->agent_epoch++; /* its lease ended, and it has begun another agent epoch */
+              machine->sequence = 0;
               g_ptr_array_set_size (machine->tasks, 0);
             }
         }
--- a/tests/test-leases.c
+++ b/tests/test-leases.c
@@ -51,11 +51,11 @@
 {
   Sim *sim = sim_new (40);
   SimMachine *machine = run_until_lent (sim);
-  guint64 session = machine->session;
+  guint64 agent_epoch = machine->agent_epoch;
   guint tasks = machine->tasks->len;
   sim_crash (sim, node_of_leaseholder (sim, machine));
   sim_run (sim, sim->now + 9);
-  g_assert_cmpuint (machine->session, ==, session); /* its lease lived */
+  g_assert_cmpuint (machine->agent_epoch, ==, agent_epoch); /* its lease lived */
   g_assert_cmpuint (machine->tasks->len, >=, tasks > 0);
   start_all (sim, NULL);
   sim_run (sim, 600);
@@ -135,7 +135,7 @@
             {
               const SimMachine *machine = sim->machines->pdata[i];
               const HzbMachine *known = hzb_machines_find (controller->machines, machine->name);
-              handed += known && known->state == HZB_MACHINE_LEASED && machine->tasks->len && machine->session == 1;
+              handed += known && known->state == HZB_MACHINE_LEASED && machine->tasks->len && machine->agent_epoch == 1;
             }
           if (handed && k > 10 + seed % 4)
             break;
--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -20,7 +20,7 @@
       began = sim->now;
       machine->deaf = TRUE;
       sim_run (sim, began + 16);
-      g_assert_cmpuint (machine->session, >, 1);
+      g_assert_cmpuint (machine->agent_epoch, >, 1);
       known = hzb_machines_find (sim->nodes[sim_leader (sim)].controller->machines, machine->name);
       g_assert_true (!known || !hzb_machine_usable (known));
       sim_run (sim, began + 50);
@@ -43,7 +43,7 @@
   sim_run (sim, sim->now + 3);
   machine->deaf = FALSE;
   sim_run (sim, sim->now + 15);
-  g_assert_cmpuint (machine->session, ==, 1);
+  g_assert_cmpuint (machine->agent_epoch, ==, 1);
   g_assert_false (machine->gone);
   sim_run (sim, 400);
   expect_all_over (sim, "short deafness", 84);
@@ -83,8 +83,8 @@
   machine = run_until (sim, HZB_MACHINE_ACTIVE);
   sim_run (sim, 25);
   started = sim->started;
-  g_assert_cmpuint (report_again (sim, machine, machine->session, 1, ""), ==, 503);
-  g_assert_cmpuint (report_again (sim, machine, machine->session, machine->seq, ""), ==, 503);
+  g_assert_cmpuint (report_again (sim, machine, machine->agent_epoch, 1, ""), ==, 503);
+  g_assert_cmpuint (report_again (sim, machine, machine->agent_epoch, machine->sequence, ""), ==, 503);
   sim_run (sim, 32);
   g_assert_cmpuint (sim->started, ==, started);
   sim_run (sim, 200);
@@ -92,7 +92,7 @@
   sim_free (sim);
 }
 
-/* Once a machine's lease is over for certain, a report of that session makes it look alive no more, whatever its number;
+/* Once a machine's lease is over for certain, a report of that agent epoch makes it look alive no more, whatever its number;
  * and a report alone, as a copy of one long gone may be, makes no machine that gets work. */
 static void
 test_late_copies_revive_nothing (void)
@@ -156,7 +156,7 @@
   machine = machine_with_tasks (sim);
   controller = sim->nodes[sim_leader (sim)].controller;
   machine->fencing_token += hzb_fencing_token (7, 0);
-  g_assert_cmpuint (report_again (sim, machine, machine->session, machine->seq + 1, ""), ==, 503);
+  g_assert_cmpuint (report_again (sim, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 503);
   g_assert_false (hzb_election_leading (controller->election));
   machine->fencing_token -= hzb_fencing_token (7, 0);
   sim_run (sim, 120);
--- a/tests/test-scale.c
+++ b/tests/test-scale.c
@@ -148,7 +148,7 @@
   sim_run (sim, began + 24);
   /* Nothing that ran was lost: no lease has ended. */
   for (guint i = 0; i < sim->machines->len; i++)
-    g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->session, ==, 1);
+    g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
   g_assert_cmpuint (tasks_running (sim), >, work / 2);
   expect_no_fault (sim, "begin anew", 0);
   sim_run (sim, 700);
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -127,7 +127,7 @@
   HzbTaskReport *task_report;
   g_assert_nonnull (report);
   g_assert_cmpuint (report->task_reports->len, ==, 2); /* what makes no sense is left out */
-  g_assert_cmpuint (report->seq, ==, G_GUINT64_CONSTANT (9007199254740991));
+  g_assert_cmpuint (report->sequence, ==, G_GUINT64_CONSTANT (9007199254740991));
   g_assert_cmpfloat (report->notice_s, <, 0);
   task_report = &g_array_index (report->task_reports, HzbTaskReport, 0);
   g_assert_cmpuint (task_report->attempt, ==, G_GUINT64_CONSTANT (4294967296));
