--- a/src/controller.c
+++ b/src/controller.c
@@ -313,19 +313,19 @@
  * of leader costs little. In a small fleet it does happen, again and again, and each leader would have to wait for their
  * leases: so after one change for this reason others must have sent workers here lately. */
 static gboolean
-no_worker_reports (HzbController *controller)
+no_worker_heartbeats (HzbController *controller)
 {
   struct timespec now = hzb_clock_now (controller->clock);
-  double quiet = 1.25 * controller->settings->report_s + 1.5;
+  double quiet = 1.25 * controller->settings->heartbeat_interval_s + 1.5;
   guint n = 0;
 
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       const HzbMachine *machine = controller->machines->all->pdata[i];
-      if (!hzb_time_is_set (machine->last_report) || machine->state == HZB_MACHINE_LEASED
+      if (!hzb_time_is_set (machine->last_heartbeat) || machine->state == HZB_MACHINE_LEASED
           || machine->state == HZB_MACHINE_RETURNING || machine->state == HZB_MACHINE_LEASE_EXPIRED)
         continue;
-      if (hzb_time_between (machine->last_report, now) < quiet)
+      if (hzb_time_between (machine->last_heartbeat, now) < quiet)
         return FALSE;
       n += machine->verified;
     }
@@ -340,7 +340,7 @@
   double silence = hzb_kv_client_unresponsive_s (controller->kv);
 
   if (hzb_election_leading (controller->election) && silence < 2.5 && hzb_peers_any_reachable (controller->peers)
-      && controller->settings->peers->len && no_worker_reports (controller))
+      && controller->settings->peers->len && no_worker_heartbeats (controller))
     {
       controller->lost_workers = hzb_clock_now (controller->clock);
       hzb_election_step_down (controller->election, "no worker reports any more, while all else can be reached");
@@ -427,8 +427,8 @@
 kind_of (const HzbExchange *exchange)
 {
   gboolean post = g_str_equal (exchange->method, "POST");
-  if (g_str_equal (exchange->path, hzb_path_report))
-    return HZB_METRIC_REPORT;
+  if (g_str_equal (exchange->path, hzb_path_worker_heartbeat))
+    return HZB_METRIC_HEARTBEAT;
   if (!g_str_has_prefix (exchange->path, hzb_path_jobs))
     return HZB_METRIC_OTHER;
   if (g_str_has_suffix (exchange->path, hzb_path_cancel))
@@ -446,10 +446,10 @@
   exchange->done = on_answered;
   exchange->done_user = controller;
 
-  if (g_str_equal (exchange->path, hzb_path_report))
+  if (g_str_equal (exchange->path, hzb_path_worker_heartbeat))
     {
       if (g_str_equal (exchange->method, "POST"))
-        hzb_worker_api_report (controller, exchange);
+        hzb_worker_api_heartbeat (controller, exchange);
       else
         hzb_exchange_reply (exchange, 405, hzb_wire_error ("POST a report here"), 0);
     }
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -421,7 +421,7 @@
           const HzbSpec *spec = task->job->spec;
           /* A replica is there sooner where its image is, even if that machine reports later. */
           gboolean waits = spec->service && g_hash_table_contains (other->images, spec->image)
-                           && hzb_time_between (task->since, now) < 2 * dispatch->settings->report_s;
+                           && hzb_time_between (task->since, now) < 2 * dispatch->settings->heartbeat_interval_s;
           if (((cached || waits) && !g_hash_table_contains (machine->images, spec->image))
               || !hzb_machine_allowed (machine, spec) || !hzb_machine_has_room (machine, spec)
               || hzb_machine_avoids (machine, task->job, now) || !may_start (dispatch, task, machine))
--- a/src/leaseholder.c
+++ b/src/leaseholder.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #define ASK_S 0.4
-#define ASK_SOON_S 0.25 /* with news; a question costs both sides as much as a worker's report */
+#define ASK_SOON_S 0.25 /* with news; a question costs both sides as much as a worker's heartbeat */
 #define ASK_TIMEOUT_MS 1500
 #define GIVE_UP_S 5.0 /* it lets go when the leader has not answered for so long: it sits on no machines */
 /* Of the shard's CPUs: tasks requested beyond its free room, so that no slot waits for the next answer. */
@@ -181,7 +181,7 @@
   hzb_machine_set_fencing_token (machine, leaseholder->fencing_token);
   machine->agent_epoch = lease->agent_epoch;
   machine->sequence = lease->sequence;
-  machine->last_report = hzb_clock_now (controller->clock);
+  machine->last_heartbeat = hzb_clock_now (controller->clock);
   for (guint i = 0; lease->holds && i < lease->holds->len; i++)
     put_on_machine (leaseholder, &g_array_index (lease->holds, HzbHeldTask, i), machine);
 }
@@ -504,8 +504,8 @@
   for (guint i = controller->machines->all->len; i-- > 0;)
     {
       HzbMachine *machine = controller->machines->all->pdata[i];
-      double quiet = hzb_time_between (machine->last_report, now);
-      if (quiet > 3 * controller->settings->report_s)
+      double quiet = hzb_time_between (machine->last_heartbeat, now);
+      if (quiet > 3 * controller->settings->heartbeat_interval_s)
         hzb_leaseholder_return_machine (leaseholder, machine, "it is silent");
       else if (machine->unreachable)
         hzb_leaseholder_return_machine (leaseholder, machine, "it does not seem to hear its answers");
--- a/src/machines.h
+++ b/src/machines.h
@@ -56,7 +56,7 @@
   gboolean recall_requested, lease_sent;
   gboolean recall_at_once; /* with all that is on it */
   struct timespec rented;  /* or, of a machine found in the records, first known */
-  struct timespec since, last_answer, last_report, idle_since, notice_at;
+  struct timespec since, last_answer, last_heartbeat, idle_since, notice_at;
   gboolean verified; /* a report sent under our fencing token has come */
   gboolean
       known_to_cloud; /* rented by us, on record, or in the cloud's list: a report alone may be a copy of one long gone */
--- a/src/owner.c
+++ b/src/owner.c
@@ -23,7 +23,7 @@
           hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_LEASE_EXPIRED, "its lease is over");
         }
       else if (machine->state == HZB_MACHINE_ACTIVE
-               && hzb_time_between (machine->last_report, now) > 3 * controller->settings->report_s
+               && hzb_time_between (machine->last_heartbeat, now) > 3 * controller->settings->heartbeat_interval_s
                && hzb_machine_listed (machine))
         hzb_machine_empty_lists (controller->jobs, machine); /* others may take what waits for a quiet machine */
     }
--- a/src/heartbeat.c
+++ b/src/peer-heartbeat.c
@@ -1,4 +1,4 @@
-#include "heartbeat.h"
+#include "peer-heartbeat.h"
 
 #include "wire.h"
 
@@ -19,10 +19,10 @@
   g_free (((HzbPeerState *) data)->node);
 }
 
-HzbHeartbeat *
-hzb_heartbeat_new (void)
+HzbPeerHeartbeat *
+hzb_peer_heartbeat_new (void)
 {
-  HzbHeartbeat *heartbeat = g_new0 (HzbHeartbeat, 1);
+  HzbPeerHeartbeat *heartbeat = g_new0 (HzbPeerHeartbeat, 1);
   heartbeat->counts = g_array_new (FALSE, FALSE, sizeof (HzbTaskCounts));
   g_array_set_clear_func (heartbeat->counts, task_counts_clear);
   heartbeat->peer_states = g_array_new (FALSE, FALSE, sizeof (HzbPeerState));
@@ -33,7 +33,7 @@
 }
 
 void
-hzb_heartbeat_free (HzbHeartbeat *heartbeat)
+hzb_peer_heartbeat_free (HzbPeerHeartbeat *heartbeat)
 {
   g_array_unref (heartbeat->counts);
   g_array_unref (heartbeat->peer_states);
@@ -43,22 +43,22 @@
 }
 
 void
-hzb_heartbeat_add_counts (HzbHeartbeat *heartbeat, const char *uid, guint done, guint running)
+hzb_peer_heartbeat_add_counts (HzbPeerHeartbeat *heartbeat, const char *uid, guint done, guint running)
 {
   HzbTaskCounts counts = { g_strdup (uid), done, running };
   g_array_append_val (heartbeat->counts, counts);
 }
 
 void
-hzb_heartbeat_add_peer_state (HzbHeartbeat *heartbeat, const char *node, guint64 born, guint64 cancellations_known,
-                              gboolean withholds_answers)
+hzb_peer_heartbeat_add_peer_state (HzbPeerHeartbeat *heartbeat, const char *node, guint64 born,
+                                   guint64 cancellations_known, gboolean withholds_answers)
 {
   HzbPeerState state = { g_strdup (node), born, cancellations_known, withholds_answers };
   g_array_append_val (heartbeat->peer_states, state);
 }
 
 static void
-encode_peer_states (const HzbHeartbeat *heartbeat, cJSON *message)
+encode_peer_states (const HzbPeerHeartbeat *heartbeat, cJSON *message)
 {
   cJSON *list = cJSON_AddArrayToObject (message, "about");
   for (guint i = 0; i < heartbeat->peer_states->len; i++)
@@ -74,7 +74,7 @@
 }
 
 static void
-encode_known_marks (const HzbHeartbeat *heartbeat, cJSON *message)
+encode_known_marks (const HzbPeerHeartbeat *heartbeat, cJSON *message)
 {
   cJSON *list = cJSON_AddArrayToObject (message, "knownMarks");
   for (guint i = 0; i < heartbeat->known_marks->len; i++)
@@ -89,7 +89,7 @@
 }
 
 static void
-encode_counts (const HzbHeartbeat *heartbeat, cJSON *message)
+encode_counts (const HzbPeerHeartbeat *heartbeat, cJSON *message)
 {
   cJSON *list = cJSON_AddObjectToObject (message, "jobs");
   for (guint i = 0; i < heartbeat->counts->len; i++)
@@ -101,7 +101,7 @@
 }
 
 static void
-encode_cancellations (const HzbHeartbeat *heartbeat, cJSON *message)
+encode_cancellations (const HzbPeerHeartbeat *heartbeat, cJSON *message)
 {
   cJSON *list = cJSON_AddObjectToObject (message, "cancelled");
   hzb_json_add_u64 (message, "cancelledUpTo", heartbeat->cancellations_up_to);
@@ -116,7 +116,7 @@
 }
 
 void
-hzb_heartbeat_encode (const HzbHeartbeat *heartbeat, cJSON *message)
+hzb_peer_heartbeat_encode (const HzbPeerHeartbeat *heartbeat, cJSON *message)
 {
   cJSON_DeleteItemFromObject (message, "format"); /* the envelope of a request has it */
   cJSON_AddNumberToObject (message, "format", heartbeat->format);
@@ -145,30 +145,30 @@
 }
 
 static void
-decode_counts (HzbHeartbeat *heartbeat, const cJSON *jobs)
+decode_counts (HzbPeerHeartbeat *heartbeat, const cJSON *jobs)
 {
   const cJSON *item;
   cJSON_ArrayForEach (item, jobs)
     {
       const cJSON *done = cJSON_GetArrayItem (item, 0), *running = cJSON_GetArrayItem (item, 1);
       if (item->string && is_count (done) && is_count (running))
-        hzb_heartbeat_add_counts (heartbeat, item->string, (guint) done->valueint, (guint) running->valueint);
+        hzb_peer_heartbeat_add_counts (heartbeat, item->string, (guint) done->valueint, (guint) running->valueint);
     }
 }
 
 static void
-decode_peer_states (HzbHeartbeat *heartbeat, const cJSON *about)
+decode_peer_states (HzbPeerHeartbeat *heartbeat, const cJSON *about)
 {
   const cJSON *item;
   cJSON_ArrayForEach (item, about)
     if (hzb_json_text (item, "node"))
-      hzb_heartbeat_add_peer_state (heartbeat, hzb_json_text (item, "node"), hzb_json_u64 (item, "born"),
-                                    hzb_json_u64 (item, "cancelledKnown"),
-                                    cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "withholds")));
+      hzb_peer_heartbeat_add_peer_state (heartbeat, hzb_json_text (item, "node"), hzb_json_u64 (item, "born"),
+                                         hzb_json_u64 (item, "cancelledKnown"),
+                                         cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "withholds")));
 }
 
 static void
-decode_known_marks (HzbHeartbeat *heartbeat, const cJSON *message)
+decode_known_marks (HzbPeerHeartbeat *heartbeat, const cJSON *message)
 {
   const cJSON *item;
   heartbeat->withheld_revision = hzb_json_u64 (message, "withheld");
@@ -182,7 +182,7 @@
 
 /* One that can't be read makes the list incomplete: then nothing is said. */
 static void
-decode_cancellations (HzbHeartbeat *heartbeat, const cJSON *message)
+decode_cancellations (HzbPeerHeartbeat *heartbeat, const cJSON *message)
 {
   const cJSON *item;
   heartbeat->cancellations_up_to = hzb_json_u64 (message, "cancelledUpTo");
@@ -199,10 +199,10 @@
     }
 }
 
-HzbHeartbeat *
-hzb_heartbeat_decode (const cJSON *message)
+HzbPeerHeartbeat *
+hzb_peer_heartbeat_decode (const cJSON *message)
 {
-  HzbHeartbeat *heartbeat = hzb_heartbeat_new ();
+  HzbPeerHeartbeat *heartbeat = hzb_peer_heartbeat_new ();
   heartbeat->format = (guint) hzb_json_number (message, "format", 1);
   heartbeat->leads = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "leads"));
   heartbeat->term = hzb_json_u64 (message, "term");
--- a/src/heartbeat.h
+++ b/src/peer-heartbeat.h
@@ -34,7 +34,7 @@
   double age_s;
 } HzbKnownMark;
 
-/** HzbHeartbeat: */
+/** HzbPeerHeartbeat: */
 typedef struct
 {
   gboolean leads;
@@ -60,22 +60,22 @@
   /* In replies only: what the receiver lacks. */
   GArray *cancellations;       /* HzbCancellation, of what was recorded after the revision that the request stated */
   guint64 cancellations_up_to; /* and these are all up to this one; 0: nothing is said */
-} HzbHeartbeat;
+} HzbPeerHeartbeat;
 
-/** hzb_heartbeat_new: Returns: (transfer full): one that says nothing yet */
-HzbHeartbeat *hzb_heartbeat_new (void);
-void hzb_heartbeat_free (HzbHeartbeat *heartbeat);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbHeartbeat, hzb_heartbeat_free)
+/** hzb_peer_heartbeat_new: Returns: (transfer full): one that says nothing yet */
+HzbPeerHeartbeat *hzb_peer_heartbeat_new (void);
+void hzb_peer_heartbeat_free (HzbPeerHeartbeat *heartbeat);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbPeerHeartbeat, hzb_peer_heartbeat_free)
 
-/** hzb_heartbeat_add_counts: counts of one more job. */
-void hzb_heartbeat_add_counts (HzbHeartbeat *heartbeat, const char *uid, guint done, guint running);
+/** hzb_peer_heartbeat_add_counts: counts of one more job. */
+void hzb_peer_heartbeat_add_counts (HzbPeerHeartbeat *heartbeat, const char *uid, guint done, guint running);
 
-/** hzb_heartbeat_add_peer_state: what is known of one more controller. */
-void hzb_heartbeat_add_peer_state (HzbHeartbeat *heartbeat, const char *node, guint64 born, guint64 cancellations_known,
-                                   gboolean withholds_answers);
+/** hzb_peer_heartbeat_add_peer_state: what is known of one more controller. */
+void hzb_peer_heartbeat_add_peer_state (HzbPeerHeartbeat *heartbeat, const char *node, guint64 born,
+                                        guint64 cancellations_known, gboolean withholds_answers);
 
-/** hzb_heartbeat_encode: adds the heartbeat's fields to a message. */
-void hzb_heartbeat_encode (const HzbHeartbeat *heartbeat, cJSON *message);
+/** hzb_peer_heartbeat_encode: adds the heartbeat's fields to a message. */
+void hzb_peer_heartbeat_encode (const HzbPeerHeartbeat *heartbeat, cJSON *message);
 
-/** hzb_heartbeat_decode: Returns: (transfer full): what the message says; what it lacks, or says wrongly, has its default */
-HzbHeartbeat *hzb_heartbeat_decode (const cJSON *message);
+/** hzb_peer_heartbeat_decode: Returns: (transfer full): what the message says; what it lacks, or says wrongly, has its default */
+HzbPeerHeartbeat *hzb_peer_heartbeat_decode (const cJSON *message);
--- a/src/peers.c
+++ b/src/peers.c
@@ -3,8 +3,8 @@
  * Copies of old messages may come late, also from a process that has ended since. So each says which process sent it,
  * when that began, and counts: what is not the newest of its kind is refused, whoever it is from. */
 #include "controller.h"
-#include "heartbeat.h"
 #include "known-marks.h"
+#include "peer-heartbeat.h"
 
 #include <string.h>
 
@@ -26,7 +26,7 @@
   const HzbPeer *peer;
   gboolean asking;
   struct timespec confirmed; /* when the last heartbeat was sent there that it has answered */
-  struct timespec last_report;
+  struct timespec last_heartbeat;
   double kv_unresponsive_s;
   guint64 term;
   gboolean leads;
@@ -35,7 +35,7 @@
   gboolean logged_old_format;
   guint format;           /* of records and messages, as it last said */
   guint64 known_revision; /* it knows all cancellations up to here; 0: a version that does not say */
-  gboolean tells_cancellations, withholds_answers; /* see HzbHeartbeat */
+  gboolean tells_cancellations, withholds_answers; /* see HzbPeerHeartbeat */
   /* What others have said of it, while this process has not heard it itself. */
   guint64 vouched_born, vouched_known;
   gboolean vouched_withholds;
@@ -99,8 +99,8 @@
 static double
 silence (HzbPeers *peers, const View *view)
 {
-  return hzb_time_is_set (view->last_report)
-             ? hzb_time_between (view->last_report, hzb_clock_now (peers->controller->clock))
+  return hzb_time_is_set (view->last_heartbeat)
+             ? hzb_time_between (view->last_heartbeat, hzb_clock_now (peers->controller->clock))
              : 1e9;
 }
 
@@ -232,7 +232,7 @@
   for (guint i = 0; i < peers->views->len; i++)
     {
       const View *view = &g_array_index (peers->views, View, i);
-      if (hzb_time_is_set (view->last_report) && !view->tells_cancellations)
+      if (hzb_time_is_set (view->last_heartbeat) && !view->tells_cancellations)
         return TRUE;
     }
   return FALSE;
@@ -296,9 +296,9 @@
 hzb_peers_last_kv_contact (HzbPeers *peers, const char *node, struct timespec *at)
 {
   const View *view = view_of (peers, node);
-  if (!view || !hzb_time_is_set (view->last_report) || view->kv_unresponsive_s > 1e5)
+  if (!view || !hzb_time_is_set (view->last_heartbeat) || view->kv_unresponsive_s > 1e5)
     return FALSE;
-  *at = hzb_time_plus (view->last_report, -view->kv_unresponsive_s);
+  *at = hzb_time_plus (view->last_heartbeat, -view->kv_unresponsive_s);
   return TRUE;
 }
 
@@ -375,7 +375,7 @@
 /* What a leader says of its jobs; others say nothing. What is not named in a partial list stays as it was, so there those are
  * named too of which nothing runs. */
 static void
-add_counts (HzbPeers *peers, HzbHeartbeat *heartbeat)
+add_counts (HzbPeers *peers, HzbPeerHeartbeat *heartbeat)
 {
   const GPtrArray *jobs = peers->controller->jobs->active;
   guint first = jobs->len > MOST_SHOWN ? peers->next_shown % jobs->len : 0;
@@ -386,21 +386,21 @@
       const HzbJob *job = jobs->pdata[(first + i) % jobs->len];
       guint done = job->done + job->finished, running = job->running + job->delegated_running;
       if (done || running || heartbeat->partial_counts)
-        hzb_heartbeat_add_counts (heartbeat, job->uid, done, running);
+        hzb_peer_heartbeat_add_counts (heartbeat, job->uid, done, running);
     }
 }
 
 /* What this controller has of others, for those that have begun anew since. */
 static void
-add_hearsay (HzbPeers *peers, HzbHeartbeat *heartbeat, struct timespec now)
+add_hearsay (HzbPeers *peers, HzbPeerHeartbeat *heartbeat, struct timespec now)
 {
   for (guint i = 0; i < peers->views->len; i++)
     {
       const View *view = &g_array_index (peers->views, View, i);
       guint64 born = view->incarnation ? view->born : view->vouched_born;
       if (born)
-        hzb_heartbeat_add_peer_state (heartbeat, view->peer->node, born, known_revision_of (view),
-                                      withholds_answers (view));
+        hzb_peer_heartbeat_add_peer_state (heartbeat, view->peer->node, born, known_revision_of (view),
+                                           withholds_answers (view));
     }
   for (GList *l = peers->known_marks.marks.head; l; l = l->next)
     {
@@ -426,7 +426,7 @@
 
 /* All of it stays true, whoever says it and however late it comes. */
 static void
-take_hearsay (HzbPeers *peers, const HzbHeartbeat *heartbeat)
+take_hearsay (HzbPeers *peers, const HzbPeerHeartbeat *heartbeat)
 {
   struct timespec now = hzb_clock_now (peers->controller->clock);
 
@@ -441,12 +441,12 @@
 }
 
 /* What this controller has to say now. */
-static HzbHeartbeat *
+static HzbPeerHeartbeat *
 heartbeat_of_now (HzbPeers *peers)
 {
   HzbController *controller = peers->controller;
   struct timespec now = hzb_clock_now (controller->clock);
-  HzbHeartbeat *heartbeat = hzb_heartbeat_new ();
+  HzbPeerHeartbeat *heartbeat = hzb_peer_heartbeat_new ();
 
   heartbeat->format = controller->format;
   heartbeat->leads = hzb_election_leading (controller->election);
@@ -472,7 +472,7 @@
 }
 
 static void
-take_counts (HzbPeers *peers, const HzbHeartbeat *heartbeat)
+take_counts (HzbPeers *peers, const HzbPeerHeartbeat *heartbeat)
 {
   struct timespec now = hzb_clock_now (peers->controller->clock);
 
@@ -492,11 +492,11 @@
 }
 
 static void
-apply_heartbeat (HzbPeers *peers, View *view, const HzbHeartbeat *heartbeat)
+apply_heartbeat (HzbPeers *peers, View *view, const HzbPeerHeartbeat *heartbeat)
 {
   HzbController *controller = peers->controller;
 
-  view->last_report = hzb_clock_now (controller->clock);
+  view->last_heartbeat = hzb_clock_now (controller->clock);
   view->kv_unresponsive_s = heartbeat->kv_unresponsive_s;
   view->term = heartbeat->term;
   view->sends_workers = heartbeat->sends_workers;
@@ -525,7 +525,7 @@
 
 /* Guards against a peer whose own replica of the records is behind what it lists, or that could not list all: it proves nothing. */
 static void
-learn_cancellations (HzbPeers *peers, const HzbHeartbeat *reply, struct timespec sent)
+learn_cancellations (HzbPeers *peers, const HzbPeerHeartbeat *reply, struct timespec sent)
 {
   if (!reply->cancellations_up_to)
     return;
@@ -546,7 +546,7 @@
   view->asking = FALSE;
   if (root)
     {
-      g_autoptr (HzbHeartbeat) heartbeat = hzb_heartbeat_decode (root);
+      g_autoptr (HzbPeerHeartbeat) heartbeat = hzb_peer_heartbeat_decode (root);
       apply_heartbeat (call->peers, view, heartbeat);
       learn_cancellations (call->peers, heartbeat, call->sent);
       view->confirmed = call->sent;
@@ -558,7 +558,7 @@
 send_heartbeat (HzbPeers *peers, guint at)
 {
   View *view = &g_array_index (peers->views, View, at);
-  g_autoptr (HzbHeartbeat) heartbeat = heartbeat_of_now (peers);
+  g_autoptr (HzbPeerHeartbeat) heartbeat = heartbeat_of_now (peers);
   Call *call = g_new0 (Call, 1);
   cJSON *root = hzb_peers_message (peers, HZB_PEER_HEARTBEAT);
 
@@ -566,7 +566,7 @@
   call->peers = peers;
   call->at = at;
   call->sent = hzb_clock_now (peers->controller->clock);
-  hzb_heartbeat_encode (heartbeat, root);
+  hzb_peer_heartbeat_encode (heartbeat, root);
   hzb_send (peers->controller->transport, "POST", view->peer->address, "/peer/v1/word", cJSON_PrintUnformatted (root),
             HEARTBEAT_TIMEOUT_MS, on_heartbeat, call);
   cJSON_Delete (root);
@@ -593,15 +593,15 @@
 }
 
 static void
-reply_heartbeat (HzbPeers *peers, HzbExchange *exchange, const HzbHeartbeat *theirs)
+reply_heartbeat (HzbPeers *peers, HzbExchange *exchange, const HzbPeerHeartbeat *theirs)
 {
-  g_autoptr (HzbHeartbeat) heartbeat = heartbeat_of_now (peers);
+  g_autoptr (HzbPeerHeartbeat) heartbeat = heartbeat_of_now (peers);
   cJSON *reply = cJSON_CreateObject ();
 
   if (theirs->tells_cancellations)
     heartbeat->cancellations_up_to = hzb_cancellations_since (peers->controller->cancellations,
                                                               theirs->cancellations_known, heartbeat->cancellations);
-  hzb_heartbeat_encode (heartbeat, reply);
+  hzb_peer_heartbeat_encode (heartbeat, reply);
   hzb_exchange_reply (exchange, 200, cJSON_PrintUnformatted (reply), 0);
   cJSON_Delete (reply);
 }
@@ -620,7 +620,7 @@
     hzb_shard_leases_request (controller->shard_leases, exchange, root);
   else
     {
-      g_autoptr (HzbHeartbeat) theirs = hzb_heartbeat_decode (root);
+      g_autoptr (HzbPeerHeartbeat) theirs = hzb_peer_heartbeat_decode (root);
       apply_heartbeat (controller->peers, view, theirs);
       reply_heartbeat (controller->peers, exchange, theirs);
     }
--- a/src/provisioning.c
+++ b/src/provisioning.c
@@ -234,8 +234,8 @@
           || hzb_time_between (machine->rented, provisioning->list_began) < known)
         continue;
       /* One that has just reported is there, whatever the list says. */
-      if (hzb_time_is_set (machine->last_report)
-          && hzb_time_between (machine->last_report, now) < 1.5 * controller->settings->report_s + 1)
+      if (hzb_time_is_set (machine->last_heartbeat)
+          && hzb_time_between (machine->last_heartbeat, now) < 1.5 * controller->settings->heartbeat_interval_s + 1)
         continue;
       hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_RETURNING, "the cloud lists it no more");
       machine_is_gone (controller, machine);
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -113,11 +113,11 @@
 /* ---- verdicts ---- */
 
 static HzbQuarantined *
-find_or_add (HzbQuarantine *quarantine, const HzbMachine *machine, const HzbTaskReport *task_report,
+find_or_add (HzbQuarantine *quarantine, const HzbMachine *machine, const HzbTaskStatus *task_status,
              struct timespec now)
 {
-  g_autofree char *name = g_strdup_printf ("%s/%u %" G_GUINT64_FORMAT " %s", task_report->uid, task_report->task,
-                                           task_report->attempt, machine->name);
+  g_autofree char *name = g_strdup_printf ("%s/%u %" G_GUINT64_FORMAT " %s", task_status->uid, task_status->task,
+                                           task_status->attempt, machine->name);
   HzbQuarantined *entry = g_hash_table_lookup (quarantine->entries, name);
 
   if (entry)
@@ -128,10 +128,10 @@
       return NULL;
     }
   entry = g_new0 (HzbQuarantined, 1);
-  entry->uid = g_strdup (task_report->uid);
+  entry->uid = g_strdup (task_status->uid);
   entry->machine = g_strdup (machine->name);
-  entry->task = task_report->task;
-  entry->attempt = task_report->attempt;
+  entry->task = task_status->task;
+  entry->attempt = task_status->attempt;
   entry->first_seen = now;
   g_message ("reconciliation: %s reports task %s/%u, which no record names: it is left alone until that is proven",
              machine->name, entry->uid, entry->task);
@@ -157,10 +157,10 @@
 }
 
 HzbTaskVerdict
-hzb_quarantine_judge (HzbQuarantine *quarantine, const HzbMachine *machine, const HzbTaskReport *task_report,
+hzb_quarantine_judge (HzbQuarantine *quarantine, const HzbMachine *machine, const HzbTaskStatus *task_status,
                       struct timespec now, HzbTaskReason *reason)
 {
-  HzbQuarantined *entry = find_or_add (quarantine, machine, task_report, now);
+  HzbQuarantined *entry = find_or_add (quarantine, machine, task_status, now);
   HzbTaskEvidence evidence;
   HzbTaskReason before;
 
@@ -171,7 +171,7 @@
     }
   before = entry->reason;
   entry->last_seen = now;
-  entry->alive = task_report->state != HZB_TASK_REPORT_EXITED;
+  entry->alive = task_status->state != HZB_TASK_STATUS_EXITED;
   evidence = evidence_of (quarantine, entry, now);
   entry->verdict = hzb_task_verdict_decide (&evidence, &entry->reason);
   if (entry->reason != before)
@@ -313,7 +313,7 @@
 
   if (entry->proof == HZB_PROOF_SYNCING || entry->proof == HZB_PROOF_READING)
     return FALSE;
-  return silent > MAX (settings->lease_s, FORGET_REPORTS * settings->report_s);
+  return silent > MAX (settings->lease_s, FORGET_REPORTS * settings->heartbeat_interval_s);
 }
 
 void
--- a/src/reconciliation/quarantine.h
+++ b/src/reconciliation/quarantine.h
@@ -63,7 +63,7 @@
 
 /** hzb_quarantine_judge: a report of the machine shows a task that no record here names. */
 HzbTaskVerdict hzb_quarantine_judge (HzbQuarantine *quarantine, const HzbMachine *machine,
-                                     const HzbTaskReport *task_report, struct timespec now, HzbTaskReason *reason);
+                                     const HzbTaskStatus *task_status, struct timespec now, HzbTaskReason *reason);
 
 /** hzb_quarantine_tick: goes on with proofs, and forgets what is not reported any more. */
 void hzb_quarantine_tick (HzbQuarantine *quarantine, struct timespec now);
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -335,9 +335,10 @@
   const HzbSettings *settings = reconciliation->controller->settings;
   double machines = reconciliation->controller->machines->all->len;
   HzbPacingLimits limits = {
-    .per_s = settings->reconciliation.starts_per_s > 0 ? settings->reconciliation.starts_per_s
-                                                       : MAX (LEAST_STARTS_PER_S, machines / (2 * settings->report_s)),
-    .per_answer = settings->reconciliation.starts_per_report,
+    .per_s = settings->reconciliation.starts_per_s > 0
+                 ? settings->reconciliation.starts_per_s
+                 : MAX (LEAST_STARTS_PER_S, machines / (2 * settings->heartbeat_interval_s)),
+    .per_answer = settings->reconciliation.starts_per_heartbeat,
     .rentals_per_s = MIN (MOST_RENTALS_PER_S, CLOUD_PART * settings->cloud_rps),
     .duration_s = settings->reconciliation.pace_s,
   };
@@ -538,22 +539,22 @@
 gboolean
 hzb_reconciliation_may_rent (HzbReconciliation *reconciliation, struct timespec now)
 {
-  double report_s = reconciliation->controller->settings->report_s;
+  double heartbeat_interval_s = reconciliation->controller->settings->heartbeat_interval_s;
 
   if (reconciliation->state == HZB_RECONCILIATION_DETECTING)
     return FALSE;
   if (reconciliation->state == HZB_RECONCILIATION_COLLECTING
-      && hzb_time_between (reconciliation->began, now) < 2 * report_s + 2)
+      && hzb_time_between (reconciliation->began, now) < 2 * heartbeat_interval_s + 2)
     return FALSE;
   return hzb_pacing_take_rental (&reconciliation->pacing);
 }
 
 HzbTaskVerdict
 hzb_reconciliation_judge_unrecorded (HzbReconciliation *reconciliation, const HzbMachine *machine,
-                                     const HzbTaskReport *task_report, struct timespec now)
+                                     const HzbTaskStatus *task_status, struct timespec now)
 {
   HzbTaskReason reason;
-  HzbTaskVerdict verdict = hzb_quarantine_judge (reconciliation->quarantine, machine, task_report, now, &reason);
+  HzbTaskVerdict verdict = hzb_quarantine_judge (reconciliation->quarantine, machine, task_status, now, &reason);
 
   if (verdict == HZB_TASK_VERDICT_STOP && !hzb_pacing_allows (&reconciliation->pacing, HZB_PACING_OTHER))
     return HZB_TASK_VERDICT_AWAIT; /* with the next report */
@@ -579,16 +580,16 @@
 
 HzbTaskVerdict
 hzb_reconciliation_judge (HzbReconciliation *reconciliation, const HzbMachine *machine, const HzbJob *job,
-                          const HzbTask *task, const HzbTaskReport *task_report)
+                          const HzbTask *task, const HzbTaskStatus *task_status)
 {
   HzbTaskEvidence evidence = { .job_decided = !job->awaits_verdict };
   HzbTaskReason reason;
   HzbTaskVerdict verdict;
 
   evidence.record = job->state == HZB_JOB_ACCEPTED ? HZB_RECORD_OPEN : HZB_RECORD_OVER;
-  evidence.standing = standing_of (task, machine, task_report->attempt);
-  evidence.shown = task_report->state != HZB_TASK_REPORT_EXITED                                   ? HZB_SHOWN_ALIVE
-                   : task_report->exit_cause == HZB_EXIT_DONE && job->spec && !job->spec->service ? HZB_SHOWN_RESULT
+  evidence.standing = standing_of (task, machine, task_status->attempt);
+  evidence.shown = task_status->state != HZB_TASK_STATUS_EXITED                                   ? HZB_SHOWN_ALIVE
+                   : task_status->exit_cause == HZB_EXIT_DONE && job->spec && !job->spec->service ? HZB_SHOWN_RESULT
                                                                                                   : HZB_SHOWN_ENDED;
   verdict = hzb_task_verdict_decide (&evidence, &reason);
   /* What goes on is adopted once, what waits is not a verdict yet. */
--- a/src/reconciliation/reconciliation.h
+++ b/src/reconciliation/reconciliation.h
@@ -61,7 +61,7 @@
  * Returns: %HZB_TASK_VERDICT_STOP or %HZB_TASK_VERDICT_REAP if it may be told so, else it is to be left alone
  */
 HzbTaskVerdict hzb_reconciliation_judge_unrecorded (HzbReconciliation *reconciliation, const HzbMachine *machine,
-                                                    const HzbTaskReport *task_report, struct timespec now);
+                                                    const HzbTaskStatus *task_status, struct timespec now);
 
 /**
  * hzb_reconciliation_judge:
@@ -70,7 +70,7 @@
  * A report shows a task of a job that is known. Returns: what is to be done with it
  */
 HzbTaskVerdict hzb_reconciliation_judge (HzbReconciliation *reconciliation, const HzbMachine *machine,
-                                         const HzbJob *job, const HzbTask *task, const HzbTaskReport *task_report);
+                                         const HzbJob *job, const HzbTask *task, const HzbTaskStatus *task_status);
 
 /** hzb_reconciliation_note_commands: these go to a worker. */
 void hzb_reconciliation_note_commands (HzbReconciliation *reconciliation, const GArray *commands);
--- a/src/search.c
+++ b/src/search.c
@@ -29,7 +29,8 @@
 replica_cost (const HzbSearch *search, const HzbMachine *machine)
 {
   const HzbSpec *spec = search->job->spec;
-  double until_report = search->dispatch->settings->report_s - hzb_time_between (machine->last_report, search->now);
+  double until_report =
+      search->dispatch->settings->heartbeat_interval_s - hzb_time_between (machine->last_heartbeat, search->now);
   gboolean room =
       machine->cpus + machine->listed_service_cpus + spec->cpus <= machine->type->cpus + 1e-6
       && machine->memory + machine->listed_service_memory + spec->memory_gb <= machine->type->memory_gb + 1e-6;
--- a/src/settings.c
+++ b/src/settings.c
@@ -159,7 +159,7 @@
     }
   if ((table = table_at (cluster, "cluster", "workers", faults)))
     {
-      settings->report_s = number_at (table, "cluster.workers", "report_s", 0.1, NAN, faults);
+      settings->heartbeat_interval_s = number_at (table, "cluster.workers", "report_s", 0.1, NAN, faults);
       settings->lease_s = number_at (table, "cluster.workers", "lease_s", 1, NAN, faults);
       settings->gang_wait_s = number_at (table, "cluster.workers", "gang_wait_s", 0, 30, faults);
       settings->gang_peer_s = number_at (table, "cluster.workers", "gang_peer_s", 0, 5, faults);
@@ -287,7 +287,7 @@
 #define MOST_ARCHIVES 24.0
 
 static const HzbReconciliationSettings usual_reconciliation = {
-  .operator_s = 120, .pace_s = 60, .starts_per_report = 4, .keep = 8
+  .operator_s = 120, .pace_s = 60, .starts_per_heartbeat = 4, .keep = 8
 };
 
 static void
@@ -338,8 +338,8 @@
   reconciliation->operator_s = bounded_at (table, where, "operator_s", 86400, usual_reconciliation.operator_s, faults);
   reconciliation->pace_s = bounded_at (table, where, "pace_s", LONGEST_PACE_S, usual_reconciliation.pace_s, faults);
   reconciliation->starts_per_s = bounded_at (table, where, "starts_per_s", MOST_STARTS, 0, faults);
-  reconciliation->starts_per_report = (guint) bounded_at (table, where, "starts_per_report", MOST_STARTS,
-                                                          usual_reconciliation.starts_per_report, faults);
+  reconciliation->starts_per_heartbeat = (guint) bounded_at (table, where, "starts_per_report", MOST_STARTS,
+                                                             usual_reconciliation.starts_per_heartbeat, faults);
   reconciliation->keep = (guint) bounded_at (table, where, "keep", MOST_ARCHIVES, usual_reconciliation.keep, faults);
 }
 
--- a/src/settings.h
+++ b/src/settings.h
@@ -26,12 +26,12 @@
 typedef struct
 {
   gboolean enabled;
-  gboolean barrier;        /* no job goes on before all machines are accounted for */
-  double operator_s;       /* an operator's time to decide about a task that no record names */
-  double pace_s;           /* commands are paced for so long */
-  double starts_per_s;     /* 0: by the size of the fleet */
-  guint starts_per_report; /* 0: no limit */
-  guint keep;              /* archives */
+  gboolean barrier;           /* no job goes on before all machines are accounted for */
+  double operator_s;          /* an operator's time to decide about a task that no record names */
+  double pace_s;              /* commands are paced for so long */
+  double starts_per_s;        /* 0: by the size of the fleet */
+  guint starts_per_heartbeat; /* 0: no limit */
+  guint keep;                 /* archives */
 } HzbReconciliationSettings;
 
 typedef struct
@@ -44,7 +44,7 @@
   GPtrArray *objectives; /* HzbObjective */
   guint size;
   double skew_ms;
-  double report_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
+  double heartbeat_interval_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
   /* Of the key-value store: the lesser of what it takes now and what it will take. */
   double kv_rps, kv_write_rps, kv_value_kb;
   guint kv_txn_ops;
--- a/src/wire.c
+++ b/src/wire.c
@@ -6,7 +6,7 @@
 const char hzb_path_jobs[] = "/api/jobs";
 const char hzb_path_cancel[] = "/cancel";
 const char hzb_path_ready[] = "/ready";
-const char hzb_path_report[] = "/hello";
+const char hzb_path_worker_heartbeat[] = "/hello";
 const char hzb_path_types[] = "/machine_types";
 const char hzb_path_rent[] = "/hosts";
 const char hzb_path_return[] = "/hosts/return";
@@ -101,16 +101,16 @@
 }
 
 void
-hzb_report_free (HzbReport *report)
+hzb_worker_heartbeat_free (HzbWorkerHeartbeat *heartbeat)
 {
-  if (!report)
+  if (!heartbeat)
     return;
-  g_free (report->host);
-  g_free (report->addr);
-  g_free (report->type);
-  g_free (report->zone);
-  g_array_unref (report->task_reports);
-  g_free (report);
+  g_free (heartbeat->host);
+  g_free (heartbeat->addr);
+  g_free (heartbeat->type);
+  g_free (heartbeat->zone);
+  g_array_unref (heartbeat->task_statuses);
+  g_free (heartbeat);
 }
 
 void
@@ -339,7 +339,7 @@
 static void
 piece_clear (gpointer data)
 {
-  g_free (((HzbTaskReport *) data)->uid);
+  g_free (((HzbTaskStatus *) data)->uid);
 }
 
 static int
@@ -351,27 +351,27 @@
   return -1;
 }
 
-HzbReport *
-hzb_wire_parse_report (const char *body, gsize length, GError **error)
+HzbWorkerHeartbeat *
+hzb_wire_parse_worker_heartbeat (const char *body, gsize length, GError **error)
 {
-  g_autoptr (HzbReport) report = g_new0 (HzbReport, 1);
+  g_autoptr (HzbWorkerHeartbeat) heartbeat = g_new0 (HzbWorkerHeartbeat, 1);
   cJSON *root = body ? cJSON_ParseWithLength (body, length) : NULL;
   const cJSON *item;
 
-  report->task_reports = g_array_new (FALSE, TRUE, sizeof (HzbTaskReport));
-  g_array_set_clear_func (report->task_reports, piece_clear);
-  report->host = g_strdup (hzb_json_text (root, "host"));
-  report->addr = g_strdup (hzb_json_text (root, "addr"));
-  report->type = g_strdup (hzb_json_text (root, "flavor"));
-  report->zone = g_strdup (hzb_json_text (root, "yard"));
-  report->spot = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "loaners"));
-  report->agent_epoch = hzb_json_u64 (root, "tenure");
-  report->sequence = hzb_json_u64 (root, "tick");
-  report->fencing_token = hzb_json_u64 (root, "baton");
-  report->notice_s = hzb_json_number (root, "reclaimInS", -1);
+  heartbeat->task_statuses = g_array_new (FALSE, TRUE, sizeof (HzbTaskStatus));
+  g_array_set_clear_func (heartbeat->task_statuses, piece_clear);
+  heartbeat->host = g_strdup (hzb_json_text (root, "host"));
+  heartbeat->addr = g_strdup (hzb_json_text (root, "addr"));
+  heartbeat->type = g_strdup (hzb_json_text (root, "flavor"));
+  heartbeat->zone = g_strdup (hzb_json_text (root, "yard"));
+  heartbeat->spot = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "loaners"));
+  heartbeat->agent_epoch = hzb_json_u64 (root, "tenure");
+  heartbeat->sequence = hzb_json_u64 (root, "tick");
+  heartbeat->fencing_token = hzb_json_u64 (root, "baton");
+  heartbeat->notice_s = hzb_json_number (root, "reclaimInS", -1);
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, "pieces"))
     {
-      HzbTaskReport task_report = { 0 };
+      HzbTaskStatus task_status = { 0 };
       const char *name = hzb_json_text (item, "piece");
       const char *slash = name ? strrchr (name, '/') : NULL;
       int state = index_of (hzb_json_text (item, "status"), piece_states, G_N_ELEMENTS (piece_states));
@@ -379,21 +379,21 @@
       guint64 task;
       if (!slash || state < 0 || !g_ascii_string_to_unsigned (slash + 1, 10, 0, G_MAXUINT32, &task, NULL))
         continue;
-      task_report.uid = g_strndup (name, (gsize) (slash - name));
-      task_report.task = (guint) task;
-      task_report.attempt = hzb_json_u64 (item, "try");
-      task_report.state = (HzbTaskReportState) state;
-      task_report.exit_cause = why < 0 ? HZB_EXIT_NONE : (HzbExitCause) why;
-      task_report.saved = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "stored"));
-      g_array_append_val (report->task_reports, task_report);
+      task_status.uid = g_strndup (name, (gsize) (slash - name));
+      task_status.task = (guint) task;
+      task_status.attempt = hzb_json_u64 (item, "try");
+      task_status.state = (HzbReportedTaskState) state;
+      task_status.exit_cause = why < 0 ? HZB_EXIT_NONE : (HzbExitCause) why;
+      task_status.saved = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "stored"));
+      g_array_append_val (heartbeat->task_statuses, task_status);
     }
   cJSON_Delete (root);
-  if (!report->host || !report->addr || !report->type || !report->zone || !report->agent_epoch)
+  if (!heartbeat->host || !heartbeat->addr || !heartbeat->type || !heartbeat->zone || !heartbeat->agent_epoch)
     {
       g_set_error (error, HZB_WIRE_ERROR, 400, "not a worker's report");
       return NULL;
     }
-  return g_steal_pointer (&report);
+  return g_steal_pointer (&heartbeat);
 }
 
 char *
--- a/src/wire.h
+++ b/src/wire.h
@@ -47,12 +47,12 @@
 
 typedef enum
 {
-  HZB_TASK_REPORT_FETCHING,
-  HZB_TASK_REPORT_WAITING,
-  HZB_TASK_REPORT_RUNNING,
-  HZB_TASK_REPORT_SAVING,
-  HZB_TASK_REPORT_EXITED
-} HzbTaskReportState;
+  HZB_TASK_STATUS_FETCHING,
+  HZB_TASK_STATUS_WAITING,
+  HZB_TASK_STATUS_RUNNING,
+  HZB_TASK_STATUS_CHECKPOINTING,
+  HZB_TASK_STATUS_EXITED
+} HzbReportedTaskState;
 
 typedef enum
 {
@@ -67,28 +67,28 @@
   HZB_EXIT_REFUSED_UNKNOWN
 } HzbExitCause;
 
-/* One line of a worker's report. */
+/* One line of a worker's heartbeat. */
 typedef struct
 {
   char *uid;
   guint task;
   guint64 attempt;
-  HzbTaskReportState state;
+  HzbReportedTaskState state;
   HzbExitCause exit_cause;
   gboolean saved;
-} HzbTaskReport;
+} HzbTaskStatus;
 
 typedef struct
 {
   char *host, *addr, *type, *zone;
   gboolean spot;
   guint64 agent_epoch, sequence, fencing_token;
-  double notice_s;      /* below 0: none */
-  GArray *task_reports; /* HzbPiece */
-} HzbReport;
+  double notice_s;       /* below 0: none */
+  GArray *task_statuses; /* HzbTaskStatus */
+} HzbWorkerHeartbeat;
 
-void hzb_report_free (HzbReport *report);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbReport, hzb_report_free)
+void hzb_worker_heartbeat_free (HzbWorkerHeartbeat *report);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbWorkerHeartbeat, hzb_worker_heartbeat_free)
 
 typedef enum
 {
@@ -134,7 +134,7 @@
 GQuark hzb_wire_error_quark (void);
 
 /* users */
-extern const char hzb_path_jobs[], hzb_path_ready[], hzb_path_report[], hzb_path_cancel[];
+extern const char hzb_path_jobs[], hzb_path_ready[], hzb_path_worker_heartbeat[], hzb_path_cancel[];
 gboolean hzb_wire_uid_ok (const char *uid);
 HzbSpec *hzb_wire_parse_job (const char *body, gsize length, GError **error);
 char *hzb_wire_job_status (const char *uid, const char *status, gboolean counts, guint done, guint running);
@@ -143,8 +143,8 @@
 HzbSpec *hzb_wire_unpack_spec (const char *uid, const cJSON *value);
 
 /* workers */
-HzbReport *hzb_wire_parse_report (const char *body, gsize length, GError **error);
-char *hzb_wire_commands (guint64 fencing_token, const GArray *commands); /* HzbOrder */
+HzbWorkerHeartbeat *hzb_wire_parse_worker_heartbeat (const char *body, gsize length, GError **error);
+char *hzb_wire_commands (guint64 fencing_token, const GArray *commands); /* HzbCommand */
 char *hzb_wire_redirect (const char *node);                              /* NULL: nobody known */
 
 /* cloud */
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -56,7 +56,7 @@
     }
 }
 
-/* Guards against replicas that end by themselves as soon as they run, which would be started at every report. One that
+/* Guards against replicas that end by themselves as soon as they run, which would be started at every heartbeat. One that
  * ran well is back at once. */
 static void
 replica_ended (HzbTask *replica, gboolean ran_well, struct timespec now)
@@ -67,26 +67,26 @@
 }
 
 static HzbTaskState
-task_state_of (HzbTaskReportState state)
+task_state_of (HzbReportedTaskState state)
 {
-  return state == HZB_TASK_REPORT_FETCHING  ? HZB_TASK_FETCHING
-         : state == HZB_TASK_REPORT_WAITING ? HZB_TASK_WAITING
-         : state == HZB_TASK_REPORT_SAVING  ? HZB_TASK_SAVING
-                                            : HZB_TASK_RUNNING;
+  return state == HZB_TASK_STATUS_FETCHING        ? HZB_TASK_FETCHING
+         : state == HZB_TASK_STATUS_WAITING       ? HZB_TASK_WAITING
+         : state == HZB_TASK_STATUS_CHECKPOINTING ? HZB_TASK_SAVING
+                                                  : HZB_TASK_RUNNING;
 }
 
 static void
-handle_exited (HzbController *controller, HzbMachine *machine, HzbTask *task, const HzbTaskReport *task_report,
+handle_exited (HzbController *controller, HzbMachine *machine, HzbTask *task, const HzbTaskStatus *task_status,
                struct timespec now, GArray *commands)
 {
   HzbJob *job = task->job;
-  gboolean here = hzb_task_on_machine (task) && task->machine == machine && task->attempt == task_report->attempt;
+  gboolean here = hzb_task_on_machine (task) && task->machine == machine && task->attempt == task_status->attempt;
 
   /* A replica that ends, for whatever cause, has no result: it runs again. */
-  if (task_report->exit_cause == HZB_EXIT_DONE && !job->spec->service)
+  if (task_status->exit_cause == HZB_EXIT_DONE && !job->spec->service)
     {
       if (task->state == HZB_TASK_DONE)
-        command (commands, HZB_COMMAND_REAP, job->uid, task->index, task_report->attempt, 0);
+        command (commands, HZB_COMMAND_REAP, job->uid, task->index, task_status->attempt, 0);
       else if (here || task->state == HZB_TASK_UNKNOWN || task->state == HZB_TASK_PENDING
                || task->state == HZB_TASK_LISTED || task->state == HZB_TASK_OTHER_OWNER)
         {
@@ -113,18 +113,18 @@
     {
       gboolean ran_well = task->state == HZB_TASK_RUNNING && hzb_time_between (task->since, now) > DOES_WELL_AFTER_S;
       hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
-      task_failed (controller, machine, task, task_report->exit_cause, ran_well, now);
-      if (task_report->exit_cause == HZB_EXIT_DONE)
+      task_failed (controller, machine, task, task_status->exit_cause, ran_well, now);
+      if (task_status->exit_cause == HZB_EXIT_DONE)
         replica_ended (task, ran_well, now);
     }
-  command (commands, HZB_COMMAND_REAP, job->uid, task->index, task_report->attempt, 0);
+  command (commands, HZB_COMMAND_REAP, job->uid, task->index, task_status->attempt, 0);
 }
 
 #define NOBODYS_AFTER_S 15.0 /* the replica of the records may be a moment behind */
 
 /* A task that no record here names. */
 static void
-apply_unrecorded (HzbController *controller, HzbMachine *machine, const HzbTaskReport *task_report, struct timespec now,
+apply_unrecorded (HzbController *controller, HzbMachine *machine, const HzbTaskStatus *task_status, struct timespec now,
                   GArray *commands)
 {
   gboolean over = hzb_time_between (controller->owner_since, now) > NOBODYS_AFTER_S;
@@ -132,41 +132,41 @@
   if (controller->settings->reconciliation.enabled && controller->ownership != HZB_OWNERSHIP_LEASEHOLDER)
     {
       HzbTaskVerdict verdict =
-          hzb_reconciliation_judge_unrecorded (controller->reconciliation, machine, task_report, now);
+          hzb_reconciliation_judge_unrecorded (controller->reconciliation, machine, task_status, now);
       over = verdict == HZB_TASK_VERDICT_STOP || verdict == HZB_TASK_VERDICT_REAP;
       machine->quarantined += !over;
     }
   if (over)
-    command (commands, task_report->state == HZB_TASK_REPORT_EXITED ? HZB_COMMAND_REAP : HZB_COMMAND_STOP,
-             task_report->uid, task_report->task, task_report->attempt, 0);
+    command (commands, task_status->state == HZB_TASK_STATUS_EXITED ? HZB_COMMAND_REAP : HZB_COMMAND_STOP,
+             task_status->uid, task_status->task, task_status->attempt, 0);
 }
 
 static HzbTask *
-reported_task (const HzbJob *job, const HzbTaskReport *task_report)
+reported_task (const HzbJob *job, const HzbTaskStatus *task_status)
 {
-  return job && job->tasks && task_report->task < job->n_tasks ? &job->tasks[task_report->task] : NULL;
+  return job && job->tasks && task_status->task < job->n_tasks ? &job->tasks[task_status->task] : NULL;
 }
 
 static void
-apply_recorded (HzbController *controller, HzbMachine *machine, const HzbTaskReport *task_report, struct timespec now,
+apply_recorded (HzbController *controller, HzbMachine *machine, const HzbTaskStatus *task_status, struct timespec now,
                 GArray *commands)
 {
-  HzbJob *job = hzb_jobs_find (controller->jobs, task_report->uid);
-  HzbTask *task = reported_task (job, task_report);
-  HzbTaskState state = task_state_of (task_report->state);
+  HzbJob *job = hzb_jobs_find (controller->jobs, task_status->uid);
+  HzbTask *task = reported_task (job, task_status);
+  HzbTaskState state = task_state_of (task_status->state);
   gboolean over = job->state != HZB_JOB_ACCEPTED;
 
-  if (task && hzb_task_on_machine (task) && task->machine == machine && task->attempt == task_report->attempt)
+  if (task && hzb_task_on_machine (task) && task->machine == machine && task->attempt == task_status->attempt)
     task->seen = machine->round;
-  if (task_report->state == HZB_TASK_REPORT_EXITED)
+  if (task_status->state == HZB_TASK_STATUS_EXITED)
     {
       if (task && !over)
-        handle_exited (controller, machine, task, task_report, now, commands);
+        handle_exited (controller, machine, task, task_status, now, commands);
       else
         {
-          if (task && hzb_task_on_machine (task) && task->machine == machine && task->attempt == task_report->attempt)
+          if (task && hzb_task_on_machine (task) && task->machine == machine && task->attempt == task_status->attempt)
             hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
-          command (commands, HZB_COMMAND_REAP, job->uid, task_report->task, task_report->attempt, 0);
+          command (commands, HZB_COMMAND_REAP, job->uid, task_status->task, task_status->attempt, 0);
         }
       return;
     }
@@ -175,36 +175,36 @@
       /* Found where an earlier owner had started it. */
       if (task->state == HZB_TASK_LISTED)
         hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
-      task->attempt = task_report->attempt;
-      job->next_attempt = MAX (job->next_attempt, task_report->attempt);
+      task->attempt = task_status->attempt;
+      job->next_attempt = MAX (job->next_attempt, task_status->attempt);
       hzb_task_set_state (controller->jobs, task, state, machine);
       task->seen = machine->round;
     }
   else if (task && (task->state == HZB_TASK_OTHER_OWNER || task->state == HZB_TASK_DELEGATED))
     {
-      g_critical ("task %s/%u is on %s although it is in another block", job->uid, task_report->task, machine->name);
+      g_critical ("task %s/%u is on %s although it is in another block", job->uid, task_status->task, machine->name);
       return;
     }
   else if (task && hzb_task_on_machine (task) && task->machine == machine)
     {
-      if (task->attempt != task_report->attempt && task->seen != machine->round)
-        task->attempt = task_report->attempt; /* ours was refused: this one is still here */
+      if (task->attempt != task_status->attempt && task->seen != machine->round)
+        task->attempt = task_status->attempt; /* ours was refused: this one is still here */
       task->seen = machine->round;
-      if (task->attempt == task_report->attempt)
+      if (task->attempt == task_status->attempt)
         hzb_task_set_state (controller->jobs, task, state, machine);
     }
   else if (task)
     {
-      g_critical ("task %s/%u is on %s although it is %s%s%s", job->uid, task_report->task, machine->name,
+      g_critical ("task %s/%u is on %s although it is %s%s%s", job->uid, task_status->task, machine->name,
                   hzb_task_state_name (task->state), task->machine ? " on " : "",
                   task->machine ? task->machine->name : "");
-      command (commands, HZB_COMMAND_STOP, job->uid, task_report->task, task_report->attempt, 0);
+      command (commands, HZB_COMMAND_STOP, job->uid, task_status->task, task_status->attempt, 0);
       return;
     }
-  if (job->spec && task_report->state != HZB_TASK_REPORT_FETCHING
+  if (job->spec && task_status->state != HZB_TASK_STATUS_FETCHING
       && !g_hash_table_contains (machine->images, job->spec->image))
     g_hash_table_add (machine->images, g_ref_string_acquire (job->spec->image));
-  if (task_report->state == HZB_TASK_REPORT_RUNNING && task)
+  if (task_status->state == HZB_TASK_STATUS_RUNNING && task)
     {
       if (hzb_time_between (task->since, now) > DOES_WELL_AFTER_S)
         {
@@ -214,37 +214,37 @@
         }
     }
   if (over)
-    command (commands, HZB_COMMAND_STOP, job->uid, task_report->task, task_report->attempt, 0);
+    command (commands, HZB_COMMAND_STOP, job->uid, task_status->task, task_status->attempt, 0);
   else if (task && task->stopping && state != HZB_TASK_SAVING)
-    command (commands, HZB_COMMAND_STOP, job->uid, task_report->task, task_report->attempt,
+    command (commands, HZB_COMMAND_STOP, job->uid, task_status->task, task_status->attempt,
              hzb_spec_grace_s (job->spec));
 }
 
 static void
-apply_task_report (HzbController *controller, HzbMachine *machine, const HzbTaskReport *task_report,
+apply_task_status (HzbController *controller, HzbMachine *machine, const HzbTaskStatus *task_status,
                    struct timespec now, GArray *commands)
 {
-  HzbJob *job = hzb_jobs_find (controller->jobs, task_report->uid);
+  HzbJob *job = hzb_jobs_find (controller->jobs, task_status->uid);
   gboolean over = job && job->state != HZB_JOB_ACCEPTED;
   guint given = commands->len;
   HzbTaskVerdict verdict;
 
   if (job && !over && !job->tasks && controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
     hzb_jobs_activate (controller->jobs, job); /* a result that came with a machine that was handed over */
-  if (!job || (!reported_task (job, task_report) && !over))
+  if (!job || (!reported_task (job, task_status) && !over))
     {
-      apply_unrecorded (controller, machine, task_report, now, commands);
+      apply_unrecorded (controller, machine, task_status, now, commands);
       return;
     }
   if (!job->awaits_verdict)
     {
-      apply_recorded (controller, machine, task_report, now, commands);
+      apply_recorded (controller, machine, task_status, now, commands);
       return;
     }
-  verdict = hzb_reconciliation_judge (controller->reconciliation, machine, job, reported_task (job, task_report),
-                                      task_report);
-  apply_recorded (controller, machine, task_report, now, commands);
-  /* No command before the job's fate is durable: the worker shows the task again with its next report. */
+  verdict = hzb_reconciliation_judge (controller->reconciliation, machine, job, reported_task (job, task_status),
+                                      task_status);
+  apply_recorded (controller, machine, task_status, now, commands);
+  /* No command before the job's fate is durable: the worker shows the task again with its next heartbeat. */
   if (verdict != HZB_TASK_VERDICT_STOP && verdict != HZB_TASK_VERDICT_REAP)
     g_array_set_size (commands, given);
 }
@@ -273,7 +273,7 @@
         continue;
       if (spec->gang)
         {
-          /* An orderly stop: every task is told with the answer to its machine's next report. */
+          /* An orderly stop: every task is told with the answer to its machine's next heartbeat. */
           for (guint k = 0; runs && spec->checkpoint_s > 0 && left > notice_s && k < task->job->n_tasks; k++)
             if (hzb_task_on_machine (&task->job->tasks[k]))
               task->job->tasks[k].stopping = TRUE;
@@ -302,7 +302,7 @@
 }
 
 static void
-apply_report (HzbController *controller, HzbMachine *machine, const HzbReport *report, struct timespec now,
+apply_report (HzbController *controller, HzbMachine *machine, const HzbWorkerHeartbeat *heartbeat, struct timespec now,
               GArray *commands)
 {
   guint starts = 0, missing = 0;
@@ -315,8 +315,8 @@
   machine->verified = TRUE;
   for (guint i = 0; i < machine->tasks->len; i++)
     starts += ((HzbTask *) machine->tasks->pdata[i])->state == HZB_TASK_STARTING;
-  for (guint i = 0; i < report->task_reports->len; i++)
-    apply_task_report (controller, machine, &g_array_index (report->task_reports, HzbTaskReport, i), now, commands);
+  for (guint i = 0; i < heartbeat->task_statuses->len; i++)
+    apply_task_status (controller, machine, &g_array_index (heartbeat->task_statuses, HzbTaskStatus, i), now, commands);
   /* What a newer report does not show is not there, whether its start was lost or it is forgotten. */
   for (guint i = 0; i < machine->tasks->len;)
     {
@@ -332,8 +332,8 @@
     machine->ignored_answers = missing < starts ? 0 : machine->ignored_answers + 1;
   if (machine->tasks->len)
     machine->idle_since = now;
-  if (report->notice_s >= 0)
-    handle_reclaim_notice (controller, machine, report->notice_s, now, commands);
+  if (heartbeat->notice_s >= 0)
+    handle_reclaim_notice (controller, machine, heartbeat->notice_s, now, commands);
   hzb_dispatch_reset_estimates (controller->dispatch, machine, now);
 }
 
@@ -347,11 +347,11 @@
 /* Guards against reports that a cut held back, and copies of reports: what they say is as old as they are. Once a
  * agent epoch is over for certain, nothing of it is news, whatever its number. */
 static gboolean
-is_late (const HzbMachine *machine, const HzbReport *report)
+is_late (const HzbMachine *machine, const HzbWorkerHeartbeat *heartbeat)
 {
-  return report->agent_epoch < machine->agent_epoch
-         || (report->agent_epoch == machine->agent_epoch && report->sequence <= machine->sequence)
-         || report->agent_epoch <= machine->expired_agent_epoch;
+  return heartbeat->agent_epoch < machine->agent_epoch
+         || (heartbeat->agent_epoch == machine->agent_epoch && heartbeat->sequence <= machine->sequence)
+         || heartbeat->agent_epoch <= machine->expired_agent_epoch;
 }
 
 static void
@@ -362,11 +362,12 @@
 
 /* On a leaseholder: the machine, if it is in the shard and the shard is still ours. */
 static HzbMachine *
-leased_machine (HzbController *controller, const HzbReport *report)
+leased_machine (HzbController *controller, const HzbWorkerHeartbeat *heartbeat)
 {
-  HzbMachine *machine =
-      hzb_leaseholder_valid (controller->leaseholder) ? hzb_machines_find (controller->machines, report->host) : NULL;
-  if (machine && report->fencing_token > machine->fencing_token)
+  HzbMachine *machine = hzb_leaseholder_valid (controller->leaseholder)
+                            ? hzb_machines_find (controller->machines, heartbeat->host)
+                            : NULL;
+  if (machine && heartbeat->fencing_token > machine->fencing_token)
     {
       hzb_leaseholder_return_machine (controller->leaseholder, machine, "it has seen a newer token");
       return NULL;
@@ -374,42 +375,42 @@
   return machine;
 }
 
-/* Nothing is concluded from the report, but its answer renews the machine's lease. Guards against work that is called cancelled
+/* Nothing is concluded from the heartbeat, but its answer renews the machine's lease. Guards against work that is called cancelled
  * and runs on for another lease: of a job that this node knows to be cancelled, every task is stopped. */
 static void
-stop_cancelled (HzbController *controller, const HzbReport *report, GArray *commands)
+stop_cancelled (HzbController *controller, const HzbWorkerHeartbeat *heartbeat, GArray *commands)
 {
-  for (guint i = 0; i < report->task_reports->len; i++)
+  for (guint i = 0; i < heartbeat->task_statuses->len; i++)
     {
-      const HzbTaskReport *task_report = &g_array_index (report->task_reports, HzbTaskReport, i);
-      const HzbJob *job = hzb_jobs_find (controller->jobs, task_report->uid);
-      if (job && job->state == HZB_JOB_CANCELLED && task_report->state != HZB_TASK_REPORT_EXITED)
-        command (commands, HZB_COMMAND_STOP, task_report->uid, task_report->task, task_report->attempt, 0);
+      const HzbTaskStatus *task_status = &g_array_index (heartbeat->task_statuses, HzbTaskStatus, i);
+      const HzbJob *job = hzb_jobs_find (controller->jobs, task_status->uid);
+      if (job && job->state == HZB_JOB_CANCELLED && task_status->state != HZB_TASK_STATUS_EXITED)
+        command (commands, HZB_COMMAND_STOP, task_status->uid, task_status->task, task_status->attempt, 0);
     }
 }
 
 /* A leader that has not read its records yet: the leases of its machines should live meanwhile, for as long as an outage keeps
  * the records from being read. */
 static void
-answer_while_loading (HzbController *controller, const HzbReport *report, HzbExchange *exchange)
+answer_while_loading (HzbController *controller, const HzbWorkerHeartbeat *heartbeat, HzbExchange *exchange)
 {
   g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
   guint64 fencing_token = hzb_fencing_token (hzb_election_term (controller->election), 0);
 
-  stop_cancelled (controller, report, commands);
+  stop_cancelled (controller, heartbeat, commands);
   /* A fencing token that the worker has seen already is not lowered. */
-  hzb_exchange_reply (exchange, 200, hzb_wire_commands (MAX (fencing_token, report->fencing_token), commands), 0);
+  hzb_exchange_reply (exchange, 200, hzb_wire_commands (MAX (fencing_token, heartbeat->fencing_token), commands), 0);
 }
 
 /* On the leader: its machines, and those nobody expected. NULL: the exchange has been answered. */
 static HzbMachine *
-own_machine (HzbController *controller, const HzbReport *report, HzbExchange *exchange)
+own_machine (HzbController *controller, const HzbWorkerHeartbeat *heartbeat, HzbExchange *exchange)
 {
   guint64 term = hzb_election_term (controller->election);
   const char *leaseholder = NULL;
   HzbMachine *machine;
 
-  if (hzb_fencing_token_term (report->fencing_token) > term)
+  if (hzb_fencing_token_term (heartbeat->fencing_token) > term)
     {
       hzb_election_step_down (controller->election, "a worker has seen a newer token");
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("superseded"), 0);
@@ -417,40 +418,40 @@
     }
   if (controller->ownership < HZB_OWNERSHIP_RECOVERING)
     {
-      answer_while_loading (controller, report, exchange);
+      answer_while_loading (controller, heartbeat, exchange);
       return NULL;
     }
-  machine = hzb_machines_find (controller->machines, report->host);
-  if (!machine && hzb_provisioning_was_returned (controller->provisioning, report->host))
+  machine = hzb_machines_find (controller->machines, heartbeat->host);
+  if (!machine && hzb_provisioning_was_returned (controller->provisioning, heartbeat->host))
     {
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("this machine was returned"), 0);
       return NULL;
     }
   if (!machine)
-    machine = hzb_machines_add (controller->machines, report->host, report->addr, report->type, report->zone,
-                                report->spot, HZB_MACHINE_BOOTING);
+    machine = hzb_machines_add (controller->machines, heartbeat->host, heartbeat->addr, heartbeat->type,
+                                heartbeat->zone, heartbeat->spot, HZB_MACHINE_BOOTING);
   if (!machine->fencing_token)
     hzb_machine_set_fencing_token (machine, controller->shard->fencing_token);
-  if (is_late (machine, report) && machine->state != HZB_MACHINE_LEASED)
+  if (is_late (machine, heartbeat) && machine->state != HZB_MACHINE_LEASED)
     {
       refuse_late (exchange);
       return NULL;
     }
   /* A fencing token that a worker has seen beyond what we know of: ours for it must not be lower. */
-  if (report->fencing_token > machine->fencing_token && machine->state != HZB_MACHINE_LEASED)
+  if (heartbeat->fencing_token > machine->fencing_token && machine->state != HZB_MACHINE_LEASED)
     hzb_machine_set_fencing_token (machine, hzb_shard_leases_next_fencing_token (controller->shard_leases));
   if (machine->state == HZB_MACHINE_LEASED)
     leaseholder = hzb_shard_leases_leaseholder_name (controller->shard_leases, machine);
-  else if (report->task_reports->len == 0 && report->notice_s < 0)
+  else if (heartbeat->task_statuses->len == 0 && heartbeat->notice_s < 0)
     leaseholder = hzb_shard_leases_lease_idle (controller->shard_leases, machine);
   if (leaseholder)
     {
       /* The leaseholder is told how far its reports have come, and only once it is on record. */
-      if (report->agent_epoch > machine->agent_epoch
-          || (report->agent_epoch == machine->agent_epoch && report->sequence > machine->sequence))
+      if (heartbeat->agent_epoch > machine->agent_epoch
+          || (heartbeat->agent_epoch == machine->agent_epoch && heartbeat->sequence > machine->sequence))
         {
-          machine->agent_epoch = report->agent_epoch;
-          machine->sequence = report->sequence;
+          machine->agent_epoch = heartbeat->agent_epoch;
+          machine->sequence = heartbeat->sequence;
         }
       if (!machine->recorded)
         hzb_records_flush_soon (controller->records);
@@ -461,11 +462,11 @@
 }
 
 void
-hzb_worker_api_report (HzbController *controller, HzbExchange *exchange)
+hzb_worker_api_heartbeat (HzbController *controller, HzbExchange *exchange)
 {
   struct timespec now = hzb_clock_now (controller->clock);
   g_autoptr (GError) error = NULL;
-  g_autoptr (HzbReport) report = NULL;
+  g_autoptr (HzbWorkerHeartbeat) heartbeat = NULL;
   g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
   gboolean leads = hzb_election_leading (controller->election);
   const char *leaseholder;
@@ -476,8 +477,8 @@
       redirect (controller, exchange);
       return;
     }
-  report = hzb_wire_parse_report (exchange->body, exchange->length, &error);
-  if (!report)
+  heartbeat = hzb_wire_parse_worker_heartbeat (exchange->body, exchange->length, &error);
+  if (!heartbeat)
     {
       hzb_exchange_reply (exchange, 400, hzb_wire_error (error->message), 0);
       return;
@@ -489,48 +490,48 @@
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("cancellations may have been missed here"), 1);
       return;
     }
-  if (!leads && !(machine = leased_machine (controller, report)))
+  if (!leads && !(machine = leased_machine (controller, heartbeat)))
     {
       redirect (controller, exchange);
       return;
     }
-  if (leads && !(machine = own_machine (controller, report, exchange)))
+  if (leads && !(machine = own_machine (controller, heartbeat, exchange)))
     return;
-  if (is_late (machine, report))
+  if (is_late (machine, heartbeat))
     {
       refuse_late (exchange);
       return;
     }
-  if (report->agent_epoch > machine->agent_epoch && machine->agent_epoch && machine->verified)
+  if (heartbeat->agent_epoch > machine->agent_epoch && machine->agent_epoch && machine->verified)
     {
       /* Its lease ended, and with it all its tasks; perhaps although every report was answered. */
       hzb_machine_lose_tasks (controller->jobs, machine);
       mark_unreachable (controller, machine, now);
     }
-  machine->agent_epoch = report->agent_epoch;
-  machine->sequence = report->sequence;
-  machine->last_report = machine->last_answer = now;
+  machine->agent_epoch = heartbeat->agent_epoch;
+  machine->sequence = heartbeat->sequence;
+  machine->last_heartbeat = machine->last_answer = now;
   if (!machine->addr || !*machine->addr)
     {
       g_free (machine->addr);
-      machine->addr = g_strdup (report->addr);
+      machine->addr = g_strdup (heartbeat->addr);
     }
   if (!machine->recorded)
     hzb_records_flush_soon (controller->records);
-  if (machine->unreachable && report->fencing_token == machine->fencing_token)
+  if (machine->unreachable && heartbeat->fencing_token == machine->fencing_token)
     {
       machine->unreachable = FALSE;
       machine->ignored_answers = 0;
     }
   /* A machine that nobody has ever recorded, and that has seen no fencing token, holds nothing and obeys nobody yet: its
    * report is as good as one under ours. (After a takeover every recorded machine is unverified, not booting.) */
-  if ((report->fencing_token >= machine->first_exclusive_fencing_token
-       && report->fencing_token <= machine->fencing_token)
-      || (report->fencing_token == 0 && machine->state == HZB_MACHINE_BOOTING && machine->known_to_cloud
-          && !report->task_reports->len))
+  if ((heartbeat->fencing_token >= machine->first_exclusive_fencing_token
+       && heartbeat->fencing_token <= machine->fencing_token)
+      || (heartbeat->fencing_token == 0 && machine->state == HZB_MACHINE_BOOTING && machine->known_to_cloud
+          && !heartbeat->task_statuses->len))
     {
-      apply_report (controller, machine, report, now, commands);
-      if (leads && report->notice_s < 0 && report->fencing_token == machine->fencing_token
+      apply_report (controller, machine, heartbeat, now, commands);
+      if (leads && heartbeat->notice_s < 0 && heartbeat->fencing_token == machine->fencing_token
           && (leaseholder = hzb_shard_leases_hand_over (controller->shard_leases, machine)))
         {
           hzb_exchange_reply (exchange, 421, hzb_wire_redirect (leaseholder), 0);
@@ -544,7 +545,7 @@
     }
   else
     {
-      stop_cancelled (controller, report, commands);
+      stop_cancelled (controller, heartbeat, commands);
       if (machine->state == HZB_MACHINE_ACTIVE)
         machine->ignored_answers++; /* it has not seen the fencing token that it was answered under */
     }
--- a/src/worker-api.h
+++ b/src/worker-api.h
@@ -7,5 +7,5 @@
 
 typedef struct _HzbController HzbController;
 
-/** hzb_worker_api_report: answers one report; the only place from which commands are sent. */
-void hzb_worker_api_report (HzbController *controller, HzbExchange *exchange);
+/** hzb_worker_api_heartbeat: answers one report; the only place from which commands are sent. */
+void hzb_worker_api_heartbeat (HzbController *controller, HzbExchange *exchange);
--- a/tests/sim-cluster.c
+++ b/tests/sim-cluster.c
@@ -155,7 +155,7 @@
       "[cluster.workers]\nreport_s = %g\nlease_s = %g\ngang_wait_s = 20\ngang_peer_s = 4\ncancel_s = %g\n"
       "[cluster.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = 16\ntxn_ops = %u\n[cluster.state.next]\nvalue_kb = 2\n%s"
       "[cluster.cloud]\nrps = %g\nlist_lag_s = 3\n",
-      sim->size.report_s, sim->size.lease_s, sim->size.cancel_s, sim->size.kv_rps, sim->size.kv_write_rps,
+      sim->size.heartbeat_interval_s, sim->size.lease_s, sim->size.cancel_s, sim->size.kv_rps, sim->size.kv_write_rps,
       sim->size.txn_ops, next, sim->size.cloud_rps);
   for (guint i = 0; i < sim->size.teams; i++)
     {
@@ -203,7 +203,7 @@
                                   .teams = 2,
                                   .team_max = 24,
                                   .team_guarantee = 8,
-                                  .report_s = 1.5,
+                                  .heartbeat_interval_s = 1.5,
                                   .lease_s = 10,
                                   .cancel_s = 30,
                                   .kv_rps = 200,
@@ -216,7 +216,7 @@
                                  .teams = 8,
                                  .team_max = 3000,
                                  .team_guarantee = 800,
-                                 .report_s = 5,
+                                 .heartbeat_interval_s = 5,
                                  .lease_s = 26.5,
                                  .cancel_s = 46.5,
                                  .kv_rps = 800,
--- a/tests/sim-cluster.h
+++ b/tests/sim-cluster.h
@@ -84,7 +84,7 @@
   guint machines; /* the cloud has no more; the usual: 12 */
   guint teams;    /* 2: red and blue; more are named team-00 and on */
   double team_max, team_guarantee;
-  double report_s, lease_s, cancel_s;
+  double heartbeat_interval_s, lease_s, cancel_s;
   double kv_rps, kv_write_rps; /* as the settings say; limits only where write_rate says so */
   guint txn_ops;
   double cloud_rps;
@@ -163,7 +163,7 @@
 SimJob *sim_add_job (Sim *sim, double at, const char *team, guint n, double cpus, double run_s);
 SimMachine *sim_add_machine (Sim *sim, const char *type, const char *zone, gboolean spot, double up_after);
 SimTask *sim_put_task (Sim *sim, SimMachine *machine, SimJob *job, guint number, guint64 attempt);
-void sim_start_task (Sim *sim, SimMachine *machine, const char *task_report, guint64 attempt); /* as an order does */
+void sim_start_task (Sim *sim, SimMachine *machine, const char *task_status, guint64 attempt); /* as an order does */
 void sim_told (Sim *sim, SimJob *job, guint status, const char *state); /* an answer to its user */
 void sim_check (Sim *sim);
 void sim_put_record (Sim *sim, const char *key, const char *text); /* as somebody wrote it before */
--- a/tests/sim-faults.c
+++ b/tests/sim-faults.c
@@ -167,7 +167,7 @@
 }
 
 guint
-report_to (Sim *sim, guint node, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_reports)
+report_to (Sim *sim, guint node, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_statuses)
 {
   HzbExchange *exchange = g_new0 (HzbExchange, 1);
   guint status = 0;
@@ -177,7 +177,7 @@
       g_strdup_printf ("{\"host\":\"%s\",\"addr\":\"10.1.0.1:1\",\"flavor\":\"%s\",\"yard\":\"%s\","
                        "\"loaners\":false,\"tenure\":%u,\"tick\":%u,\"baton\":%" G_GUINT64_FORMAT ",\"pieces\":[%s]}",
                        machine->name, machine->type, machine->zone, (guint) agent_epoch, (guint) sequence,
-                       machine->fencing_token, task_reports);
+                       machine->fencing_token, task_statuses);
   exchange->length = strlen (exchange->body);
   exchange->reply = keep_status;
   exchange->impl = &status;
@@ -186,9 +186,9 @@
 }
 
 guint
-report_again (Sim *sim, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_reports)
+report_again (Sim *sim, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_statuses)
 {
-  return report_to (sim, (guint) sim_leader (sim), machine, agent_epoch, sequence, task_reports);
+  return report_to (sim, (guint) sim_leader (sim), machine, agent_epoch, sequence, task_statuses);
 }
 
 guint
--- a/tests/sim-faults.h
+++ b/tests/sim-faults.h
@@ -19,8 +19,8 @@
 void keep_status (HzbExchange *exchange, guint status, const char *body, guint retry);
 /* A report that the machine did not send itself, to one node, or to the leader. Returns: the status of the answer. */
 guint
-report_to (Sim *sim, guint node, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_reports);
-guint report_again (Sim *sim, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_reports);
+report_to (Sim *sim, guint node, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_statuses);
+guint report_again (Sim *sim, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_statuses);
 /* A service spread over zones, on ordinary machines, whose user cancels it from then on. */
 SimJob *add_service (Sim *sim, double at, const char *team, guint n, double cpus, double cancel_at);
 /* A user's request to one node; the cluster runs on for 3 s. retry: its Retry-After, or NULL. */
--- a/tests/sim-worker.c
+++ b/tests/sim-worker.c
@@ -77,10 +77,10 @@
 }
 
 void
-sim_start_task (Sim *sim, SimMachine *machine, const char *task_report, guint64 attempt)
+sim_start_task (Sim *sim, SimMachine *machine, const char *task_status, guint64 attempt)
 {
-  const char *slash = strrchr (task_report, '/');
-  g_autofree char *uid = g_strndup (task_report, (gsize) (slash - task_report));
+  const char *slash = strrchr (task_status, '/');
+  g_autofree char *uid = g_strndup (task_status, (gsize) (slash - task_status));
   guint number = (guint) g_ascii_strtoull (slash + 1, NULL, 10);
   SimJob *job = sim_find_job (sim, uid);
   double used = 0;
@@ -101,21 +101,21 @@
   if (!job)
     return;
   if (job->told_cancelled && sim->now > job->cancelled_at + IN_FLIGHT_S)
-    sim_broken (sim, "started_cancelled", "%s on %s", task_report, machine->name);
+    sim_broken (sim, "started_cancelled", "%s on %s", task_status, machine->name);
   task = sim_put_task (sim, machine, job, number, attempt);
   if (same)
     end_task (task, "in_use");
   else if (used + job->cpus > machine->cpus)
     end_task (task, "full");
   else if (job->spot == FALSE && machine->spot)
-    sim_broken (sim, "wrong_place", "%s on a spot machine", task_report);
+    sim_broken (sim, "wrong_place", "%s on a spot machine", task_status);
   else if (job->spread && !zone_has_place (sim, job, machine))
-    sim_broken (sim, "wrong_place", "%s: too many in %s", task_report, machine->zone);
+    sim_broken (sim, "wrong_place", "%s: too many in %s", task_status, machine->zone);
   else if (job->same_zone && !in_one_zone (sim, job, machine))
-    sim_broken (sim, "wrong_place", "%s in %s, others are in another zone", task_report, machine->zone);
+    sim_broken (sim, "wrong_place", "%s in %s, others are in another zone", task_status, machine->zone);
   else if ((job->zone && !g_str_equal (job->zone, machine->zone))
            || (job->type && !g_str_equal (job->type, machine->type)))
-    sim_broken (sim, "wrong_place", "%s on %s in %s", task_report, machine->type, machine->zone);
+    sim_broken (sim, "wrong_place", "%s on %s in %s", task_status, machine->type, machine->zone);
 }
 
 static void
@@ -124,18 +124,18 @@
   const cJSON *order;
   cJSON_ArrayForEach (order, commands)
     {
-      const char *verb = hzb_json_text (order, "verb"), *task_report = hzb_json_text (order, "piece");
+      const char *verb = hzb_json_text (order, "verb"), *task_status = hzb_json_text (order, "piece");
       guint64 attempt = hzb_json_u64 (order, "try");
       if (g_str_equal (verb, "run"))
         {
-          sim_start_task (sim, machine, task_report, attempt);
+          sim_start_task (sim, machine, task_status, attempt);
           continue;
         }
       for (guint i = 0; i < machine->tasks->len; i++)
         {
           SimTask *task = machine->tasks->pdata[i];
           g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
-          if (!g_str_equal (name, task_report) || task->attempt != attempt)
+          if (!g_str_equal (name, task_status) || task->attempt != attempt)
             continue;
           if (g_str_equal (verb, "kill") && task->state < 4)
             end_task (task, "stopped");
@@ -286,7 +286,7 @@
   r->agent_epoch = machine->agent_epoch;
   r->sent = sim->now;
   machine->asking = TRUE;
-  machine->next_report = sim->now + sim->size.report_s * g_rand_double_range (sim->rand, 0.75, 1.25);
+  machine->next_report = sim->now + sim->size.heartbeat_interval_s * g_rand_double_range (sim->rand, 0.75, 1.25);
   sim_at (sim, sim->now + 4, report_gives_up, r);
   if (sim_chance (sim, sim->copies))
     {
--- a/tests/test-away.c
+++ b/tests/test-away.c
@@ -160,7 +160,7 @@
       guint64 before = machine->fencing_token;
       guint leader;
       g_autofree char *uid = g_strdup (((SimTask *) machine->tasks->pdata[0])->uid);
-      g_autofree char *task_report = g_strdup_printf ("{\"piece\":\"%s/0\",\"try\":1,\"status\":\"running\"}", uid);
+      g_autofree char *task_status = g_strdup_printf ("{\"piece\":\"%s/0\",\"try\":1,\"status\":\"running\"}", uid);
       for (guint i = 0; i < sim->machines->len; i++)
         ((SimMachine *) sim->machines->pdata[i])->cut = TRUE;
       cancel_all (sim);
@@ -171,7 +171,7 @@
       sim_run (sim, sim->now + 8);
       g_assert_cmpint (sim_leader (sim), >=, 0);
       g_assert_cmpuint (machine->fencing_token, ==, before);
-      g_assert_cmpuint (report_again (sim, machine, machine->agent_epoch, machine->sequence + 5, task_report), ==, 200);
+      g_assert_cmpuint (report_again (sim, machine, machine->agent_epoch, machine->sequence + 5, task_status), ==, 200);
       g_assert_nonnull (strstr (last_body, "\"kill\""));
       g_assert_nonnull (strstr (last_body, uid));
       sim_free (sim);
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -576,8 +576,8 @@
   job = sim_add_job (sim, 1e6, "red", 2, 1, 1);
   job->zone = "zb";
   {
-    g_autofree char *task_report = g_strdup_printf ("%s/0", job->uid);
-    sim_start_task (sim, a, task_report, 9); /* a is in za */
+    g_autofree char *task_status = g_strdup_printf ("%s/0", job->uid);
+    sim_start_task (sim, a, task_status, 9); /* a is in za */
     g_assert_true (g_str_has_prefix (sim->broken->pdata[0], "wrong_place"));
   }
   job->zone = NULL;
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -206,7 +206,7 @@
   sim_add_job (sim, 1.5, "blue", MAX (80, machines * 5), 1, run_s);
   /* Not spread: there are too few machines that the cloud does not take back for two zones. */
   add_service (sim, 2, "red", 3, 2, 200)->spread = FALSE;
-  sim_run (sim, 20 + size->report_s * 2);
+  sim_run (sim, 20 + size->heartbeat_interval_s * 2);
   expect_no_fault (sim, "at work", seed);
   g_assert_cmpint (sim_leader (sim), >=, 0);
   g_assert_cmpuint (tasks_running (sim), >, machines / 2);
--- a/tests/test-heartbeat.c
+++ b/tests/test-peer-heartbeat.c
@@ -1,5 +1,5 @@
 /* Heartbeats and the log of cancellations: against a plain model, and with messages that are not as they should be. */
-#include "heartbeat.h"
+#include "peer-heartbeat.h"
 #include "wire.h"
 
 #define CAPACITY 20u
@@ -91,17 +91,17 @@
   hzb_cancellation_log_free (log);
 }
 
-static HzbHeartbeat *
-sent_and_received (const HzbHeartbeat *heartbeat)
+static HzbPeerHeartbeat *
+sent_and_received (const HzbPeerHeartbeat *heartbeat)
 {
   cJSON *message = cJSON_CreateObject (), *read;
   g_autofree char *text = NULL;
-  HzbHeartbeat *received;
+  HzbPeerHeartbeat *received;
 
-  hzb_heartbeat_encode (heartbeat, message);
+  hzb_peer_heartbeat_encode (heartbeat, message);
   text = cJSON_PrintUnformatted (message);
   read = cJSON_Parse (text);
-  received = hzb_heartbeat_decode (read);
+  received = hzb_peer_heartbeat_decode (read);
   cJSON_Delete (read);
   cJSON_Delete (message);
   return received;
@@ -110,7 +110,7 @@
 static void
 test_round_trip (void)
 {
-  g_autoptr (HzbHeartbeat) heartbeat = hzb_heartbeat_new (), received = NULL;
+  g_autoptr (HzbPeerHeartbeat) heartbeat = hzb_peer_heartbeat_new (), received = NULL;
   HzbCancellation cancellation = { g_strdup ("run-000007"), 4000000123, 12 };
 
   heartbeat->leads = heartbeat->withholds_answers = heartbeat->lost_workers = TRUE;
@@ -120,7 +120,7 @@
   heartbeat->cancellations_known = 4000000130;
   heartbeat->cancellations_up_to = 4000000140;
   g_array_append_val (heartbeat->cancellations, cancellation);
-  hzb_heartbeat_add_counts (heartbeat, "run-000009", 3, 4);
+  hzb_peer_heartbeat_add_counts (heartbeat, "run-000009", 3, 4);
   received = sent_and_received (heartbeat);
   g_assert_true (received->leads && received->withholds_answers && received->lost_workers
                  && received->tells_cancellations);
@@ -136,11 +136,11 @@
   g_assert_cmpuint (g_array_index (received->counts, HzbTaskCounts, 0).running, ==, 4);
 }
 
-static HzbHeartbeat *
+static HzbPeerHeartbeat *
 decoded (const char *text)
 {
   cJSON *message = cJSON_Parse (text);
-  HzbHeartbeat *heartbeat = hzb_heartbeat_decode (message);
+  HzbPeerHeartbeat *heartbeat = hzb_peer_heartbeat_decode (message);
   cJSON_Delete (message);
   return heartbeat;
 }
@@ -149,11 +149,11 @@
 static void
 test_malformed (void)
 {
-  g_autoptr (HzbHeartbeat) old = decoded ("{\"term\":3,\"leads\":true,\"jobs\":{\"run-000001\":[1,2]}}");
-  g_autoptr (HzbHeartbeat) broken =
+  g_autoptr (HzbPeerHeartbeat) old = decoded ("{\"term\":3,\"leads\":true,\"jobs\":{\"run-000001\":[1,2]}}");
+  g_autoptr (HzbPeerHeartbeat) broken =
       decoded ("{\"cancelledUpTo\":9,\"cancelled\":{\"run-000001\":{\"version\":3,\"n\":1},\"run-000002\":{\"n\":1}},"
                "\"jobs\":{\"run-000003\":[1],\"run-000004\":[-1,2],\"run-000005\":\"x\"},\"cancelledKnown\":\"x\"}");
-  g_autoptr (HzbHeartbeat) bad_name =
+  g_autoptr (HzbPeerHeartbeat) bad_name =
       decoded ("{\"cancelledUpTo\":9,\"cancelled\":{\"../x\":{\"version\":3,\"n\":1}}}");
 
   g_assert_false (old->tells_cancellations || old->withholds_answers);
--- a/tests/test-processes.c
+++ b/tests/test-processes.c
@@ -61,8 +61,8 @@
                           "zones = [\"za\", \"zb\"]\nskew_ms = 5\n[cluster.workers]\nreport_s = %g\nlease_s = %g\n"
                           "cancel_s = %g\n[cluster.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = 16\ntxn_ops = %u\n"
                           "[cluster.state.next]\nvalue_kb = 2\n[cluster.cloud]\nrps = %g\nlist_lag_s = 3\n",
-                          CLOUD_PORT, STORE_PORT, size->report_s, size->lease_s, size->cancel_s, size->kv_rps,
-                          size->kv_write_rps, size->txn_ops, size->cloud_rps);
+                          CLOUD_PORT, STORE_PORT, size->heartbeat_interval_s, size->lease_s, size->cancel_s,
+                          size->kv_rps, size->kv_write_rps, size->txn_ops, size->cloud_rps);
   for (guint i = 0; i < 2; i++)
     g_string_append_printf (text, "[[cluster.teams]]\nname = \"%s\"\ncpus = %g\ncpus_max = %g\n", i ? "blue" : "red",
                             size->team_guarantee, size->team_max);
--- a/tests/test-scale.c
+++ b/tests/test-scale.c
@@ -8,7 +8,7 @@
 /* ---- what a decision costs ---- */
 
 static guint
-looks_at_reports (guint machines, guint jobs, guint *of_a_run)
+examines_heartbeats (guint machines, guint jobs, guint *of_a_run)
 {
   Bench b;
   g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
@@ -44,7 +44,7 @@
   static const guint fleets[] = { 40, 400, 1200, MACHINES };
   for (guint i = 0; i < G_N_ELEMENTS (fleets); i++)
     {
-      guint run, reports = looks_at_reports (fleets[i], 200, &run);
+      guint run, reports = examines_heartbeats (fleets[i], 200, &run);
       g_test_message ("%u machines: %u looks for 20 reports, %u for a run", fleets[i], reports, run);
       /* Four starts a report, each after a look at no more than 32 lists, twice. */
       g_assert_cmpuint (reports, <=, 20 * (4 + 1) * 2 * 32);
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -123,19 +123,19 @@
       "\"tick\":9007199254740991,\"baton\":41,\"reclaimInS\":null,\"pieces\":[{\"piece\":\"run-000412/3\",\"try\":4294967296,"
       "\"status\":\"running\"},{\"piece\":\"odd\",\"status\":\"running\"},{\"piece\":\"run-000398/0\",\"try\":1,"
       "\"status\":\"ended\",\"cause\":\"done\",\"stored\":true},{\"piece\":\"run-1/99999999999\",\"status\":\"running\"}]}";
-  g_autoptr (HzbReport) report = hzb_wire_parse_report (text, strlen (text), NULL);
-  HzbTaskReport *task_report;
-  g_assert_nonnull (report);
-  g_assert_cmpuint (report->task_reports->len, ==, 2); /* what makes no sense is left out */
-  g_assert_cmpuint (report->sequence, ==, G_GUINT64_CONSTANT (9007199254740991));
-  g_assert_cmpfloat (report->notice_s, <, 0);
-  task_report = &g_array_index (report->task_reports, HzbTaskReport, 0);
-  g_assert_cmpuint (task_report->attempt, ==, G_GUINT64_CONSTANT (4294967296));
-  task_report = &g_array_index (report->task_reports, HzbTaskReport, 1);
-  g_assert_true (task_report->state == HZB_TASK_REPORT_EXITED && task_report->exit_cause == HZB_EXIT_DONE
-                 && task_report->saved);
-  g_assert_null (hzb_wire_parse_report ("{}", 2, NULL));
-  g_assert_null (hzb_wire_parse_report ("x", 1, NULL));
+  g_autoptr (HzbWorkerHeartbeat) heartbeat = hzb_wire_parse_worker_heartbeat (text, strlen (text), NULL);
+  HzbTaskStatus *task_status;
+  g_assert_nonnull (heartbeat);
+  g_assert_cmpuint (heartbeat->task_statuses->len, ==, 2); /* what makes no sense is left out */
+  g_assert_cmpuint (heartbeat->sequence, ==, G_GUINT64_CONSTANT (9007199254740991));
+  g_assert_cmpfloat (heartbeat->notice_s, <, 0);
+  task_status = &g_array_index (heartbeat->task_statuses, HzbTaskStatus, 0);
+  g_assert_cmpuint (task_status->attempt, ==, G_GUINT64_CONSTANT (4294967296));
+  task_status = &g_array_index (heartbeat->task_statuses, HzbTaskStatus, 1);
+  g_assert_true (task_status->state == HZB_TASK_STATUS_EXITED && task_status->exit_cause == HZB_EXIT_DONE
+                 && task_status->saved);
+  g_assert_null (hzb_wire_parse_worker_heartbeat ("{}", 2, NULL));
+  g_assert_null (hzb_wire_parse_worker_heartbeat ("x", 1, NULL));
 }
 
 static void
