--- a/src/provisioning.c
+++ b/src/provisioning.c
@@ -255,7 +255,7 @@
   HzbController *controller = epoch_call->controller;
   HzbProvisioning *provisioning = controller->provisioning;
   gboolean more = FALSE;
-  g_autoptr (GPtrArray) listed = status == 200 ? hzb_wire_parse_list (body, &more) : NULL;
+  g_autoptr (GPtrArray) instances = status == 200 ? hzb_wire_parse_list (body, &more) : NULL;
   struct timespec now = hzb_clock_now (controller->clock);
 
   if (epoch_call->epoch != controller->ownership_epoch)
@@ -264,25 +264,25 @@
   if (!provisioning->list_after)
     g_hash_table_remove_all (provisioning->listed);
   g_clear_pointer (&provisioning->list_after, g_free);
-  for (guint i = 0; listed && i < listed->len; i++)
+  for (guint i = 0; instances && i < instances->len; i++)
     {
-      const HzbListed *l = listed->pdata[i];
-      HzbMachine *machine = hzb_machines_find (controller->machines, l->name);
+      const HzbCloudInstance *instance = instances->pdata[i];
+      HzbMachine *machine = hzb_machines_find (controller->machines, instance->name);
       g_free (provisioning->list_after);
-      provisioning->list_after = g_strdup (l->name);
-      g_hash_table_add (provisioning->listed, g_strdup (l->name));
-      if (g_hash_table_contains (provisioning->gone, l->name) || !l->type || !l->zone)
+      provisioning->list_after = g_strdup (instance->name);
+      g_hash_table_add (provisioning->listed, g_strdup (instance->name));
+      if (g_hash_table_contains (provisioning->gone, instance->name) || !instance->type || !instance->zone)
         continue;
       if (!machine)
         {
-          machine =
-              hzb_machines_add (controller->machines, l->name, l->addr, l->type, l->zone, l->spot, HZB_MACHINE_BOOTING);
-          machine->rented = hzb_time_plus (now, -l->age_s);
+          machine = hzb_machines_add (controller->machines, instance->name, instance->addr, instance->type,
+                                      instance->zone, instance->spot, HZB_MACHINE_BOOTING);
+          machine->rented = hzb_time_plus (now, -instance->age_s);
         }
       machine->known_to_cloud = TRUE;
-      if (l->state == HZB_LISTED_FAILED && machine->state == HZB_MACHINE_LEASED)
+      if (instance->state == HZB_CLOUD_INSTANCE_FAILED && machine->state == HZB_MACHINE_LEASED)
         machine->to_be_returned = TRUE;
-      else if (l->state == HZB_LISTED_FAILED && machine->state != HZB_MACHINE_RETURNING)
+      else if (instance->state == HZB_CLOUD_INSTANCE_FAILED && machine->state != HZB_MACHINE_RETURNING)
         {
           machine->to_be_returned = TRUE;
           hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_RETURNING, "the cloud calls it failed");
@@ -290,7 +290,7 @@
     }
   if (!more)
     g_clear_pointer (&provisioning->list_after, g_free);
-  if (listed && !more)
+  if (instances && !more)
     {
       drop_unlisted (controller, now);
       g_hash_table_foreach_remove (provisioning->gone, is_long_gone, &now);
--- a/src/wire.c
+++ b/src/wire.c
@@ -114,13 +114,13 @@
 }
 
 void
-hzb_listed_free (HzbListed *listed)
+hzb_cloud_instance_free (HzbCloudInstance *instance)
 {
-  g_free (listed->name);
-  g_free (listed->addr);
-  g_free (listed->type);
-  g_free (listed->zone);
-  g_free (listed);
+  g_free (instance->name);
+  g_free (instance->addr);
+  g_free (instance->type);
+  g_free (instance->zone);
+  g_free (instance);
 }
 
 void
@@ -526,25 +526,25 @@
 
   if (cJSON_IsArray (list))
     {
-      machines = g_ptr_array_new_with_free_func ((GDestroyNotify) hzb_listed_free);
+      machines = g_ptr_array_new_with_free_func ((GDestroyNotify) hzb_cloud_instance_free);
       *more = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "hasNext"));
       cJSON_ArrayForEach (item, list)
         {
-          HzbListed *listed;
+          HzbCloudInstance *instance;
           const char *state = hzb_json_text (item, "status");
           if (!hzb_json_text (item, "uid"))
             continue;
-          listed = g_new0 (HzbListed, 1);
-          listed->name = g_strdup (hzb_json_text (item, "uid"));
-          listed->addr = g_strdup (hzb_json_text (item, "addr"));
-          listed->type = g_strdup (hzb_json_text (item, "flavor"));
-          listed->zone = g_strdup (hzb_json_text (item, "yard"));
-          listed->spot = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "loaners"));
-          listed->state = g_strcmp0 (state, "failed") == 0    ? HZB_LISTED_FAILED
-                          : g_strcmp0 (state, "running") == 0 ? HZB_LISTED_RUNNING
-                                                              : HZB_LISTED_STARTING;
-          listed->age_s = hzb_json_number (item, "ageS", 0);
-          g_ptr_array_add (machines, listed);
+          instance = g_new0 (HzbCloudInstance, 1);
+          instance->name = g_strdup (hzb_json_text (item, "uid"));
+          instance->addr = g_strdup (hzb_json_text (item, "addr"));
+          instance->type = g_strdup (hzb_json_text (item, "flavor"));
+          instance->zone = g_strdup (hzb_json_text (item, "yard"));
+          instance->spot = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "loaners"));
+          instance->state = g_strcmp0 (state, "failed") == 0    ? HZB_CLOUD_INSTANCE_FAILED
+                            : g_strcmp0 (state, "running") == 0 ? HZB_CLOUD_INSTANCE_RUNNING
+                                                                : HZB_CLOUD_INSTANCE_STARTING;
+          instance->age_s = hzb_json_number (item, "ageS", 0);
+          g_ptr_array_add (machines, instance);
         }
     }
   cJSON_Delete (root);
--- a/src/wire.h
+++ b/src/wire.h
@@ -112,14 +112,14 @@
   gboolean spot;
   enum
   {
-    HZB_LISTED_STARTING,
-    HZB_LISTED_RUNNING,
-    HZB_LISTED_FAILED
+    HZB_CLOUD_INSTANCE_STARTING,
+    HZB_CLOUD_INSTANCE_RUNNING,
+    HZB_CLOUD_INSTANCE_FAILED
   } state;
   double age_s;
-} HzbListed;
+} HzbCloudInstance;
 
-void hzb_listed_free (HzbListed *listed);
+void hzb_cloud_instance_free (HzbCloudInstance *instance);
 
 typedef struct
 {
@@ -154,7 +154,7 @@
 GPtrArray *hzb_wire_parse_names (const char *body); /* char* */
 char *hzb_wire_return (const GPtrArray *names);
 char *hzb_wire_list_path (const char *after, guint limit);
-GPtrArray *hzb_wire_parse_list (const char *body, gboolean *more); /* HzbListed */
+GPtrArray *hzb_wire_parse_list (const char *body, gboolean *more); /* HzbCloudInstance */
 
 /* key-value store */
 extern const char hzb_path_txn[], hzb_path_leases[];
