--- a/src/admin.c
+++ b/src/admin.c
@@ -63,7 +63,7 @@
     }
   controller->dispatch->h = v[0];
   controller->dispatch->sample = (guint) v[1];
-  controller->dispatch->list_ahead_s = v[2];
+  controller->dispatch->queue_ahead_s = v[2];
   controller->autoscaler->idle_s = v[3];
   controller->autoscaler->patience = v[4];
   controller->lease_shards = v[5] >= 0.5;
@@ -75,7 +75,7 @@
 pack_settings (HzbController *controller)
 {
   const double v[G_N_ELEMENTS (settings)] = {
-    controller->dispatch->h,        controller->dispatch->sample,     controller->dispatch->list_ahead_s,
+    controller->dispatch->h,        controller->dispatch->sample,     controller->dispatch->queue_ahead_s,
     controller->autoscaler->idle_s, controller->autoscaler->patience, controller->lease_shards
   };
   cJSON *root = cJSON_CreateObject (), *list;
@@ -218,7 +218,7 @@
       cJSON_AddBoolToObject (item, "spot", machine->spot);
       cJSON_AddStringToObject (item, "state", hzb_machine_state_name (machine->state));
       cJSON_AddNumberToObject (item, "tasks", machine->tasks->len);
-      cJSON_AddNumberToObject (item, "listed", hzb_machine_listed (machine));
+      cJSON_AddNumberToObject (item, "listed", hzb_machine_queued_tasks (machine));
       cJSON_AddNumberToObject (item, "cpusUsed", machine->cpus);
       cJSON_AddBoolToObject (item, "toBeReturned", machine->to_be_returned);
       cJSON_AddItemToArray (list, item);
@@ -267,7 +267,7 @@
     {
       cJSON_AddStringToObject (item, "class", job->spec->job_class);
       cJSON_AddStringToObject (item, "team", job->spec->team);
-      cJSON_AddNumberToObject (item, "waiting", job->pending + job->listed);
+      cJSON_AddNumberToObject (item, "waiting", job->pending + job->queued);
       cJSON_AddNumberToObject (item, "placed", job->placed);
       cJSON_AddNumberToObject (item, "unknown", job->unknown);
       cJSON_AddNumberToObject (item, "finished", job->finished);
--- a/src/autoscaler.c
+++ b/src/autoscaler.c
@@ -206,7 +206,7 @@
       placed = job->placed - leaving (job);
       cpus_left[job->team] -= (job->placed - placed) * spec->cpus; /* they count all the same */
       gpus_left[job->team] -= (job->placed - placed) * spec->gpus;
-      tasks = job->pending + job->listed + job->unknown + placed;
+      tasks = job->pending + job->queued + job->unknown + placed;
       /* Guards against machines that are rented for a job that fails wherever it starts: it is tried one task at a time. */
       if (job->failures && !job->did_well)
         tasks = MIN (tasks, placed + 1);
@@ -334,7 +334,7 @@
       const HzbMachine *machine = autoscaler->machines->all->pdata[k];
       if (!machine->type || machine->to_be_returned || machine->spare
           || !kind_fits (machine->type, machine->zone, machine->spot, demand)
-          || (machine->reserved && !demand->services))
+          || (machine->reserved_for_services && !demand->services))
         continue;
       if (machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_UNVERIFIED
           || machine->state == HZB_MACHINE_LEASED
@@ -481,7 +481,7 @@
       HzbMachine *machine = autoscaler->machines->all->pdata[i];
       Candidate c = { machine, 0 };
       if ((machine->state != HZB_MACHINE_ACTIVE && machine->state != HZB_MACHINE_LEASED) || machine->spare
-          || machine->to_be_returned || !machine->type || machine->reserved || machine->service_cpus > 0)
+          || machine->to_be_returned || !machine->type || machine->reserved_for_services || machine->service_cpus > 0)
         continue;
       c.price = (machine->spot ? machine->type->spot_price : machine->type->price) / MAX (machine->type->cpus, 1e-3);
       g_array_append_val (candidates, c);
@@ -527,7 +527,7 @@
 is_idle_for_long (const HzbAutoscaler *autoscaler, const HzbMachine *machine, struct timespec now)
 {
   double idle = hzb_time_between (machine->idle_since, now);
-  return machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len == 0 && hzb_machine_listed (machine) == 0
+  return machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len == 0 && hzb_machine_queued_tasks (machine) == 0
          && hzb_time_between (machine->rented, now) > PAID_IN_ANY_CASE_S
          && idle > (machine->spare ? SPARE_IDLE_S : autoscaler->idle_s);
 }
@@ -551,10 +551,10 @@
   for (guint i = 0; i < autoscaler->machines->all->len; i++)
     {
       HzbMachine *machine = autoscaler->machines->all->pdata[i];
-      if (machine->to_be_returned || machine->reserved || machine->quarantined)
+      if (machine->to_be_returned || machine->reserved_for_services || machine->quarantined)
         continue;
-      if (machine->spare && hzb_machine_listed (machine))
-        hzb_machine_empty_lists (autoscaler->jobs, machine);
+      if (machine->spare && hzb_machine_queued_tasks (machine))
+        hzb_machine_clear_run_queues (autoscaler->jobs, machine);
       if (is_idle_for_long (autoscaler, machine, now) || never_came_up (machine, now))
         g_ptr_array_add (out, machine);
     }
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -21,13 +21,13 @@
   dispatch->ahead_cpus = g_new0 (double, n_ahead);
   dispatch->ahead_gpus = g_new0 (double, n_ahead);
   dispatch->h = 0.5;
-  dispatch->list_ahead_s = 8;
+  dispatch->queue_ahead_s = 8;
   dispatch->sample = 8;
   dispatch->usable = g_ptr_array_new ();
   for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
     {
       dispatch->waiting[at_level] = g_ptr_array_new ();
-      dispatch->machines_with_lists[at_level] = g_ptr_array_new ();
+      dispatch->machines_with_queues[at_level] = g_ptr_array_new ();
     }
   return dispatch;
 }
@@ -38,7 +38,7 @@
   for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
     {
       g_ptr_array_unref (dispatch->waiting[at_level]);
-      g_ptr_array_unref (dispatch->machines_with_lists[at_level]);
+      g_ptr_array_unref (dispatch->machines_with_queues[at_level]);
     }
   g_ptr_array_unref (dispatch->usable);
   g_free (dispatch->ahead_cpus);
@@ -53,7 +53,7 @@
   for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
     {
       g_ptr_array_set_size (dispatch->waiting[at_level], 0);
-      g_ptr_array_set_size (dispatch->machines_with_lists[at_level], 0);
+      g_ptr_array_set_size (dispatch->machines_with_queues[at_level], 0);
     }
 }
 
@@ -85,7 +85,7 @@
 void
 hzb_dispatch_reset_estimates (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now)
 {
-  double booked[HZB_N_LEVELS] = { 0 };
+  double queued_work_s[HZB_N_LEVELS] = { 0 };
 
   if (!machine->type)
     return;
@@ -102,18 +102,18 @@
       guint level = task->job->level, v = MAX (1, hzb_machine_speed (machine, task->job->spec));
       double work = hzb_task_remaining_s (task, now) / v;
       for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
-        booked[at_level] += at_level <= level ? work : work * PREEMPTIBLE_PART;
+        queued_work_s[at_level] += at_level <= level ? work : work * PREEMPTIBLE_PART;
     }
   for (guint level = 0; level < HZB_N_LEVELS; level++)
-    for (GList *l = machine->lists[level].head; l; l = l->next)
+    for (GList *l = machine->run_queues[level].head; l; l = l->next)
       {
         const HzbTask *task = l->data;
         double work = hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (machine->type, task->job->spec));
         for (guint at_level = 0; at_level <= level; at_level++)
-          booked[at_level] += work;
+          queued_work_s[at_level] += work;
       }
   for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
-    hzb_estimate_reset (&machine->estimates[at_level], now, booked[at_level]);
+    hzb_estimate_reset (&machine->estimates[at_level], now, queued_work_s[at_level]);
   machine->estimate_stale = FALSE;
 }
 
@@ -139,11 +139,11 @@
 
 /* Seconds that the tasks of this class and higher ones in the machine's list will take it. */
 static double
-listed_s (const HzbMachine *machine, guint level)
+queued_s (const HzbMachine *machine, guint level)
 {
   double work = 0;
   for (guint at_level = level; at_level < HZB_N_LEVELS; at_level++)
-    for (GList *l = machine->lists[at_level].head; l; l = l->next)
+    for (GList *l = machine->run_queues[at_level].head; l; l = l->next)
       {
         const HzbTask *task = l->data;
         work += hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (machine->type, task->job->spec));
@@ -157,7 +157,7 @@
   guint level = task->job->level;
   double mean = hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (machine->type, task->job->spec));
 
-  hzb_task_set_state (dispatch->jobs, task, HZB_TASK_LISTED, machine);
+  hzb_task_set_state (dispatch->jobs, task, HZB_TASK_QUEUED, machine);
   if (!g_hash_table_contains (machine->images, task->job->spec->image))
     g_hash_table_add (machine->expected, g_ref_string_acquire (task->job->spec->image));
   for (guint at_level = 0; at_level <= level; at_level++)
@@ -187,21 +187,21 @@
 index_machines_with_lists (HzbDispatch *dispatch)
 {
   for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
-    g_ptr_array_set_size (dispatch->machines_with_lists[at_level], 0);
+    g_ptr_array_set_size (dispatch->machines_with_queues[at_level], 0);
   for (guint i = 0; i < dispatch->machines->all->len; i++)
     {
       HzbMachine *machine = dispatch->machines->all->pdata[i];
       for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
-        if (machine->lists[at_level].length)
-          g_ptr_array_add (dispatch->machines_with_lists[at_level], machine);
+        if (machine->run_queues[at_level].length)
+          g_ptr_array_add (dispatch->machines_with_queues[at_level], machine);
     }
   dispatch->generation = dispatch->machines->generation;
 }
 
 /* Tasks of one job to lists: only as many as the team may use, since what waits for its limit holds nobody up. */
 static void
-list_tasks (HzbDispatch *dispatch, HzbJob *job, double *cpus, double *gpus, guint *budget, guint *examined,
-            struct timespec now)
+queue_tasks (HzbDispatch *dispatch, HzbJob *job, double *cpus, double *gpus, guint *budget, guint *examined,
+             struct timespec now)
 {
   const HzbShard *shard = dispatch->jobs->shard;
   const HzbSpec *spec = job->spec;
@@ -223,7 +223,7 @@
       machine = hzb_job_overdue_start_placed (job) ? NULL : hzb_search_best (&search);
       /* No machine, or even the least loaded has work for a while: it waits here, where what comes later and is
        * more pressing can still go first. Only what a machine could take is asked for, and so released. */
-      if (!machine || listed_s (machine, job->level) > dispatch->list_ahead_s
+      if (!machine || queued_s (machine, job->level) > dispatch->queue_ahead_s
           || !(task = hzb_job_next_pending (job, now)))
         break;
       put_on_list (dispatch, task, machine, now);
@@ -263,7 +263,7 @@
     {
       HzbJob *job = dispatch->jobs->active->pdata[i];
       guint at, waiting;
-      if (job->state != HZB_JOB_ACCEPTED || job->awaits_verdict || !(job->pending || job->listed))
+      if (job->state != HZB_JOB_ACCEPTED || job->awaits_verdict || !(job->pending || job->queued))
         continue;
       g_ptr_array_add (order, job);
       dispatch->gang_waits = dispatch->gang_waits || job->spec->gang;
@@ -273,7 +273,7 @@
       if (hzb_time_before (now, job->not_before) || job->failures || !has_machine (dispatch, job->spec))
         continue;
       at = (guint) job->team * HZB_N_LEVELS + job->level;
-      waiting = job->start_overdue ? 1 : job->pending + job->listed;
+      waiting = job->start_overdue ? 1 : job->pending + job->queued;
       dispatch->ahead_cpus[at] += waiting * job->spec->cpus;
       dispatch->ahead_gpus[at] += waiting * job->spec->gpus;
     }
@@ -289,10 +289,10 @@
       HzbJob *job = order->pdata[i];
       const HzbSpec *spec = job->spec;
       /* What of this class or a higher one waits in lists comes before; lower work does not. */
-      cpus[job->team] += job->listed * spec->cpus;
-      gpus[job->team] += job->listed * spec->gpus;
+      cpus[job->team] += job->queued * spec->cpus;
+      gpus[job->team] += job->queued * spec->gpus;
       if (!job->pending || hzb_time_before (now, job->not_before)
-          || (job->failures >= 4 && job->placed + job->listed > 0))
+          || (job->failures >= 4 && job->placed + job->queued > 0))
         continue; /* a job that failed wherever it started is tried with one task at a time */
       if (spec->gang)
         {
@@ -305,7 +305,7 @@
             hzb_preempt_within_team (dispatch, job, now);
           continue;
         }
-      list_tasks (dispatch, job, cpus, gpus, &budget, &examined, now);
+      queue_tasks (dispatch, job, cpus, gpus, &budget, &examined, now);
     }
   index_machines_with_lists (dispatch);
 }
@@ -374,12 +374,12 @@
 {
   HzbCommand order = { HZB_COMMAND_START, task->job->uid, task->index, 0, 0 };
 
-  if (task->state == HZB_TASK_LISTED && task->machine != machine)
+  if (task->state == HZB_TASK_QUEUED && task->machine != machine)
     hzb_task_set_state (dispatch->jobs, task, HZB_TASK_PENDING, NULL); /* moved: it was never sent there */
   if (task->state == HZB_TASK_PENDING)
     {
       g_queue_remove (&task->job->retry, task);
-      hzb_task_set_state (dispatch->jobs, task, HZB_TASK_LISTED, machine);
+      hzb_task_set_state (dispatch->jobs, task, HZB_TASK_QUEUED, machine);
     }
   if (!task->job->spec->gang)
     task->attempt = ++task->job->next_attempt;
@@ -397,8 +397,8 @@
 static HzbTask *
 find_task_to_move (HzbDispatch *dispatch, HzbMachine *machine, guint level, gboolean cached, struct timespec now)
 {
-  GPtrArray *machines_with_lists = dispatch->machines_with_lists[level];
-  guint n = machines_with_lists->len, most_looks = MIN (n, dispatch->lagging ? dispatch->sample : MOVE_SAMPLE);
+  GPtrArray *machines_with_queues = dispatch->machines_with_queues[level];
+  guint n = machines_with_queues->len, most_looks = MIN (n, dispatch->lagging ? dispatch->sample : MOVE_SAMPLE);
   guint first = most_looks < n ? (guint) g_rand_int_range (dispatch->rand, 0, (gint32) n) : 0;
   guint step = most_looks ? n / most_looks : 1;
   HzbTask *best = NULL;
@@ -406,16 +406,16 @@
 
   for (guint i = 0; i < most_looks; i++)
     {
-      HzbMachine *other = machines_with_lists->pdata[(first + i * step) % n];
+      HzbMachine *other = machines_with_queues->pdata[(first + i * step) % n];
       guint examined = 0;
       double u;
-      if (other == machine || !other->lists[level].length)
+      if (other == machine || !other->run_queues[level].length)
         continue;
       dispatch->examined++;
       u = hzb_estimate_mean (&other->estimates[level]);
       if (u <= most)
         continue;
-      for (GList *l = other->lists[level].head; l && examined < 8; l = l->next, examined++)
+      for (GList *l = other->run_queues[level].head; l && examined < 8; l = l->next, examined++)
         {
           HzbTask *task = l->data;
           const HzbSpec *spec = task->job->spec;
@@ -477,7 +477,7 @@
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       HzbTask *task = machine->tasks->pdata[i];
-      if (task->state == HZB_TASK_BOOKED && task->job->state == HZB_JOB_ACCEPTED)
+      if (task->state == HZB_TASK_RESERVED && task->job->state == HZB_JOB_ACCEPTED)
         {
           start (dispatch, task, machine, commands);
           i = G_MAXUINT; /* the array was changed */
@@ -490,7 +490,7 @@
       gboolean held_up = FALSE;
       if (hzb_gang_blocks_machine (dispatch, machine, (guint) level, now))
         break;
-      for (GList *l = machine->lists[level].head; l;)
+      for (GList *l = machine->run_queues[level].head; l;)
         {
           HzbTask *task = l->data;
           l = l->next;
@@ -505,7 +505,7 @@
         }
       if (held_up)
         break;
-      for (guint cached = 2; cached-- > 0 && dispatch->machines_with_lists[level]->len;)
+      for (guint cached = 2; cached-- > 0 && dispatch->machines_with_queues[level]->len;)
         {
           HzbTask *task;
           while (has_some_room (dispatch, machine)
--- a/src/estimate.c
+++ b/src/estimate.c
@@ -23,10 +23,10 @@
 }
 
 void
-hzb_estimate_reset (HzbEstimate *e, struct timespec now, double booked_s)
+hzb_estimate_reset (HzbEstimate *e, struct timespec now, double queued_work_s)
 {
-  guint at = (guint) MIN (MAX_STEPS - 1, floor (booked_s / HZB_STEP_S));
-  double part = booked_s / HZB_STEP_S - floor (booked_s / HZB_STEP_S);
+  guint at = (guint) MIN (MAX_STEPS - 1, floor (queued_work_s / HZB_STEP_S));
+  double part = queued_work_s / HZB_STEP_S - floor (queued_work_s / HZB_STEP_S);
 
   if (at == MAX_STEPS - 1)
     part = 0;
@@ -38,7 +38,7 @@
   e->length = part > 0 ? at + 2 : at + 1;
   e->at = now;
   e->shift_left = 0;
-  e->mean = booked_s < MAX_STEPS * HZB_STEP_S ? booked_s : -1;
+  e->mean = queued_work_s < MAX_STEPS * HZB_STEP_S ? queued_work_s : -1;
 }
 
 void
--- a/src/estimate.h
+++ b/src/estimate.h
@@ -17,7 +17,7 @@
 } HzbEstimate;
 
 void hzb_estimate_clear (HzbEstimate *estimate);
-void hzb_estimate_reset (HzbEstimate *estimate, struct timespec now, double booked_s);
+void hzb_estimate_reset (HzbEstimate *estimate, struct timespec now, double queued_work_s);
 void hzb_estimate_shift (HzbEstimate *estimate, struct timespec now);
 void hzb_estimate_send (HzbEstimate *estimate, double mean_s); /* an exponential task of this mean */
 double hzb_estimate_mean (HzbEstimate *estimate);              /* U, in seconds */
--- a/src/gang.c
+++ b/src/gang.c
@@ -77,7 +77,7 @@
               {
                 HzbTask *task = &job->tasks[next++];
                 task->attempt = job->next_attempt;
-                hzb_task_set_state (dispatch->jobs, task, HZB_TASK_BOOKED, all->pdata[i]);
+                hzb_task_set_state (dispatch->jobs, task, HZB_TASK_RESERVED, all->pdata[i]);
               }
           job->cursor = n;
           return TRUE;
--- a/src/headroom.c
+++ b/src/headroom.c
@@ -18,7 +18,7 @@
 static double
 free_for_replicas (const HzbMachine *machine)
 {
-  return machine->type->cpus - machine->service_cpus - machine->listed_service_cpus;
+  return machine->type->cpus - machine->service_cpus - machine->queued_service_cpus;
 }
 
 /* Zones with replicas or kept machines go first, or room would be kept in ever other zones; then those with most to
@@ -33,7 +33,8 @@
       if (!machine->type || machine->spot || !g_str_equal (machine->zone, zone) || !hzb_type_holds (machine->type, spec)
           || machine->state == HZB_MACHINE_RETURNING || machine->state == HZB_MACHINE_LEASE_EXPIRED)
         continue;
-      rank += machine->type->cpus + 100 * machine->service_cpus + (machine->reserved ? 20 * machine->type->cpus : 0);
+      rank += machine->type->cpus + 100 * machine->service_cpus
+              + (machine->reserved_for_services ? 20 * machine->type->cpus : 0);
     }
   return rank;
 }
@@ -85,7 +86,7 @@
       const HzbSpec *spec = job->spec;
       if (!spec || !spec->service || job->state != HZB_JOB_ACCEPTED || spec->gpus > 0)
         continue;
-      waiting += (job->pending + job->listed + job->unknown) * spec->cpus;
+      waiting += (job->pending + job->queued + job->unknown) * spec->cpus;
       largest = MAX (largest, (job->n_tasks + 1) * spec->cpus);
       if (!headroom.spec || spec->cpus > headroom.spec->cpus)
         headroom.spec = spec;
@@ -120,7 +121,7 @@
       guint begun = job->placed + job->finished + job->done;
       if (!job->spec || job->spec->service || job->state != HZB_JOB_ACCEPTED)
         continue;
-      if (!(job->pending || job->listed) || begun > job->begun || !hzb_time_is_set (job->waits_since)
+      if (!(job->pending || job->queued) || begun > job->begun || !hzb_time_is_set (job->waits_since)
           || !hzb_shard_fits (jobs->shard, job->team, job->spec->cpus, job->spec->gpus))
         job->waits_since = now;
       else if (hzb_time_between (job->waits_since, now) > OTHERS_WAIT_S)
@@ -144,7 +145,7 @@
                      : machine->state == HZB_MACHINE_ACTIVE ? 0
                                                             : 100)
                     + machine->cpus - 100 * machine->service_cpus;
-      if (machine->reserved || !suits (machine, headroom->spec, zone)
+      if (machine->reserved_for_services || !suits (machine, headroom->spec, zone)
           || free_for_replicas (machine) < headroom->spec->cpus || cost >= least)
         continue;
       least = cost;
@@ -164,10 +165,10 @@
       gboolean zone = FALSE;
       for (guint z = 0; z < headroom->n_zones; z++)
         zone = zone || g_str_equal (machine->zone, headroom->zones[z].zone);
-      if (machine->reserved
+      if (machine->reserved_for_services
           && (!headroom->spec || waiting || !suits (machine, headroom->spec, NULL)
               || (!zone && machine->service_cpus <= 0)))
-        machine->reserved = FALSE;
+        machine->reserved_for_services = FALSE;
     }
   for (guint z = 0; z < headroom->n_zones && !waiting; z++)
     {
@@ -176,25 +177,25 @@
       for (guint i = 0; i < machines->all->len; i++)
         {
           machine = machines->all->pdata[i];
-          if (machine->reserved && g_str_equal (machine->zone, headroom->zones[z].zone))
+          if (machine->reserved_for_services && g_str_equal (machine->zone, headroom->zones[z].zone))
             free += free_for_replicas (machine);
         }
       while (free < want && (machine = next_to_reserve (headroom, machines, headroom->zones[z].zone)))
         {
-          machine->reserved = TRUE;
+          machine->reserved_for_services = TRUE;
           machine->spare = FALSE;
           if (machine->state == HZB_MACHINE_ACTIVE)
-            hzb_machine_empty_lists (jobs, machine);
+            hzb_machine_clear_run_queues (jobs, machine);
           free += free_for_replicas (machine);
         }
       /* More than is needed goes back to other work, with some slack so that none goes back and forth. */
       for (guint i = 0; i < machines->all->len; i++)
         {
           machine = machines->all->pdata[i];
-          if (machine->reserved && g_str_equal (machine->zone, headroom->zones[z].zone)
-              && machine->service_cpus + machine->listed_service_cpus <= 0 && free - machine->type->cpus >= 1.5 * want)
+          if (machine->reserved_for_services && g_str_equal (machine->zone, headroom->zones[z].zone)
+              && machine->service_cpus + machine->queued_service_cpus <= 0 && free - machine->type->cpus >= 1.5 * want)
             {
-              machine->reserved = FALSE;
+              machine->reserved_for_services = FALSE;
               free -= machine->type->cpus;
             }
         }
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -13,7 +13,7 @@
   g_clear_pointer (&job->tasks, g_free);
   g_queue_clear (&job->retry);
   job->other_owner = job->delegated_running = job->delegated_leaving = 0;
-  job->cursor = job->pending = job->listed = job->unknown = job->placed = job->running = 0;
+  job->cursor = job->pending = job->queued = job->unknown = job->placed = job->running = 0;
   job->finished = job->done = job->released = job->releasing = 0;
   job->dirty = job->ending = job->on_pages = job->unsplit = job->release_requested = job->announced_to_leaseholders =
       FALSE;
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -54,7 +54,7 @@
   guint other_owner, delegated_running;
   guint delegated_leaving; /* of those, on machines that the leader asked back */
   guint pending;           /* state PENDING, below the released mark or not */
-  guint listed, unknown, placed, running, finished, done;
+  guint queued, unknown, placed, running, finished, done;
   guint released, releasing;  /* tasks below may have been started: durable, and asked for */
   gboolean dirty, ending;     /* progress to be written; end being written */
   gboolean on_pages;          /* of the owner's records */
--- a/src/leaseholder.c
+++ b/src/leaseholder.c
@@ -86,12 +86,12 @@
       hzb_machine_return_new (machine->name, why, machine->agent_epoch, machine->sequence);
 
   returned->sick = machine->to_be_returned && !machine->recall_requested;
-  hzb_machine_empty_lists (controller->jobs, machine);
+  hzb_machine_clear_run_queues (controller->jobs, machine);
   while (machine->tasks->len)
     {
       HzbTask *task = machine->tasks->pdata[machine->tasks->len - 1];
       guint before = machine->tasks->len;
-      if (task->state == HZB_TASK_BOOKED)
+      if (task->state == HZB_TASK_RESERVED)
         hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
       else
         {
@@ -339,7 +339,7 @@
 static double
 room (HzbController *controller)
 {
-  double free = 0, all = 0, listed = 0;
+  double free = 0, all = 0, queued = 0;
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       const HzbMachine *machine = controller->machines->all->pdata[i];
@@ -351,9 +351,9 @@
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
       const HzbJob *job = controller->jobs->active->pdata[i];
-      listed += (job->listed + job->pending) * job->spec->cpus;
+      queued += (job->queued + job->pending) * job->spec->cpus;
     }
-  return free + PREFETCH_PART * all - listed;
+  return free + PREFETCH_PART * all - queued;
 }
 
 /* How many tasks of each job are on machines that the leader asked back. Returns: (transfer full): HzbJob -> count */
@@ -459,7 +459,7 @@
 {
   HzbJobs *jobs = returned->leaseholder->controller->jobs;
 
-  if (task->state == HZB_TASK_LISTED)
+  if (task->state == HZB_TASK_QUEUED)
     hzb_task_set_state (jobs, task, HZB_TASK_PENDING, NULL);
   g_queue_remove (&task->job->retry, task);
   hzb_task_set_state (jobs, task, HZB_TASK_OTHER_OWNER, NULL);
@@ -481,14 +481,14 @@
     {
       HzbJob *job = controller->jobs->active->pdata[i];
       gboolean over = job->state != HZB_JOB_ACCEPTED;
-      for (guint k = 0; (job->pending || job->listed) && k < job->n_tasks; k++)
+      for (guint k = 0; (job->pending || job->queued) && k < job->n_tasks; k++)
         {
           HzbTask *task = &job->tasks[k];
-          if ((task->state == HZB_TASK_PENDING || task->state == HZB_TASK_LISTED)
+          if ((task->state == HZB_TASK_PENDING || task->state == HZB_TASK_QUEUED)
               && (over || hzb_time_between (task->since, now) >= UNSTARTED_TTL_S))
             return_task (&returned, task);
         }
-      if (over && !job->placed && !job->pending && !job->listed)
+      if (over && !job->placed && !job->pending && !job->queued)
         {
           hzb_jobs_retire (controller->jobs, job);
           i--;
@@ -519,8 +519,8 @@
       else if (machine->recall_requested
                && (machine->tasks->len == 0 || (machine->recall_at_once && machine->state == HZB_MACHINE_ACTIVE)))
         hzb_leaseholder_return_machine (leaseholder, machine, "the leader asked for it");
-      else if (machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len == 0 && hzb_machine_listed (machine) == 0
-               && hzb_time_between (machine->idle_since, now) > IDLE_S)
+      else if (machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len == 0
+               && hzb_machine_queued_tasks (machine) == 0 && hzb_time_between (machine->idle_since, now) > IDLE_S)
         hzb_leaseholder_return_machine (leaseholder, machine, "it has nothing to do");
     }
 }
--- a/src/levels.c
+++ b/src/levels.c
@@ -117,8 +117,8 @@
   if (level == job->level)
     return;
   /* What waits in lists goes through them anew. */
-  for (guint k = 0; job->listed && k < job->n_tasks; k++)
-    if (job->tasks[k].state == HZB_TASK_LISTED)
+  for (guint k = 0; job->queued && k < job->n_tasks; k++)
+    if (job->tasks[k].state == HZB_TASK_QUEUED)
       hzb_task_set_state (jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
   job->level = (guint8) level;
 }
@@ -159,13 +159,13 @@
 gboolean
 hzb_job_overdue_start_placed (const HzbJob *job)
 {
-  return job->start_overdue && (job->listed || job->placed);
+  return job->start_overdue && (job->queued || job->placed);
 }
 
 static double
 work_left (const HzbJob *job)
 {
-  return (job->pending + job->listed + job->unknown + 0.5 * job->placed) * hzb_job_mean_s (job)
+  return (job->pending + job->queued + job->unknown + 0.5 * job->placed) * hzb_job_mean_s (job)
          * MAX (job->spec->cpus, 0.1);
 }
 
--- a/src/machines.c
+++ b/src/machines.c
@@ -21,7 +21,7 @@
   g_hash_table_unref (machine->expected);
   for (guint i = 0; i < HZB_N_LEVELS; i++)
     {
-      g_queue_clear (&machine->lists[i]);
+      g_queue_clear (&machine->run_queues[i]);
       hzb_estimate_clear (&machine->estimates[i]);
     }
   g_free (machine);
@@ -202,28 +202,28 @@
 }
 
 void
-hzb_machine_list (HzbMachine *machine, HzbTask *task)
+hzb_machine_enqueue (HzbMachine *machine, HzbTask *task)
 {
   const HzbSpec *spec = task->job->spec;
   if (spec->service)
     {
-      machine->listed_service_cpus += spec->cpus;
-      machine->listed_service_memory += spec->memory_gb;
+      machine->queued_service_cpus += spec->cpus;
+      machine->queued_service_memory += spec->memory_gb;
     }
-  g_queue_push_tail (&machine->lists[task->job->level], task);
+  g_queue_push_tail (&machine->run_queues[task->job->level], task);
 }
 
 void
-hzb_machine_unlist (HzbMachine *machine, HzbTask *task)
+hzb_machine_dequeue (HzbMachine *machine, HzbTask *task)
 {
   const HzbSpec *spec = task->job->spec;
   for (guint i = 0; i < HZB_N_LEVELS; i++)
-    if (g_queue_remove (&machine->lists[i], task))
+    if (g_queue_remove (&machine->run_queues[i], task))
       {
         if (spec->service)
           {
-            machine->listed_service_cpus -= spec->cpus;
-            machine->listed_service_memory -= spec->memory_gb;
+            machine->queued_service_cpus -= spec->cpus;
+            machine->queued_service_memory -= spec->memory_gb;
           }
         return;
       }
@@ -303,8 +303,8 @@
 gboolean
 hzb_machine_takes_replica (const HzbMachine *machine, const HzbSpec *spec)
 {
-  return machine->service_cpus + machine->listed_service_cpus + spec->cpus <= machine->type->cpus + 1e-6
-         && machine->service_memory + machine->listed_service_memory + spec->memory_gb
+  return machine->service_cpus + machine->queued_service_cpus + spec->cpus <= machine->type->cpus + 1e-6
+         && machine->service_memory + machine->queued_service_memory + spec->memory_gb
                 <= machine->type->memory_gb + 1e-6;
 }
 
@@ -372,7 +372,7 @@
 gboolean
 hzb_machine_allowed (const HzbMachine *machine, const HzbSpec *spec)
 {
-  return is_of_allowed_kind (machine, spec) && (spec->service || !machine->reserved);
+  return is_of_allowed_kind (machine, spec) && (spec->service || !machine->reserved_for_services);
 }
 
 gboolean
@@ -384,11 +384,11 @@
 }
 
 guint
-hzb_machine_listed (const HzbMachine *machine)
+hzb_machine_queued_tasks (const HzbMachine *machine)
 {
   guint n = 0;
   for (guint i = 0; i < HZB_N_LEVELS; i++)
-    n += machine->lists[i].length;
+    n += machine->run_queues[i].length;
   return n;
 }
 
@@ -402,15 +402,15 @@
       g_return_if_fail (machine->tasks->len < before);
     }
   machine->cpus = machine->gpus = machine->memory = machine->service_cpus = machine->service_memory = 0;
-  hzb_machine_empty_lists (jobs, machine);
+  hzb_machine_clear_run_queues (jobs, machine);
 }
 
 void
-hzb_machine_empty_lists (HzbJobs *jobs, HzbMachine *machine)
+hzb_machine_clear_run_queues (HzbJobs *jobs, HzbMachine *machine)
 {
   for (guint i = 0; i < HZB_N_LEVELS; i++)
-    while (machine->lists[i].length)
-      hzb_task_set_state (jobs, g_queue_peek_head (&machine->lists[i]), HZB_TASK_PENDING, NULL);
+    while (machine->run_queues[i].length)
+      hzb_task_set_state (jobs, g_queue_peek_head (&machine->run_queues[i]), HZB_TASK_PENDING, NULL);
   machine->estimate_stale = TRUE;
 }
 
--- a/src/machines.h
+++ b/src/machines.h
@@ -70,12 +70,12 @@
   gboolean to_be_returned, drain;                    /* drain: by an operator */
   gboolean spare;                                    /* takes no new tasks: there are more machines than work */
   guint surplus;                                     /* for how many plans in a row it has been one too many */
-  gboolean reserved;                                 /* for replicas of services: they find room there at once */
+  gboolean reserved_for_services;                    /* for replicas of services: they find room there at once */
   double service_cpus, service_memory;               /* in use by replicas, which never end by themselves */
-  double listed_service_cpus, listed_service_memory; /* and by those in its lists */
+  double queued_service_cpus, queued_service_memory; /* and by those in its run queues */
   double cpus, gpus, memory;                         /* in use by tasks that are on it, or may be */
   GPtrArray *tasks;                                  /* HzbTask on it */
-  GQueue lists[HZB_N_LEVELS];
+  GQueue run_queues[HZB_N_LEVELS];
   HzbEstimate estimates[HZB_N_LEVELS]; /* work that a task of the class waits behind */
   gboolean estimate_stale;
   GHashTable *images;      /* names (interned) known to be on it */
@@ -116,8 +116,8 @@
 cJSON *hzb_machine_pack (const HzbMachine *machine, struct timespec wall);
 
 /* Kept by hzb_task_set_state(). */
-void hzb_machine_list (HzbMachine *machine, HzbTask *task);
-void hzb_machine_unlist (HzbMachine *machine, HzbTask *task);
+void hzb_machine_enqueue (HzbMachine *machine, HzbTask *task);
+void hzb_machine_dequeue (HzbMachine *machine, HzbTask *task);
 void hzb_machine_add (HzbMachine *machine, HzbTask *task);
 void hzb_machine_remove (HzbMachine *machine, HzbTask *task);
 
@@ -143,10 +143,10 @@
 /* The last failure on the machine was one of this job, not long ago: the job's tasks are tried on others first. */
 gboolean hzb_machine_avoids (const HzbMachine *machine, const HzbJob *job, struct timespec now);
 gboolean hzb_machine_has_room (const HzbMachine *machine, const HzbSpec *spec);
-guint hzb_machine_listed (const HzbMachine *machine);
-/* Its tasks are gone for certain: they go back to waiting. Its list is emptied too. */
+guint hzb_machine_queued_tasks (const HzbMachine *machine);
+/* Its tasks are gone for certain: they go back to waiting. Its run queues are emptied too. */
 void hzb_machine_lose_tasks (HzbJobs *jobs, HzbMachine *machine);
-void hzb_machine_empty_lists (HzbJobs *jobs, HzbMachine *machine);
+void hzb_machine_clear_run_queues (HzbJobs *jobs, HzbMachine *machine);
 /**
  * hzb_machines_unverified_kinds: of the machines that may hold unknown tasks of a shard, and have neither answered under our
  * fencing token nor are gone, one (HzbMachine) of each type, zone and kind. Looks at every machine once, for all shards.
--- a/src/owner.c
+++ b/src/owner.c
@@ -24,20 +24,20 @@
         }
       else if (machine->state == HZB_MACHINE_ACTIVE
                && hzb_time_between (machine->last_heartbeat, now) > 3 * controller->settings->heartbeat_interval_s
-               && hzb_machine_listed (machine))
-        hzb_machine_empty_lists (controller->jobs, machine); /* others may take what waits for a quiet machine */
+               && hzb_machine_queued_tasks (machine))
+        hzb_machine_clear_run_queues (controller->jobs, machine); /* others may take what waits for a quiet machine */
     }
 }
 
 /* Guards against a gang that waits for ever: a machine that takes no new tasks any more, since it is spare or goes back, is
  * not told of the places that are held there. */
 static void
-give_up_useless_places (HzbController *controller, HzbJob *job)
+release_useless_reservations (HzbController *controller, HzbJob *job)
 {
   for (guint k = 0; job->placed > job->running && k < job->n_tasks; k++)
     {
       HzbTask *task = &job->tasks[k];
-      if (task->state == HZB_TASK_BOOKED && !hzb_machine_usable (task->machine))
+      if (task->state == HZB_TASK_RESERVED && !hzb_machine_usable (task->machine))
         hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
     }
 }
@@ -49,7 +49,7 @@
 {
   gboolean over = job->finished + job->done > 0;
 
-  give_up_useless_places (controller, job);
+  release_useless_reservations (controller, job);
   if (!job->pending || job->pending == job->n_tasks)
     return;
   for (guint k = 0; k < job->n_tasks; k++)
@@ -57,7 +57,7 @@
       HzbTask *task = &job->tasks[k];
       if (over && task->state == HZB_TASK_PENDING && !job->placed)
         hzb_task_set_state (controller->jobs, task, HZB_TASK_FINISHED, NULL);
-      else if (task->state == HZB_TASK_BOOKED)
+      else if (task->state == HZB_TASK_RESERVED)
         hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
       else if (!over && (task->state == HZB_TASK_FETCHING || task->state == HZB_TASK_WAITING))
         task->stopping = TRUE;
@@ -79,11 +79,11 @@
           continue;
         }
       hzb_shard_leases_announce_cancellation (controller->shard_leases, job);
-      for (guint k = 0; job->listed && k < job->n_tasks; k++)
-        if (job->tasks[k].state == HZB_TASK_LISTED)
+      for (guint k = 0; job->queued && k < job->n_tasks; k++)
+        if (job->tasks[k].state == HZB_TASK_QUEUED)
           hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
-        if (job->tasks[k].state == HZB_TASK_BOOKED)
+        if (job->tasks[k].state == HZB_TASK_RESERVED)
           hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
       if (!job->placed && !job->unknown && !job->ending)
         {
@@ -145,7 +145,7 @@
       const HzbJob *job = controller->jobs->active->pdata[i];
       if (job->state != HZB_JOB_ACCEPTED)
         continue;
-      summary.waiting_cpus += (job->pending + job->listed) * job->spec->cpus;
+      summary.waiting_cpus += (job->pending + job->queued) * job->spec->cpus;
       summary.held_cpus += job->placed * job->spec->cpus;
       summary.running_cpus += (job->running + job->delegated_running) * job->spec->cpus;
     }
--- a/src/preemption.c
+++ b/src/preemption.c
@@ -111,7 +111,7 @@
 
   if (preemptor->spec->gang || hzb_time_between (preemptor->since, now) < preempt_after_s (dispatch, preemptor))
     return;
-  lack = shard->cpus[team] + MIN ((preemptor->pending + preemptor->listed) * preemptor->spec->cpus, limit) - limit;
+  lack = shard->cpus[team] + MIN ((preemptor->pending + preemptor->queued) * preemptor->spec->cpus, limit) - limit;
   for (guint i = 0; i < dispatch->jobs->active->len && lack > 1e-6; i++)
     {
       const HzbJob *job = dispatch->jobs->active->pdata[i];
@@ -162,7 +162,7 @@
         }
     }
   for (guint level = HZB_N_LEVELS - 1; level > HZB_LEVEL_PRESSING; level--)
-    for (GList *l = machine->lists[level].head; l && examined < 32; l = l->next, examined++)
+    for (GList *l = machine->run_queues[level].head; l && examined < 32; l = l->next, examined++)
       {
         HzbTask *preemptor = l->data;
         const HzbSpec *spec = preemptor->job->spec;
@@ -250,7 +250,7 @@
     {
       const HzbJob *job = dispatch->jobs->active->pdata[i];
       if (job->state == HZB_JOB_ACCEPTED)
-        free -= (job->pending + job->listed) * job->spec->cpus;
+        free -= (job->pending + job->queued) * job->spec->cpus;
     }
   for (guint i = 0; i < dispatch->machines->all->len && free > 0; i++)
     {
--- a/src/provisioning.c
+++ b/src/provisioning.c
@@ -185,8 +185,8 @@
         machine->to_be_returned = TRUE;
       if (!machine->to_be_returned || machine->state == HZB_MACHINE_RETURNING)
         continue;
-      if (hzb_machine_listed (machine))
-        hzb_machine_empty_lists (controller->jobs, machine);
+      if (hzb_machine_queued_tasks (machine))
+        hzb_machine_clear_run_queues (controller->jobs, machine);
       if (machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len)
         hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_DRAINING, "to be returned");
       /* What would never end goes elsewhere; its machine tells with its next report that it is to stop. */
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -290,11 +290,11 @@
     return FALSE;
   task = &job->tasks[entry->task];
   if (machine && machine->state == HZB_MACHINE_ACTIVE
-      && (task->state == HZB_TASK_PENDING || task->state == HZB_TASK_LISTED))
+      && (task->state == HZB_TASK_PENDING || task->state == HZB_TASK_QUEUED))
     {
       g_message ("reconciliation: the record of %s came late; task %u goes on on %s", entry->uid, entry->task,
                  entry->machine);
-      if (task->state == HZB_TASK_LISTED)
+      if (task->state == HZB_TASK_QUEUED)
         hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
       task->attempt = entry->attempt;
       job->next_attempt = MAX (job->next_attempt, entry->attempt);
--- a/src/reconciliation/report.c
+++ b/src/reconciliation/report.c
@@ -194,12 +194,12 @@
 static void
 append_text_lists (GString *out, const HzbArchive *archive)
 {
-  g_autoptr (GString) lists = g_string_new (NULL);
-  text_lists (lists, archive);
-  if (!lists->len)
+  g_autoptr (GString) run_queues = g_string_new (NULL);
+  text_lists (run_queues, archive);
+  if (!run_queues->len)
     return;
   g_string_append (out, "<h2>What is left to look at</h2>\n<pre>");
-  append_escaped (out, lists->str);
+  append_escaped (out, run_queues->str);
   g_string_append (out, "</pre>\n");
 }
 
--- a/src/search.c
+++ b/src/search.c
@@ -32,8 +32,8 @@
   double until_report =
       search->dispatch->settings->heartbeat_interval_s - hzb_time_between (machine->last_heartbeat, search->now);
   gboolean room =
-      machine->cpus + machine->listed_service_cpus + spec->cpus <= machine->type->cpus + 1e-6
-      && machine->memory + machine->listed_service_memory + spec->memory_gb <= machine->type->memory_gb + 1e-6;
+      machine->cpus + machine->queued_service_cpus + spec->cpus <= machine->type->cpus + 1e-6
+      && machine->memory + machine->queued_service_memory + spec->memory_gb <= machine->type->memory_gb + 1e-6;
   return MAX (until_report, 0) + hzb_fetch_s (machine, spec) + (room ? 0 : NO_ROOM_S);
 }
 
@@ -68,7 +68,7 @@
 {
   const HzbSpec *spec = search->job->spec;
   if (!zone_is_open (search, machine)
-      || (spec->service ? !hzb_machine_takes_replica (machine, spec) : machine->reserved)
+      || (spec->service ? !hzb_machine_takes_replica (machine, spec) : machine->reserved_for_services)
       || (machine->service_cpus > 0 && hzb_machine_speed (machine, spec) < 1))
     return FALSE;
   return hzb_machine_usable (machine)
@@ -132,7 +132,7 @@
   if (!job->spec->spread && !job->spec->same_zone)
     return;
   search->in_zone = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  for (guint i = 0; (job->placed || job->listed) && i < job->n_tasks; i++)
+  for (guint i = 0; (job->placed || job->queued) && i < job->n_tasks; i++)
     if (job->tasks[i].machine)
       count_zone (search, job->tasks[i].machine);
 }
--- a/src/shard-delegation.c
+++ b/src/shard-delegation.c
@@ -33,8 +33,8 @@
 next_to_delegate (HzbController *controller, HzbJob *job, guint *at, struct timespec now)
 {
   HzbTask *task = job->pending ? hzb_job_next_pending (job, now) : NULL;
-  for (; !task && job->listed && *at < job->n_tasks; (*at)++)
-    if (job->tasks[*at].state == HZB_TASK_LISTED && !hzb_time_before (now, job->tasks[*at].not_before))
+  for (; !task && job->queued && *at < job->n_tasks; (*at)++)
+    if (job->tasks[*at].state == HZB_TASK_QUEUED && !hzb_time_before (now, job->tasks[*at].not_before))
       {
         task = &job->tasks[*at];
         hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
@@ -58,7 +58,7 @@
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
       HzbJob *job = controller->jobs->active->pdata[i];
-      if (hzb_job_is_delegable (job) && !job->awaits_verdict && (job->pending || job->listed) && !job->failures
+      if (hzb_job_is_delegable (job) && !job->awaits_verdict && (job->pending || job->queued) && !job->failures
           && !hzb_time_before (now, job->not_before))
         g_ptr_array_add (order, job);
     }
@@ -67,7 +67,7 @@
     {
       HzbJob *job = order->pdata[i];
       guint at = 0;
-      gboolean holds = shard_accepts (leaseholder, job->spec) && !(job->start_overdue && (job->listed || job->placed));
+      gboolean holds = shard_accepts (leaseholder, job->spec) && !(job->start_overdue && (job->queued || job->placed));
       if (holds && job->cursor >= job->released)
         job->release_requested = TRUE;
       while (holds && n < MOST_PER_ANSWER && job->spec->cpus <= room_cpus
@@ -126,7 +126,7 @@
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
       const HzbJob *job = controller->jobs->active->pdata[i];
-      if (job->state == HZB_JOB_ACCEPTED && job->spec->service && (job->pending || job->listed)
+      if (job->state == HZB_JOB_ACCEPTED && job->spec->service && (job->pending || job->queued)
           && !hzb_shard_fits (controller->shard, job->team, job->spec->cpus, job->spec->gpus)
           && !team_has_lower_work (controller, job->team, 0)
           && team_has_lower_work (controller, job->team, leaseholder->id))
--- a/src/shard-machines.c
+++ b/src/shard-machines.c
@@ -32,7 +32,7 @@
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
       const HzbJob *job = controller->jobs->active->pdata[i];
-      if (job->state != HZB_JOB_ACCEPTED || !(job->pending || job->listed))
+      if (job->state != HZB_JOB_ACCEPTED || !(job->pending || job->queued))
         continue;
       if (hzb_job_is_delegable (job))
         return FALSE;
@@ -64,9 +64,10 @@
 static void
 recall_or_keep (HzbLeaseholderView *leaseholder, HzbMachine *machine, gboolean all)
 {
-  gboolean back = all || machine->spare || machine->to_be_returned || machine->reserved || machine->recall_at_once;
+  gboolean back =
+      all || machine->spare || machine->to_be_returned || machine->reserved_for_services || machine->recall_at_once;
   /* Replicas wait for its room: what runs there comes along, and can be stopped here. */
-  HzbRecall recall = { machine->name, back, machine->reserved || machine->recall_at_once };
+  HzbRecall recall = { machine->name, back, machine->reserved_for_services || machine->recall_at_once };
 
   if (machine->recall_requested == back || !machine->lease_sent)
     return;
@@ -145,9 +146,10 @@
 may_lease (const HzbShardLeases *shard_leases, const HzbMachine *machine)
 {
   const HzbController *controller = shard_leases->controller;
-  return controller->lease_shards && machine->type && !machine->to_be_returned && !machine->spare && !machine->reserved
-         && !machine->unreachable && machine->known_to_cloud && controller->ownership >= HZB_OWNERSHIP_RECOVERING
-         && !shard_leases->gang_waits && !shard_leases->only_leader_work_waits;
+  return controller->lease_shards && machine->type && !machine->to_be_returned && !machine->spare
+         && !machine->reserved_for_services && !machine->unreachable && machine->known_to_cloud
+         && controller->ownership >= HZB_OWNERSHIP_RECOVERING && !shard_leases->gang_waits
+         && !shard_leases->only_leader_work_waits;
 }
 
 static void
@@ -172,7 +174,7 @@
 
   hzb_shards_survey (shard_leases, hzb_clock_now (controller->clock));
   if ((machine->state != HZB_MACHINE_BOOTING && machine->state != HZB_MACHINE_ACTIVE) || machine->tasks->len
-      || hzb_machine_listed (machine) || machine->quarantined || !may_lease (shard_leases, machine))
+      || hzb_machine_queued_tasks (machine) || machine->quarantined || !may_lease (shard_leases, machine))
     return NULL;
   best = smallest_leaseholder (shard_leases, machine, 1, hzb_clock_now (controller->clock));
   if (!best)
@@ -202,7 +204,7 @@
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       const HzbTask *task = machine->tasks->pdata[i];
-      if (task->stopping || task->job->awaits_verdict || task->state == HZB_TASK_BOOKED
+      if (task->stopping || task->job->awaits_verdict || task->state == HZB_TASK_RESERVED
           || task->state == HZB_TASK_SAVING || task->job->spec->gang || task->job->spec->service
           || task->job->spec->same_zone || task->job->spec->spread || task->job->state != HZB_JOB_ACCEPTED)
         return NULL;
@@ -213,7 +215,7 @@
     return NULL;
   shard_leases->next_hand_over =
       hzb_time_plus (now, MIN (HAND_OVER_EVERY_S, HAND_OVER_ALL_S / controller->machines->all->len));
-  hzb_machine_empty_lists (controller->jobs, machine);
+  hzb_machine_clear_run_queues (controller->jobs, machine);
   lease = hzb_machine_lease_new (machine);
   lease->holds = hzb_held_tasks_new ();
   while (machine->tasks->len)
--- a/src/task.c
+++ b/src/task.c
@@ -16,7 +16,7 @@
 gboolean
 hzb_task_on_machine (const HzbTask *task)
 {
-  return task->state >= HZB_TASK_BOOKED && task->state <= HZB_TASK_SAVING;
+  return task->state >= HZB_TASK_RESERVED && task->state <= HZB_TASK_SAVING;
 }
 
 #define B(s) (1u << HZB_TASK_##s)
@@ -26,10 +26,10 @@
   [HZB_TASK_OTHER_OWNER] = B (PENDING),
   [HZB_TASK_DELEGATED] = B (PENDING) | B (UNKNOWN) | B (STARTING) | B (FINISHED),
   [HZB_TASK_PENDING] =
-      B (OTHER_OWNER) | B (DELEGATED) | B (LISTED) | B (BOOKED) | B (UNKNOWN) | B (DONE) | SEEN | B (FINISHED),
-  [HZB_TASK_LISTED] = B (PENDING) | B (BOOKED) | B (STARTING),
+      B (OTHER_OWNER) | B (DELEGATED) | B (QUEUED) | B (RESERVED) | B (UNKNOWN) | B (DONE) | SEEN | B (FINISHED),
+  [HZB_TASK_QUEUED] = B (PENDING) | B (RESERVED) | B (STARTING),
   [HZB_TASK_UNKNOWN] = B (PENDING) | SEEN | B (FINISHED) | B (DONE),
-  [HZB_TASK_BOOKED] = B (PENDING) | B (STARTING),
+  [HZB_TASK_RESERVED] = B (PENDING) | B (STARTING),
   [HZB_TASK_STARTING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
   [HZB_TASK_FETCHING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
   [HZB_TASK_WAITING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
@@ -48,8 +48,8 @@
     case HZB_TASK_PENDING:
       job->pending += by;
       break;
-    case HZB_TASK_LISTED:
-      job->listed += by;
+    case HZB_TASK_QUEUED:
+      job->queued += by;
       break;
     case HZB_TASK_UNKNOWN:
       job->unknown += by;
@@ -96,8 +96,8 @@
     }
   g_debug ("task %s/%u: %s -> %s%s%s", job->uid, task->index, state_names[task->state], state_names[to],
            machine ? " on " : "", machine ? hzb_machine_name (machine) : "");
-  if (task->state == HZB_TASK_LISTED)
-    hzb_machine_unlist (task->machine, task);
+  if (task->state == HZB_TASK_QUEUED)
+    hzb_machine_dequeue (task->machine, task);
   if (hzb_task_on_machine (task) && task->machine)
     hzb_machine_remove (task->machine, task);
   count (job, task->state, -1);
@@ -107,8 +107,8 @@
   task->state = (guint8) to;
   task->machine = machine;
   holds = holds_room (task);
-  if (to == HZB_TASK_LISTED)
-    hzb_machine_list (machine, task);
+  if (to == HZB_TASK_QUEUED)
+    hzb_machine_enqueue (machine, task);
   if (hzb_task_on_machine (task) && machine)
     hzb_machine_add (machine, task);
   if (holds && !held)
--- a/src/task.h
+++ b/src/task.h
@@ -13,12 +13,12 @@
 
 typedef enum
 {
-  HZB_TASK_PENDING,     /* on no machine, in no list */
-  HZB_TASK_LISTED,      /* in a machine's list */
+  HZB_TASK_PENDING,     /* on no machine, in no run queue */
+  HZB_TASK_QUEUED,      /* in a machine's run queue */
   HZB_TASK_UNKNOWN,     /* may run on a machine that has not answered under our fencing token */
   HZB_TASK_OTHER_OWNER, /* in another shard (on a leaseholder only) */
   HZB_TASK_DELEGATED,   /* in a shard that is leased to another controller, which may run it (on the leader only) */
-  HZB_TASK_BOOKED,      /* a place is held for it; the start order has not been sent */
+  HZB_TASK_RESERVED,    /* a place is held for it; the start order has not been sent */
   HZB_TASK_STARTING,    /* a start order was sent; no newer report yet */
   HZB_TASK_FETCHING,
   HZB_TASK_WAITING,
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -88,10 +88,10 @@
       if (task->state == HZB_TASK_DONE)
         command (commands, HZB_COMMAND_REAP, job->uid, task->index, task_status->attempt, 0);
       else if (here || task->state == HZB_TASK_UNKNOWN || task->state == HZB_TASK_PENDING
-               || task->state == HZB_TASK_LISTED || task->state == HZB_TASK_OTHER_OWNER)
+               || task->state == HZB_TASK_QUEUED || task->state == HZB_TASK_OTHER_OWNER)
         {
           double ran = here && task->state == HZB_TASK_RUNNING ? hzb_time_between (task->since, now) : 0;
-          if (task->state == HZB_TASK_LISTED || task->state == HZB_TASK_OTHER_OWNER)
+          if (task->state == HZB_TASK_QUEUED || task->state == HZB_TASK_OTHER_OWNER)
             hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
           hzb_jobs_record_run_time (controller->jobs, job, ran);
           hzb_task_set_state (controller->jobs, task, HZB_TASK_FINISHED, NULL);
@@ -170,10 +170,10 @@
         }
       return;
     }
-  if (task && (task->state == HZB_TASK_UNKNOWN || task->state == HZB_TASK_PENDING || task->state == HZB_TASK_LISTED))
+  if (task && (task->state == HZB_TASK_UNKNOWN || task->state == HZB_TASK_PENDING || task->state == HZB_TASK_QUEUED))
     {
       /* Found where an earlier owner had started it. */
-      if (task->state == HZB_TASK_LISTED)
+      if (task->state == HZB_TASK_QUEUED)
         hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
       task->attempt = task_status->attempt;
       job->next_attempt = MAX (job->next_attempt, task_status->attempt);
@@ -259,7 +259,7 @@
     {
       hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_DRAINING, "the cloud takes it back");
       machine->notice_at = hzb_time_plus (now, notice_s);
-      hzb_machine_empty_lists (controller->jobs, machine);
+      hzb_machine_clear_run_queues (controller->jobs, machine);
     }
   for (guint i = 0; i < machine->tasks->len; i++)
     {
@@ -298,7 +298,7 @@
     machine->unreachable = TRUE; /* it goes back to the leader, who can raise its fencing token */
   else
     hzb_machine_mark_unreachable (machine, hzb_shard_leases_next_fencing_token (controller->shard_leases), now);
-  hzb_machine_empty_lists (controller->jobs, machine);
+  hzb_machine_clear_run_queues (controller->jobs, machine);
 }
 
 static void
@@ -323,7 +323,7 @@
       HzbTask *task = machine->tasks->pdata[i];
       if (task->state == HZB_TASK_STARTING)
         missing++;
-      if (task->state == HZB_TASK_BOOKED || task->seen == machine->round)
+      if (task->state == HZB_TASK_RESERVED || task->seen == machine->round)
         i++;
       else
         hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -609,14 +609,14 @@
 
 /* Returns: a task of the job for which the leader holds a place, once there is one. */
 static HzbTask *
-run_until_booked (Sim *sim, const SimJob *gang)
+run_until_reserved (Sim *sim, const SimJob *gang)
 {
   while (sim->now < 60)
     {
       int leader = sim_leader (sim);
       const HzbJob *job = leader >= 0 ? hzb_jobs_find (sim->nodes[leader].controller->jobs, gang->uid) : NULL;
       for (guint k = 0; job && job->tasks && k < job->n_tasks; k++)
-        if (job->tasks[k].state == HZB_TASK_BOOKED)
+        if (job->tasks[k].state == HZB_TASK_RESERVED)
           return &job->tasks[k];
       sim_run (sim, sim->now + 0.02);
     }
@@ -633,7 +633,7 @@
       SimJob *gang = sim_add_job (sim, 3, "red", 4, 1, 10);
       HzbTask *task;
       gang->gang = TRUE;
-      task = run_until_booked (sim, gang);
+      task = run_until_reserved (sim, gang);
       g_assert_nonnull (task);
       if (seed % 2)
         task->machine->spare = TRUE;
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -310,7 +310,7 @@
 }
 
 /* Half of the machines are silent through the restart, and back before or after their leases are over; some hear nothing,
- * some are in no list of the cloud, some have begun another agent epoch. */
+ * some are in no run queue of the cloud, some have begun another agent epoch. */
 static void
 test_silent_machines (void)
 {
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -165,9 +165,9 @@
                                     ? hzb_jobs_find (controller->jobs, job->uid)
                                     : NULL;
           if (known && known->tasks && known->state == HZB_JOB_ACCEPTED
-              && known->pending + known->listed + known->placed)
+              && known->pending + known->queued + known->placed)
             g_error ("%s is called cancelled, and node-%u holds %u tasks of it at %.2f", job->uid, node,
-                     known->pending + known->listed + known->placed, sim->now);
+                     known->pending + known->queued + known->placed, sim->now);
         }
 }
 
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -63,7 +63,7 @@
               g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&machine->estimates[job->level])
                                                   + b.dispatch->h * job->spec->estimate_s / v,
                                               least, 1e-3);
-              hzb_task_set_state (b.jobs, hzb_job_next_pending (job, hzb_clock_now (b.clock)), HZB_TASK_LISTED,
+              hzb_task_set_state (b.jobs, hzb_job_next_pending (job, hzb_clock_now (b.clock)), HZB_TASK_QUEUED,
                                   machine);
               for (guint c = 0; c <= job->level; c++)
                 hzb_estimate_send (&machine->estimates[c], job->spec->estimate_s / v);
@@ -206,7 +206,7 @@
       bench_machine (&b, "big", "zb", FALSE);
     }
   g_assert_cmpuint (job->placed, ==, 4);
-  g_assert_cmpuint (elsewhere->listed, >, 0);
+  g_assert_cmpuint (elsewhere->queued, >, 0);
   bench_down (&b);
 }
 
@@ -281,12 +281,12 @@
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 8, 2, 10);
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
   /* Lists are filled a little ahead only; the rest waits where it can still be overtaken. */
-  g_assert_cmpuint (hzb_machine_listed (first), ==, 2);
+  g_assert_cmpuint (hzb_machine_queued_tasks (first), ==, 2);
   second = bench_machine (&b, "small", "zb", FALSE);
   hzb_dispatch_start_tasks (b.dispatch, second, hzb_clock_now (b.clock), commands);
   g_assert_cmpuint (commands->len, ==, 2);
   g_assert_cmpuint (second->tasks->len, ==, 2);
-  g_assert_cmpuint (hzb_machine_listed (first), ==, 0); /* moved, before what waits for a list */
+  g_assert_cmpuint (hzb_machine_queued_tasks (first), ==, 0); /* moved, before what waits for a list */
   g_assert_cmpuint (job->pending, ==, 6);
   /* What was sent stays where it is until a report shows it gone. */
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
@@ -314,7 +314,7 @@
       job->spec->image_gb = 5;
       g_hash_table_add (with->images, g_ref_string_acquire (job->spec->image));
       hzb_dispatch_run (b.dispatch, now);
-      g_assert_cmpint (job->tasks[0].state, ==, HZB_TASK_LISTED);
+      g_assert_cmpint (job->tasks[0].state, ==, HZB_TASK_QUEUED);
       without = bench_machine (&b, "small", "za", FALSE);
       hzb_dispatch_run (b.dispatch, now);
       hzb_dispatch_start_tasks (b.dispatch, without, now, commands);
@@ -328,7 +328,7 @@
     Bench b;
     HzbMachine *machine[4];
     HzbJob *job;
-    guint in_za = 0, listed = 0;
+    guint in_za = 0, queued = 0;
     bench_up (&b, 6);
     for (guint i = 0; i < 4; i++)
       machine[i] = bench_machine (&b, "small", i < 3 ? "za" : "zb", FALSE); /* 4 CPUs each */
@@ -336,15 +336,15 @@
     job->spec->service = job->spec->spread = TRUE;
     hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
     for (guint i = 0; i < 7; i++)
-      if (job->tasks[i].state == HZB_TASK_LISTED)
+      if (job->tasks[i].state == HZB_TASK_QUEUED)
         {
-          listed++;
+          queued++;
           in_za += g_str_equal (job->tasks[i].machine->zone, "za");
         }
     g_assert_cmpuint (in_za, ==, 4);
-    g_assert_cmpuint (listed, ==, 6); /* two fit in zb */
+    g_assert_cmpuint (queued, ==, 6); /* two fit in zb */
     for (guint i = 0; i < 4; i++)
-      g_assert_cmpfloat (machine[i]->listed_service_cpus, <=, 4);
+      g_assert_cmpfloat (machine[i]->queued_service_cpus, <=, 4);
     bench_down (&b);
   }
 }
@@ -496,7 +496,7 @@
     {
       HzbMachine *machine = i % 2 ? b.machines->all->pdata[i / 2] : bench_machine (&b, "small", "za", TRUE);
       HzbTask *task = hzb_job_next_pending (job, hzb_clock_now (b.clock));
-      hzb_task_set_state (b.jobs, task, HZB_TASK_LISTED, machine);
+      hzb_task_set_state (b.jobs, task, HZB_TASK_QUEUED, machine);
       hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, machine);
       hzb_task_set_state (b.jobs, task, HZB_TASK_RUNNING, machine);
     }
--- a/tests/test-estimate.c
+++ b/tests/test-estimate.c
@@ -75,10 +75,10 @@
       g_autoptr (HzbClock) clock = hzb_clock_new_manual ();
       HzbEstimate e = { 0 };
       static Plain p;
-      double booked = g_rand_int_range (rand, 0, 60);
+      double queued_work_s = g_rand_int_range (rand, 0, 60);
       memset (&p, 0, sizeof p);
-      p.mass[(int) booked] = 1;
-      hzb_estimate_reset (&e, hzb_clock_now (clock), booked);
+      p.mass[(int) queued_work_s] = 1;
+      hzb_estimate_reset (&e, hzb_clock_now (clock), queued_work_s);
       for (int i = 0; i < 25; i++)
         {
           if (g_rand_boolean (rand))
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -18,11 +18,11 @@
   g_test_expect_message ("hazelbank", G_LOG_LEVEL_CRITICAL, "*illegal change pending -> starting*");
   g_assert_false (hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, machine));
   g_test_assert_expected_messages ();
-  g_assert_true (hzb_task_set_state (b.jobs, task, HZB_TASK_LISTED, machine));
+  g_assert_true (hzb_task_set_state (b.jobs, task, HZB_TASK_QUEUED, machine));
   g_assert_true (hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, machine));
   g_assert_true (hzb_task_set_state (b.jobs, task, HZB_TASK_RUNNING, machine));
   g_test_expect_message ("hazelbank", G_LOG_LEVEL_CRITICAL, "*illegal change running -> listed*");
-  g_assert_false (hzb_task_set_state (b.jobs, task, HZB_TASK_LISTED, machine));
+  g_assert_false (hzb_task_set_state (b.jobs, task, HZB_TASK_QUEUED, machine));
   g_test_assert_expected_messages ();
   g_assert_true (hzb_task_set_state (b.jobs, task, HZB_TASK_FINISHED, NULL));
   g_test_expect_message ("hazelbank", G_LOG_LEVEL_CRITICAL, "*illegal change finished -> pending*");
@@ -56,14 +56,14 @@
         {
           HzbTask *task = &job->tasks[g_rand_int_range (b.rand, 0, 12)];
           HzbTaskState to = (HzbTaskState) g_rand_int_range (b.rand, 0, HZB_TASK_N_STATES);
-          gboolean placed = to == HZB_TASK_LISTED || (to >= HZB_TASK_BOOKED && to <= HZB_TASK_SAVING);
+          gboolean placed = to == HZB_TASK_QUEUED || (to >= HZB_TASK_RESERVED && to <= HZB_TASK_SAVING);
           guint counts[HZB_TASK_N_STATES] = { 0 };
           double used = 0, room[3] = { 0 };
           if (to == HZB_TASK_FINISHED && step % 8)
             continue; /* seldom, or all would be over soon */
           g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
           hzb_task_set_state (b.jobs, task, to,
-                              placed ? (task->machine && to != HZB_TASK_LISTED ? task->machine : machine[step % 3])
+                              placed ? (task->machine && to != HZB_TASK_QUEUED ? task->machine : machine[step % 3])
                                      : NULL);
           for (guint i = 0; i < 12; i++)
             {
@@ -76,13 +76,13 @@
                   room[k] += 1.5;
             }
           g_assert_cmpuint (job->pending, ==, counts[HZB_TASK_PENDING]);
-          g_assert_cmpuint (job->listed, ==, counts[HZB_TASK_LISTED]);
+          g_assert_cmpuint (job->queued, ==, counts[HZB_TASK_QUEUED]);
           g_assert_cmpuint (job->unknown, ==, counts[HZB_TASK_UNKNOWN]);
           g_assert_cmpuint (job->running, ==, counts[HZB_TASK_RUNNING] + counts[HZB_TASK_SAVING]);
           g_assert_cmpuint (job->done, ==, counts[HZB_TASK_DONE]);
-          g_assert_cmpuint (hzb_machine_listed (machine[0]) + hzb_machine_listed (machine[1])
-                                + hzb_machine_listed (machine[2]),
-                            ==, counts[HZB_TASK_LISTED]);
+          g_assert_cmpuint (hzb_machine_queued_tasks (machine[0]) + hzb_machine_queued_tasks (machine[1])
+                                + hzb_machine_queued_tasks (machine[2]),
+                            ==, counts[HZB_TASK_QUEUED]);
           g_assert_cmpfloat_with_epsilon (b.shard->cpus[0], used, 1e-9);
           for (guint k = 0; k < 3; k++)
             g_assert_cmpfloat_with_epsilon (machine[k]->cpus, room[k], 1e-9);
@@ -113,11 +113,11 @@
         {
           HzbTask *task = &jobs[g_rand_int_range (b.rand, 0, 3)]->tasks[g_rand_int_range (b.rand, 0, 6)];
           HzbTaskState to = (HzbTaskState) g_rand_int_range (b.rand, 0, HZB_TASK_FINISHED);
-          gboolean placed = to == HZB_TASK_LISTED || (to >= HZB_TASK_BOOKED && to <= HZB_TASK_SAVING);
-          double cpus[3] = { 0 }, listed[3] = { 0 }, memory[3] = { 0 };
+          gboolean placed = to == HZB_TASK_QUEUED || (to >= HZB_TASK_RESERVED && to <= HZB_TASK_SAVING);
+          double cpus[3] = { 0 }, queued[3] = { 0 }, memory[3] = { 0 };
           g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
           hzb_task_set_state (b.jobs, task, to,
-                              placed ? (task->machine && to != HZB_TASK_LISTED ? task->machine : machine[step % 3])
+                              placed ? (task->machine && to != HZB_TASK_QUEUED ? task->machine : machine[step % 3])
                                      : NULL);
           for (guint j = 0; j < 2; j++)
             for (guint i = 0; i < 6; i++)
@@ -132,13 +132,13 @@
                       memory[k] += jobs[j]->spec->memory_gb;
                     }
                   else
-                    listed[k] += jobs[j]->spec->cpus;
+                    queued[k] += jobs[j]->spec->cpus;
                 }
           for (guint k = 0; k < 3; k++)
             {
               g_assert_cmpfloat_with_epsilon (machine[k]->service_cpus, cpus[k], 1e-9);
               g_assert_cmpfloat_with_epsilon (machine[k]->service_memory, memory[k], 1e-9);
-              g_assert_cmpfloat_with_epsilon (machine[k]->listed_service_cpus, listed[k], 1e-9);
+              g_assert_cmpfloat_with_epsilon (machine[k]->queued_service_cpus, queued[k], 1e-9);
               g_assert_cmpuint (hzb_machine_speed (machine[k], jobs[2]->spec), ==,
                                 (guint) MAX (0, floor ((16 - cpus[k]) / 3 + 1e-9)));
             }
