--- a/src/admin.c
+++ b/src/admin.c
@@ -269,7 +269,7 @@
       cJSON_AddStringToObject (item, "team", job->spec->team);
       cJSON_AddNumberToObject (item, "waiting", job->pending + job->queued);
       cJSON_AddNumberToObject (item, "placed", job->placed);
-      cJSON_AddNumberToObject (item, "unknown", job->unknown);
+      cJSON_AddNumberToObject (item, "unknown", job->unconfirmed);
       cJSON_AddNumberToObject (item, "finished", job->finished);
       cJSON_AddNumberToObject (item, "done", job->done);
       cJSON_AddNumberToObject (item, "servedAs", job->level);
--- a/src/autoscaler.c
+++ b/src/autoscaler.c
@@ -206,7 +206,7 @@
       placed = job->placed - leaving (job);
       cpus_left[job->team] -= (job->placed - placed) * spec->cpus; /* they count all the same */
       gpus_left[job->team] -= (job->placed - placed) * spec->gpus;
-      tasks = job->pending + job->queued + job->unknown + placed;
+      tasks = job->pending + job->queued + job->unconfirmed + placed;
       /* Guards against machines that are rented for a job that fails wherever it starts: it is tried one task at a time. */
       if (job->failures && !job->did_well)
         tasks = MIN (tasks, placed + 1);
--- a/src/cancellations.c
+++ b/src/cancellations.c
@@ -79,7 +79,7 @@
 /* Guards against a cancellation that nobody may be told of for as long as leaders change: each new one waits anew for the
  * machines that do not answer, and in a large fleet there always are some. A machine obeys controllers only, and each
  * of them knows of this cancellation: none starts anything of the job, and each answers a report that shows a task of it
- * with the command to stop. So it does not matter where the job's unknown tasks are. One controller that is down, stands still
+ * with the command to stop. So it does not matter where the job's unconfirmed tasks are. One controller that is down, stands still
  * or is cut off does not count once it must have stopped answering workers. */
 static gboolean
 known_to_every_controller (HzbController *controller, const HzbJob *job)
@@ -100,7 +100,7 @@
   if (!job->tasks)
     return TRUE; /* nothing of it was ever released, or all of it is gone */
   hzb_shard_leases_announce_cancellation (controller->shard_leases, job);
-  return !job->unknown && hzb_shard_leases_all_acknowledged (controller->shard_leases, job);
+  return !job->unconfirmed && hzb_shard_leases_all_acknowledged (controller->shard_leases, job);
 }
 
 gboolean
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -79,7 +79,7 @@
 double
 hzb_spec_grace_s (const HzbSpec *spec)
 {
-  return spec->checkpoint_s > 0 ? spec->save_s + 1 : 0;
+  return spec->checkpoint_interval_s > 0 ? spec->checkpoint_duration_s + 1 : 0;
 }
 
 void
--- a/src/headroom.c
+++ b/src/headroom.c
@@ -86,7 +86,7 @@
       const HzbSpec *spec = job->spec;
       if (!spec || !spec->service || job->state != HZB_JOB_ACCEPTED || spec->gpus > 0)
         continue;
-      waiting += (job->pending + job->queued + job->unknown) * spec->cpus;
+      waiting += (job->pending + job->queued + job->unconfirmed) * spec->cpus;
       largest = MAX (largest, (job->n_tasks + 1) * spec->cpus);
       if (!headroom.spec || spec->cpus > headroom.spec->cpus)
         headroom.spec = spec;
--- a/src/job-progress.c
+++ b/src/job-progress.c
@@ -60,14 +60,14 @@
       guint k = i - first;
       HzbTask *task = &job->tasks[i];
       if (k / 8 < length && bits[k / 8] & (1u << (k % 8))
-          && (task->state == HZB_TASK_PENDING || task->state == HZB_TASK_UNKNOWN))
+          && (task->state == HZB_TASK_PENDING || task->state == HZB_TASK_UNCONFIRMED))
         hzb_task_set_state (jobs, task, HZB_TASK_DONE, NULL);
     }
   /* Any part may be the newest, so its mark holds for the tasks of all parts. */
   job->released = job->releasing = MAX (job->released, released);
   for (guint i = 0; i < job->released; i++)
     if (job->tasks[i].state == HZB_TASK_PENDING)
-      hzb_task_set_state (jobs, &job->tasks[i], HZB_TASK_UNKNOWN, NULL);
+      hzb_task_set_state (jobs, &job->tasks[i], HZB_TASK_UNCONFIRMED, NULL);
   job->cursor = MAX (job->cursor, job->released);
   job->did_well = job->did_well || job->done > 0;
   return TRUE;
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -13,7 +13,7 @@
   g_clear_pointer (&job->tasks, g_free);
   g_queue_clear (&job->retry);
   job->other_owner = job->delegated_running = job->delegated_leaving = 0;
-  job->cursor = job->pending = job->queued = job->unknown = job->placed = job->running = 0;
+  job->cursor = job->pending = job->queued = job->unconfirmed = job->placed = job->running = 0;
   job->finished = job->done = job->released = job->releasing = 0;
   job->dirty = job->ending = job->on_pages = job->unsplit = job->release_requested = job->announced_to_leaseholders =
       FALSE;
@@ -443,19 +443,19 @@
 }
 
 gboolean
-hzb_jobs_any_unknown (HzbJobs *jobs)
+hzb_jobs_any_unconfirmed (HzbJobs *jobs)
 {
   for (guint i = 0; i < jobs->active->len; i++)
-    if (((HzbJob *) jobs->active->pdata[i])->unknown)
+    if (((HzbJob *) jobs->active->pdata[i])->unconfirmed)
       return TRUE;
   return FALSE;
 }
 
 void
-hzb_job_resolve_unknown (HzbJobs *jobs, HzbJob *job, guint leaseholder)
+hzb_job_resolve_unconfirmed (HzbJobs *jobs, HzbJob *job, guint leaseholder)
 {
-  for (guint k = 0; job->unknown && k < job->n_tasks; k++)
-    if (job->tasks[k].state == HZB_TASK_UNKNOWN && job->tasks[k].leaseholder == leaseholder)
+  for (guint k = 0; job->unconfirmed && k < job->n_tasks; k++)
+    if (job->tasks[k].state == HZB_TASK_UNCONFIRMED && job->tasks[k].leaseholder == leaseholder)
       {
         hzb_task_set_state (jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
         job->tasks[k].leaseholder = 0;
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -54,7 +54,7 @@
   guint other_owner, delegated_running;
   guint delegated_leaving; /* of those, on machines that the leader asked back */
   guint pending;           /* state PENDING, below the released mark or not */
-  guint queued, unknown, placed, running, finished, done;
+  guint queued, unconfirmed, placed, running, finished, done;
   guint released, releasing;  /* tasks below may have been started: durable, and asked for */
   gboolean dirty, ending;     /* progress to be written; end being written */
   gboolean on_pages;          /* of the owner's records */
@@ -116,10 +116,10 @@
 void hzb_jobs_end_ownership (HzbJobs *jobs);
 void hzb_jobs_activate (HzbJobs *jobs, HzbJob *job);
 void hzb_jobs_retire (HzbJobs *jobs, HzbJob *job); /* nothing of it is anywhere any more */
-/* Every machine that might hold them has answered or is gone: a job's unknown tasks of a leader before us (0), or of the
+/* Every machine that might hold them has answered or is gone: a job's unconfirmed tasks of a leader before us (0), or of the
  * shard of a leaseholder that was taken back (1 and up), wait again. */
-void hzb_job_resolve_unknown (HzbJobs *jobs, HzbJob *job, guint leaseholder);
-gboolean hzb_jobs_any_unknown (HzbJobs *jobs);
+void hzb_job_resolve_unconfirmed (HzbJobs *jobs, HzbJob *job, guint leaseholder);
+gboolean hzb_jobs_any_unconfirmed (HzbJobs *jobs);
 
 /* A task ran for so long. Owners' estimates of a class may all lean one way, which the paper's known distribution
  * leaves no room for: the mean run time of a job is its owner's estimate, corrected by how its class has been
--- a/src/levels.c
+++ b/src/levels.c
@@ -107,7 +107,7 @@
 static gboolean
 is_start_overdue (const HzbJob *job, struct timespec now)
 {
-  return !(job->placed || job->finished || job->done || job->unknown || job->spec->gang)
+  return !(job->placed || job->finished || job->done || job->unconfirmed || job->spec->gang)
          && hzb_time_between (job->since, now) > OVERDUE_AFTER_S;
 }
 
@@ -165,7 +165,7 @@
 static double
 work_left (const HzbJob *job)
 {
-  return (job->pending + job->queued + job->unknown + 0.5 * job->placed) * hzb_job_mean_s (job)
+  return (job->pending + job->queued + job->unconfirmed + 0.5 * job->placed) * hzb_job_mean_s (job)
          * MAX (job->spec->cpus, 0.1);
 }
 
--- a/src/machines.c
+++ b/src/machines.c
@@ -453,8 +453,8 @@
   for (guint i = 0; i < machines->all->len; i++)
     {
       HzbMachine *machine = machines->all->pdata[i];
-      if (machine->unknown_tasks_of < n_shards && is_unverified (machine))
-        hzb_machines_add_kind (of_shards->pdata[machine->unknown_tasks_of], machine);
+      if (machine->unconfirmed_tasks_of < n_shards && is_unverified (machine))
+        hzb_machines_add_kind (of_shards->pdata[machine->unconfirmed_tasks_of], machine);
     }
   return of_shards;
 }
--- a/src/machines.h
+++ b/src/machines.h
@@ -36,8 +36,8 @@
 
 /* Until it has answered, an unverified machine may hold tasks of its own only, of the shard of a leaseholder (1 and up) that
  * was taken back, or of an earlier leader. */
-#define HZB_UNKNOWN_TASKS_OF_LEADER 0u
-#define HZB_UNKNOWN_TASKS_OF_NOBODY 255u
+#define HZB_UNCONFIRMED_TASKS_OF_LEADER 0u
+#define HZB_UNCONFIRMED_TASKS_OF_NONE 255u
 
 struct _HzbMachine
 {
@@ -52,7 +52,8 @@
       first_exclusive_fencing_token; /* from this one on nobody but this owner has given it commands: what it reports under it is all */
   guint64 expired_agent_epoch; /* this agent epoch has ended for certain: what still comes of it is late */
   guint8 leaseholder;          /* 1 and up: whom it is leased to */
-  guint8 unknown_tasks_of;     /* while unverified: the shard whose unknown tasks may be on it, or HZB_SUSPECT_… */
+  guint8
+      unconfirmed_tasks_of; /* while unverified: the shard whose unconfirmed tasks may be on it, or HZB_UNCONFIRMED_TASKS_OF_NONE */
   gboolean recall_requested, lease_sent;
   gboolean recall_at_once; /* with all that is on it */
   struct timespec rented;  /* or, of a machine found in the records, first known */
@@ -148,7 +149,7 @@
 void hzb_machine_lose_tasks (HzbJobs *jobs, HzbMachine *machine);
 void hzb_machine_clear_run_queues (HzbJobs *jobs, HzbMachine *machine);
 /**
- * hzb_machines_unverified_kinds: of the machines that may hold unknown tasks of a shard, and have neither answered under our
+ * hzb_machines_unverified_kinds: of the machines that may hold unconfirmed tasks of a shard, and have neither answered under our
  * fencing token nor are gone, one (HzbMachine) of each type, zone and kind. Looks at every machine once, for all shards.
  *
  * Returns: (transfer full) (element-type GPtrArray): an array for each of the first @n_shards shards
@@ -163,5 +164,5 @@
  * each turn of the loop or at each poll: what that costs in a second does not grow with the fleet.
  */
 double hzb_machines_survey_s (const HzbMachines *machines);
-/* One of these may hold an unknown task of the job: it could have been started there. */
+/* One of these may hold an unconfirmed task of the job: it could have been started there. */
 gboolean hzb_job_may_run_on_unverified (const HzbJob *job, const GPtrArray *unverified_kinds);
--- a/src/owner.c
+++ b/src/owner.c
@@ -85,7 +85,7 @@
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
         if (job->tasks[k].state == HZB_TASK_RESERVED)
           hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
-      if (!job->placed && !job->unknown && !job->ending)
+      if (!job->placed && !job->unconfirmed && !job->ending)
         {
           hzb_records_drop_job (controller->records, job);
           hzb_jobs_retire (controller->jobs, job);
@@ -160,11 +160,11 @@
 
 /* A task waits only for machines that could have been told to start it: a replica, say, for no spot machine. */
 static void
-resolve_unknown (HzbController *controller)
+resolve_unconfirmed (HzbController *controller)
 {
   g_autoptr (GPtrArray) of_shards = NULL;
 
-  if (controller->ownership != HZB_OWNERSHIP_RECOVERING && !hzb_jobs_any_unknown (controller->jobs))
+  if (controller->ownership != HZB_OWNERSHIP_RECOVERING && !hzb_jobs_any_unconfirmed (controller->jobs))
     return;
   of_shards = hzb_machines_unverified_kinds (controller->machines, controller->settings->peers->len + 1);
   for (guint shard = 0; shard < of_shards->len; shard++)
@@ -173,11 +173,12 @@
       for (guint i = 0; i < controller->jobs->active->len; i++)
         {
           HzbJob *job = controller->jobs->active->pdata[i];
-          if (job->unknown && hzb_reconciliation_may_resolve (controller->reconciliation, job)
+          if (job->unconfirmed && hzb_reconciliation_may_resolve (controller->reconciliation, job)
               && !hzb_job_may_run_on_unverified (job, unverified))
-            hzb_job_resolve_unknown (controller->jobs, job, shard);
+            hzb_job_resolve_unconfirmed (controller->jobs, job, shard);
         }
-      if (shard == HZB_UNKNOWN_TASKS_OF_LEADER && controller->ownership == HZB_OWNERSHIP_RECOVERING && !unverified->len)
+      if (shard == HZB_UNCONFIRMED_TASKS_OF_LEADER && controller->ownership == HZB_OWNERSHIP_RECOVERING
+          && !unverified->len)
         hzb_controller_recovered (controller);
     }
 }
@@ -189,7 +190,7 @@
   if (!hzb_time_before (now, controller->next_survey))
     {
       controller->next_survey = hzb_time_plus (now, hzb_machines_survey_s (controller->machines));
-      resolve_unknown (controller);
+      resolve_unconfirmed (controller);
       check_leases (controller, now);
     }
   maintain_jobs (controller, now);
--- a/src/owner.h
+++ b/src/owner.h
@@ -7,5 +7,5 @@
 
 typedef struct _HzbController HzbController;
 
-/** hzb_owner_tick: expires workers' leases, resolves unknown tasks, ends jobs, places tasks and writes records. */
+/** hzb_owner_tick: expires workers' leases, resolves unconfirmed tasks, ends jobs, places tasks and writes records. */
 void hzb_owner_tick (HzbController *controller, struct timespec now);
--- a/src/preemption.c
+++ b/src/preemption.c
@@ -23,9 +23,9 @@
 
   if (!job->spec->same_zone && !job->spec->spread)
     return TRUE;
-  if (job->unknown && job->spec->same_zone)
+  if (job->unconfirmed && job->spec->same_zone)
     return FALSE;
-  here = job->unknown; /* any of these may be in this zone */
+  here = job->unconfirmed; /* any of these may be in this zone */
   for (guint i = 0; i < job->n_tasks; i++)
     {
       const HzbTask *task = &job->tasks[i];
@@ -83,7 +83,8 @@
     return 0;
   if (hzb_task_remaining_s (task, now) < NEARLY_DONE_S)
     return INFINITY;
-  return (spec->checkpoint_s > 0 ? spec->save_s : hzb_time_between (task->since, now)) * spec->cpus;
+  return (spec->checkpoint_interval_s > 0 ? spec->checkpoint_duration_s : hzb_time_between (task->since, now))
+         * spec->cpus;
 }
 
 typedef struct
@@ -227,7 +228,7 @@
         return -1; /* a move costs it more than the machine does */
       if (hzb_task_remaining_s (task, now) < MOVE_LEFT_S || task->stopping || task->job->awaits_verdict)
         continue;
-      if (task->job->spec->checkpoint_s <= 0 || task->job->spec->gang || task->state != HZB_TASK_RUNNING
+      if (task->job->spec->checkpoint_interval_s <= 0 || task->job->spec->gang || task->state != HZB_TASK_RUNNING
           || hzb_time_between (task->since, now) < MOVE_LEFT_S)
         return -1;
       cpus += task->job->spec->cpus;
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -430,8 +430,8 @@
     .released = tracked->released,
     .found = job->placed,
     .results = job->finished + job->done,
-    .unknown = job->unknown,
-    .machines_awaited = job->unknown && hzb_job_may_run_on_unverified (job, unverified),
+    .unconfirmed = job->unconfirmed,
+    .machines_awaited = job->unconfirmed && hzb_job_may_run_on_unverified (job, unverified),
     .barrier = reconciliation->controller->settings->reconciliation.barrier && unverified->len,
   };
 }
@@ -453,7 +453,7 @@
     return;
   entry->found = evidence.found;
   entry->results = evidence.results;
-  entry->restarted = entry->verdict == HZB_JOB_VERDICT_RESUME ? evidence.unknown : 0;
+  entry->restarted = entry->verdict == HZB_JOB_VERDICT_RESUME ? evidence.unconfirmed : 0;
   reconciliation->verdicts[HZB_TASK_VERDICT_RESTART][HZB_TASK_REASON_NOWHERE] += entry->restarted;
   g_debug ("reconciliation: job %s: %s (%s)", entry->uid, hzb_job_verdict_name (entry->verdict),
            hzb_job_reason_name (entry->reason));
@@ -480,7 +480,7 @@
   g_hash_table_iter_init (&iter, reconciliation->tracked);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((HzbTrackedJob *) value)->phase == HZB_PHASE_OPEN)
-      decide_job (reconciliation, value, of_shards->pdata[HZB_UNKNOWN_TASKS_OF_LEADER]);
+      decide_job (reconciliation, value, of_shards->pdata[HZB_UNCONFIRMED_TASKS_OF_LEADER]);
 }
 
 /* ---- over time ---- */
--- a/src/reconciliation/reconciliation.h
+++ b/src/reconciliation/reconciliation.h
@@ -49,7 +49,7 @@
 
 /* ---- what others ask ---- */
 
-/** hzb_reconciliation_may_resolve: the job's unknown tasks may be taken for tasks that are nowhere. */
+/** hzb_reconciliation_may_resolve: the job's unconfirmed tasks may be taken for tasks that are nowhere. */
 gboolean hzb_reconciliation_may_resolve (const HzbReconciliation *reconciliation, const HzbJob *job);
 
 /** hzb_reconciliation_may_rent: machines may be rented now; counts the call. */
--- a/src/reconciliation/verdicts.c
+++ b/src/reconciliation/verdicts.c
@@ -61,7 +61,7 @@
     return job_verdict (reason, HZB_JOB_VERDICT_RESUME, HZB_JOB_REASON_NEVER_STARTED);
   if (evidence->barrier)
     return job_verdict (reason, HZB_JOB_VERDICT_HOLD, HZB_JOB_REASON_BARRIER);
-  if (!evidence->unknown)
+  if (!evidence->unconfirmed)
     return job_verdict (reason, HZB_JOB_VERDICT_RESUME, HZB_JOB_REASON_ALL_FOUND);
   if (evidence->machines_awaited)
     return job_verdict (reason, HZB_JOB_VERDICT_HOLD, HZB_JOB_REASON_MACHINES_AWAITED);
--- a/src/reconciliation/verdicts.h
+++ b/src/reconciliation/verdicts.h
@@ -70,7 +70,7 @@
   gboolean cancelled;
   guint tasks, released;     /* as recorded: only tasks below the mark may have been started */
   guint found, results;      /* on machines that have answered; with a result, durable or not */
-  guint unknown;             /* may run on a machine that has not answered */
+  guint unconfirmed;         /* may run on a machine that has not answered */
   gboolean machines_awaited; /* such a machine may hold a task of this job */
   gboolean barrier;          /* the operator wants all machines accounted for, and some are not */
 } HzbJobEvidence;
--- a/src/shard-leases.c
+++ b/src/shard-leases.c
@@ -149,7 +149,7 @@
       if (machine->state != HZB_MACHINE_LEASED || machine->leaseholder != leaseholder->id)
         continue;
       hzb_machine_unverify (controller->machines, machine, fencing_token, why);
-      machine->unknown_tasks_of = leaseholder->id;
+      machine->unconfirmed_tasks_of = leaseholder->id;
       machines++;
     }
   for (guint i = 0; i < controller->jobs->active->len; i++)
@@ -158,7 +158,7 @@
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
         if (job->tasks[k].state == HZB_TASK_DELEGATED && job->tasks[k].leaseholder == leaseholder->id)
           {
-            hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_UNKNOWN, NULL);
+            hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_UNCONFIRMED, NULL);
             tasks++;
           }
     }
@@ -270,7 +270,7 @@
 
   hzb_machine_unverify (controller->machines, machine, hzb_shard_leases_next_fencing_token (shard_leases),
                         returned->why);
-  machine->unknown_tasks_of = HZB_UNKNOWN_TASKS_OF_NOBODY;
+  machine->unconfirmed_tasks_of = HZB_UNCONFIRMED_TASKS_OF_NONE;
   machine->idle_since = hzb_clock_now (controller->clock);
   if (returned->sick)
     machine->to_be_returned = TRUE;
--- a/src/shard-machines.c
+++ b/src/shard-machines.c
@@ -205,7 +205,7 @@
     {
       const HzbTask *task = machine->tasks->pdata[i];
       if (task->stopping || task->job->awaits_verdict || task->state == HZB_TASK_RESERVED
-          || task->state == HZB_TASK_SAVING || task->job->spec->gang || task->job->spec->service
+          || task->state == HZB_TASK_CHECKPOINTING || task->job->spec->gang || task->job->spec->service
           || task->job->spec->same_zone || task->job->spec->spread || task->job->state != HZB_JOB_ACCEPTED)
         return NULL;
     }
--- a/src/task.c
+++ b/src/task.c
@@ -16,25 +16,25 @@
 gboolean
 hzb_task_on_machine (const HzbTask *task)
 {
-  return task->state >= HZB_TASK_RESERVED && task->state <= HZB_TASK_SAVING;
+  return task->state >= HZB_TASK_RESERVED && task->state <= HZB_TASK_CHECKPOINTING;
 }
 
 #define B(s) (1u << HZB_TASK_##s)
-#define SEEN (B (FETCHING) | B (WAITING) | B (RUNNING) | B (SAVING))
+#define SEEN (B (FETCHING) | B (WAITING) | B (RUNNING) | B (CHECKPOINTING))
 
 static const guint legal[HZB_TASK_N_STATES] = {
   [HZB_TASK_OTHER_OWNER] = B (PENDING),
-  [HZB_TASK_DELEGATED] = B (PENDING) | B (UNKNOWN) | B (STARTING) | B (FINISHED),
+  [HZB_TASK_DELEGATED] = B (PENDING) | B (UNCONFIRMED) | B (STARTING) | B (FINISHED),
   [HZB_TASK_PENDING] =
-      B (OTHER_OWNER) | B (DELEGATED) | B (QUEUED) | B (RESERVED) | B (UNKNOWN) | B (DONE) | SEEN | B (FINISHED),
+      B (OTHER_OWNER) | B (DELEGATED) | B (QUEUED) | B (RESERVED) | B (UNCONFIRMED) | B (DONE) | SEEN | B (FINISHED),
   [HZB_TASK_QUEUED] = B (PENDING) | B (RESERVED) | B (STARTING),
-  [HZB_TASK_UNKNOWN] = B (PENDING) | SEEN | B (FINISHED) | B (DONE),
+  [HZB_TASK_UNCONFIRMED] = B (PENDING) | SEEN | B (FINISHED) | B (DONE),
   [HZB_TASK_RESERVED] = B (PENDING) | B (STARTING),
   [HZB_TASK_STARTING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
   [HZB_TASK_FETCHING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
   [HZB_TASK_WAITING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
   [HZB_TASK_RUNNING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
-  [HZB_TASK_SAVING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
+  [HZB_TASK_CHECKPOINTING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
   [HZB_TASK_FINISHED] = B (DONE),
   [HZB_TASK_DONE] = 0,
 };
@@ -51,8 +51,8 @@
     case HZB_TASK_QUEUED:
       job->queued += by;
       break;
-    case HZB_TASK_UNKNOWN:
-      job->unknown += by;
+    case HZB_TASK_UNCONFIRMED:
+      job->unconfirmed += by;
       break;
     case HZB_TASK_OTHER_OWNER:
       job->other_owner += by;
@@ -65,7 +65,7 @@
       break;
     default:
       job->placed += by;
-      if (state == HZB_TASK_RUNNING || state == HZB_TASK_SAVING)
+      if (state == HZB_TASK_RUNNING || state == HZB_TASK_CHECKPOINTING)
         job->running += by;
       break;
     }
@@ -75,7 +75,7 @@
 static gboolean
 holds_room (const HzbTask *task)
 {
-  return hzb_task_on_machine (task) || task->state == HZB_TASK_UNKNOWN || task->state == HZB_TASK_DELEGATED;
+  return hzb_task_on_machine (task) || task->state == HZB_TASK_UNCONFIRMED || task->state == HZB_TASK_DELEGATED;
 }
 
 /* The only place where a task changes its state, its machine, and what its team has in use. */
--- a/src/task.h
+++ b/src/task.h
@@ -15,7 +15,7 @@
 {
   HZB_TASK_PENDING,     /* on no machine, in no run queue */
   HZB_TASK_QUEUED,      /* in a machine's run queue */
-  HZB_TASK_UNKNOWN,     /* may run on a machine that has not answered under our fencing token */
+  HZB_TASK_UNCONFIRMED, /* may run on a machine that has not answered under our fencing token */
   HZB_TASK_OTHER_OWNER, /* in another shard (on a leaseholder only) */
   HZB_TASK_DELEGATED,   /* in a shard that is leased to another controller, which may run it (on the leader only) */
   HZB_TASK_RESERVED,    /* a place is held for it; the start order has not been sent */
@@ -23,7 +23,7 @@
   HZB_TASK_FETCHING,
   HZB_TASK_WAITING,
   HZB_TASK_RUNNING,
-  HZB_TASK_SAVING,
+  HZB_TASK_CHECKPOINTING,
   HZB_TASK_FINISHED, /* its result is known, not yet durable */
   HZB_TASK_DONE,     /* durable */
   HZB_TASK_N_STATES
--- a/src/wire.c
+++ b/src/wire.c
@@ -219,8 +219,8 @@
       || !take_flag (root, "samePlace", &spec->same_zone, error) || !take_flag (root, "spread", &spec->spread, error)
       || !take_flag (root, "loaners", &spec->spot, error)
       || !take_number (root, "expectS", 0, !spec->service, &spec->estimate_s, error)
-      || !take_number (root, "snapshotEveryS", 0, FALSE, &spec->checkpoint_s, error)
-      || !take_number (root, "snapshotS", 0, FALSE, &spec->save_s, error))
+      || !take_number (root, "snapshotEveryS", 0, FALSE, &spec->checkpoint_interval_s, error)
+      || !take_number (root, "snapshotS", 0, FALSE, &spec->checkpoint_duration_s, error))
     return FALSE;
   if (tasks != floor (tasks) || tasks > HZB_MAX_TASKS)
     return bad (error, "pieces", "a whole number from 1 to 100000");
@@ -318,8 +318,8 @@
   cJSON_AddBoolToObject (root, "spread", spec->spread);
   cJSON_AddBoolToObject (root, "loaners", spec->spot);
   cJSON_AddNumberToObject (root, "expectS", spec->estimate_s);
-  cJSON_AddNumberToObject (root, "snapshotEveryS", spec->checkpoint_s);
-  cJSON_AddNumberToObject (root, "snapshotS", spec->save_s);
+  cJSON_AddNumberToObject (root, "snapshotEveryS", spec->checkpoint_interval_s);
+  cJSON_AddNumberToObject (root, "snapshotS", spec->checkpoint_duration_s);
   if (spec->deadline_s > 0)
     cJSON_AddNumberToObject (root, "dueS", spec->deadline_s);
   return root;
@@ -384,7 +384,7 @@
       task_status.attempt = hzb_json_u64 (item, "try");
       task_status.state = (HzbReportedTaskState) state;
       task_status.exit_cause = why < 0 ? HZB_EXIT_NONE : (HzbExitCause) why;
-      task_status.saved = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "stored"));
+      task_status.checkpoint_saved = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "stored"));
       g_array_append_val (heartbeat->task_statuses, task_status);
     }
   cJSON_Delete (root);
--- a/src/wire.h
+++ b/src/wire.h
@@ -29,7 +29,7 @@
   char **types; /* NULL: any */
   char *zone;   /* NULL: any */
   gboolean same_zone, spread, spot;
-  double estimate_s, checkpoint_s, save_s, deadline_s; /* deadline_s 0: none */
+  double estimate_s, checkpoint_interval_s, checkpoint_duration_s, deadline_s; /* deadline_s 0: none */
 } HzbSpec;
 
 void hzb_spec_free (HzbSpec *spec);
@@ -75,7 +75,7 @@
   guint64 attempt;
   HzbReportedTaskState state;
   HzbExitCause exit_cause;
-  gboolean saved;
+  gboolean checkpoint_saved;
 } HzbTaskStatus;
 
 typedef struct
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -71,7 +71,7 @@
 {
   return state == HZB_TASK_STATUS_FETCHING        ? HZB_TASK_FETCHING
          : state == HZB_TASK_STATUS_WAITING       ? HZB_TASK_WAITING
-         : state == HZB_TASK_STATUS_CHECKPOINTING ? HZB_TASK_SAVING
+         : state == HZB_TASK_STATUS_CHECKPOINTING ? HZB_TASK_CHECKPOINTING
                                                   : HZB_TASK_RUNNING;
 }
 
@@ -87,7 +87,7 @@
     {
       if (task->state == HZB_TASK_DONE)
         command (commands, HZB_COMMAND_REAP, job->uid, task->index, task_status->attempt, 0);
-      else if (here || task->state == HZB_TASK_UNKNOWN || task->state == HZB_TASK_PENDING
+      else if (here || task->state == HZB_TASK_UNCONFIRMED || task->state == HZB_TASK_PENDING
                || task->state == HZB_TASK_QUEUED || task->state == HZB_TASK_OTHER_OWNER)
         {
           double ran = here && task->state == HZB_TASK_RUNNING ? hzb_time_between (task->since, now) : 0;
@@ -170,7 +170,8 @@
         }
       return;
     }
-  if (task && (task->state == HZB_TASK_UNKNOWN || task->state == HZB_TASK_PENDING || task->state == HZB_TASK_QUEUED))
+  if (task
+      && (task->state == HZB_TASK_UNCONFIRMED || task->state == HZB_TASK_PENDING || task->state == HZB_TASK_QUEUED))
     {
       /* Found where an earlier owner had started it. */
       if (task->state == HZB_TASK_QUEUED)
@@ -215,7 +216,7 @@
     }
   if (over)
     command (commands, HZB_COMMAND_STOP, job->uid, task_status->task, task_status->attempt, 0);
-  else if (task && task->stopping && state != HZB_TASK_SAVING)
+  else if (task && task->stopping && state != HZB_TASK_CHECKPOINTING)
     command (commands, HZB_COMMAND_STOP, job->uid, task_status->task, task_status->attempt,
              hzb_spec_grace_s (job->spec));
 }
@@ -274,13 +275,14 @@
       if (spec->gang)
         {
           /* An orderly stop: every task is told with the answer to its machine's next heartbeat. */
-          for (guint k = 0; runs && spec->checkpoint_s > 0 && left > notice_s && k < task->job->n_tasks; k++)
+          for (guint k = 0; runs && spec->checkpoint_interval_s > 0 && left > notice_s && k < task->job->n_tasks; k++)
             if (hzb_task_on_machine (&task->job->tasks[k]))
               task->job->tasks[k].stopping = TRUE;
           continue;
         }
       /* What should end by itself before then runs on. */
-      if (runs && spec->checkpoint_s > 0 ? left <= notice_s - spec->save_s - 1 : left <= HOPELESS_FACTOR * notice_s)
+      if (runs && spec->checkpoint_interval_s > 0 ? left <= notice_s - spec->checkpoint_duration_s - 1
+                                                  : left <= HOPELESS_FACTOR * notice_s)
         continue;
       task->stopping = TRUE;
       command (commands, HZB_COMMAND_STOP, task->job->uid, task->index, task->attempt, hzb_spec_grace_s (spec));
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -177,7 +177,7 @@
 {
   SimSize size = machines > 100 ? sim_size_large : sim_size_little;
   size.machines = machines + machines / 10;
-  size.team_max = 12 * machines; /* unknown tasks count, too: what waits could start all the same */
+  size.team_max = 12 * machines; /* unconfirmed tasks count, too: what waits could start all the same */
   size.check_s = 0.2;
   size.features = FEATURES;
   return size;
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -225,7 +225,7 @@
   staying = bench_machine (&b, "small", "za", FALSE);
   saves = bench_job (&b, "red", HZB_PRIORITY_IDLE, 3, 2, 200);
   loses = bench_job (&b, "red", HZB_PRIORITY_IDLE, 1, 2, 200);
-  saves->spec->checkpoint_s = 20;
+  saves->spec->checkpoint_interval_s = 20;
   hzb_task_set_state (b.jobs, &saves->tasks[0], HZB_TASK_RUNNING, going);
   hzb_task_set_state (b.jobs, &saves->tasks[1], HZB_TASK_RUNNING, busy);
   hzb_task_set_state (b.jobs, &loses->tasks[0], HZB_TASK_RUNNING, busy);
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -56,7 +56,7 @@
         {
           HzbTask *task = &job->tasks[g_rand_int_range (b.rand, 0, 12)];
           HzbTaskState to = (HzbTaskState) g_rand_int_range (b.rand, 0, HZB_TASK_N_STATES);
-          gboolean placed = to == HZB_TASK_QUEUED || (to >= HZB_TASK_RESERVED && to <= HZB_TASK_SAVING);
+          gboolean placed = to == HZB_TASK_QUEUED || (to >= HZB_TASK_RESERVED && to <= HZB_TASK_CHECKPOINTING);
           guint counts[HZB_TASK_N_STATES] = { 0 };
           double used = 0, room[3] = { 0 };
           if (to == HZB_TASK_FINISHED && step % 8)
@@ -69,7 +69,7 @@
             {
               const HzbTask *t = &job->tasks[i];
               counts[t->state]++;
-              if (hzb_task_on_machine (t) || t->state == HZB_TASK_UNKNOWN || t->state == HZB_TASK_DELEGATED)
+              if (hzb_task_on_machine (t) || t->state == HZB_TASK_UNCONFIRMED || t->state == HZB_TASK_DELEGATED)
                 used += 1.5;
               for (guint k = 0; k < 3 && hzb_task_on_machine (t); k++)
                 if (t->machine == machine[k])
@@ -77,8 +77,8 @@
             }
           g_assert_cmpuint (job->pending, ==, counts[HZB_TASK_PENDING]);
           g_assert_cmpuint (job->queued, ==, counts[HZB_TASK_QUEUED]);
-          g_assert_cmpuint (job->unknown, ==, counts[HZB_TASK_UNKNOWN]);
-          g_assert_cmpuint (job->running, ==, counts[HZB_TASK_RUNNING] + counts[HZB_TASK_SAVING]);
+          g_assert_cmpuint (job->unconfirmed, ==, counts[HZB_TASK_UNCONFIRMED]);
+          g_assert_cmpuint (job->running, ==, counts[HZB_TASK_RUNNING] + counts[HZB_TASK_CHECKPOINTING]);
           g_assert_cmpuint (job->done, ==, counts[HZB_TASK_DONE]);
           g_assert_cmpuint (hzb_machine_queued_tasks (machine[0]) + hzb_machine_queued_tasks (machine[1])
                                 + hzb_machine_queued_tasks (machine[2]),
@@ -113,7 +113,7 @@
         {
           HzbTask *task = &jobs[g_rand_int_range (b.rand, 0, 3)]->tasks[g_rand_int_range (b.rand, 0, 6)];
           HzbTaskState to = (HzbTaskState) g_rand_int_range (b.rand, 0, HZB_TASK_FINISHED);
-          gboolean placed = to == HZB_TASK_QUEUED || (to >= HZB_TASK_RESERVED && to <= HZB_TASK_SAVING);
+          gboolean placed = to == HZB_TASK_QUEUED || (to >= HZB_TASK_RESERVED && to <= HZB_TASK_CHECKPOINTING);
           double cpus[3] = { 0 }, queued[3] = { 0 }, memory[3] = { 0 };
           g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
           hzb_task_set_state (b.jobs, task, to,
@@ -169,7 +169,7 @@
   g_assert_cmpuint (job->done, ==, 3);
   g_assert_cmpint (job->tasks[32769].state, ==, HZB_TASK_DONE);
   g_assert_cmpuint (job->released, ==, 40000);
-  g_assert_cmpuint (job->unknown, ==, 40000 - 3);
+  g_assert_cmpuint (job->unconfirmed, ==, 40000 - 3);
   again = bench_job (&after, "red", HZB_PRIORITY_NORMAL, 50000, 1, 10);
   again->released = again->releasing = 0;
   for (guint k = 0; k < hzb_job_chunks (b.jobs, job); k++)
@@ -208,7 +208,7 @@
   job->releasing = 40;
   for (guint i = 0; i < 50; i += 7)
     {
-      hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_UNKNOWN, NULL);
+      hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_UNCONFIRMED, NULL);
       hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_FINISHED, NULL);
     }
   value = hzb_job_pack_progress (b.jobs, job, 0);
@@ -218,12 +218,12 @@
   g_assert_true (ours);
   g_assert_cmpuint (again->done, ==, 8);
   /* What may have been started counts against the team until it is found or ruled out. */
-  g_assert_cmpuint (again->unknown, ==, 34);
+  g_assert_cmpuint (again->unconfirmed, ==, 34);
   g_assert_cmpuint (again->pending, ==, 8);
   g_assert_cmpfloat (after.shard->cpus[0], ==, 34);
   for (guint i = 0; i < after.jobs->active->len; i++)
-    hzb_job_resolve_unknown (after.jobs, after.jobs->active->pdata[i], 0);
-  g_assert_cmpuint (again->unknown, ==, 0);
+    hzb_job_resolve_unconfirmed (after.jobs, after.jobs->active->pdata[i], 0);
+  g_assert_cmpuint (again->unconfirmed, ==, 0);
   g_assert_cmpfloat (after.shard->cpus[0], ==, 0);
   cJSON_Delete (value);
   bench_down (&b);
@@ -240,7 +240,7 @@
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, HZB_MAX_TASKS, 1, 10);
   for (guint i = 0; i < job->n_tasks; i++)
     {
-      hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_UNKNOWN, NULL);
+      hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_UNCONFIRMED, NULL);
       hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_FINISHED, NULL);
     }
   g_assert_cmpuint (hzb_job_chunks (b.jobs, job), ==, 13);
--- a/tests/test-reconciliation.c
+++ b/tests/test-reconciliation.c
@@ -159,7 +159,7 @@
 model_of_job (const HzbJobEvidence *e)
 {
   gboolean all_over = e->results >= e->tasks, nothing_can_run = e->released == 0;
-  gboolean accounted = e->unknown == 0 || !e->machines_awaited;
+  gboolean accounted = e->unconfirmed == 0 || !e->machines_awaited;
   if (e->cancelled || all_over)
     return e->cancelled ? HZB_JOB_VERDICT_CANCEL : HZB_JOB_VERDICT_FINISH;
   return nothing_can_run || (accounted && !e->barrier) ? HZB_JOB_VERDICT_RESUME : HZB_JOB_VERDICT_HOLD;
@@ -178,7 +178,7 @@
 static void
 make_small (HzbJobEvidence *e)
 {
-  guint *const numbers[] = { &e->tasks, &e->released, &e->found, &e->results, &e->unknown };
+  guint *const numbers[] = { &e->tasks, &e->released, &e->found, &e->results, &e->unconfirmed };
   gboolean *const flags[] = { &e->cancelled, &e->machines_awaited, &e->barrier };
   for (guint i = 0; i < G_N_ELEMENTS (numbers); i++)
     while (*numbers[i])
@@ -211,14 +211,15 @@
                            .released = (guint) g_rand_int_range (rand, 0, (gint32) tasks + 1),
                            .found = (guint) g_rand_int_range (rand, 0, (gint32) tasks + 1),
                            .results = (guint) g_rand_int_range (rand, 0, (gint32) tasks + 1),
-                           .unknown = (guint) g_rand_int_range (rand, 0, (gint32) tasks + 1),
+                           .unconfirmed = (guint) g_rand_int_range (rand, 0, (gint32) tasks + 1),
                            .machines_awaited = g_rand_boolean (rand),
                            .barrier = g_rand_boolean (rand) };
       if (job_agrees (&e))
         continue;
       make_small (&e);
       g_error ("seed %u: cancelled %d, tasks %u, released %u, found %u, results %u, unknown %u, awaited %d, barrier %d",
-               seed, e.cancelled, e.tasks, e.released, e.found, e.results, e.unknown, e.machines_awaited, e.barrier);
+               seed, e.cancelled, e.tasks, e.released, e.found, e.results, e.unconfirmed, e.machines_awaited,
+               e.barrier);
     }
 }
 
--- a/tests/test-services.c
+++ b/tests/test-services.c
@@ -449,7 +449,7 @@
       g_assert_cmpuint (sim_running (sim, service, NULL), ==, 4);
       controller = sim->nodes[sim_leader (sim)].controller;
       g_assert_cmpint (controller->ownership, ==, HZB_OWNERSHIP_RECOVERING);
-      g_assert_cmpuint (hzb_jobs_find (controller->jobs, batch->uid)->unknown, >, 0);
+      g_assert_cmpuint (hzb_jobs_find (controller->jobs, batch->uid)->unconfirmed, >, 0);
       sim_start (sim, leader);
       sim_run (sim, sim->now + 5);
       for (guint i = 0; i < sim->machines->len; i++)
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -133,7 +133,7 @@
   g_assert_cmpuint (task_status->attempt, ==, G_GUINT64_CONSTANT (4294967296));
   task_status = &g_array_index (heartbeat->task_statuses, HzbTaskStatus, 1);
   g_assert_true (task_status->state == HZB_TASK_STATUS_EXITED && task_status->exit_cause == HZB_EXIT_DONE
-                 && task_status->saved);
+                 && task_status->checkpoint_saved);
   g_assert_null (hzb_wire_parse_worker_heartbeat ("{}", 2, NULL));
   g_assert_null (hzb_wire_parse_worker_heartbeat ("x", 1, NULL));
 }
