--- a/src/admin.c
+++ b/src/admin.c
@@ -272,7 +272,7 @@
       cJSON_AddNumberToObject (item, "unknown", job->unconfirmed);
       cJSON_AddNumberToObject (item, "finished", job->finished);
       cJSON_AddNumberToObject (item, "done", job->done);
-      cJSON_AddNumberToObject (item, "servedAs", job->level);
+      cJSON_AddNumberToObject (item, "servedAs", job->scheduling_class);
       cJSON_AddNumberToObject (item, "failuresInARow", job->failures);
     }
   return item;
--- a/src/autoscaler.c
+++ b/src/autoscaler.c
@@ -1,6 +1,6 @@
 #include "autoscaler.h"
 #include "headroom.h"
-#include "levels.h"
+#include "scheduling-class.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -1,6 +1,6 @@
 #include "gang.h"
-#include "levels.h"
 #include "preemption.h"
+#include "scheduling-class.h"
 #include "search.h"
 
 #include <math.h>
@@ -13,7 +13,7 @@
 hzb_dispatch_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings, GRand *rand)
 {
   HzbDispatch *dispatch = g_new0 (HzbDispatch, 1);
-  guint n_ahead = settings->teams->len * HZB_N_LEVELS;
+  guint n_ahead = settings->teams->len * HZB_N_SCHEDULING_CLASSES;
   dispatch->jobs = jobs;
   dispatch->machines = machines;
   dispatch->settings = settings;
@@ -24,10 +24,10 @@
   dispatch->queue_ahead_s = 8;
   dispatch->sample = 8;
   dispatch->usable = g_ptr_array_new ();
-  for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
+  for (guint class_index = 0; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
     {
-      dispatch->waiting[at_level] = g_ptr_array_new ();
-      dispatch->machines_with_queues[at_level] = g_ptr_array_new ();
+      dispatch->waiting[class_index] = g_ptr_array_new ();
+      dispatch->machines_with_queues[class_index] = g_ptr_array_new ();
     }
   return dispatch;
 }
@@ -35,10 +35,10 @@
 void
 hzb_dispatch_free (HzbDispatch *dispatch)
 {
-  for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
+  for (guint class_index = 0; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
     {
-      g_ptr_array_unref (dispatch->waiting[at_level]);
-      g_ptr_array_unref (dispatch->machines_with_queues[at_level]);
+      g_ptr_array_unref (dispatch->waiting[class_index]);
+      g_ptr_array_unref (dispatch->machines_with_queues[class_index]);
     }
   g_ptr_array_unref (dispatch->usable);
   g_free (dispatch->ahead_cpus);
@@ -50,10 +50,10 @@
 hzb_dispatch_clear_indexes (HzbDispatch *dispatch)
 {
   g_ptr_array_set_size (dispatch->usable, 0);
-  for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
+  for (guint class_index = 0; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
     {
-      g_ptr_array_set_size (dispatch->waiting[at_level], 0);
-      g_ptr_array_set_size (dispatch->machines_with_queues[at_level], 0);
+      g_ptr_array_set_size (dispatch->waiting[class_index], 0);
+      g_ptr_array_set_size (dispatch->machines_with_queues[class_index], 0);
     }
 }
 
@@ -85,7 +85,7 @@
 void
 hzb_dispatch_reset_estimates (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now)
 {
-  double queued_work_s[HZB_N_LEVELS] = { 0 };
+  double queued_work_s[HZB_N_SCHEDULING_CLASSES] = { 0 };
 
   if (!machine->type)
     return;
@@ -99,21 +99,21 @@
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       const HzbTask *task = machine->tasks->pdata[i];
-      guint level = task->job->level, v = MAX (1, hzb_machine_speed (machine, task->job->spec));
+      guint scheduling_class = task->job->scheduling_class, v = MAX (1, hzb_machine_speed (machine, task->job->spec));
       double work = hzb_task_remaining_s (task, now) / v;
-      for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
-        queued_work_s[at_level] += at_level <= level ? work : work * PREEMPTIBLE_PART;
+      for (guint class_index = 0; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
+        queued_work_s[class_index] += class_index <= scheduling_class ? work : work * PREEMPTIBLE_PART;
     }
-  for (guint level = 0; level < HZB_N_LEVELS; level++)
-    for (GList *l = machine->run_queues[level].head; l; l = l->next)
+  for (guint scheduling_class = 0; scheduling_class < HZB_N_SCHEDULING_CLASSES; scheduling_class++)
+    for (GList *l = machine->run_queues[scheduling_class].head; l; l = l->next)
       {
         const HzbTask *task = l->data;
         double work = hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (machine->type, task->job->spec));
-        for (guint at_level = 0; at_level <= level; at_level++)
-          queued_work_s[at_level] += work;
+        for (guint class_index = 0; class_index <= scheduling_class; class_index++)
+          queued_work_s[class_index] += work;
       }
-  for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
-    hzb_estimate_reset (&machine->estimates[at_level], now, queued_work_s[at_level]);
+  for (guint class_index = 0; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
+    hzb_estimate_reset (&machine->estimates[class_index], now, queued_work_s[class_index]);
   machine->estimate_stale = FALSE;
 }
 
@@ -139,11 +139,11 @@
 
 /* Seconds that the tasks of this class and higher ones in the machine's list will take it. */
 static double
-queued_s (const HzbMachine *machine, guint level)
+queued_s (const HzbMachine *machine, guint scheduling_class)
 {
   double work = 0;
-  for (guint at_level = level; at_level < HZB_N_LEVELS; at_level++)
-    for (GList *l = machine->run_queues[at_level].head; l; l = l->next)
+  for (guint class_index = scheduling_class; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
+    for (GList *l = machine->run_queues[class_index].head; l; l = l->next)
       {
         const HzbTask *task = l->data;
         work += hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (machine->type, task->job->spec));
@@ -154,16 +154,16 @@
 static void
 put_on_list (HzbDispatch *dispatch, HzbTask *task, HzbMachine *machine, struct timespec now)
 {
-  guint level = task->job->level;
+  guint scheduling_class = task->job->scheduling_class;
   double mean = hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (machine->type, task->job->spec));
 
   hzb_task_set_state (dispatch->jobs, task, HZB_TASK_QUEUED, machine);
   if (!g_hash_table_contains (machine->images, task->job->spec->image))
     g_hash_table_add (machine->expected, g_ref_string_acquire (task->job->spec->image));
-  for (guint at_level = 0; at_level <= level; at_level++)
+  for (guint class_index = 0; class_index <= scheduling_class; class_index++)
     {
-      hzb_estimate_shift (&machine->estimates[at_level], now);
-      hzb_estimate_send (&machine->estimates[at_level], mean);
+      hzb_estimate_shift (&machine->estimates[class_index], now);
+      hzb_estimate_send (&machine->estimates[class_index], mean);
     }
 }
 
@@ -186,14 +186,14 @@
 static void
 index_machines_with_lists (HzbDispatch *dispatch)
 {
-  for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
-    g_ptr_array_set_size (dispatch->machines_with_queues[at_level], 0);
+  for (guint class_index = 0; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
+    g_ptr_array_set_size (dispatch->machines_with_queues[class_index], 0);
   for (guint i = 0; i < dispatch->machines->all->len; i++)
     {
       HzbMachine *machine = dispatch->machines->all->pdata[i];
-      for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
-        if (machine->run_queues[at_level].length)
-          g_ptr_array_add (dispatch->machines_with_queues[at_level], machine);
+      for (guint class_index = 0; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
+        if (machine->run_queues[class_index].length)
+          g_ptr_array_add (dispatch->machines_with_queues[class_index], machine);
     }
   dispatch->generation = dispatch->machines->generation;
 }
@@ -223,7 +223,7 @@
       machine = hzb_job_overdue_start_placed (job) ? NULL : hzb_search_best (&search);
       /* No machine, or even the least loaded has work for a while: it waits here, where what comes later and is
        * more pressing can still go first. Only what a machine could take is asked for, and so released. */
-      if (!machine || queued_s (machine, job->level) > dispatch->queue_ahead_s
+      if (!machine || queued_s (machine, job->scheduling_class) > dispatch->queue_ahead_s
           || !(task = hzb_job_next_pending (job, now)))
         break;
       put_on_list (dispatch, task, machine, now);
@@ -245,7 +245,7 @@
   g_autofree double *cpus = g_new0 (double, n), *gpus = g_new0 (double, n);
   guint budget = dispatch->lagging ? 50 : 400, examined = LOOKS_PER_RUN;
 
-  hzb_levels_update (dispatch->jobs, dispatch->settings, now);
+  hzb_scheduling_classes_update (dispatch->jobs, dispatch->settings, now);
   index_usable_machines (dispatch);
   for (guint i = 0; i < dispatch->usable->len; i++)
     {
@@ -253,12 +253,12 @@
       if (machine->estimate_stale)
         hzb_dispatch_reset_estimates (dispatch, machine, now);
     }
-  memset (dispatch->ahead_cpus, 0, n * HZB_N_LEVELS * sizeof (double));
-  memset (dispatch->ahead_gpus, 0, n * HZB_N_LEVELS * sizeof (double));
+  memset (dispatch->ahead_cpus, 0, n * HZB_N_SCHEDULING_CLASSES * sizeof (double));
+  memset (dispatch->ahead_gpus, 0, n * HZB_N_SCHEDULING_CLASSES * sizeof (double));
   dispatch->gang_waits = FALSE;
   dispatch->least_cpus = INFINITY;
-  for (guint at_level = 0; at_level < HZB_N_LEVELS; at_level++)
-    g_ptr_array_set_size (dispatch->waiting[at_level], 0);
+  for (guint class_index = 0; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
+    g_ptr_array_set_size (dispatch->waiting[class_index], 0);
   for (guint i = 0; i < dispatch->jobs->active->len; i++)
     {
       HzbJob *job = dispatch->jobs->active->pdata[i];
@@ -272,17 +272,17 @@
        * rented only once their work is over. */
       if (hzb_time_before (now, job->not_before) || job->failures || !has_machine (dispatch, job->spec))
         continue;
-      at = (guint) job->team * HZB_N_LEVELS + job->level;
+      at = (guint) job->team * HZB_N_SCHEDULING_CLASSES + job->scheduling_class;
       waiting = job->start_overdue ? 1 : job->pending + job->queued;
       dispatch->ahead_cpus[at] += waiting * job->spec->cpus;
       dispatch->ahead_gpus[at] += waiting * job->spec->gpus;
     }
-  g_ptr_array_sort (order, hzb_levels_compare);
+  g_ptr_array_sort (order, hzb_scheduling_classes_compare);
   for (guint i = 0; i < order->len; i++)
     {
       HzbJob *job = order->pdata[i];
       if (!job->spec->gang)
-        g_ptr_array_add (dispatch->waiting[job->level], job);
+        g_ptr_array_add (dispatch->waiting[job->scheduling_class], job);
     }
   for (guint i = 0; i < order->len && budget; i++)
     {
@@ -317,13 +317,13 @@
 gboolean
 hzb_dispatch_team_may_use (HzbDispatch *dispatch, const HzbJob *job)
 {
-  const double *cpus = dispatch->ahead_cpus + job->team * HZB_N_LEVELS,
-               *gpus = dispatch->ahead_gpus + job->team * HZB_N_LEVELS;
+  const double *cpus = dispatch->ahead_cpus + job->team * HZB_N_SCHEDULING_CLASSES,
+               *gpus = dispatch->ahead_gpus + job->team * HZB_N_SCHEDULING_CLASSES;
   double kept_cpus = 0, kept_gpus = 0;
-  for (guint at_level = job->level + 1; at_level < HZB_N_LEVELS; at_level++)
+  for (guint class_index = job->scheduling_class + 1; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
     {
-      kept_cpus += cpus[at_level];
-      kept_gpus += gpus[at_level];
+      kept_cpus += cpus[class_index];
+      kept_gpus += gpus[class_index];
     }
   return hzb_shard_fits (dispatch->jobs->shard, job->team, job->spec->cpus + kept_cpus, job->spec->gpus + kept_gpus);
 }
@@ -331,7 +331,7 @@
 void
 hzb_dispatch_note_started (HzbDispatch *dispatch, const HzbJob *job)
 {
-  guint at = (guint) job->team * HZB_N_LEVELS + job->level;
+  guint at = (guint) job->team * HZB_N_SCHEDULING_CLASSES + job->scheduling_class;
   dispatch->ahead_cpus[at] = MAX (0, dispatch->ahead_cpus[at] - job->spec->cpus);
   dispatch->ahead_gpus[at] = MAX (0, dispatch->ahead_gpus[at] - job->spec->gpus);
   if (dispatch->pacing)
@@ -346,17 +346,17 @@
 }
 
 static HzbPacingClass
-pacing_class (guint level)
+pacing_class (guint scheduling_class)
 {
-  return level >= HZB_LEVEL_URGENT            ? HZB_PACING_URGENT
-         : level >= HZB_LEVEL_GUARANTEED_IDLE ? HZB_PACING_GUARANTEED
-                                              : HZB_PACING_OTHER;
+  return scheduling_class >= HZB_SCHEDULING_CLASS_URGENT            ? HZB_PACING_URGENT
+         : scheduling_class >= HZB_SCHEDULING_CLASS_GUARANTEED_IDLE ? HZB_PACING_GUARANTEED
+                                                                    : HZB_PACING_OTHER;
 }
 
 gboolean
 hzb_dispatch_pace_allows (const HzbDispatch *dispatch, const HzbJob *job)
 {
-  return !dispatch->pacing || hzb_pacing_allows (dispatch->pacing, pacing_class (job->level));
+  return !dispatch->pacing || hzb_pacing_allows (dispatch->pacing, pacing_class (job->scheduling_class));
 }
 
 static gboolean
@@ -395,9 +395,10 @@
 
 /* The unstarted task that the machine should take from another's list: of a sample, that of the most loaded. */
 static HzbTask *
-find_task_to_move (HzbDispatch *dispatch, HzbMachine *machine, guint level, gboolean cached, struct timespec now)
+find_task_to_move (HzbDispatch *dispatch, HzbMachine *machine, guint scheduling_class, gboolean cached,
+                   struct timespec now)
 {
-  GPtrArray *machines_with_queues = dispatch->machines_with_queues[level];
+  GPtrArray *machines_with_queues = dispatch->machines_with_queues[scheduling_class];
   guint n = machines_with_queues->len, most_looks = MIN (n, dispatch->lagging ? dispatch->sample : MOVE_SAMPLE);
   guint first = most_looks < n ? (guint) g_rand_int_range (dispatch->rand, 0, (gint32) n) : 0;
   guint step = most_looks ? n / most_looks : 1;
@@ -409,13 +410,13 @@
       HzbMachine *other = machines_with_queues->pdata[(first + i * step) % n];
       guint examined = 0;
       double u;
-      if (other == machine || !other->run_queues[level].length)
+      if (other == machine || !other->run_queues[scheduling_class].length)
         continue;
       dispatch->examined++;
-      u = hzb_estimate_mean (&other->estimates[level]);
+      u = hzb_estimate_mean (&other->estimates[scheduling_class]);
       if (u <= most)
         continue;
-      for (GList *l = other->run_queues[level].head; l && examined < 8; l = l->next, examined++)
+      for (GList *l = other->run_queues[scheduling_class].head; l && examined < 8; l = l->next, examined++)
         {
           HzbTask *task = l->data;
           const HzbSpec *spec = task->job->spec;
@@ -436,9 +437,10 @@
 
 /* A machine with room and nothing in any list for it takes what still waits for a list. */
 static void
-start_waiting (HzbDispatch *dispatch, HzbMachine *machine, guint level, struct timespec now, GArray *commands)
+start_waiting (HzbDispatch *dispatch, HzbMachine *machine, guint scheduling_class, struct timespec now,
+               GArray *commands)
 {
-  GPtrArray *waiting = dispatch->waiting[level];
+  GPtrArray *waiting = dispatch->waiting[scheduling_class];
 
   for (guint cached = 2; cached-- > 0;)
     for (guint i = 0; i < waiting->len && has_some_room (dispatch, machine); i++)
@@ -446,8 +448,8 @@
         HzbJob *job = waiting->pdata[i];
         HzbTask *task;
         /* The order is that of the last run: what has changed since is looked at here. */
-        if (!job->pending || job->state != HZB_JOB_ACCEPTED || job->level != level || job->failures
-            || !hzb_machine_has_room (machine, job->spec) || !hzb_machine_allowed (machine, job->spec)
+        if (!job->pending || job->state != HZB_JOB_ACCEPTED || job->scheduling_class != scheduling_class
+            || job->failures || !hzb_machine_has_room (machine, job->spec) || !hzb_machine_allowed (machine, job->spec)
             || hzb_time_before (now, job->not_before) || hzb_machine_avoids (machine, job, now)
             || (cached && !g_hash_table_contains (machine->images, job->spec->image))
             || !hzb_dispatch_team_may_use (dispatch, job))
@@ -485,12 +487,13 @@
     }
   if (dispatch->generation != dispatch->machines->generation)
     index_machines_with_lists (dispatch); /* some of them may be no more */
-  for (gint level = HZB_N_LEVELS - 1; level >= 0 && has_some_room (dispatch, machine); level--)
+  for (gint scheduling_class = HZB_N_SCHEDULING_CLASSES - 1; scheduling_class >= 0 && has_some_room (dispatch, machine);
+       scheduling_class--)
     {
       gboolean held_up = FALSE;
-      if (hzb_gang_blocks_machine (dispatch, machine, (guint) level, now))
+      if (hzb_gang_blocks_machine (dispatch, machine, (guint) scheduling_class, now))
         break;
-      for (GList *l = machine->run_queues[level].head; l;)
+      for (GList *l = machine->run_queues[scheduling_class].head; l;)
         {
           HzbTask *task = l->data;
           l = l->next;
@@ -505,14 +508,14 @@
         }
       if (held_up)
         break;
-      for (guint cached = 2; cached-- > 0 && dispatch->machines_with_queues[level]->len;)
+      for (guint cached = 2; cached-- > 0 && dispatch->machines_with_queues[scheduling_class]->len;)
         {
           HzbTask *task;
           while (has_some_room (dispatch, machine)
-                 && (task = find_task_to_move (dispatch, machine, (guint) level, cached == 1, now)))
+                 && (task = find_task_to_move (dispatch, machine, (guint) scheduling_class, cached == 1, now)))
             start (dispatch, task, machine, commands);
         }
-      start_waiting (dispatch, machine, (guint) level, now, commands);
+      start_waiting (dispatch, machine, (guint) scheduling_class, now, commands);
     }
   hzb_preempt_on_machine (dispatch, machine, now, commands);
 }
--- a/src/dispatch.h
+++ b/src/dispatch.h
@@ -17,10 +17,10 @@
   double lag_s;                    /* how late timers fire, smoothed */
   double *ahead_cpus, *ahead_gpus; /* [team][level]: what waits and goes first */
   /* As of the last run, so that a report costs no look at every machine or job: */
-  GPtrArray *waiting[HZB_N_LEVELS];              /* HzbJob, in the order of service */
-  GPtrArray *usable;                             /* HzbMachine that may take work */
-  GPtrArray *machines_with_queues[HZB_N_LEVELS]; /* HzbMachine that have such work in their lists */
-  guint generation;                              /* of the machines, when machines with lists were indexed */
+  GPtrArray *waiting[HZB_N_SCHEDULING_CLASSES];              /* HzbJob, in the order of service */
+  GPtrArray *usable;                                         /* HzbMachine that may take work */
+  GPtrArray *machines_with_queues[HZB_N_SCHEDULING_CLASSES]; /* HzbMachine that have such work in their lists */
+  guint generation; /* of the machines, when machines with lists were indexed */
   gboolean gang_waits;
   double least_cpus; /* of a waiting task: a machine with less than that free needs no look */
   guint examined;    /* machines looked at so far, for tests */
--- a/src/gang.c
+++ b/src/gang.c
@@ -52,8 +52,8 @@
                   || machine->gpus + spec->gpus * (taken[i] + 1) > machine->type->gpus + 1e-6
                   || machine->memory + spec->memory_gb * (taken[i] + 1) > machine->type->memory_gb + 1e-6)
                 continue;
-              hzb_estimate_shift (&machine->estimates[job->level], now);
-              cost = hzb_estimate_mean (&machine->estimates[job->level]) + hzb_fetch_s (machine, spec);
+              hzb_estimate_shift (&machine->estimates[job->scheduling_class], now);
+              cost = hzb_estimate_mean (&machine->estimates[job->scheduling_class]) + hzb_fetch_s (machine, spec);
               if (cost < least)
                 {
                   least = cost;
@@ -88,14 +88,14 @@
 
 /* A gang that waits halts list starts of lower classes on machines it could use. */
 gboolean
-hzb_gang_blocks_machine (HzbDispatch *dispatch, const HzbMachine *machine, guint level, struct timespec now)
+hzb_gang_blocks_machine (HzbDispatch *dispatch, const HzbMachine *machine, guint scheduling_class, struct timespec now)
 {
   for (guint i = 0; dispatch->gang_waits && i < dispatch->jobs->active->len; i++)
     {
       const HzbJob *job = dispatch->jobs->active->pdata[i];
-      if (job->spec->gang && job->state == HZB_JOB_ACCEPTED && job->pending == job->n_tasks && job->level >= level
-          && !hzb_time_before (now, job->not_before) && hzb_machine_allowed (machine, job->spec)
-          && hzb_time_between (job->since, now) > 5)
+      if (job->spec->gang && job->state == HZB_JOB_ACCEPTED && job->pending == job->n_tasks
+          && job->scheduling_class >= scheduling_class && !hzb_time_before (now, job->not_before)
+          && hzb_machine_allowed (machine, job->spec) && hzb_time_between (job->since, now) > 5)
         return TRUE;
     }
   return FALSE;
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -63,8 +63,8 @@
   gboolean guaranteed, announced_to_leaseholders;
   gboolean
       awaits_verdict; /* after a cold start: no command is given for it until its fate is durable, see reconciliation.h */
-  gboolean start_overdue; /* nothing of it has started for long: its first task goes before others */
-  guint8 level;           /* of waiting work, see hzb_levels_update() */
+  gboolean start_overdue;  /* nothing of it has started for long: its first task goes before others */
+  guint8 scheduling_class; /* of waiting work, see hzb_scheduling_classes_update() */
   guint64 next_attempt;
   guint failures;             /* in a row, without a task of the job doing well */
   char *failed_on;            /* the first machine on which a task failed */
@@ -73,7 +73,7 @@
   struct timespec not_before, since;
   guint begun; /* tasks, when it was last looked at: nothing more of it has begun since: */
   struct timespec waits_since;
-  double mean_s; /* the best guess of a task's run time, kept by hzb_levels_update(); 0: the owner's */
+  double mean_s; /* the best guess of a task's run time, kept by hzb_scheduling_classes_update(); 0: the owner's */
 };
 
 struct _HzbJobs
--- a/src/machines.c
+++ b/src/machines.c
@@ -19,7 +19,7 @@
   g_ptr_array_unref (machine->tasks);
   g_hash_table_unref (machine->images);
   g_hash_table_unref (machine->expected);
-  for (guint i = 0; i < HZB_N_LEVELS; i++)
+  for (guint i = 0; i < HZB_N_SCHEDULING_CLASSES; i++)
     {
       g_queue_clear (&machine->run_queues[i]);
       hzb_estimate_clear (&machine->estimates[i]);
@@ -210,14 +210,14 @@
       machine->queued_service_cpus += spec->cpus;
       machine->queued_service_memory += spec->memory_gb;
     }
-  g_queue_push_tail (&machine->run_queues[task->job->level], task);
+  g_queue_push_tail (&machine->run_queues[task->job->scheduling_class], task);
 }
 
 void
 hzb_machine_dequeue (HzbMachine *machine, HzbTask *task)
 {
   const HzbSpec *spec = task->job->spec;
-  for (guint i = 0; i < HZB_N_LEVELS; i++)
+  for (guint i = 0; i < HZB_N_SCHEDULING_CLASSES; i++)
     if (g_queue_remove (&machine->run_queues[i], task))
       {
         if (spec->service)
@@ -387,7 +387,7 @@
 hzb_machine_queued_tasks (const HzbMachine *machine)
 {
   guint n = 0;
-  for (guint i = 0; i < HZB_N_LEVELS; i++)
+  for (guint i = 0; i < HZB_N_SCHEDULING_CLASSES; i++)
     n += machine->run_queues[i].length;
   return n;
 }
@@ -408,7 +408,7 @@
 void
 hzb_machine_clear_run_queues (HzbJobs *jobs, HzbMachine *machine)
 {
-  for (guint i = 0; i < HZB_N_LEVELS; i++)
+  for (guint i = 0; i < HZB_N_SCHEDULING_CLASSES; i++)
     while (machine->run_queues[i].length)
       hzb_task_set_state (jobs, g_queue_peek_head (&machine->run_queues[i]), HZB_TASK_PENDING, NULL);
   machine->estimate_stale = TRUE;
--- a/src/machines.h
+++ b/src/machines.h
@@ -19,20 +19,20 @@
   HZB_MACHINE_N_STATES
 } HzbMachineState;
 
-/** HzbLevel: of waiting work; higher ones are served first, see levels.h. */
+/** HzbSchedulingClass: of waiting work; higher ones are served first, see scheduling-class.h. */
 typedef enum
 {
-  HZB_LEVEL_LEFTOVER, /* of a team without a guarantee: it takes what others leave */
-  HZB_LEVEL_IDLE,
-  HZB_LEVEL_NORMAL,
-  HZB_LEVEL_PRESSING, /* its aim will be missed unless it starts soon */
-  HZB_LEVEL_GUARANTEED_IDLE,
-  HZB_LEVEL_GUARANTEED_NORMAL,
-  HZB_LEVEL_URGENT,
-  HZB_LEVEL_GUARANTEED_URGENT,
-  HZB_LEVEL_PRODUCTION,
-  HZB_N_LEVELS
-} HzbLevel;
+  HZB_SCHEDULING_CLASS_BEST_EFFORT, /* of a team without a guarantee: it takes what others leave */
+  HZB_SCHEDULING_CLASS_IDLE,
+  HZB_SCHEDULING_CLASS_NORMAL,
+  HZB_SCHEDULING_CLASS_OBJECTIVE_AT_RISK, /* its aim will be missed unless it starts soon */
+  HZB_SCHEDULING_CLASS_GUARANTEED_IDLE,
+  HZB_SCHEDULING_CLASS_GUARANTEED_NORMAL,
+  HZB_SCHEDULING_CLASS_URGENT,
+  HZB_SCHEDULING_CLASS_GUARANTEED_URGENT,
+  HZB_SCHEDULING_CLASS_PRODUCTION,
+  HZB_N_SCHEDULING_CLASSES
+} HzbSchedulingClass;
 
 /* Until it has answered, an unverified machine may hold tasks of its own only, of the shard of a leaseholder (1 and up) that
  * was taken back, or of an earlier leader. */
@@ -76,8 +76,8 @@
   double queued_service_cpus, queued_service_memory; /* and by those in its run queues */
   double cpus, gpus, memory;                         /* in use by tasks that are on it, or may be */
   GPtrArray *tasks;                                  /* HzbTask on it */
-  GQueue run_queues[HZB_N_LEVELS];
-  HzbEstimate estimates[HZB_N_LEVELS]; /* work that a task of the class waits behind */
+  GQueue run_queues[HZB_N_SCHEDULING_CLASSES];
+  HzbEstimate estimates[HZB_N_SCHEDULING_CLASSES]; /* work that a task of the class waits behind */
   gboolean estimate_stale;
   GHashTable *images;      /* names (interned) known to be on it */
   GHashTable *expected;    /* names that tasks sent or listed here will bring, as of the last report */
--- a/src/preemption.c
+++ b/src/preemption.c
@@ -162,8 +162,9 @@
           memory += task->job->spec->memory_gb;
         }
     }
-  for (guint level = HZB_N_LEVELS - 1; level > HZB_LEVEL_PRESSING; level--)
-    for (GList *l = machine->run_queues[level].head; l && examined < 32; l = l->next, examined++)
+  for (guint scheduling_class = HZB_N_SCHEDULING_CLASSES - 1; scheduling_class > HZB_SCHEDULING_CLASS_OBJECTIVE_AT_RISK;
+       scheduling_class--)
+    for (GList *l = machine->run_queues[scheduling_class].head; l && examined < 32; l = l->next, examined++)
       {
         HzbTask *preemptor = l->data;
         const HzbSpec *spec = preemptor->job->spec;
--- a/src/reconciliation/pacing.h
+++ b/src/reconciliation/pacing.h
@@ -2,7 +2,7 @@
  * SECTION: pacing
  * @short_description: how fast commands may be given after a cold start
  *
- * A fencing token bucket with a reserve for higher levels: the less is left, the more pressing a task has to be. It reads no
+ * A fencing token bucket with a reserve for higher scheduling classes: the less is left, the more pressing a task has to be. It reads no
  * clock and does no I/O. The dispatcher asks it before each start and
  * before each task that it delegates, the quarantine before each stop.
  */
--- a/src/levels.c
+++ b/src/scheduling-class.c
@@ -1,4 +1,4 @@
-#include "levels.h"
+#include "scheduling-class.h"
 
 #include "dispatch.h"
 
@@ -8,7 +8,7 @@
 /* Where the least goes first, the largest would wait for as long as smaller ones keep coming. Users want the largest
  * to begin within four minutes: after half of that the first task of any job goes before all but urgent work. */
 #define OVERDUE_AFTER_S 120.0
-#define OVERDUE_LEVEL HZB_LEVEL_URGENT
+#define OVERDUE_CLASS HZB_SCHEDULING_CLASS_URGENT
 #define PRESSING_PART 0.25 /* of what the aim allows: with less left the job is pressing */
 #define NO_AIM_ALLOWS_S 120.0
 
@@ -63,29 +63,30 @@
 {
   double aim, slack = hzb_job_slack_s (settings, job, now, &aim);
   /* Once pressing it stays so, or it would move back and forth as an aim is passed. */
-  return job->level == HZB_LEVEL_PRESSING || (slack < PRESSING_PART * aim && has_aim (settings, job));
+  return job->scheduling_class == HZB_SCHEDULING_CLASS_OBJECTIVE_AT_RISK
+         || (slack < PRESSING_PART * aim && has_aim (settings, job));
 }
 
 /* High priorities come first, then what a team is guaranteed, then what will miss its aim unless it starts
  * soon, then the rest by priority; last the work of teams that are guaranteed nothing. */
-static HzbLevel
-level_of (const HzbSettings *settings, const HzbJob *job, gboolean guest, struct timespec now)
+static HzbSchedulingClass
+scheduling_class_of (const HzbSettings *settings, const HzbJob *job, gboolean guest, struct timespec now)
 {
   gboolean normal = job->spec->priority == HZB_PRIORITY_NORMAL;
   switch (job->spec->priority)
     {
     case HZB_PRIORITY_PRODUCTION:
-      return HZB_LEVEL_PRODUCTION;
+      return HZB_SCHEDULING_CLASS_PRODUCTION;
     case HZB_PRIORITY_HIGH:
-      return job->guaranteed ? HZB_LEVEL_GUARANTEED_URGENT : HZB_LEVEL_URGENT;
+      return job->guaranteed ? HZB_SCHEDULING_CLASS_GUARANTEED_URGENT : HZB_SCHEDULING_CLASS_URGENT;
     default:
       if (guest)
-        return HZB_LEVEL_LEFTOVER;
+        return HZB_SCHEDULING_CLASS_BEST_EFFORT;
       if (job->guaranteed)
-        return normal ? HZB_LEVEL_GUARANTEED_NORMAL : HZB_LEVEL_GUARANTEED_IDLE;
+        return normal ? HZB_SCHEDULING_CLASS_GUARANTEED_NORMAL : HZB_SCHEDULING_CLASS_GUARANTEED_IDLE;
       if (is_pressing (settings, job, now))
-        return HZB_LEVEL_PRESSING;
-      return normal ? HZB_LEVEL_NORMAL : HZB_LEVEL_IDLE;
+        return HZB_SCHEDULING_CLASS_OBJECTIVE_AT_RISK;
+      return normal ? HZB_SCHEDULING_CLASS_NORMAL : HZB_SCHEDULING_CLASS_IDLE;
     }
 }
 
@@ -112,19 +113,19 @@
 }
 
 static void
-set_level (HzbJobs *jobs, HzbJob *job, HzbLevel level)
+set_scheduling_class (HzbJobs *jobs, HzbJob *job, HzbSchedulingClass scheduling_class)
 {
-  if (level == job->level)
+  if (scheduling_class == job->scheduling_class)
     return;
   /* What waits in lists goes through them anew. */
   for (guint k = 0; job->queued && k < job->n_tasks; k++)
     if (job->tasks[k].state == HZB_TASK_QUEUED)
       hzb_task_set_state (jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
-  job->level = (guint8) level;
+  job->scheduling_class = (guint8) scheduling_class;
 }
 
 void
-hzb_levels_update (HzbJobs *jobs, const HzbSettings *settings, struct timespec now)
+hzb_scheduling_classes_update (HzbJobs *jobs, const HzbSettings *settings, struct timespec now)
 {
   guint n = settings->teams->len;
   g_autofree double *cpus = g_new0 (double, n), *gpus = g_new0 (double, n);
@@ -136,7 +137,7 @@
       HzbJob *job = jobs->active->pdata[i];
       const HzbTeam *team = settings->teams->pdata[job->team];
       gboolean guest = any_guarantee && !has_guarantee (team);
-      HzbLevel level;
+      HzbSchedulingClass scheduling_class;
       if (job->state != HZB_JOB_ACCEPTED)
         continue;
       job->mean_s = hzb_jobs_mean_s (jobs, job);
@@ -144,14 +145,14 @@
       cpus[job->team] += job->spec->cpus * job->n_tasks;
       gpus[job->team] += job->spec->gpus * job->n_tasks;
       job->guaranteed = cpus[job->team] <= team->cpus + 1e-6 && gpus[job->team] <= team->gpus + 1e-6;
-      level = level_of (settings, job, guest, now);
+      scheduling_class = scheduling_class_of (settings, job, guest, now);
       /* Guards against a guest's swarm of small jobs that goes before all other work once it has waited: one job of
        * each class at a time does. */
       job->start_overdue =
           is_start_overdue (job, now) && (!guest || g_hash_table_add (overdue_guests, job->spec->job_class));
       if (job->start_overdue)
-        level = MAX (level, OVERDUE_LEVEL);
-      set_level (jobs, job, level);
+        scheduling_class = MAX (scheduling_class, OVERDUE_CLASS);
+      set_scheduling_class (jobs, job, scheduling_class);
     }
 }
 
@@ -172,13 +173,13 @@
 /* Within a class first come, first served, except where many wait: of batch work the job with least left goes
  * first, since the aims count jobs that are over in time. What gets late is moved to a higher class. */
 gint
-hzb_levels_compare (gconstpointer a, gconstpointer b)
+hzb_scheduling_classes_compare (gconstpointer a, gconstpointer b)
 {
   const HzbJob *x = *(HzbJob *const *) a, *y = *(HzbJob *const *) b;
-  int order = (int) y->level - (int) x->level;
+  int order = (int) y->scheduling_class - (int) x->scheduling_class;
   if (order)
     return order;
-  if (x->level <= HZB_LEVEL_PRESSING)
+  if (x->scheduling_class <= HZB_SCHEDULING_CLASS_OBJECTIVE_AT_RISK)
     {
       double left = work_left (x), right = work_left (y);
       if (left != right)
--- a/src/levels.h
+++ b/src/scheduling-class.h
@@ -1,18 +1,18 @@
 /**
- * SECTION: levels
+ * SECTION: scheduling-class
  * @short_description: the order in which waiting work is served
  *
- * Each job has a level, from its priority, its team's guarantee and how soon its aim would be missed. Higher levels are
- * served first; within a level hzb_levels_compare() decides.
+ * Each job has a scheduling class, from its priority, its team's guarantee and how soon its aim would be missed. Higher scheduling classes are
+ * served first; within a scheduling class hzb_scheduling_classes_compare() decides.
  */
 #pragma once
 #include "jobs.h"
 
-/** hzb_levels_update: sets the level of every job of the owner, and its expected run time. */
-void hzb_levels_update (HzbJobs *jobs, const HzbSettings *settings, struct timespec now);
+/** hzb_scheduling_classes_update: sets the scheduling class of every job of the owner, and its expected run time. */
+void hzb_scheduling_classes_update (HzbJobs *jobs, const HzbSettings *settings, struct timespec now);
 
-/** hzb_levels_compare: sorts an array of #HzbJob, the first to be served first. */
-gint hzb_levels_compare (gconstpointer a, gconstpointer b);
+/** hzb_scheduling_classes_compare: sorts an array of #HzbJob, the first to be served first. */
+gint hzb_scheduling_classes_compare (gconstpointer a, gconstpointer b);
 
 /**
  * hzb_job_slack_s:
--- a/src/search.c
+++ b/src/search.c
@@ -42,7 +42,7 @@
 {
   guint v = machine->service_cpus > 0 ? hzb_machine_speed (machine, search->job->spec)
                                       : (guint) search->speeds[machine->type->index];
-  HzbEstimate *estimate = &machine->estimates[search->job->level];
+  HzbEstimate *estimate = &machine->estimates[search->job->scheduling_class];
   if (search->job->spec->service)
     return replica_cost (search, machine);
   hzb_estimate_shift (estimate, search->now);
--- a/src/shard-delegation.c
+++ b/src/shard-delegation.c
@@ -1,6 +1,6 @@
 /* Which unstarted tasks go to a leaseholder that has room, and which of its machines come back for a service. */
 #include "controller.h"
-#include "levels.h"
+#include "scheduling-class.h"
 #include "shard-leases-private.h"
 
 #define MOST_PER_ANSWER 640u /* tasks: what thousands of machines start between two polls */
@@ -62,7 +62,7 @@
           && !hzb_time_before (now, job->not_before))
         g_ptr_array_add (order, job);
     }
-  g_ptr_array_sort (order, hzb_levels_compare);
+  g_ptr_array_sort (order, hzb_scheduling_classes_compare);
   for (guint i = 0; i < order->len && room_cpus > 0 && n < MOST_PER_ANSWER; i++)
     {
       HzbJob *job = order->pdata[i];
--- a/tests/support.h
+++ b/tests/support.h
@@ -1,7 +1,7 @@
 /* What several tests begin with. */
 #pragma once
 #include "dispatch.h"
-#include "levels.h"
+#include "scheduling-class.h"
 
 #include <string.h>
 
@@ -110,7 +110,7 @@
   b->made++;
   cJSON_Delete (value);
   job->released = job->releasing = tasks;
-  hzb_levels_update (b->dispatch->jobs, b->dispatch->settings, hzb_clock_now (b->clock));
+  hzb_scheduling_classes_update (b->dispatch->jobs, b->dispatch->settings, hzb_clock_now (b->clock));
   return job;
 }
 
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -13,7 +13,7 @@
   for (guint i = 0; i < b->machines->all->len; i++)
     {
       HzbMachine *machine = b->machines->all->pdata[i];
-      HzbEstimate *e = &machine->estimates[job->level];
+      HzbEstimate *e = &machine->estimates[job->scheduling_class];
       double u = 0, v = floor (machine->type->cpus / spec->cpus + 1e-9);
       if (machine->state != HZB_MACHINE_ACTIVE || (spec->zone && strcmp (spec->zone, machine->zone) != 0)
           || (machine->spot && !spec->spot))
@@ -60,12 +60,12 @@
             {
               /* Rounding may tell equals apart: what counts is that no machine is better. */
               double v = hzb_type_speed (machine->type, job->spec);
-              g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&machine->estimates[job->level])
+              g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&machine->estimates[job->scheduling_class])
                                                   + b.dispatch->h * job->spec->estimate_s / v,
                                               least, 1e-3);
               hzb_task_set_state (b.jobs, hzb_job_next_pending (job, hzb_clock_now (b.clock)), HZB_TASK_QUEUED,
                                   machine);
-              for (guint c = 0; c <= job->level; c++)
+              for (guint c = 0; c <= job->scheduling_class; c++)
                 hzb_estimate_send (&machine->estimates[c], job->spec->estimate_s / v);
             }
           hzb_clock_advance (b.clock, g_rand_int_range (b.rand, 0, 4));
