--- a/src/autoscaler.c
+++ b/src/autoscaler.c
@@ -23,8 +23,8 @@
 /* Work that the same machines may do. Its unit is the CPU, or the GPU where it uses any. */
 typedef struct
 {
-  const HzbSpec *spec; /* one of its jobs: what holds it, zone and kind are the same for all */
-  const char *zone;    /* the only one; NULL: any */
+  const HzbJobSpec *spec; /* one of its jobs: what holds it, zone and kind are the same for all */
+  const char *zone;       /* the only one; NULL: any */
   char *name;
   gboolean gpus;
   gboolean services; /* room kept for replicas, on machines that the cloud doesn't take back */
@@ -105,7 +105,7 @@
 }
 
 static char *
-types_holding (HzbAutoscaler *autoscaler, const HzbSpec *spec)
+types_holding (HzbAutoscaler *autoscaler, const HzbJobSpec *spec)
 {
   GString *names = g_string_new (NULL);
   for (guint t = 0; autoscaler->machines->types && t < autoscaler->machines->types->len; t++)
@@ -116,7 +116,7 @@
 
 /* All tasks of the job go to one zone: the one that has most machines for it, or else the first that could. */
 static const char *
-zone_for (HzbAutoscaler *autoscaler, const HzbSpec *spec)
+zone_for (HzbAutoscaler *autoscaler, const HzbJobSpec *spec)
 {
   const char *best = NULL;
   double most = -1;
@@ -195,7 +195,7 @@
   for (guint i = 0; i < autoscaler->jobs->active->len; i++)
     {
       HzbJob *job = autoscaler->jobs->active->pdata[i];
-      const HzbSpec *spec = job->spec;
+      const HzbJobSpec *spec = job->spec;
       g_autofree char *types = NULL, *name = NULL;
       Demand *demand = NULL;
       Part part;
@@ -217,7 +217,7 @@
         at_once = MIN (at_once, floor (gpus_left[job->team] / spec->gpus + 1e-9));
       if (at_once < 1)
         continue;
-      if (spec->service && spec->gpus <= 0)
+      if (spec->kind == HZB_JOB_SERVICE && spec->gpus <= 0)
         {
           cpus_left[job->team] -= at_once * spec->cpus;
           continue; /* with all services, see add_services() */
@@ -247,7 +247,8 @@
       part.at_once = at_once * unit;
       /* A task that runs is half over on the whole; a gang's tasks are needed together. */
       part.work_s = (tasks - placed * 0.5) * unit * hzb_job_mean_s (job);
-      part.within_s = spec->gang || spec->service ? 0 : start_within_s (autoscaler, job, now);
+      part.within_s =
+          spec->kind == HZB_JOB_GANG || spec->kind == HZB_JOB_SERVICE ? 0 : start_within_s (autoscaler, job, now);
       g_array_append_val (demand->parts, part);
       if (spec->cpus > 0)
         demand->memory_per_cpu = MAX (demand->memory_per_cpu, spec->memory_gb / spec->cpus);
--- a/src/dispatch.c
+++ b/src/dispatch.c
@@ -77,7 +77,7 @@
 }
 
 double
-hzb_spec_grace_s (const HzbSpec *spec)
+hzb_job_spec_grace_s (const HzbJobSpec *spec)
 {
   return spec->checkpoint_interval_s > 0 ? spec->checkpoint_duration_s + 1 : 0;
 }
@@ -169,7 +169,7 @@
 
 /* Some machine of any shard could take it. */
 static gboolean
-has_machine (HzbDispatch *dispatch, const HzbSpec *spec)
+has_machine (HzbDispatch *dispatch, const HzbJobSpec *spec)
 {
   for (guint i = 0; i < dispatch->machines->all->len; i++)
     {
@@ -204,7 +204,7 @@
              struct timespec now)
 {
   const HzbShard *shard = dispatch->jobs->shard;
-  const HzbSpec *spec = job->spec;
+  const HzbJobSpec *spec = job->spec;
   g_auto (HzbSearch) search = { 0 };
   gboolean sampled = dispatch->lagging || *examined < dispatch->usable->len;
 
@@ -266,7 +266,7 @@
       if (job->state != HZB_JOB_ACCEPTED || job->awaits_verdict || !(job->pending || job->queued))
         continue;
       g_ptr_array_add (order, job);
-      dispatch->gang_waits = dispatch->gang_waits || job->spec->gang;
+      dispatch->gang_waits = dispatch->gang_waits || job->spec->kind == HZB_JOB_GANG;
       dispatch->least_cpus = MIN (dispatch->least_cpus, job->spec->cpus);
       /* What can't start now keeps nothing from others: they would wait for it, and it perhaps for a machine that is
        * rented only once their work is over. */
@@ -281,20 +281,20 @@
   for (guint i = 0; i < order->len; i++)
     {
       HzbJob *job = order->pdata[i];
-      if (!job->spec->gang)
+      if (job->spec->kind != HZB_JOB_GANG)
         g_ptr_array_add (dispatch->waiting[job->scheduling_class], job);
     }
   for (guint i = 0; i < order->len && budget; i++)
     {
       HzbJob *job = order->pdata[i];
-      const HzbSpec *spec = job->spec;
+      const HzbJobSpec *spec = job->spec;
       /* What of this class or a higher one waits in lists comes before; lower work does not. */
       cpus[job->team] += job->queued * spec->cpus;
       gpus[job->team] += job->queued * spec->gpus;
       if (!job->pending || hzb_time_before (now, job->not_before)
           || (job->failures >= 4 && job->placed + job->queued > 0))
         continue; /* a job that failed wherever it started is tried with one task at a time */
-      if (spec->gang)
+      if (spec->kind == HZB_JOB_GANG)
         {
           hzb_gang_place (dispatch, job, now);
           continue;
@@ -381,7 +381,7 @@
       g_queue_remove (&task->job->retry, task);
       hzb_task_set_state (dispatch->jobs, task, HZB_TASK_QUEUED, machine);
     }
-  if (!task->job->spec->gang)
+  if (task->job->spec->kind != HZB_JOB_GANG)
     task->attempt = ++task->job->next_attempt;
   order.attempt = task->attempt;
   if (hzb_task_set_state (dispatch->jobs, task, HZB_TASK_STARTING, machine))
@@ -419,9 +419,9 @@
       for (GList *l = other->run_queues[scheduling_class].head; l && examined < 8; l = l->next, examined++)
         {
           HzbTask *task = l->data;
-          const HzbSpec *spec = task->job->spec;
+          const HzbJobSpec *spec = task->job->spec;
           /* A replica is there sooner where its image is, even if that machine reports later. */
-          gboolean waits = spec->service && g_hash_table_contains (other->images, spec->image)
+          gboolean waits = spec->kind == HZB_JOB_SERVICE && g_hash_table_contains (other->images, spec->image)
                            && hzb_time_between (task->since, now) < 2 * dispatch->settings->heartbeat_interval_s;
           if (((cached || waits) && !g_hash_table_contains (machine->images, spec->image))
               || !hzb_machine_allowed (machine, spec) || !hzb_machine_has_room (machine, spec)
--- a/src/gang.c
+++ b/src/gang.c
@@ -9,7 +9,7 @@
 gboolean
 hzb_gang_place (HzbDispatch *dispatch, HzbJob *job, struct timespec now)
 {
-  const HzbSpec *spec = job->spec;
+  const HzbJobSpec *spec = job->spec;
   GPtrArray *all = dispatch->machines->all;
   g_autofree guint *taken = g_new0 (guint, all->len);
   g_autoptr (GPtrArray) zones = g_ptr_array_new ();
@@ -93,7 +93,7 @@
   for (guint i = 0; dispatch->gang_waits && i < dispatch->jobs->active->len; i++)
     {
       const HzbJob *job = dispatch->jobs->active->pdata[i];
-      if (job->spec->gang && job->state == HZB_JOB_ACCEPTED && job->pending == job->n_tasks
+      if (job->spec->kind == HZB_JOB_GANG && job->state == HZB_JOB_ACCEPTED && job->pending == job->n_tasks
           && job->scheduling_class >= scheduling_class && !hzb_time_before (now, job->not_before)
           && hzb_machine_allowed (machine, job->spec) && hzb_time_between (job->since, now) > 5)
         return TRUE;
--- a/src/headroom.c
+++ b/src/headroom.c
@@ -6,7 +6,7 @@
 
 /* A machine that may be kept for such replicas: one that the cloud doesn't take back. */
 static gboolean
-suits (const HzbMachine *machine, const HzbSpec *spec, const char *zone)
+suits (const HzbMachine *machine, const HzbJobSpec *spec, const char *zone)
 {
   return machine->type && !machine->spot && !machine->to_be_returned && !machine->unreachable
          && hzb_type_holds (machine->type, spec)
@@ -24,7 +24,7 @@
 /* Zones with replicas or kept machines go first, or room would be kept in ever other zones; then those with most to
  * choose from. */
 static double
-zone_rank (const HzbMachines *machines, const HzbSpec *spec, const char *zone)
+zone_rank (const HzbMachines *machines, const HzbJobSpec *spec, const char *zone)
 {
   double rank = 0;
   for (guint i = 0; i < machines->all->len; i++)
@@ -83,8 +83,8 @@
   for (guint i = 0; i < jobs->active->len; i++)
     {
       const HzbJob *job = jobs->active->pdata[i];
-      const HzbSpec *spec = job->spec;
-      if (!spec || !spec->service || job->state != HZB_JOB_ACCEPTED || spec->gpus > 0)
+      const HzbJobSpec *spec = job->spec;
+      if (!spec || spec->kind != HZB_JOB_SERVICE || job->state != HZB_JOB_ACCEPTED || spec->gpus > 0)
         continue;
       waiting += (job->pending + job->queued + job->unconfirmed) * spec->cpus;
       largest = MAX (largest, (job->n_tasks + 1) * spec->cpus);
@@ -119,7 +119,7 @@
     {
       HzbJob *job = jobs->active->pdata[i];
       guint begun = job->placed + job->finished + job->done;
-      if (!job->spec || job->spec->service || job->state != HZB_JOB_ACCEPTED)
+      if (!job->spec || job->spec->kind == HZB_JOB_SERVICE || job->state != HZB_JOB_ACCEPTED)
         continue;
       if (!(job->pending || job->queued) || begun > job->begun || !hzb_time_is_set (job->waits_since)
           || !hzb_shard_fits (jobs->shard, job->team, job->spec->cpus, job->spec->gpus))
--- a/src/headroom.h
+++ b/src/headroom.h
@@ -7,7 +7,7 @@
 
 typedef struct
 {
-  const HzbSpec *spec; /* of the service with the largest replicas; NULL: there is no service */
+  const HzbJobSpec *spec; /* of the service with the largest replicas; NULL: there is no service */
   guint n_zones;
   struct
   {
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -29,7 +29,7 @@
   HzbJob *job = data;
   clear_owner_state (job);
   g_slist_free (job->acceptances);
-  hzb_spec_free (job->spec);
+  hzb_job_spec_free (job->spec);
   g_free (job->uid);
   g_free (job);
 }
@@ -85,7 +85,7 @@
 }
 
 cJSON *
-hzb_jobs_pack_accepted (const HzbSpec *spec, struct timespec wall)
+hzb_jobs_pack_accepted (const HzbJobSpec *spec, struct timespec wall)
 {
   cJSON *value = cJSON_CreateObject ();
   cJSON_AddStringToObject (value, "state", "accepted");
@@ -140,7 +140,7 @@
   HzbJob *job = hzb_jobs_find (jobs, uid);
   const char *state = hzb_json_text (value, "state");
   gboolean accepted = g_strcmp0 (state, "accepted") == 0;
-  g_autoptr (HzbSpec) spec = NULL;
+  g_autoptr (HzbJobSpec) spec = NULL;
   g_autoptr (GSList) named_by = NULL;
 
   if (job)
@@ -193,7 +193,7 @@
   job->state = g_str_equal (state, "done") ? HZB_JOB_DONE : HZB_JOB_CANCELLED;
   job->n_tasks = (guint) hzb_json_number (value, "n", job->n_tasks);
   if (!job->tasks)
-    g_clear_pointer (&job->spec, hzb_spec_free);
+    g_clear_pointer (&job->spec, hzb_job_spec_free);
   return job;
 }
 
@@ -378,7 +378,7 @@
       HzbJob *job = jobs->active->pdata[i];
       clear_owner_state (job);
       if (job->state != HZB_JOB_ACCEPTED)
-        g_clear_pointer (&job->spec, hzb_spec_free);
+        g_clear_pointer (&job->spec, hzb_job_spec_free);
     }
   g_ptr_array_set_size (jobs->active, 0);
   jobs->shard = NULL;
@@ -420,7 +420,8 @@
   else
     {
       job->pending = job->n_tasks;
-      job->release_requested = job->spec->gang || job->spec->service; /* which need all of them at once */
+      job->release_requested =
+          job->spec->kind == HZB_JOB_GANG || job->spec->kind == HZB_JOB_SERVICE; /* which need all of them at once */
     }
   /* fencing tokens are never used twice, so neither are attempts. */
   job->next_attempt = jobs->shard->fencing_token << 17;
@@ -439,7 +440,7 @@
   g_ptr_array_remove (jobs->active, job);
   clear_owner_state (job);
   if (job->state != HZB_JOB_ACCEPTED)
-    g_clear_pointer (&job->spec, hzb_spec_free);
+    g_clear_pointer (&job->spec, hzb_job_spec_free);
 }
 
 gboolean
@@ -475,7 +476,7 @@
 {
   double *bias;
 
-  if (!job->spec || job->spec->service || seconds <= 0 || job->spec->estimate_s <= 0)
+  if (!job->spec || job->spec->kind == HZB_JOB_SERVICE || seconds <= 0 || job->spec->estimate_s <= 0)
     return;
   bias = g_hash_table_lookup (jobs->estimate_biases, job->spec->job_class);
   if (!bias)
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -44,7 +44,7 @@
   gboolean moving;              /* its record is on the way to where old ones are */
   guint n_tasks;
   struct timespec accepted; /* time of day */
-  HzbSpec *spec;            /* NULL once over, unless tasks may still be about */
+  HzbJobSpec *spec;         /* NULL once over, unless tasks may still be about */
   int team;
 
   /* the owner's part */
@@ -107,7 +107,7 @@
 void hzb_jobs_load_end (HzbJobs *jobs);
 /* On condition that no record says that the job is over, recent or old. */
 void hzb_jobs_txn_if_not_over (cJSON *txn, const char *uid);
-cJSON *hzb_jobs_pack_accepted (const HzbSpec *spec, struct timespec wall);
+cJSON *hzb_jobs_pack_accepted (const HzbJobSpec *spec, struct timespec wall);
 cJSON *hzb_jobs_pack_final (HzbJobState state, guint n_tasks);
 const char *hzb_job_status (const HzbJob *job);
 
--- a/src/machines.c
+++ b/src/machines.c
@@ -204,8 +204,8 @@
 void
 hzb_machine_enqueue (HzbMachine *machine, HzbTask *task)
 {
-  const HzbSpec *spec = task->job->spec;
-  if (spec->service)
+  const HzbJobSpec *spec = task->job->spec;
+  if (spec->kind == HZB_JOB_SERVICE)
     {
       machine->queued_service_cpus += spec->cpus;
       machine->queued_service_memory += spec->memory_gb;
@@ -216,11 +216,11 @@
 void
 hzb_machine_dequeue (HzbMachine *machine, HzbTask *task)
 {
-  const HzbSpec *spec = task->job->spec;
+  const HzbJobSpec *spec = task->job->spec;
   for (guint i = 0; i < HZB_N_SCHEDULING_CLASSES; i++)
     if (g_queue_remove (&machine->run_queues[i], task))
       {
-        if (spec->service)
+        if (spec->kind == HZB_JOB_SERVICE)
           {
             machine->queued_service_cpus -= spec->cpus;
             machine->queued_service_memory -= spec->memory_gb;
@@ -232,11 +232,11 @@
 void
 hzb_machine_add (HzbMachine *machine, HzbTask *task)
 {
-  const HzbSpec *spec = task->job->spec;
+  const HzbJobSpec *spec = task->job->spec;
   machine->cpus += spec->cpus;
   machine->gpus += spec->gpus;
   machine->memory += spec->memory_gb;
-  if (spec->service)
+  if (spec->kind == HZB_JOB_SERVICE)
     {
       machine->service_cpus += spec->cpus;
       machine->service_memory += spec->memory_gb;
@@ -247,13 +247,13 @@
 void
 hzb_machine_remove (HzbMachine *machine, HzbTask *task)
 {
-  const HzbSpec *spec = task->job->spec;
+  const HzbJobSpec *spec = task->job->spec;
   if (!g_ptr_array_remove_fast (machine->tasks, task))
     return;
   machine->cpus -= spec->cpus;
   machine->gpus -= spec->gpus;
   machine->memory -= spec->memory_gb;
-  if (spec->service)
+  if (spec->kind == HZB_JOB_SERVICE)
     {
       machine->service_cpus -= spec->cpus;
       machine->service_memory -= spec->memory_gb;
@@ -268,14 +268,14 @@
 }
 
 gboolean
-hzb_type_holds (const HzbMachineType *type, const HzbSpec *spec)
+hzb_type_holds (const HzbMachineType *type, const HzbJobSpec *spec)
 {
   return type->cpus + 1e-9 >= spec->cpus && type->gpus + 1e-9 >= spec->gpus && type->memory_gb + 1e-9 >= spec->memory_gb
          && (!spec->types || g_strv_contains ((const char *const *) spec->types, type->name));
 }
 
 guint
-hzb_type_speed (const HzbMachineType *type, const HzbSpec *spec)
+hzb_type_speed (const HzbMachineType *type, const HzbJobSpec *spec)
 {
   double v = 1e6;
   if (!hzb_type_holds (type, spec))
@@ -290,7 +290,7 @@
 }
 
 guint
-hzb_machine_speed (const HzbMachine *machine, const HzbSpec *spec)
+hzb_machine_speed (const HzbMachine *machine, const HzbJobSpec *spec)
 {
   double v = hzb_type_speed (machine->type, spec);
   if (machine->service_cpus > 1e-6 && spec->cpus > 0)
@@ -301,7 +301,7 @@
 }
 
 gboolean
-hzb_machine_takes_replica (const HzbMachine *machine, const HzbSpec *spec)
+hzb_machine_takes_replica (const HzbMachine *machine, const HzbJobSpec *spec)
 {
   return machine->service_cpus + machine->queued_service_cpus + spec->cpus <= machine->type->cpus + 1e-6
          && machine->service_memory + machine->queued_service_memory + spec->memory_gb
@@ -363,20 +363,20 @@
 
 /* By type, zone and kind, which is the same for every controller of every version. */
 static gboolean
-is_of_allowed_kind (const HzbMachine *machine, const HzbSpec *spec)
+is_of_allowed_kind (const HzbMachine *machine, const HzbJobSpec *spec)
 {
   return machine->type && hzb_type_holds (machine->type, spec) && (spec->spot || !machine->spot)
          && (!spec->zone || g_str_equal (spec->zone, machine->zone));
 }
 
 gboolean
-hzb_machine_allowed (const HzbMachine *machine, const HzbSpec *spec)
+hzb_machine_allowed (const HzbMachine *machine, const HzbJobSpec *spec)
 {
-  return is_of_allowed_kind (machine, spec) && (spec->service || !machine->reserved_for_services);
+  return is_of_allowed_kind (machine, spec) && (spec->kind == HZB_JOB_SERVICE || !machine->reserved_for_services);
 }
 
 gboolean
-hzb_machine_has_room (const HzbMachine *machine, const HzbSpec *spec)
+hzb_machine_has_room (const HzbMachine *machine, const HzbJobSpec *spec)
 {
   return machine->cpus + spec->cpus <= machine->type->cpus + 1e-6
          && machine->gpus + spec->gpus <= machine->type->gpus + 1e-6
--- a/src/machines.h
+++ b/src/machines.h
@@ -123,13 +123,13 @@
 void hzb_machine_remove (HzbMachine *machine, HzbTask *task);
 
 gboolean hzb_machine_usable (const HzbMachine *machine);
-gboolean hzb_type_holds (const HzbMachineType *type, const HzbSpec *spec);
-guint hzb_type_speed (const HzbMachineType *type, const HzbSpec *spec); /* v: how many such tasks it holds */
+gboolean hzb_type_holds (const HzbMachineType *type, const HzbJobSpec *spec);
+guint hzb_type_speed (const HzbMachineType *type, const HzbJobSpec *spec); /* v: how many such tasks it holds */
 /* The same of a machine, without the room that replicas of services take for good. */
-guint hzb_machine_speed (const HzbMachine *machine, const HzbSpec *spec);
+guint hzb_machine_speed (const HzbMachine *machine, const HzbJobSpec *spec);
 /* A replica of such a service fits beside those that are there or listed, whatever else would have to go. */
-gboolean hzb_machine_takes_replica (const HzbMachine *machine, const HzbSpec *spec);
-gboolean hzb_machine_allowed (const HzbMachine *machine, const HzbSpec *spec);
+gboolean hzb_machine_takes_replica (const HzbMachine *machine, const HzbJobSpec *spec);
+gboolean hzb_machine_allowed (const HzbMachine *machine, const HzbJobSpec *spec);
 /** hzb_machine_note_failure: a task of the job failed there. */
 void hzb_machine_note_failure (HzbMachine *machine, const HzbJob *job, struct timespec now);
 
@@ -143,7 +143,7 @@
 gboolean hzb_machine_seems_faulty (const HzbMachine *machine, HzbJobs *jobs);
 /* The last failure on the machine was one of this job, not long ago: the job's tasks are tried on others first. */
 gboolean hzb_machine_avoids (const HzbMachine *machine, const HzbJob *job, struct timespec now);
-gboolean hzb_machine_has_room (const HzbMachine *machine, const HzbSpec *spec);
+gboolean hzb_machine_has_room (const HzbMachine *machine, const HzbJobSpec *spec);
 guint hzb_machine_queued_tasks (const HzbMachine *machine);
 /* Its tasks are gone for certain: they go back to waiting. Its run queues are emptied too. */
 void hzb_machine_lose_tasks (HzbJobs *jobs, HzbMachine *machine);
--- a/src/owner.c
+++ b/src/owner.c
@@ -72,7 +72,7 @@
       HzbJob *job = controller->jobs->active->pdata[i];
       if (job->state == HZB_JOB_ACCEPTED)
         {
-          if (job->spec->gang)
+          if (job->spec->kind == HZB_JOB_GANG)
             maintain_gang (controller, job);
           if (job->finished + job->done == job->n_tasks)
             hzb_controller_record_completion (controller, job);
--- a/src/preemption.c
+++ b/src/preemption.c
@@ -8,7 +8,7 @@
 hzb_task_remaining_s (const HzbTask *task, struct timespec now)
 {
   double mean = hzb_job_mean_s (task->job);
-  if (task->job->spec->service)
+  if (task->job->spec->kind == HZB_JOB_SERVICE)
     return 0; /* it takes room, for good, and leaves no work to wait for */
   if (task->state == HZB_TASK_RUNNING)
     return MAX (mean - hzb_time_between (task->since, now), 0.15 * mean);
@@ -59,7 +59,7 @@
 preempt_after_s (HzbDispatch *dispatch, const HzbJob *job)
 {
   double after = 10;
-  if (job->spec->service)
+  if (job->spec->kind == HZB_JOB_SERVICE)
     return 0; /* every second that a replica is not there counts */
   for (guint i = 0; i < dispatch->settings->objectives->len; i++)
     {
@@ -75,8 +75,8 @@
 static double
 stop_cost (const HzbTask *task, struct timespec now)
 {
-  const HzbSpec *spec = task->job->spec;
-  if (task->stopping || task->job->awaits_verdict || spec->gang || spec->service
+  const HzbJobSpec *spec = task->job->spec;
+  if (task->stopping || task->job->awaits_verdict || spec->kind == HZB_JOB_GANG || spec->kind == HZB_JOB_SERVICE
       || (task->state != HZB_TASK_RUNNING && task->state != HZB_TASK_FETCHING))
     return INFINITY;
   if (task->state == HZB_TASK_FETCHING)
@@ -110,7 +110,8 @@
   double lack, limit = shard->cpus_allowed[team];
   g_autoptr (GArray) victims = g_array_new (FALSE, FALSE, sizeof (Victim));
 
-  if (preemptor->spec->gang || hzb_time_between (preemptor->since, now) < preempt_after_s (dispatch, preemptor))
+  if (preemptor->spec->kind == HZB_JOB_GANG
+      || hzb_time_between (preemptor->since, now) < preempt_after_s (dispatch, preemptor))
     return;
   lack = shard->cpus[team] + MIN ((preemptor->pending + preemptor->queued) * preemptor->spec->cpus, limit) - limit;
   for (guint i = 0; i < dispatch->jobs->active->len && lack > 1e-6; i++)
@@ -167,7 +168,7 @@
     for (GList *l = machine->run_queues[scheduling_class].head; l && examined < 32; l = l->next, examined++)
       {
         HzbTask *preemptor = l->data;
-        const HzbSpec *spec = preemptor->job->spec;
+        const HzbJobSpec *spec = preemptor->job->spec;
         /* Over the team's limit only the team's own lower work can make room. */
         gboolean own = !hzb_shard_fits (dispatch->jobs->shard, preemptor->job->team, spec->cpus, spec->gpus);
         if (preemptor->job->state != HZB_JOB_ACCEPTED || !hzb_zone_allowed (preemptor->job, machine)
@@ -200,7 +201,7 @@
             command.uid = victim->job->uid;
             command.task = victim->index;
             command.attempt = victim->attempt;
-            command.grace_s = hzb_spec_grace_s (victim->job->spec);
+            command.grace_s = hzb_job_spec_grace_s (victim->job->spec);
             g_array_append_val (commands, command);
             cpus += victim->job->spec->cpus;
             gpus += victim->job->spec->gpus;
@@ -225,12 +226,12 @@
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       const HzbTask *task = machine->tasks->pdata[i];
-      if (task->job->spec->service)
+      if (task->job->spec->kind == HZB_JOB_SERVICE)
         return -1; /* a move costs it more than the machine does */
       if (hzb_task_remaining_s (task, now) < MOVE_LEFT_S || task->stopping || task->job->awaits_verdict)
         continue;
-      if (task->job->spec->checkpoint_interval_s <= 0 || task->job->spec->gang || task->state != HZB_TASK_RUNNING
-          || hzb_time_between (task->since, now) < MOVE_LEFT_S)
+      if (task->job->spec->checkpoint_interval_s <= 0 || task->job->spec->kind == HZB_JOB_GANG
+          || task->state != HZB_TASK_RUNNING || hzb_time_between (task->since, now) < MOVE_LEFT_S)
         return -1;
       cpus += task->job->spec->cpus;
     }
--- a/src/provisioning.c
+++ b/src/provisioning.c
@@ -194,7 +194,7 @@
            k++)
         {
           HzbTask *task = machine->tasks->pdata[k];
-          task->stopping = task->stopping || task->job->spec->service;
+          task->stopping = task->stopping || task->job->spec->kind == HZB_JOB_SERVICE;
         }
       if (machine->state == HZB_MACHINE_UNVERIFIED ? in_state > controller->settings->lease_s + 2
                                                    : machine->tasks->len == 0 || in_state > 120)
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -588,9 +588,10 @@
 
   evidence.record = job->state == HZB_JOB_ACCEPTED ? HZB_RECORD_OPEN : HZB_RECORD_OVER;
   evidence.standing = standing_of (task, machine, task_status->attempt);
-  evidence.shown = task_status->state != HZB_TASK_STATUS_EXITED                                   ? HZB_SHOWN_ALIVE
-                   : task_status->exit_cause == HZB_EXIT_DONE && job->spec && !job->spec->service ? HZB_SHOWN_RESULT
-                                                                                                  : HZB_SHOWN_ENDED;
+  evidence.shown = task_status->state != HZB_TASK_STATUS_EXITED ? HZB_SHOWN_ALIVE
+                   : task_status->exit_cause == HZB_EXIT_DONE && job->spec && job->spec->kind != HZB_JOB_SERVICE
+                       ? HZB_SHOWN_RESULT
+                       : HZB_SHOWN_ENDED;
   verdict = hzb_task_verdict_decide (&evidence, &reason);
   /* What goes on is adopted once, what waits is not a verdict yet. */
   if (verdict != HZB_TASK_VERDICT_AWAIT
--- a/src/record-flush.c
+++ b/src/record-flush.c
@@ -199,7 +199,8 @@
 static guint
 release_step (const HzbJob *job)
 {
-  return job->spec->gang || job->spec->service ? job->n_tasks : MAX (RELEASE_STEP, job->n_tasks / 32);
+  return job->spec->kind == HZB_JOB_GANG || job->spec->kind == HZB_JOB_SERVICE ? job->n_tasks
+                                                                               : MAX (RELEASE_STEP, job->n_tasks / 32);
 }
 
 static gboolean
--- a/src/record-pages.c
+++ b/src/record-pages.c
@@ -73,7 +73,8 @@
 {
   guint tasks = MIN (pages->jobs->chunk, job->n_tasks - chunk * pages->jobs->chunk);
   /* A service's tasks are never done. */
-  return PART_BYTES + strlen (job->uid) + strlen (job->spec->team) + (job->spec->service ? 0 : tasks / TASKS_PER_BYTE);
+  return PART_BYTES + strlen (job->uid) + strlen (job->spec->team)
+         + (job->spec->kind == HZB_JOB_SERVICE ? 0 : tasks / TASKS_PER_BYTE);
 }
 
 void
--- a/src/records.c
+++ b/src/records.c
@@ -61,10 +61,10 @@
 /* ---- reading ---- */
 
 /* What a cancelled job's own record no longer says is beside its progress. */
-static HzbSpec *
+static HzbJobSpec *
 spec_of_remains (const char *uid, const cJSON *value, guint n)
 {
-  HzbSpec *spec = g_new0 (HzbSpec, 1);
+  HzbJobSpec *spec = g_new0 (HzbJobSpec, 1);
   spec->uid = g_strdup (uid);
   spec->job_class = g_strdup ("");
   spec->image = g_ref_string_new_intern ("");
--- a/src/scheduling-class.c
+++ b/src/scheduling-class.c
@@ -108,7 +108,7 @@
 static gboolean
 is_start_overdue (const HzbJob *job, struct timespec now)
 {
-  return !(job->placed || job->finished || job->done || job->unconfirmed || job->spec->gang)
+  return !(job->placed || job->finished || job->done || job->unconfirmed || job->spec->kind == HZB_JOB_GANG)
          && hzb_time_between (job->since, now) > OVERDUE_AFTER_S;
 }
 
--- a/src/search.c
+++ b/src/search.c
@@ -3,7 +3,7 @@
 #define FETCH_WEIGHT 2.0
 
 double
-hzb_fetch_s (const HzbMachine *machine, const HzbSpec *spec)
+hzb_fetch_s (const HzbMachine *machine, const HzbJobSpec *spec)
 {
   double alone = spec->image_gb / MAX (machine->type->fetch_gb_per_s, 1e-3);
   if (g_hash_table_contains (machine->images, spec->image))
@@ -28,7 +28,7 @@
 static double
 replica_cost (const HzbSearch *search, const HzbMachine *machine)
 {
-  const HzbSpec *spec = search->job->spec;
+  const HzbJobSpec *spec = search->job->spec;
   double until_report =
       search->dispatch->settings->heartbeat_interval_s - hzb_time_between (machine->last_heartbeat, search->now);
   gboolean room =
@@ -43,7 +43,7 @@
   guint v = machine->service_cpus > 0 ? hzb_machine_speed (machine, search->job->spec)
                                       : (guint) search->speeds[machine->type->index];
   HzbEstimate *estimate = &machine->estimates[search->job->scheduling_class];
-  if (search->job->spec->service)
+  if (search->job->spec->kind == HZB_JOB_SERVICE)
     return replica_cost (search, machine);
   hzb_estimate_shift (estimate, search->now);
   return hzb_estimate_mean (estimate) + search->dispatch->h * hzb_job_mean_s (search->job) / MAX (v, 1)
@@ -66,9 +66,9 @@
 static gboolean
 may_take (const HzbSearch *search, const HzbMachine *machine)
 {
-  const HzbSpec *spec = search->job->spec;
+  const HzbJobSpec *spec = search->job->spec;
   if (!zone_is_open (search, machine)
-      || (spec->service ? !hzb_machine_takes_replica (machine, spec) : machine->reserved_for_services)
+      || (spec->kind == HZB_JOB_SERVICE ? !hzb_machine_takes_replica (machine, spec) : machine->reserved_for_services)
       || (machine->service_cpus > 0 && hzb_machine_speed (machine, spec) < 1))
     return FALSE;
   return hzb_machine_usable (machine)
@@ -186,7 +186,7 @@
   best->cost = offer_cost (search, best->machine);
   sift_down (search->heap, 0);
   /* A zone that has half of a job's tasks by now, or a machine that is full of replicas, takes no more. */
-  while ((search->in_zone || search->job->spec->service) && search->heap->len
+  while ((search->in_zone || search->job->spec->kind == HZB_JOB_SERVICE) && search->heap->len
          && !may_take (search, g_array_index (search->heap, Offer, 0).machine))
     drop_best (search);
 }
--- a/src/shard-delegation.c
+++ b/src/shard-delegation.c
@@ -9,13 +9,14 @@
 gboolean
 hzb_job_is_delegable (const HzbJob *job)
 {
-  const HzbSpec *spec = job->spec;
-  return job->state == HZB_JOB_ACCEPTED && !spec->gang && !spec->service && !spec->same_zone && !spec->spread;
+  const HzbJobSpec *spec = job->spec;
+  return job->state == HZB_JOB_ACCEPTED && spec->kind != HZB_JOB_GANG && spec->kind != HZB_JOB_SERVICE
+         && !spec->same_zone && !spec->spread;
 }
 
 /* Some machine of the shard may hold such a task. */
 static gboolean
-shard_accepts (const HzbLeaseholderView *leaseholder, const HzbSpec *spec)
+shard_accepts (const HzbLeaseholderView *leaseholder, const HzbJobSpec *spec)
 {
   for (guint i = 0; i < leaseholder->kinds->len; i++)
     {
@@ -105,7 +106,8 @@
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
       const HzbJob *job = controller->jobs->active->pdata[i];
-      if (job->team != team || job->spec->service || job->spec->gang || job->state != HZB_JOB_ACCEPTED)
+      if (job->team != team || job->spec->kind == HZB_JOB_SERVICE || job->spec->kind == HZB_JOB_GANG
+          || job->state != HZB_JOB_ACCEPTED)
         continue;
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
         {
@@ -126,7 +128,7 @@
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
       const HzbJob *job = controller->jobs->active->pdata[i];
-      if (job->state == HZB_JOB_ACCEPTED && job->spec->service && (job->pending || job->queued)
+      if (job->state == HZB_JOB_ACCEPTED && job->spec->kind == HZB_JOB_SERVICE && (job->pending || job->queued)
           && !hzb_shard_fits (controller->shard, job->team, job->spec->cpus, job->spec->gpus)
           && !team_has_lower_work (controller, job->team, 0)
           && team_has_lower_work (controller, job->team, leaseholder->id))
--- a/src/shard-machines.c
+++ b/src/shard-machines.c
@@ -18,7 +18,7 @@
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
       const HzbJob *job = controller->jobs->active->pdata[i];
-      if (job->state == HZB_JOB_ACCEPTED && job->spec->gang && !job->finished)
+      if (job->state == HZB_JOB_ACCEPTED && job->spec->kind == HZB_JOB_GANG && !job->finished)
         return TRUE;
     }
   return FALSE;
@@ -205,8 +205,9 @@
     {
       const HzbTask *task = machine->tasks->pdata[i];
       if (task->stopping || task->job->awaits_verdict || task->state == HZB_TASK_RESERVED
-          || task->state == HZB_TASK_CHECKPOINTING || task->job->spec->gang || task->job->spec->service
-          || task->job->spec->same_zone || task->job->spec->spread || task->job->state != HZB_JOB_ACCEPTED)
+          || task->state == HZB_TASK_CHECKPOINTING || task->job->spec->kind == HZB_JOB_GANG
+          || task->job->spec->kind == HZB_JOB_SERVICE || task->job->spec->same_zone || task->job->spec->spread
+          || task->job->state != HZB_JOB_ACCEPTED)
         return NULL;
     }
   best = smallest_leaseholder (shard_leases, machine, UNLEVEL, now);
--- a/src/submissions.c
+++ b/src/submissions.c
@@ -15,7 +15,7 @@
 void
 hzb_submissions_free (HzbSubmission *submission)
 {
-  hzb_spec_free (submission->spec);
+  hzb_job_spec_free (submission->spec);
   cJSON_free (submission->packed);
   g_free (submission);
 }
@@ -28,7 +28,7 @@
 }
 
 static HzbSubmission *
-submission_new (HzbController *controller, HzbExchange *exchange, HzbSpec *spec)
+submission_new (HzbController *controller, HzbExchange *exchange, HzbJobSpec *spec)
 {
   HzbSubmission *submission = g_new0 (HzbSubmission, 1);
   cJSON *packed = hzb_jobs_pack_accepted (spec, hzb_clock_wall (controller->clock));
@@ -177,11 +177,12 @@
 
 /* NULL: it can run. */
 static const char *
-reason_it_never_runs (HzbController *controller, const HzbSpec *spec)
+reason_it_never_runs (HzbController *controller, const HzbJobSpec *spec)
 {
   int at = hzb_settings_team (controller->settings, spec->team);
   const HzbTeam *team;
-  double times = spec->gang || spec->service ? spec->tasks : 1; /* all of them at once */
+  double times =
+      spec->kind == HZB_JOB_GANG || spec->kind == HZB_JOB_SERVICE ? spec->tasks : 1; /* all of them at once */
   gboolean known_zone = spec->zone == NULL;
 
   if (at < 0)
@@ -195,7 +196,7 @@
     return "the job needs more than its team's limit";
   if (spec->same_zone && spec->spread && spec->tasks > 1)
     return "samePlace and spread exclude each other";
-  if (spec->gang && spec->spread && spec->zone && spec->tasks > 1)
+  if (spec->kind == HZB_JOB_GANG && spec->spread && spec->zone && spec->tasks > 1)
     return "a gang that is to be spread can't be in one zone";
   for (guint i = 0; i < controller->machines->types->len; i++)
     {
@@ -209,7 +210,7 @@
 
 /* Types that do not exist never fit: the record need not hold them. */
 static void
-drop_unknown_types (HzbController *controller, HzbSpec *spec)
+drop_unknown_types (HzbController *controller, HzbJobSpec *spec)
 {
   g_autoptr (GStrvBuilder) known = g_strv_builder_new ();
   if (!spec->types)
@@ -229,7 +230,7 @@
 {
   HzbController *controller = api->controller;
   g_autoptr (GError) error = NULL;
-  g_autoptr (HzbSpec) spec = hzb_wire_parse_job (exchange->body, exchange->length, &error);
+  g_autoptr (HzbJobSpec) spec = hzb_wire_parse_job (exchange->body, exchange->length, &error);
   HzbJob *job;
   const char *refusal;
   HzbSubmission *submission;
@@ -254,7 +255,7 @@
       return;
     }
   /* A repeat of an accepted job must not be refused, whatever has changed since; the version before took any estimate. */
-  if (spec->service && spec->estimate_s > 0)
+  if (spec->kind == HZB_JOB_SERVICE && spec->estimate_s > 0)
     {
       hzb_user_api_add_check (api, exchange, spec->uid, HZB_QUESTION_SUBMISSION,
                               "expectS: expected 0 for standing jobs", 400);
@@ -266,7 +267,7 @@
       return;
     }
   /* A version 1 would take a replica that ends for a task that is done. */
-  if (spec->service && hzb_election_format (controller->election) < HZB_FORMAT)
+  if (spec->kind == HZB_JOB_SERVICE && hzb_election_format (controller->election) < HZB_FORMAT)
     {
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("services are taken once every controller runs this version"),
                           2);
--- a/src/task.c
+++ b/src/task.c
@@ -83,7 +83,7 @@
 hzb_task_set_state (HzbJobs *jobs, HzbTask *task, HzbTaskState to, HzbMachine *machine)
 {
   HzbJob *job = task->job;
-  const HzbSpec *spec = job->spec;
+  const HzbJobSpec *spec = job->spec;
   gboolean held = holds_room (task), holds;
 
   if (task->state == to && task->machine == machine)
--- a/src/user-api-private.h
+++ b/src/user-api-private.h
@@ -27,7 +27,7 @@
 typedef struct
 {
   HzbExchange *exchange;
-  HzbSpec *spec;
+  HzbJobSpec *spec;
   char *packed;
   struct timespec deadline;
 } HzbSubmission;
--- a/src/wire.c
+++ b/src/wire.c
@@ -13,6 +13,7 @@
 const char hzb_path_txn[] = "/multi";
 const char hzb_path_leases[] = "/leases";
 
+static const char *const kind_names[HZB_JOB_N_KINDS] = { "sweep", "ensemble", "standing" };
 static const char *const priority_names[] = { "idle", "normal", "urgent", "production" };
 static const char *const piece_states[] = { "fetching", "gathering", "running", "saving", "ended" };
 static const char *const whys[] = {
@@ -27,6 +28,16 @@
 
 /* ---- helpers ---- */
 
+/* Returns: the index of the text among the names; -1: it is none of them. */
+static int
+index_of (const char *text, const char *const *names, guint n)
+{
+  for (guint i = 0; i < n; i++)
+    if (g_strcmp0 (text, names[i]) == 0)
+      return (int) i;
+  return -1;
+}
+
 guint64
 hzb_json_u64 (const cJSON *object, const char *name)
 {
@@ -79,7 +90,7 @@
 }
 
 void
-hzb_spec_free (HzbSpec *spec)
+hzb_job_spec_free (HzbJobSpec *spec)
 {
   if (!spec)
     return;
@@ -195,21 +206,20 @@
 }
 
 static gboolean
-fill_spec (HzbSpec *spec, const cJSON *root, GError **error)
+fill_spec (HzbJobSpec *spec, const cJSON *root, GError **error)
 {
   const cJSON *item;
-  const char *shape;
+  int kind;
   g_autofree char *image = NULL;
   double tasks = 0;
 
   if (!hzb_wire_uid_ok (hzb_json_text (root, "uid")))
     return bad (error, "uid", "an id such as run-000412");
   spec->uid = g_strdup (hzb_json_text (root, "uid"));
-  shape = hzb_json_text (root, "shape");
-  if (g_strcmp0 (shape, "sweep") != 0 && g_strcmp0 (shape, "ensemble") != 0 && g_strcmp0 (shape, "standing") != 0)
+  kind = index_of (hzb_json_text (root, "shape"), kind_names, HZB_JOB_N_KINDS);
+  if (kind < 0)
     return bad (error, "shape", "sweep, ensemble or standing");
-  spec->gang = g_str_equal (shape, "ensemble");
-  spec->service = g_str_equal (shape, "standing");
+  spec->kind = (HzbJobKind) kind;
   if (!take_text (root, "lane", &spec->job_class, error) || !take_text (root, "owner", &spec->team, error)
       || !take_priority (root, &spec->priority, error) || !take_number (root, "pieces", 0, TRUE, &tasks, error)
       || !take_number (root, "cpus", 0, FALSE, &spec->cpus, error)
@@ -218,7 +228,7 @@
       || !take_number (root, "sizeGb", 0, FALSE, &spec->image_gb, error)
       || !take_flag (root, "samePlace", &spec->same_zone, error) || !take_flag (root, "spread", &spec->spread, error)
       || !take_flag (root, "loaners", &spec->spot, error)
-      || !take_number (root, "expectS", 0, !spec->service, &spec->estimate_s, error)
+      || !take_number (root, "expectS", 0, spec->kind != HZB_JOB_SERVICE, &spec->estimate_s, error)
       || !take_number (root, "snapshotEveryS", 0, FALSE, &spec->checkpoint_interval_s, error)
       || !take_number (root, "snapshotS", 0, FALSE, &spec->checkpoint_duration_s, error))
     return FALSE;
@@ -246,10 +256,10 @@
   return TRUE;
 }
 
-HzbSpec *
+HzbJobSpec *
 hzb_wire_parse_job (const char *body, gsize length, GError **error)
 {
-  g_autoptr (HzbSpec) spec = g_new0 (HzbSpec, 1);
+  g_autoptr (HzbJobSpec) spec = g_new0 (HzbJobSpec, 1);
   cJSON *root;
   gboolean ok;
 
@@ -294,13 +304,13 @@
 
 /* The durable form is the submission itself, so one reader checks both. */
 cJSON *
-hzb_wire_pack_spec (const HzbSpec *spec)
+hzb_wire_pack_spec (const HzbJobSpec *spec)
 {
   cJSON *root = cJSON_CreateObject ();
   cJSON_AddStringToObject (root, "uid", spec->uid);
   cJSON_AddStringToObject (root, "lane", spec->job_class);
   cJSON_AddStringToObject (root, "owner", spec->team);
-  cJSON_AddStringToObject (root, "shape", spec->gang ? "ensemble" : spec->service ? "standing" : "sweep");
+  cJSON_AddStringToObject (root, "shape", kind_names[spec->kind]);
   cJSON_AddStringToObject (root, "urgency", priority_names[spec->priority]);
   cJSON_AddNumberToObject (root, "pieces", spec->tasks);
   cJSON_AddNumberToObject (root, "cpus", spec->cpus);
@@ -325,10 +335,10 @@
   return root;
 }
 
-HzbSpec *
+HzbJobSpec *
 hzb_wire_unpack_spec (const char *uid, const cJSON *value)
 {
-  g_autoptr (HzbSpec) spec = g_new0 (HzbSpec, 1);
+  g_autoptr (HzbJobSpec) spec = g_new0 (HzbJobSpec, 1);
   if (!fill_spec (spec, value, NULL) || !g_str_equal (spec->uid, uid))
     return NULL;
   return g_steal_pointer (&spec);
@@ -342,15 +352,6 @@
   g_free (((HzbTaskStatus *) data)->uid);
 }
 
-static int
-index_of (const char *text, const char *const *names, guint n)
-{
-  for (guint i = 0; i < n; i++)
-    if (g_strcmp0 (text, names[i]) == 0)
-      return (int) i;
-  return -1;
-}
-
 HzbWorkerHeartbeat *
 hzb_wire_parse_worker_heartbeat (const char *body, gsize length, GError **error)
 {
--- a/src/wire.h
+++ b/src/wire.h
@@ -15,12 +15,19 @@
   HZB_N_PRIORITIES
 } HzbPriority;
 
+typedef enum
+{
+  HZB_JOB_ARRAY,   /* independent tasks */
+  HZB_JOB_GANG,    /* all tasks run at the same time, or none */
+  HZB_JOB_SERVICE, /* its tasks are replicas that run until the job is cancelled */
+  HZB_JOB_N_KINDS
+} HzbJobKind;
+
 /* What a user asks for. */
 typedef struct
 {
   char *uid, *job_class, *team;
-  gboolean gang;
-  gboolean service; /* its tasks run until it is cancelled */
+  HzbJobKind kind;
   HzbPriority priority;
   guint tasks;
   double cpus, gpus, memory_gb;
@@ -30,10 +37,10 @@
   char *zone;   /* NULL: any */
   gboolean same_zone, spread, spot;
   double estimate_s, checkpoint_interval_s, checkpoint_duration_s, deadline_s; /* deadline_s 0: none */
-} HzbSpec;
+} HzbJobSpec;
 
-void hzb_spec_free (HzbSpec *spec);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbSpec, hzb_spec_free)
+void hzb_job_spec_free (HzbJobSpec *spec);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbJobSpec, hzb_job_spec_free)
 
 typedef struct
 {
@@ -136,11 +143,11 @@
 /* users */
 extern const char hzb_path_jobs[], hzb_path_ready[], hzb_path_worker_heartbeat[], hzb_path_cancel[];
 gboolean hzb_wire_uid_ok (const char *uid);
-HzbSpec *hzb_wire_parse_job (const char *body, gsize length, GError **error);
+HzbJobSpec *hzb_wire_parse_job (const char *body, gsize length, GError **error);
 char *hzb_wire_job_status (const char *uid, const char *status, gboolean counts, guint done, guint running);
 char *hzb_wire_error (const char *text);
-cJSON *hzb_wire_pack_spec (const HzbSpec *spec); /* the durable form */
-HzbSpec *hzb_wire_unpack_spec (const char *uid, const cJSON *value);
+cJSON *hzb_wire_pack_spec (const HzbJobSpec *spec); /* the durable form */
+HzbJobSpec *hzb_wire_unpack_spec (const char *uid, const cJSON *value);
 
 /* workers */
 HzbWorkerHeartbeat *hzb_wire_parse_worker_heartbeat (const char *body, gsize length, GError **error);
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -26,7 +26,7 @@
 
   if (cause == HZB_EXIT_ERROR)
     {
-      gboolean service = job->spec->service, same = g_strcmp0 (machine->last_failed_job, job->uid) == 0;
+      gboolean service = job->spec->kind == HZB_JOB_SERVICE, same = g_strcmp0 (machine->last_failed_job, job->uid) == 0;
       task->tries = (guint8) MIN (task->tries + 1, 10);
       if (!job->failed_on)
         job->failed_on = g_strdup (machine->name);
@@ -83,7 +83,7 @@
   gboolean here = hzb_task_on_machine (task) && task->machine == machine && task->attempt == task_status->attempt;
 
   /* A replica that ends, for whatever cause, has no result: it runs again. */
-  if (task_status->exit_cause == HZB_EXIT_DONE && !job->spec->service)
+  if (task_status->exit_cause == HZB_EXIT_DONE && job->spec->kind != HZB_JOB_SERVICE)
     {
       if (task->state == HZB_TASK_DONE)
         command (commands, HZB_COMMAND_REAP, job->uid, task->index, task_status->attempt, 0);
@@ -218,7 +218,7 @@
     command (commands, HZB_COMMAND_STOP, job->uid, task_status->task, task_status->attempt, 0);
   else if (task && task->stopping && state != HZB_TASK_CHECKPOINTING)
     command (commands, HZB_COMMAND_STOP, job->uid, task_status->task, task_status->attempt,
-             hzb_spec_grace_s (job->spec));
+             hzb_job_spec_grace_s (job->spec));
 }
 
 static void
@@ -265,14 +265,15 @@
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       HzbTask *task = machine->tasks->pdata[i];
-      const HzbSpec *spec = task->job->spec;
+      const HzbJobSpec *spec = task->job->spec;
       gboolean runs = task->state == HZB_TASK_RUNNING;
-      double left =
-          spec->service ? INFINITY : hzb_job_mean_s (task->job) - (runs ? hzb_time_between (task->since, now) : 0);
+      double left = spec->kind == HZB_JOB_SERVICE
+                        ? INFINITY
+                        : hzb_job_mean_s (task->job) - (runs ? hzb_time_between (task->since, now) : 0);
       if (task->stopping || (!runs && task->state != HZB_TASK_FETCHING) || task->job->state != HZB_JOB_ACCEPTED
           || task->job->awaits_verdict)
         continue;
-      if (spec->gang)
+      if (spec->kind == HZB_JOB_GANG)
         {
           /* An orderly stop: every task is told with the answer to its machine's next heartbeat. */
           for (guint k = 0; runs && spec->checkpoint_interval_s > 0 && left > notice_s && k < task->job->n_tasks; k++)
@@ -285,7 +286,7 @@
                                                   : left <= HOPELESS_FACTOR * notice_s)
         continue;
       task->stopping = TRUE;
-      command (commands, HZB_COMMAND_STOP, task->job->uid, task->index, task->attempt, hzb_spec_grace_s (spec));
+      command (commands, HZB_COMMAND_STOP, task->job->uid, task->index, task->attempt, hzb_job_spec_grace_s (spec));
     }
 }
 
--- a/tests/support.h
+++ b/tests/support.h
@@ -86,7 +86,7 @@
 bench_record (Bench *b, const char *uid, const char *team, HzbPriority priority, guint tasks, double cpus,
               double estimate)
 {
-  g_autoptr (HzbSpec) spec = g_new0 (HzbSpec, 1);
+  g_autoptr (HzbJobSpec) spec = g_new0 (HzbJobSpec, 1);
   spec->uid = g_strdup (uid);
   spec->job_class = g_strdup ("lane");
   spec->team = g_strdup (team);
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -523,7 +523,7 @@
       "\"expectS\":10,\"snapshotEveryS\":0,\"snapshotS\":0}",
       job->uid);
   g_autoptr (GError) error = NULL;
-  g_autoptr (HzbSpec) spec = hzb_wire_parse_job (body, strlen (body), &error);
+  g_autoptr (HzbJobSpec) spec = hzb_wire_parse_job (body, strlen (body), &error);
   cJSON *value = cJSON_CreateObject ();
   char *text;
   g_assert_no_error (error);
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -8,7 +8,7 @@
 plain_choose (Bench *b, HzbJob *job, double *least)
 {
   HzbMachine *best = NULL;
-  const HzbSpec *spec = job->spec;
+  const HzbJobSpec *spec = job->spec;
   *least = INFINITY;
   for (guint i = 0; i < b->machines->all->len; i++)
     {
@@ -310,7 +310,7 @@
       now = hzb_clock_now (b.clock);
       with = bench_machine (&b, "small", "za", FALSE);
       job = bench_job (&b, "red", HZB_PRIORITY_PRODUCTION, 1, 1, 10);
-      job->spec->service = service != 0;
+      job->spec->kind = service ? HZB_JOB_SERVICE : HZB_JOB_ARRAY;
       job->spec->image_gb = 5;
       g_hash_table_add (with->images, g_ref_string_acquire (job->spec->image));
       hzb_dispatch_run (b.dispatch, now);
@@ -333,7 +333,8 @@
     for (guint i = 0; i < 4; i++)
       machine[i] = bench_machine (&b, "small", i < 3 ? "za" : "zb", FALSE); /* 4 CPUs each */
     job = bench_job (&b, "red", HZB_PRIORITY_PRODUCTION, 7, 2, 10);
-    job->spec->service = job->spec->spread = TRUE;
+    job->spec->kind = HZB_JOB_SERVICE;
+    job->spec->spread = TRUE;
     hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
     for (guint i = 0; i < 7; i++)
       if (job->tasks[i].state == HZB_TASK_QUEUED)
@@ -387,7 +388,8 @@
   bench_machine (&b, "small", "za", FALSE);
   bench_machine (&b, "small", "zb", FALSE);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 4, 2, 10);
-  job->spec->gang = job->spec->same_zone = TRUE;
+  job->spec->kind = HZB_JOB_GANG;
+  job->spec->same_zone = TRUE;
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
   g_assert_cmpuint (job->placed, ==, 0); /* room for four, but not in one zone */
   bench_machine (&b, "small", "zb", FALSE);
@@ -413,7 +415,7 @@
   bench_machine (&b, "small", "za", FALSE);
   bench_machine (&b, "small", "zb", FALSE);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 4, 2, 10);
-  job->spec->gang = TRUE;
+  job->spec->kind = HZB_JOB_GANG;
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
   g_assert_cmpuint (job->placed, ==, 4);
   job->state = HZB_JOB_CANCELLED;
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -107,7 +107,7 @@
       for (guint i = 0; i < 3; i++)
         {
           jobs[i] = bench_job (&b, i ? "red" : "blue", HZB_PRIORITY_PRODUCTION, 6, 1 + i, 0.5);
-          jobs[i]->spec->service = i < 2;
+          jobs[i]->spec->kind = i < 2 ? HZB_JOB_SERVICE : HZB_JOB_ARRAY;
         }
       for (guint step = 0; step < 400; step++)
         {
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -12,7 +12,7 @@
 {
   cJSON *root = cJSON_Parse (good);
   g_autofree char *text = NULL;
-  g_autoptr (HzbSpec) spec = NULL;
+  g_autoptr (HzbJobSpec) spec = NULL;
   cJSON_DeleteItemFromObject (root, field);
   if (value)
     cJSON_AddRawToObject (root, field, value);
@@ -101,12 +101,12 @@
 static void
 test_durable_form (void)
 {
-  g_autoptr (HzbSpec) spec = hzb_wire_parse_job (good, strlen (good), NULL);
+  g_autoptr (HzbJobSpec) spec = hzb_wire_parse_job (good, strlen (good), NULL);
   cJSON *packed = hzb_wire_pack_spec (spec);
-  g_autoptr (HzbSpec) back = hzb_wire_unpack_spec ("run-000412", packed);
+  g_autoptr (HzbJobSpec) back = hzb_wire_unpack_spec ("run-000412", packed);
   g_assert_nonnull (back);
   g_assert_cmpuint (back->tasks, ==, 16);
-  g_assert_true (back->gang && back->same_zone && back->spot && !back->spread);
+  g_assert_true (back->kind == HZB_JOB_GANG && back->same_zone && back->spot && !back->spread);
   g_assert_cmpfloat (back->image_gb, ==, 6.2);
   g_assert_cmpfloat (back->deadline_s, ==, 900);
   g_assert_cmpstr (back->types[0], ==, "g8");
