--- a/src/old-ends.c
+++ b/src/completed-job-archive.c
@@ -1,4 +1,4 @@
-#include "old-ends.h"
+#include "completed-job-archive.h"
 
 #include "controller.h"
 
@@ -6,31 +6,31 @@
 #define MOVE_PART 0.15 /* of the changes that the key-value store takes */
 #define CHANGES_PER_JOB 2u
 
-struct _HzbOldEnds
+struct _HzbCompletedJobArchive
 {
   HzbController *controller;
-  gboolean moving; /* a transaction is on its way */
-  struct timespec next_move;
+  gboolean archiving; /* a transaction is on its way */
+  struct timespec next_archiving;
 };
 
-HzbOldEnds *
-hzb_old_ends_new (HzbController *controller)
+HzbCompletedJobArchive *
+hzb_completed_job_archive_new (HzbController *controller)
 {
-  HzbOldEnds *old_ends = g_new0 (HzbOldEnds, 1);
-  old_ends->controller = controller;
-  return old_ends;
+  HzbCompletedJobArchive *completed_job_archive = g_new0 (HzbCompletedJobArchive, 1);
+  completed_job_archive->controller = controller;
+  return completed_job_archive;
 }
 
 void
-hzb_old_ends_free (HzbOldEnds *old_ends)
+hzb_completed_job_archive_free (HzbCompletedJobArchive *completed_job_archive)
 {
-  g_free (old_ends);
+  g_free (completed_job_archive);
 }
 
 void
-hzb_old_ends_reset (HzbOldEnds *old_ends)
+hzb_completed_job_archive_reset (HzbCompletedJobArchive *completed_job_archive)
 {
-  old_ends->moving = FALSE;
+  completed_job_archive->archiving = FALSE;
 }
 
 static void
@@ -49,28 +49,28 @@
       if (!job)
         continue;
       /* One that changed under us (moved by an earlier leader, which the replica of the records will show) is left alone. */
-      job->moving = FALSE;
+      job->archiving = FALSE;
       for (guint k = 0; failed && k < failed->len; k++)
-        job->moving = job->moving || g_str_has_suffix (failed->pdata[k], job->uid);
+        job->archiving = job->archiving || g_str_has_suffix (failed->pdata[k], job->uid);
     }
   if (epoch_call->epoch == controller->ownership_epoch)
-    controller->old_ends->moving = FALSE;
+    controller->completed_job_archive->archiving = FALSE;
   g_free (epoch_call);
 }
 
 /* Each is in one of the two places at any time: it moves in one transaction. */
 void
-hzb_old_ends_tick (HzbOldEnds *old_ends, struct timespec now)
+hzb_completed_job_archive_tick (HzbCompletedJobArchive *completed_job_archive, struct timespec now)
 {
-  HzbController *controller = old_ends->controller;
+  HzbController *controller = completed_job_archive->controller;
   g_autoptr (GPtrArray) old = NULL;
   GPtrArray *uids;
   cJSON *txn;
 
-  if (old_ends->moving || hzb_time_before (now, old_ends->next_move))
+  if (completed_job_archive->archiving || hzb_time_before (now, completed_job_archive->next_archiving))
     return;
-  old = hzb_jobs_ended_long_ago (controller->jobs, MAX (1, controller->settings->kv_txn_ops / CHANGES_PER_JOB));
-  old_ends->next_move = hzb_time_plus (
+  old = hzb_jobs_archivable (controller->jobs, MAX (1, controller->settings->kv_txn_ops / CHANGES_PER_JOB));
+  completed_job_archive->next_archiving = hzb_time_plus (
       now, MAX (MOVE_EVERY_S, old->len * CHANGES_PER_JOB / (MOVE_PART * controller->settings->kv_write_rps)));
   if (!old->len)
     return;
@@ -81,13 +81,13 @@
     {
       HzbJob *job = old->pdata[i];
       g_autofree char *from = g_strconcat (HZB_KEY_JOBS, job->uid, NULL),
-                      *to = g_strconcat (HZB_KEY_ENDED, job->uid, NULL);
+                      *to = g_strconcat (HZB_KEY_ARCHIVED, job->uid, NULL);
       hzb_wire_txn_if (txn, from, job->version);
       hzb_wire_txn_put (txn, to, hzb_jobs_pack_final (job->state, job->n_tasks), 0);
       hzb_wire_txn_delete (txn, from);
-      job->moving = TRUE;
+      job->archiving = TRUE;
       g_ptr_array_add (uids, g_strdup (job->uid));
     }
-  old_ends->moving = TRUE;
+  completed_job_archive->archiving = TRUE;
   hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_moved, hzb_epoch_call_new (controller, uids));
 }
--- a/src/controller.c
+++ b/src/controller.c
@@ -209,7 +209,7 @@
   hzb_shard_leases_reset (controller->shard_leases);
   hzb_records_reset (controller->records);
   hzb_reconciliation_reset (controller->reconciliation);
-  hzb_old_ends_reset (controller->old_ends);
+  hzb_completed_job_archive_reset (controller->completed_job_archive);
   hzb_provisioning_reset (controller->provisioning);
   g_clear_pointer (&controller->owner_load_cursor, g_free);
   hzb_machines_clear (controller->machines);
@@ -225,7 +225,7 @@
   set_ownership (controller, HZB_OWNERSHIP_NONE, "not the leader any more");
   hzb_records_reset (controller->records);
   hzb_reconciliation_reset (controller->reconciliation);
-  hzb_old_ends_reset (controller->old_ends);
+  hzb_completed_job_archive_reset (controller->completed_job_archive);
   hzb_jobs_end_ownership (controller->jobs);
   hzb_machines_clear (controller->machines);
   g_clear_pointer (&controller->shard, hzb_shard_free);
@@ -277,7 +277,7 @@
     }
   if (epoch_call->epoch == controller->ownership_epoch && job)
     {
-      job->ending = FALSE;
+      job->completing = FALSE;
       if (result == HZB_KV_OK && job->tasks)
         {
           g_message ("job %s is done", uid);
@@ -294,13 +294,13 @@
   g_autofree char *key = NULL;
   cJSON *txn;
 
-  if (job->ending || job->state != HZB_JOB_ACCEPTED || !hzb_election_leading (controller->election))
+  if (job->completing || job->state != HZB_JOB_ACCEPTED || !hzb_election_leading (controller->election))
     return;
-  job->ending = TRUE;
+  job->completing = TRUE;
   key = g_strconcat (HZB_KEY_JOBS, job->uid, NULL);
   txn = hzb_wire_txn ();
   hzb_election_add_condition (controller->election, txn);
-  hzb_jobs_txn_if_not_over (txn, job->uid); /* it has not been cancelled */
+  hzb_jobs_compare_not_terminal (txn, job->uid); /* it has not been cancelled */
   hzb_wire_txn_put (txn, key, hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks), 0);
   hzb_kv_client_commit (controller->kv, HZB_KV_ACCEPT, txn, on_ended,
                         hzb_epoch_call_new (controller, g_strdup (job->uid)));
@@ -504,7 +504,7 @@
   controller->incarnation = g_strdup_printf ("%08x%08x", g_rand_int (controller->rand), g_rand_int (controller->rand));
   controller->provisioning = hzb_provisioning_new (controller);
   controller->records = hzb_records_new (controller);
-  controller->old_ends = hzb_old_ends_new (controller);
+  controller->completed_job_archive = hzb_completed_job_archive_new (controller);
   controller->reconciliation = hzb_reconciliation_new (controller);
   controller->dispatch->pacing = hzb_reconciliation_pacing (controller->reconciliation);
   return controller;
@@ -519,7 +519,7 @@
   hzb_leaseholder_free (controller->leaseholder);
   hzb_peers_free (controller->peers);
   hzb_records_free (controller->records);
-  hzb_old_ends_free (controller->old_ends);
+  hzb_completed_job_archive_free (controller->completed_job_archive);
   hzb_reconciliation_free (controller->reconciliation);
   hzb_metrics_free (controller->metrics);
   g_free (controller->incarnation);
--- a/src/controller.h
+++ b/src/controller.h
@@ -4,6 +4,7 @@
 #include "autoscaler.h"
 #include "cancellations.h"
 #include "cloud.h"
+#include "completed-job-archive.h"
 #include "dispatch.h"
 #include "election.h"
 #include "http.h"
@@ -11,7 +12,6 @@
 #include "kv-replica.h"
 #include "leaseholder.h"
 #include "metrics.h"
-#include "old-ends.h"
 #include "owner.h"
 #include "peers.h"
 #include "provisioning.h"
@@ -61,7 +61,7 @@
   HzbShardLeases *shard_leases;
   HzbLeaseholder *leaseholder;
   HzbRecords *records;
-  HzbOldEnds *old_ends;
+  HzbCompletedJobArchive *completed_job_archive;
   HzbMetrics *metrics;
   guint64 settings_version; /* of the operators' settings */
   gboolean lease_shards;
--- a/src/election.c
+++ b/src/election.c
@@ -28,8 +28,8 @@
 set_state (HzbElection *election, HzbElectionState to, const char *why)
 {
   static const guint legal[] = {
-    [HZB_ELECTION_FOLLOWING] = 1 << HZB_ELECTION_ENDING_OLD | 1 << HZB_ELECTION_LEASING,
-    [HZB_ELECTION_ENDING_OLD] = 1 << HZB_ELECTION_FOLLOWING,
+    [HZB_ELECTION_FOLLOWING] = 1 << HZB_ELECTION_REVOKING_OLD_LEASE | 1 << HZB_ELECTION_LEASING,
+    [HZB_ELECTION_REVOKING_OLD_LEASE] = 1 << HZB_ELECTION_FOLLOWING,
     [HZB_ELECTION_LEASING] = 1 << HZB_ELECTION_CAMPAIGNING | 1 << HZB_ELECTION_FOLLOWING,
     [HZB_ELECTION_CAMPAIGNING] = 1 << HZB_ELECTION_LEADING | 1 << HZB_ELECTION_FOLLOWING,
     [HZB_ELECTION_LEADING] = 1 << HZB_ELECTION_FOLLOWING,
@@ -133,7 +133,7 @@
 on_ended (HzbKvResult result, const char *body, gpointer user)
 {
   HzbElection *election = user;
-  if (election->state == HZB_ELECTION_ENDING_OLD)
+  if (election->state == HZB_ELECTION_REVOKING_OLD_LEASE)
     {
       election->next = hzb_time_plus (hzb_clock_now (election->clock), 0.3);
       set_state (election, HZB_ELECTION_FOLLOWING, "the earlier lease was ended");
@@ -365,7 +365,7 @@
   if (election->leader && g_strcmp0 (election->leader, election->settings->node) == 0)
     {
       /* An earlier incarnation, or a campaign of ours whose answer was lost: it is ended, not trusted. */
-      set_state (election, HZB_ELECTION_ENDING_OLD, election->leader_incarnation);
+      set_state (election, HZB_ELECTION_REVOKING_OLD_LEASE, election->leader_incarnation);
       hzb_kv_client_revoke_lease (election->kv, election->leader_lease, on_ended, election);
     }
   else if (!election->leader)
--- a/src/election.h
+++ b/src/election.h
@@ -14,7 +14,7 @@
 typedef enum
 {
   HZB_ELECTION_FOLLOWING,
-  HZB_ELECTION_ENDING_OLD, /* an earlier incarnation of this node still holds the lease */
+  HZB_ELECTION_REVOKING_OLD_LEASE, /* an earlier incarnation of this node still holds the lease */
   HZB_ELECTION_LEASING,
   HZB_ELECTION_CAMPAIGNING,
   HZB_ELECTION_LEADING
--- a/src/jobs.c
+++ b/src/jobs.c
@@ -15,8 +15,8 @@
   job->other_owner = job->delegated_running = job->delegated_leaving = 0;
   job->cursor = job->pending = job->queued = job->unconfirmed = job->placed = job->running = 0;
   job->finished = job->done = job->released = job->releasing = 0;
-  job->dirty = job->ending = job->on_pages = job->unsplit = job->release_requested = job->announced_to_leaseholders =
-      FALSE;
+  job->dirty = job->completing = job->on_pages = job->unsplit = job->release_requested =
+      job->announced_to_leaseholders = FALSE;
   job->failures = job->begun = 0;
   job->failed_on_several = job->did_well = job->awaits_verdict = FALSE;
   g_clear_pointer (&job->failed_on, g_free);
@@ -61,7 +61,7 @@
 void
 hzb_jobs_free (HzbJobs *jobs)
 {
-  g_queue_clear (&jobs->ended);
+  g_queue_clear (&jobs->completed);
   g_ptr_array_unref (jobs->active);
   g_hash_table_unref (jobs->estimate_biases);
   g_hash_table_unref (jobs->by_uid);
@@ -182,7 +182,7 @@
       return job;
     }
   job->version = version;
-  g_queue_push_tail (&jobs->ended, job);
+  g_queue_push_tail (&jobs->completed, job);
   named_by = g_steal_pointer (&job->acceptances); /* what is dropped takes itself off the list */
   for (GSList *l = named_by; l; l = l->next)
     {
@@ -262,20 +262,21 @@
 }
 
 GPtrArray *
-hzb_jobs_ended_long_ago (HzbJobs *jobs, guint most)
+hzb_jobs_archivable (HzbJobs *jobs, guint most)
 {
   GPtrArray *old = g_ptr_array_new ();
-  guint beyond =
-      jobs->ended.length > jobs->max_replicated_completed ? jobs->ended.length - jobs->max_replicated_completed : 0;
+  guint beyond = jobs->completed.length > jobs->max_replicated_completed
+                     ? jobs->completed.length - jobs->max_replicated_completed
+                     : 0;
 
   if (!beyond)
     return old;
-  g_queue_sort (&jobs->ended, by_version, NULL); /* after a reading of all they came in the order of their names */
-  for (GList *l = jobs->ended.head; l && beyond && old->len < most; l = l->next, beyond--)
+  g_queue_sort (&jobs->completed, by_version, NULL); /* after a reading of all they came in the order of their names */
+  for (GList *l = jobs->completed.head; l && beyond && old->len < most; l = l->next, beyond--)
     {
       HzbJob *job = l->data;
       /* While a record of acceptance names it, a node that starts must find its end beside that. */
-      if (!job->named && !job->tasks && !job->moving)
+      if (!job->named && !job->tasks && !job->archiving)
         g_ptr_array_add (old, job);
     }
   return old;
@@ -294,7 +295,7 @@
     release_gone_acceptances (jobs, job);
   if (job->tasks || job->named)
     return FALSE;
-  g_queue_remove (&jobs->ended, job);
+  g_queue_remove (&jobs->completed, job);
   g_hash_table_remove (jobs->by_uid, uid);
   return TRUE;
 }
@@ -340,15 +341,15 @@
       HzbJob *job = value;
       if (job->tasks || job->named || (job->version && job->load == jobs->load))
         continue;
-      g_queue_remove (&jobs->ended, job);
+      g_queue_remove (&jobs->completed, job);
       g_hash_table_iter_remove (&iter);
     }
 }
 
 void
-hzb_jobs_txn_if_not_over (cJSON *txn, const char *uid)
+hzb_jobs_compare_not_terminal (cJSON *txn, const char *uid)
 {
-  g_autofree char *recent = g_strconcat (HZB_KEY_JOBS, uid, NULL), *old = g_strconcat (HZB_KEY_ENDED, uid, NULL);
+  g_autofree char *recent = g_strconcat (HZB_KEY_JOBS, uid, NULL), *old = g_strconcat (HZB_KEY_ARCHIVED, uid, NULL);
   hzb_wire_txn_if (txn, recent, 0);
   hzb_wire_txn_if (txn, old, 0);
 }
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -8,8 +8,8 @@
 /* Room for tenants: main is the only one so far. Jobs are accepted many to a record; how each ends has one of its own. */
 #define HZB_KEY_ACCEPTED "hzb/a/accepted/main/"
 #define HZB_KEY_JOBS "hzb/a/jobs/main/"
-/* Of jobs that ended long ago: not replicated, since a month of them would not fit a node's memory. */
-#define HZB_KEY_ENDED "hzb/o/ended/main/"
+/* Of jobs that completed long ago: not replicated, since a month of them would not fit a node's memory. */
+#define HZB_KEY_ARCHIVED "hzb/o/ended/main/"
 #define HZB_KEY_PROGRESS "hzb/x/progress/main/"
 /* Progress is kept in parts of so many tasks: a part has to fit a value. A part of another size says so. */
 #define HZB_CHUNK_OF_1 32768u /* of version 1, which says none */
@@ -41,7 +41,7 @@
   guint named;                  /* records of acceptance that name it, over or not */
   guint load;                   /* the last reading of all records that showed it */
   gboolean cancel_acknowledged; /* cancelled, and no owner can act without that */
-  gboolean moving;              /* its record is on the way to where old ones are */
+  gboolean archiving;           /* its record is on the way to where old ones are */
   guint n_tasks;
   struct timespec accepted; /* time of day */
   HzbJobSpec *spec;         /* NULL once over, unless tasks may still be about */
@@ -56,7 +56,7 @@
   guint pending;           /* state PENDING, below the released mark or not */
   guint queued, unconfirmed, placed, running, finished, done;
   guint released, releasing;  /* tasks below may have been started: durable, and asked for */
-  gboolean dirty, ending;     /* progress to be written; end being written */
+  gboolean dirty, completing; /* progress to be written; end being written */
   gboolean on_pages;          /* of the owner's records */
   gboolean unsplit;           /* in parts that only a version 1 writes; they can't be changed while one is about */
   gboolean release_requested; /* a machine could take more of it than is released */
@@ -80,7 +80,7 @@
 {
   GHashTable *by_uid;             /* uid -> HzbJob */
   GHashTable *acceptances;        /* key -> HzbAcceptance */
-  GQueue ended;                   /* HzbJob, over, about in the order of their ends */
+  GQueue completed;               /* HzbJob, over, about in the order of their ends */
   guint max_replicated_completed; /* so many ended jobs stay replicated */
   guint load;                     /* counts readings of all records */
   GPtrArray *active;              /* the owner's: jobs with a part of it, by age */
@@ -100,13 +100,13 @@
 void hzb_jobs_apply_acceptance (HzbJobs *jobs, const char *key, const cJSON *value); /* NULL: it is removed */
 HzbAcceptance *hzb_jobs_completed_acceptance (HzbJobs *jobs); /* one whose jobs are all over; NULL: none */
 /* Of the oldest that are over, beyond those that stay replicated: up to so many whose record may move away. */
-GPtrArray *hzb_jobs_ended_long_ago (HzbJobs *jobs, guint most);
+GPtrArray *hzb_jobs_archivable (HzbJobs *jobs, guint most);
 gboolean hzb_jobs_forget (HzbJobs *jobs, const char *uid); /* its record has moved away; FALSE: it is kept */
 /* All records are read anew: what they do not show any more is dropped at the end. */
 void hzb_jobs_load_begin (HzbJobs *jobs);
 void hzb_jobs_load_end (HzbJobs *jobs);
 /* On condition that no record says that the job is over, recent or old. */
-void hzb_jobs_txn_if_not_over (cJSON *txn, const char *uid);
+void hzb_jobs_compare_not_terminal (cJSON *txn, const char *uid);
 cJSON *hzb_jobs_pack_accepted (const HzbJobSpec *spec, struct timespec wall);
 cJSON *hzb_jobs_pack_final (HzbJobState state, guint n_tasks);
 const char *hzb_job_status (const HzbJob *job);
--- a/src/owner.c
+++ b/src/owner.c
@@ -85,7 +85,7 @@
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
         if (job->tasks[k].state == HZB_TASK_RESERVED)
           hzb_task_set_state (controller->jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
-      if (!job->placed && !job->unconfirmed && !job->ending)
+      if (!job->placed && !job->unconfirmed && !job->completing)
         {
           hzb_records_drop_job (controller->records, job);
           hzb_jobs_retire (controller->jobs, job);
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -212,7 +212,7 @@
 static void
 read_old_end (HzbQuarantine *quarantine, const char *name, HzbQuarantined *entry)
 {
-  g_autofree char *key = g_strconcat (HZB_KEY_ENDED, entry->uid, NULL);
+  g_autofree char *key = g_strconcat (HZB_KEY_ARCHIVED, entry->uid, NULL);
 
   set_proof (entry, HZB_PROOF_READING);
   quarantine->reading++;
--- a/src/record-flush.c
+++ b/src/record-flush.c
@@ -466,7 +466,7 @@
   struct timespec now = hzb_clock_now (controller->clock);
   if (controller->ownership < HZB_OWNERSHIP_RECOVERING || !hzb_election_leading (controller->election))
     return;
-  hzb_old_ends_tick (controller->old_ends, now);
+  hzb_completed_job_archive_tick (controller->completed_job_archive, now);
   if (records->unresolved && !hzb_time_before (now, records->next))
     read_flush (records);
   if (records->flushing || hzb_time_before (now, records->next))
--- a/src/submissions.c
+++ b/src/submissions.c
@@ -136,7 +136,7 @@
         break;
       g_queue_pop_head (&api->submissions);
       bytes += length;
-      hzb_jobs_txn_if_not_over (txn, uid); /* long since */
+      hzb_jobs_compare_not_terminal (txn, uid); /* long since */
       cJSON_AddItemToObject (batch->record, uid, cJSON_Parse (submission->packed));
       g_ptr_array_add (batch->entries, submission);
     }
--- a/src/user-api.c
+++ b/src/user-api.c
@@ -235,7 +235,7 @@
 static void
 read_old (HzbUserApi *api, HzbCheck *check)
 {
-  read_record (api, check, HZB_KEY_ENDED, on_read_old);
+  read_record (api, check, HZB_KEY_ARCHIVED, on_read_old);
 }
 
 /* The record is known to be the newest: what was asked can be answered. */
@@ -407,7 +407,7 @@
   batch = hzb_user_api_batch_new (api);
   txn = hzb_wire_txn ();
   g_ptr_array_add (batch->entries, check);
-  hzb_jobs_txn_if_not_over (txn, check->uid);
+  hzb_jobs_compare_not_terminal (txn, check->uid);
   hzb_wire_txn_put (txn, key, hzb_jobs_pack_final (HZB_JOB_CANCELLED, job->n_tasks), 0);
   hzb_kv_client_commit (api->controller->kv, HZB_KV_ACCEPT, txn, on_cancelled, batch);
 }
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -551,7 +551,7 @@
   SimJob *job = sim_add_job (sim, 1e8, "guest", 1, 1, 500);
   SimMachine *machine = machine_with_tasks (sim);
   Witness *witness = end_all (sim);
-  g_autofree char *old_end = g_strconcat (HZB_KEY_ENDED, job->uid, NULL);
+  g_autofree char *old_end = g_strconcat (HZB_KEY_ARCHIVED, job->uid, NULL);
   double seen;
 
   job->bad = TRUE; /* no user waits for it */
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -112,7 +112,7 @@
   sim_free (sim);
 }
 
-/* Records of jobs that ended long ago are not replicated, and still answer: users go on asking, submit again and cancel,
+/* Records of jobs that completed long ago are not replicated, and still answer: users go on asking, submit again and cancel,
  * while nodes end and one misses so much that it has to read all anew. */
 static void
 test_old_ones_move (void)
@@ -148,10 +148,10 @@
       g_hash_table_iter_init (&iter, sim->kv);
       while (g_hash_table_iter_next (&iter, &key, NULL))
         {
-          moved += g_str_has_prefix (key, HZB_KEY_ENDED);
-          if (g_str_has_prefix (key, HZB_KEY_ENDED)) /* in one place only */
+          moved += g_str_has_prefix (key, HZB_KEY_ARCHIVED);
+          if (g_str_has_prefix (key, HZB_KEY_ARCHIVED)) /* in one place only */
             {
-              g_autofree char *other = g_strconcat (HZB_KEY_JOBS, (char *) key + strlen (HZB_KEY_ENDED), NULL);
+              g_autofree char *other = g_strconcat (HZB_KEY_JOBS, (char *) key + strlen (HZB_KEY_ARCHIVED), NULL);
               g_assert_false (g_hash_table_contains (sim->kv, other));
             }
         }
@@ -187,7 +187,7 @@
 {
   Sim *sim = sim_new (70);
   g_autofree char *known = long_submission ("run-700001"), *other = long_submission ("run-700002");
-  sim_put_record (sim, HZB_KEY_ENDED "run-700001", "{\"state\":\"done\",\"n\":2}");
+  sim_put_record (sim, HZB_KEY_ARCHIVED "run-700001", "{\"state\":\"done\",\"n\":2}");
   sim_run (sim, 5);
   for (guint i = 0; i < SIM_NODES; i++)
     {
