--- a/src/cancellations.c
+++ b/src/cancellations.c
@@ -17,7 +17,7 @@
  * machines obey controllers only. Controllers tell each other what they lack, so that one that the key-value store refuses learns
  * of it too. And one that learns of nothing, since it stands still or reaches neither the key-value store nor a peer, does not
  * have to be waited for: it answers no worker once it could have missed a cancellation (may_answer_workers ()), so some
- * seconds after all others knew, nobody acts without it (hzb_peers_withheld_revision ()). */
+ * seconds after all others knew, nobody acts without it (hzb_peers_fenced_revision ()). */
 #include "controller.h"
 
 #define MAX_REQUESTS_PER_MESSAGE 64u
@@ -40,7 +40,7 @@
   GQueue requests; /* PendingRequest, the one that was asked longest ago first */
   HzbCancellationLog *log;
   guint64 learned_revision; /* peers have told of all up to here */
-  gboolean withholds;       /* once set, for the rest of the process */
+  gboolean self_fenced;     /* once set, for the rest of the process */
   gboolean reading;
   struct timespec next_read;
 };
@@ -86,7 +86,7 @@
 {
   return job->state == HZB_JOB_CANCELLED && job->version
          && (hzb_peers_all_know_cancellations (controller->peers, job->version)
-             || job->version <= hzb_peers_withheld_revision (controller->peers));
+             || job->version <= hzb_peers_fenced_revision (controller->peers));
 }
 
 /* The owner's own view: nothing of the job can be where this cancellation is not known. */
@@ -368,14 +368,14 @@
 }
 
 gboolean
-hzb_cancellations_withholds_answers (HzbCancellations *cancellations)
+hzb_cancellations_self_fenced (HzbCancellations *cancellations)
 {
   HzbController *controller = cancellations->controller;
   /* For good: others rely on it while they can't reach this process. Not before every peer can tell what it knows, or work
    * would be given up in an outage of the key-value store. */
-  if (!cancellations->withholds && controller->settings->peers->len)
-    cancellations->withholds = hzb_peers_all_tell_cancellations (controller->peers);
-  return cancellations->withholds;
+  if (!cancellations->self_fenced && controller->settings->peers->len)
+    cancellations->self_fenced = hzb_peers_all_list_cancellations (controller->peers);
+  return cancellations->self_fenced;
 }
 
 gboolean
@@ -385,8 +385,8 @@
   struct timespec kv_replica, peers;
 
   /* Also while nobody was heard yet: others may rely on what an earlier process of this node had said. */
-  if (!hzb_cancellations_withholds_answers (cancellations)
-      && (!controller->settings->peers->len || hzb_peers_any_tells_none (controller->peers)))
+  if (!hzb_cancellations_self_fenced (cancellations)
+      && (!controller->settings->peers->len || hzb_peers_any_lists_no_cancellations (controller->peers)))
     return TRUE;
   kv_replica = hzb_kv_replica_current_as_of (controller->kv_replica);
   peers = hzb_peers_current_as_of (controller->peers);
--- a/src/cancellations.h
+++ b/src/cancellations.h
@@ -49,8 +49,8 @@
 /** hzb_cancellations_learn: a peer has named all cancellations between those known here and this revision. */
 void hzb_cancellations_learn (HzbCancellations *cancellations, const GArray *learned, guint64 up_to);
 
-/** hzb_cancellations_withholds_answers: this process answers no worker while it could have missed a cancellation. */
-gboolean hzb_cancellations_withholds_answers (HzbCancellations *cancellations);
+/** hzb_cancellations_self_fenced: this process answers no worker while it could have missed a cancellation. */
+gboolean hzb_cancellations_self_fenced (HzbCancellations *cancellations);
 
 /** hzb_cancellations_may_answer_workers: it can't have missed one that others rely on. */
 gboolean hzb_cancellations_may_answer_workers (HzbCancellations *cancellations);
--- a/src/kv-client.c
+++ b/src/kv-client.c
@@ -35,7 +35,7 @@
   GQueue waiting[HZB_KV_N_PRIORITIES];
   double requests, writes; /* what the budget holds now */
   struct timespec filled, served, not_before, next_expiry;
-  gboolean ever_served, told_malformed;
+  gboolean ever_served, logged_malformed;
 };
 
 HzbKvClient *
@@ -97,11 +97,11 @@
            : status == 0 || status >= 500   ? (status == 503 ? HZB_KV_REFUSED : HZB_KV_UNKNOWN)
                                             : HZB_KV_REFUSED;
   /* Once: whoever sent it will try again, and a log full of it helps nobody. */
-  if (status == 400 && !client->told_malformed)
+  if (status == 400 && !client->logged_malformed)
     g_warning ("store: %s %s with %u changes and %u bytes is refused: %s (more of these are not logged)",
                request->method, request->path, request->writes, (guint) (request->body ? strlen (request->body) : 0),
                body);
-  client->told_malformed = client->told_malformed || status == 400;
+  client->logged_malformed = client->logged_malformed || status == 400;
   request->done (result, body, request->user);
   request_free (request);
 }
--- a/src/peer-heartbeat.c
+++ b/src/peer-heartbeat.c
@@ -27,7 +27,7 @@
   g_array_set_clear_func (heartbeat->counts, task_counts_clear);
   heartbeat->peer_states = g_array_new (FALSE, FALSE, sizeof (HzbPeerState));
   g_array_set_clear_func (heartbeat->peer_states, peer_state_clear);
-  heartbeat->known_marks = g_array_new (FALSE, FALSE, sizeof (HzbKnownMark));
+  heartbeat->watermarks = g_array_new (FALSE, FALSE, sizeof (HzbWatermarkAge));
   heartbeat->cancellations = hzb_cancellations_array_new ();
   return heartbeat;
 }
@@ -37,7 +37,7 @@
 {
   g_array_unref (heartbeat->counts);
   g_array_unref (heartbeat->peer_states);
-  g_array_unref (heartbeat->known_marks);
+  g_array_unref (heartbeat->watermarks);
   g_array_unref (heartbeat->cancellations);
   g_free (heartbeat);
 }
@@ -51,9 +51,9 @@
 
 void
 hzb_peer_heartbeat_add_peer_state (HzbPeerHeartbeat *heartbeat, const char *node, guint64 born,
-                                   guint64 cancellations_known, gboolean withholds_answers)
+                                   guint64 cancellations_known, gboolean self_fenced)
 {
-  HzbPeerState state = { g_strdup (node), born, cancellations_known, withholds_answers };
+  HzbPeerState state = { g_strdup (node), born, cancellations_known, self_fenced };
   g_array_append_val (heartbeat->peer_states, state);
 }
 
@@ -68,24 +68,24 @@
       cJSON_AddStringToObject (item, "node", state->node);
       hzb_json_add_u64 (item, "born", state->born);
       hzb_json_add_u64 (item, "cancelledKnown", state->cancellations_known);
-      cJSON_AddBoolToObject (item, "withholds", state->withholds_answers);
+      cJSON_AddBoolToObject (item, "withholds", state->self_fenced);
       cJSON_AddItemToArray (list, item);
     }
 }
 
 static void
-encode_known_marks (const HzbPeerHeartbeat *heartbeat, cJSON *message)
+encode_watermarks (const HzbPeerHeartbeat *heartbeat, cJSON *message)
 {
   cJSON *list = cJSON_AddArrayToObject (message, "knownMarks");
-  for (guint i = 0; i < heartbeat->known_marks->len; i++)
+  for (guint i = 0; i < heartbeat->watermarks->len; i++)
     {
-      const HzbKnownMark *mark = &g_array_index (heartbeat->known_marks, HzbKnownMark, i);
+      const HzbWatermarkAge *mark = &g_array_index (heartbeat->watermarks, HzbWatermarkAge, i);
       cJSON *item = cJSON_CreateObject ();
       hzb_json_add_u64 (item, "version", mark->revision);
       cJSON_AddNumberToObject (item, "ageS", floor (mark->age_s * MS_PER_S) / MS_PER_S);
       cJSON_AddItemToArray (list, item);
     }
-  hzb_json_add_u64 (message, "withheld", heartbeat->withheld_revision);
+  hzb_json_add_u64 (message, "withheld", heartbeat->fenced_revision);
 }
 
 static void
@@ -127,9 +127,9 @@
   cJSON_AddNumberToObject (message, "storeSilenceS", MIN (heartbeat->kv_unresponsive_s, NEVER_SERVED_S));
   hzb_json_add_u64 (message, "mirrored", heartbeat->replicated_revision);
   hzb_json_add_u64 (message, "cancelledKnown", heartbeat->cancellations_known);
-  cJSON_AddBoolToObject (message, "withholds", heartbeat->withholds_answers);
+  cJSON_AddBoolToObject (message, "withholds", heartbeat->self_fenced);
   encode_peer_states (heartbeat, message);
-  encode_known_marks (heartbeat, message);
+  encode_watermarks (heartbeat, message);
   if (heartbeat->counts->len)
     encode_counts (heartbeat, message);
   if (heartbeat->partial_counts)
@@ -168,15 +168,15 @@
 }
 
 static void
-decode_known_marks (HzbPeerHeartbeat *heartbeat, const cJSON *message)
+decode_watermarks (HzbPeerHeartbeat *heartbeat, const cJSON *message)
 {
   const cJSON *item;
-  heartbeat->withheld_revision = hzb_json_u64 (message, "withheld");
+  heartbeat->fenced_revision = hzb_json_u64 (message, "withheld");
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (message, "knownMarks"))
     {
-      HzbKnownMark mark = { hzb_json_u64 (item, "version"), hzb_json_number (item, "ageS", -1) };
+      HzbWatermarkAge mark = { hzb_json_u64 (item, "version"), hzb_json_number (item, "ageS", -1) };
       if (mark.revision && mark.age_s >= 0)
-        g_array_append_val (heartbeat->known_marks, mark);
+        g_array_append_val (heartbeat->watermarks, mark);
     }
 }
 
@@ -211,10 +211,10 @@
   heartbeat->kv_unresponsive_s = hzb_json_number (message, "storeSilenceS", NEVER_SERVED_S);
   heartbeat->replicated_revision = hzb_json_u64 (message, "mirrored");
   heartbeat->cancellations_known = hzb_json_u64 (message, "cancelledKnown");
-  heartbeat->tells_cancellations = cJSON_HasObjectItem (message, "cancelledKnown");
-  heartbeat->withholds_answers = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "withholds"));
+  heartbeat->lists_cancellations = cJSON_HasObjectItem (message, "cancelledKnown");
+  heartbeat->self_fenced = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "withholds"));
   decode_peer_states (heartbeat, cJSON_GetObjectItemCaseSensitive (message, "about"));
-  decode_known_marks (heartbeat, message);
+  decode_watermarks (heartbeat, message);
   decode_cancellations (heartbeat, message);
   heartbeat->partial_counts = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "partial"));
   decode_counts (heartbeat, cJSON_GetObjectItemCaseSensitive (message, "jobs"));
--- a/src/peer-heartbeat.h
+++ b/src/peer-heartbeat.h
@@ -24,15 +24,15 @@
   char *node;
   guint64 born; /* of the process that said so, in milliseconds of the time of day */
   guint64 cancellations_known;
-  gboolean withholds_answers;
+  gboolean self_fenced;
 } HzbPeerState;
 
-/** HzbKnownMark: for at least so long all controllers but one have known all cancellations up to the revision. */
+/** HzbWatermarkAge: for at least so long all controllers but one have known all cancellations up to the revision. */
 typedef struct
 {
   guint64 revision;
   double age_s;
-} HzbKnownMark;
+} HzbWatermarkAge;
 
 /** HzbPeerHeartbeat: */
 typedef struct
@@ -47,15 +47,15 @@
       replicated_revision; /* its replica of the records has all changes up to this revision; 0: a version that does not say */
   /* All cancellations recorded up to here are known to the sender, by its replica of the records or by peers; 0: a version that does not say. */
   guint64 cancellations_known;
-  gboolean tells_cancellations; /* its replies name what the receiver lacks; FALSE: a version that does not */
+  gboolean lists_cancellations; /* its replies name what the receiver lacks; FALSE: a version that does not */
   /* It answers no worker once it could have missed a cancellation, see cancellations.h. */
-  gboolean withholds_answers;
+  gboolean self_fenced;
   gboolean partial_counts; /* of some of the jobs only: of the others other heartbeats tell */
   GArray *counts;          /* HzbTaskCounts, of the leader's unfinished jobs; may be empty */
 
-  GArray *peer_states;       /* HzbPeerState, of the other controllers */
-  GArray *known_marks;       /* HzbKnownMark, rising */
-  guint64 withheld_revision; /* see hzb_peers_withheld_revision() */
+  GArray *peer_states;     /* HzbPeerState, of the other controllers */
+  GArray *watermarks;      /* HzbWatermarkAge, rising */
+  guint64 fenced_revision; /* see hzb_peers_fenced_revision() */
 
   /* In replies only: what the receiver lacks. */
   GArray *cancellations;       /* HzbCancellation, of what was recorded after the revision that the request stated */
@@ -72,7 +72,7 @@
 
 /** hzb_peer_heartbeat_add_peer_state: what is known of one more controller. */
 void hzb_peer_heartbeat_add_peer_state (HzbPeerHeartbeat *heartbeat, const char *node, guint64 born,
-                                        guint64 cancellations_known, gboolean withholds_answers);
+                                        guint64 cancellations_known, gboolean self_fenced);
 
 /** hzb_peer_heartbeat_encode: adds the heartbeat's fields to a message. */
 void hzb_peer_heartbeat_encode (const HzbPeerHeartbeat *heartbeat, cJSON *message);
--- a/src/peers.c
+++ b/src/peers.c
@@ -3,8 +3,8 @@
  * Copies of old messages may come late, also from a process that has ended since. So each says which process sent it,
  * when that began, and counts: what is not the newest of its kind is refused, whoever it is from. */
 #include "controller.h"
-#include "known-marks.h"
 #include "peer-heartbeat.h"
+#include "watermarks.h"
 
 #include <string.h>
 
@@ -33,12 +33,12 @@
   gboolean sends_workers; /* to the leader, lately */
   gboolean lost_workers;  /* and gave way for that, not long ago */
   gboolean logged_old_format;
-  guint format;           /* of records and messages, as it last said */
-  guint64 known_revision; /* it knows all cancellations up to here; 0: a version that does not say */
-  gboolean tells_cancellations, withholds_answers; /* see HzbPeerHeartbeat */
+  guint format;                              /* of records and messages, as it last said */
+  guint64 known_revision;                    /* it knows all cancellations up to here; 0: a version that does not say */
+  gboolean lists_cancellations, self_fenced; /* see HzbPeerHeartbeat */
   /* What others have said of it, while this process has not heard it itself. */
-  guint64 vouched_born, vouched_known;
-  gboolean vouched_withholds;
+  guint64 relayed_born, relayed_known;
+  gboolean relayed_self_fenced;
   /* by what it sent of its own accord */
   char *incarnation;
   guint64 born, number[HZB_PEER_N_KINDS];
@@ -62,7 +62,7 @@
   guint64 born, number;
   struct timespec next;
   struct timespec current_as_of; /* see hzb_peers_current_as_of() */
-  HzbKnownMarks known_marks;
+  HzbWatermarks watermarks;
 };
 
 HzbPeers *
@@ -75,7 +75,7 @@
   peers->display = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   peers->retired = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   peers->views = g_array_new (FALSE, TRUE, sizeof (View));
-  hzb_known_marks_init (&peers->known_marks, WITHHELD_AFTER_S);
+  hzb_watermarks_init (&peers->watermarks, WITHHELD_AFTER_S);
   for (guint i = 0; i < controller->settings->peers->len; i++)
     {
       View view = { .peer = controller->settings->peers->pdata[i], .kv_unresponsive_s = 1e6 };
@@ -90,7 +90,7 @@
   for (guint i = 0; i < peers->views->len; i++)
     g_free (g_array_index (peers->views, View, i).incarnation);
   g_array_unref (peers->views);
-  hzb_known_marks_clear (&peers->known_marks);
+  hzb_watermarks_clear (&peers->watermarks);
   g_hash_table_unref (peers->display);
   g_hash_table_unref (peers->retired);
   g_free (peers);
@@ -206,13 +206,13 @@
 static guint64
 known_revision_of (const View *view)
 {
-  return view->incarnation ? view->known_revision : view->vouched_known;
+  return view->incarnation ? view->known_revision : view->relayed_known;
 }
 
 static gboolean
-withholds_answers (const View *view)
+is_self_fenced (const View *view)
 {
-  return view->incarnation ? view->withholds_answers : view->vouched_withholds;
+  return view->incarnation ? view->self_fenced : view->relayed_self_fenced;
 }
 
 gboolean
@@ -227,22 +227,22 @@
 }
 
 gboolean
-hzb_peers_any_tells_none (HzbPeers *peers)
+hzb_peers_any_lists_no_cancellations (HzbPeers *peers)
 {
   for (guint i = 0; i < peers->views->len; i++)
     {
       const View *view = &g_array_index (peers->views, View, i);
-      if (hzb_time_is_set (view->last_heartbeat) && !view->tells_cancellations)
+      if (hzb_time_is_set (view->last_heartbeat) && !view->lists_cancellations)
         return TRUE;
     }
   return FALSE;
 }
 
 gboolean
-hzb_peers_all_tell_cancellations (HzbPeers *peers)
+hzb_peers_all_list_cancellations (HzbPeers *peers)
 {
   for (guint i = 0; i < peers->views->len; i++)
-    if (!g_array_index (peers->views, View, i).tells_cancellations)
+    if (!g_array_index (peers->views, View, i).lists_cancellations)
       return FALSE;
   return TRUE;
 }
@@ -254,18 +254,18 @@
 }
 
 guint64
-hzb_peers_withheld_revision (HzbPeers *peers)
+hzb_peers_fenced_revision (HzbPeers *peers)
 {
-  return peers->known_marks.withheld_revision;
+  return peers->watermarks.fenced_revision;
 }
 
-/* The highest revision up to which all controllers but one know all cancellations, if that one withholds its answers once it
+/* The highest revision up to which all controllers but one know all cancellations, if that one has fenced itself once it
  * could have missed any; 0: there is none. */
 static guint64
 revision_known_but_to_one (HzbPeers *peers)
 {
   guint64 lowest = G_MAXUINT64, second = G_MAXUINT64;
-  gboolean withholds = FALSE;
+  gboolean self_fenced = FALSE;
 
   if (peers->views->len + 1 < peers->controller->settings->size)
     return 0; /* the settings name fewer than there are */
@@ -277,19 +277,19 @@
         {
           second = lowest;
           lowest = known;
-          withholds = withholds_answers (view);
+          self_fenced = is_self_fenced (view);
         }
       else
         second = MIN (second, known);
     }
-  return withholds ? MIN (second, hzb_kv_replica_revision (peers->controller->kv_replica)) : 0;
+  return self_fenced ? MIN (second, hzb_kv_replica_revision (peers->controller->kv_replica)) : 0;
 }
 
 static void
 note_known_revisions (HzbPeers *peers, struct timespec now)
 {
-  hzb_known_marks_add (&peers->known_marks, now, revision_known_but_to_one (peers));
-  hzb_known_marks_advance (&peers->known_marks, now);
+  hzb_watermarks_add (&peers->watermarks, now, revision_known_but_to_one (peers));
+  hzb_watermarks_advance (&peers->watermarks, now);
 }
 
 gboolean
@@ -358,7 +358,7 @@
       view->born = MAX (born, view->born);
       view->format = 1; /* until it says another */
       view->known_revision = 0;
-      view->tells_cancellations = view->withholds_answers = FALSE;
+      view->lists_cancellations = view->self_fenced = FALSE;
       memset (view->number, 0, sizeof view->number);
     }
   if (number <= view->number[kind])
@@ -392,23 +392,23 @@
 
 /* What this controller has of others, for those that have begun anew since. */
 static void
-add_hearsay (HzbPeers *peers, HzbPeerHeartbeat *heartbeat, struct timespec now)
+add_relayed_state (HzbPeers *peers, HzbPeerHeartbeat *heartbeat, struct timespec now)
 {
   for (guint i = 0; i < peers->views->len; i++)
     {
       const View *view = &g_array_index (peers->views, View, i);
-      guint64 born = view->incarnation ? view->born : view->vouched_born;
+      guint64 born = view->incarnation ? view->born : view->relayed_born;
       if (born)
         hzb_peer_heartbeat_add_peer_state (heartbeat, view->peer->node, born, known_revision_of (view),
-                                           withholds_answers (view));
+                                           is_self_fenced (view));
     }
-  for (GList *l = peers->known_marks.marks.head; l; l = l->next)
+  for (GList *l = peers->watermarks.marks.head; l; l = l->next)
     {
-      const HzbSinceMark *mark = l->data;
-      HzbKnownMark said = { mark->revision, hzb_time_between (mark->since, now) };
-      g_array_append_val (heartbeat->known_marks, said);
+      const HzbWatermark *mark = l->data;
+      HzbWatermarkAge said = { mark->revision, hzb_time_between (mark->since, now) };
+      g_array_append_val (heartbeat->watermarks, said);
     }
-  heartbeat->withheld_revision = peers->known_marks.withheld_revision;
+  heartbeat->fenced_revision = peers->watermarks.fenced_revision;
 }
 
 /* Of a process that this one has heard itself nobody else has to tell. */
@@ -416,27 +416,27 @@
 take_peer_state (HzbPeers *peers, const HzbPeerState *state)
 {
   View *view = view_of (peers, state->node);
-  if (!view || view->incarnation || state->born < view->vouched_born)
+  if (!view || view->incarnation || state->born < view->relayed_born)
     return;
-  view->vouched_known = state->born > view->vouched_born ? state->cancellations_known
-                                                         : MAX (view->vouched_known, state->cancellations_known);
-  view->vouched_born = state->born;
-  view->vouched_withholds = state->withholds_answers;
+  view->relayed_known = state->born > view->relayed_born ? state->cancellations_known
+                                                         : MAX (view->relayed_known, state->cancellations_known);
+  view->relayed_born = state->born;
+  view->relayed_self_fenced = state->self_fenced;
 }
 
 /* All of it stays true, whoever says it and however late it comes. */
 static void
-take_hearsay (HzbPeers *peers, const HzbPeerHeartbeat *heartbeat)
+apply_relayed_state (HzbPeers *peers, const HzbPeerHeartbeat *heartbeat)
 {
   struct timespec now = hzb_clock_now (peers->controller->clock);
 
   for (guint i = 0; i < heartbeat->peer_states->len; i++)
     take_peer_state (peers, &g_array_index (heartbeat->peer_states, HzbPeerState, i));
-  hzb_known_marks_raise (&peers->known_marks, heartbeat->withheld_revision);
-  for (guint i = 0; i < heartbeat->known_marks->len; i++)
+  hzb_watermarks_raise (&peers->watermarks, heartbeat->fenced_revision);
+  for (guint i = 0; i < heartbeat->watermarks->len; i++)
     {
-      const HzbKnownMark *mark = &g_array_index (heartbeat->known_marks, HzbKnownMark, i);
-      hzb_known_marks_add (&peers->known_marks, hzb_time_plus (now, -mark->age_s), mark->revision);
+      const HzbWatermarkAge *mark = &g_array_index (heartbeat->watermarks, HzbWatermarkAge, i);
+      hzb_watermarks_add (&peers->watermarks, hzb_time_plus (now, -mark->age_s), mark->revision);
     }
 }
 
@@ -458,8 +458,8 @@
   heartbeat->kv_unresponsive_s = hzb_kv_client_unresponsive_s (controller->kv);
   heartbeat->replicated_revision = hzb_kv_replica_revision (controller->kv_replica);
   heartbeat->cancellations_known = hzb_cancellations_known_revision (controller->cancellations);
-  heartbeat->withholds_answers = hzb_cancellations_withholds_answers (controller->cancellations);
-  add_hearsay (peers, heartbeat, now);
+  heartbeat->self_fenced = hzb_cancellations_self_fenced (controller->cancellations);
+  add_relayed_state (peers, heartbeat, now);
   if (controller->ownership >= HZB_OWNERSHIP_RECOVERING)
     add_counts (peers, heartbeat);
   return heartbeat;
@@ -504,10 +504,10 @@
   view->format = heartbeat->format;
   view->known_revision =
       MAX (view->known_revision, MAX (heartbeat->replicated_revision, heartbeat->cancellations_known));
-  view->tells_cancellations = heartbeat->tells_cancellations;
-  view->withholds_answers = heartbeat->withholds_answers;
+  view->lists_cancellations = heartbeat->lists_cancellations;
+  view->self_fenced = heartbeat->self_fenced;
   view->leads = heartbeat->leads;
-  take_hearsay (peers, heartbeat);
+  apply_relayed_state (peers, heartbeat);
   if (view->leads)
     take_counts (peers, heartbeat);
   peers->highest_known_term = MAX (peers->highest_known_term, view->term);
@@ -598,7 +598,7 @@
   g_autoptr (HzbPeerHeartbeat) heartbeat = heartbeat_of_now (peers);
   cJSON *reply = cJSON_CreateObject ();
 
-  if (theirs->tells_cancellations)
+  if (theirs->lists_cancellations)
     heartbeat->cancellations_up_to = hzb_cancellations_since (peers->controller->cancellations,
                                                               theirs->cancellations_known, heartbeat->cancellations);
   hzb_peer_heartbeat_encode (heartbeat, reply);
--- a/src/peers.h
+++ b/src/peers.h
@@ -61,13 +61,13 @@
 gboolean hzb_peers_all_know_cancellations (HzbPeers *peers, guint64 revision);
 
 /**
- * hzb_peers_all_tell_cancellations: every other controller is of a version whose replies to heartbeats name the
+ * hzb_peers_all_list_cancellations: every other controller is of a version whose replies to heartbeats name the
  * cancellations that the asker lacks.
  */
-gboolean hzb_peers_all_tell_cancellations (HzbPeers *peers);
+gboolean hzb_peers_all_list_cancellations (HzbPeers *peers);
 
-/** hzb_peers_any_tells_none: some controller that was heard is of a version whose replies name none. */
-gboolean hzb_peers_any_tells_none (HzbPeers *peers);
+/** hzb_peers_any_lists_no_cancellations: some controller that was heard is of a version whose replies name none. */
+gboolean hzb_peers_any_lists_no_cancellations (HzbPeers *peers);
 
 /**
  * hzb_peers_current_as_of: whatever cancellations a peer knew by then are known here: when the heartbeat was sent that a peer
@@ -76,10 +76,10 @@
 struct timespec hzb_peers_current_as_of (HzbPeers *peers);
 
 /**
- * hzb_peers_withheld_revision: all controllers know the cancellations up to this revision, but for at most one, and that one
+ * hzb_peers_fenced_revision: all controllers know the cancellations up to this revision, but for at most one, and that one
  * has had the time to learn of them or to stop answering workers. Never falls.
  */
-guint64 hzb_peers_withheld_revision (HzbPeers *peers);
+guint64 hzb_peers_fenced_revision (HzbPeers *peers);
 
 /** hzb_peers_last_kv_contact: when the key-value store last served the node, as it said. Returns: FALSE if unknown. */
 gboolean hzb_peers_last_kv_contact (HzbPeers *peers, const char *node, struct timespec *at);
--- a/tests/test-peer-heartbeat.c
+++ b/tests/test-peer-heartbeat.c
@@ -113,7 +113,7 @@
   g_autoptr (HzbPeerHeartbeat) heartbeat = hzb_peer_heartbeat_new (), received = NULL;
   HzbCancellation cancellation = { g_strdup ("run-000007"), 4000000123, 12 };
 
-  heartbeat->leads = heartbeat->withholds_answers = heartbeat->lost_workers = TRUE;
+  heartbeat->leads = heartbeat->self_fenced = heartbeat->lost_workers = TRUE;
   heartbeat->term = 12;
   heartbeat->format = 2;
   heartbeat->replicated_revision = 4000000120;
@@ -122,8 +122,7 @@
   g_array_append_val (heartbeat->cancellations, cancellation);
   hzb_peer_heartbeat_add_counts (heartbeat, "run-000009", 3, 4);
   received = sent_and_received (heartbeat);
-  g_assert_true (received->leads && received->withholds_answers && received->lost_workers
-                 && received->tells_cancellations);
+  g_assert_true (received->leads && received->self_fenced && received->lost_workers && received->lists_cancellations);
   g_assert_false (received->sends_workers);
   g_assert_cmpuint (received->term, ==, 12);
   g_assert_cmpuint (received->format, ==, 2);
@@ -156,7 +155,7 @@
   g_autoptr (HzbPeerHeartbeat) bad_name =
       decoded ("{\"cancelledUpTo\":9,\"cancelled\":{\"../x\":{\"version\":3,\"n\":1}}}");
 
-  g_assert_false (old->tells_cancellations || old->withholds_answers);
+  g_assert_false (old->lists_cancellations || old->self_fenced);
   g_assert_true (old->sends_workers);
   g_assert_cmpuint (old->cancellations_known + old->replicated_revision + old->cancellations_up_to, ==, 0);
   g_assert_cmpuint (old->format, ==, 1);
