--- a/src/admin.c
+++ b/src/admin.c
@@ -220,7 +220,7 @@
       cJSON_AddNumberToObject (item, "tasks", machine->tasks->len);
       cJSON_AddNumberToObject (item, "listed", hzb_machine_queued_tasks (machine));
       cJSON_AddNumberToObject (item, "cpusUsed", machine->cpus);
-      cJSON_AddBoolToObject (item, "toBeReturned", machine->to_be_returned);
+      cJSON_AddBoolToObject (item, "toBeReturned", machine->scale_in_requested);
       cJSON_AddItemToArray (list, item);
     }
   return root;
@@ -304,7 +304,7 @@
       return;
     }
   /* It takes no new tasks and goes back once it is empty; on record, so that a new leader does the same. */
-  machine->to_be_returned = machine->drain = TRUE;
+  machine->scale_in_requested = machine->drain = TRUE;
   machine->recorded = machine->recording = FALSE;
   hzb_records_flush_soon (controller->records);
   g_message ("machine %s: an operator wants it drained", machine->name);
--- a/src/autoscaler.c
+++ b/src/autoscaler.c
@@ -59,7 +59,7 @@
 }
 
 void
-hzb_autoscaler_note_refused (HzbAutoscaler *autoscaler, const HzbRental *rental, struct timespec now)
+hzb_autoscaler_note_refused (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *rental, struct timespec now)
 {
   char *name = offer_name (rental->type, rental->zone, rental->spot);
   Refusal *refusal = g_hash_table_lookup (autoscaler->refused, name);
@@ -74,7 +74,7 @@
 }
 
 void
-hzb_autoscaler_note_granted (HzbAutoscaler *autoscaler, const HzbRental *rental)
+hzb_autoscaler_note_granted (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *rental)
 {
   g_autofree char *name = offer_name (rental->type, rental->zone, rental->spot);
   g_hash_table_remove (autoscaler->refused, name);
@@ -132,7 +132,7 @@
           for (guint k = 0; k < autoscaler->machines->all->len; k++)
             {
               const HzbMachine *machine = autoscaler->machines->all->pdata[k];
-              if (machine->type && !machine->to_be_returned && g_str_equal (machine->zone, type->zones[z])
+              if (machine->type && !machine->scale_in_requested && g_str_equal (machine->zone, type->zones[z])
                   && hzb_type_holds (machine->type, spec))
                 cpus += machine->type->cpus;
             }
@@ -152,7 +152,7 @@
 {
   guint n = MIN (job->delegated_leaving, job->placed);
   for (guint k = 0; job->placed && k < job->n_tasks; k++)
-    n += hzb_task_on_machine (&job->tasks[k]) && job->tasks[k].machine->spare;
+    n += hzb_task_on_machine (&job->tasks[k]) && job->tasks[k].machine->scale_in_candidate;
   return MIN (n, job->placed);
 }
 
@@ -333,7 +333,7 @@
   for (guint k = 0; k < autoscaler->machines->all->len; k++)
     {
       const HzbMachine *machine = autoscaler->machines->all->pdata[k];
-      if (!machine->type || machine->to_be_returned || machine->spare
+      if (!machine->type || machine->scale_in_requested || machine->scale_in_candidate
           || !kind_fits (machine->type, machine->zone, machine->spot, demand)
           || (machine->reserved_for_services && !demand->services))
         continue;
@@ -350,9 +350,9 @@
 #define MOST_RENTALS_PER_PLAN 8u /* calls of one plan; the next plan waits for their answers */
 
 GArray *
-hzb_autoscaler_rentals (HzbAutoscaler *autoscaler, struct timespec now)
+hzb_autoscaler_scale_out (HzbAutoscaler *autoscaler, struct timespec now)
 {
-  GArray *out = g_array_new (FALSE, FALSE, sizeof (HzbRental));
+  GArray *out = g_array_new (FALSE, FALSE, sizeof (HzbScaleOutRequest));
   g_autoptr (GPtrArray) all = collect_demand (autoscaler, now);
   GPtrArray *types = autoscaler->machines->types;
 
@@ -365,7 +365,7 @@
 
       for (guint k = 0; k < out->len; k++)
         {
-          const HzbRental *r = &g_array_index (out, HzbRental, k);
+          const HzbScaleOutRequest *r = &g_array_index (out, HzbScaleOutRequest, k);
           if (kind_fits (r->type, r->zone, r->spot, demand))
             have += r->count * useful_units (r->type, demand);
         }
@@ -373,13 +373,13 @@
       for (guint k = 0; k < autoscaler->machines->all->len && have + 1e-6 < demanded_units (demand, 1); k++)
         {
           HzbMachine *machine = autoscaler->machines->all->pdata[k];
-          if (machine->spare && !machine->to_be_returned
+          if (machine->scale_in_candidate && !machine->scale_in_requested
               && (machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_LEASED) && machine->type
               && kind_fits (machine->type, machine->zone, machine->spot, demand)
               && have + 1e-6 < demanded_units (demand, unit_price (machine->type, machine->spot, demand)
                                                            / cheapest (autoscaler, demand, FALSE)))
             {
-              machine->spare = FALSE;
+              machine->scale_in_candidate = FALSE;
               machine->idle_since = now;
               have += useful_units (machine->type, demand);
             }
@@ -390,7 +390,7 @@
           const char *best_zone = NULL;
           gboolean best_spot = FALSE;
           double least = INFINITY, units, lack;
-          HzbRental rental;
+          HzbScaleOutRequest rental;
           for (guint t = 0; t < types->len; t++)
             {
               const HzbMachineType *type = types->pdata[t];
@@ -426,8 +426,8 @@
           lack = demanded_units (demand, least / least_price) - have;
           if (lack < (have > 0 ? MIN (1, units * 0.25) : 1e-6))
             break; /* what is dearer is wanted still less */
-          rental =
-              (HzbRental){ best, best_zone, best_spot, (guint) CLAMP (ceil (lack / units - 0.25), 1, MOST_PER_RENTAL) };
+          rental = (HzbScaleOutRequest){ best, best_zone, best_spot,
+                                         (guint) CLAMP (ceil (lack / units - 0.25), 1, MOST_PER_RENTAL) };
           g_array_append_val (out, rental);
           more_wanted = more_wanted || rental.count == MOST_PER_RENTAL;
           g_hash_table_add (tried, offer_name (best, best_zone, best_spot));
@@ -455,7 +455,7 @@
 /* Machines beyond what is wanted take no new tasks, the dearest first; once empty they go back. Spreading work
  * evenly, as the dispatch rule does, would keep every one of them half full for as long as there is any work. */
 static void
-mark_spare (HzbAutoscaler *autoscaler, struct timespec now)
+mark_scale_in_candidates (HzbAutoscaler *autoscaler, struct timespec now)
 {
   g_autoptr (GPtrArray) all = collect_demand (autoscaler, now);
   g_autoptr (GArray) candidates = g_array_new (FALSE, FALSE, sizeof (Candidate));
@@ -481,8 +481,9 @@
     {
       HzbMachine *machine = autoscaler->machines->all->pdata[i];
       Candidate c = { machine, 0 };
-      if ((machine->state != HZB_MACHINE_ACTIVE && machine->state != HZB_MACHINE_LEASED) || machine->spare
-          || machine->to_be_returned || !machine->type || machine->reserved_for_services || machine->service_cpus > 0)
+      if ((machine->state != HZB_MACHINE_ACTIVE && machine->state != HZB_MACHINE_LEASED) || machine->scale_in_candidate
+          || machine->scale_in_requested || !machine->type || machine->reserved_for_services
+          || machine->service_cpus > 0)
         continue;
       c.price = (machine->spot ? machine->type->spot_price : machine->type->price) / MAX (machine->type->cpus, 1e-3);
       g_array_append_val (candidates, c);
@@ -505,13 +506,13 @@
         }
       if (!surplus)
         {
-          machine->surplus = 0;
+          machine->plans_in_surplus = 0;
           continue;
         }
-      if (++machine->surplus < 4)
+      if (++machine->plans_in_surplus < 4)
         continue;
       g_debug ("machine %s is spare", machine->name);
-      machine->spare = TRUE;
+      machine->scale_in_candidate = TRUE;
       for (guint i = 0; i < all->len; i++)
         if (kind_fits (machine->type, machine->zone, machine->spot, all->pdata[i]))
           have[i] -= useful_units (machine->type, all->pdata[i]);
@@ -530,7 +531,7 @@
   double idle = hzb_time_between (machine->idle_since, now);
   return machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len == 0 && hzb_machine_queued_tasks (machine) == 0
          && hzb_time_between (machine->rented, now) > PAID_IN_ANY_CASE_S
-         && idle > (machine->spare ? SPARE_IDLE_S : autoscaler->idle_s);
+         && idle > (machine->scale_in_candidate ? SPARE_IDLE_S : autoscaler->idle_s);
 }
 
 static gboolean
@@ -542,19 +543,19 @@
 }
 
 GPtrArray *
-hzb_autoscaler_returns (HzbAutoscaler *autoscaler, struct timespec now)
+hzb_autoscaler_scale_in (HzbAutoscaler *autoscaler, struct timespec now)
 {
   GPtrArray *out = g_ptr_array_new ();
   HzbHeadroom headroom = hzb_headroom_plan (autoscaler->jobs, autoscaler->machines);
 
   hzb_headroom_reserve (&headroom, autoscaler->jobs, autoscaler->machines);
-  mark_spare (autoscaler, now);
+  mark_scale_in_candidates (autoscaler, now);
   for (guint i = 0; i < autoscaler->machines->all->len; i++)
     {
       HzbMachine *machine = autoscaler->machines->all->pdata[i];
-      if (machine->to_be_returned || machine->reserved_for_services || machine->quarantined)
+      if (machine->scale_in_requested || machine->reserved_for_services || machine->quarantined)
         continue;
-      if (machine->spare && hzb_machine_queued_tasks (machine))
+      if (machine->scale_in_candidate && hzb_machine_queued_tasks (machine))
         hzb_machine_clear_run_queues (autoscaler->jobs, machine);
       if (is_idle_for_long (autoscaler, machine, now) || never_came_up (machine, now))
         g_ptr_array_add (out, machine);
--- a/src/autoscaler.h
+++ b/src/autoscaler.h
@@ -8,7 +8,7 @@
   const char *zone; /* of the type */
   gboolean spot;
   guint count;
-} HzbRental;
+} HzbScaleOutRequest;
 
 typedef struct
 {
@@ -23,8 +23,8 @@
 
 HzbAutoscaler *hzb_autoscaler_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings);
 void hzb_autoscaler_free (HzbAutoscaler *autoscaler);
-GArray *hzb_autoscaler_rentals (HzbAutoscaler *autoscaler, struct timespec now); /* HzbRental */
+GArray *hzb_autoscaler_scale_out (HzbAutoscaler *autoscaler, struct timespec now); /* HzbScaleOutRequest */
 GPtrArray *
-hzb_autoscaler_returns (HzbAutoscaler *autoscaler, struct timespec now); /* HzbMachine, to be taken out of use */
-void hzb_autoscaler_note_refused (HzbAutoscaler *autoscaler, const HzbRental *rental, struct timespec now);
-void hzb_autoscaler_note_granted (HzbAutoscaler *autoscaler, const HzbRental *rental);
+hzb_autoscaler_scale_in (HzbAutoscaler *autoscaler, struct timespec now); /* HzbMachine, to be taken out of use */
+void hzb_autoscaler_note_refused (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *rental, struct timespec now);
+void hzb_autoscaler_note_granted (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *rental);
--- a/src/controller.h
+++ b/src/controller.h
@@ -84,7 +84,7 @@
   struct timespec last_tick;    /* the timer's */
   struct timespec lost_workers; /* when this node last stepped down because no worker reported */
   struct timespec redirected;   /* when a worker was last sent to the leader from here */
-  struct timespec owner_since, next_survey, next_plan, next_dispatch, next_summary;
+  struct timespec owner_since, next_scan, next_plan, next_dispatch, next_summary;
 };
 
 HzbController *hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed);
--- a/src/headroom.c
+++ b/src/headroom.c
@@ -8,7 +8,7 @@
 static gboolean
 suits (const HzbMachine *machine, const HzbJobSpec *spec, const char *zone)
 {
-  return machine->type && !machine->spot && !machine->to_be_returned && !machine->unreachable
+  return machine->type && !machine->spot && !machine->scale_in_requested && !machine->unreachable
          && hzb_type_holds (machine->type, spec)
          && (machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_LEASED
              || machine->state == HZB_MACHINE_BOOTING || machine->state == HZB_MACHINE_UNVERIFIED)
@@ -183,7 +183,7 @@
       while (free < want && (machine = next_to_reserve (headroom, machines, headroom->zones[z].zone)))
         {
           machine->reserved_for_services = TRUE;
-          machine->spare = FALSE;
+          machine->scale_in_candidate = FALSE;
           if (machine->state == HZB_MACHINE_ACTIVE)
             hzb_machine_clear_run_queues (jobs, machine);
           free += free_for_replicas (machine);
--- a/src/leaseholder.c
+++ b/src/leaseholder.c
@@ -5,10 +5,10 @@
 
 #include <string.h>
 
-#define ASK_S 0.4
-#define ASK_SOON_S 0.25 /* with news; a question costs both sides as much as a worker's heartbeat */
-#define ASK_TIMEOUT_MS 1500
-#define GIVE_UP_S 5.0 /* it lets go when the leader has not answered for so long: it sits on no machines */
+#define POLL_INTERVAL_S 0.4
+#define POLL_SOON_INTERVAL_S 0.25 /* with news; a question costs both sides as much as a worker's heartbeat */
+#define POLL_TIMEOUT_MS 1500
+#define LEASE_ABANDON_S 5.0 /* it lets go when the leader has not answered for so long: it sits on no machines */
 /* Of the shard's CPUs: tasks requested beyond its free room, so that no slot waits for the next answer. */
 #define PREFETCH_PART 0.12
 #define UNSTARTED_TTL_S 6.0 /* an unstarted task goes back to the leader after this */
@@ -24,12 +24,12 @@
 struct _HzbLeaseholder
 {
   HzbController *controller;
-  gboolean asking;
-  guint64 asked_epoch; /* the ownership in which the poll on its way was sent */
+  gboolean polling;
+  guint64 polled_epoch; /* the ownership in which the poll on its way was sent */
   guint64 fencing_token, in_number;
   HzbOutbox out;
   guint next_counted; /* of the jobs whose counts are told in turn */
-  struct timespec requests, next_ask, next_maintenance, last_answer, valid_until;
+  struct timespec requests, next_poll, next_maintenance, last_answer, valid_until;
 };
 
 HzbLeaseholder *
@@ -57,9 +57,9 @@
 static void
 poll_soon (HzbLeaseholder *leaseholder)
 {
-  struct timespec soon = hzb_time_plus (leaseholder->requests, ASK_SOON_S);
-  if (hzb_time_before (soon, leaseholder->next_ask))
-    leaseholder->next_ask = soon;
+  struct timespec soon = hzb_time_plus (leaseholder->requests, POLL_SOON_INTERVAL_S);
+  if (hzb_time_before (soon, leaseholder->next_poll))
+    leaseholder->next_poll = soon;
 }
 
 void
@@ -85,7 +85,7 @@
   g_autoptr (HzbMachineReturn) returned =
       hzb_machine_return_new (machine->name, why, machine->agent_epoch, machine->sequence);
 
-  returned->sick = machine->to_be_returned && !machine->recall_requested;
+  returned->faulty = machine->scale_in_requested && !machine->recall_requested;
   hzb_machine_clear_run_queues (controller->jobs, machine);
   while (machine->tasks->len)
     {
@@ -220,7 +220,7 @@
   HzbMachine *machine = hzb_machines_find (leaseholder->controller->machines, recall->machine);
   if (!machine)
     return;
-  machine->recall_requested = machine->spare = recall->back;
+  machine->recall_requested = machine->scale_in_candidate = recall->back;
   machine->recall_at_once = recall->at_once;
 }
 
@@ -266,7 +266,7 @@
   const HzbController *controller = leaseholder->controller;
   /* Guards against an answer to a poll of before this node let go of its shard: it would hold the shard again without what
    * it had been sent before, and the leader would go on believing that all of it is in good hands. */
-  return leaseholder->asked_epoch == controller->ownership_epoch && !hzb_election_leading (controller->election)
+  return leaseholder->polled_epoch == controller->ownership_epoch && !hzb_election_leading (controller->election)
          && answer->term == hzb_election_leader_term (controller->election);
 }
 
@@ -324,7 +324,7 @@
   cJSON *root = status == 200 ? cJSON_ParseWithLength (body, length) : NULL;
   HzbShardAnswer answer;
 
-  leaseholder->asking = FALSE;
+  leaseholder->polling = FALSE;
   if (!root)
     return;
   hzb_shard_answer_decode (root, &answer);
@@ -414,8 +414,8 @@
       addr = ((HzbPeer *) controller->settings->peers->pdata[i])->address;
   if (!addr || hzb_kv_replica_state (controller->kv_replica) != HZB_KV_REPLICA_FOLLOWING)
     return;
-  leaseholder->asking = TRUE;
-  leaseholder->asked_epoch = controller->ownership_epoch;
+  leaseholder->polling = TRUE;
+  leaseholder->polled_epoch = controller->ownership_epoch;
   leaseholder->requests = now;
   root = hzb_peers_message (controller->peers, HZB_PEER_SHARD_POLL);
   if ((cancelled = hzb_cancellations_pack_request (controller->cancellations)))
@@ -428,7 +428,7 @@
       cJSON_AddNumberToObject (root, "room", hzb_leaseholder_valid (leaseholder) ? room (controller) : 0);
       pack_counts (leaseholder, root);
     }
-  hzb_send (controller->transport, "POST", addr, "/peer/v1/block", cJSON_PrintUnformatted (root), ASK_TIMEOUT_MS,
+  hzb_send (controller->transport, "POST", addr, "/peer/v1/block", cJSON_PrintUnformatted (root), POLL_TIMEOUT_MS,
             on_answer, leaseholder);
   cJSON_Delete (root);
 }
@@ -509,11 +509,11 @@
         hzb_leaseholder_return_machine (leaseholder, machine, "it is silent");
       else if (machine->unreachable)
         hzb_leaseholder_return_machine (leaseholder, machine, "it does not seem to hear its answers");
-      else if (machine->to_be_returned && machine->tasks->len == 0)
+      else if (machine->scale_in_requested && machine->tasks->len == 0)
         hzb_leaseholder_return_machine (leaseholder, machine, "it fails what it starts");
       else if (machine->state == HZB_MACHINE_DRAINING && machine->tasks->len == 0)
         {
-          machine->to_be_returned = TRUE;
+          machine->scale_in_requested = TRUE;
           hzb_leaseholder_return_machine (leaseholder, machine, "the cloud takes it back");
         }
       else if (machine->recall_requested
@@ -538,7 +538,7 @@
   if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER && !hzb_leaseholder_valid (leaseholder))
     hzb_controller_end_leased (controller, "the lease is over");
   if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER
-      && hzb_time_between (leaseholder->last_answer, now) > GIVE_UP_S)
+      && hzb_time_between (leaseholder->last_answer, now) > LEASE_ABANDON_S)
     hzb_controller_end_leased (controller, "the leader does not answer");
   if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
     {
@@ -549,10 +549,10 @@
           return_unstarted_tasks (leaseholder, now);
         }
     }
-  if (hzb_election_leader (controller->election) && !leaseholder->asking
-      && !hzb_time_before (now, leaseholder->next_ask))
+  if (hzb_election_leader (controller->election) && !leaseholder->polling
+      && !hzb_time_before (now, leaseholder->next_poll))
     {
-      leaseholder->next_ask = hzb_time_plus (now, ASK_S);
+      leaseholder->next_poll = hzb_time_plus (now, POLL_INTERVAL_S);
       poll_leader (leaseholder, now);
     }
 }
--- a/src/machines.c
+++ b/src/machines.c
@@ -264,7 +264,7 @@
 hzb_machine_usable (const HzbMachine *machine)
 {
   return machine->state == HZB_MACHINE_ACTIVE && machine->recorded && machine->known_to_cloud && machine->type
-         && !machine->to_be_returned && !machine->spare && !machine->unreachable;
+         && !machine->scale_in_requested && !machine->scale_in_candidate && !machine->unreachable;
 }
 
 gboolean
@@ -463,7 +463,7 @@
 #define SURVEY_S_PER_MACHINE 5e-5
 
 double
-hzb_machines_survey_s (const HzbMachines *machines)
+hzb_machines_scan_interval_s (const HzbMachines *machines)
 {
   return SURVEY_S_PER_MACHINE * machines->all->len;
 }
--- a/src/machines.h
+++ b/src/machines.h
@@ -68,9 +68,9 @@
   struct timespec unreachable_since;
   gboolean recorded, recording;
   guint page;                                        /* of the owner's records; 0: none */
-  gboolean to_be_returned, drain;                    /* drain: by an operator */
-  gboolean spare;                                    /* takes no new tasks: there are more machines than work */
-  guint surplus;                                     /* for how many plans in a row it has been one too many */
+  gboolean scale_in_requested, drain;                /* drain: by an operator */
+  gboolean scale_in_candidate;                       /* takes no new tasks: there are more machines than work */
+  guint plans_in_surplus;                            /* for how many plans in a row it has been one too many */
   gboolean reserved_for_services;                    /* for replicas of services: they find room there at once */
   double service_cpus, service_memory;               /* in use by replicas, which never end by themselves */
   double queued_service_cpus, queued_service_memory; /* and by those in its run queues */
@@ -160,9 +160,9 @@
 void hzb_machines_add_kind (GPtrArray *kinds, HzbMachine *machine);
 
 /**
- * hzb_machines_survey_s: how long to wait before every machine is looked at again, for what would otherwise be looked at in
+ * hzb_machines_scan_interval_s: how long to wait before every machine is looked at again, for what would otherwise be looked at in
  * each turn of the loop or at each poll: what that costs in a second does not grow with the fleet.
  */
-double hzb_machines_survey_s (const HzbMachines *machines);
+double hzb_machines_scan_interval_s (const HzbMachines *machines);
 /* One of these may hold an unconfirmed task of the job: it could have been started there. */
 gboolean hzb_job_may_run_on_unverified (const HzbJob *job, const GPtrArray *unverified_kinds);
--- a/src/owner.c
+++ b/src/owner.c
@@ -98,7 +98,7 @@
 typedef struct
 {
   guint up, leased, booting, other; /* machines */
-  double up_cpus, spare_cpus, booting_cpus;
+  double up_cpus, scale_in_candidate_cpus, booting_cpus;
   double held_cpus, running_cpus, waiting_cpus; /* of tasks */
 } FleetSummary;
 
@@ -110,7 +110,7 @@
       summary->up++;
       summary->leased += machine->state == HZB_MACHINE_LEASED;
       summary->up_cpus += machine->type->cpus;
-      summary->spare_cpus += machine->spare ? machine->type->cpus : 0;
+      summary->scale_in_candidate_cpus += machine->scale_in_candidate ? machine->type->cpus : 0;
     }
   else if (machine->state == HZB_MACHINE_BOOTING && machine->type)
     {
@@ -152,8 +152,9 @@
   g_message (
       "fleet: %u up, %u of them leased (%g CPUs: %g held, %g running; %g spare), %u booting (%g CPUs), %u other; %g CPUs' "
       "worth wait; timers are %.0f ms late",
-      summary.up, summary.leased, summary.up_cpus, summary.held_cpus, summary.running_cpus, summary.spare_cpus,
-      summary.booting, summary.booting_cpus, summary.other, summary.waiting_cpus, controller->dispatch->lag_s * 1e3);
+      summary.up, summary.leased, summary.up_cpus, summary.held_cpus, summary.running_cpus,
+      summary.scale_in_candidate_cpus, summary.booting, summary.booting_cpus, summary.other, summary.waiting_cpus,
+      controller->dispatch->lag_s * 1e3);
   if (controller->settings->sockets)
     warn_of_few_sockets (controller, &summary);
 }
@@ -187,9 +188,9 @@
 hzb_owner_tick (HzbController *controller, struct timespec now)
 {
   hzb_reconciliation_tick (controller->reconciliation, now);
-  if (!hzb_time_before (now, controller->next_survey))
+  if (!hzb_time_before (now, controller->next_scan))
     {
-      controller->next_survey = hzb_time_plus (now, hzb_machines_survey_s (controller->machines));
+      controller->next_scan = hzb_time_plus (now, hzb_machines_scan_interval_s (controller->machines));
       resolve_unconfirmed (controller);
       check_leases (controller, now);
     }
--- a/src/preemption.c
+++ b/src/preemption.c
@@ -259,7 +259,7 @@
     {
       HzbMachine *machine = dispatch->machines->all->pdata[i];
       double cpus;
-      if (machine->state != HZB_MACHINE_ACTIVE || !machine->spare || !machine->type
+      if (machine->state != HZB_MACHINE_ACTIVE || !machine->scale_in_candidate || !machine->type
           || machine->cpus > MOVE_PART * machine->type->cpus)
         continue;
       cpus = would_move (machine, now);
--- a/src/provisioning.c
+++ b/src/provisioning.c
@@ -15,7 +15,7 @@
   char *list_after;
   GHashTable *gone;   /* names given back and when (struct timespec): lists lag */
   GHashTable *listed; /* names in the pages read so far */
-  struct timespec list_began, next_list, next_types, next_return, next_plan, next_survey;
+  struct timespec list_began, next_list, next_types, next_return, next_plan, next_scan;
 };
 
 static void
@@ -57,7 +57,7 @@
   HzbProvisioning *provisioning = controller->provisioning;
   struct timespec now = hzb_clock_now (controller->clock);
   g_autoptr (GPtrArray) names = status == 200 ? hzb_wire_parse_names (body) : NULL;
-  HzbRental rental = { NULL, call->zone, call->spot, call->count };
+  HzbScaleOutRequest rental = { NULL, call->zone, call->spot, call->count };
 
   if (call->epoch_call.epoch != controller->ownership_epoch)
     {
@@ -98,10 +98,10 @@
 
   if (provisioning->renting || !hzb_election_lease_valid (controller->election) || !controller->machines->types)
     return;
-  rentals = hzb_autoscaler_rentals (controller->autoscaler, now);
+  rentals = hzb_autoscaler_scale_out (controller->autoscaler, now);
   for (guint i = 0; i < rentals->len; i++)
     {
-      const HzbRental *rental = &g_array_index (rentals, HzbRental, i);
+      const HzbScaleOutRequest *rental = &g_array_index (rentals, HzbScaleOutRequest, i);
       RentCall *call;
       if (!hzb_reconciliation_may_rent (controller->reconciliation, now))
         return; /* asked for again with the next plan */
@@ -173,17 +173,17 @@
       if (machine->state == HZB_MACHINE_LEASED)
         continue; /* its leaseholder is asked for it */
       if (machine->state == HZB_MACHINE_UNVERIFIED && in_state > controller->settings->lease_s + 2)
-        machine->to_be_returned = TRUE; /* silence proves nothing: only the cloud can say that it is gone */
+        machine->scale_in_requested = TRUE; /* silence proves nothing: only the cloud can say that it is gone */
       if (machine->state == HZB_MACHINE_LEASE_EXPIRED && in_state > FORGET_SILENT_S)
-        machine->to_be_returned = TRUE;
+        machine->scale_in_requested = TRUE;
       /* It is paid for as long as it is there. */
       if (machine->state == HZB_MACHINE_DRAINING && !machine->tasks->len)
-        machine->to_be_returned = TRUE;
+        machine->scale_in_requested = TRUE;
       /* A short one-way partition costs no machine; one that lasts longer than its lease makes it useless. */
       if (machine->unreachable
           && hzb_time_between (machine->unreachable_since, now) > controller->settings->lease_s + FORGET_SILENT_S)
-        machine->to_be_returned = TRUE;
-      if (!machine->to_be_returned || machine->state == HZB_MACHINE_RETURNING)
+        machine->scale_in_requested = TRUE;
+      if (!machine->scale_in_requested || machine->state == HZB_MACHINE_RETURNING)
         continue;
       if (hzb_machine_queued_tasks (machine))
         hzb_machine_clear_run_queues (controller->jobs, machine);
@@ -281,10 +281,10 @@
         }
       machine->known_to_cloud = TRUE;
       if (instance->state == HZB_CLOUD_INSTANCE_FAILED && machine->state == HZB_MACHINE_LEASED)
-        machine->to_be_returned = TRUE;
+        machine->scale_in_requested = TRUE;
       else if (instance->state == HZB_CLOUD_INSTANCE_FAILED && machine->state != HZB_MACHINE_RETURNING)
         {
-          machine->to_be_returned = TRUE;
+          machine->scale_in_requested = TRUE;
           hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_RETURNING, "the cloud calls it failed");
         }
     }
@@ -311,9 +311,9 @@
     }
   if (controller->ownership < HZB_OWNERSHIP_RECOVERING)
     return;
-  if (!hzb_time_before (now, provisioning->next_survey))
+  if (!hzb_time_before (now, provisioning->next_scan))
     {
-      provisioning->next_survey = hzb_time_plus (now, hzb_machines_survey_s (controller->machines));
+      provisioning->next_scan = hzb_time_plus (now, hzb_machines_scan_interval_s (controller->machines));
       give_back (controller, now);
     }
   if (!hzb_time_before (now, provisioning->next_plan))
@@ -321,9 +321,9 @@
       provisioning->next_plan = hzb_time_plus (now, 1);
       if (hzb_election_lease_valid (controller->election))
         {
-          g_autoptr (GPtrArray) back = hzb_autoscaler_returns (controller->autoscaler, now);
+          g_autoptr (GPtrArray) back = hzb_autoscaler_scale_in (controller->autoscaler, now);
           for (guint i = 0; i < back->len; i++)
-            ((HzbMachine *) back->pdata[i])->to_be_returned = TRUE;
+            ((HzbMachine *) back->pdata[i])->scale_in_requested = TRUE;
         }
       rent (controller, now);
     }
@@ -348,7 +348,7 @@
 }
 
 gboolean
-hzb_provisioning_was_returned (HzbProvisioning *provisioning, const char *machine)
+hzb_provisioning_was_scaled_in (HzbProvisioning *provisioning, const char *machine)
 {
   return g_hash_table_contains (provisioning->gone, machine);
 }
--- a/src/provisioning.h
+++ b/src/provisioning.h
@@ -17,5 +17,5 @@
 void hzb_provisioning_reset (HzbProvisioning *provisioning);
 void hzb_provisioning_tick (HzbProvisioning *provisioning, struct timespec now);
 
-/** hzb_provisioning_was_returned: the cloud has confirmed, not long ago, that this machine is gone. */
-gboolean hzb_provisioning_was_returned (HzbProvisioning *provisioning, const char *machine);
+/** hzb_provisioning_was_scaled_in: the cloud has confirmed, not long ago, that this machine is gone. */
+gboolean hzb_provisioning_was_scaled_in (HzbProvisioning *provisioning, const char *machine);
--- a/src/reconciliation/reconciliation-private.h
+++ b/src/reconciliation/reconciliation-private.h
@@ -59,7 +59,7 @@
   GPtrArray *in_flight; /* HzbVerdictPage */
   gboolean sending, cleaning, archiving;
   GBytes *archive;
-  struct timespec began, next_survey, next_write;
+  struct timespec began, next_scan, next_write;
 };
 
 /** hzb_reconciliation_set_state: the only place where the state changes. */
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -197,7 +197,7 @@
   job = hzb_jobs_find (controller->jobs, tracked->entry.uid);
   if (job)
     job->awaits_verdict = FALSE;
-  controller->next_survey = controller->next_dispatch = (struct timespec){ 0 };
+  controller->next_scan = controller->next_dispatch = (struct timespec){ 0 };
 }
 
 /* ---- reading ---- */
@@ -281,7 +281,7 @@
   if (!enabled (reconciliation))
     return;
   reconciliation->began = hzb_clock_now (controller->clock);
-  reconciliation->next_survey = reconciliation->next_write = reconciliation->began;
+  reconciliation->next_scan = reconciliation->next_write = reconciliation->began;
   if (reconciliation->has_record && overtaken (reconciliation))
     {
       g_message ("reconciliation %" G_GUINT64_FORMAT " is given up: a leader without it has led since",
@@ -310,7 +310,7 @@
   for (guint i = 0; i < controller->jobs->active->len; i++)
     ((HzbJob *) controller->jobs->active->pdata[i])->awaits_verdict = FALSE;
   forget_verdicts (reconciliation);
-  controller->next_survey = controller->next_dispatch = (struct timespec){ 0 };
+  controller->next_scan = controller->next_dispatch = (struct timespec){ 0 };
 }
 
 static void
@@ -400,7 +400,7 @@
 }
 
 static void
-survey_machines (HzbReconciliation *reconciliation, struct timespec now)
+scan_machines (HzbReconciliation *reconciliation, struct timespec now)
 {
   const HzbMachines *machines = reconciliation->controller->machines;
   for (guint i = 0; i < reconciliation->machines->len; i++)
@@ -469,10 +469,10 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (hzb_time_before (now, reconciliation->next_survey))
+  if (hzb_time_before (now, reconciliation->next_scan))
     return;
-  reconciliation->next_survey = hzb_time_plus (now, hzb_machines_survey_s (controller->machines));
-  survey_machines (reconciliation, now);
+  reconciliation->next_scan = hzb_time_plus (now, hzb_machines_scan_interval_s (controller->machines));
+  scan_machines (reconciliation, now);
   /* Guards against decisions before it is durable that there is something to decide: the next leader goes by the record. */
   if (!reconciliation->open || !reconciliation->record_durable)
     return;
@@ -514,7 +514,7 @@
       advance (reconciliation);
       break;
     case HZB_RECONCILIATION_RECORDED:
-      survey_machines (reconciliation, now);
+      scan_machines (reconciliation, now);
       hzb_recorder_finish (reconciliation, now);
       break;
     case HZB_RECONCILIATION_NONE:
--- a/src/records.c
+++ b/src/records.c
@@ -126,7 +126,7 @@
   machine = hzb_machines_add (controller->machines, value->string, hzb_json_text (value, "addr"), type, zone,
                               cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (value, "spot")), HZB_MACHINE_UNVERIFIED);
   machine->recorded = machine->known_to_cloud = TRUE;
-  machine->drain = machine->to_be_returned = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (value, "drain"));
+  machine->drain = machine->scale_in_requested = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (value, "drain"));
   if (age > 1)
     machine->rented = hzb_time_plus (machine->rented, -(age - 1)); /* times of day differ a little */
   hzb_page_add_machine (page, machine);
--- a/src/shard-delegation.c
+++ b/src/shard-delegation.c
@@ -21,7 +21,7 @@
   for (guint i = 0; i < leaseholder->kinds->len; i++)
     {
       const HzbMachine *machine = leaseholder->kinds->pdata[i];
-      /* It may have come back since the survey. */
+      /* It may have come back since the scan. */
       if (machine->state == HZB_MACHINE_LEASED && machine->leaseholder == leaseholder->id
           && hzb_machine_allowed (machine, spec))
         return TRUE;
--- a/src/shard-leases-private.h
+++ b/src/shard-leases-private.h
@@ -26,7 +26,7 @@
   GHashTable *running, *leaving; /* uid -> count, as it last said */
   double ran_s;                  /* of the task that the event at hand is about */
   gboolean holds;
-  GPtrArray *kinds; /* as of the last survey: one HzbMachine of each kind in its shard */
+  GPtrArray *kinds; /* as of the last scan: one HzbMachine of each kind in its shard */
 } HzbLeaseholderView;
 
 /* HzbShardLeases: */
@@ -36,9 +36,9 @@
   GArray *leaseholders; /* HzbLeaseholderView */
   guint fencing_tokens; /* numbers used in this term */
   struct timespec next_hand_over;
-  double *cpus; /* of each shard, the leader's own first; as of the last survey, and of what was leased since */
-  /* Of the last survey: */
-  struct timespec surveyed;
+  double *cpus; /* of each shard, the leader's own first; as of the last scan, and of what was leased since */
+  /* Of the last scan: */
+  struct timespec scanned_at;
   guint generation;                /* of the machines: later removals make kinds stale */
   gboolean gang_waits;             /* a gang needs machines of all shards */
   gboolean only_leader_work_waits; /* what waits may run in the leader's shard only */
@@ -52,10 +52,10 @@
 }
 
 /**
- * hzb_shards_survey: looks at all machines and jobs, unless that was done a moment ago: which shard has how many CPUs and which
+ * hzb_shards_scan: looks at all machines and jobs, unless that was done a moment ago: which shard has how many CPUs and which
  * kinds of machines, what leaseholders have to be told of machines that are theirs, or are asked back.
  */
-void hzb_shards_survey (HzbShardLeases *shard_leases, struct timespec now);
+void hzb_shards_scan (HzbShardLeases *shard_leases, struct timespec now);
 
 /** hzb_shards_delegate: moves unstarted tasks to a leaseholder that has room for so many CPUs' worth. */
 void hzb_shards_delegate (HzbShardLeases *shard_leases, HzbLeaseholderView *leaseholder, double room_cpus,
--- a/src/shard-leases.c
+++ b/src/shard-leases.c
@@ -53,7 +53,7 @@
       leaseholder->requests = leaseholder->steady_since = (struct timespec){ 0 };
     }
   shard_leases->fencing_tokens = 0;
-  shard_leases->surveyed = (struct timespec){ 0 };
+  shard_leases->scanned_at = (struct timespec){ 0 };
 }
 
 void
@@ -272,8 +272,8 @@
                         returned->why);
   machine->unconfirmed_tasks_of = HZB_UNCONFIRMED_TASKS_OF_NONE;
   machine->idle_since = hzb_clock_now (controller->clock);
-  if (returned->sick)
-    machine->to_be_returned = TRUE;
+  if (returned->faulty)
+    machine->scale_in_requested = TRUE;
   /* The leaseholder's reports were newer than any copy of one that may still come here. */
   if (returned->agent_epoch >= machine->agent_epoch)
     {
@@ -325,7 +325,7 @@
   HzbShardAnswer answer = { .lease_s = LEASE_S };
 
   if (hzb_election_leading (controller->election))
-    hzb_shards_survey (shard_leases, now);
+    hzb_shards_scan (shard_leases, now);
   for (guint i = 0; node && i < shard_leases->leaseholders->len; i++)
     if (g_str_equal (g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i).peer->node, node))
       leaseholder = &g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i);
--- a/src/shard-machines.c
+++ b/src/shard-machines.c
@@ -64,8 +64,8 @@
 static void
 recall_or_keep (HzbLeaseholderView *leaseholder, HzbMachine *machine, gboolean all)
 {
-  gboolean back =
-      all || machine->spare || machine->to_be_returned || machine->reserved_for_services || machine->recall_at_once;
+  gboolean back = all || machine->scale_in_candidate || machine->scale_in_requested || machine->reserved_for_services
+                  || machine->recall_at_once;
   /* Replicas wait for its room: what runs there comes along, and can be stopped here. */
   HzbRecall recall = { machine->name, back, machine->reserved_for_services || machine->recall_at_once };
 
@@ -76,7 +76,7 @@
 }
 
 static void
-survey_machine (HzbShardLeases *shard_leases, HzbMachine *machine)
+scan_machine (HzbShardLeases *shard_leases, HzbMachine *machine)
 {
   const HzbController *controller = shard_leases->controller;
   HzbLeaseholderView *leaseholder =
@@ -97,14 +97,14 @@
 
 /* Not at every report or poll: it looks at every machine. */
 void
-hzb_shards_survey (HzbShardLeases *shard_leases, struct timespec now)
+hzb_shards_scan (HzbShardLeases *shard_leases, struct timespec now)
 {
   const HzbController *controller = shard_leases->controller;
 
-  if (hzb_time_is_set (shard_leases->surveyed) && shard_leases->generation == controller->machines->generation
-      && hzb_time_between (shard_leases->surveyed, now) < hzb_machines_survey_s (controller->machines))
+  if (hzb_time_is_set (shard_leases->scanned_at) && shard_leases->generation == controller->machines->generation
+      && hzb_time_between (shard_leases->scanned_at, now) < hzb_machines_scan_interval_s (controller->machines))
     return;
-  shard_leases->surveyed = now;
+  shard_leases->scanned_at = now;
   shard_leases->generation = controller->machines->generation;
   shard_leases->gang_waits = gang_waits (controller);
   shard_leases->only_leader_work_waits = only_leader_work_waits (controller);
@@ -112,7 +112,7 @@
   for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     g_ptr_array_set_size (g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i).kinds, 0);
   for (guint i = 0; i < controller->machines->all->len; i++)
-    survey_machine (shard_leases, controller->machines->all->pdata[i]);
+    scan_machine (shard_leases, controller->machines->all->pdata[i]);
 }
 
 /* The leaseholder whose shard has the fewest CPUs, if fewer than the leader would then have times so much; or NULL. */
@@ -123,7 +123,7 @@
   double own, least;
   HzbLeaseholderView *best = NULL;
 
-  hzb_shards_survey (shard_leases, now);
+  hzb_shards_scan (shard_leases, now);
   own = cpus[0];
   /* One that works here already is leased only where that makes the shards more level. */
   least = part * (machine->state == HZB_MACHINE_ACTIVE ? own - machine->type->cpus : own);
@@ -146,7 +146,7 @@
 may_lease (const HzbShardLeases *shard_leases, const HzbMachine *machine)
 {
   const HzbController *controller = shard_leases->controller;
-  return controller->lease_shards && machine->type && !machine->to_be_returned && !machine->spare
+  return controller->lease_shards && machine->type && !machine->scale_in_requested && !machine->scale_in_candidate
          && !machine->reserved_for_services && !machine->unreachable && machine->known_to_cloud
          && controller->ownership >= HZB_OWNERSHIP_RECOVERING && !shard_leases->gang_waits
          && !shard_leases->only_leader_work_waits;
@@ -172,7 +172,7 @@
   HzbController *controller = shard_leases->controller;
   HzbLeaseholderView *best;
 
-  hzb_shards_survey (shard_leases, hzb_clock_now (controller->clock));
+  hzb_shards_scan (shard_leases, hzb_clock_now (controller->clock));
   if ((machine->state != HZB_MACHINE_BOOTING && machine->state != HZB_MACHINE_ACTIVE) || machine->tasks->len
       || hzb_machine_queued_tasks (machine) || machine->quarantined || !may_lease (shard_leases, machine))
     return NULL;
@@ -194,7 +194,7 @@
   HzbLeaseholderView *best;
   g_autoptr (HzbMachineLease) lease = NULL;
 
-  hzb_shards_survey (shard_leases, now);
+  hzb_shards_scan (shard_leases, now);
   /* Nothing waits for the takeover to be over: this machine has just shown all that is on it. */
   if (controller->dispatch->lag_s < LATE_S || hzb_time_before (now, shard_leases->next_hand_over)
       || machine->tasks->len > MOST_HANDED_OVER || machine->state != HZB_MACHINE_ACTIVE || !machine->verified
--- a/src/shard-messages.c
+++ b/src/shard-messages.c
@@ -151,7 +151,7 @@
   cJSON *message = cJSON_CreateObject ();
   cJSON_AddStringToObject (message, "machine", returned->name);
   cJSON_AddStringToObject (message, "why", returned->why);
-  cJSON_AddBoolToObject (message, "sick", returned->sick);
+  cJSON_AddBoolToObject (message, "sick", returned->faulty);
   hzb_json_add_u64 (message, "session", returned->agent_epoch);
   hzb_json_add_u64 (message, "seq", returned->sequence);
   cJSON_AddItemToObject (message, "lost", held_tasks_encode (returned->lost));
@@ -168,7 +168,7 @@
     return NULL;
   returned = hzb_machine_return_new (name, hzb_json_text (message, "why"), hzb_json_u64 (message, "session"),
                                      hzb_json_u64 (message, "seq"));
-  returned->sick = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "sick"));
+  returned->faulty = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "sick"));
   g_array_unref (returned->lost);
   returned->lost = held_tasks_decode (cJSON_GetObjectItemCaseSensitive (message, "lost"));
   return returned;
--- a/src/shard-messages.h
+++ b/src/shard-messages.h
@@ -50,7 +50,7 @@
 typedef struct
 {
   char *name, *why;
-  gboolean sick;                 /* it should go back to the cloud */
+  gboolean faulty;               /* it should go back to the cloud */
   guint64 agent_epoch, sequence; /* of its last report */
   GArray *lost;                  /* HzbHeldTask: what may be on it */
 } HzbMachineReturn;
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define DOES_WELL_AFTER_S 5.0 /* a task that runs for so long */
-#define DEAF_AFTER 2u
+#define ONE_WAY_PARTITION_AFTER 2u
 #define QUICK_END_PAUSE_S 0.5
 #define QUICK_END_MOST_S 30.0
 /* Estimates are often wrong: only a task that should need this many times what is left is given up. */
@@ -36,9 +36,9 @@
       hzb_machine_note_failure (machine, job, now);
       if (hzb_machine_seems_faulty (machine, controller->jobs))
         {
-          if (!machine->to_be_returned)
+          if (!machine->scale_in_requested)
             g_message ("machine %s fails what it starts and is set aside", machine->name);
-          machine->to_be_returned = TRUE;
+          machine->scale_in_requested = TRUE;
         }
       /* One machine that fails all replicas of a service says no more of the service than one that fails one. */
       else if (!job->did_well && !(service && same))
@@ -425,7 +425,7 @@
       return NULL;
     }
   machine = hzb_machines_find (controller->machines, heartbeat->host);
-  if (!machine && hzb_provisioning_was_returned (controller->provisioning, heartbeat->host))
+  if (!machine && hzb_provisioning_was_scaled_in (controller->provisioning, heartbeat->host))
     {
       hzb_exchange_reply (exchange, 503, hzb_wire_error ("this machine was returned"), 0);
       return NULL;
@@ -541,7 +541,7 @@
           return;
         }
       /* Starts only while nobody else can have been elected, or the lease is good; see docs/safety.md. */
-      if (machine->ignored_answers < DEAF_AFTER
+      if (machine->ignored_answers < ONE_WAY_PARTITION_AFTER
           && (leads ? hzb_election_lease_valid (controller->election)
                     : hzb_leaseholder_valid (controller->leaseholder)))
         hzb_dispatch_start_tasks (controller->dispatch, machine, now, commands);
@@ -552,7 +552,7 @@
       if (machine->state == HZB_MACHINE_ACTIVE)
         machine->ignored_answers++; /* it has not seen the fencing token that it was answered under */
     }
-  if (machine->ignored_answers >= DEAF_AFTER)
+  if (machine->ignored_answers >= ONE_WAY_PARTITION_AFTER)
     mark_unreachable (controller, machine, now);
   hzb_reconciliation_note_commands (controller->reconciliation, commands);
   hzb_exchange_reply (exchange, 200, hzb_wire_commands (machine->fencing_token, commands), 0);
--- a/tests/sim-cluster.h
+++ b/tests/sim-cluster.h
@@ -43,10 +43,10 @@
 typedef struct
 {
   char *name, *type, *zone;
-  gboolean spot, up, failed, gone, cut, hung, sick;
-  gboolean deaf;     /* its reports arrive, no answer reaches it */
-  double taken_at;   /* the cloud takes it then, and says so; 0: not */
-  gboolean unlisted; /* the cloud's lists leave it out, though it is there */
+  gboolean spot, up, failed, gone, cut, hung, faulty;
+  gboolean one_way_partitioned; /* its reports arrive, no answer reaches it */
+  double taken_at;              /* the cloud takes it then, and says so; 0: not */
+  gboolean unlisted;            /* the cloud's lists leave it out, though it is there */
   double rented, up_at, listed_at, gone_at, cpus;
   guint64 agent_epoch, sequence, fencing_token;
   double lease_from, next_report;
--- a/tests/sim-faults.c
+++ b/tests/sim-faults.c
@@ -104,7 +104,7 @@
       machine->hung = !machine->hung;
       break;
     case 2:
-      machine->sick = !machine->sick;
+      machine->faulty = !machine->faulty;
       break;
     default:
       machine->failed = TRUE; /* stopped with all that was on it */
--- a/tests/sim-rules.c
+++ b/tests/sim-rules.c
@@ -112,7 +112,7 @@
     {
       const SimMachine *machine = sim->machines->pdata[k];
       gboolean works = machine->up && !machine->gone && !machine->failed && !machine->cut && !machine->hung
-                       && !machine->sick && !machine->deaf;
+                       && !machine->faulty && !machine->one_way_partitioned;
       double free = machine->cpus;
       for (guint t = 0; t < machine->tasks->len && !machine->gone; t++)
         {
--- a/tests/sim-worker.c
+++ b/tests/sim-worker.c
@@ -239,7 +239,7 @@
   sim_trace (&(SimTraceEvent){ .at = sim->now, .kind = "response", .node = r->node, .status = status, .body = body });
   r->status = status;
   r->body = g_strdup (body);
-  if (!r->copy && !r->machine->deaf && !sim_chance (sim, sim->lose) && !sim->nodes[r->node].cut_workers)
+  if (!r->copy && !r->machine->one_way_partitioned && !sim_chance (sim, sim->lose) && !sim->nodes[r->node].cut_workers)
     sim_at (sim, sim->now + sim_delay (sim), report_over, r);
 }
 
@@ -355,7 +355,7 @@
       if (task->state == 0 && sim->now >= task->ready_at)
         {
           task->state = job->gang ? 1 : 2;
-          if (machine->sick || job->bad)
+          if (machine->faulty || job->bad)
             end_task (task, "error");
         }
       else if (task->state == 2 && sim->now >= task->end_at)
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -636,9 +636,9 @@
       task = run_until_reserved (sim, gang);
       g_assert_nonnull (task);
       if (seed % 2)
-        task->machine->spare = TRUE;
+        task->machine->scale_in_candidate = TRUE;
       else
-        task->machine->to_be_returned = TRUE;
+        task->machine->scale_in_requested = TRUE;
       sim_run (sim, sim->now + 90);
       g_assert_true (gang->told_done);
       expect_all_over (sim, "a gang on a spare machine", seed);
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -324,7 +324,7 @@
         {
           SimMachine *machine = sim->machines->pdata[i];
           machine->cut = i % 2 == 0;
-          machine->deaf = i % 7 == 1;
+          machine->one_way_partitioned = i % 7 == 1;
           machine->unlisted = i % 5 == 3; /* the cloud does not show it, and it reports */
           if (i % 9 == 5)
             {
@@ -340,7 +340,7 @@
       for (guint i = 0; i < sim->machines->len; i++)
         {
           SimMachine *machine = sim->machines->pdata[i];
-          machine->cut = machine->deaf = machine->unlisted = FALSE;
+          machine->cut = machine->one_way_partitioned = machine->unlisted = FALSE;
         }
       finish (sim, witness, "silent machines", seed);
     }
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -265,10 +265,10 @@
 }
 
 static void
-deafen_some (Sim *sim, gpointer data)
+partition_some_one_way (Sim *sim, gpointer data)
 {
   for (guint i = 0; i < sim->machines->len; i++)
-    ((SimMachine *) sim->machines->pdata[i])->deaf = g_rand_int_range (sim->rand, 0, 4) == 0;
+    ((SimMachine *) sim->machines->pdata[i])->one_way_partitioned = g_rand_int_range (sim->rand, 0, 4) == 0;
 }
 
 static void
@@ -352,14 +352,14 @@
   for (guint i = 0; i < sim->machines->len; i++)
     {
       SimMachine *machine = sim->machines->pdata[i];
-      machine->cut = machine->hung = machine->deaf = machine->sick = FALSE;
+      machine->cut = machine->hung = machine->one_way_partitioned = machine->faulty = FALSE;
     }
 }
 
 static void (*const troubles[]) (Sim *sim, gpointer data) = {
-  cut_off_leader,  refuse_leader, begin_outage, late_writes,  late_reports, slow_links,
-  deafen_some,     mute_some,     cancel_some,  crash_leader, crash_all,    leaders_change,
-  cancel_and_hang, cut_zone,      crash_one,    cut_leader,   all_away,
+  cut_off_leader,         refuse_leader, begin_outage, late_writes,  late_reports, slow_links,
+  partition_some_one_way, mute_some,     cancel_some,  crash_leader, crash_all,    leaders_change,
+  cancel_and_hang,        cut_zone,      crash_one,    cut_leader,   all_away,
 };
 
 static void
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -230,7 +230,7 @@
   hzb_task_set_state (b.jobs, &saves->tasks[1], HZB_TASK_RUNNING, busy);
   hzb_task_set_state (b.jobs, &loses->tasks[0], HZB_TASK_RUNNING, busy);
   hzb_task_set_state (b.jobs, &saves->tasks[2], HZB_TASK_RUNNING, staying);
-  going->spare = busy->spare = TRUE;
+  going->scale_in_candidate = busy->scale_in_candidate = TRUE;
   hzb_clock_advance (b.clock, 30);
   now = hzb_clock_now (b.clock);
   hzb_dispatch_consolidate (b.dispatch, now);
@@ -438,18 +438,19 @@
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 10, 2, 40);
   job->spec->spot = FALSE;
   job->spec->zone = g_strdup ("zb");
-  rentals = hzb_autoscaler_rentals (fleet, hzb_clock_now (b.clock));
+  rentals = hzb_autoscaler_scale_out (fleet, hzb_clock_now (b.clock));
   g_assert_cmpuint (rentals->len, >=, 1);
   for (guint i = 0; i < rentals->len; i++)
     {
-      const HzbRental *r = &g_array_index (rentals, HzbRental, i);
+      const HzbScaleOutRequest *r = &g_array_index (rentals, HzbScaleOutRequest, i);
       g_assert_false (r->spot);
       g_assert_cmpstr (r->zone, ==, "zb");
       hzb_autoscaler_note_refused (fleet, r, hzb_clock_now (b.clock));
     }
-  again = hzb_autoscaler_rentals (fleet, hzb_clock_now (b.clock));
+  again = hzb_autoscaler_scale_out (fleet, hzb_clock_now (b.clock));
   for (guint i = 0; i < again->len; i++) /* a refusal is not asked again at once */
-    g_assert_true (g_array_index (again, HzbRental, i).type != g_array_index (rentals, HzbRental, 0).type);
+    g_assert_true (g_array_index (again, HzbScaleOutRequest, i).type
+                   != g_array_index (rentals, HzbScaleOutRequest, 0).type);
   hzb_autoscaler_free (fleet);
   bench_down (&b);
 }
@@ -466,14 +467,14 @@
   bench_up (&b, 3);
   fleet = hzb_autoscaler_new (b.jobs, b.machines, b.settings);
   bench_job (&b, "red", HZB_PRIORITY_IDLE, 1, 0.5, 0.2);
-  rentals = hzb_autoscaler_rentals (fleet, hzb_clock_now (b.clock));
+  rentals = hzb_autoscaler_scale_out (fleet, hzb_clock_now (b.clock));
   g_assert_cmpuint (rentals->len, ==, 1);
   bench_machine (&b, "small", "za", TRUE);
   bench_job (&b, "red", HZB_PRIORITY_IDLE, 1, 12, 1);
   g_array_unref (g_steal_pointer (&rentals));
-  rentals = hzb_autoscaler_rentals (fleet, hzb_clock_now (b.clock));
+  rentals = hzb_autoscaler_scale_out (fleet, hzb_clock_now (b.clock));
   for (guint i = 0; i < rentals->len; i++)
-    big = big || g_str_equal (g_array_index (rentals, HzbRental, i).type->name, "big");
+    big = big || g_str_equal (g_array_index (rentals, HzbScaleOutRequest, i).type->name, "big");
   g_assert_true (big);
   hzb_autoscaler_free (fleet);
   bench_down (&b);
@@ -488,7 +489,7 @@
   Bench b;
   HzbAutoscaler *fleet;
   HzbJob *job;
-  guint spare = 0, kept = 0;
+  guint scale_in_candidate = 0, kept = 0;
   g_autoptr (GArray) rentals = NULL;
 
   bench_up (&b, 3);
@@ -504,19 +505,19 @@
     }
   for (guint t = 0; t < 90; t++)
     {
-      g_autoptr (GPtrArray) back = hzb_autoscaler_returns (fleet, hzb_clock_now (b.clock));
+      g_autoptr (GPtrArray) back = hzb_autoscaler_scale_in (fleet, hzb_clock_now (b.clock));
       g_assert_cmpuint (back->len, ==, 0); /* not while tasks are on them */
       hzb_clock_advance (b.clock, 1);
     }
   for (guint i = 0; i < b.machines->all->len; i++)
-    spare += ((HzbMachine *) b.machines->all->pdata[i])->spare;
-  g_assert_cmpuint (spare, >=, 16);
+    scale_in_candidate += ((HzbMachine *) b.machines->all->pdata[i])->scale_in_candidate;
+  g_assert_cmpuint (scale_in_candidate, >=, 16);
   bench_job (&b, "blue", HZB_PRIORITY_HIGH, 24, 1, 30);
-  rentals = hzb_autoscaler_rentals (fleet, hzb_clock_now (b.clock));
+  rentals = hzb_autoscaler_scale_out (fleet, hzb_clock_now (b.clock));
   for (guint i = 0; i < b.machines->all->len; i++)
-    kept += !((HzbMachine *) b.machines->all->pdata[i])->spare;
+    kept += !((HzbMachine *) b.machines->all->pdata[i])->scale_in_candidate;
   g_assert_cmpuint (rentals->len, ==, 0);
-  g_assert_cmpuint (kept, >, 20 - spare);
+  g_assert_cmpuint (kept, >, 20 - scale_in_candidate);
   hzb_autoscaler_free (fleet);
   bench_down (&b);
 }
--- a/tests/test-overload.c
+++ b/tests/test-overload.c
@@ -238,7 +238,7 @@
   for (guint32 seed = 640; seed < 646; seed++)
     {
       Sim *sim = sim_new (seed);
-      SimMachine *sick;
+      SimMachine *faulty;
       SimJob *mistaken[3];
       guint rented, handler;
       set_aside = 0;
@@ -252,15 +252,15 @@
       for (guint i = 0; i < 14; i++)
         sim_add_job (sim, 1 + 5 * i, i % 2 ? "red" : "blue", 4, 1.5, 12);
       sim_run (sim, 25);
-      while (!(sick = machine_with_tasks (sim)) || sick->gone)
+      while (!(faulty = machine_with_tasks (sim)) || faulty->gone)
         sim_run (sim, sim->now + 0.5);
-      sick->sick = TRUE;
+      faulty->faulty = TRUE;
       if (seed % 2)
         crash_one (sim, NULL);
       sim_run (sim, sim->now + 7);
       start_all (sim, NULL);
       sim_run (sim, 110);
-      g_assert_true (sick->gone);
+      g_assert_true (faulty->gone);
       g_assert_cmpuint (set_aside, <=, 1); /* no sound machine for the jobs' sake */
       rented = sim->machine_number;
       sim_run (sim, 148);
--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -18,7 +18,7 @@
       some_work (sim, 10);
       machine = run_until (sim, state);
       began = sim->now;
-      machine->deaf = TRUE;
+      machine->one_way_partitioned = TRUE;
       sim_run (sim, began + 16);
       g_assert_cmpuint (machine->agent_epoch, >, 1);
       known = hzb_machines_find (sim->nodes[sim_leader (sim)].controller->machines, machine->name);
@@ -39,9 +39,9 @@
   SimMachine *machine;
   some_work (sim, 10);
   machine = run_until (sim, HZB_MACHINE_ACTIVE);
-  machine->deaf = TRUE;
+  machine->one_way_partitioned = TRUE;
   sim_run (sim, sim->now + 3);
-  machine->deaf = FALSE;
+  machine->one_way_partitioned = FALSE;
   sim_run (sim, sim->now + 15);
   g_assert_cmpuint (machine->agent_epoch, ==, 1);
   g_assert_false (machine->gone);
@@ -60,7 +60,7 @@
   some_work (sim, 10);
   machine = run_until (sim, HZB_MACHINE_ACTIVE);
   leader = sim_leader (sim);
-  machine->deaf = TRUE;
+  machine->one_way_partitioned = TRUE;
   sim_crash (sim, (guint) leader);
   sim_run (sim, sim->now + 25);
   g_assert_cmpint (sim_leader (sim), !=, -1);
