--- a/src/admin.c
+++ b/src/admin.c
@@ -10,22 +10,22 @@
 #define TENANT "tenants/main/"
 
 static void
-reply_json (HzbExchange *exchange, guint status, cJSON *root)
+reply_json (HzbHttpRequest *http_request, guint status, cJSON *root)
 {
   char *text = cJSON_PrintUnformatted (root);
   cJSON_Delete (root);
-  hzb_exchange_reply (exchange, status, text, 0);
+  hzb_http_request_respond (http_request, status, text, 0);
 }
 
 static void
-refuse (HzbExchange *exchange, guint status, const char *format, ...)
+refuse (HzbHttpRequest *http_request, guint status, const char *format, ...)
 {
   va_list args;
   g_autofree char *text = NULL;
   va_start (args, format);
   text = g_strdup_vprintf (format, args);
   va_end (args);
-  hzb_exchange_reply (exchange, status, hzb_wire_error (text), status == 503 ? 1 : 0);
+  hzb_http_request_respond (http_request, status, hzb_wire_error (text), status == 503 ? 1 : 0);
 }
 
 /* ---- settings ---- */
@@ -96,7 +96,7 @@
 typedef struct
 {
   HzbController *controller;
-  HzbExchange *exchange;
+  HzbHttpRequest *http_request;
   cJSON *value;
 } Change;
 
@@ -110,21 +110,21 @@
     {
       hzb_wire_parse_txn (body, &revision, NULL);
       hzb_admin_apply_settings (change->controller, change->value, revision);
-      reply_json (change->exchange, 200, pack_settings (change->controller));
+      reply_json (change->http_request, 200, pack_settings (change->controller));
     }
   else if (result == HZB_KV_CONFLICT)
-    refuse (change->exchange, 409, "the settings have been changed meanwhile: read them again");
+    refuse (change->http_request, 409, "the settings have been changed meanwhile: read them again");
   else
-    refuse (change->exchange, 503,
+    refuse (change->http_request, 503,
             result == HZB_KV_UNKNOWN ? "it is not known whether the change was made: read the settings"
                                      : "the state service can't be asked");
   cJSON_Delete (change->value);
 }
 
 static void
-change_settings (HzbController *controller, HzbExchange *exchange)
+change_settings (HzbController *controller, HzbHttpRequest *http_request)
 {
-  cJSON *root = cJSON_ParseWithLength (exchange->body, exchange->length);
+  cJSON *root = cJSON_ParseWithLength (http_request->body, http_request->length);
   const cJSON *demanded_units = cJSON_GetObjectItemCaseSensitive (root, "settings"), *item;
   const cJSON *version = cJSON_GetObjectItemCaseSensitive (root, "version");
   cJSON *packed = pack_settings (controller), *value = cJSON_DetachItemFromObject (packed, "settings"), *txn;
@@ -151,20 +151,20 @@
     }
   if (!fault && hzb_json_u64 (root, "version") != controller->settings_version)
     {
-      refuse (exchange, 409, "version: the settings are at %" G_GUINT64_FORMAT ": read them again",
+      refuse (http_request, 409, "version: the settings are at %" G_GUINT64_FORMAT ": read them again",
               controller->settings_version);
       cJSON_Delete (value);
     }
   else if (fault)
     {
-      refuse (exchange, 400, "%s", fault);
+      refuse (http_request, 400, "%s", fault);
       cJSON_Delete (value);
     }
   else
     {
       change = g_new0 (Change, 1);
       change->controller = controller;
-      change->exchange = exchange;
+      change->http_request = http_request;
       change->value = value;
       txn = hzb_wire_txn ();
       hzb_wire_txn_if (txn, HZB_KEY_SETTINGS, controller->settings_version);
@@ -294,13 +294,13 @@
 typedef cJSON *(*View) (HzbController *controller);
 
 static void
-drain (HzbController *controller, HzbExchange *exchange, const char *name)
+drain (HzbController *controller, HzbHttpRequest *http_request, const char *name)
 {
   HzbMachine *machine = hzb_machines_find (controller->machines, name);
   cJSON *root;
   if (!machine)
     {
-      refuse (exchange, 404, "%s: no such machine", name);
+      refuse (http_request, 404, "%s: no such machine", name);
       return;
     }
   /* It takes no new tasks and goes back once it is empty; on record, so that a new leader does the same. */
@@ -311,7 +311,7 @@
   root = cJSON_CreateObject ();
   cJSON_AddStringToObject (root, "name", machine->name);
   cJSON_AddBoolToObject (root, "toBeReturned", TRUE);
-  reply_json (exchange, 200, root);
+  reply_json (http_request, 200, root);
 }
 
 static cJSON *
@@ -336,7 +336,7 @@
 }
 
 gboolean
-hzb_admin_request (HzbController *controller, HzbExchange *exchange)
+hzb_admin_request (HzbController *controller, HzbHttpRequest *http_request)
 {
   static const struct
   {
@@ -348,50 +348,51 @@
     { "machines", machines, TRUE },      { "blocks", shards, TRUE },    { TENANT "teams", teams, TRUE },
     { TENANT "jobs", jobs, TRUE },
   };
-  const char *what = exchange->path + strlen (PREFIX);
-  gboolean get = g_str_equal (exchange->method, "GET");
+  const char *what = http_request->path + strlen (PREFIX);
+  gboolean get = g_str_equal (http_request->method, "GET");
   gboolean holds = controller->ownership >= HZB_OWNERSHIP_RECOVERING && hzb_election_leading (controller->election);
 
-  if (!g_str_has_prefix (exchange->path, PREFIX))
+  if (!g_str_has_prefix (http_request->path, PREFIX))
     return FALSE;
   for (guint i = 0; i < G_N_ELEMENTS (views); i++)
     if (g_str_equal (what, views[i].path))
       {
-        if (g_str_equal (exchange->method, "PUT") && views[i].view == pack_settings)
-          change_settings (controller, exchange);
+        if (g_str_equal (http_request->method, "PUT") && views[i].view == pack_settings)
+          change_settings (controller, http_request);
         else if (!get)
-          refuse (exchange, 405, views[i].view == pack_settings ? "GET or PUT here" : "GET here");
+          refuse (http_request, 405, views[i].view == pack_settings ? "GET or PUT here" : "GET here");
         else if (views[i].holder && !holds)
-          hzb_exchange_reply (exchange, 421, hzb_wire_redirect (hzb_election_leader (controller->election)), 0);
+          hzb_http_request_respond (http_request, 421, hzb_wire_redirect (hzb_election_leader (controller->election)),
+                                    0);
         else
-          reply_json (exchange, 200, views[i].view (controller));
+          reply_json (http_request, 200, views[i].view (controller));
         return TRUE;
       }
-  if (hzb_reconciliation_admin_request (controller, exchange, what))
+  if (hzb_reconciliation_admin_request (controller, http_request, what))
     return TRUE;
   if (g_str_has_prefix (what, TENANT "jobs/"))
     {
       const HzbJob *job = hzb_jobs_find (controller->jobs, what + strlen (TENANT "jobs/"));
       if (!get)
-        refuse (exchange, 405, "GET here");
+        refuse (http_request, 405, "GET here");
       else if (!job)
-        refuse (exchange, 404, "this node knows no such job");
+        refuse (http_request, 404, "this node knows no such job");
       else
-        reply_json (exchange, 200, pack_job (job));
+        reply_json (http_request, 200, pack_job (job));
     }
   else if (g_str_has_prefix (what, "machines/") && g_str_has_suffix (what, "/drain"))
     {
       g_autofree char *name = g_strndup (what + strlen ("machines/"), strlen (what) - strlen ("machines//drain"));
-      if (!g_str_equal (exchange->method, "POST"))
-        refuse (exchange, 405, "POST here");
+      if (!g_str_equal (http_request->method, "POST"))
+        refuse (http_request, 405, "POST here");
       else if (!holds)
-        hzb_exchange_reply (exchange, 421, hzb_wire_redirect (hzb_election_leader (controller->election)), 0);
+        hzb_http_request_respond (http_request, 421, hzb_wire_redirect (hzb_election_leader (controller->election)), 0);
       else
-        drain (controller, exchange, name);
+        drain (controller, http_request, name);
     }
   else
     refuse (
-        exchange, 404,
+        http_request, 404,
         "there are leadership, settings, metrics, machines, machines/NAME/drain, blocks, reconciliation, reconciliations, " TENANT
         "teams, " TENANT "jobs and " TENANT "jobs/ID here");
   return TRUE;
--- a/src/admin.h
+++ b/src/admin.h
@@ -12,4 +12,4 @@
 void hzb_admin_apply_settings (HzbController *controller, const cJSON *value, guint64 version);
 
 /** hzb_admin_request: Returns: FALSE if the path is not one of the administration API's. */
-gboolean hzb_admin_request (HzbController *controller, HzbExchange *exchange);
+gboolean hzb_admin_request (HzbController *controller, HzbHttpRequest *http_request);
--- a/src/controller.c
+++ b/src/controller.c
@@ -416,54 +416,54 @@
 }
 
 static void
-on_answered (HzbExchange *exchange, guint status, gpointer user)
+on_answered (HzbHttpRequest *http_request, guint status, gpointer user)
 {
   HzbController *controller = user;
-  hzb_metrics_answered (controller->metrics, (HzbMetricKind) exchange->kind, status,
-                        hzb_time_between (exchange->began, hzb_clock_now (controller->clock)));
+  hzb_metrics_answered (controller->metrics, (HzbMetricKind) http_request->kind, status,
+                        hzb_time_between (http_request->began, hzb_clock_now (controller->clock)));
 }
 
 static HzbMetricKind
-kind_of (const HzbExchange *exchange)
+kind_of (const HzbHttpRequest *http_request)
 {
-  gboolean post = g_str_equal (exchange->method, "POST");
-  if (g_str_equal (exchange->path, hzb_path_worker_heartbeat))
+  gboolean post = g_str_equal (http_request->method, "POST");
+  if (g_str_equal (http_request->path, hzb_path_worker_heartbeat))
     return HZB_METRIC_HEARTBEAT;
-  if (!g_str_has_prefix (exchange->path, hzb_path_jobs))
+  if (!g_str_has_prefix (http_request->path, hzb_path_jobs))
     return HZB_METRIC_OTHER;
-  if (g_str_has_suffix (exchange->path, hzb_path_cancel))
+  if (g_str_has_suffix (http_request->path, hzb_path_cancel))
     return HZB_METRIC_CANCEL;
   return post ? HZB_METRIC_SUBMIT : HZB_METRIC_STATUS;
 }
 
 void
-hzb_controller_request (HzbExchange *exchange, gpointer data)
+hzb_controller_request (HzbHttpRequest *http_request, gpointer data)
 {
   HzbController *controller = data;
 
-  exchange->began = hzb_clock_now (controller->clock);
-  exchange->kind = kind_of (exchange);
-  exchange->done = on_answered;
-  exchange->done_user = controller;
+  http_request->began = hzb_clock_now (controller->clock);
+  http_request->kind = kind_of (http_request);
+  http_request->done = on_answered;
+  http_request->done_user = controller;
 
-  if (g_str_equal (exchange->path, hzb_path_worker_heartbeat))
+  if (g_str_equal (http_request->path, hzb_path_worker_heartbeat))
     {
-      if (g_str_equal (exchange->method, "POST"))
-        hzb_worker_api_heartbeat (controller, exchange);
+      if (g_str_equal (http_request->method, "POST"))
+        hzb_worker_api_heartbeat (controller, http_request);
       else
-        hzb_exchange_reply (exchange, 405, hzb_wire_error ("POST a report here"), 0);
+        hzb_http_request_respond (http_request, 405, hzb_wire_error ("POST a report here"), 0);
     }
-  else if (g_str_equal (exchange->path, hzb_path_ready))
+  else if (g_str_equal (http_request->path, hzb_path_ready))
     {
-      if (!g_str_equal (exchange->method, "GET"))
-        hzb_exchange_reply (exchange, 405, hzb_wire_error ("GET here"), 0);
+      if (!g_str_equal (http_request->method, "GET"))
+        hzb_http_request_respond (http_request, 405, hzb_wire_error ("GET here"), 0);
       else if (hzb_controller_ready (controller))
-        hzb_exchange_reply (exchange, 200, g_strdup ("{\"ready\":true}"), 0);
+        hzb_http_request_respond (http_request, 200, g_strdup ("{\"ready\":true}"), 0);
       else
-        hzb_exchange_reply (exchange, 503, hzb_wire_error ("not ready"), 1);
+        hzb_http_request_respond (http_request, 503, hzb_wire_error ("not ready"), 1);
     }
-  else if (!hzb_admin_request (controller, exchange))
-    hzb_user_api_request (controller->api, exchange);
+  else if (!hzb_admin_request (controller, http_request))
+    hzb_user_api_request (controller->api, http_request);
 }
 
 /* Guards against watches that use up the requests of the key-value store: each change ends the watch of every node, and
--- a/src/controller.h
+++ b/src/controller.h
@@ -90,7 +90,7 @@
 HzbController *hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed);
 void hzb_controller_free (HzbController *controller);
 void hzb_controller_tick (HzbController *controller);
-void hzb_controller_request (HzbExchange *exchange, gpointer data); /* users and workers */
+void hzb_controller_request (HzbHttpRequest *http_request, gpointer data); /* users and workers */
 gboolean hzb_controller_ready (HzbController *controller);
 gboolean hzb_controller_kv_unresponsive (HzbController *controller);
 void hzb_controller_apply_record (HzbController *controller, const HzbKvEntry *item);
--- a/src/http.c
+++ b/src/http.c
@@ -344,23 +344,23 @@
 }
 
 void
-hzb_exchange_reply (HzbExchange *exchange, guint status, char *body, guint retry_after_s)
+hzb_http_request_respond (HzbHttpRequest *http_request, guint status, char *body, guint retry_after_s)
 {
-  if (exchange->done)
-    exchange->done (exchange, status, exchange->done_user);
-  exchange->reply (exchange, status, body, retry_after_s);
+  if (http_request->done)
+    http_request->done (http_request, status, http_request->done_user);
+  http_request->reply (http_request, status, body, retry_after_s);
   g_free (body);
-  g_free (exchange->method);
-  g_free (exchange->path);
-  g_free (exchange->body);
-  g_free (exchange);
+  g_free (http_request->method);
+  g_free (http_request->path);
+  g_free (http_request->body);
+  g_free (http_request);
 }
 
 static void
-soup_reply (HzbExchange *exchange, guint status, const char *body, guint retry_after_s)
+soup_reply (HzbHttpRequest *http_request, guint status, const char *body, guint retry_after_s)
 {
-  HzbHttpServer *server = exchange->server;
-  SoupMessage *message = exchange->impl;
+  HzbHttpServer *server = http_request->server;
+  SoupMessage *message = http_request->impl;
 
   soup_message_set_status (message, status);
   if (retry_after_s)
@@ -374,8 +374,8 @@
   /* What this node can't answer another may: the next try should not come over the same connection. */
   if (status == 503)
     soup_message_headers_replace (message->response_headers, "Connection", "close");
-  if (exchange->answered)
-    *exchange->answered = TRUE;
+  if (http_request->answered)
+    *http_request->answered = TRUE;
   else
     soup_server_unpause_message (server->soup, message);
   g_object_unref (message);
@@ -433,7 +433,7 @@
             gpointer user)
 {
   HzbHttpServer *server = user;
-  HzbExchange *exchange;
+  HzbHttpRequest *http_request;
   g_autoptr (SoupBuffer) body = soup_message_body_flatten (message->request_body);
   gboolean answered = FALSE;
 
@@ -443,19 +443,19 @@
       soup_message_set_status (message, SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE);
       return;
     }
-  exchange = g_new0 (HzbExchange, 1);
-  exchange->method = g_strdup (message->method);
-  exchange->path = g_strdup (path);
-  exchange->body = g_strndup (body->data, body->length);
-  exchange->length = body->length;
-  exchange->reply = soup_reply;
-  exchange->server = server;
-  exchange->impl = g_object_ref (message);
-  exchange->answered = &answered;
-  server->handler (exchange, server->user);
+  http_request = g_new0 (HzbHttpRequest, 1);
+  http_request->method = g_strdup (message->method);
+  http_request->path = g_strdup (path);
+  http_request->body = g_strndup (body->data, body->length);
+  http_request->length = body->length;
+  http_request->reply = soup_reply;
+  http_request->server = server;
+  http_request->impl = g_object_ref (message);
+  http_request->answered = &answered;
+  server->handler (http_request, server->user);
   if (!answered)
     {
-      exchange->answered = NULL;
+      http_request->answered = NULL;
       soup_server_pause_message (soup, message);
     }
 }
--- a/src/http.h
+++ b/src/http.h
@@ -23,25 +23,26 @@
 HzbTransport *hzb_http_client_new (void);
 void hzb_http_client_free (HzbTransport *transport);
 
-/* One request that waits for its answer. hzb_exchange_reply() must be called once; it ends the exchange. */
-typedef struct _HzbExchange HzbExchange;
-struct _HzbExchange
+/* One request that waits for its answer. hzb_http_request_respond() must be called once; it ends the exchange. */
+typedef struct _HzbHttpRequest HzbHttpRequest;
+struct _HzbHttpRequest
 {
   char *method, *path;
   char *body;
   gsize length;
-  void (*reply) (HzbExchange *self, guint status, const char *body, guint retry_after_s);
+  void (*reply) (HzbHttpRequest *self, guint status, const char *body, guint retry_after_s);
   gpointer impl, server;
   struct timespec began;
   guint kind;
-  void (*done) (HzbExchange *self, guint status, gpointer user); /* called as it is answered; may be NULL */
+  void (*done) (HzbHttpRequest *self, guint status, gpointer user); /* called as it is answered; may be NULL */
   gpointer done_user;
   gboolean *answered; /* set while its handler runs */
 };
 
-void hzb_exchange_reply (HzbExchange *exchange, guint status, char *body, guint retry_after_s); /* takes body */
+void
+hzb_http_request_respond (HzbHttpRequest *http_request, guint status, char *body, guint retry_after_s); /* takes body */
 
-typedef void (*HzbHandler) (HzbExchange *exchange, gpointer user);
+typedef void (*HzbHandler) (HzbHttpRequest *http_request, gpointer user);
 
 typedef struct _HzbHttpServer HzbHttpServer;
 HzbHttpServer *hzb_http_server_new (const char *addr, guint sockets, HzbHandler handler, gpointer user, GError **error);
--- a/src/peers.c
+++ b/src/peers.c
@@ -593,7 +593,7 @@
 }
 
 static void
-reply_heartbeat (HzbPeers *peers, HzbExchange *exchange, const HzbPeerHeartbeat *theirs)
+reply_heartbeat (HzbPeers *peers, HzbHttpRequest *http_request, const HzbPeerHeartbeat *theirs)
 {
   g_autoptr (HzbPeerHeartbeat) heartbeat = heartbeat_of_now (peers);
   cJSON *reply = cJSON_CreateObject ();
@@ -602,27 +602,27 @@
     heartbeat->cancellations_up_to = hzb_cancellations_since (peers->controller->cancellations,
                                                               theirs->cancellations_known, heartbeat->cancellations);
   hzb_peer_heartbeat_encode (heartbeat, reply);
-  hzb_exchange_reply (exchange, 200, cJSON_PrintUnformatted (reply), 0);
+  hzb_http_request_respond (http_request, 200, cJSON_PrintUnformatted (reply), 0);
   cJSON_Delete (reply);
 }
 
 void
-hzb_controller_peer_request (HzbExchange *exchange, gpointer data)
+hzb_controller_peer_request (HzbHttpRequest *http_request, gpointer data)
 {
   HzbController *controller = data;
-  gboolean shard = g_str_equal (exchange->path, "/peer/v1/block");
-  cJSON *root = cJSON_ParseWithLength (exchange->body, exchange->length);
+  gboolean shard = g_str_equal (http_request->path, "/peer/v1/block");
+  cJSON *root = cJSON_ParseWithLength (http_request->body, http_request->length);
   View *view = sender (controller->peers, shard ? HZB_PEER_SHARD_POLL : HZB_PEER_HEARTBEAT, root);
 
   if (!view)
-    hzb_exchange_reply (exchange, 400, hzb_wire_error ("not a message of a peer, or an old one"), 0);
+    hzb_http_request_respond (http_request, 400, hzb_wire_error ("not a message of a peer, or an old one"), 0);
   else if (shard)
-    hzb_shard_leases_request (controller->shard_leases, exchange, root);
+    hzb_shard_leases_request (controller->shard_leases, http_request, root);
   else
     {
       g_autoptr (HzbPeerHeartbeat) theirs = hzb_peer_heartbeat_decode (root);
       apply_heartbeat (controller->peers, view, theirs);
-      reply_heartbeat (controller->peers, exchange, theirs);
+      reply_heartbeat (controller->peers, http_request, theirs);
     }
   cJSON_Delete (root);
 }
--- a/src/peers.h
+++ b/src/peers.h
@@ -91,4 +91,4 @@
 cJSON *hzb_peers_message (HzbPeers *peers, HzbPeerKind kind);
 
 /** hzb_controller_peer_request: HTTP handler of the address that peers use. */
-void hzb_controller_peer_request (HzbExchange *exchange, gpointer data);
+void hzb_controller_peer_request (HzbHttpRequest *http_request, gpointer data);
--- a/src/reconciliation/reconciliation-admin.c
+++ b/src/reconciliation/reconciliation-admin.c
@@ -130,15 +130,15 @@
 /* ---- requests ---- */
 
 static void
-refuse (HzbExchange *exchange, guint status, const char *text)
+refuse (HzbHttpRequest *http_request, guint status, const char *text)
 {
-  hzb_exchange_reply (exchange, status, hzb_wire_error (text), status == 503 ? 1 : 0);
+  hzb_http_request_respond (http_request, status, hzb_wire_error (text), status == 503 ? 1 : 0);
 }
 
 static void
 on_archive_read (guint status, char *body, gpointer user)
 {
-  hzb_exchange_reply (user, status, body, status == 503 ? 1 : 0);
+  hzb_http_request_respond (user, status, body, status == 503 ? 1 : 0);
 }
 
 static void
@@ -158,15 +158,15 @@
     [HZB_KEEP_BUSY] = { 503, "another decision is being recorded" },
   };
   if (result == HZB_KEEP_DONE)
-    hzb_exchange_reply (user, 200, g_strdup ("{\"decided\":true}"), 0);
+    hzb_http_request_respond (user, 200, g_strdup ("{\"decided\":true}"), 0);
   else
     refuse (user, answers[result].status, answers[result].text);
 }
 
 static gboolean
-read_decision (const HzbExchange *exchange, HzbOperatorDecision *decision)
+read_decision (const HzbHttpRequest *http_request, HzbOperatorDecision *decision)
 {
-  cJSON *root = cJSON_ParseWithLength (exchange->body, exchange->length);
+  cJSON *root = cJSON_ParseWithLength (http_request->body, http_request->length);
   const char *text = hzb_json_text (root, "decision");
   gboolean known = TRUE;
 
@@ -182,7 +182,7 @@
 
 /* quarantine/JOB/NUMBER */
 static void
-decide (HzbReconciliation *reconciliation, HzbExchange *exchange, const char *name)
+decide (HzbReconciliation *reconciliation, HzbHttpRequest *http_request, const char *name)
 {
   g_auto (GStrv) parts = g_strsplit (name, "/", 0);
   HzbOperatorDecision decision;
@@ -190,34 +190,34 @@
 
   if (g_strv_length (parts) != 2 || !hzb_wire_uid_ok (parts[0])
       || !g_ascii_string_to_unsigned (parts[1], 10, 0, HZB_MAX_TASKS, &task, NULL))
-    refuse (exchange, 400, "expected quarantine/JOB/NUMBER");
-  else if (!read_decision (exchange, &decision))
-    refuse (exchange, 400, "expected {\"decision\": \"keep\"} or \"stop\"");
+    refuse (http_request, 400, "expected quarantine/JOB/NUMBER");
+  else if (!read_decision (http_request, &decision))
+    refuse (http_request, 400, "expected {\"decision\": \"keep\"} or \"stop\"");
   else
-    hzb_quarantine_decide (reconciliation->quarantine, parts[0], (guint) task, decision, on_decided, exchange);
+    hzb_quarantine_decide (reconciliation->quarantine, parts[0], (guint) task, decision, on_decided, http_request);
 }
 
 static void
-show_archive (HzbReconciliation *reconciliation, HzbExchange *exchange, const char *id_text)
+show_archive (HzbReconciliation *reconciliation, HzbHttpRequest *http_request, const char *id_text)
 {
   guint64 id = 0;
   if (!g_ascii_string_to_unsigned (id_text, 10, 1, G_MAXUINT64, &id, NULL))
-    refuse (exchange, 400, "expected the id of an archive");
+    refuse (http_request, 400, "expected the id of an archive");
   else
-    hzb_archive_store_read (reconciliation->archives, id, on_archive_read, exchange);
+    hzb_archive_store_read (reconciliation->archives, id, on_archive_read, http_request);
 }
 
 static void
-redirect (const HzbController *controller, HzbExchange *exchange)
+redirect (const HzbController *controller, HzbHttpRequest *http_request)
 {
-  hzb_exchange_reply (exchange, 421, hzb_wire_redirect (hzb_election_leader (controller->election)), 0);
+  hzb_http_request_respond (http_request, 421, hzb_wire_redirect (hzb_election_leader (controller->election)), 0);
 }
 
 gboolean
-hzb_reconciliation_admin_request (HzbController *controller, HzbExchange *exchange, const char *path)
+hzb_reconciliation_admin_request (HzbController *controller, HzbHttpRequest *http_request, const char *path)
 {
   HzbReconciliation *reconciliation = controller->reconciliation;
-  gboolean get = g_str_equal (exchange->method, "GET"), post = g_str_equal (exchange->method, "POST");
+  gboolean get = g_str_equal (http_request->method, "GET"), post = g_str_equal (http_request->method, "POST");
   gboolean leads = controller->ownership >= HZB_OWNERSHIP_RECOVERING && hzb_election_leading (controller->election);
   gboolean state = g_str_equal (path, "reconciliation");
   gboolean quarantine = g_str_has_prefix (path, HZB_ADMIN_QUARANTINE);
@@ -225,22 +225,22 @@
   if (!state && !quarantine && !g_str_has_prefix (path, HZB_ADMIN_ARCHIVES))
     return FALSE;
   if (quarantine ? !post : !get)
-    refuse (exchange, 405, quarantine ? "POST here" : "GET here");
+    refuse (http_request, 405, quarantine ? "POST here" : "GET here");
   else if ((state || quarantine) && !leads)
-    redirect (controller, exchange);
+    redirect (controller, http_request);
   else if (state)
     {
       cJSON *root = pack_state (reconciliation);
       char *text = cJSON_PrintUnformatted (root);
       cJSON_Delete (root);
-      hzb_exchange_reply (exchange, 200, text, 0);
+      hzb_http_request_respond (http_request, 200, text, 0);
     }
   else if (quarantine)
-    decide (reconciliation, exchange, path + strlen (HZB_ADMIN_QUARANTINE));
+    decide (reconciliation, http_request, path + strlen (HZB_ADMIN_QUARANTINE));
   else if (g_str_equal (path, HZB_ADMIN_ARCHIVES))
-    hzb_archive_store_list (reconciliation->archives, on_archive_read, exchange);
+    hzb_archive_store_list (reconciliation->archives, on_archive_read, http_request);
   else if (g_str_has_prefix (path, HZB_ADMIN_ARCHIVES "/"))
-    show_archive (reconciliation, exchange, path + strlen (HZB_ADMIN_ARCHIVES "/"));
+    show_archive (reconciliation, http_request, path + strlen (HZB_ADMIN_ARCHIVES "/"));
   else
     return FALSE;
   return TRUE;
--- a/src/reconciliation/reconciliation-admin.h
+++ b/src/reconciliation/reconciliation-admin.h
@@ -19,4 +19,4 @@
  *
  * Returns: FALSE if the path is none of these; else the exchange is answered now or later
  */
-gboolean hzb_reconciliation_admin_request (HzbController *controller, HzbExchange *exchange, const char *path);
+gboolean hzb_reconciliation_admin_request (HzbController *controller, HzbHttpRequest *http_request, const char *path);
--- a/src/shard-leases.c
+++ b/src/shard-leases.c
@@ -313,7 +313,7 @@
 }
 
 void
-hzb_shard_leases_request (HzbShardLeases *shard_leases, HzbExchange *exchange, const cJSON *root)
+hzb_shard_leases_request (HzbShardLeases *shard_leases, HzbHttpRequest *http_request, const cJSON *root)
 {
   HzbController *controller = shard_leases->controller;
   const char *node = hzb_json_text (root, "node"), *incarnation = hzb_json_text (root, "incarnation");
@@ -332,7 +332,7 @@
   if (!leaseholder || !incarnation || !hzb_election_leading (controller->election)
       || controller->ownership < HZB_OWNERSHIP_RECOVERING)
     {
-      hzb_exchange_reply (exchange, 503, hzb_wire_error ("no blocks to lease here"), 0);
+      hzb_http_request_respond (http_request, 503, hzb_wire_error ("no blocks to lease here"), 0);
       return;
     }
   if (g_strcmp0 (leaseholder->incarnation, incarnation) != 0)
@@ -391,7 +391,7 @@
   {
     char *text = cJSON_PrintUnformatted (reply);
     cJSON_Delete (reply);
-    hzb_exchange_reply (exchange, 200, text, 0);
+    hzb_http_request_respond (http_request, 200, text, 0);
   }
 }
 
--- a/src/shard-leases.h
+++ b/src/shard-leases.h
@@ -21,7 +21,7 @@
 void hzb_shard_leases_tick (HzbShardLeases *shard_leases, struct timespec now);
 
 /** hzb_shard_leases_request: answers the poll of a leaseholder. */
-void hzb_shard_leases_request (HzbShardLeases *shard_leases, HzbExchange *exchange, const cJSON *root);
+void hzb_shard_leases_request (HzbShardLeases *shard_leases, HzbHttpRequest *http_request, const cJSON *root);
 
 /** hzb_shard_leases_lease_idle: a machine without tasks has reported. Returns: (nullable): the node that it is leased to now. */
 const char *hzb_shard_leases_lease_idle (HzbShardLeases *shard_leases, HzbMachine *machine);
--- a/src/submissions.c
+++ b/src/submissions.c
@@ -28,11 +28,11 @@
 }
 
 static HzbSubmission *
-submission_new (HzbController *controller, HzbExchange *exchange, HzbJobSpec *spec)
+submission_new (HzbController *controller, HzbHttpRequest *http_request, HzbJobSpec *spec)
 {
   HzbSubmission *submission = g_new0 (HzbSubmission, 1);
   cJSON *packed = hzb_jobs_pack_accepted (spec, hzb_clock_wall (controller->clock));
-  submission->exchange = exchange;
+  submission->http_request = http_request;
   submission->spec = spec;
   submission->packed = cJSON_PrintUnformatted (packed);
   submission->deadline = hzb_time_plus (hzb_clock_now (controller->clock), ACCEPT_WITHIN_S);
@@ -54,10 +54,11 @@
   HzbJob *job = hzb_jobs_find (api->controller->jobs, uid);
 
   if (job && job->state == HZB_JOB_CANCELLED)
-    hzb_user_api_reply_final (api, hzb_user_api_check_new (submission->exchange, uid, HZB_QUESTION_SUBMISSION), job);
+    hzb_user_api_reply_final (api, hzb_user_api_check_new (submission->http_request, uid, HZB_QUESTION_SUBMISSION),
+                              job);
   else
-    hzb_exchange_reply (submission->exchange, 201,
-                        hzb_wire_job_status (uid, job ? hzb_job_status (job) : "queued", FALSE, 0, 0), 0);
+    hzb_http_request_respond (submission->http_request, 201,
+                              hzb_wire_job_status (uid, job ? hzb_job_status (job) : "queued", FALSE, 0, 0), 0);
 }
 
 /* Either the job is over, or what became of the transaction is not known: if the job is not there, it may still come, so
@@ -65,7 +66,7 @@
 static void
 check_undecided (HzbUserApi *api, HzbSubmission *submission, gboolean over)
 {
-  HzbCheck *check = hzb_user_api_check_new (submission->exchange, submission->spec->uid, HZB_QUESTION_SUBMISSION);
+  HzbCheck *check = hzb_user_api_check_new (submission->http_request, submission->spec->uid, HZB_QUESTION_SUBMISSION);
   if (over)
     hzb_user_api_read_check (api, check);
   else
@@ -103,7 +104,7 @@
       else if (result == HZB_KV_CONFLICT || result == HZB_KV_UNKNOWN)
         check_undecided (api, submission, over);
       else
-        hzb_user_api_reply_unavailable (submission->exchange, "the state service can't be asked");
+        hzb_user_api_reply_unavailable (submission->http_request, "the state service can't be asked");
       hzb_submissions_free (submission);
     }
   hzb_user_api_batch_free (batch);
@@ -127,7 +128,7 @@
       if (hzb_time_before (submission->deadline, now))
         {
           g_queue_pop_head (&api->submissions);
-          hzb_user_api_reply_unavailable (submission->exchange, "not decided in time");
+          hzb_user_api_reply_unavailable (submission->http_request, "not decided in time");
           hzb_submissions_free (submission);
           continue;
         }
@@ -226,11 +227,11 @@
 }
 
 void
-hzb_submissions_submit (HzbUserApi *api, HzbExchange *exchange)
+hzb_submissions_submit (HzbUserApi *api, HzbHttpRequest *http_request)
 {
   HzbController *controller = api->controller;
   g_autoptr (GError) error = NULL;
-  g_autoptr (HzbJobSpec) spec = hzb_wire_parse_job (exchange->body, exchange->length, &error);
+  g_autoptr (HzbJobSpec) spec = hzb_wire_parse_job (http_request->body, http_request->length, &error);
   HzbJob *job;
   const char *refusal;
   HzbSubmission *submission;
@@ -238,53 +239,53 @@
   if (!spec)
     {
       g_message ("a submission is malformed: %s", error->message);
-      hzb_exchange_reply (exchange, 400, hzb_wire_error (error->message), 0);
+      hzb_http_request_respond (http_request, 400, hzb_wire_error (error->message), 0);
       return;
     }
   if ((job = hzb_jobs_find (controller->jobs, spec->uid)))
     {
       if (job->state != HZB_JOB_ACCEPTED)
-        hzb_user_api_reply_final (api, hzb_user_api_check_new (exchange, spec->uid, HZB_QUESTION_SUBMISSION), job);
+        hzb_user_api_reply_final (api, hzb_user_api_check_new (http_request, spec->uid, HZB_QUESTION_SUBMISSION), job);
       else
-        hzb_user_api_add_check (api, exchange, spec->uid, HZB_QUESTION_SUBMISSION, NULL, 0);
+        hzb_user_api_add_check (api, http_request, spec->uid, HZB_QUESTION_SUBMISSION, NULL, 0);
       return;
     }
   if (!hzb_controller_ready (controller) || !controller->machines->types || hzb_controller_kv_unresponsive (controller))
     {
-      hzb_user_api_reply_unavailable (exchange, "not ready yet");
+      hzb_user_api_reply_unavailable (http_request, "not ready yet");
       return;
     }
   /* A repeat of an accepted job must not be refused, whatever has changed since; the version before took any estimate. */
   if (spec->kind == HZB_JOB_SERVICE && spec->estimate_s > 0)
     {
-      hzb_user_api_add_check (api, exchange, spec->uid, HZB_QUESTION_SUBMISSION,
+      hzb_user_api_add_check (api, http_request, spec->uid, HZB_QUESTION_SUBMISSION,
                               "expectS: expected 0 for standing jobs", 400);
       return;
     }
   if ((refusal = reason_it_never_runs (controller, spec)))
     {
-      hzb_user_api_add_check (api, exchange, spec->uid, HZB_QUESTION_SUBMISSION, refusal, 422);
+      hzb_user_api_add_check (api, http_request, spec->uid, HZB_QUESTION_SUBMISSION, refusal, 422);
       return;
     }
   /* A version 1 would take a replica that ends for a task that is done. */
   if (spec->kind == HZB_JOB_SERVICE && hzb_election_format (controller->election) < HZB_FORMAT)
     {
-      hzb_exchange_reply (exchange, 503, hzb_wire_error ("services are taken once every controller runs this version"),
-                          2);
+      hzb_http_request_respond (http_request, 503,
+                                hzb_wire_error ("services are taken once every controller runs this version"), 2);
       return;
     }
   if (api->submissions.length >= MAX (LEAST_QUEUE, QUEUE_PART * controller->settings->sockets))
     {
-      hzb_exchange_reply (exchange, 429, hzb_wire_error ("more submissions than can be taken"), 2);
+      hzb_http_request_respond (http_request, 429, hzb_wire_error ("more submissions than can be taken"), 2);
       return;
     }
   drop_unknown_types (controller, spec);
-  g_clear_pointer (&exchange->body, g_free); /* up to 64 KiB for as long as it waits */
-  submission = submission_new (controller, exchange, g_steal_pointer (&spec));
+  g_clear_pointer (&http_request->body, g_free); /* up to 64 KiB for as long as it waits */
+  submission = submission_new (controller, http_request, g_steal_pointer (&spec));
   if ((double) strlen (submission->packed) > max_record_bytes (controller))
     {
       /* Guards against a repeat of a job that was accepted when values could be larger: it must not be refused. */
-      hzb_user_api_add_check (api, exchange, submission->spec->uid, HZB_QUESTION_SUBMISSION,
+      hzb_user_api_add_check (api, http_request, submission->spec->uid, HZB_QUESTION_SUBMISSION,
                               "the job's texts are too long", 400);
       hzb_submissions_free (submission);
       return;
--- a/src/user-api-private.h
+++ b/src/user-api-private.h
@@ -16,7 +16,7 @@
 
 typedef struct
 {
-  HzbExchange *exchange;
+  HzbHttpRequest *http_request;
   char *uid;
   HzbQuestion question;
   char *refusal; /* QUESTION_SUBMISSION: why it is not taken, if it is not known */
@@ -26,7 +26,7 @@
 
 typedef struct
 {
-  HzbExchange *exchange;
+  HzbHttpRequest *http_request;
   HzbJobSpec *spec;
   char *packed;
   struct timespec deadline;
@@ -52,12 +52,12 @@
 } HzbBatch;
 
 /** hzb_user_api_reply_unavailable: 503 with Retry-After. */
-void hzb_user_api_reply_unavailable (HzbExchange *exchange, const char *why);
+void hzb_user_api_reply_unavailable (HzbHttpRequest *http_request, const char *why);
 
 /** hzb_user_api_reply_final: answers with the job's state, once it may be told. Takes @check. */
 void hzb_user_api_reply_final (HzbUserApi *api, HzbCheck *check, HzbJob *job);
 
-HzbCheck *hzb_user_api_check_new (HzbExchange *exchange, const char *uid, HzbQuestion question);
+HzbCheck *hzb_user_api_check_new (HzbHttpRequest *http_request, const char *uid, HzbQuestion question);
 
 /** hzb_user_api_queue_check: answers once the replica of the records is proven to be up to date. Takes @check. */
 void hzb_user_api_queue_check (HzbUserApi *api, HzbCheck *check);
@@ -71,7 +71,7 @@
  *
  * Queues a check for the exchange, or refuses it at once if that can't be done.
  */
-void hzb_user_api_add_check (HzbUserApi *api, HzbExchange *exchange, const char *uid, HzbQuestion question,
+void hzb_user_api_add_check (HzbUserApi *api, HzbHttpRequest *http_request, const char *uid, HzbQuestion question,
                              const char *refusal, guint refusal_status);
 
 /** hzb_user_api_failed_by: a transaction failed by the record of this job's end. */
@@ -81,7 +81,7 @@
 void hzb_user_api_batch_free (HzbBatch *batch);
 
 /** hzb_submissions_submit: answers the submission now or later. */
-void hzb_submissions_submit (HzbUserApi *api, HzbExchange *exchange);
+void hzb_submissions_submit (HzbUserApi *api, HzbHttpRequest *http_request);
 
 /** hzb_submissions_flush: sends what waits to be accepted. */
 void hzb_submissions_flush (HzbUserApi *api);
--- a/src/user-api.c
+++ b/src/user-api.c
@@ -57,21 +57,21 @@
   HzbSubmission *submission;
   while ((check = g_queue_pop_head (&api->checks)) || (check = g_queue_pop_head (&api->pending_cancellations)))
     {
-      hzb_exchange_reply (check->exchange, 503, NULL, 1);
+      hzb_http_request_respond (check->http_request, 503, NULL, 1);
       check_free (check);
     }
   while ((submission = g_queue_pop_head (&api->submissions)))
     {
-      hzb_exchange_reply (submission->exchange, 503, NULL, 1);
+      hzb_http_request_respond (submission->http_request, 503, NULL, 1);
       hzb_submissions_free (submission);
     }
   g_free (api);
 }
 
 void
-hzb_user_api_reply_unavailable (HzbExchange *exchange, const char *why)
+hzb_user_api_reply_unavailable (HzbHttpRequest *http_request, const char *why)
 {
-  hzb_exchange_reply (exchange, 503, hzb_wire_error (why), 1);
+  hzb_http_request_respond (http_request, 503, hzb_wire_error (why), 1);
 }
 
 static guint
@@ -83,7 +83,7 @@
 static void
 give_up (HzbCheck *check, const char *why)
 {
-  hzb_user_api_reply_unavailable (check->exchange, why);
+  hzb_user_api_reply_unavailable (check->http_request, why);
   check_free (check);
 }
 
@@ -101,7 +101,7 @@
 }
 
 static void
-reply_status (HzbUserApi *api, HzbExchange *exchange, const HzbJob *job, guint status, gboolean counts)
+reply_status (HzbUserApi *api, HzbHttpRequest *http_request, const HzbJob *job, guint status, gboolean counts)
 {
   guint done = job->done + job->finished, running = job->running + job->delegated_running;
   const char *text = hzb_job_status (job);
@@ -116,7 +116,7 @@
       hzb_peers_task_counts (api->controller->peers, job->uid, &done, &running);
       text = running ? "running" : "queued";
     }
-  hzb_exchange_reply (exchange, status, hzb_wire_job_status (job->uid, text, counts, done, running), 0);
+  hzb_http_request_respond (http_request, status, hzb_wire_job_status (job->uid, text, counts, done, running), 0);
 }
 
 /* A job's final state, or one that is proven fresh. Of a cancelled one nothing is told before no owner can act without
@@ -128,7 +128,7 @@
 
   if (job->state != HZB_JOB_CANCELLED || hzb_cancellations_acknowledged (controller->cancellations, job))
     {
-      reply_status (api, check->exchange, job, 200, check->question == HZB_QUESTION_STATUS);
+      reply_status (api, check->http_request, job, 200, check->question == HZB_QUESTION_STATUS);
       check_free (check);
     }
   else if (!hzb_cancellations_request (controller->cancellations, job)
@@ -170,10 +170,10 @@
 }
 
 HzbCheck *
-hzb_user_api_check_new (HzbExchange *exchange, const char *uid, HzbQuestion question)
+hzb_user_api_check_new (HzbHttpRequest *http_request, const char *uid, HzbQuestion question)
 {
   HzbCheck *check = g_new0 (HzbCheck, 1);
-  check->exchange = exchange;
+  check->http_request = http_request;
   check->uid = g_strdup (uid);
   check->question = question;
   return check;
@@ -196,11 +196,11 @@
 settle_unknown (HzbUserApi *api, HzbCheck *check)
 {
   if (check->question == HZB_QUESTION_SUBMISSION && check->refusal)
-    hzb_exchange_reply (check->exchange, check->refusal_status, hzb_wire_error (check->refusal), 0);
+    hzb_http_request_respond (check->http_request, check->refusal_status, hzb_wire_error (check->refusal), 0);
   else if (check->question == HZB_QUESTION_SUBMISSION)
-    hzb_user_api_reply_unavailable (check->exchange, "not decided"); /* a write without an answer may still come */
+    hzb_user_api_reply_unavailable (check->http_request, "not decided"); /* a write without an answer may still come */
   else
-    hzb_exchange_reply (check->exchange, 404, hzb_wire_error ("no such job"), 0);
+    hzb_http_request_respond (check->http_request, 404, hzb_wire_error ("no such job"), 0);
   check_free (check);
 }
 
@@ -216,10 +216,10 @@
     {
       const char *state = hzb_json_text (item.value, "state");
       guint n = (guint) hzb_json_number (item.value, "n", 0);
-      hzb_exchange_reply (check->exchange, 200,
-                          hzb_wire_job_status (check->uid, state, check->question == HZB_QUESTION_STATUS,
-                                               g_strcmp0 (state, "done") == 0 ? n : 0, 0),
-                          0);
+      hzb_http_request_respond (check->http_request, 200,
+                                hzb_wire_job_status (check->uid, state, check->question == HZB_QUESTION_STATUS,
+                                                     g_strcmp0 (state, "done") == 0 ? n : 0, 0),
+                                0);
       check_free (check);
       hzb_kv_entry_clear (&item);
     }
@@ -341,23 +341,23 @@
 }
 
 void
-hzb_user_api_add_check (HzbUserApi *api, HzbExchange *exchange, const char *uid, HzbQuestion question,
+hzb_user_api_add_check (HzbUserApi *api, HzbHttpRequest *http_request, const char *uid, HzbQuestion question,
                         const char *refusal, guint refusal_status)
 {
   HzbCheck *check;
 
   if (hzb_controller_kv_unresponsive (api->controller))
     {
-      hzb_user_api_reply_unavailable (exchange, "the state service does not answer");
+      hzb_user_api_reply_unavailable (http_request, "the state service does not answer");
       return;
     }
   if (api->checks.length >= most_queued (api))
     {
-      hzb_exchange_reply (exchange, question == HZB_QUESTION_SUBMISSION ? 429 : 503,
-                          hzb_wire_error ("too much is asked at once"), 2);
+      hzb_http_request_respond (http_request, question == HZB_QUESTION_SUBMISSION ? 429 : 503,
+                                hzb_wire_error ("too much is asked at once"), 2);
       return;
     }
-  check = hzb_user_api_check_new (exchange, uid, question);
+  check = hzb_user_api_check_new (http_request, uid, question);
   check->refusal = g_strdup (refusal);
   check->refusal_status = refusal_status;
   check->deadline = hzb_time_plus (hzb_clock_now (api->controller->clock), 3);
@@ -400,7 +400,7 @@
 
   if (!hzb_time_before (hzb_clock_now (api->controller->clock), check->deadline))
     {
-      hzb_user_api_reply_unavailable (check->exchange, "not decided in time");
+      hzb_user_api_reply_unavailable (check->http_request, "not decided in time");
       check_free (check);
       return;
     }
@@ -413,48 +413,48 @@
 }
 
 static void
-handle_question (HzbUserApi *api, HzbExchange *exchange, const char *uid, HzbQuestion question)
+handle_question (HzbUserApi *api, HzbHttpRequest *http_request, const char *uid, HzbQuestion question)
 {
   HzbJob *job = hzb_jobs_find (api->controller->jobs, uid);
 
   if (!hzb_wire_uid_ok (uid))
-    hzb_exchange_reply (exchange, 404, hzb_wire_error ("no such job"), 0);
+    hzb_http_request_respond (http_request, 404, hzb_wire_error ("no such job"), 0);
   else if (job && job->state != HZB_JOB_ACCEPTED)
-    hzb_user_api_reply_final (api, hzb_user_api_check_new (exchange, uid, question), job);
+    hzb_user_api_reply_final (api, hzb_user_api_check_new (http_request, uid, question), job);
   else
-    hzb_user_api_add_check (api, exchange, uid, question, NULL, 0);
+    hzb_user_api_add_check (api, http_request, uid, question, NULL, 0);
 }
 
 void
-hzb_user_api_request (HzbUserApi *api, HzbExchange *exchange)
+hzb_user_api_request (HzbUserApi *api, HzbHttpRequest *http_request)
 {
   const char *rest;
-  gboolean post = g_str_equal (exchange->method, "POST"), get = g_str_equal (exchange->method, "GET");
+  gboolean post = g_str_equal (http_request->method, "POST"), get = g_str_equal (http_request->method, "GET");
 
-  if (g_str_equal (exchange->path, hzb_path_jobs))
+  if (g_str_equal (http_request->path, hzb_path_jobs))
     {
       if (post)
-        hzb_submissions_submit (api, exchange);
+        hzb_submissions_submit (api, http_request);
       else
-        hzb_exchange_reply (exchange, 405, hzb_wire_error ("POST a job here"), 0);
+        hzb_http_request_respond (http_request, 405, hzb_wire_error ("POST a job here"), 0);
       return;
     }
-  rest = exchange->path + strlen (hzb_path_jobs);
-  if (g_str_has_prefix (exchange->path, hzb_path_jobs) && *rest == '/')
+  rest = http_request->path + strlen (hzb_path_jobs);
+  if (g_str_has_prefix (http_request->path, hzb_path_jobs) && *rest == '/')
     {
       const char *slash = strchr (rest + 1, '/');
       g_autofree char *uid = slash ? g_strndup (rest + 1, (gsize) (slash - rest - 1)) : g_strdup (rest + 1);
       if (!slash && get)
-        handle_question (api, exchange, uid, HZB_QUESTION_STATUS);
+        handle_question (api, http_request, uid, HZB_QUESTION_STATUS);
       else if (slash && g_str_equal (slash, hzb_path_cancel) && post)
-        handle_question (api, exchange, uid, HZB_QUESTION_CANCELLATION);
+        handle_question (api, http_request, uid, HZB_QUESTION_CANCELLATION);
       else if (!slash || g_str_equal (slash, hzb_path_cancel))
-        hzb_exchange_reply (exchange, 405, hzb_wire_error (slash ? "POST here" : "GET a job here"), 0);
+        hzb_http_request_respond (http_request, 405, hzb_wire_error (slash ? "POST here" : "GET a job here"), 0);
       else
-        hzb_exchange_reply (exchange, 404, hzb_wire_error ("no such path"), 0);
+        hzb_http_request_respond (http_request, 404, hzb_wire_error ("no such path"), 0);
       return;
     }
-  hzb_exchange_reply (exchange, 404, hzb_wire_error ("no such path"), 0);
+  hzb_http_request_respond (http_request, 404, hzb_wire_error ("no such path"), 0);
 }
 
 void
--- a/src/user-api.h
+++ b/src/user-api.h
@@ -13,4 +13,4 @@
 void hzb_user_api_tick (HzbUserApi *api);
 
 /** hzb_user_api_request: answers the exchange now or later, never without an answer. */
-void hzb_user_api_request (HzbUserApi *api, HzbExchange *exchange);
+void hzb_user_api_request (HzbUserApi *api, HzbHttpRequest *http_request);
--- a/src/worker-api.c
+++ b/src/worker-api.c
@@ -341,10 +341,10 @@
 }
 
 static void
-redirect (HzbController *controller, HzbExchange *exchange)
+redirect (HzbController *controller, HzbHttpRequest *http_request)
 {
   controller->redirected = hzb_clock_now (controller->clock);
-  hzb_exchange_reply (exchange, 421, hzb_wire_redirect (hzb_election_leader (controller->election)), 0);
+  hzb_http_request_respond (http_request, 421, hzb_wire_redirect (hzb_election_leader (controller->election)), 0);
 }
 
 /* Guards against reports that a cut held back, and copies of reports: what they say is as old as they are. Once a
@@ -358,9 +358,9 @@
 }
 
 static void
-refuse_late (HzbExchange *exchange)
+refuse_late (HzbHttpRequest *http_request)
 {
-  hzb_exchange_reply (exchange, 503, hzb_wire_error ("an older report"), 0);
+  hzb_http_request_respond (http_request, 503, hzb_wire_error ("an older report"), 0);
 }
 
 /* On a leaseholder: the machine, if it is in the shard and the shard is still ours. */
@@ -395,19 +395,20 @@
 /* A leader that has not read its records yet: the leases of its machines should live meanwhile, for as long as an outage keeps
  * the records from being read. */
 static void
-answer_while_loading (HzbController *controller, const HzbWorkerHeartbeat *heartbeat, HzbExchange *exchange)
+answer_while_loading (HzbController *controller, const HzbWorkerHeartbeat *heartbeat, HzbHttpRequest *http_request)
 {
   g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
   guint64 fencing_token = hzb_fencing_token (hzb_election_term (controller->election), 0);
 
   stop_cancelled (controller, heartbeat, commands);
   /* A fencing token that the worker has seen already is not lowered. */
-  hzb_exchange_reply (exchange, 200, hzb_wire_commands (MAX (fencing_token, heartbeat->fencing_token), commands), 0);
+  hzb_http_request_respond (http_request, 200,
+                            hzb_wire_commands (MAX (fencing_token, heartbeat->fencing_token), commands), 0);
 }
 
 /* On the leader: its machines, and those nobody expected. NULL: the exchange has been answered. */
 static HzbMachine *
-own_machine (HzbController *controller, const HzbWorkerHeartbeat *heartbeat, HzbExchange *exchange)
+own_machine (HzbController *controller, const HzbWorkerHeartbeat *heartbeat, HzbHttpRequest *http_request)
 {
   guint64 term = hzb_election_term (controller->election);
   const char *leaseholder = NULL;
@@ -416,18 +417,18 @@
   if (hzb_fencing_token_term (heartbeat->fencing_token) > term)
     {
       hzb_election_step_down (controller->election, "a worker has seen a newer token");
-      hzb_exchange_reply (exchange, 503, hzb_wire_error ("superseded"), 0);
+      hzb_http_request_respond (http_request, 503, hzb_wire_error ("superseded"), 0);
       return NULL;
     }
   if (controller->ownership < HZB_OWNERSHIP_RECOVERING)
     {
-      answer_while_loading (controller, heartbeat, exchange);
+      answer_while_loading (controller, heartbeat, http_request);
       return NULL;
     }
   machine = hzb_machines_find (controller->machines, heartbeat->host);
   if (!machine && hzb_provisioning_was_scaled_in (controller->provisioning, heartbeat->host))
     {
-      hzb_exchange_reply (exchange, 503, hzb_wire_error ("this machine was returned"), 0);
+      hzb_http_request_respond (http_request, 503, hzb_wire_error ("this machine was returned"), 0);
       return NULL;
     }
   if (!machine)
@@ -437,7 +438,7 @@
     hzb_machine_set_fencing_token (machine, controller->shard->fencing_token);
   if (is_late (machine, heartbeat) && machine->state != HZB_MACHINE_LEASED)
     {
-      refuse_late (exchange);
+      refuse_late (http_request);
       return NULL;
     }
   /* A fencing token that a worker has seen beyond what we know of: ours for it must not be lower. */
@@ -458,14 +459,14 @@
         }
       if (!machine->recorded)
         hzb_records_flush_soon (controller->records);
-      hzb_exchange_reply (exchange, 421, hzb_wire_redirect (leaseholder), 0);
+      hzb_http_request_respond (http_request, 421, hzb_wire_redirect (leaseholder), 0);
       return NULL;
     }
   return machine;
 }
 
 void
-hzb_worker_api_heartbeat (HzbController *controller, HzbExchange *exchange)
+hzb_worker_api_heartbeat (HzbController *controller, HzbHttpRequest *http_request)
 {
   struct timespec now = hzb_clock_now (controller->clock);
   g_autoptr (GError) error = NULL;
@@ -477,32 +478,32 @@
 
   if (!leads && controller->ownership != HZB_OWNERSHIP_LEASEHOLDER)
     {
-      redirect (controller, exchange);
+      redirect (controller, http_request);
       return;
     }
-  heartbeat = hzb_wire_parse_worker_heartbeat (exchange->body, exchange->length, &error);
+  heartbeat = hzb_wire_parse_worker_heartbeat (http_request->body, http_request->length, &error);
   if (!heartbeat)
     {
-      hzb_exchange_reply (exchange, 400, hzb_wire_error (error->message), 0);
+      hzb_http_request_respond (http_request, 400, hzb_wire_error (error->message), 0);
       return;
     }
   /* Guards against a controller that stood still, or reaches its workers only: others rely on it that it renews no lease of
    * work that was cancelled meanwhile. */
   if (!hzb_cancellations_may_answer_workers (controller->cancellations))
     {
-      hzb_exchange_reply (exchange, 503, hzb_wire_error ("cancellations may have been missed here"), 1);
+      hzb_http_request_respond (http_request, 503, hzb_wire_error ("cancellations may have been missed here"), 1);
       return;
     }
   if (!leads && !(machine = leased_machine (controller, heartbeat)))
     {
-      redirect (controller, exchange);
+      redirect (controller, http_request);
       return;
     }
-  if (leads && !(machine = own_machine (controller, heartbeat, exchange)))
+  if (leads && !(machine = own_machine (controller, heartbeat, http_request)))
     return;
   if (is_late (machine, heartbeat))
     {
-      refuse_late (exchange);
+      refuse_late (http_request);
       return;
     }
   if (heartbeat->agent_epoch > machine->agent_epoch && machine->agent_epoch && machine->verified)
@@ -537,7 +538,7 @@
       if (leads && heartbeat->notice_s < 0 && heartbeat->fencing_token == machine->fencing_token
           && (leaseholder = hzb_shard_leases_hand_over (controller->shard_leases, machine)))
         {
-          hzb_exchange_reply (exchange, 421, hzb_wire_redirect (leaseholder), 0);
+          hzb_http_request_respond (http_request, 421, hzb_wire_redirect (leaseholder), 0);
           return;
         }
       /* Starts only while nobody else can have been elected, or the lease is good; see docs/safety.md. */
@@ -555,5 +556,5 @@
   if (machine->ignored_answers >= ONE_WAY_PARTITION_AFTER)
     mark_unreachable (controller, machine, now);
   hzb_reconciliation_note_commands (controller->reconciliation, commands);
-  hzb_exchange_reply (exchange, 200, hzb_wire_commands (machine->fencing_token, commands), 0);
+  hzb_http_request_respond (http_request, 200, hzb_wire_commands (machine->fencing_token, commands), 0);
 }
--- a/src/worker-api.h
+++ b/src/worker-api.h
@@ -8,4 +8,4 @@
 typedef struct _HzbController HzbController;
 
 /** hzb_worker_api_heartbeat: answers one report; the only place from which commands are sent. */
-void hzb_worker_api_heartbeat (HzbController *controller, HzbExchange *exchange);
+void hzb_worker_api_heartbeat (HzbController *controller, HzbHttpRequest *http_request);
--- a/tests/sim-cluster.c
+++ b/tests/sim-cluster.c
@@ -84,20 +84,20 @@
 }
 
 void
-sim_ask (Sim *sim, guint node, HzbExchange *exchange)
+sim_ask (Sim *sim, guint node, HzbHttpRequest *http_request)
 {
   if (sim->ask_process)
     {
-      sim->ask_process (sim, node, exchange);
+      sim->ask_process (sim, node, http_request);
       return;
     }
   sim_trace (&(SimTraceEvent){ .at = sim->now,
                                .kind = "request",
                                .node = node,
-                               .method = exchange->method,
-                               .path = exchange->path,
-                               .body = exchange->body });
-  hzb_controller_request (exchange, sim->nodes[node].controller);
+                               .method = http_request->method,
+                               .path = http_request->path,
+                               .body = http_request->body });
+  hzb_controller_request (http_request, sim->nodes[node].controller);
 }
 
 static void
--- a/tests/sim-cluster.h
+++ b/tests/sim-cluster.h
@@ -148,7 +148,7 @@
   gboolean measures;                    /* how much processor time controllers take */
   gint64 spent_us[SIM_N_PARTS], entered_us;
   /* Sends what users and workers ask to a process; NULL: to the controllers here. Takes the exchange. */
-  void (*ask_process) (Sim *sim, guint node, HzbExchange *exchange);
+  void (*ask_process) (Sim *sim, guint node, HzbHttpRequest *http_request);
 };
 
 extern const SimSize sim_size_little; /* what sim_new() takes */
--- a/tests/sim-faults.c
+++ b/tests/sim-faults.c
@@ -159,9 +159,9 @@
 char last_body[400];
 
 void
-keep_status (HzbExchange *exchange, guint status, const char *body, guint retry)
+keep_status (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
-  guint *out = exchange->impl;
+  guint *out = http_request->impl;
   *out = status;
   g_strlcpy (last_body, body ? body : "", sizeof last_body);
 }
@@ -169,19 +169,19 @@
 guint
 report_to (Sim *sim, guint node, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_statuses)
 {
-  HzbExchange *exchange = g_new0 (HzbExchange, 1);
+  HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
   guint status = 0;
-  exchange->method = g_strdup ("POST");
-  exchange->path = g_strdup ("/hello");
-  exchange->body =
+  http_request->method = g_strdup ("POST");
+  http_request->path = g_strdup ("/hello");
+  http_request->body =
       g_strdup_printf ("{\"host\":\"%s\",\"addr\":\"10.1.0.1:1\",\"flavor\":\"%s\",\"yard\":\"%s\","
                        "\"loaners\":false,\"tenure\":%u,\"tick\":%u,\"baton\":%" G_GUINT64_FORMAT ",\"pieces\":[%s]}",
                        machine->name, machine->type, machine->zone, (guint) agent_epoch, (guint) sequence,
                        machine->fencing_token, task_statuses);
-  exchange->length = strlen (exchange->body);
-  exchange->reply = keep_status;
-  exchange->impl = &status;
-  hzb_controller_request (exchange, sim->nodes[node].controller);
+  http_request->length = strlen (http_request->body);
+  http_request->reply = keep_status;
+  http_request->impl = &status;
+  hzb_controller_request (http_request, sim->nodes[node].controller);
   return status;
 }
 
@@ -216,9 +216,9 @@
 }
 
 static void
-answered (HzbExchange *exchange, guint status, const char *body, guint retry)
+answered (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
-  guint *out = exchange->impl;
+  guint *out = http_request->impl;
   out[0] = status;
   out[1] = retry;
   g_strlcpy (last_body, body ? body : "", sizeof last_body);
@@ -227,15 +227,15 @@
 guint
 ask (Sim *sim, guint node, const char *method, const char *path, const char *body, guint *retry)
 {
-  HzbExchange *exchange = g_new0 (HzbExchange, 1);
+  HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
   guint out[2] = { 0 };
-  exchange->method = g_strdup (method);
-  exchange->path = g_strdup (path);
-  exchange->body = g_strdup (body);
-  exchange->length = strlen (body);
-  exchange->reply = answered;
-  exchange->impl = out;
-  hzb_controller_request (exchange, sim->nodes[node].controller);
+  http_request->method = g_strdup (method);
+  http_request->path = g_strdup (path);
+  http_request->body = g_strdup (body);
+  http_request->length = strlen (body);
+  http_request->reply = answered;
+  http_request->impl = out;
+  hzb_controller_request (http_request, sim->nodes[node].controller);
   sim_run (sim, sim->now + 3);
   if (retry)
     *retry = out[1];
--- a/tests/sim-faults.h
+++ b/tests/sim-faults.h
@@ -16,7 +16,7 @@
 void some_work (Sim *sim, guint jobs);
 SimMachine *run_until (Sim *sim, HzbMachineState state);
 SimMachine *machine_with_tasks (Sim *sim);
-void keep_status (HzbExchange *exchange, guint status, const char *body, guint retry);
+void keep_status (HzbHttpRequest *http_request, guint status, const char *body, guint retry);
 /* A report that the machine did not send itself, to one node, or to the leader. Returns: the status of the answer. */
 guint
 report_to (Sim *sim, guint node, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_statuses);
--- a/tests/sim-internal.h
+++ b/tests/sim-internal.h
@@ -43,7 +43,7 @@
 /* TRUE: the node's process stands still; the event is kept until it wakes. */
 gboolean sim_node_paused (SimNode *node, void (*run) (Sim *sim, gpointer data), gpointer data);
 /* A request of a user or a worker goes to a controller. */
-void sim_ask (Sim *sim, guint node, HzbExchange *exchange);
+void sim_ask (Sim *sim, guint node, HzbHttpRequest *http_request);
 void sim_store_request (Sim *sim, SimCall *call);
 void sim_store_free (Sim *sim);
 void sim_store_init (Sim *sim);
--- a/tests/sim-network.c
+++ b/tests/sim-network.c
@@ -136,9 +136,9 @@
 }
 
 static void
-peer_reply (HzbExchange *exchange, guint status, const char *body, guint retry)
+peer_reply (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
-  gpointer *pair = exchange->impl;
+  gpointer *pair = http_request->impl;
   {
     Sim *sim = pair[0];
     SimCall *call = pair[1];
@@ -159,7 +159,7 @@
   else
     {
       SimNode *target = &sim->nodes[call->addr[7] - '1'];
-      HzbExchange *exchange;
+      HzbHttpRequest *http_request;
       gpointer *pair;
       if (!target->controller || target->refuses_peers)
         {
@@ -174,19 +174,19 @@
           sim_answer (sim, call, 400, NULL); /* as the HTTP server does */
           return;
         }
-      exchange = g_new0 (HzbExchange, 1);
+      http_request = g_new0 (HzbHttpRequest, 1);
       pair = g_new0 (gpointer, 2);
       pair[0] = sim;
       pair[1] = call;
-      exchange->method = g_strdup (call->method);
-      exchange->path = g_strdup (call->path);
-      exchange->body = g_strdup (call->body ? call->body : "");
-      exchange->length = strlen (exchange->body);
-      exchange->reply = peer_reply;
-      exchange->impl = pair;
-      sim->largest_request = MAX (sim->largest_request, exchange->length);
+      http_request->method = g_strdup (call->method);
+      http_request->path = g_strdup (call->path);
+      http_request->body = g_strdup (call->body ? call->body : "");
+      http_request->length = strlen (http_request->body);
+      http_request->reply = peer_reply;
+      http_request->impl = pair;
+      sim->largest_request = MAX (sim->largest_request, http_request->length);
       sim_enter (sim);
-      hzb_controller_peer_request (exchange, target->controller);
+      hzb_controller_peer_request (http_request, target->controller);
       sim_leave (sim, SIM_PART_PEERS);
     }
 }
--- a/tests/sim-user.c
+++ b/tests/sim-user.c
@@ -78,9 +78,9 @@
 }
 
 static void
-user_reply (HzbExchange *exchange, guint status, const char *body, guint retry)
+user_reply (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
-  gpointer *pair = exchange->impl;
+  gpointer *pair = http_request->impl;
   Sim *sim = pair[0];
   UserCall *call = pair[1];
   cJSON *root = cJSON_Parse (body ? body : "");
@@ -99,7 +99,7 @@
   UserCall *call = data;
   SimJob *job = call->job;
   guint at = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
-  HzbExchange *exchange;
+  HzbHttpRequest *http_request;
   gpointer *pair;
   if (!sim->nodes[at].controller)
     {
@@ -111,21 +111,21 @@
       g_free (call); /* the user gives it up */
       return;
     }
-  exchange = g_new0 (HzbExchange, 1);
+  http_request = g_new0 (HzbHttpRequest, 1);
   pair = g_new0 (gpointer, 2);
   pair[0] = sim;
   pair[1] = call;
-  exchange->reply = user_reply;
-  exchange->impl = pair;
-  exchange->method = g_strdup (call->what == USER_POLLS ? "GET" : "POST");
-  exchange->body = g_strdup ("");
+  http_request->reply = user_reply;
+  http_request->impl = pair;
+  http_request->method = g_strdup (call->what == USER_POLLS ? "GET" : "POST");
+  http_request->body = g_strdup ("");
   if (call->what == USER_SUBMITS)
     {
       g_autofree char *types = job->type ? g_strdup_printf ("[\"%s\"]", job->type) : g_strdup ("null");
       g_autofree char *zone = job->zone ? g_strdup_printf ("\"%s\"", job->zone) : g_strdup ("null");
-      exchange->path = g_strdup ("/api/jobs");
-      g_free (exchange->body);
-      exchange->body = g_strdup_printf (
+      http_request->path = g_strdup ("/api/jobs");
+      g_free (http_request->body);
+      http_request->body = g_strdup_printf (
           "{\"uid\":\"%s\",\"lane\":\"%s\",\"owner\":\"%s\",\"shape\":\"%s\",\"urgency\":\"%s\",\"pieces\":%u,"
           "\"cpus\":%g,\"gpus\":0,\"ramGb\":1,\"bundle\":\"img\",\"sizeGb\":0.5,\"flavors\":%s,\"yard\":%s,"
           "\"samePlace\":%s,\"spread\":%s,\"loaners\":%s,\"expectS\":%g,\"snapshotEveryS\":0,\"snapshotS\":0}",
@@ -141,14 +141,14 @@
       job->submitted = TRUE;
     }
   else
-    exchange->path = g_strdup_printf ("/api/jobs/%s%s", job->uid, call->what == USER_CANCELS ? "/cancel" : "");
+    http_request->path = g_strdup_printf ("/api/jobs/%s%s", job->uid, call->what == USER_CANCELS ? "/cancel" : "");
   if (call->what == USER_CANCELS && !job->asked_cancel)
     g_string_append_printf (job->history, "  %.2f: its user asks to cancel it\n", sim->now);
   if (call->what == USER_CANCELS)
     job->asked_cancel = TRUE;
-  exchange->length = strlen (exchange->body);
+  http_request->length = strlen (http_request->body);
   sim_enter (sim);
-  sim_ask (sim, at, exchange);
+  sim_ask (sim, at, http_request);
   sim_leave (sim, SIM_PART_USERS);
 }
 
--- a/tests/sim-worker.c
+++ b/tests/sim-worker.c
@@ -230,9 +230,9 @@
 }
 
 static void
-worker_reply (HzbExchange *exchange, guint status, const char *body, guint retry)
+worker_reply (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
-  gpointer *pair = exchange->impl;
+  gpointer *pair = http_request->impl;
   Sim *sim = pair[0];
   Report *r = pair[1];
   g_free (pair);
@@ -248,22 +248,22 @@
 {
   Report *r = data;
   SimNode *node = &sim->nodes[r->node];
-  HzbExchange *exchange;
+  HzbHttpRequest *http_request;
   gpointer *pair;
   if (!node->controller || node->cut_workers || sim_node_paused (node, report_arrives, r))
     return;
-  exchange = g_new0 (HzbExchange, 1);
+  http_request = g_new0 (HzbHttpRequest, 1);
   pair = g_new0 (gpointer, 2);
   pair[0] = sim;
   pair[1] = r;
-  exchange->method = g_strdup ("POST");
-  exchange->path = g_strdup ("/hello");
-  exchange->body = g_steal_pointer (&r->body);
-  exchange->length = strlen (exchange->body);
-  exchange->reply = worker_reply;
-  exchange->impl = pair;
+  http_request->method = g_strdup ("POST");
+  http_request->path = g_strdup ("/hello");
+  http_request->body = g_steal_pointer (&r->body);
+  http_request->length = strlen (http_request->body);
+  http_request->reply = worker_reply;
+  http_request->impl = pair;
   sim_enter (sim);
-  sim_ask (sim, r->node, exchange);
+  sim_ask (sim, r->node, http_request);
   sim_leave (sim, SIM_PART_REPORTS);
 }
 
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -298,16 +298,16 @@
 static guint
 ask_admin (Sim *sim, guint at, const char *method, const char *path, const char *body)
 {
-  HzbExchange *exchange = g_new0 (HzbExchange, 1);
+  HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
   static guint status;
   status = 0;
-  exchange->method = g_strdup (method);
-  exchange->path = g_strconcat ("/admin/v1/", path, NULL);
-  exchange->body = g_strdup (body);
-  exchange->length = strlen (body);
-  exchange->reply = keep_status;
-  exchange->impl = &status;
-  hzb_controller_request (exchange, sim->nodes[at].controller);
+  http_request->method = g_strdup (method);
+  http_request->path = g_strconcat ("/admin/v1/", path, NULL);
+  http_request->body = g_strdup (body);
+  http_request->length = strlen (body);
+  http_request->reply = keep_status;
+  http_request->impl = &status;
+  hzb_controller_request (http_request, sim->nodes[at].controller);
   sim_run (sim, sim->now + 0.3);
   return status;
 }
@@ -315,13 +315,13 @@
 static void
 submit_at (Sim *sim, guint at, guint *status)
 {
-  HzbExchange *exchange = g_new0 (HzbExchange, 1);
-  exchange->method = g_strdup ("GET");
-  exchange->path = g_strdup ("/api/jobs/run-100000");
-  exchange->body = g_strdup ("");
-  exchange->reply = keep_status;
-  exchange->impl = status;
-  hzb_controller_request (exchange, sim->nodes[at].controller);
+  HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
+  http_request->method = g_strdup ("GET");
+  http_request->path = g_strdup ("/api/jobs/run-100000");
+  http_request->body = g_strdup ("");
+  http_request->reply = keep_status;
+  http_request->impl = status;
+  hzb_controller_request (http_request, sim->nodes[at].controller);
 }
 
 /* A controller that loses the key-value store and the other controllers, but not its workers: it soon stops answering
@@ -389,7 +389,7 @@
 {
   Sim *sim = sim_new (57);
   HzbController *controller, *leader;
-  HzbExchange *exchange;
+  HzbHttpRequest *http_request;
   guint status[3] = { 0 }, at;
   g_autofree char *old = NULL, *text[3] = { NULL };
   some_work (sim, 4);
@@ -407,14 +407,14 @@
   text[2] = g_strdup ("{\"node\":\"node-9\",\"incarnation\":\"x\",\"born\":1,\"number\":1,\"format\":2}");
   for (guint i = 0; i < 3; i++)
     {
-      exchange = g_new0 (HzbExchange, 1);
-      exchange->method = g_strdup ("POST");
-      exchange->path = g_strdup ("/peer/v1/block");
-      exchange->body = g_strdup (text[i]);
-      exchange->length = strlen (text[i]);
-      exchange->reply = keep_status;
-      exchange->impl = &status[i];
-      hzb_controller_peer_request (exchange, leader);
+      http_request = g_new0 (HzbHttpRequest, 1);
+      http_request->method = g_strdup ("POST");
+      http_request->path = g_strdup ("/peer/v1/block");
+      http_request->body = g_strdup (text[i]);
+      http_request->length = strlen (text[i]);
+      http_request->reply = keep_status;
+      http_request->impl = &status[i];
+      hzb_controller_peer_request (http_request, leader);
       g_assert_cmpuint (status[i], ==, 400);
     }
   sim_run (sim, 300);
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -612,22 +612,22 @@
 /* ---- operators ---- */
 
 static void
-keep_body (HzbExchange *exchange, guint status, const char *body, guint retry)
+keep_body (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
-  *(char **) exchange->impl = g_strdup (status == 200 ? body : NULL);
+  *(char **) http_request->impl = g_strdup (status == 200 ? body : NULL);
 }
 
 static char *
 get (Sim *sim, const char *path)
 {
-  HzbExchange *exchange = g_new0 (HzbExchange, 1);
+  HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
   char *body = NULL;
-  exchange->method = g_strdup ("GET");
-  exchange->path = g_strdup (path);
-  exchange->body = g_strdup ("");
-  exchange->reply = keep_body;
-  exchange->impl = &body;
-  hzb_controller_request (exchange, sim->nodes[MAX (sim_leader (sim), 0)].controller);
+  http_request->method = g_strdup ("GET");
+  http_request->path = g_strdup (path);
+  http_request->body = g_strdup ("");
+  http_request->reply = keep_body;
+  http_request->impl = &body;
+  hzb_controller_request (http_request, sim->nodes[MAX (sim_leader (sim), 0)].controller);
   sim_run (sim, sim->now + 3);
   g_assert_nonnull (body);
   return body;
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -8,7 +8,7 @@
 
 static guint polled, served;
 static guint16 port;
-static GQueue unanswered; /* HzbExchange */
+static GQueue unanswered; /* HzbHttpRequest */
 
 static gint
 count_polled (GPollFD *fds, guint n, gint timeout)
@@ -18,15 +18,15 @@
 }
 
 static void
-serve (HzbExchange *exchange, gpointer user)
+serve (HzbHttpRequest *http_request, gpointer user)
 {
   served++;
-  if (g_str_has_suffix (exchange->path, "/silent"))
+  if (g_str_has_suffix (http_request->path, "/silent"))
     {
-      g_queue_push_tail (&unanswered, exchange);
+      g_queue_push_tail (&unanswered, http_request);
       return;
     }
-  hzb_exchange_reply (exchange, g_str_equal (exchange->path, "/unable") ? 503 : 200, g_strdup ("{}"), 0);
+  hzb_http_request_respond (http_request, g_str_equal (http_request->path, "/unable") ? 503 : 200, g_strdup ("{}"), 0);
 }
 
 static HzbHttpServer *
@@ -234,7 +234,7 @@
     }
   hzb_http_client_free (client);
   while (unanswered.length)
-    hzb_exchange_reply (g_queue_pop_head (&unanswered), 200, g_strdup ("{}"), 0);
+    hzb_http_request_respond (g_queue_pop_head (&unanswered), 200, g_strdup ("{}"), 0);
   while (g_main_context_iteration (NULL, FALSE))
     continue;
   hzb_http_server_free (server);
--- a/tests/test-overload.c
+++ b/tests/test-overload.c
@@ -57,9 +57,9 @@
 } Question;
 
 static void
-on_answer (HzbExchange *exchange, guint status, const char *body, guint retry)
+on_answer (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
-  Question *question = exchange->impl;
+  Question *question = http_request->impl;
   cJSON *root = cJSON_Parse (body ? body : "");
   sim_told (question->sim, question->job, status, hzb_json_text (root, "status"));
   *question->answers += 1;
@@ -77,19 +77,19 @@
 static void
 ask_status (Sim *sim, guint node, SimJob *job)
 {
-  HzbExchange *exchange;
+  HzbHttpRequest *http_request;
   Question *question;
   if (!sim->nodes[node].controller || sim->nodes[node].paused)
     return;
-  exchange = g_new0 (HzbExchange, 1);
+  http_request = g_new0 (HzbHttpRequest, 1);
   question = g_new0 (Question, 1);
   *question = (Question){ sim, job, &answers, &refusals, sim->now, &slowest };
-  exchange->method = g_strdup ("GET");
-  exchange->path = g_strdup_printf ("/api/jobs/%s", job->uid);
-  exchange->body = g_strdup ("");
-  exchange->reply = on_answer;
-  exchange->impl = question;
-  hzb_controller_request (exchange, sim->nodes[node].controller);
+  http_request->method = g_strdup ("GET");
+  http_request->path = g_strdup_printf ("/api/jobs/%s", job->uid);
+  http_request->body = g_strdup ("");
+  http_request->reply = on_answer;
+  http_request->impl = question;
+  hzb_controller_request (http_request, sim->nodes[node].controller);
 }
 
 /* So many questions about each accepted job within the second, at all nodes. */
--- a/tests/test-processes.c
+++ b/tests/test-processes.c
@@ -23,22 +23,22 @@
 static void
 on_reply (guint status, const char *body, gsize length, gpointer user)
 {
-  HzbExchange *exchange = user;
-  gboolean report = g_str_equal (exchange->path, "/hello");
+  HzbHttpRequest *http_request = user;
+  gboolean report = g_str_equal (http_request->path, "/hello");
   /* A worker learns that its connection was refused; a user asks again by itself. */
   if (status || report)
-    exchange->reply (exchange, status, body, 0);
-  g_free (exchange->method);
-  g_free (exchange->path);
-  g_free (exchange);
+    http_request->reply (http_request, status, body, 0);
+  g_free (http_request->method);
+  g_free (http_request->path);
+  g_free (http_request);
 }
 
 static void
-ask_process (Sim *sim, guint node, HzbExchange *exchange)
+ask_process (Sim *sim, guint node, HzbHttpRequest *http_request)
 {
   g_autofree char *addr = g_strdup_printf ("127.0.0.1:%u", API_PORT + 2 * node);
-  hzb_send (client, exchange->method, addr, exchange->path, g_steal_pointer (&exchange->body), 4000, on_reply,
-            exchange);
+  hzb_send (client, http_request->method, addr, http_request->path, g_steal_pointer (&http_request->body), 4000,
+            on_reply, http_request);
 }
 
 /* ---- controllers ---- */
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -79,13 +79,13 @@
   g_autofree guint *status = g_new0 (guint, sim->jobs->len);
   for (guint i = 0; i < sim->jobs->len; i++)
     {
-      HzbExchange *exchange = g_new0 (HzbExchange, 1);
-      exchange->method = g_strdup ("GET");
-      exchange->path = g_strdup_printf ("/api/jobs/%s", ((SimJob *) sim->jobs->pdata[i])->uid);
-      exchange->body = g_strdup ("");
-      exchange->reply = keep_status;
-      exchange->impl = &status[i];
-      hzb_controller_request (exchange, sim->nodes[at].controller);
+      HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
+      http_request->method = g_strdup ("GET");
+      http_request->path = g_strdup_printf ("/api/jobs/%s", ((SimJob *) sim->jobs->pdata[i])->uid);
+      http_request->body = g_strdup ("");
+      http_request->reply = keep_status;
+      http_request->impl = &status[i];
+      hzb_controller_request (http_request, sim->nodes[at].controller);
     }
   sim_run (sim, sim->now + 2);
   for (guint i = 0; i < sim->jobs->len; i++)
