--- a/src/admin.c
+++ b/src/admin.c
@@ -190,16 +190,16 @@
   hzb_json_add_u64 (root, "term", hzb_election_leader_term (controller->election));
   cJSON_AddNumberToObject (root, "stateServiceSilentS", MIN (hzb_kv_client_unresponsive_s (controller->kv), 1e6));
   /* During an upgrade: 2 once every controller has said so, and what each says now. */
-  cJSON_AddNumberToObject (root, "format", hzb_election_format (controller->election));
+  cJSON_AddNumberToObject (root, "format", hzb_election_schema_version (controller->election));
   formats = cJSON_AddObjectToObject (root, "formats");
-  cJSON_AddNumberToObject (formats, controller->settings->node, controller->format);
+  cJSON_AddNumberToObject (formats, controller->settings->node, controller->schema_version);
   for (guint i = 0; i < controller->settings->peers->len; i++)
     {
       const char *node = ((HzbPeer *) controller->settings->peers->pdata[i])->node;
       if (hzb_peers_unreachable (controller->peers, node))
         cJSON_AddNullToObject (formats, node);
       else
-        cJSON_AddNumberToObject (formats, node, hzb_peers_format (controller->peers, node));
+        cJSON_AddNumberToObject (formats, node, hzb_peers_schema_version (controller->peers, node));
     }
   return root;
 }
--- a/src/cancellations.c
+++ b/src/cancellations.c
@@ -284,7 +284,8 @@
   const char *leader = hzb_election_leader (controller->election);
   struct timespec served;
 
-  if (!leader || hzb_peers_unreachable (controller->peers, leader) || hzb_peers_format (controller->peers, leader) > 1
+  if (!leader || hzb_peers_unreachable (controller->peers, leader)
+      || hzb_peers_schema_version (controller->peers, leader) > 1
       || !hzb_peers_last_kv_contact (controller->peers, leader, &served))
     return;
   for (GList *l = cancellations->requests.head; l; l = l->next)
--- a/src/controller.c
+++ b/src/controller.c
@@ -62,7 +62,7 @@
 kv_replica_apply (const HzbKvEntry *item, gpointer user)
 {
   HzbController *controller = user;
-  if (g_str_equal (item->key, HZB_KEY_LEADER) || g_str_equal (item->key, HZB_KEY_LEADER_2))
+  if (g_str_equal (item->key, HZB_KEY_LEADER_SCHEMA_1) || g_str_equal (item->key, HZB_KEY_LEADER_SCHEMA_2))
     controller->load_saw_leader = controller->load_saw_leader || hzb_json_u64 (item->value, "lease");
   hzb_controller_apply_record (controller, item);
   note_job_end (controller, item);
@@ -74,7 +74,7 @@
   HzbController *controller = user;
   if (!controller->load_saw_leader)
     {
-      HzbKvEntry none = { (char *) HZB_KEY_LEADER, NULL, revision };
+      HzbKvEntry none = { (char *) HZB_KEY_LEADER_SCHEMA_1, NULL, revision };
       hzb_election_apply_record (controller->election, &none);
     }
   hzb_dispatch_clear_indexes (controller->dispatch);
@@ -370,9 +370,10 @@
   hzb_cloud_pump (controller->cloud);
   hzb_kv_replica_tick (controller->kv_replica);
   /* In a rollout the others are about to be replaced: whoever leads after them should be one that is not. */
-  hzb_election_set_eager (controller->election, controller->format == HZB_FORMAT
-                                                    && hzb_election_format (controller->election) < HZB_FORMAT
-                                                    && hzb_peers_any_older_format (controller->peers));
+  hzb_election_set_eager (controller->election,
+                          controller->schema_version == HZB_SCHEMA_VERSION
+                              && hzb_election_schema_version (controller->election) < HZB_SCHEMA_VERSION
+                              && hzb_peers_any_older_schema (controller->peers));
   hzb_election_tick (controller->election, hzb_kv_replica_is_fresh (controller->kv_replica));
   check_own_connectivity (controller);
   if (hzb_election_leading (controller->election))
@@ -389,10 +390,10 @@
   if (controller->ownership == HZB_OWNERSHIP_LOADING && !controller->owner_page_asked
       && !hzb_time_before (now, controller->next_owner_page))
     ask_for_owner_page (controller);
-  if (controller->ownership == HZB_OWNERSHIP_READY && controller->format == HZB_FORMAT
-      && hzb_election_format (controller->election) < HZB_FORMAT
-      && hzb_peers_all_have_format (controller->peers, HZB_FORMAT))
-    hzb_election_raise_format (controller->election);
+  if (controller->ownership == HZB_OWNERSHIP_READY && controller->schema_version == HZB_SCHEMA_VERSION
+      && hzb_election_schema_version (controller->election) < HZB_SCHEMA_VERSION
+      && hzb_peers_all_support_schema (controller->peers, HZB_SCHEMA_VERSION))
+    hzb_election_raise_schema_version (controller->election);
   if (hzb_election_leading (controller->election))
     hzb_shard_leases_tick (controller->shard_leases, now);
   else
@@ -500,7 +501,7 @@
   controller->leaseholder = hzb_leaseholder_new (controller);
   controller->metrics = hzb_metrics_new ();
   controller->lease_shards = TRUE;
-  controller->format = HZB_FORMAT;
+  controller->schema_version = HZB_SCHEMA_VERSION;
   controller->incarnation = g_strdup_printf ("%08x%08x", g_rand_int (controller->rand), g_rand_int (controller->rand));
   controller->provisioning = hzb_provisioning_new (controller);
   controller->records = hzb_records_new (controller);
--- a/src/controller.h
+++ b/src/controller.h
@@ -30,7 +30,7 @@
 
 /* Of records and messages. 1: the version before; it says none. 2: cancellations are acknowledged by the owner, and
  * services can be accepted. Nothing that a version 1 would misread is written while one may be about. */
-#define HZB_FORMAT 2
+#define HZB_SCHEMA_VERSION 2
 
 /* What this node does as owner of the shard. */
 typedef enum
@@ -66,7 +66,7 @@
   guint64 settings_version; /* of the operators' settings */
   gboolean lease_shards;
   char *incarnation;
-  guint format; /* of records and messages, that this process says it reads */
+  guint schema_version; /* of records and messages, that this process says it reads */
   HzbPeers *peers;
   HzbProvisioning *provisioning;
   HzbReconciliation *reconciliation;
--- a/src/election.c
+++ b/src/election.c
@@ -17,7 +17,7 @@
   guint64 leader_lease, leader_term, leader_version;
   struct timespec next, requests, lease_valid_until, renew_sent;
   gboolean renewing, backing_off, raising, eager;
-  guint format;
+  guint schema_version;
 };
 
 static const char nobody[] = "(none of version 1)"; /* leads by the first key, once the format is 2 */
@@ -55,7 +55,7 @@
   election->clock = clock;
   election->settings = settings;
   election->rand = rand;
-  election->format = 1;
+  election->schema_version = 1;
   election->incarnation = g_strdup_printf ("%s-%08x%08x", settings->node, g_rand_int (rand), g_rand_int (rand));
   return election;
 }
@@ -111,9 +111,9 @@
 }
 
 guint
-hzb_election_format (HzbElection *election)
+hzb_election_schema_version (HzbElection *election)
 {
-  return election->format;
+  return election->schema_version;
 }
 
 guint64
@@ -201,7 +201,7 @@
 static const char *
 leader_key (const HzbElection *election)
 {
-  return election->format >= 2 ? HZB_KEY_LEADER_2 : HZB_KEY_LEADER;
+  return election->schema_version >= 2 ? HZB_KEY_LEADER_SCHEMA_2 : HZB_KEY_LEADER_SCHEMA_1;
 }
 
 static cJSON *
@@ -223,24 +223,24 @@
 }
 
 void
-hzb_election_raise_format (HzbElection *election)
+hzb_election_raise_schema_version (HzbElection *election)
 {
   cJSON *txn, *value;
 
-  if (election->format >= 2 || election->raising || !hzb_election_lease_valid (election))
+  if (election->schema_version >= 2 || election->raising || !hzb_election_lease_valid (election))
     return;
   election->raising = TRUE;
   txn = hzb_wire_txn ();
   hzb_election_add_condition (election, txn);
-  hzb_wire_txn_if (txn, HZB_KEY_FORMAT, 0);
+  hzb_wire_txn_if (txn, HZB_KEY_SCHEMA_VERSION, 0);
   value = cJSON_CreateObject ();
   cJSON_AddNumberToObject (value, "format", 2);
-  hzb_wire_txn_put (txn, HZB_KEY_FORMAT, value, 0);
+  hzb_wire_txn_put (txn, HZB_KEY_SCHEMA_VERSION, value, 0);
   value = cJSON_CreateObject ();
   cJSON_AddStringToObject (value, "node", nobody);
   hzb_json_add_u64 (value, "term", election->term);
-  hzb_wire_txn_put (txn, HZB_KEY_LEADER, value, 0);
-  hzb_wire_txn_put (txn, HZB_KEY_LEADER_2, pack_leader (election), election->lease);
+  hzb_wire_txn_put (txn, HZB_KEY_LEADER_SCHEMA_1, value, 0);
+  hzb_wire_txn_put (txn, HZB_KEY_LEADER_SCHEMA_2, pack_leader (election), election->lease);
   hzb_kv_client_commit (election->kv, HZB_KV_LEASE, txn, on_raised, election);
 }
 
@@ -319,12 +319,13 @@
       if (election->state == HZB_ELECTION_LEADING && election->seen_term > election->term)
         give_up (election, "a newer term exists");
     }
-  else if (g_str_equal (item->key, HZB_KEY_FORMAT) && item->value && election->format < 2)
+  else if (g_str_equal (item->key, HZB_KEY_SCHEMA_VERSION) && item->value && election->schema_version < 2)
     {
-      election->format = (guint) hzb_json_number (item->value, "format", 1);
-      g_message ("election: every controller reads format %u; version 1 is not served any more", election->format);
+      election->schema_version = (guint) hzb_json_number (item->value, "format", 1);
+      g_message ("election: every controller reads format %u; version 1 is not served any more",
+                 election->schema_version);
     }
-  else if ((g_str_equal (item->key, HZB_KEY_LEADER) || g_str_equal (item->key, HZB_KEY_LEADER_2))
+  else if ((g_str_equal (item->key, HZB_KEY_LEADER_SCHEMA_1) || g_str_equal (item->key, HZB_KEY_LEADER_SCHEMA_2))
            && item->version > election->leader_version && g_strcmp0 (hzb_json_text (item->value, "node"), nobody) != 0)
     {
       election->leader_version = item->version;
--- a/src/election.h
+++ b/src/election.h
@@ -3,13 +3,13 @@
 #pragma once
 #include "kv-client.h"
 
-#define HZB_KEY_LEADER "hzb/a/leader"
+#define HZB_KEY_LEADER_SCHEMA_1 "hzb/a/leader"
 #define HZB_KEY_TERM "hzb/a/term"
 /* Once every controller has said that it reads format 2, the leader records that for good and leads by another key. The
  * first one is left with a leader that nobody is, so that a process of version 1 that comes back after all never leads:
  * it would misread what has been recorded since. */
-#define HZB_KEY_FORMAT "hzb/a/format"
-#define HZB_KEY_LEADER_2 "hzb/a/leader2"
+#define HZB_KEY_SCHEMA_VERSION "hzb/a/format"
+#define HZB_KEY_LEADER_SCHEMA_2 "hzb/a/leader2"
 
 typedef enum
 {
@@ -38,7 +38,7 @@
 hzb_election_add_condition (HzbElection *election, cJSON *txn); /* the transaction fails once a newer term exists */
 gboolean hzb_election_term_replicated (
     HzbElection *election); /* the replica of the records shows our own term: it has all before it */
-const char *hzb_election_leader (HzbElection *election); /* NULL: none known */
-guint hzb_election_format (HzbElection *election);       /* of records, that every controller reads */
-void hzb_election_raise_format (HzbElection *election);  /* by the leader; every controller has said so */
+const char *hzb_election_leader (HzbElection *election);        /* NULL: none known */
+guint hzb_election_schema_version (HzbElection *election);      /* of records, that every controller reads */
+void hzb_election_raise_schema_version (HzbElection *election); /* by the leader; every controller has said so */
 guint64 hzb_election_leader_term (HzbElection *election);
--- a/src/job-progress.c
+++ b/src/job-progress.c
@@ -44,7 +44,7 @@
 gboolean
 hzb_job_read_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const cJSON *value, gboolean *ours)
 {
-  double of = hzb_json_number (value, "of", HZB_CHUNK_OF_1);
+  double of = hzb_json_number (value, "of", HZB_CHUNK_TASKS_SCHEMA_1);
   guint size = (guint) CLAMP (of, 1, HZB_MAX_TASKS), first;
   const char *text = hzb_json_text (value, "done");
   gsize length = 0;
--- a/src/jobs.h
+++ b/src/jobs.h
@@ -12,7 +12,7 @@
 #define HZB_KEY_ARCHIVED "hzb/o/ended/main/"
 #define HZB_KEY_PROGRESS "hzb/x/progress/main/"
 /* Progress is kept in parts of so many tasks: a part has to fit a value. A part of another size says so. */
-#define HZB_CHUNK_OF_1 32768u /* of version 1, which says none */
+#define HZB_CHUNK_TASKS_SCHEMA_1 32768u /* of version 1, which says none */
 
 typedef enum
 {
--- a/src/peer-heartbeat.c
+++ b/src/peer-heartbeat.c
@@ -119,7 +119,7 @@
 hzb_peer_heartbeat_encode (const HzbPeerHeartbeat *heartbeat, cJSON *message)
 {
   cJSON_DeleteItemFromObject (message, "format"); /* the envelope of a request has it */
-  cJSON_AddNumberToObject (message, "format", heartbeat->format);
+  cJSON_AddNumberToObject (message, "format", heartbeat->schema_version);
   cJSON_AddBoolToObject (message, "leads", heartbeat->leads);
   hzb_json_add_u64 (message, "term", heartbeat->term);
   cJSON_AddBoolToObject (message, "sendsWorkers", heartbeat->sends_workers);
@@ -203,7 +203,7 @@
 hzb_peer_heartbeat_decode (const cJSON *message)
 {
   HzbPeerHeartbeat *heartbeat = hzb_peer_heartbeat_new ();
-  heartbeat->format = (guint) hzb_json_number (message, "format", 1);
+  heartbeat->schema_version = (guint) hzb_json_number (message, "format", 1);
   heartbeat->leads = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "leads"));
   heartbeat->term = hzb_json_u64 (message, "term");
   heartbeat->sends_workers = !cJSON_IsFalse (cJSON_GetObjectItemCaseSensitive (message, "sendsWorkers"));
--- a/src/peer-heartbeat.h
+++ b/src/peer-heartbeat.h
@@ -39,7 +39,7 @@
 {
   gboolean leads;
   guint64 term;             /* the highest that the sender knows */
-  guint format;             /* of records and messages; 1: a version that states none */
+  guint schema_version;     /* of records and messages; 1: a version that states none */
   gboolean sends_workers;   /* it lately redirected workers to the leader; TRUE for a version that does not say */
   gboolean lost_workers;    /* it stepped down since no worker reported to it, not long ago */
   double kv_unresponsive_s; /* since the key-value store last served it */
--- a/src/peers.c
+++ b/src/peers.c
@@ -32,8 +32,8 @@
   gboolean leads;
   gboolean sends_workers; /* to the leader, lately */
   gboolean lost_workers;  /* and gave way for that, not long ago */
-  gboolean logged_old_format;
-  guint format;                              /* of records and messages, as it last said */
+  gboolean logged_old_schema;
+  guint schema_version;                      /* of records and messages, as it last said */
   guint64 known_revision;                    /* it knows all cancellations up to here; 0: a version that does not say */
   gboolean lists_cancellations, self_fenced; /* see HzbPeerHeartbeat */
   /* What others have said of it, while this process has not heard it itself. */
@@ -176,27 +176,27 @@
 }
 
 guint
-hzb_peers_format (HzbPeers *peers, const char *node)
+hzb_peers_schema_version (HzbPeers *peers, const char *node)
 {
-  return hzb_peers_unreachable (peers, node) ? 1 : view_of (peers, node)->format;
+  return hzb_peers_unreachable (peers, node) ? 1 : view_of (peers, node)->schema_version;
 }
 
 gboolean
-hzb_peers_all_have_format (HzbPeers *peers, guint format)
+hzb_peers_all_support_schema (HzbPeers *peers, guint schema_version)
 {
   for (guint i = 0; i < peers->views->len; i++)
-    if (hzb_peers_format (peers, g_array_index (peers->views, View, i).peer->node) < format)
+    if (hzb_peers_schema_version (peers, g_array_index (peers->views, View, i).peer->node) < schema_version)
       return FALSE;
   return TRUE;
 }
 
 gboolean
-hzb_peers_any_older_format (HzbPeers *peers)
+hzb_peers_any_older_schema (HzbPeers *peers)
 {
   for (guint i = 0; i < peers->views->len; i++)
     {
       const View *view = &g_array_index (peers->views, View, i);
-      if (silence (peers, view) < 3 && view->format < peers->controller->format)
+      if (silence (peers, view) < 3 && view->schema_version < peers->controller->schema_version)
         return TRUE;
     }
   return FALSE;
@@ -318,7 +318,7 @@
   cJSON_AddStringToObject (root, "incarnation", peers->controller->incarnation);
   hzb_json_add_u64 (root, "born", peers->born);
   hzb_json_add_u64 (root, "number", ++peers->number);
-  cJSON_AddNumberToObject (root, "format", peers->controller->format);
+  cJSON_AddNumberToObject (root, "format", peers->controller->schema_version);
   return root;
 }
 
@@ -336,11 +336,11 @@
       return NULL;
     }
   /* Guards against a return to version 1: it would misread what has been recorded since all read format 2. */
-  if (hzb_election_format (peers->controller->election) >= 2 && hzb_json_number (root, "format", 1) < 2)
+  if (hzb_election_schema_version (peers->controller->election) >= 2 && hzb_json_number (root, "format", 1) < 2)
     {
-      if (!view->logged_old_format)
+      if (!view->logged_old_schema)
         g_warning ("a message of %s is refused: it is of version 1, which is not served any more", node);
-      view->logged_old_format = TRUE;
+      view->logged_old_schema = TRUE;
       return NULL;
     }
   if (g_strcmp0 (view->incarnation, incarnation) != 0)
@@ -356,7 +356,7 @@
         g_hash_table_add (peers->retired, view->incarnation);
       view->incarnation = g_strdup (incarnation);
       view->born = MAX (born, view->born);
-      view->format = 1; /* until it says another */
+      view->schema_version = 1; /* until it says another */
       view->known_revision = 0;
       view->lists_cancellations = view->self_fenced = FALSE;
       memset (view->number, 0, sizeof view->number);
@@ -448,7 +448,7 @@
   struct timespec now = hzb_clock_now (controller->clock);
   HzbPeerHeartbeat *heartbeat = hzb_peer_heartbeat_new ();
 
-  heartbeat->format = controller->format;
+  heartbeat->schema_version = controller->schema_version;
   heartbeat->leads = hzb_election_leading (controller->election);
   /* Also what others told: an owner may reach only nodes that the key-value store does not reach either. */
   heartbeat->term = MAX (hzb_election_leader_term (controller->election), peers->highest_known_term);
@@ -501,7 +501,7 @@
   view->term = heartbeat->term;
   view->sends_workers = heartbeat->sends_workers;
   view->lost_workers = heartbeat->lost_workers;
-  view->format = heartbeat->format;
+  view->schema_version = heartbeat->schema_version;
   view->known_revision =
       MAX (view->known_revision, MAX (heartbeat->replicated_revision, heartbeat->cancellations_known));
   view->lists_cancellations = heartbeat->lists_cancellations;
--- a/src/peers.h
+++ b/src/peers.h
@@ -44,14 +44,14 @@
 /** hzb_peers_incarnation: Returns: (nullable): which process of the node was heard lately */
 const char *hzb_peers_incarnation (HzbPeers *peers, const char *node);
 
-/** hzb_peers_format: the format of records and messages that the node last stated; 1 if it is unreachable or stated none. */
-guint hzb_peers_format (HzbPeers *peers, const char *node);
+/** hzb_peers_schema_version: the format of records and messages that the node last stated; 1 if it is unreachable or stated none. */
+guint hzb_peers_schema_version (HzbPeers *peers, const char *node);
 
-/** hzb_peers_all_have_format: every other node is reachable and states at least this format. */
-gboolean hzb_peers_all_have_format (HzbPeers *peers, guint format);
+/** hzb_peers_all_support_schema: every other node is reachable and states at least this format. */
+gboolean hzb_peers_all_support_schema (HzbPeers *peers, guint schema_version);
 
-/** hzb_peers_any_older_format: a reachable peer states a lower format than this process. */
-gboolean hzb_peers_any_older_format (HzbPeers *peers);
+/** hzb_peers_any_older_schema: a reachable peer states a lower format than this process. */
+gboolean hzb_peers_any_older_schema (HzbPeers *peers);
 
 /**
  * hzb_peers_all_know_cancellations: every other controller has said that it knows all cancellations up to this revision, by
--- a/src/record-flush.c
+++ b/src/record-flush.c
@@ -35,7 +35,8 @@
 static gboolean
 writable (const HzbRecords *records, const HzbJob *job)
 {
-  return job->n_tasks <= records->controller->jobs->chunk || hzb_election_format (records->controller->election) >= 2;
+  return job->n_tasks <= records->controller->jobs->chunk
+         || hzb_election_schema_version (records->controller->election) >= 2;
 }
 
 static void
--- a/src/submissions.c
+++ b/src/submissions.c
@@ -268,7 +268,7 @@
       return;
     }
   /* A version 1 would take a replica that ends for a task that is done. */
-  if (spec->kind == HZB_JOB_SERVICE && hzb_election_format (controller->election) < HZB_FORMAT)
+  if (spec->kind == HZB_JOB_SERVICE && hzb_election_schema_version (controller->election) < HZB_SCHEMA_VERSION)
     {
       hzb_http_request_respond (http_request, 503,
                                 hzb_wire_error ("services are taken once every controller runs this version"), 2);
--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -87,10 +87,10 @@
       answer (&fixture, "/multi", 200, "{\"epoch\":5}");
       g_assert_true (hzb_election_leading (fixture.election));
       apply (&fixture, HZB_KEY_TERM, "{\"term\":1,\"node\":\"n0\"}", 5);
-      apply (&fixture, HZB_KEY_LEADER, "{\"node\":\"n0\",\"incarnation\":\"x\",\"lease\":7,\"term\":1}", 5);
+      apply (&fixture, HZB_KEY_LEADER_SCHEMA_1, "{\"node\":\"n0\",\"incarnation\":\"x\",\"lease\":7,\"term\":1}", 5);
       tick_for (&fixture, 1);
       g_assert_nonnull (find_call (&fixture, "/leases/7/renew"));
-      apply (&fixture, HZB_KEY_LEADER, NULL, 6);
+      apply (&fixture, HZB_KEY_LEADER_SCHEMA_1, NULL, 6);
       g_assert_false (hzb_election_leading (fixture.election));
       tick_for (&fixture, 0.9);
       answer (&fixture, "/leases", 200, "{\"permit\":8}");
--- a/tests/test-peer-heartbeat.c
+++ b/tests/test-peer-heartbeat.c
@@ -115,7 +115,7 @@
 
   heartbeat->leads = heartbeat->self_fenced = heartbeat->lost_workers = TRUE;
   heartbeat->term = 12;
-  heartbeat->format = 2;
+  heartbeat->schema_version = 2;
   heartbeat->replicated_revision = 4000000120;
   heartbeat->cancellations_known = 4000000130;
   heartbeat->cancellations_up_to = 4000000140;
@@ -125,7 +125,7 @@
   g_assert_true (received->leads && received->self_fenced && received->lost_workers && received->lists_cancellations);
   g_assert_false (received->sends_workers);
   g_assert_cmpuint (received->term, ==, 12);
-  g_assert_cmpuint (received->format, ==, 2);
+  g_assert_cmpuint (received->schema_version, ==, 2);
   g_assert_cmpuint (received->replicated_revision, ==, 4000000120);
   g_assert_cmpuint (received->cancellations_known, ==, 4000000130);
   g_assert_cmpuint (received->cancellations_up_to, ==, 4000000140);
@@ -158,7 +158,7 @@
   g_assert_false (old->lists_cancellations || old->self_fenced);
   g_assert_true (old->sends_workers);
   g_assert_cmpuint (old->cancellations_known + old->replicated_revision + old->cancellations_up_to, ==, 0);
-  g_assert_cmpuint (old->format, ==, 1);
+  g_assert_cmpuint (old->schema_version, ==, 1);
   g_assert_cmpuint (old->counts->len, ==, 1);
   g_assert_cmpuint (broken->cancellations_up_to, ==, 0);
   g_assert_cmpuint (broken->cancellations_known, ==, 0);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -34,7 +34,7 @@
         {
           g_assert_cmpuint (submit_service (sim, 2, 50, "red", 2, 1, "0", &retry), ==, 503);
           g_assert_cmpuint (retry, >, 0);
-          g_assert_cmpint (hzb_election_format (sim->nodes[2].controller->election), ==, 1);
+          g_assert_cmpint (hzb_election_schema_version (sim->nodes[2].controller->election), ==, 1);
           set_old (sim, i, FALSE);
           if (seed % 3 == 1 && i == 1)
             set_old (sim, 2, TRUE); /* it dies before its turn and comes back old */
@@ -48,7 +48,7 @@
         }
       sim_run (sim, sim->now + 8);
       for (guint i = 0; i < SIM_NODES; i++)
-        g_assert_cmpint (hzb_election_format (sim->nodes[i].controller->election), ==, 2);
+        g_assert_cmpint (hzb_election_schema_version (sim->nodes[i].controller->election), ==, 2);
       g_assert_cmpuint (submit_service (sim, 1, 50, "red", 2, 1, "0", NULL), ==, 201);
       g_assert_cmpuint (ask (sim, 0, "POST", "/api/jobs/run-000050/cancel", "", NULL), ==, 200);
       /* The lead still passes on, by the key of format 2. */
@@ -60,7 +60,7 @@
       controller = sim->nodes[sim_leader (sim)].controller;
       set_old (sim, (guint) (sim_leader (sim) + 1) % SIM_NODES, TRUE);
       sim_run (sim, sim->now + 5);
-      g_assert_false (hzb_peers_all_have_format (controller->peers, 2));
+      g_assert_false (hzb_peers_all_support_schema (controller->peers, 2));
       set_old (sim, (guint) (sim_leader (sim) + 1) % SIM_NODES, FALSE);
       sim_run (sim, sim->now + 200);
       expect_all_over (sim, "rollout", seed);
@@ -172,13 +172,13 @@
               if (leader >= 0 && !sim->nodes[leader].old)
                 set_old (sim, (guint) leader, FALSE); /* and then leads, perhaps */
               sim_run (sim, sim->now + 8);
-              g_assert_cmpint (hzb_election_format (sim->nodes[order[0]].controller->election), ==, 1);
+              g_assert_cmpint (hzb_election_schema_version (sim->nodes[order[0]].controller->election), ==, 1);
             }
         }
       sim_run (sim, sim->now + 12);
       expect_refused (sim, 95, FALSE);
       for (guint i = 0; i < SIM_NODES; i++)
-        g_assert_cmpint (hzb_election_format (sim->nodes[i].controller->election), ==, 2);
+        g_assert_cmpint (hzb_election_schema_version (sim->nodes[i].controller->election), ==, 2);
       sim->calm_at = sim->now;
       sim_run (sim, 300);
       g_assert_cmpuint (sim->refused_services, >, 0);
@@ -359,7 +359,7 @@
   sim_run (sim, 60);
   for (guint i = 0; i < SIM_NODES; i++)
     {
-      g_assert_cmpint (hzb_election_format (sim->nodes[i].controller->election), ==, 2);
+      g_assert_cmpint (hzb_election_schema_version (sim->nodes[i].controller->election), ==, 2);
       g_assert_cmpuint (submit_service (sim, i, 100000, "red", 2, 1, "5", NULL), ==, 200);
       g_assert_cmpuint (submit_service (sim, i, 778, "red", 2, 1, "0", NULL), ==, 200);
       g_assert_nonnull (strstr (last_body, "cancelled"));
