--- a/src/admin.c
+++ b/src/api/admin.c
@@ -1,7 +1,10 @@
 /* The operators' side, under one versioned prefix, in the look of the user API. What belongs to a tenant has the
  * tenant in its path; there is one so far. */
 #include "controller.h"
-#include "reconciliation/reconciliation-admin.h"
+#include "json.h"
+#include "kv-protocol.h"
+#include "reconciliation-admin.h"
+#include "user-protocol.h"
 
 #include <math.h>
 #include <string.h>
@@ -25,7 +28,7 @@
   va_start (args, format);
   text = g_strdup_vprintf (format, args);
   va_end (args);
-  hzb_http_request_respond (http_request, status, hzb_wire_error (text), status == 503 ? 1 : 0);
+  hzb_http_request_respond (http_request, status, hzb_error_response_encode (text), status == 503 ? 1 : 0);
 }
 
 /* ---- settings ---- */
@@ -108,7 +111,7 @@
 
   if (result == HZB_KV_OK)
     {
-      hzb_wire_parse_txn (body, &revision, NULL);
+      hzb_kv_commit_decode (body, &revision, NULL);
       hzb_admin_apply_settings (change->controller, change->value, revision);
       reply_json (change->http_request, 200, pack_settings (change->controller));
     }
@@ -127,7 +130,8 @@
   cJSON *root = cJSON_ParseWithLength (http_request->body, http_request->length);
   const cJSON *demanded_units = cJSON_GetObjectItemCaseSensitive (root, "settings"), *item;
   const cJSON *version = cJSON_GetObjectItemCaseSensitive (root, "version");
-  cJSON *packed = pack_settings (controller), *value = cJSON_DetachItemFromObject (packed, "settings"), *txn;
+  cJSON *packed = pack_settings (controller), *value = cJSON_DetachItemFromObject (packed, "settings");
+  HzbKvTransaction *transaction;
   g_autofree char *fault = NULL;
   Change *change;
 
@@ -166,10 +170,10 @@
       change->controller = controller;
       change->http_request = http_request;
       change->value = value;
-      txn = hzb_wire_txn ();
-      hzb_wire_txn_if (txn, HZB_KEY_SETTINGS, controller->settings_version);
-      hzb_wire_txn_put (txn, HZB_KEY_SETTINGS, cJSON_Duplicate (value, TRUE), 0);
-      hzb_kv_client_commit (controller->kv, HZB_KV_ACCEPT, txn, on_changed, change);
+      transaction = hzb_kv_transaction_new ();
+      hzb_kv_transaction_compare (transaction, HZB_KEY_SETTINGS, controller->settings_version);
+      hzb_kv_transaction_put (transaction, HZB_KEY_SETTINGS, cJSON_Duplicate (value, TRUE), 0);
+      hzb_kv_client_commit (controller->kv, HZB_KV_ACCEPT, transaction, on_changed, change);
     }
   cJSON_Delete (root);
 }
@@ -362,8 +366,8 @@
         else if (!get)
           refuse (http_request, 405, views[i].view == pack_settings ? "GET or PUT here" : "GET here");
         else if (views[i].holder && !holds)
-          hzb_http_request_respond (http_request, 421, hzb_wire_redirect (hzb_election_leader (controller->election)),
-                                    0);
+          hzb_http_request_respond (http_request, 421,
+                                    hzb_worker_redirect_encode (hzb_election_leader (controller->election)), 0);
         else
           reply_json (http_request, 200, views[i].view (controller));
         return TRUE;
@@ -386,7 +390,8 @@
       if (!g_str_equal (http_request->method, "POST"))
         refuse (http_request, 405, "POST here");
       else if (!holds)
-        hzb_http_request_respond (http_request, 421, hzb_wire_redirect (hzb_election_leader (controller->election)), 0);
+        hzb_http_request_respond (http_request, 421,
+                                  hzb_worker_redirect_encode (hzb_election_leader (controller->election)), 0);
       else
         drain (controller, http_request, name);
     }
--- a/src/admin.h
+++ b/src/api/admin.h
@@ -4,7 +4,7 @@
  */
 #pragma once
 #include "http.h"
-#include "wire.h"
+#include <cjson/cJSON.h>
 
 typedef struct _HzbController HzbController;
 
--- a/src/submissions.c
+++ b/src/api/submissions.c
@@ -1,7 +1,9 @@
 /* Submissions of users: whether a job can run, and its acceptance. What comes at once is accepted in one record, on condition
  * that none of its jobs is over. */
 #include "controller.h"
+#include "kv-protocol.h"
 #include "user-api-private.h"
+#include "user-protocol.h"
 
 #include <string.h>
 
@@ -58,7 +60,7 @@
                               job);
   else
     hzb_http_request_respond (submission->http_request, 201,
-                              hzb_wire_job_status (uid, job ? hzb_job_status (job) : "queued", FALSE, 0, 0), 0);
+                              hzb_job_status_encode (uid, job ? hzb_job_status (job) : "queued", FALSE, 0, 0), 0);
 }
 
 /* Either the job is over, or what became of the transaction is not known: if the job is not there, it may still come, so
@@ -84,10 +86,10 @@
 
   api->accepting--;
   if (result == HZB_KV_CONFLICT)
-    hzb_wire_parse_txn (body, NULL, &failed);
+    hzb_kv_commit_decode (body, NULL, &failed);
   /* Guards against an answer that comes after the replica of the records has shown all that became of the record: it would be back for
    * good, and its jobs with it. */
-  if (result == HZB_KV_OK && hzb_wire_parse_txn (body, &revision, NULL)
+  if (result == HZB_KV_OK && hzb_kv_commit_decode (body, &revision, NULL)
       && !hzb_kv_replica_covers (controller->kv_replica, revision))
     hzb_jobs_apply_acceptance (controller->jobs, batch->key, batch->record);
   for (guint i = 0; i < batch->entries->len; i++)
@@ -113,7 +115,7 @@
 
 /* Takes what waits into the batch, as much as a transaction and a record hold. */
 static void
-fill_batch (HzbUserApi *api, HzbBatch *batch, cJSON *txn)
+fill_batch (HzbUserApi *api, HzbBatch *batch, HzbKvTransaction *transaction)
 {
   HzbController *controller = api->controller;
   struct timespec now = hzb_clock_now (controller->clock);
@@ -137,7 +139,7 @@
         break;
       g_queue_pop_head (&api->submissions);
       bytes += length;
-      hzb_jobs_compare_not_terminal (txn, uid); /* long since */
+      hzb_jobs_compare_not_terminal (transaction, uid); /* long since */
       cJSON_AddItemToObject (batch->record, uid, cJSON_Parse (submission->packed));
       g_ptr_array_add (batch->entries, submission);
     }
@@ -149,22 +151,22 @@
 {
   HzbController *controller = api->controller;
   HzbBatch *batch = hzb_user_api_batch_new (api);
-  cJSON *txn = hzb_wire_txn ();
+  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
 
   batch->record = cJSON_CreateObject ();
-  fill_batch (api, batch, txn);
+  fill_batch (api, batch, transaction);
   if (!batch->entries->len)
     {
-      cJSON_Delete (txn);
+      hzb_kv_transaction_free (transaction);
       hzb_user_api_batch_free (batch);
       return FALSE;
     }
   batch->key = g_strdup_printf ("%s%s-%s-%u", HZB_KEY_ACCEPTED, controller->settings->node, controller->incarnation,
                                 ++api->records);
-  hzb_wire_txn_if (txn, batch->key, 0);
-  hzb_wire_txn_put (txn, batch->key, cJSON_Duplicate (batch->record, TRUE), 0);
+  hzb_kv_transaction_compare (transaction, batch->key, 0);
+  hzb_kv_transaction_put (transaction, batch->key, cJSON_Duplicate (batch->record, TRUE), 0);
   api->accepting++;
-  hzb_kv_client_commit (controller->kv, HZB_KV_ACCEPT, txn, on_accepted, batch);
+  hzb_kv_client_commit (controller->kv, HZB_KV_ACCEPT, transaction, on_accepted, batch);
   return TRUE;
 }
 
@@ -231,7 +233,7 @@
 {
   HzbController *controller = api->controller;
   g_autoptr (GError) error = NULL;
-  g_autoptr (HzbJobSpec) spec = hzb_wire_parse_job (http_request->body, http_request->length, &error);
+  g_autoptr (HzbJobSpec) spec = hzb_job_spec_parse (http_request->body, http_request->length, &error);
   HzbJob *job;
   const char *refusal;
   HzbSubmission *submission;
@@ -239,7 +241,7 @@
   if (!spec)
     {
       g_message ("a submission is malformed: %s", error->message);
-      hzb_http_request_respond (http_request, 400, hzb_wire_error (error->message), 0);
+      hzb_http_request_respond (http_request, 400, hzb_error_response_encode (error->message), 0);
       return;
     }
   if ((job = hzb_jobs_find (controller->jobs, spec->uid)))
@@ -270,13 +272,14 @@
   /* A version 1 would take a replica that ends for a task that is done. */
   if (spec->kind == HZB_JOB_SERVICE && hzb_election_schema_version (controller->election) < HZB_SCHEMA_VERSION)
     {
-      hzb_http_request_respond (http_request, 503,
-                                hzb_wire_error ("services are taken once every controller runs this version"), 2);
+      hzb_http_request_respond (
+          http_request, 503, hzb_error_response_encode ("services are taken once every controller runs this version"),
+          2);
       return;
     }
   if (api->submissions.length >= MAX (LEAST_QUEUE, QUEUE_PART * controller->settings->sockets))
     {
-      hzb_http_request_respond (http_request, 429, hzb_wire_error ("more submissions than can be taken"), 2);
+      hzb_http_request_respond (http_request, 429, hzb_error_response_encode ("more submissions than can be taken"), 2);
       return;
     }
   drop_unknown_types (controller, spec);
--- a/src/user-api.c
+++ b/src/api/user-api.c
@@ -3,7 +3,10 @@
 #include "user-api.h"
 
 #include "controller.h"
+#include "json.h"
+#include "kv-protocol.h"
 #include "user-api-private.h"
+#include "user-protocol.h"
 
 #include <string.h>
 
@@ -71,7 +74,7 @@
 void
 hzb_user_api_reply_unavailable (HzbHttpRequest *http_request, const char *why)
 {
-  hzb_http_request_respond (http_request, 503, hzb_wire_error (why), 1);
+  hzb_http_request_respond (http_request, 503, hzb_error_response_encode (why), 1);
 }
 
 static guint
@@ -116,7 +119,7 @@
       hzb_peers_task_counts (api->controller->peers, job->uid, &done, &running);
       text = running ? "running" : "queued";
     }
-  hzb_http_request_respond (http_request, status, hzb_wire_job_status (job->uid, text, counts, done, running), 0);
+  hzb_http_request_respond (http_request, status, hzb_job_status_encode (job->uid, text, counts, done, running), 0);
 }
 
 /* A job's final state, or one that is proven fresh. Of a cancelled one nothing is told before no owner can act without
@@ -196,11 +199,12 @@
 settle_unknown (HzbUserApi *api, HzbCheck *check)
 {
   if (check->question == HZB_QUESTION_SUBMISSION && check->refusal)
-    hzb_http_request_respond (check->http_request, check->refusal_status, hzb_wire_error (check->refusal), 0);
+    hzb_http_request_respond (check->http_request, check->refusal_status, hzb_error_response_encode (check->refusal),
+                              0);
   else if (check->question == HZB_QUESTION_SUBMISSION)
     hzb_user_api_reply_unavailable (check->http_request, "not decided"); /* a write without an answer may still come */
   else
-    hzb_http_request_respond (check->http_request, 404, hzb_wire_error ("no such job"), 0);
+    hzb_http_request_respond (check->http_request, 404, hzb_error_response_encode ("no such job"), 0);
   check_free (check);
 }
 
@@ -212,13 +216,13 @@
   HzbCheck *check = batch->entries->pdata[0];
   HzbKvEntry item = { 0 };
 
-  if (result == HZB_KV_OK && hzb_wire_parse_item (body, &item))
+  if (result == HZB_KV_OK && hzb_kv_entry_decode (body, &item))
     {
       const char *state = hzb_json_text (item.value, "state");
       guint n = (guint) hzb_json_number (item.value, "n", 0);
       hzb_http_request_respond (check->http_request, 200,
-                                hzb_wire_job_status (check->uid, state, check->question == HZB_QUESTION_STATUS,
-                                                     g_strcmp0 (state, "done") == 0 ? n : 0, 0),
+                                hzb_job_status_encode (check->uid, state, check->question == HZB_QUESTION_STATUS,
+                                                       g_strcmp0 (state, "done") == 0 ? n : 0, 0),
                                 0);
       check_free (check);
       hzb_kv_entry_clear (&item);
@@ -265,7 +269,7 @@
   HzbCheck *check = batch->entries->pdata[0];
   HzbKvEntry item = { 0 };
 
-  if (result == HZB_KV_OK && hzb_wire_parse_item (body, &item))
+  if (result == HZB_KV_OK && hzb_kv_entry_decode (body, &item))
     {
       hzb_controller_apply_record (api->controller, &item);
       hzb_kv_entry_clear (&item);
@@ -354,7 +358,7 @@
   if (api->checks.length >= most_queued (api))
     {
       hzb_http_request_respond (http_request, question == HZB_QUESTION_SUBMISSION ? 429 : 503,
-                                hzb_wire_error ("too much is asked at once"), 2);
+                                hzb_error_response_encode ("too much is asked at once"), 2);
       return;
     }
   check = hzb_user_api_check_new (http_request, uid, question);
@@ -379,7 +383,7 @@
     {
       guint64 revision = 0;
       cJSON *value = hzb_jobs_pack_final (HZB_JOB_CANCELLED, job->n_tasks);
-      hzb_wire_parse_txn (body, &revision, NULL);
+      hzb_kv_commit_decode (body, &revision, NULL);
       hzb_jobs_apply (api->controller->jobs, check->uid, value, revision);
       cJSON_Delete (value);
       settle (api, check);
@@ -396,7 +400,7 @@
   HzbJob *job = hzb_jobs_find (api->controller->jobs, check->uid);
   g_autofree char *key = g_strconcat (HZB_KEY_JOBS, check->uid, NULL);
   HzbBatch *batch;
-  cJSON *txn;
+  HzbKvTransaction *transaction;
 
   if (!hzb_time_before (hzb_clock_now (api->controller->clock), check->deadline))
     {
@@ -405,11 +409,11 @@
       return;
     }
   batch = hzb_user_api_batch_new (api);
-  txn = hzb_wire_txn ();
+  transaction = hzb_kv_transaction_new ();
   g_ptr_array_add (batch->entries, check);
-  hzb_jobs_compare_not_terminal (txn, check->uid);
-  hzb_wire_txn_put (txn, key, hzb_jobs_pack_final (HZB_JOB_CANCELLED, job->n_tasks), 0);
-  hzb_kv_client_commit (api->controller->kv, HZB_KV_ACCEPT, txn, on_cancelled, batch);
+  hzb_jobs_compare_not_terminal (transaction, check->uid);
+  hzb_kv_transaction_put (transaction, key, hzb_jobs_pack_final (HZB_JOB_CANCELLED, job->n_tasks), 0);
+  hzb_kv_client_commit (api->controller->kv, HZB_KV_ACCEPT, transaction, on_cancelled, batch);
 }
 
 static void
@@ -417,8 +421,8 @@
 {
   HzbJob *job = hzb_jobs_find (api->controller->jobs, uid);
 
-  if (!hzb_wire_uid_ok (uid))
-    hzb_http_request_respond (http_request, 404, hzb_wire_error ("no such job"), 0);
+  if (!hzb_job_uid_is_valid (uid))
+    hzb_http_request_respond (http_request, 404, hzb_error_response_encode ("no such job"), 0);
   else if (job && job->state != HZB_JOB_ACCEPTED)
     hzb_user_api_reply_final (api, hzb_user_api_check_new (http_request, uid, question), job);
   else
@@ -436,7 +440,7 @@
       if (post)
         hzb_submissions_submit (api, http_request);
       else
-        hzb_http_request_respond (http_request, 405, hzb_wire_error ("POST a job here"), 0);
+        hzb_http_request_respond (http_request, 405, hzb_error_response_encode ("POST a job here"), 0);
       return;
     }
   rest = http_request->path + strlen (hzb_path_jobs);
@@ -449,12 +453,13 @@
       else if (slash && g_str_equal (slash, hzb_path_cancel) && post)
         handle_question (api, http_request, uid, HZB_QUESTION_CANCELLATION);
       else if (!slash || g_str_equal (slash, hzb_path_cancel))
-        hzb_http_request_respond (http_request, 405, hzb_wire_error (slash ? "POST here" : "GET a job here"), 0);
+        hzb_http_request_respond (http_request, 405, hzb_error_response_encode (slash ? "POST here" : "GET a job here"),
+                                  0);
       else
-        hzb_http_request_respond (http_request, 404, hzb_wire_error ("no such path"), 0);
+        hzb_http_request_respond (http_request, 404, hzb_error_response_encode ("no such path"), 0);
       return;
     }
-  hzb_http_request_respond (http_request, 404, hzb_wire_error ("no such path"), 0);
+  hzb_http_request_respond (http_request, 404, hzb_error_response_encode ("no such path"), 0);
 }
 
 void
--- a/src/worker-api.c
+++ b/src/api/worker-api.c
@@ -1,5 +1,7 @@
 /* The workers' side: reports in, commands out. */
 #include "controller.h"
+#include "user-protocol.h"
+#include "worker-protocol.h"
 
 #include <math.h>
 #include <string.h>
@@ -344,7 +346,8 @@
 redirect (HzbController *controller, HzbHttpRequest *http_request)
 {
   controller->redirected = hzb_clock_now (controller->clock);
-  hzb_http_request_respond (http_request, 421, hzb_wire_redirect (hzb_election_leader (controller->election)), 0);
+  hzb_http_request_respond (http_request, 421, hzb_worker_redirect_encode (hzb_election_leader (controller->election)),
+                            0);
 }
 
 /* Guards against reports that a cut held back, and copies of reports: what they say is as old as they are. Once a
@@ -360,7 +363,7 @@
 static void
 refuse_late (HzbHttpRequest *http_request)
 {
-  hzb_http_request_respond (http_request, 503, hzb_wire_error ("an older report"), 0);
+  hzb_http_request_respond (http_request, 503, hzb_error_response_encode ("an older report"), 0);
 }
 
 /* On a leaseholder: the machine, if it is in the shard and the shard is still ours. */
@@ -403,7 +406,7 @@
   stop_cancelled (controller, heartbeat, commands);
   /* A fencing token that the worker has seen already is not lowered. */
   hzb_http_request_respond (http_request, 200,
-                            hzb_wire_commands (MAX (fencing_token, heartbeat->fencing_token), commands), 0);
+                            hzb_commands_encode (MAX (fencing_token, heartbeat->fencing_token), commands), 0);
 }
 
 /* On the leader: its machines, and those nobody expected. NULL: the exchange has been answered. */
@@ -417,7 +420,7 @@
   if (hzb_fencing_token_term (heartbeat->fencing_token) > term)
     {
       hzb_election_step_down (controller->election, "a worker has seen a newer token");
-      hzb_http_request_respond (http_request, 503, hzb_wire_error ("superseded"), 0);
+      hzb_http_request_respond (http_request, 503, hzb_error_response_encode ("superseded"), 0);
       return NULL;
     }
   if (controller->ownership < HZB_OWNERSHIP_RECOVERING)
@@ -428,7 +431,7 @@
   machine = hzb_machines_find (controller->machines, heartbeat->host);
   if (!machine && hzb_provisioning_was_scaled_in (controller->provisioning, heartbeat->host))
     {
-      hzb_http_request_respond (http_request, 503, hzb_wire_error ("this machine was returned"), 0);
+      hzb_http_request_respond (http_request, 503, hzb_error_response_encode ("this machine was returned"), 0);
       return NULL;
     }
   if (!machine)
@@ -459,7 +462,7 @@
         }
       if (!machine->recorded)
         hzb_records_flush_soon (controller->records);
-      hzb_http_request_respond (http_request, 421, hzb_wire_redirect (leaseholder), 0);
+      hzb_http_request_respond (http_request, 421, hzb_worker_redirect_encode (leaseholder), 0);
       return NULL;
     }
   return machine;
@@ -481,17 +484,18 @@
       redirect (controller, http_request);
       return;
     }
-  heartbeat = hzb_wire_parse_worker_heartbeat (http_request->body, http_request->length, &error);
+  heartbeat = hzb_worker_heartbeat_decode (http_request->body, http_request->length, &error);
   if (!heartbeat)
     {
-      hzb_http_request_respond (http_request, 400, hzb_wire_error (error->message), 0);
+      hzb_http_request_respond (http_request, 400, hzb_error_response_encode (error->message), 0);
       return;
     }
   /* Guards against a controller that stood still, or reaches its workers only: others rely on it that it renews no lease of
    * work that was cancelled meanwhile. */
   if (!hzb_cancellations_may_answer_workers (controller->cancellations))
     {
-      hzb_http_request_respond (http_request, 503, hzb_wire_error ("cancellations may have been missed here"), 1);
+      hzb_http_request_respond (http_request, 503,
+                                hzb_error_response_encode ("cancellations may have been missed here"), 1);
       return;
     }
   if (!leads && !(machine = leased_machine (controller, heartbeat)))
@@ -538,7 +542,7 @@
       if (leads && heartbeat->notice_s < 0 && heartbeat->fencing_token == machine->fencing_token
           && (leaseholder = hzb_shard_leases_hand_over (controller->shard_leases, machine)))
         {
-          hzb_http_request_respond (http_request, 421, hzb_wire_redirect (leaseholder), 0);
+          hzb_http_request_respond (http_request, 421, hzb_worker_redirect_encode (leaseholder), 0);
           return;
         }
       /* Starts only while nobody else can have been elected, or the lease is good; see docs/safety.md. */
@@ -556,5 +560,5 @@
   if (machine->ignored_answers >= ONE_WAY_PARTITION_AFTER)
     mark_unreachable (controller, machine, now);
   hzb_reconciliation_note_commands (controller->reconciliation, commands);
-  hzb_http_request_respond (http_request, 200, hzb_wire_commands (machine->fencing_token, commands), 0);
+  hzb_http_request_respond (http_request, 200, hzb_commands_encode (machine->fencing_token, commands), 0);
 }
--- /dev/null
+++ b/src/base/json.c
@@ -0,0 +1,61 @@
+#include "json.h"
+
+guint64
+hzb_json_u64 (const cJSON *object, const char *name)
+{
+  const cJSON *item = cJSON_GetObjectItemCaseSensitive (object, name);
+  if (!cJSON_IsNumber (item) || !(item->valuedouble >= 0) || item->valuedouble >= 18446744073709551616.0)
+    return 0;
+  return (guint64) item->valuedouble;
+}
+
+double
+hzb_json_number (const cJSON *object, const char *name, double fallback)
+{
+  const cJSON *item = cJSON_GetObjectItemCaseSensitive (object, name);
+  return cJSON_IsNumber (item) ? item->valuedouble : fallback;
+}
+
+const char *
+hzb_json_text (const cJSON *object, const char *name)
+{
+  const cJSON *item = cJSON_GetObjectItemCaseSensitive (object, name);
+  return cJSON_IsString (item) ? item->valuestring : NULL;
+}
+
+/* Raw, since cJSON would write a large number with an exponent. */
+void
+hzb_json_add_u64 (cJSON *object, const char *name, guint64 value)
+{
+  char text[24];
+  g_snprintf (text, sizeof text, "%" G_GUINT64_FORMAT, value);
+  cJSON_AddRawToObject (object, name, text);
+}
+
+char *
+hzb_json_print (cJSON *root)
+{
+  char *text = cJSON_PrintUnformatted (root);
+  cJSON_Delete (root);
+  return text;
+}
+
+char **
+hzb_json_string_list (const cJSON *array)
+{
+  g_autoptr (GStrvBuilder) out = g_strv_builder_new ();
+  const cJSON *item;
+  cJSON_ArrayForEach (item, array)
+    if (cJSON_IsString (item))
+      g_strv_builder_add (out, item->valuestring);
+  return g_strv_builder_end (out);
+}
+
+int
+hzb_json_index_of (const char *text, const char *const *names, guint n)
+{
+  for (guint i = 0; i < n; i++)
+    if (g_strcmp0 (text, names[i]) == 0)
+      return (int) i;
+  return -1;
+}
--- a/src/cancellations.c
+++ b/src/cluster/cancellations.c
@@ -19,6 +19,9 @@
  * have to be waited for: it answers no worker once it could have missed a cancellation (may_answer_workers ()), so some
  * seconds after all others knew, nobody acts without it (hzb_peers_fenced_revision ()). */
 #include "controller.h"
+#include "json.h"
+#include "kv-protocol.h"
+#include "user-protocol.h"
 
 #define MAX_REQUESTS_PER_MESSAGE 64u
 #define REQUEST_KEPT_S 10.0 /* its user comes back by then */
@@ -197,7 +200,7 @@
     {
       guint64 version = hzb_json_u64 (asked, "version");
       HzbJob *job;
-      if (!version || !hzb_wire_uid_ok (asked->string))
+      if (!version || !hzb_job_uid_is_valid (asked->string))
         continue;
       /* Perhaps before this node's own replica of the records shows it, which may be refused, or behind. */
       job = hzb_jobs_find (controller->jobs, asked->string);
@@ -262,7 +265,7 @@
   HzbKvEntry item = { 0 };
 
   cancellations->reading = FALSE;
-  if (result != HZB_KV_OK || !hzb_wire_parse_item (body, &item))
+  if (result != HZB_KV_OK || !hzb_kv_entry_decode (body, &item))
     return;
   if (!hzb_election_leading (controller->election) && hzb_json_u64 (item.value, "term")
       && hzb_json_u64 (item.value, "term") >= hzb_election_leader_term (controller->election))
--- a/src/election.c
+++ b/src/cluster/election.c
@@ -1,4 +1,6 @@
 #include "election.h"
+#include "json.h"
+#include "kv-protocol.h"
 
 #define TTL_MS 4000
 #define RENEW_S 0.9
@@ -89,9 +91,9 @@
 }
 
 void
-hzb_election_add_condition (HzbElection *election, cJSON *txn)
+hzb_election_add_condition (HzbElection *election, HzbKvTransaction *transaction)
 {
-  hzb_wire_txn_if (txn, HZB_KEY_TERM, election->term_version);
+  hzb_kv_transaction_compare (transaction, HZB_KEY_TERM, election->term_version);
 }
 
 gboolean
@@ -191,7 +193,7 @@
       give_up (election, "the campaign failed");
       return;
     }
-  hzb_wire_parse_txn (body, &election->term_version, NULL);
+  hzb_kv_commit_decode (body, &election->term_version, NULL);
   election->lease_valid_until = hzb_time_plus (election->requests, TTL_MS / 1000.0 * 0.999 - 0.05);
   election->renew_sent = election->requests;
   election->renewing = FALSE;
@@ -225,50 +227,52 @@
 void
 hzb_election_raise_schema_version (HzbElection *election)
 {
-  cJSON *txn, *value;
+  HzbKvTransaction *transaction;
+  cJSON *value;
 
   if (election->schema_version >= 2 || election->raising || !hzb_election_lease_valid (election))
     return;
   election->raising = TRUE;
-  txn = hzb_wire_txn ();
-  hzb_election_add_condition (election, txn);
-  hzb_wire_txn_if (txn, HZB_KEY_SCHEMA_VERSION, 0);
+  transaction = hzb_kv_transaction_new ();
+  hzb_election_add_condition (election, transaction);
+  hzb_kv_transaction_compare (transaction, HZB_KEY_SCHEMA_VERSION, 0);
   value = cJSON_CreateObject ();
   cJSON_AddNumberToObject (value, "format", 2);
-  hzb_wire_txn_put (txn, HZB_KEY_SCHEMA_VERSION, value, 0);
+  hzb_kv_transaction_put (transaction, HZB_KEY_SCHEMA_VERSION, value, 0);
   value = cJSON_CreateObject ();
   cJSON_AddStringToObject (value, "node", nobody);
   hzb_json_add_u64 (value, "term", election->term);
-  hzb_wire_txn_put (txn, HZB_KEY_LEADER_SCHEMA_1, value, 0);
-  hzb_wire_txn_put (txn, HZB_KEY_LEADER_SCHEMA_2, pack_leader (election), election->lease);
-  hzb_kv_client_commit (election->kv, HZB_KV_LEASE, txn, on_raised, election);
+  hzb_kv_transaction_put (transaction, HZB_KEY_LEADER_SCHEMA_1, value, 0);
+  hzb_kv_transaction_put (transaction, HZB_KEY_LEADER_SCHEMA_2, pack_leader (election), election->lease);
+  hzb_kv_client_commit (election->kv, HZB_KV_LEASE, transaction, on_raised, election);
 }
 
 static void
 on_lease (HzbKvResult result, const char *body, gpointer user)
 {
   HzbElection *election = user;
-  cJSON *txn, *value;
+  HzbKvTransaction *transaction;
+  cJSON *value;
 
   if (election->state != HZB_ELECTION_LEASING)
     return;
-  election->lease = result == HZB_KV_OK ? hzb_wire_parse_lease (body) : 0;
+  election->lease = result == HZB_KV_OK ? hzb_kv_lease_decode (body) : 0;
   if (!election->lease || election->leader)
     {
       give_up (election, election->leader ? "another leads" : "no lease");
       return;
     }
   election->term = election->seen_term + 1;
-  txn = hzb_wire_txn ();
-  hzb_wire_txn_if (txn, leader_key (election), 0);
-  hzb_wire_txn_if (txn, HZB_KEY_TERM, election->seen_term_version);
-  hzb_wire_txn_put (txn, leader_key (election), pack_leader (election), election->lease);
+  transaction = hzb_kv_transaction_new ();
+  hzb_kv_transaction_compare (transaction, leader_key (election), 0);
+  hzb_kv_transaction_compare (transaction, HZB_KEY_TERM, election->seen_term_version);
+  hzb_kv_transaction_put (transaction, leader_key (election), pack_leader (election), election->lease);
   value = cJSON_CreateObject ();
   hzb_json_add_u64 (value, "term", election->term);
   cJSON_AddStringToObject (value, "node", election->settings->node);
-  hzb_wire_txn_put (txn, HZB_KEY_TERM, value, 0);
+  hzb_kv_transaction_put (transaction, HZB_KEY_TERM, value, 0);
   set_state (election, HZB_ELECTION_CAMPAIGNING, "got a lease");
-  hzb_kv_client_commit (election->kv, HZB_KV_LEASE, txn, on_campaign, election);
+  hzb_kv_client_commit (election->kv, HZB_KV_LEASE, transaction, on_campaign, election);
 }
 
 /* A renewal, and of which lease. */
--- a/src/election.h
+++ b/src/cluster/election.h
@@ -2,6 +2,7 @@
  * transaction that takes the leadership, so a later leader's term exceeds all before it. */
 #pragma once
 #include "kv-client.h"
+#include "kv-protocol.h"
 
 #define HZB_KEY_LEADER_SCHEMA_1 "hzb/a/leader"
 #define HZB_KEY_TERM "hzb/a/term"
@@ -34,8 +35,8 @@
 /* Nobody else can have been elected up to this moment. */
 gboolean hzb_election_lease_valid (HzbElection *election);
 guint64 hzb_election_term (HzbElection *election);
-void
-hzb_election_add_condition (HzbElection *election, cJSON *txn); /* the transaction fails once a newer term exists */
+void hzb_election_add_condition (HzbElection *election,
+                                 HzbKvTransaction *transaction); /* the transaction fails once a newer term exists */
 gboolean hzb_election_term_replicated (
     HzbElection *election); /* the replica of the records shows our own term: it has all before it */
 const char *hzb_election_leader (HzbElection *election);        /* NULL: none known */
--- a/src/peer-heartbeat.c
+++ b/src/cluster/peer-heartbeat.c
@@ -1,6 +1,7 @@
 #include "peer-heartbeat.h"
 
-#include "wire.h"
+#include "json.h"
+#include "user-protocol.h"
 
 #include <math.h>
 
@@ -189,7 +190,7 @@
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (message, "cancelled"))
     {
       HzbCancellation cancellation = { NULL, hzb_json_u64 (item, "version"), (guint) hzb_json_number (item, "n", 0) };
-      if (!item->string || !hzb_wire_uid_ok (item->string) || !cancellation.revision)
+      if (!item->string || !hzb_job_uid_is_valid (item->string) || !cancellation.revision)
         {
           heartbeat->cancellations_up_to = 0;
           continue;
--- a/src/peers.c
+++ b/src/cluster/peers.c
@@ -3,7 +3,9 @@
  * Copies of old messages may come late, also from a process that has ended since. So each says which process sent it,
  * when that began, and counts: what is not the newest of its kind is refused, whoever it is from. */
 #include "controller.h"
+#include "json.h"
 #include "peer-heartbeat.h"
+#include "user-protocol.h"
 #include "watermarks.h"
 
 #include <string.h>
@@ -615,7 +617,8 @@
   View *view = sender (controller->peers, shard ? HZB_PEER_SHARD_POLL : HZB_PEER_HEARTBEAT, root);
 
   if (!view)
-    hzb_http_request_respond (http_request, 400, hzb_wire_error ("not a message of a peer, or an old one"), 0);
+    hzb_http_request_respond (http_request, 400, hzb_error_response_encode ("not a message of a peer, or an old one"),
+                              0);
   else if (shard)
     hzb_shard_leases_request (controller->shard_leases, http_request, root);
   else
--- a/src/peers.h
+++ b/src/cluster/peers.h
@@ -7,7 +7,7 @@
  */
 #pragma once
 #include "http.h"
-#include "wire.h"
+#include <cjson/cJSON.h>
 
 typedef struct _HzbController HzbController;
 typedef struct _HzbPeers HzbPeers;
--- a/src/controller.c
+++ b/src/controller/controller.c
@@ -1,4 +1,8 @@
 #include "controller.h"
+#include "json.h"
+#include "kv-protocol.h"
+#include "user-protocol.h"
+#include "worker-protocol.h"
 
 #include <math.h>
 #include <string.h>
@@ -166,7 +170,7 @@
   if (epoch_call->epoch != controller->ownership_epoch || controller->ownership != HZB_OWNERSHIP_LOADING)
     return;
   controller->owner_page_asked = FALSE;
-  items = result == HZB_KV_OK ? hzb_wire_parse_range (body, &more, &revision) : NULL;
+  items = result == HZB_KV_OK ? hzb_kv_range_decode (body, &more, &revision) : NULL;
   if (!items)
     {
       /* Guards against a leader that asks again at once, all the time, while the key-value store refuses it. */
@@ -271,7 +275,7 @@
   if (result == HZB_KV_OK && job)
     {
       cJSON *value = hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks);
-      hzb_wire_parse_txn (body, &revision, NULL);
+      hzb_kv_commit_decode (body, &revision, NULL);
       hzb_jobs_apply (controller->jobs, uid, value, revision);
       cJSON_Delete (value);
     }
@@ -292,17 +296,17 @@
 hzb_controller_record_completion (HzbController *controller, HzbJob *job)
 {
   g_autofree char *key = NULL;
-  cJSON *txn;
+  HzbKvTransaction *transaction;
 
   if (job->completing || job->state != HZB_JOB_ACCEPTED || !hzb_election_leading (controller->election))
     return;
   job->completing = TRUE;
   key = g_strconcat (HZB_KEY_JOBS, job->uid, NULL);
-  txn = hzb_wire_txn ();
-  hzb_election_add_condition (controller->election, txn);
-  hzb_jobs_compare_not_terminal (txn, job->uid); /* it has not been cancelled */
-  hzb_wire_txn_put (txn, key, hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks), 0);
-  hzb_kv_client_commit (controller->kv, HZB_KV_ACCEPT, txn, on_ended,
+  transaction = hzb_kv_transaction_new ();
+  hzb_election_add_condition (controller->election, transaction);
+  hzb_jobs_compare_not_terminal (transaction, job->uid); /* it has not been cancelled */
+  hzb_kv_transaction_put (transaction, key, hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks), 0);
+  hzb_kv_client_commit (controller->kv, HZB_KV_ACCEPT, transaction, on_ended,
                         hzb_epoch_call_new (controller, g_strdup (job->uid)));
 }
 
@@ -367,7 +371,7 @@
   controller->last_tick = now;
 
   hzb_kv_client_pump (controller->kv);
-  hzb_cloud_pump (controller->cloud);
+  hzb_cloud_client_pump (controller->cloud);
   hzb_kv_replica_tick (controller->kv_replica);
   /* In a rollout the others are about to be replaced: whoever leads after them should be one that is not. */
   hzb_election_set_eager (controller->election,
@@ -409,7 +413,7 @@
       hzb_dispatch_consolidate (controller->dispatch, now);
     }
   if (controller->ownership >= HZB_OWNERSHIP_RECOVERING)
-    hzb_owner_tick (controller, now);
+    hzb_leader_maintenance_tick (controller, now);
   hzb_provisioning_tick (controller->provisioning, now);
   hzb_peers_tick (controller->peers, now);
   hzb_cancellations_tick (controller->cancellations, now);
@@ -452,16 +456,16 @@
       if (g_str_equal (http_request->method, "POST"))
         hzb_worker_api_heartbeat (controller, http_request);
       else
-        hzb_http_request_respond (http_request, 405, hzb_wire_error ("POST a report here"), 0);
+        hzb_http_request_respond (http_request, 405, hzb_error_response_encode ("POST a report here"), 0);
     }
   else if (g_str_equal (http_request->path, hzb_path_ready))
     {
       if (!g_str_equal (http_request->method, "GET"))
-        hzb_http_request_respond (http_request, 405, hzb_wire_error ("GET here"), 0);
+        hzb_http_request_respond (http_request, 405, hzb_error_response_encode ("GET here"), 0);
       else if (hzb_controller_ready (controller))
         hzb_http_request_respond (http_request, 200, g_strdup ("{\"ready\":true}"), 0);
       else
-        hzb_http_request_respond (http_request, 503, hzb_wire_error ("not ready"), 1);
+        hzb_http_request_respond (http_request, 503, hzb_error_response_encode ("not ready"), 1);
     }
   else if (!hzb_admin_request (controller, http_request))
     hzb_user_api_request (controller->api, http_request);
@@ -488,7 +492,7 @@
   controller->kv = hzb_kv_client_new (transport, clock, settings);
   controller->kv_replica = hzb_kv_replica_new (controller->kv, clock, HZB_KEY_REPLICATED, watch_interval_s (settings),
                                                &kv_replica_funcs, controller);
-  controller->cloud = hzb_cloud_new (transport, clock, settings);
+  controller->cloud = hzb_cloud_client_new (transport, clock, settings);
   controller->election = hzb_election_new (controller->kv, clock, settings, controller->rand);
   controller->jobs = hzb_jobs_new (clock, settings);
   controller->machines = hzb_machines_new (clock, settings);
@@ -532,7 +536,7 @@
   hzb_machines_free (controller->machines);
   hzb_shard_free (controller->shard);
   hzb_election_free (controller->election);
-  hzb_cloud_free (controller->cloud);
+  hzb_cloud_client_free (controller->cloud);
   hzb_kv_client_free (controller->kv);
   hzb_provisioning_free (controller->provisioning);
   hzb_kv_replica_free (controller->kv_replica);
--- a/src/controller.h
+++ b/src/controller/controller.h
@@ -3,19 +3,20 @@
 #include "admin.h"
 #include "autoscaler.h"
 #include "cancellations.h"
-#include "cloud.h"
+#include "cloud-client.h"
 #include "completed-job-archive.h"
 #include "dispatch.h"
 #include "election.h"
 #include "http.h"
 #include "kv-client.h"
+#include "kv-protocol.h"
 #include "kv-replica.h"
+#include "leader-maintenance.h"
 #include "leaseholder.h"
 #include "metrics.h"
-#include "owner.h"
 #include "peers.h"
 #include "provisioning.h"
-#include "reconciliation/reconciliation.h"
+#include "reconciliation.h"
 #include "records.h"
 #include "shard-leases.h"
 #include "user-api.h"
@@ -49,7 +50,7 @@
   HzbTransport *transport;
   GRand *rand;
   HzbKvClient *kv;
-  HzbCloud *cloud;
+  HzbCloudClient *cloud;
   HzbElection *election;
   HzbJobs *jobs;
   HzbMachines *machines;
--- a/src/owner.c
+++ b/src/controller/leader-maintenance.c
@@ -1,4 +1,4 @@
-#include "owner.h"
+#include "leader-maintenance.h"
 
 #include "controller.h"
 
@@ -185,7 +185,7 @@
 }
 
 void
-hzb_owner_tick (HzbController *controller, struct timespec now)
+hzb_leader_maintenance_tick (HzbController *controller, struct timespec now)
 {
   hzb_reconciliation_tick (controller->reconciliation, now);
   if (!hzb_time_before (now, controller->next_scan))
--- a/src/http.c
+++ b/src/http/http.c
@@ -1,7 +1,7 @@
 #include "http.h"
 
 #include "settings.h"
-#include "wire.h"
+#include "user-protocol.h"
 
 #define SOUP_VERSION_MIN_REQUIRED SOUP_VERSION_2_70
 #include <glib-unix.h>
--- a/src/kv-client.c
+++ b/src/kv/kv-client.c
@@ -1,4 +1,5 @@
 #include "kv-client.h"
+#include "kv-protocol.h"
 
 #include <string.h>
 
@@ -222,23 +223,24 @@
 void
 hzb_kv_client_get (HzbKvClient *client, HzbKvPriority priority, const char *key, HzbKvFunc done, gpointer user)
 {
-  add (client, priority, "GET", hzb_wire_get_path (key), NULL, 0, priority == HZB_KV_READ ? READ_CALL_MS : CALL_MS,
-       done, user);
+  add (client, priority, "GET", hzb_kv_get_path (key), NULL, 0, priority == HZB_KV_READ ? READ_CALL_MS : CALL_MS, done,
+       user);
 }
 
 void
 hzb_kv_client_range (HzbKvClient *client, const char *prefix, const char *after, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_READ, "GET", hzb_wire_range_path (prefix, after, RANGE_ROWS), NULL, 0, RANGE_CALL_MS, done, user);
+  add (client, HZB_KV_READ, "GET", hzb_kv_range_path (prefix, after, RANGE_ROWS), NULL, 0, RANGE_CALL_MS, done, user);
 }
 
 void
-hzb_kv_client_commit (HzbKvClient *client, HzbKvPriority priority, cJSON *txn, HzbKvFunc done, gpointer user)
+hzb_kv_client_commit (HzbKvClient *client, HzbKvPriority priority, HzbKvTransaction *transaction, HzbKvFunc done,
+                      gpointer user)
 {
-  guint writes = hzb_wire_txn_writes (txn);
-  char *body = cJSON_PrintUnformatted (txn);
-  cJSON_Delete (txn);
-  add (client, priority, "POST", g_strdup (hzb_path_txn), body, writes,
+  guint writes = hzb_kv_transaction_changes (transaction);
+  char *body = hzb_kv_transaction_encode (transaction);
+  hzb_kv_transaction_free (transaction);
+  add (client, priority, "POST", g_strdup (hzb_path_transaction), body, writes,
        priority == HZB_KV_READ ? READ_CALL_MS : CALL_MS, done, user);
 }
 
@@ -246,30 +248,31 @@
 hzb_kv_client_watch (HzbKvClient *client, const char *prefix, guint64 after, guint wait_ms, HzbKvFunc done,
                      gpointer user)
 {
-  add (client, HZB_KV_LEASE, "GET", hzb_wire_watch_path (prefix, after, wait_ms), NULL, 0, wait_ms + WATCH_SLACK_MS,
-       done, user);
+  add (client, HZB_KV_LEASE, "GET", hzb_kv_watch_path (prefix, after, wait_ms), NULL, 0, wait_ms + WATCH_SLACK_MS, done,
+       user);
 }
 
 void
 hzb_kv_client_changes (HzbKvClient *client, const char *prefix, guint64 after, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_READ, "GET", hzb_wire_watch_path (prefix, after, 0), NULL, 0, READ_CALL_MS, done, user);
+  add (client, HZB_KV_READ, "GET", hzb_kv_watch_path (prefix, after, 0), NULL, 0, READ_CALL_MS, done, user);
 }
 
 void
 hzb_kv_client_grant_lease (HzbKvClient *client, guint ttl_ms, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_LEASE, "POST", g_strdup (hzb_path_leases), hzb_wire_lease (ttl_ms), 0, LEASE_CALL_MS, done, user);
+  add (client, HZB_KV_LEASE, "POST", g_strdup (hzb_path_leases), hzb_kv_lease_encode (ttl_ms), 0, LEASE_CALL_MS, done,
+       user);
 }
 
 void
 hzb_kv_client_renew_lease (HzbKvClient *client, guint64 lease, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_LEASE, "POST", hzb_wire_renew_path (lease), NULL, 0, LEASE_CALL_MS, done, user);
+  add (client, HZB_KV_LEASE, "POST", hzb_kv_lease_renew_path (lease), NULL, 0, LEASE_CALL_MS, done, user);
 }
 
 void
 hzb_kv_client_revoke_lease (HzbKvClient *client, guint64 lease, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_LEASE, "DELETE", hzb_wire_end_lease_path (lease), NULL, 0, LEASE_CALL_MS, done, user);
+  add (client, HZB_KV_LEASE, "DELETE", hzb_kv_lease_revoke_path (lease), NULL, 0, LEASE_CALL_MS, done, user);
 }
--- a/src/kv-client.h
+++ b/src/kv/kv-client.h
@@ -8,8 +8,8 @@
 #pragma once
 #include "clock.h"
 #include "http.h"
+#include "kv-protocol.h"
 #include "settings.h"
-#include "wire.h"
 
 typedef enum
 {
@@ -47,7 +47,8 @@
 void hzb_kv_client_range (HzbKvClient *client, const char *prefix, const char *after, HzbKvFunc done, gpointer user);
 
 /** hzb_kv_client_commit: a transaction. Takes @txn. */
-void hzb_kv_client_commit (HzbKvClient *client, HzbKvPriority priority, cJSON *txn, HzbKvFunc done, gpointer user);
+void hzb_kv_client_commit (HzbKvClient *client, HzbKvPriority priority, HzbKvTransaction *transaction, HzbKvFunc done,
+                           gpointer user);
 
 /** hzb_kv_client_watch: waits for changes after a revision. */
 void hzb_kv_client_watch (HzbKvClient *client, const char *prefix, guint64 after, guint wait_ms, HzbKvFunc done,
--- a/src/kv-replica.c
+++ b/src/kv/kv-replica.c
@@ -1,4 +1,5 @@
 #include "kv-replica.h"
+#include "kv-protocol.h"
 
 #define FRESH_SLACK_S 2.0   /* beyond the time that a watch takes */
 #define RELOAD_PAUSE_S 0.4  /* after a page that did not come */
@@ -151,7 +152,7 @@
   if (!is_current (call))
     return;
   kv_replica->load_asked = FALSE;
-  items = result == HZB_KV_OK ? hzb_wire_parse_range (body, &more, &revision) : NULL;
+  items = result == HZB_KV_OK ? hzb_kv_range_decode (body, &more, &revision) : NULL;
   if (!items)
     {
       ask_again_later (kv_replica);
@@ -193,7 +194,7 @@
       ask_again_later (kv_replica);
       return;
     }
-  items = result == HZB_KV_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
+  items = result == HZB_KV_OK ? hzb_kv_watch_decode (body, &revision) : NULL;
   if (!items)
     {
       ask_again_later (kv_replica);
@@ -265,7 +266,7 @@
   if (!is_current (call))
     return;
   kv_replica->watching = FALSE;
-  items = result == HZB_KV_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
+  items = result == HZB_KV_OK ? hzb_kv_watch_decode (body, &revision) : NULL;
   if (result == HZB_KV_NOT_FOUND)
     hzb_kv_replica_reset (kv_replica);
   else if (!items)
@@ -293,7 +294,7 @@
       call->done (FALSE, call->user);
       return;
     }
-  items = result == HZB_KV_OK ? hzb_wire_parse_watch (body, &revision) : NULL;
+  items = result == HZB_KV_OK ? hzb_kv_watch_decode (body, &revision) : NULL;
   if (items)
     {
       kv_replica->revision = apply_changes (kv_replica, items, kv_replica->revision, revision);
--- a/src/kv-replica.h
+++ b/src/kv/kv-replica.h
@@ -7,6 +7,7 @@
  */
 #pragma once
 #include "kv-client.h"
+#include "kv-protocol.h"
 
 typedef enum
 {
--- a/src/main.c
+++ b/src/main.c
@@ -1,5 +1,5 @@
 #include "controller.h"
-#include "reconciliation/report.h"
+#include "report.h"
 
 #include <malloc.h>
 #include <stdlib.h>
--- a/src/cloud.c
+++ b/src/provisioning/cloud-client.c
@@ -1,4 +1,5 @@
-#include "cloud.h"
+#include "cloud-client.h"
+#include "cloud-protocol.h"
 
 #include <string.h>
 
@@ -12,12 +13,12 @@
   gpointer user;
 } Request;
 
-struct _HzbCloud
+struct _HzbCloudClient
 {
   HzbTransport *transport;
   HzbClock *clock;
   const HzbSettings *settings;
-  GQueue waiting[HZB_CLOUD_N_PRIORITIES];
+  GQueue waiting[HZB_CLOUD_CLIENT_N_PRIORITIES];
   double budget;
   struct timespec filled;
 };
@@ -30,10 +31,10 @@
   g_free (request);
 }
 
-HzbCloud *
-hzb_cloud_new (HzbTransport *transport, HzbClock *clock, const HzbSettings *settings)
+HzbCloudClient *
+hzb_cloud_client_new (HzbTransport *transport, HzbClock *clock, const HzbSettings *settings)
 {
-  HzbCloud *cloud = g_new0 (HzbCloud, 1);
+  HzbCloudClient *cloud = g_new0 (HzbCloudClient, 1);
   cloud->transport = transport;
   cloud->clock = clock;
   cloud->settings = settings;
@@ -43,15 +44,15 @@
 }
 
 void
-hzb_cloud_free (HzbCloud *cloud)
+hzb_cloud_client_free (HzbCloudClient *cloud)
 {
-  for (guint i = 0; i < HZB_CLOUD_N_PRIORITIES; i++)
+  for (guint i = 0; i < HZB_CLOUD_CLIENT_N_PRIORITIES; i++)
     g_queue_clear_full (&cloud->waiting[i], (GDestroyNotify) request_free);
   g_free (cloud);
 }
 
 void
-hzb_cloud_pump (HzbCloud *cloud)
+hzb_cloud_client_pump (HzbCloudClient *cloud)
 {
   struct timespec now = hzb_clock_now (cloud->clock);
   /* A leader that was just replaced may still be calling: nine tenths leave room for that. */
@@ -59,7 +60,7 @@
 
   cloud->budget = MIN (cloud->budget + hzb_time_between (cloud->filled, now) * rps, MAX (1, rps));
   cloud->filled = now;
-  for (guint i = 0; i < HZB_CLOUD_N_PRIORITIES; i++)
+  for (guint i = 0; i < HZB_CLOUD_CLIENT_N_PRIORITIES; i++)
     while (cloud->budget >= 1 && cloud->waiting[i].length)
       {
         Request *request = g_queue_pop_head (&cloud->waiting[i]);
@@ -71,7 +72,7 @@
 }
 
 static void
-add (HzbCloud *cloud, HzbCloudPriority priority, const char *method, char *path, char *body, HzbReplyFunc done,
+add (HzbCloudClient *cloud, HzbCloudPriority priority, const char *method, char *path, char *body, HzbReplyFunc done,
      gpointer user)
 {
   Request *request = g_new0 (Request, 1);
@@ -81,31 +82,31 @@
   request->done = done;
   request->user = user;
   g_queue_push_tail (&cloud->waiting[priority], request);
-  hzb_cloud_pump (cloud);
+  hzb_cloud_client_pump (cloud);
 }
 
 void
-hzb_cloud_types (HzbCloud *cloud, HzbReplyFunc done, gpointer user)
+hzb_cloud_client_types (HzbCloudClient *cloud, HzbReplyFunc done, gpointer user)
 {
-  add (cloud, HZB_CLOUD_READ, "GET", g_strdup (hzb_path_types), NULL, done, user);
+  add (cloud, HZB_CLOUD_CLIENT_READ, "GET", g_strdup (hzb_path_types), NULL, done, user);
 }
 
 void
-hzb_cloud_list (HzbCloud *cloud, const char *after, HzbReplyFunc done, gpointer user)
+hzb_cloud_client_list (HzbCloudClient *cloud, const char *after, HzbReplyFunc done, gpointer user)
 {
-  add (cloud, HZB_CLOUD_READ, "GET", hzb_wire_list_path (after, 500), NULL, done, user);
+  add (cloud, HZB_CLOUD_CLIENT_READ, "GET", hzb_cloud_list_path (after, 500), NULL, done, user);
 }
 
 void
-hzb_cloud_rent (HzbCloud *cloud, const char *request, const char *type, const char *zone, gboolean spot, guint count,
-                HzbReplyFunc done, gpointer user)
+hzb_cloud_client_rent (HzbCloudClient *cloud, const char *request, const char *type, const char *zone, gboolean spot,
+                       guint count, HzbReplyFunc done, gpointer user)
 {
-  add (cloud, HZB_CLOUD_RENT, "POST", g_strdup (hzb_path_rent), hzb_wire_rent (request, type, zone, spot, count), done,
-       user);
+  add (cloud, HZB_CLOUD_CLIENT_RENT, "POST", g_strdup (hzb_path_rent),
+       hzb_cloud_rent_encode (request, type, zone, spot, count), done, user);
 }
 
 void
-hzb_cloud_return (HzbCloud *cloud, const GPtrArray *names, HzbReplyFunc done, gpointer user)
+hzb_cloud_client_return (HzbCloudClient *cloud, const GPtrArray *names, HzbReplyFunc done, gpointer user)
 {
-  add (cloud, HZB_CLOUD_RETURN, "POST", g_strdup (hzb_path_return), hzb_wire_return (names), done, user);
+  add (cloud, HZB_CLOUD_CLIENT_RETURN, "POST", g_strdup (hzb_path_return), hzb_cloud_return_encode (names), done, user);
 }
--- a/src/provisioning.c
+++ b/src/provisioning/provisioning.c
@@ -1,4 +1,5 @@
 /* What the owner has to do with the cloud: types, renting, returning, and the list of what there is. */
+#include "cloud-protocol.h"
 #include "controller.h"
 
 #include <math.h>
@@ -23,7 +24,7 @@
 {
   HzbController *controller = user;
   HzbProvisioning *provisioning = controller->provisioning;
-  GPtrArray *types = status == 200 ? hzb_wire_parse_types (body) : NULL;
+  GPtrArray *types = status == 200 ? hzb_machine_types_decode (body) : NULL;
 
   provisioning->asking_types = FALSE;
   provisioning->next_types = hzb_time_plus (hzb_clock_now (controller->clock), types ? 60 : 1);
@@ -56,7 +57,7 @@
   HzbController *controller = call->epoch_call.controller;
   HzbProvisioning *provisioning = controller->provisioning;
   struct timespec now = hzb_clock_now (controller->clock);
-  g_autoptr (GPtrArray) names = status == 200 ? hzb_wire_parse_names (body) : NULL;
+  g_autoptr (GPtrArray) names = status == 200 ? hzb_cloud_names_decode (body) : NULL;
   HzbScaleOutRequest rental = { NULL, call->zone, call->spot, call->count };
 
   if (call->epoch_call.epoch != controller->ownership_epoch)
@@ -67,8 +68,8 @@
   if (!names && status != 503 && status != 400 && call->tries++ < 4)
     {
       /* The same name again: if it was carried out, the answer is the same and nothing more is rented. */
-      hzb_cloud_rent (controller->cloud, call->request, call->type, call->zone, call->spot, call->count, on_rented,
-                      call);
+      hzb_cloud_client_rent (controller->cloud, call->request, call->type, call->zone, call->spot, call->count,
+                             on_rented, call);
       return;
     }
   provisioning->renting--;
@@ -117,8 +118,8 @@
       call->spot = rental->spot;
       call->count = rental->count;
       provisioning->renting++;
-      hzb_cloud_rent (controller->cloud, call->request, call->type, call->zone, call->spot, call->count, on_rented,
-                      call);
+      hzb_cloud_client_rent (controller->cloud, call->request, call->type, call->zone, call->spot, call->count,
+                             on_rented, call);
     }
 }
 
@@ -215,7 +216,7 @@
       return;
     }
   provisioning->returning++;
-  hzb_cloud_return (controller->cloud, names, on_returned, hzb_epoch_call_new (controller, names));
+  hzb_cloud_client_return (controller->cloud, names, on_returned, hzb_epoch_call_new (controller, names));
 }
 
 /* Once listed, a machine stays listed until it is gone, and a list is at most twice the lag old: what has been
@@ -255,7 +256,7 @@
   HzbController *controller = epoch_call->controller;
   HzbProvisioning *provisioning = controller->provisioning;
   gboolean more = FALSE;
-  g_autoptr (GPtrArray) instances = status == 200 ? hzb_wire_parse_list (body, &more) : NULL;
+  g_autoptr (GPtrArray) instances = status == 200 ? hzb_cloud_list_decode (body, &more) : NULL;
   struct timespec now = hzb_clock_now (controller->clock);
 
   if (epoch_call->epoch != controller->ownership_epoch)
@@ -307,7 +308,7 @@
       && (!controller->machines->types || hzb_election_leading (controller->election)))
     {
       provisioning->asking_types = TRUE;
-      hzb_cloud_types (controller->cloud, on_types, controller);
+      hzb_cloud_client_types (controller->cloud, on_types, controller);
     }
   if (controller->ownership < HZB_OWNERSHIP_RECOVERING)
     return;
@@ -333,7 +334,8 @@
       if (!provisioning->list_after)
         provisioning->list_began = now;
       provisioning->next_list = hzb_time_plus (now, 10);
-      hzb_cloud_list (controller->cloud, provisioning->list_after, on_listed, hzb_epoch_call_new (controller, NULL));
+      hzb_cloud_client_list (controller->cloud, provisioning->list_after, on_listed,
+                             hzb_epoch_call_new (controller, NULL));
     }
 }
 
--- a/src/reconciliation/archive-store.c
+++ b/src/reconciliation/archive-store.c
@@ -1,6 +1,9 @@
 #include "archive-store.h"
 
 #include "controller.h"
+#include "json.h"
+#include "kv-protocol.h"
+#include "user-protocol.h"
 
 #define KEY_ARCHIVES "hzb/o/reconciliations/"
 #define KEY_INDEX KEY_ARCHIVES "index"
@@ -114,7 +117,7 @@
   WriteCall *call = epoch_call->data;
   HzbKvEntry item = { 0 };
 
-  if (result != HZB_KV_NOT_FOUND && (result != HZB_KV_OK || !hzb_wire_parse_item (body, &item)))
+  if (result != HZB_KV_NOT_FOUND && (result != HZB_KV_OK || !hzb_kv_entry_decode (body, &item)))
     {
       write_call_finish (epoch_call, FALSE);
       return;
@@ -148,11 +151,11 @@
 {
   HzbController *controller = epoch_call->controller;
   WriteCall *call = epoch_call->data;
-  cJSON *txn = hzb_wire_txn ();
+  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
   gsize bytes = 0;
   guint room = controller->settings->kv_txn_ops;
 
-  hzb_election_add_condition (controller->election, txn);
+  hzb_election_add_condition (controller->election, transaction);
   for (; call->written < call->parts->len && room; call->written++, room--)
     {
       const char *text = call->parts->pdata[call->written];
@@ -164,9 +167,9 @@
       value = cJSON_CreateObject ();
       cJSON_AddStringToObject (value, "data", text);
       cJSON_AddNumberToObject (value, "of", call->parts->len);
-      hzb_wire_txn_put (txn, key, value, 0);
+      hzb_kv_transaction_put (transaction, key, value, 0);
     }
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_part_written, epoch_call);
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_part_written, epoch_call);
 }
 
 /* The oldest goes once there are too many; what doesn't fit this transaction goes with the next archive. */
@@ -179,7 +182,7 @@
   IndexEntry added = { call->id, call->parts->len };
   guint keep = (guint) MIN (settings->reconciliation.keep, settings->kv_value_kb * 1024 / INDEX_BYTES);
   guint room = settings->kv_txn_ops - 1;
-  cJSON *txn = hzb_wire_txn ();
+  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
 
   for (guint i = call->index->len; i-- > 0;)
     if (g_array_index (call->index, IndexEntry, i).id == call->id)
@@ -189,22 +192,22 @@
         g_array_remove_index (call->index, i);
       }
   g_array_append_val (call->index, added);
-  hzb_election_add_condition (controller->election, txn);
-  hzb_wire_txn_if (txn, KEY_INDEX, call->index_version);
+  hzb_election_add_condition (controller->election, transaction);
+  hzb_kv_transaction_compare (transaction, KEY_INDEX, call->index_version);
   while (call->index->len > keep && room)
     {
       IndexEntry *oldest = &g_array_index (call->index, IndexEntry, 0);
       for (; oldest->parts && room; room--)
         {
           g_autofree char *key = part_key (oldest->id, --oldest->parts);
-          hzb_wire_txn_delete (txn, key);
+          hzb_kv_transaction_delete (transaction, key);
         }
       if (oldest->parts)
         break;
       g_array_remove_index (call->index, 0);
     }
-  hzb_wire_txn_put (txn, KEY_INDEX, index_encode (call->index), 0);
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_index_written, epoch_call);
+  hzb_kv_transaction_put (transaction, KEY_INDEX, index_encode (call->index), 0);
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_index_written, epoch_call);
 }
 
 static void
@@ -292,9 +295,9 @@
   HzbKvEntry item = { 0 };
 
   if (result == HZB_KV_NOT_FOUND)
-    read_call_finish (call, 404, hzb_wire_error ("no such archive"));
-  else if (result != HZB_KV_OK || !hzb_wire_parse_item (body, &item))
-    read_call_finish (call, 503, hzb_wire_error ("the state service can't be asked"));
+    read_call_finish (call, 404, hzb_error_response_encode ("no such archive"));
+  else if (result != HZB_KV_OK || !hzb_kv_entry_decode (body, &item))
+    read_call_finish (call, 503, hzb_error_response_encode ("the state service can't be asked"));
   else
     {
       const char *data = hzb_json_text (item.value, "data");
@@ -316,9 +319,9 @@
   HzbKvEntry item = { 0 };
   g_autoptr (GArray) index = NULL;
 
-  if (result != HZB_KV_NOT_FOUND && (result != HZB_KV_OK || !hzb_wire_parse_item (body, &item)))
+  if (result != HZB_KV_NOT_FOUND && (result != HZB_KV_OK || !hzb_kv_entry_decode (body, &item)))
     {
-      read_call_finish (call, 503, hzb_wire_error ("the state service can't be asked"));
+      read_call_finish (call, 503, hzb_error_response_encode ("the state service can't be asked"));
       return;
     }
   index = index_decode (item.value);
--- a/src/reconciliation/archive.c
+++ b/src/reconciliation/archive.c
@@ -1,6 +1,6 @@
 #include "archive.h"
 
-#include "wire.h"
+#include "json.h"
 
 #include <string.h>
 #include <zstd.h>
--- a/src/reconciliation/codec.c
+++ b/src/reconciliation/codec.c
@@ -1,6 +1,7 @@
 #include "codec.h"
 
-#include "wire.h"
+#include "json.h"
+#include "user-protocol.h"
 
 #define ENTRY_BYTES 48u /* of a verdict, beside the job's id */
 
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -2,6 +2,8 @@
 
 #include "codec.h"
 #include "controller.h"
+#include "kv-protocol.h"
+#include "worker-protocol.h"
 
 /* A transaction without an answer may be carried out so long after it was sent, and clocks drift a little. */
 #define LATE_WRITE_S 12.0
@@ -361,7 +363,7 @@
     outcome = HZB_KEEP_CONFLICT;
   if (current && result == HZB_KV_OK)
     {
-      hzb_wire_parse_txn (body, &quarantine->kept_version, NULL);
+      hzb_kv_commit_decode (body, &quarantine->kept_version, NULL);
       g_hash_table_unref (quarantine->kept);
       quarantine->kept = g_hash_table_ref (call->kept);
     }
@@ -386,16 +388,16 @@
 {
   HzbController *controller = quarantine->controller;
   KeepCall *call = g_new0 (KeepCall, 1);
-  cJSON *txn = hzb_wire_txn ();
+  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
 
   call->kept = kept;
   call->done = done;
   call->user = user;
   quarantine->writing = TRUE;
-  hzb_election_add_condition (controller->election, txn);
-  hzb_wire_txn_if (txn, HZB_KEY_RECONCILIATION_KEPT, quarantine->kept_version);
-  hzb_wire_txn_put (txn, HZB_KEY_RECONCILIATION_KEPT, hzb_kept_encode (kept), 0);
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_kept, hzb_epoch_call_new (controller, call));
+  hzb_election_add_condition (controller->election, transaction);
+  hzb_kv_transaction_compare (transaction, HZB_KEY_RECONCILIATION_KEPT, quarantine->kept_version);
+  hzb_kv_transaction_put (transaction, HZB_KEY_RECONCILIATION_KEPT, hzb_kept_encode (kept), 0);
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_kept, hzb_epoch_call_new (controller, call));
 }
 
 /* All attempts of the task, on whatever machines. Returns: how many there are; *proven: no record names it, or will. */
--- a/src/reconciliation/quarantine.h
+++ b/src/reconciliation/quarantine.h
@@ -8,8 +8,10 @@
  */
 #pragma once
 #include "kv-client.h"
+#include "kv-protocol.h"
 #include "machines.h"
 #include "verdicts.h"
+#include "worker-protocol.h"
 
 typedef struct _HzbController HzbController;
 typedef struct _HzbQuarantine HzbQuarantine;
--- a/src/reconciliation/reconciliation-admin.c
+++ b/src/reconciliation/reconciliation-admin.c
@@ -1,6 +1,8 @@
 #include "reconciliation-admin.h"
 
+#include "json.h"
 #include "reconciliation-private.h"
+#include "user-protocol.h"
 
 #include <string.h>
 
@@ -132,7 +134,7 @@
 static void
 refuse (HzbHttpRequest *http_request, guint status, const char *text)
 {
-  hzb_http_request_respond (http_request, status, hzb_wire_error (text), status == 503 ? 1 : 0);
+  hzb_http_request_respond (http_request, status, hzb_error_response_encode (text), status == 503 ? 1 : 0);
 }
 
 static void
@@ -188,7 +190,7 @@
   HzbOperatorDecision decision;
   guint64 task = 0;
 
-  if (g_strv_length (parts) != 2 || !hzb_wire_uid_ok (parts[0])
+  if (g_strv_length (parts) != 2 || !hzb_job_uid_is_valid (parts[0])
       || !g_ascii_string_to_unsigned (parts[1], 10, 0, HZB_MAX_TASKS, &task, NULL))
     refuse (http_request, 400, "expected quarantine/JOB/NUMBER");
   else if (!read_decision (http_request, &decision))
@@ -210,7 +212,8 @@
 static void
 redirect (const HzbController *controller, HzbHttpRequest *http_request)
 {
-  hzb_http_request_respond (http_request, 421, hzb_wire_redirect (hzb_election_leader (controller->election)), 0);
+  hzb_http_request_respond (http_request, 421, hzb_worker_redirect_encode (hzb_election_leader (controller->election)),
+                            0);
 }
 
 gboolean
--- a/src/reconciliation/reconciliation-private.h
+++ b/src/reconciliation/reconciliation-private.h
@@ -42,7 +42,7 @@
   HzbRoster roster;
   HzbQuarantine *quarantine;
   HzbArchiveStore *archives;
-  HzbPacing pacing;
+  HzbStartPacing pacing;
   /* what the key-value store has */
   HzbReconciliationRecord record;
   guint64 record_version;
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -3,7 +3,9 @@
  * yet: a transaction that is carried out late, or twice, changes nothing. A verdict that is durable is never made anew. */
 #include "reconciliation.h"
 
+#include "kv-protocol.h"
 #include "reconciliation-private.h"
+#include "worker-protocol.h"
 
 #include <string.h>
 
@@ -57,7 +59,7 @@
   return reconciliation->quarantine;
 }
 
-HzbPacing *
+HzbStartPacing *
 hzb_reconciliation_pacing (HzbReconciliation *reconciliation)
 {
   return &reconciliation->pacing;
@@ -133,7 +135,7 @@
     hzb_reconciliation_set_state (reconciliation, HZB_RECONCILIATION_NONE, "another leadership");
   hzb_roster_clear (&reconciliation->roster);
   hzb_quarantine_reset (reconciliation->quarantine);
-  hzb_pacing_end (&reconciliation->pacing);
+  hzb_start_pacing_end (&reconciliation->pacing);
   reconciliation->record = (HzbReconciliationRecord){ 0 };
   reconciliation->record_version = 0;
   reconciliation->has_record = reconciliation->record_durable = FALSE;
@@ -334,7 +336,7 @@
 {
   const HzbSettings *settings = reconciliation->controller->settings;
   double machines = reconciliation->controller->machines->all->len;
-  HzbPacingLimits limits = {
+  HzbStartPacingLimits limits = {
     .per_s = settings->reconciliation.starts_per_s > 0
                  ? settings->reconciliation.starts_per_s
                  : MAX (LEAST_STARTS_PER_S, machines / (2 * settings->heartbeat_interval_s)),
@@ -342,7 +344,7 @@
     .rentals_per_s = MIN (MOST_RENTALS_PER_S, CLOUD_PART * settings->cloud_rps),
     .duration_s = settings->reconciliation.pace_s,
   };
-  hzb_pacing_begin (&reconciliation->pacing, &limits, now);
+  hzb_start_pacing_begin (&reconciliation->pacing, &limits, now);
 }
 
 static void
@@ -501,7 +503,7 @@
   if (!enabled (reconciliation))
     return;
   hzb_quarantine_tick (reconciliation->quarantine, now);
-  hzb_pacing_tick (&reconciliation->pacing, reconciliation->controller->dispatch->lag_s, now);
+  hzb_start_pacing_tick (&reconciliation->pacing, reconciliation->controller->dispatch->lag_s, now);
   switch (reconciliation->state)
     {
     case HZB_RECONCILIATION_DETECTING:
@@ -546,7 +548,7 @@
   if (reconciliation->state == HZB_RECONCILIATION_COLLECTING
       && hzb_time_between (reconciliation->began, now) < 2 * heartbeat_interval_s + 2)
     return FALSE;
-  return hzb_pacing_take_rental (&reconciliation->pacing);
+  return hzb_start_pacing_take_rental (&reconciliation->pacing);
 }
 
 HzbTaskVerdict
@@ -556,10 +558,10 @@
   HzbTaskReason reason;
   HzbTaskVerdict verdict = hzb_quarantine_judge (reconciliation->quarantine, machine, task_status, now, &reason);
 
-  if (verdict == HZB_TASK_VERDICT_STOP && !hzb_pacing_allows (&reconciliation->pacing, HZB_PACING_OTHER))
+  if (verdict == HZB_TASK_VERDICT_STOP && !hzb_start_pacing_allows (&reconciliation->pacing, HZB_START_PACING_OTHER))
     return HZB_TASK_VERDICT_AWAIT; /* with the next report */
   if (verdict == HZB_TASK_VERDICT_STOP)
-    hzb_pacing_take (&reconciliation->pacing);
+    hzb_start_pacing_take (&reconciliation->pacing);
   reconciliation->verdicts[verdict][reason]++;
   return verdict;
 }
--- a/src/reconciliation/reconciliation.h
+++ b/src/reconciliation/reconciliation.h
@@ -9,8 +9,10 @@
  */
 #pragma once
 #include "archive-store.h"
-#include "pacing.h"
+#include "kv-protocol.h"
 #include "quarantine.h"
+#include "start-pacing.h"
+#include "worker-protocol.h"
 
 typedef struct _HzbReconciliation HzbReconciliation;
 
@@ -44,7 +46,7 @@
 HzbReconciliationState hzb_reconciliation_state (const HzbReconciliation *reconciliation);
 const char *hzb_reconciliation_state_name (HzbReconciliationState state);
 HzbQuarantine *hzb_reconciliation_quarantine (HzbReconciliation *reconciliation);
-HzbPacing *hzb_reconciliation_pacing (HzbReconciliation *reconciliation);
+HzbStartPacing *hzb_reconciliation_pacing (HzbReconciliation *reconciliation);
 HzbArchiveStore *hzb_reconciliation_archives (HzbReconciliation *reconciliation);
 
 /* ---- what others ask ---- */
--- a/src/reconciliation/recorder.c
+++ b/src/reconciliation/recorder.c
@@ -1,5 +1,7 @@
 /* Each page of verdicts is written once, under a number of its own, on condition of the leader's term and that it is not
  * there yet: a transaction that is carried out late, or twice, changes nothing. */
+#include "json.h"
+#include "kv-protocol.h"
 #include "reconciliation-private.h"
 
 #include <string.h>
@@ -91,7 +93,7 @@
 
   if (epoch_call->epoch != epoch_call->controller->ownership_epoch)
     return;
-  known = result == HZB_KV_NOT_FOUND || (result == HZB_KV_OK && hzb_wire_parse_item (body, &item));
+  known = result == HZB_KV_NOT_FOUND || (result == HZB_KV_OK && hzb_kv_entry_decode (body, &item));
   /* Until it is durable it is the record that was read: what is there now is what the next try is conditional on. */
   if (known && !reconciliation->record_durable)
     reconciliation->record_version = item.version;
@@ -114,7 +116,7 @@
   if (result == HZB_KV_OK)
     {
       if (!reconciliation->record_durable)
-        hzb_wire_parse_txn (body, &reconciliation->record_version, NULL);
+        hzb_kv_commit_decode (body, &reconciliation->record_version, NULL);
       written (reconciliation);
     }
   else if (result == HZB_KV_UNKNOWN || result == HZB_KV_CONFLICT)
@@ -132,7 +134,7 @@
 hzb_recorder_write_verdicts (HzbReconciliation *reconciliation, struct timespec now)
 {
   HzbController *controller = reconciliation->controller;
-  cJSON *txn;
+  HzbKvTransaction *transaction;
 
   if (reconciliation->sending || hzb_time_before (now, reconciliation->next_write))
     return;
@@ -140,23 +142,23 @@
     fill_pages (reconciliation);
   if (!reconciliation->in_flight->len && reconciliation->record_durable)
     return;
-  txn = hzb_wire_txn ();
-  hzb_election_add_condition (controller->election, txn);
+  transaction = hzb_kv_transaction_new ();
+  hzb_election_add_condition (controller->election, transaction);
   if (!reconciliation->record_durable)
     {
-      hzb_wire_txn_if (txn, HZB_KEY_RECONCILIATION_STATE, reconciliation->record_version);
-      hzb_wire_txn_put (txn, HZB_KEY_RECONCILIATION_STATE, hzb_reconciliation_record_encode (&reconciliation->record),
-                        0);
+      hzb_kv_transaction_compare (transaction, HZB_KEY_RECONCILIATION_STATE, reconciliation->record_version);
+      hzb_kv_transaction_put (transaction, HZB_KEY_RECONCILIATION_STATE,
+                              hzb_reconciliation_record_encode (&reconciliation->record), 0);
     }
   for (guint i = 0; i < reconciliation->in_flight->len; i++)
     {
       const HzbVerdictPage *page = reconciliation->in_flight->pdata[i];
-      hzb_wire_txn_if (txn, page->key, 0);
-      hzb_wire_txn_put (txn, page->key, cJSON_Duplicate (page->value, TRUE), 0);
+      hzb_kv_transaction_compare (transaction, page->key, 0);
+      hzb_kv_transaction_put (transaction, page->key, cJSON_Duplicate (page->value, TRUE), 0);
     }
   reconciliation->sending = TRUE;
   reconciliation->next_write = hzb_time_plus (now, WRITE_EVERY_S);
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_written, hzb_epoch_call_new (controller, NULL));
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_written, hzb_epoch_call_new (controller, NULL));
 }
 
 /* ---- the end ---- */
@@ -240,19 +242,19 @@
 {
   HzbController *controller = reconciliation->controller;
   guint left = reconciliation->page_keys->len, removed = MIN (left, controller->settings->kv_txn_ops - 1);
-  cJSON *txn;
+  HzbKvTransaction *transaction;
 
   if (reconciliation->sending || hzb_time_before (now, reconciliation->next_write))
     return;
-  txn = hzb_wire_txn ();
-  hzb_election_add_condition (controller->election, txn);
+  transaction = hzb_kv_transaction_new ();
+  hzb_election_add_condition (controller->election, transaction);
   for (guint i = 0; i < removed; i++)
-    hzb_wire_txn_delete (txn, reconciliation->page_keys->pdata[left - 1 - i]);
+    hzb_kv_transaction_delete (transaction, reconciliation->page_keys->pdata[left - 1 - i]);
   if (removed == left)
-    hzb_wire_txn_delete (txn, HZB_KEY_RECONCILIATION_STATE);
+    hzb_kv_transaction_delete (transaction, HZB_KEY_RECONCILIATION_STATE);
   reconciliation->sending = TRUE;
   reconciliation->next_write = hzb_time_plus (now, WRITE_EVERY_S);
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_cleaned,
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_cleaned,
                         hzb_epoch_call_new (controller, GUINT_TO_POINTER (removed)));
 }
 
--- a/src/reconciliation/roster.c
+++ b/src/reconciliation/roster.c
@@ -1,6 +1,7 @@
 #include "roster.h"
 
 #include "controller.h"
+#include "json.h"
 
 #define NAME_CHARS 10  /* of a process: enough to tell processes apart */
 #define MOST_NAMES 90u /* so that the record fits the least value; one survivor among them is evidence enough */
--- a/src/completed-job-archive.c
+++ b/src/records/completed-job-archive.c
@@ -1,6 +1,7 @@
 #include "completed-job-archive.h"
 
 #include "controller.h"
+#include "kv-protocol.h"
 
 #define MOVE_EVERY_S 1.0
 #define MOVE_PART 0.15 /* of the changes that the key-value store takes */
@@ -42,7 +43,7 @@
   g_autoptr (GPtrArray) failed = NULL;
 
   if (result == HZB_KV_CONFLICT)
-    hzb_wire_parse_txn (body, NULL, &failed);
+    hzb_kv_commit_decode (body, NULL, &failed);
   for (guint i = 0; i < uids->len && epoch_call->epoch == controller->ownership_epoch; i++)
     {
       HzbJob *job = hzb_jobs_find (controller->jobs, uids->pdata[i]);
@@ -65,7 +66,7 @@
   HzbController *controller = completed_job_archive->controller;
   g_autoptr (GPtrArray) old = NULL;
   GPtrArray *uids;
-  cJSON *txn;
+  HzbKvTransaction *transaction;
 
   if (completed_job_archive->archiving || hzb_time_before (now, completed_job_archive->next_archiving))
     return;
@@ -75,19 +76,19 @@
   if (!old->len)
     return;
   uids = g_ptr_array_new_with_free_func (g_free);
-  txn = hzb_wire_txn ();
-  hzb_election_add_condition (controller->election, txn);
+  transaction = hzb_kv_transaction_new ();
+  hzb_election_add_condition (controller->election, transaction);
   for (guint i = 0; i < old->len; i++)
     {
       HzbJob *job = old->pdata[i];
       g_autofree char *from = g_strconcat (HZB_KEY_JOBS, job->uid, NULL),
                       *to = g_strconcat (HZB_KEY_ARCHIVED, job->uid, NULL);
-      hzb_wire_txn_if (txn, from, job->version);
-      hzb_wire_txn_put (txn, to, hzb_jobs_pack_final (job->state, job->n_tasks), 0);
-      hzb_wire_txn_delete (txn, from);
+      hzb_kv_transaction_compare (transaction, from, job->version);
+      hzb_kv_transaction_put (transaction, to, hzb_jobs_pack_final (job->state, job->n_tasks), 0);
+      hzb_kv_transaction_delete (transaction, from);
       job->archiving = TRUE;
       g_ptr_array_add (uids, g_strdup (job->uid));
     }
   completed_job_archive->archiving = TRUE;
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_moved, hzb_epoch_call_new (controller, uids));
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_moved, hzb_epoch_call_new (controller, uids));
 }
--- a/src/job-progress.c
+++ b/src/records/job-progress.c
@@ -1,4 +1,5 @@
 #include "job-progress.h"
+#include "json.h"
 
 #include <string.h>
 
--- a/src/record-flush.c
+++ b/src/records/record-flush.c
@@ -1,6 +1,8 @@
 /* One transaction at a time. Each raises the flush record and is conditional on the version that the one before gave
  * it, so one that comes late fails: without that an older set of results could overwrite a newer one of the same term. */
 #include "job-progress.h"
+#include "json.h"
+#include "kv-protocol.h"
 #include "records-private.h"
 
 #define FLUSH_EVERY_S 0.1    /* at the most, for what tasks wait for; the rest is written more seldom: */
@@ -137,7 +139,7 @@
       g_free (epoch_call);
       return;
     }
-  if (result == HZB_KV_NOT_FOUND || (result == HZB_KV_OK && hzb_wire_parse_item (body, &item)))
+  if (result == HZB_KV_NOT_FOUND || (result == HZB_KV_OK && hzb_kv_entry_decode (body, &item)))
     {
       records->version = item.version;
       if (item.value && hzb_json_u64 (item.value, "n") == flush->number)
@@ -182,7 +184,7 @@
     }
   if (result == HZB_KV_OK)
     {
-      hzb_wire_parse_txn (body, &records->version, NULL);
+      hzb_kv_commit_decode (body, &records->version, NULL);
       flush_applied (records, flush);
       epoch_call->controller->next_dispatch = (struct timespec){ 0 }; /* what was released, and recorded, can be used */
     }
@@ -298,7 +300,7 @@
 }
 
 static void
-put_page (HzbRecords *records, HzbPage *page, cJSON *txn, HzbFlush *out, struct timespec now)
+put_page (HzbRecords *records, HzbPage *page, HzbKvTransaction *transaction, HzbFlush *out, struct timespec now)
 {
   g_autofree char *key = hzb_page_key (page);
 
@@ -306,14 +308,14 @@
   page->written = now;
   if (!page->parts->len && !page->machines->len)
     {
-      hzb_wire_txn_delete (txn, key);
+      hzb_kv_transaction_delete (transaction, key);
       page->exists = FALSE;
       records->retiring -= page->retiring;
       return;
     }
-  hzb_wire_txn_put (
-      txn, key, page->of_machines ? pack_machine_page (records, page, out) : pack_progress_page (records, page, out),
-      0);
+  hzb_kv_transaction_put (
+      transaction, key,
+      page->of_machines ? pack_machine_page (records, page, out) : pack_progress_page (records, page, out), 0);
   page->exists = TRUE;
 }
 
@@ -395,24 +397,25 @@
 }
 
 /* The transaction, with the flush record in it. */
-static cJSON *
+static HzbKvTransaction *
 begin_transaction (HzbRecords *records, const HzbFlush *flush)
 {
   HzbController *controller = records->controller;
-  cJSON *txn = hzb_wire_txn (), *value = cJSON_CreateObject ();
+  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
+  cJSON *value = cJSON_CreateObject ();
 
-  hzb_election_add_condition (controller->election, txn);
-  hzb_wire_txn_if (txn, HZB_KEY_FLUSH, records->version);
+  hzb_election_add_condition (controller->election, transaction);
+  hzb_kv_transaction_compare (transaction, HZB_KEY_FLUSH, records->version);
   hzb_json_add_u64 (value, "n", flush->number);
   hzb_json_add_u64 (value, "term", hzb_election_term (controller->election));
   hzb_json_add_u64 (value, "clear", hzb_cancellations_acknowledged_revision (controller->cancellations));
   hzb_reconciliation_add_roster (controller->reconciliation, value);
-  hzb_wire_txn_put (txn, HZB_KEY_FLUSH, value, 0);
-  return txn;
+  hzb_kv_transaction_put (transaction, HZB_KEY_FLUSH, value, 0);
+  return transaction;
 }
 
 static void
-remove_completed_acceptances (HzbRecords *records, cJSON *txn, HzbFlush *flush, guint room)
+remove_completed_acceptances (HzbRecords *records, HzbKvTransaction *transaction, HzbFlush *flush, guint room)
 {
   HzbJobs *jobs = records->controller->jobs;
   HzbAcceptance *completed;
@@ -420,7 +423,7 @@
   for (; room && (completed = hzb_jobs_completed_acceptance (jobs)); room--)
     {
       completed->removing = TRUE;
-      hzb_wire_txn_delete (txn, completed->key);
+      hzb_kv_transaction_delete (transaction, completed->key);
       g_ptr_array_add (flush->completed, g_strdup (completed->key));
     }
 }
@@ -434,7 +437,7 @@
   gsize bytes = 0;
   gboolean clean;
   HzbFlush *out;
-  cJSON *txn;
+  HzbKvTransaction *transaction;
 
   place_on_pages (records);
   due = due_pages (records, mark_dirty_pages (records), now);
@@ -442,22 +445,22 @@
   if (!due->len && !clean && !hzb_reconciliation_roster_due (controller->reconciliation))
     return;
   out = flush_new (records);
-  txn = begin_transaction (records, out);
+  transaction = begin_transaction (records, out);
   for (guint i = 0; i < due->len && room; i++, room--)
     {
       HzbPage *page = due->pdata[i];
       if (i && bytes + page->bytes > TXN_BYTES)
         break;
       bytes += page->bytes;
-      put_page (records, page, txn, out, now);
+      put_page (records, page, transaction, out, now);
     }
   if (clean)
     {
-      remove_completed_acceptances (records, txn, out, room);
+      remove_completed_acceptances (records, transaction, out, room);
       records->next_clean = hzb_time_plus (now, CLEAN_EVERY_S);
     }
   records->flushing = TRUE;
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, txn, on_flushed, hzb_epoch_call_new (controller, out));
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_flushed, hzb_epoch_call_new (controller, out));
 }
 
 void
--- a/src/records.c
+++ b/src/records/records.c
@@ -6,6 +6,8 @@
  * done, the mark of what may have been started is the highest of any, and a machine on either is on record. A job whose
  * parts only version 1 writes stays where it is, unchanged, and starts nothing more, while a version 1 may be about. */
 #include "job-progress.h"
+#include "json.h"
+#include "kv-protocol.h"
 #include "records-private.h"
 
 #include <string.h>
--- a/src/records.h
+++ b/src/records/records.h
@@ -8,6 +8,7 @@
 #pragma once
 #include "jobs.h"
 #include "kv-client.h"
+#include "kv-protocol.h"
 #include "machines.h"
 
 typedef struct _HzbController HzbController;
--- a/src/dispatch.c
+++ b/src/scheduling/dispatch.c
@@ -2,6 +2,7 @@
 #include "preemption.h"
 #include "scheduling-class.h"
 #include "search.h"
+#include "worker-protocol.h"
 
 #include <math.h>
 #include <string.h>
@@ -335,7 +336,7 @@
   dispatch->ahead_cpus[at] = MAX (0, dispatch->ahead_cpus[at] - job->spec->cpus);
   dispatch->ahead_gpus[at] = MAX (0, dispatch->ahead_gpus[at] - job->spec->gpus);
   if (dispatch->pacing)
-    hzb_pacing_take (dispatch->pacing);
+    hzb_start_pacing_take (dispatch->pacing);
 }
 
 /* Something that waits could fit. */
@@ -345,25 +346,25 @@
   return machine->cpus + dispatch->least_cpus <= machine->type->cpus + 1e-6;
 }
 
-static HzbPacingClass
+static HzbStartPacingClass
 pacing_class (guint scheduling_class)
 {
-  return scheduling_class >= HZB_SCHEDULING_CLASS_URGENT            ? HZB_PACING_URGENT
-         : scheduling_class >= HZB_SCHEDULING_CLASS_GUARANTEED_IDLE ? HZB_PACING_GUARANTEED
-                                                                    : HZB_PACING_OTHER;
+  return scheduling_class >= HZB_SCHEDULING_CLASS_URGENT            ? HZB_START_PACING_URGENT
+         : scheduling_class >= HZB_SCHEDULING_CLASS_GUARANTEED_IDLE ? HZB_START_PACING_GUARANTEED
+                                                                    : HZB_START_PACING_OTHER;
 }
 
 gboolean
 hzb_dispatch_pace_allows (const HzbDispatch *dispatch, const HzbJob *job)
 {
-  return !dispatch->pacing || hzb_pacing_allows (dispatch->pacing, pacing_class (job->scheduling_class));
+  return !dispatch->pacing || hzb_start_pacing_allows (dispatch->pacing, pacing_class (job->scheduling_class));
 }
 
 static gboolean
 may_start (HzbDispatch *dispatch, const HzbTask *task, const HzbMachine *machine)
 {
   if (!hzb_dispatch_pace_allows (dispatch, task->job)
-      || (dispatch->pacing && hzb_pacing_answer_full (dispatch->pacing)))
+      || (dispatch->pacing && hzb_start_pacing_answer_full (dispatch->pacing)))
     return FALSE;
   return task->job->state == HZB_JOB_ACCEPTED && !task->job->awaits_verdict
          && hzb_dispatch_team_may_use (dispatch, task->job) && hzb_zone_allowed (task->job, machine);
@@ -473,7 +474,7 @@
   if (!hzb_machine_usable (machine))
     return;
   if (dispatch->pacing)
-    hzb_pacing_begin_answer (dispatch->pacing);
+    hzb_start_pacing_begin_answer (dispatch->pacing);
   /* Places held for gangs come first: they were counted as taken when they were booked. Guards against one that was
    * cancelled since, and whose places the owner has not given up yet. */
   for (guint i = 0; i < machine->tasks->len; i++)
--- a/src/dispatch.h
+++ b/src/scheduling/dispatch.h
@@ -2,7 +2,7 @@
  * a machine's report is answered with the starts that fit. No I/O, no clock of its own. */
 #pragma once
 #include "machines.h"
-#include "reconciliation/pacing.h"
+#include "start-pacing.h"
 
 typedef struct
 {
@@ -22,9 +22,9 @@
   GPtrArray *machines_with_queues[HZB_N_SCHEDULING_CLASSES]; /* HzbMachine that have such work in their lists */
   guint generation; /* of the machines, when machines with lists were indexed */
   gboolean gang_waits;
-  double least_cpus; /* of a waiting task: a machine with less than that free needs no look */
-  guint examined;    /* machines looked at so far, for tests */
-  HzbPacing *pacing; /* (nullable): how fast tasks may be started after a cold start */
+  double least_cpus;      /* of a waiting task: a machine with less than that free needs no look */
+  guint examined;         /* machines looked at so far, for tests */
+  HzbStartPacing *pacing; /* (nullable): how fast tasks may be started after a cold start */
 } HzbDispatch;
 
 HzbDispatch *hzb_dispatch_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings, GRand *rand);
--- a/src/jobs.c
+++ b/src/scheduling/jobs.c
@@ -1,6 +1,9 @@
 #include "jobs.h"
 
+#include "json.h"
+#include "kv-protocol.h"
 #include "machines.h"
+#include "user-protocol.h"
 
 #include <math.h>
 #include <string.h>
@@ -90,7 +93,7 @@
   cJSON *value = cJSON_CreateObject ();
   cJSON_AddStringToObject (value, "state", "accepted");
   cJSON_AddNumberToObject (value, "at", (double) wall.tv_sec + floor ((double) wall.tv_nsec / 1e6) / 1e3);
-  cJSON_AddItemToObject (value, "spec", hzb_wire_pack_spec (spec));
+  cJSON_AddItemToObject (value, "spec", hzb_job_spec_encode (spec));
   return value;
 }
 
@@ -149,7 +152,7 @@
     return job;
   if (accepted)
     {
-      spec = hzb_wire_unpack_spec (uid, cJSON_GetObjectItemCaseSensitive (value, "spec"));
+      spec = hzb_job_spec_decode (uid, cJSON_GetObjectItemCaseSensitive (value, "spec"));
       if (!spec)
         {
           g_critical ("job %s: its record can't be read", uid);
@@ -347,11 +350,11 @@
 }
 
 void
-hzb_jobs_compare_not_terminal (cJSON *txn, const char *uid)
+hzb_jobs_compare_not_terminal (HzbKvTransaction *transaction, const char *uid)
 {
   g_autofree char *recent = g_strconcat (HZB_KEY_JOBS, uid, NULL), *old = g_strconcat (HZB_KEY_ARCHIVED, uid, NULL);
-  hzb_wire_txn_if (txn, recent, 0);
-  hzb_wire_txn_if (txn, old, 0);
+  hzb_kv_transaction_compare (transaction, recent, 0);
+  hzb_kv_transaction_compare (transaction, old, 0);
 }
 
 /* ---- ownership ---- */
--- a/src/jobs.h
+++ b/src/scheduling/jobs.h
@@ -1,9 +1,10 @@
 /* Jobs and tasks. Every node keeps the durable state of jobs, from the replica of the records; the owner also keeps
  * where each task is. */
 #pragma once
+#include "kv-protocol.h"
 #include "shard.h"
 #include "task.h"
-#include "wire.h"
+#include "user-protocol.h"
 
 /* Room for tenants: main is the only one so far. Jobs are accepted many to a record; how each ends has one of its own. */
 #define HZB_KEY_ACCEPTED "hzb/a/accepted/main/"
@@ -106,7 +107,7 @@
 void hzb_jobs_load_begin (HzbJobs *jobs);
 void hzb_jobs_load_end (HzbJobs *jobs);
 /* On condition that no record says that the job is over, recent or old. */
-void hzb_jobs_compare_not_terminal (cJSON *txn, const char *uid);
+void hzb_jobs_compare_not_terminal (HzbKvTransaction *transaction, const char *uid);
 cJSON *hzb_jobs_pack_accepted (const HzbJobSpec *spec, struct timespec wall);
 cJSON *hzb_jobs_pack_final (HzbJobState state, guint n_tasks);
 const char *hzb_job_status (const HzbJob *job);
--- a/src/machines.h
+++ b/src/scheduling/machines.h
@@ -3,6 +3,7 @@
 #pragma once
 #include "estimate.h"
 #include "jobs.h"
+#include "machine-type.h"
 
 #define HZB_KEY_MACHINES "hzb/x/machines/"
 
--- a/src/preemption.c
+++ b/src/scheduling/preemption.c
@@ -1,4 +1,5 @@
 #include "preemption.h"
+#include "worker-protocol.h"
 
 #include <math.h>
 
--- a/src/reconciliation/pacing.c
+++ b/src/scheduling/start-pacing.c
@@ -1,4 +1,4 @@
-#include "pacing.h"
+#include "start-pacing.h"
 
 #define BURST_S 1.0           /* the bucket holds what is allowed in so long */
 #define LATE_S 0.25           /* timers this late: the processor's share is used up */
@@ -7,14 +7,14 @@
 #define OTHER_LEAVES 0.5      /* to urgent and guaranteed work */
 
 void
-hzb_pacing_begin (HzbPacing *pacing, const HzbPacingLimits *limits, struct timespec now)
+hzb_start_pacing_begin (HzbStartPacing *pacing, const HzbStartPacingLimits *limits, struct timespec now)
 {
-  *pacing = (HzbPacing){ .limits = *limits, .active = TRUE, .began = now, .filled = now };
+  *pacing = (HzbStartPacing){ .limits = *limits, .active = TRUE, .began = now, .filled = now };
   pacing->tokens = limits->per_s * BURST_S;
 }
 
 void
-hzb_pacing_end (HzbPacing *pacing)
+hzb_start_pacing_end (HzbStartPacing *pacing)
 {
   pacing->active = FALSE;
 }
@@ -26,7 +26,7 @@
 }
 
 void
-hzb_pacing_tick (HzbPacing *pacing, double lag_s, struct timespec now)
+hzb_start_pacing_tick (HzbStartPacing *pacing, double lag_s, struct timespec now)
 {
   double seconds, part = lag_s > LATE_S ? LATE_PART : 1;
 
@@ -34,7 +34,7 @@
     return;
   if (hzb_time_between (pacing->began, now) >= pacing->limits.duration_s)
     {
-      hzb_pacing_end (pacing);
+      hzb_start_pacing_end (pacing);
       return;
     }
   seconds = hzb_time_between (pacing->filled, now);
@@ -45,21 +45,21 @@
 }
 
 void
-hzb_pacing_begin_answer (HzbPacing *pacing)
+hzb_start_pacing_begin_answer (HzbStartPacing *pacing)
 {
   pacing->in_answer = 0;
 }
 
 gboolean
-hzb_pacing_answer_full (const HzbPacing *pacing)
+hzb_start_pacing_answer_full (const HzbStartPacing *pacing)
 {
   return pacing->active && pacing->limits.per_answer && pacing->in_answer >= pacing->limits.per_answer;
 }
 
 gboolean
-hzb_pacing_allows (const HzbPacing *pacing, HzbPacingClass class)
+hzb_start_pacing_allows (const HzbStartPacing *pacing, HzbStartPacingClass class)
 {
-  static const double leaves[HZB_PACING_N_CLASSES] = { OTHER_LEAVES, GUARANTEED_LEAVES, 0 };
+  static const double leaves[HZB_START_PACING_N_CLASSES] = { OTHER_LEAVES, GUARANTEED_LEAVES, 0 };
   double bucket = pacing->limits.per_s * BURST_S;
 
   if (!pacing->active)
@@ -68,7 +68,7 @@
 }
 
 void
-hzb_pacing_take (HzbPacing *pacing)
+hzb_start_pacing_take (HzbStartPacing *pacing)
 {
   if (!pacing->active)
     return;
@@ -77,7 +77,7 @@
 }
 
 gboolean
-hzb_pacing_take_rental (HzbPacing *pacing)
+hzb_start_pacing_take_rental (HzbStartPacing *pacing)
 {
   if (!pacing->active)
     return TRUE;
--- a/src/outbox.c
+++ b/src/shards/outbox.c
@@ -1,4 +1,5 @@
 #include "outbox.h"
+#include "json.h"
 
 #include <string.h>
 
--- a/src/shard-leases.c
+++ b/src/shards/shard-leases.c
@@ -13,7 +13,9 @@
  *
  * This file is the leader's part; leaseholder.c is the other side. */
 #include "controller.h"
+#include "json.h"
 #include "shard-leases-private.h"
+#include "user-protocol.h"
 
 #define LEASE_S 10.0 /* as the design page starts with */
 #define MISSED_S 4.0 /* the leader takes a shard back when its leaseholder has not polled for so long */
@@ -332,7 +334,7 @@
   if (!leaseholder || !incarnation || !hzb_election_leading (controller->election)
       || controller->ownership < HZB_OWNERSHIP_RECOVERING)
     {
-      hzb_http_request_respond (http_request, 503, hzb_wire_error ("no blocks to lease here"), 0);
+      hzb_http_request_respond (http_request, 503, hzb_error_response_encode ("no blocks to lease here"), 0);
       return;
     }
   if (g_strcmp0 (leaseholder->incarnation, incarnation) != 0)
--- a/src/shard-messages.c
+++ b/src/shards/shard-messages.c
@@ -1,7 +1,7 @@
 #include "shard-messages.h"
 
+#include "json.h"
 #include "machines.h"
-#include "wire.h"
 
 /* ---- tasks on machines that change hands ---- */
 
--- a/tests/load-workers.c
+++ b/tests/load-workers.c
@@ -4,6 +4,7 @@
  *
  *     target/tests/load-workers --controller target/hazelbank --machines 4000 --seconds 30
  */
+#include "json.h"
 #include "real-processes.h"
 
 #include <arpa/inet.h>
--- a/tests/sim-cloud.c
+++ b/tests/sim-cloud.c
@@ -1,4 +1,5 @@
 /* Fake of the cloud: rents, lists and returns machines. */
+#include "json.h"
 #include "sim-internal.h"
 
 #include <math.h>
--- a/tests/sim-network.c
+++ b/tests/sim-network.c
@@ -1,5 +1,6 @@
 /* Calls between hosts: delays, losses, cuts, late copies, and processes that stand still. */
 #include "sim-internal.h"
+#include "user-protocol.h"
 
 #include <string.h>
 
--- a/tests/sim-store.c
+++ b/tests/sim-store.c
@@ -1,4 +1,5 @@
 /* Fake of the key-value store: keys, versions, leases and watches. */
+#include "json.h"
 #include "sim-internal.h"
 
 #include <string.h>
@@ -201,16 +202,16 @@
 static guint
 store_txn (Sim *sim, const char *body, char **out)
 {
-  cJSON *txn = cJSON_Parse (body ? body : ""), *root = cJSON_CreateObject (), *failed = cJSON_CreateArray ();
+  cJSON *transaction = cJSON_Parse (body ? body : ""), *root = cJSON_CreateObject (), *failed = cJSON_CreateArray ();
   const cJSON *item;
-  guint status = 200, changes = (guint) cJSON_GetArraySize (cJSON_GetObjectItem (txn, "then"));
-  if (!txn)
+  guint status = 200, changes = (guint) cJSON_GetArraySize (cJSON_GetObjectItem (transaction, "then"));
+  if (!transaction)
     sim_broken (sim, "malformed", "a transaction: %s", body ? body : "no body");
   sim->write_budget = MIN (sim->write_budget + (sim->now - sim->write_filled) * sim->write_rate, sim->write_rate);
   sim->write_filled = sim->now;
   if (sim->write_rate > 0 && changes > sim->write_budget)
     {
-      cJSON_Delete (txn);
+      cJSON_Delete (transaction);
       cJSON_Delete (root);
       cJSON_Delete (failed);
       return 429;
@@ -220,7 +221,7 @@
       sim_broken (sim, "too_large", "%u changes in a transaction", changes);
       status = 400;
     }
-  cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then"))
+  cJSON_ArrayForEach (item, cJSON_GetObjectItem (transaction, "then"))
     {
       char *value = cJSON_PrintUnformatted (cJSON_GetObjectItem (item, "value"));
       if (sim->most_value && value && strlen (value) > sim->most_value)
@@ -232,13 +233,13 @@
     }
   sim->write_budget -= changes;
   sim->written += changes;
-  cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "when"))
+  cJSON_ArrayForEach (item, cJSON_GetObjectItem (transaction, "when"))
     {
       const Value *value = g_hash_table_lookup (sim->kv, hzb_json_text (item, "path"));
       if ((value ? value->version : 0) != hzb_json_u64 (item, "stamp"))
         cJSON_AddItemToArray (failed, cJSON_CreateString (hzb_json_text (item, "path")));
     }
-  cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then"))
+  cJSON_ArrayForEach (item, cJSON_GetObjectItem (transaction, "then"))
     {
       guint64 lease = hzb_json_u64 (item, "permit");
       if (lease && !g_hash_table_contains (sim->leases, GSIZE_TO_POINTER (lease)))
@@ -246,10 +247,10 @@
     }
   if (status == 200 && cJSON_GetArraySize (failed))
     status = 409;
-  if (status == 200 && cJSON_GetArraySize (cJSON_GetObjectItem (txn, "then")))
+  if (status == 200 && cJSON_GetArraySize (cJSON_GetObjectItem (transaction, "then")))
     {
       sim->revision++;
-      cJSON_ArrayForEach (item, cJSON_GetObjectItem (txn, "then"))
+      cJSON_ArrayForEach (item, cJSON_GetObjectItem (transaction, "then"))
         if (hzb_json_text (item, "put"))
           {
             char *text = cJSON_PrintUnformatted (cJSON_GetObjectItem (item, "value"));
@@ -263,7 +264,7 @@
   hzb_json_add_u64 (root, "epoch", sim->revision);
   *out = cJSON_PrintUnformatted (root);
   cJSON_Delete (root);
-  cJSON_Delete (txn);
+  cJSON_Delete (transaction);
   wake_watchers (sim);
   return status;
 }
--- a/tests/sim-user.c
+++ b/tests/sim-user.c
@@ -1,4 +1,5 @@
 /* Fakes of the users: each submits a job, asks about it and perhaps cancels it. */
+#include "json.h"
 #include "sim-internal.h"
 
 #include <string.h>
--- a/tests/sim-worker.c
+++ b/tests/sim-worker.c
@@ -1,4 +1,5 @@
 /* Fakes of the workers, one to a machine: reports, leases, tasks. */
+#include "json.h"
 #include "sim-internal.h"
 
 #include <math.h>
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -1,6 +1,8 @@
 /* All controllers end under load and come back: nothing runs twice, nothing is lost, and no command is given for a job before
  * its verdict is durable. -m slow plays larger fleets and more seeds, -m perf measures. */
+#include "json.h"
 #include "sim-faults.h"
+#include "user-protocol.h"
 
 #include <string.h>
 
@@ -523,7 +525,7 @@
       "\"expectS\":10,\"snapshotEveryS\":0,\"snapshotS\":0}",
       job->uid);
   g_autoptr (GError) error = NULL;
-  g_autoptr (HzbJobSpec) spec = hzb_wire_parse_job (body, strlen (body), &error);
+  g_autoptr (HzbJobSpec) spec = hzb_job_spec_parse (body, strlen (body), &error);
   cJSON *value = cJSON_CreateObject ();
   char *text;
   g_assert_no_error (error);
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -1,5 +1,6 @@
 #include "autoscaler.h"
 #include "support.h"
+#include "worker-protocol.h"
 
 #include <math.h>
 
--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -4,6 +4,7 @@
 #include "election.h"
 #include "fake-transport.h"
 #include "kv-client.h"
+#include "kv-protocol.h"
 
 typedef struct
 {
--- a/tests/test-kv-client.c
+++ b/tests/test-kv-client.c
@@ -3,6 +3,7 @@
 
 #include "fake-transport.h"
 #include "kv-client.h"
+#include "kv-protocol.h"
 
 #define STEP_S 0.05
 
@@ -75,9 +76,9 @@
 static void
 put (Fixture *fixture, HzbKvPriority priority, Caller *caller)
 {
-  cJSON *txn = hzb_wire_txn ();
-  hzb_wire_txn_put (txn, "a/b", cJSON_CreateObject (), 0);
-  hzb_kv_client_commit (fixture->kv, priority, txn, on_told, caller);
+  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
+  hzb_kv_transaction_put (transaction, "a/b", cJSON_CreateObject (), 0);
+  hzb_kv_client_commit (fixture->kv, priority, transaction, on_told, caller);
 }
 
 static void
--- a/tests/test-kv-replica.c
+++ b/tests/test-kv-replica.c
@@ -2,6 +2,7 @@
 #include "support.h"
 
 #include "fake-transport.h"
+#include "kv-protocol.h"
 #include "kv-replica.h"
 
 #define PREFIX "hzb/a/"
--- a/tests/test-overload.c
+++ b/tests/test-overload.c
@@ -1,5 +1,6 @@
 /* Faults and loads that no list named: controllers that fall silent, many times as many questions, guest teams, jobs that
  * were submitted with a mistake. */
+#include "json.h"
 #include "sim-faults.h"
 
 #include <string.h>
--- a/tests/test-peer-heartbeat.c
+++ b/tests/test-peer-heartbeat.c
@@ -1,6 +1,6 @@
 /* Heartbeats and the log of cancellations: against a plain model, and with messages that are not as they should be. */
+#include "json.h"
 #include "peer-heartbeat.h"
-#include "wire.h"
 
 #define CAPACITY 20u
 
--- a/tests/test-wire.c
+++ b/tests/test-protocol.c
@@ -1,5 +1,7 @@
+#include "json.h"
 #include "support.h"
-#include "wire.h"
+#include "user-protocol.h"
+#include "worker-protocol.h"
 
 static const char good[] =
     "{\"uid\":\"run-000412\",\"lane\":\"train\",\"owner\":\"red\",\"shape\":\"ensemble\",\"urgency\":\"urgent\",\"pieces\":16,"
@@ -18,7 +20,7 @@
     cJSON_AddRawToObject (root, field, value);
   text = cJSON_PrintUnformatted (root);
   cJSON_Delete (root);
-  spec = hzb_wire_parse_job (text, strlen (text), NULL);
+  spec = hzb_job_spec_parse (text, strlen (text), NULL);
   return spec != NULL;
 }
 
@@ -86,24 +88,24 @@
   for (guint i = 0; i < G_N_ELEMENTS (bad); i++)
     {
       g_autoptr (GError) error = NULL;
-      g_assert_null (hzb_wire_parse_job (bad[i], strlen (bad[i]), &error));
-      g_assert_error (error, HZB_WIRE_ERROR, 400);
+      g_assert_null (hzb_job_spec_parse (bad[i], strlen (bad[i]), &error));
+      g_assert_error (error, HZB_PROTOCOL_ERROR, HZB_PROTOCOL_ERROR_MALFORMED);
     }
-  g_assert_null (hzb_wire_parse_job (large, strlen (large), NULL));
+  g_assert_null (hzb_job_spec_parse (large, strlen (large), NULL));
   /* Every way to cut a good one short is refused and harmless. */
   for (gsize n = 0; n + 1 < sizeof good; n++)
     {
       g_autofree char *part = g_strndup (good, n);
-      g_assert_null (hzb_wire_parse_job (part, n, NULL));
+      g_assert_null (hzb_job_spec_parse (part, n, NULL));
     }
 }
 
 static void
 test_durable_form (void)
 {
-  g_autoptr (HzbJobSpec) spec = hzb_wire_parse_job (good, strlen (good), NULL);
-  cJSON *packed = hzb_wire_pack_spec (spec);
-  g_autoptr (HzbJobSpec) back = hzb_wire_unpack_spec ("run-000412", packed);
+  g_autoptr (HzbJobSpec) spec = hzb_job_spec_parse (good, strlen (good), NULL);
+  cJSON *packed = hzb_job_spec_encode (spec);
+  g_autoptr (HzbJobSpec) back = hzb_job_spec_decode ("run-000412", packed);
   g_assert_nonnull (back);
   g_assert_cmpuint (back->tasks, ==, 16);
   g_assert_true (back->kind == HZB_JOB_GANG && back->same_zone && back->spot && !back->spread);
@@ -111,7 +113,7 @@
   g_assert_cmpfloat (back->deadline_s, ==, 900);
   g_assert_cmpstr (back->types[0], ==, "g8");
   g_assert_null (back->zone);
-  g_assert_null (hzb_wire_unpack_spec ("run-000413", packed));
+  g_assert_null (hzb_job_spec_decode ("run-000413", packed));
   cJSON_Delete (packed);
 }
 
@@ -123,7 +125,7 @@
       "\"tick\":9007199254740991,\"baton\":41,\"reclaimInS\":null,\"pieces\":[{\"piece\":\"run-000412/3\",\"try\":4294967296,"
       "\"status\":\"running\"},{\"piece\":\"odd\",\"status\":\"running\"},{\"piece\":\"run-000398/0\",\"try\":1,"
       "\"status\":\"ended\",\"cause\":\"done\",\"stored\":true},{\"piece\":\"run-1/99999999999\",\"status\":\"running\"}]}";
-  g_autoptr (HzbWorkerHeartbeat) heartbeat = hzb_wire_parse_worker_heartbeat (text, strlen (text), NULL);
+  g_autoptr (HzbWorkerHeartbeat) heartbeat = hzb_worker_heartbeat_decode (text, strlen (text), NULL);
   HzbTaskStatus *task_status;
   g_assert_nonnull (heartbeat);
   g_assert_cmpuint (heartbeat->task_statuses->len, ==, 2); /* what makes no sense is left out */
@@ -134,14 +136,14 @@
   task_status = &g_array_index (heartbeat->task_statuses, HzbTaskStatus, 1);
   g_assert_true (task_status->state == HZB_TASK_STATUS_EXITED && task_status->exit_cause == HZB_EXIT_DONE
                  && task_status->checkpoint_saved);
-  g_assert_null (hzb_wire_parse_worker_heartbeat ("{}", 2, NULL));
-  g_assert_null (hzb_wire_parse_worker_heartbeat ("x", 1, NULL));
+  g_assert_null (hzb_worker_heartbeat_decode ("{}", 2, NULL));
+  g_assert_null (hzb_worker_heartbeat_decode ("x", 1, NULL));
 }
 
 static void
 test_large_numbers (void)
 {
-  g_autofree char *text = hzb_wire_commands (G_GUINT64_CONSTANT (18446744073709551615), NULL);
+  g_autofree char *text = hzb_commands_encode (G_GUINT64_CONSTANT (18446744073709551615), NULL);
   g_assert_cmpstr (text, ==, "{\"baton\":18446744073709551615,\"orders\":[]}");
 }
 
--- a/tests/test-reconciliation.c
+++ b/tests/test-reconciliation.c
@@ -1,8 +1,8 @@
 /* The parts of the reconciliation by themselves: decisions against a plain model, records and archives that are damaged, and
  * the pace. */
-#include "reconciliation/archive.h"
-#include "reconciliation/pacing.h"
-#include "reconciliation/report.h"
+#include "archive.h"
+#include "report.h"
+#include "start-pacing.h"
 #include "support.h"
 
 #include <string.h>
@@ -383,34 +383,34 @@
   for (guint32 seed = 1; seed <= 50; seed++)
     {
       g_autoptr (GRand) rand = g_rand_new_with_seed (seed);
-      HzbPacingLimits limits = { g_rand_double_range (rand, 1, 200), 0, 2, 30 };
-      HzbPacing pacing;
+      HzbStartPacingLimits limits = { g_rand_double_range (rand, 1, 200), 0, 2, 30 };
+      HzbStartPacing pacing;
       struct timespec now = { 100, 0 };
       guint in_second[31] = { 0 }, urgent = 0, other = 0;
-      hzb_pacing_begin (&pacing, &limits, now);
+      hzb_start_pacing_begin (&pacing, &limits, now);
       for (guint step = 0; step < 599; step++)
         {
           now = hzb_time_plus (now, 0.05);
-          hzb_pacing_tick (&pacing, 0, now);
+          hzb_start_pacing_tick (&pacing, 0, now);
           for (guint n = 0; n < 100; n++)
             {
-              HzbPacingClass class = (HzbPacingClass) g_rand_int_range (rand, 0, HZB_PACING_N_CLASSES);
-              gboolean more_pressing = hzb_pacing_allows (&pacing, HZB_PACING_URGENT);
-              if (!hzb_pacing_allows (&pacing, class))
+              HzbStartPacingClass class = (HzbStartPacingClass) g_rand_int_range (rand, 0, HZB_START_PACING_N_CLASSES);
+              gboolean more_pressing = hzb_start_pacing_allows (&pacing, HZB_START_PACING_URGENT);
+              if (!hzb_start_pacing_allows (&pacing, class))
                 continue;
               g_assert_true (more_pressing);
-              hzb_pacing_take (&pacing);
+              hzb_start_pacing_take (&pacing);
               in_second[step / 20]++;
-              urgent += class == HZB_PACING_URGENT;
-              other += class == HZB_PACING_OTHER;
+              urgent += class == HZB_START_PACING_URGENT;
+              other += class == HZB_START_PACING_OTHER;
             }
         }
       for (guint second = 0; second < 30; second++)
         g_assert_cmpfloat (in_second[second], <=, 2 * limits.per_s + 2);
       g_assert_cmpuint (urgent, >=, other);
       now = hzb_time_plus (now, 1);
-      hzb_pacing_tick (&pacing, 0, now);
-      g_assert_true (!pacing.active && hzb_pacing_allows (&pacing, HZB_PACING_OTHER));
+      hzb_start_pacing_tick (&pacing, 0, now);
+      g_assert_true (!pacing.active && hzb_start_pacing_allows (&pacing, HZB_START_PACING_OTHER));
     }
 }
 
--- a/tests/test-scale.c
+++ b/tests/test-scale.c
@@ -2,6 +2,7 @@
  * nothing here looks at how long anything takes. */
 #include "sim-faults.h"
 #include "support.h"
+#include "worker-protocol.h"
 
 #define MACHINES 1800u
 
--- a/tests/test-block-messages.c
+++ b/tests/test-shard-messages.c
@@ -1,6 +1,6 @@
 /* Messages about machines between the leader and its leaseholders: as the versions before wrote them, and back. */
+#include "json.h"
 #include "shard-messages.h"
-#include "wire.h"
 
 #include <string.h>
 
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -1,6 +1,7 @@
 /* Fleets of 4,000 and 6,000 machines: no number in the program is met, and all rules hold while much of it fails. The short
  * form runs in CI; -m slow plays more seeds and sizes, -m perf measures. */
 #include "sim-faults.h"
+#include "user-protocol.h"
 
 #include <malloc.h>
 
