--- a/src/api/admin.c
+++ b/src/api/admin.c
@@ -196,7 +196,7 @@
   /* During an upgrade: 2 once every controller has said so, and what each says now. */
   cJSON_AddNumberToObject (root, "format", hzb_election_schema_version (controller->election));
   formats = cJSON_AddObjectToObject (root, "formats");
-  cJSON_AddNumberToObject (formats, controller->settings->node, controller->schema_version);
+  cJSON_AddNumberToObject (formats, controller->settings->node, controller->node->schema_version);
   for (guint i = 0; i < controller->settings->peers->len; i++)
     {
       const char *node = ((HzbPeer *) controller->settings->peers->pdata[i])->node;
@@ -354,7 +354,7 @@
   };
   const char *what = http_request->path + strlen (PREFIX);
   gboolean get = g_str_equal (http_request->method, "GET");
-  gboolean holds = controller->ownership >= HZB_OWNERSHIP_RECOVERING && hzb_election_leading (controller->election);
+  gboolean holds = hzb_ownership_leader_loaded (controller->ownership) && hzb_election_leading (controller->election);
 
   if (!g_str_has_prefix (http_request->path, PREFIX))
     return FALSE;
--- a/src/api/submissions.c
+++ b/src/api/submissions.c
@@ -161,8 +161,8 @@
       hzb_user_api_batch_free (batch);
       return FALSE;
     }
-  batch->key = g_strdup_printf ("%s%s-%s-%u", HZB_KEY_ACCEPTED, controller->settings->node, controller->incarnation,
-                                ++api->records);
+  batch->key = g_strdup_printf ("%s%s-%s-%u", HZB_KEY_ACCEPTED, controller->settings->node,
+                                controller->node->incarnation, ++api->records);
   hzb_kv_transaction_compare (transaction, batch->key, 0);
   hzb_kv_transaction_put (transaction, batch->key, cJSON_Duplicate (batch->record, TRUE), 0);
   api->accepting++;
--- a/src/api/worker-api.c
+++ b/src/api/worker-api.c
@@ -101,7 +101,7 @@
           job->failures = 0;
           job->did_well = TRUE;
           hzb_machine_note_success (machine);
-          if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
+          if (hzb_ownership_is_leaseholder (controller->ownership))
             hzb_leaseholder_report_finished (controller->leaseholder, task, ran);
           else if (job->finished + job->done == job->n_tasks)
             hzb_controller_record_completion (controller, job);
@@ -129,9 +129,9 @@
 apply_unrecorded (HzbController *controller, HzbMachine *machine, const HzbTaskStatus *task_status, struct timespec now,
                   GArray *commands)
 {
-  gboolean over = hzb_time_between (controller->owner_since, now) > NOBODYS_AFTER_S;
+  gboolean over = hzb_time_between (hzb_ownership_since (controller->ownership), now) > NOBODYS_AFTER_S;
 
-  if (controller->settings->reconciliation.enabled && controller->ownership != HZB_OWNERSHIP_LEASEHOLDER)
+  if (controller->settings->reconciliation.enabled && !hzb_ownership_is_leaseholder (controller->ownership))
     {
       HzbTaskVerdict verdict =
           hzb_reconciliation_judge_unrecorded (controller->reconciliation, machine, task_status, now);
@@ -232,7 +232,7 @@
   guint given = commands->len;
   HzbTaskVerdict verdict;
 
-  if (job && !over && !job->tasks && controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
+  if (job && !over && !job->tasks && hzb_ownership_is_leaseholder (controller->ownership))
     hzb_jobs_activate (controller->jobs, job); /* a result that came with a machine that was handed over */
   if (!job || (!reported_task (job, task_status) && !over))
     {
@@ -299,7 +299,7 @@
 {
   if (machine->unreachable)
     return;
-  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
+  if (hzb_ownership_is_leaseholder (controller->ownership))
     machine->unreachable = TRUE; /* it goes back to the leader, who can raise its fencing token */
   else
     hzb_machine_mark_unreachable (machine, hzb_shard_leases_next_fencing_token (controller->shard_leases), now);
@@ -345,7 +345,7 @@
 static void
 redirect (HzbController *controller, HzbHttpRequest *http_request)
 {
-  controller->redirected = hzb_clock_now (controller->clock);
+  controller->node->redirected_at = hzb_clock_now (controller->clock);
   hzb_http_request_respond (http_request, 421, hzb_worker_redirect_encode (hzb_election_leader (controller->election)),
                             0);
 }
@@ -423,7 +423,7 @@
       hzb_http_request_respond (http_request, 503, hzb_error_response_encode ("superseded"), 0);
       return NULL;
     }
-  if (controller->ownership < HZB_OWNERSHIP_RECOVERING)
+  if (!hzb_ownership_leader_loaded (controller->ownership))
     {
       answer_while_loading (controller, heartbeat, http_request);
       return NULL;
@@ -479,7 +479,7 @@
   const char *leaseholder;
   HzbMachine *machine = NULL;
 
-  if (!leads && controller->ownership != HZB_OWNERSHIP_LEASEHOLDER)
+  if (!leads && !hzb_ownership_is_leaseholder (controller->ownership))
     {
       redirect (controller, http_request);
       return;
--- a/src/cluster/cancellations.c
+++ b/src/cluster/cancellations.c
@@ -98,7 +98,7 @@
 {
   if (known_to_every_controller (controller, job))
     return TRUE;
-  if (controller->ownership < HZB_OWNERSHIP_RECOVERING || job->state != HZB_JOB_CANCELLED)
+  if (!hzb_ownership_leader_loaded (controller->ownership) || job->state != HZB_JOB_CANCELLED)
     return FALSE;
   if (!job->tasks)
     return TRUE; /* nothing of it was ever released, or all of it is gone */
@@ -135,7 +135,7 @@
   PendingRequest *request;
 
   if (hzb_election_leading (controller->election))
-    return controller->ownership >= HZB_OWNERSHIP_RECOVERING;
+    return hzb_ownership_leader_loaded (controller->ownership);
   request = find_request (cancellations, job->uid);
   if (!request)
     {
@@ -242,7 +242,7 @@
   HzbController *controller = cancellations->controller;
   guint64 clear = hzb_kv_replica_revision (controller->kv_replica);
 
-  if (controller->ownership < HZB_OWNERSHIP_RECOVERING)
+  if (!hzb_ownership_leader_loaded (controller->ownership))
     return 0;
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
--- a/src/cluster/peers.c
+++ b/src/cluster/peers.c
@@ -121,8 +121,8 @@
 static gboolean
 lost_workers (const HzbController *controller)
 {
-  return hzb_time_is_set (controller->lost_workers)
-         && hzb_time_between (controller->lost_workers, hzb_clock_now (controller->clock)) < LOST_WORKERS_S;
+  return hzb_time_is_set (controller->node->workers_lost_at)
+         && hzb_time_between (controller->node->workers_lost_at, hzb_clock_now (controller->clock)) < LOST_WORKERS_S;
 }
 
 gboolean
@@ -198,7 +198,7 @@
   for (guint i = 0; i < peers->views->len; i++)
     {
       const View *view = &g_array_index (peers->views, View, i);
-      if (silence (peers, view) < 3 && view->schema_version < peers->controller->schema_version)
+      if (silence (peers, view) < 3 && view->schema_version < peers->controller->node->schema_version)
         return TRUE;
     }
   return FALSE;
@@ -317,10 +317,10 @@
 {
   cJSON *root = cJSON_CreateObject ();
   cJSON_AddStringToObject (root, "node", peers->controller->settings->node);
-  cJSON_AddStringToObject (root, "incarnation", peers->controller->incarnation);
+  cJSON_AddStringToObject (root, "incarnation", peers->controller->node->incarnation);
   hzb_json_add_u64 (root, "born", peers->born);
   hzb_json_add_u64 (root, "number", ++peers->number);
-  cJSON_AddNumberToObject (root, "format", peers->controller->schema_version);
+  cJSON_AddNumberToObject (root, "format", peers->controller->node->schema_version);
   return root;
 }
 
@@ -450,19 +450,19 @@
   struct timespec now = hzb_clock_now (controller->clock);
   HzbPeerHeartbeat *heartbeat = hzb_peer_heartbeat_new ();
 
-  heartbeat->schema_version = controller->schema_version;
+  heartbeat->schema_version = controller->node->schema_version;
   heartbeat->leads = hzb_election_leading (controller->election);
   /* Also what others told: an owner may reach only nodes that the key-value store does not reach either. */
   heartbeat->term = MAX (hzb_election_leader_term (controller->election), peers->highest_known_term);
-  heartbeat->sends_workers =
-      hzb_time_is_set (controller->redirected) && hzb_time_between (controller->redirected, now) < REDIRECTS_S;
+  heartbeat->sends_workers = hzb_time_is_set (controller->node->redirected_at)
+                             && hzb_time_between (controller->node->redirected_at, now) < REDIRECTS_S;
   heartbeat->lost_workers = lost_workers (controller);
   heartbeat->kv_unresponsive_s = hzb_kv_client_unresponsive_s (controller->kv);
   heartbeat->replicated_revision = hzb_kv_replica_revision (controller->kv_replica);
   heartbeat->cancellations_known = hzb_cancellations_known_revision (controller->cancellations);
   heartbeat->self_fenced = hzb_cancellations_self_fenced (controller->cancellations);
   add_relayed_state (peers, heartbeat, now);
-  if (controller->ownership >= HZB_OWNERSHIP_RECOVERING)
+  if (hzb_ownership_state (controller->ownership) >= HZB_OWNERSHIP_RECOVERING)
     add_counts (peers, heartbeat);
   return heartbeat;
 }
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -29,7 +29,7 @@
   else if (g_str_has_prefix (item->key, HZB_KEY_ACCEPTED))
     {
       hzb_jobs_apply_acceptance (controller->jobs, item->key, item->value);
-      controller->next_dispatch = (struct timespec){ 0 };
+      controller->dispatch->next_run = (struct timespec){ 0 };
     }
   else if (g_str_equal (item->key, HZB_KEY_SETTINGS))
     hzb_admin_apply_settings (controller, item->value, item->version);
@@ -41,7 +41,7 @@
 static gboolean
 kv_replica_may_load (gpointer user)
 {
-  return ((HzbController *) user)->ownership == HZB_OWNERSHIP_NONE;
+  return hzb_ownership_state (((HzbController *) user)->ownership) == HZB_OWNERSHIP_NONE;
 }
 
 static void
@@ -118,36 +118,6 @@
 
 /* ---- ownership ---- */
 
-HzbEpochCall *
-hzb_epoch_call_new (HzbController *controller, gpointer data)
-{
-  HzbEpochCall *epoch_call = g_new0 (HzbEpochCall, 1);
-  epoch_call->controller = controller;
-  epoch_call->epoch = controller->ownership_epoch;
-  epoch_call->data = data;
-  return epoch_call;
-}
-
-static void
-set_ownership (HzbController *controller, HzbOwnershipState to, const char *why)
-{
-  static const char *const names[] = { "none", "lessee", "loading", "recovering", "ready" };
-  static const guint legal[] = {
-    [HZB_OWNERSHIP_NONE] = 1 << HZB_OWNERSHIP_LOADING | 1 << HZB_OWNERSHIP_LEASEHOLDER,
-    [HZB_OWNERSHIP_LEASEHOLDER] = 1 << HZB_OWNERSHIP_NONE,
-    [HZB_OWNERSHIP_LOADING] = 1 << HZB_OWNERSHIP_NONE | 1 << HZB_OWNERSHIP_RECOVERING,
-    [HZB_OWNERSHIP_RECOVERING] = 1 << HZB_OWNERSHIP_NONE | 1 << HZB_OWNERSHIP_READY,
-    [HZB_OWNERSHIP_READY] = 1 << HZB_OWNERSHIP_NONE,
-  };
-  if (!(legal[controller->ownership] & 1u << to))
-    {
-      g_critical ("ownership: illegal change %s -> %s", names[controller->ownership], names[to]);
-      return;
-    }
-  g_message ("ownership: %s -> %s: %s", names[controller->ownership], names[to], why);
-  controller->ownership = to;
-}
-
 static void on_owner_records_loaded (HzbKvResult result, const char *body, gpointer user);
 
 static void
@@ -155,19 +125,19 @@
 {
   controller->owner_page_asked = TRUE;
   hzb_kv_client_range (controller->kv, HZB_KEY_OWNER, controller->owner_load_cursor, on_owner_records_loaded,
-                       hzb_epoch_call_new (controller, NULL));
+                       hzb_epoch_call_new (controller->ownership, controller, NULL));
 }
 
 static void
 on_owner_records_loaded (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->controller;
+  HzbController *controller = epoch_call->module;
   gboolean more = FALSE;
   guint64 revision = 0;
   g_autoptr (GArray) items = NULL;
 
-  if (epoch_call->epoch != controller->ownership_epoch || controller->ownership != HZB_OWNERSHIP_LOADING)
+  if (!hzb_epoch_call_is_current (epoch_call) || hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_LOADING)
     return;
   controller->owner_page_asked = FALSE;
   items = result == HZB_KV_OK ? hzb_kv_range_decode (body, &more, &revision) : NULL;
@@ -192,14 +162,13 @@
     }
   hzb_records_load_finished (controller->records);
   hzb_reconciliation_loaded (controller->reconciliation);
-  controller->owner_since = hzb_clock_now (controller->clock);
-  set_ownership (controller, HZB_OWNERSHIP_RECOVERING, "the records have been read");
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_RECOVERING, "the records have been read");
 }
 
 void
 hzb_controller_recovered (HzbController *controller)
 {
-  set_ownership (controller, HZB_OWNERSHIP_READY, "every machine has answered or is gone");
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_READY, "every machine has answered or is gone");
 }
 
 /* Between being elected and reading what jobs there are, the replica of the records must have caught up with the term's
@@ -207,7 +176,7 @@
 static void
 begin_ownership (HzbController *controller)
 {
-  controller->ownership_epoch++;
+  hzb_ownership_begin_epoch (controller->ownership);
   controller->shard =
       hzb_shard_new (controller->settings, hzb_fencing_token (hzb_election_term (controller->election), 0));
   hzb_shard_leases_reset (controller->shard_leases);
@@ -218,15 +187,15 @@
   g_clear_pointer (&controller->owner_load_cursor, g_free);
   hzb_machines_clear (controller->machines);
   hzb_jobs_begin_ownership (controller->jobs, controller->shard);
-  set_ownership (controller, HZB_OWNERSHIP_LOADING, "elected");
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_LOADING, "elected");
   ask_for_owner_page (controller);
 }
 
 static void
 end_ownership (HzbController *controller)
 {
-  controller->ownership_epoch++;
-  set_ownership (controller, HZB_OWNERSHIP_NONE, "not the leader any more");
+  hzb_ownership_begin_epoch (controller->ownership);
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_NONE, "not the leader any more");
   hzb_records_reset (controller->records);
   hzb_reconciliation_reset (controller->reconciliation);
   hzb_completed_job_archive_reset (controller->completed_job_archive);
@@ -238,23 +207,22 @@
 void
 hzb_controller_begin_leased (HzbController *controller, guint64 fencing_token)
 {
-  controller->ownership_epoch++;
+  hzb_ownership_begin_epoch (controller->ownership);
   controller->shard = hzb_shard_new_leased (controller->settings, fencing_token);
   controller->jobs->leaseholder = TRUE;
-  controller->owner_since = hzb_clock_now (controller->clock);
   hzb_machines_clear (controller->machines);
   hzb_leaseholder_clear (controller->leaseholder);
   hzb_jobs_begin_ownership (controller->jobs, controller->shard);
-  set_ownership (controller, HZB_OWNERSHIP_LEASEHOLDER, "the leader leased us a block");
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_LEASEHOLDER, "the leader leased us a block");
 }
 
 void
 hzb_controller_end_leased (HzbController *controller, const char *why)
 {
-  if (controller->ownership != HZB_OWNERSHIP_LEASEHOLDER)
+  if (!hzb_ownership_is_leaseholder (controller->ownership))
     return;
-  controller->ownership_epoch++;
-  set_ownership (controller, HZB_OWNERSHIP_NONE, why);
+  hzb_ownership_begin_epoch (controller->ownership);
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_NONE, why);
   hzb_jobs_end_ownership (controller->jobs);
   hzb_machines_clear (controller->machines);
   hzb_leaseholder_clear (controller->leaseholder);
@@ -267,7 +235,7 @@
 on_ended (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->controller;
+  HzbController *controller = epoch_call->module;
   g_autofree char *uid = epoch_call->data;
   HzbJob *job = hzb_jobs_find (controller->jobs, uid);
   guint64 revision = 0;
@@ -279,7 +247,7 @@
       hzb_jobs_apply (controller->jobs, uid, value, revision);
       cJSON_Delete (value);
     }
-  if (epoch_call->epoch == controller->ownership_epoch && job)
+  if (hzb_epoch_call_is_current (epoch_call) && job)
     {
       job->completing = FALSE;
       if (result == HZB_KV_OK && job->tasks)
@@ -307,7 +275,7 @@
   hzb_jobs_compare_not_terminal (transaction, job->uid); /* it has not been cancelled */
   hzb_kv_transaction_put (transaction, key, hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks), 0);
   hzb_kv_client_commit (controller->kv, HZB_KV_ACCEPT, transaction, on_ended,
-                        hzb_epoch_call_new (controller, g_strdup (job->uid)));
+                        hzb_epoch_call_new (controller->ownership, controller, g_strdup (job->uid)));
 }
 
 /* ---- connectivity ---- */
@@ -346,7 +314,7 @@
   if (hzb_election_leading (controller->election) && silence < 2.5 && hzb_peers_any_reachable (controller->peers)
       && controller->settings->peers->len && no_worker_heartbeats (controller))
     {
-      controller->lost_workers = hzb_clock_now (controller->clock);
+      controller->node->workers_lost_at = hzb_clock_now (controller->clock);
       hzb_election_step_down (controller->election, "no worker reports any more, while all else can be reached");
       hzb_election_back_off (controller->election, 20);
       return;
@@ -375,26 +343,28 @@
   hzb_kv_replica_tick (controller->kv_replica);
   /* In a rollout the others are about to be replaced: whoever leads after them should be one that is not. */
   hzb_election_set_eager (controller->election,
-                          controller->schema_version == HZB_SCHEMA_VERSION
+                          controller->node->schema_version == HZB_SCHEMA_VERSION
                               && hzb_election_schema_version (controller->election) < HZB_SCHEMA_VERSION
                               && hzb_peers_any_older_schema (controller->peers));
   hzb_election_tick (controller->election, hzb_kv_replica_is_fresh (controller->kv_replica));
   check_own_connectivity (controller);
   if (hzb_election_leading (controller->election))
     hzb_controller_end_leased (controller, "this node leads now");
-  if (hzb_election_leading (controller->election) && controller->ownership != HZB_OWNERSHIP_NONE
+  if (hzb_election_leading (controller->election) && hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_NONE
       && hzb_fencing_token_term (controller->shard->fencing_token) != hzb_election_term (controller->election))
     end_ownership (controller); /* elected anew before the loss was seen */
-  if (hzb_election_leading (controller->election) && controller->ownership == HZB_OWNERSHIP_NONE
+  if (hzb_election_leading (controller->election) && hzb_ownership_state (controller->ownership) == HZB_OWNERSHIP_NONE
       && hzb_kv_replica_state (controller->kv_replica) == HZB_KV_REPLICA_FOLLOWING
       && hzb_election_term_replicated (controller->election))
     begin_ownership (controller);
-  else if (!hzb_election_leading (controller->election) && controller->ownership > HZB_OWNERSHIP_LEASEHOLDER)
+  else if (!hzb_election_leading (controller->election)
+           && hzb_ownership_state (controller->ownership) > HZB_OWNERSHIP_LEASEHOLDER)
     end_ownership (controller);
-  if (controller->ownership == HZB_OWNERSHIP_LOADING && !controller->owner_page_asked
+  if (hzb_ownership_state (controller->ownership) == HZB_OWNERSHIP_LOADING && !controller->owner_page_asked
       && !hzb_time_before (now, controller->next_owner_page))
     ask_for_owner_page (controller);
-  if (controller->ownership == HZB_OWNERSHIP_READY && controller->schema_version == HZB_SCHEMA_VERSION
+  if (hzb_ownership_state (controller->ownership) == HZB_OWNERSHIP_READY
+      && controller->node->schema_version == HZB_SCHEMA_VERSION
       && hzb_election_schema_version (controller->election) < HZB_SCHEMA_VERSION
       && hzb_peers_all_support_schema (controller->peers, HZB_SCHEMA_VERSION))
     hzb_election_raise_schema_version (controller->election);
@@ -402,17 +372,17 @@
     hzb_shard_leases_tick (controller->shard_leases, now);
   else
     hzb_leaseholder_tick (controller->leaseholder, now);
-  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER && !hzb_time_before (now, controller->next_dispatch))
+  if (hzb_ownership_is_leaseholder (controller->ownership) && !hzb_time_before (now, controller->dispatch->next_run))
     {
-      controller->next_dispatch = hzb_time_plus (now, 0.2);
+      controller->dispatch->next_run = hzb_time_plus (now, 0.2);
       hzb_dispatch_run (controller->dispatch, now);
     }
-  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER && !hzb_time_before (now, controller->next_plan))
+  if (hzb_ownership_is_leaseholder (controller->ownership) && !hzb_time_before (now, controller->next_plan))
     {
       controller->next_plan = hzb_time_plus (now, 1);
       hzb_dispatch_consolidate (controller->dispatch, now);
     }
-  if (controller->ownership >= HZB_OWNERSHIP_RECOVERING)
+  if (hzb_ownership_state (controller->ownership) >= HZB_OWNERSHIP_RECOVERING)
     hzb_leader_maintenance_tick (controller, now);
   hzb_provisioning_tick (controller->provisioning, now);
   hzb_peers_tick (controller->peers, now);
@@ -488,6 +458,11 @@
   controller->settings = settings;
   controller->clock = clock;
   controller->transport = transport;
+  controller->node = g_new0 (HzbNode, 1);
+  controller->node->settings = settings;
+  controller->node->clock = clock;
+  controller->node->transport = transport;
+  controller->ownership = hzb_ownership_new (clock);
   controller->rand = g_rand_new_with_seed (seed);
   controller->kv = hzb_kv_client_new (transport, clock, settings);
   controller->kv_replica = hzb_kv_replica_new (controller->kv, clock, HZB_KEY_REPLICATED, watch_interval_s (settings),
@@ -505,8 +480,9 @@
   controller->leaseholder = hzb_leaseholder_new (controller);
   controller->metrics = hzb_metrics_new ();
   controller->lease_shards = TRUE;
-  controller->schema_version = HZB_SCHEMA_VERSION;
-  controller->incarnation = g_strdup_printf ("%08x%08x", g_rand_int (controller->rand), g_rand_int (controller->rand));
+  controller->node->schema_version = HZB_SCHEMA_VERSION;
+  controller->node->incarnation =
+      g_strdup_printf ("%08x%08x", g_rand_int (controller->rand), g_rand_int (controller->rand));
   controller->provisioning = hzb_provisioning_new (controller);
   controller->records = hzb_records_new (controller);
   controller->completed_job_archive = hzb_completed_job_archive_new (controller);
@@ -527,7 +503,8 @@
   hzb_completed_job_archive_free (controller->completed_job_archive);
   hzb_reconciliation_free (controller->reconciliation);
   hzb_metrics_free (controller->metrics);
-  g_free (controller->incarnation);
+  g_free (controller->node->incarnation);
+  g_free (controller->node);
   hzb_jobs_end_ownership (controller->jobs);
   hzb_machines_clear (controller->machines);
   hzb_autoscaler_free (controller->autoscaler);
@@ -540,6 +517,7 @@
   hzb_kv_client_free (controller->kv);
   hzb_provisioning_free (controller->provisioning);
   hzb_kv_replica_free (controller->kv_replica);
+  hzb_ownership_free (controller->ownership);
   g_free (controller->owner_load_cursor);
   g_rand_free (controller->rand);
   g_free (controller);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -14,6 +14,8 @@
 #include "leader-maintenance.h"
 #include "leaseholder.h"
 #include "metrics.h"
+#include "node.h"
+#include "ownership.h"
 #include "peers.h"
 #include "provisioning.h"
 #include "reconciliation.h"
@@ -29,22 +31,9 @@
 
 #define HZB_TICK_MS 50
 
-/* Of records and messages. 1: the version before; it says none. 2: cancellations are acknowledged by the owner, and
- * services can be accepted. Nothing that a version 1 would misread is written while one may be about. */
-#define HZB_SCHEMA_VERSION 2
-
-/* What this node does as owner of the shard. */
-typedef enum
-{
-  HZB_OWNERSHIP_NONE,
-  HZB_OWNERSHIP_LEASEHOLDER, /* holds a shard that the leader leased to it */
-  HZB_OWNERSHIP_LOADING,     /* elected, reads progress and machines */
-  HZB_OWNERSHIP_RECOVERING,  /* some machines have not answered under our term */
-  HZB_OWNERSHIP_READY
-} HzbOwnershipState;
-
 struct _HzbController
 {
+  HzbNode *node;
   HzbSettings *settings;
   HzbClock *clock;
   HzbTransport *transport;
@@ -66,8 +55,6 @@
   HzbMetrics *metrics;
   guint64 settings_version; /* of the operators' settings */
   gboolean lease_shards;
-  char *incarnation;
-  guint schema_version; /* of records and messages, that this process says it reads */
   HzbPeers *peers;
   HzbProvisioning *provisioning;
   HzbReconciliation *reconciliation;
@@ -77,15 +64,12 @@
   HzbKvReplica *kv_replica;
   gboolean load_saw_leader; /* the reading of all records under way has shown who leads */
 
-  HzbOwnershipState ownership;
-  guint64 ownership_epoch; /* told apart: answers to an earlier ownership are dropped */
+  HzbOwnership *ownership;
   char *owner_load_cursor;
   gboolean owner_page_asked;
   struct timespec next_owner_page;
-  struct timespec last_tick;    /* the timer's */
-  struct timespec lost_workers; /* when this node last stepped down because no worker reported */
-  struct timespec redirected;   /* when a worker was last sent to the leader from here */
-  struct timespec owner_since, next_scan, next_plan, next_dispatch, next_summary;
+  struct timespec last_tick; /* the timer's */
+  struct timespec next_plan, next_summary;
 };
 
 HzbController *hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed);
@@ -97,16 +81,6 @@
 void hzb_controller_apply_record (HzbController *controller, const HzbKvEntry *item);
 void hzb_controller_record_completion (HzbController *controller, HzbJob *job); /* all its tasks have finished */
 
-/* What an answer belongs to: of an earlier ownership it is dropped. */
-typedef struct
-{
-  HzbController *controller;
-  guint64 epoch;
-  gpointer data;
-} HzbEpochCall;
-
-HzbEpochCall *hzb_epoch_call_new (HzbController *controller, gpointer data);
-
 /** hzb_controller_begin_leased: this node owns a shard that the leader leased to it. */
 void hzb_controller_begin_leased (HzbController *controller, guint64 fencing_token);
 
--- a/src/controller/leader-maintenance.c
+++ b/src/controller/leader-maintenance.c
@@ -165,7 +165,8 @@
 {
   g_autoptr (GPtrArray) of_shards = NULL;
 
-  if (controller->ownership != HZB_OWNERSHIP_RECOVERING && !hzb_jobs_any_unconfirmed (controller->jobs))
+  if (hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_RECOVERING
+      && !hzb_jobs_any_unconfirmed (controller->jobs))
     return;
   of_shards = hzb_machines_unverified_kinds (controller->machines, controller->settings->peers->len + 1);
   for (guint shard = 0; shard < of_shards->len; shard++)
@@ -178,8 +179,8 @@
               && !hzb_job_may_run_on_unverified (job, unverified))
             hzb_job_resolve_unconfirmed (controller->jobs, job, shard);
         }
-      if (shard == HZB_UNCONFIRMED_TASKS_OF_LEADER && controller->ownership == HZB_OWNERSHIP_RECOVERING
-          && !unverified->len)
+      if (shard == HZB_UNCONFIRMED_TASKS_OF_LEADER
+          && hzb_ownership_state (controller->ownership) == HZB_OWNERSHIP_RECOVERING && !unverified->len)
         hzb_controller_recovered (controller);
     }
 }
@@ -188,9 +189,9 @@
 hzb_leader_maintenance_tick (HzbController *controller, struct timespec now)
 {
   hzb_reconciliation_tick (controller->reconciliation, now);
-  if (!hzb_time_before (now, controller->next_scan))
+  if (!hzb_time_before (now, controller->machines->next_scan))
     {
-      controller->next_scan = hzb_time_plus (now, hzb_machines_scan_interval_s (controller->machines));
+      controller->machines->next_scan = hzb_time_plus (now, hzb_machines_scan_interval_s (controller->machines));
       resolve_unconfirmed (controller);
       check_leases (controller, now);
     }
@@ -205,9 +206,9 @@
       controller->next_summary = hzb_time_plus (now, 10);
       log_summary (controller);
     }
-  if (!hzb_time_before (now, controller->next_dispatch))
+  if (!hzb_time_before (now, controller->dispatch->next_run))
     {
-      controller->next_dispatch = hzb_time_plus (now, 0.2);
+      controller->dispatch->next_run = hzb_time_plus (now, 0.2);
       hzb_dispatch_run (controller->dispatch, now);
       hzb_records_flush_soon (controller->records); /* of jobs that could start now */
     }
--- a/src/provisioning/provisioning.c
+++ b/src/provisioning/provisioning.c
@@ -54,13 +54,13 @@
 on_rented (guint status, const char *body, gsize length, gpointer user)
 {
   RentCall *call = user;
-  HzbController *controller = call->epoch_call.controller;
+  HzbController *controller = call->epoch_call.module;
   HzbProvisioning *provisioning = controller->provisioning;
   struct timespec now = hzb_clock_now (controller->clock);
   g_autoptr (GPtrArray) names = status == 200 ? hzb_cloud_names_decode (body) : NULL;
   HzbScaleOutRequest rental = { NULL, call->zone, call->spot, call->count };
 
-  if (call->epoch_call.epoch != controller->ownership_epoch)
+  if (!hzb_epoch_call_is_current (&call->epoch_call))
     {
       rent_call_free (call); /* what it rented shows in the list and by its workers */
       return;
@@ -108,8 +108,7 @@
         return; /* asked for again with the next plan */
       hzb_reconciliation_note_rentals (controller->reconciliation, rental->count);
       call = g_new0 (RentCall, 1);
-      call->epoch_call.controller = controller;
-      call->epoch_call.epoch = controller->ownership_epoch;
+      hzb_epoch_call_init (&call->epoch_call, controller->ownership, controller, NULL);
       /* Terms are never used twice, so neither is a name. */
       call->request = g_strdup_printf ("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
                                        hzb_election_term (controller->election), ++provisioning->rent_number);
@@ -141,11 +140,11 @@
 on_returned (guint status, const char *body, gsize length, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->controller;
+  HzbController *controller = epoch_call->module;
   HzbProvisioning *provisioning = controller->provisioning;
   g_autoptr (GPtrArray) names = epoch_call->data;
 
-  if (epoch_call->epoch == controller->ownership_epoch)
+  if (hzb_epoch_call_is_current (epoch_call))
     {
       provisioning->returning--;
       for (guint i = 0; status == 200 && i < names->len; i++)
@@ -216,7 +215,8 @@
       return;
     }
   provisioning->returning++;
-  hzb_cloud_client_return (controller->cloud, names, on_returned, hzb_epoch_call_new (controller, names));
+  hzb_cloud_client_return (controller->cloud, names, on_returned,
+                           hzb_epoch_call_new (controller->ownership, controller, names));
 }
 
 /* Once listed, a machine stays listed until it is gone, and a list is at most twice the lag old: what has been
@@ -253,13 +253,13 @@
 on_listed (guint status, const char *body, gsize length, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->controller;
+  HzbController *controller = epoch_call->module;
   HzbProvisioning *provisioning = controller->provisioning;
   gboolean more = FALSE;
   g_autoptr (GPtrArray) instances = status == 200 ? hzb_cloud_list_decode (body, &more) : NULL;
   struct timespec now = hzb_clock_now (controller->clock);
 
-  if (epoch_call->epoch != controller->ownership_epoch)
+  if (!hzb_epoch_call_is_current (epoch_call))
     return;
   provisioning->listing = FALSE;
   if (!provisioning->list_after)
@@ -310,7 +310,7 @@
       provisioning->asking_types = TRUE;
       hzb_cloud_client_types (controller->cloud, on_types, controller);
     }
-  if (controller->ownership < HZB_OWNERSHIP_RECOVERING)
+  if (!hzb_ownership_leader_loaded (controller->ownership))
     return;
   if (!hzb_time_before (now, provisioning->next_scan))
     {
@@ -335,7 +335,7 @@
         provisioning->list_began = now;
       provisioning->next_list = hzb_time_plus (now, 10);
       hzb_cloud_client_list (controller->cloud, provisioning->list_after, on_listed,
-                             hzb_epoch_call_new (controller, NULL));
+                             hzb_epoch_call_new (controller->ownership, controller, NULL));
     }
 }
 
--- a/src/reconciliation/archive-store.c
+++ b/src/reconciliation/archive-store.c
@@ -99,7 +99,7 @@
 write_call_finish (HzbEpochCall *epoch_call, gboolean done)
 {
   WriteCall *call = epoch_call->data;
-  if (epoch_call->epoch == epoch_call->controller->ownership_epoch)
+  if (hzb_epoch_call_is_current (epoch_call))
     call->done (done, call->user);
   g_ptr_array_unref (call->parts);
   if (call->index)
@@ -134,7 +134,7 @@
 {
   HzbEpochCall *epoch_call = user;
 
-  if (result != HZB_KV_OK || epoch_call->epoch != epoch_call->controller->ownership_epoch)
+  if (result != HZB_KV_OK || !hzb_epoch_call_is_current (epoch_call))
     write_call_finish (epoch_call, FALSE);
   else
     write_next (epoch_call);
@@ -149,7 +149,7 @@
 static void
 write_parts (HzbEpochCall *epoch_call)
 {
-  HzbController *controller = epoch_call->controller;
+  HzbController *controller = epoch_call->module;
   WriteCall *call = epoch_call->data;
   HzbKvTransaction *transaction = hzb_kv_transaction_new ();
   gsize bytes = 0;
@@ -176,7 +176,7 @@
 static void
 write_index (HzbEpochCall *epoch_call)
 {
-  HzbController *controller = epoch_call->controller;
+  HzbController *controller = epoch_call->module;
   const HzbSettings *settings = controller->settings;
   WriteCall *call = epoch_call->data;
   IndexEntry added = { call->id, call->parts->len };
@@ -213,7 +213,7 @@
 static void
 write_next (HzbEpochCall *epoch_call)
 {
-  HzbController *controller = epoch_call->controller;
+  HzbController *controller = epoch_call->module;
   WriteCall *call = epoch_call->data;
 
   if (call->written < call->parts->len)
@@ -239,7 +239,7 @@
   call->parts = g_ptr_array_new_with_free_func (g_free);
   for (gsize at = 0; at < strlen (text); at += part)
     g_ptr_array_add (call->parts, g_strndup (text + at, part));
-  write_next (hzb_epoch_call_new (controller, call));
+  write_next (hzb_epoch_call_new (controller->ownership, controller, call));
 }
 
 /* ---- reading ---- */
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -189,12 +189,12 @@
 on_old_end_read (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->controller;
+  HzbController *controller = epoch_call->module;
   HzbQuarantine *quarantine = hzb_reconciliation_quarantine (controller->reconciliation);
   g_autofree char *name = epoch_call->data;
   HzbQuarantined *entry = NULL;
 
-  if (epoch_call->epoch == controller->ownership_epoch)
+  if (hzb_epoch_call_is_current (epoch_call))
     {
       quarantine->reading--;
       entry = g_hash_table_lookup (quarantine->entries, name);
@@ -219,16 +219,16 @@
   set_proof (entry, HZB_PROOF_READING);
   quarantine->reading++;
   hzb_kv_client_get (quarantine->controller->kv, HZB_KV_READ, key, on_old_end_read,
-                     hzb_epoch_call_new (quarantine->controller, g_strdup (name)));
+                     hzb_epoch_call_new (quarantine->controller->ownership, quarantine->controller, g_strdup (name)));
 }
 
 static void
 on_synced (gboolean fresh, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->controller;
+  HzbController *controller = epoch_call->module;
   HzbQuarantine *quarantine = hzb_reconciliation_quarantine (controller->reconciliation);
-  gboolean current = epoch_call->epoch == controller->ownership_epoch;
+  gboolean current = hzb_epoch_call_is_current (epoch_call);
   GHashTableIter iter;
   gpointer name, value;
 
@@ -274,7 +274,7 @@
   quarantine->syncing = TRUE;
   quarantine->next_proof = hzb_time_plus (now, RETRY_S);
   hzb_kv_replica_sync (quarantine->controller->kv_replica, on_synced,
-                       hzb_epoch_call_new (quarantine->controller, NULL));
+                       hzb_epoch_call_new (quarantine->controller->ownership, quarantine->controller, NULL));
 }
 
 /* Guards against a task that starts elsewhere although a machine has it: its job's acceptance was carried out late. It
@@ -348,10 +348,10 @@
 on_kept (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->controller;
+  HzbController *controller = epoch_call->module;
   HzbQuarantine *quarantine = hzb_reconciliation_quarantine (controller->reconciliation);
   KeepCall *call = epoch_call->data;
-  gboolean current = epoch_call->epoch == controller->ownership_epoch;
+  gboolean current = hzb_epoch_call_is_current (epoch_call);
   HzbKeepResult outcome = HZB_KEEP_UNAVAILABLE;
 
   g_free (epoch_call);
@@ -397,7 +397,8 @@
   hzb_election_add_condition (controller->election, transaction);
   hzb_kv_transaction_compare (transaction, HZB_KEY_RECONCILIATION_KEPT, quarantine->kept_version);
   hzb_kv_transaction_put (transaction, HZB_KEY_RECONCILIATION_KEPT, hzb_kept_encode (kept), 0);
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_kept, hzb_epoch_call_new (controller, call));
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_kept,
+                        hzb_epoch_call_new (controller->ownership, controller, call));
 }
 
 /* All attempts of the task, on whatever machines. Returns: how many there are; *proven: no record names it, or will. */
--- a/src/reconciliation/reconciliation-admin.c
+++ b/src/reconciliation/reconciliation-admin.c
@@ -221,7 +221,7 @@
 {
   HzbReconciliation *reconciliation = controller->reconciliation;
   gboolean get = g_str_equal (http_request->method, "GET"), post = g_str_equal (http_request->method, "POST");
-  gboolean leads = controller->ownership >= HZB_OWNERSHIP_RECOVERING && hzb_election_leading (controller->election);
+  gboolean leads = hzb_ownership_leader_loaded (controller->ownership) && hzb_election_leading (controller->election);
   gboolean state = g_str_equal (path, "reconciliation");
   gboolean quarantine = g_str_has_prefix (path, HZB_ADMIN_QUARANTINE);
 
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -199,7 +199,7 @@
   job = hzb_jobs_find (controller->jobs, tracked->entry.uid);
   if (job)
     job->awaits_verdict = FALSE;
-  controller->next_scan = controller->next_dispatch = (struct timespec){ 0 };
+  controller->machines->next_scan = controller->dispatch->next_run = (struct timespec){ 0 };
 }
 
 /* ---- reading ---- */
@@ -312,7 +312,7 @@
   for (guint i = 0; i < controller->jobs->active->len; i++)
     ((HzbJob *) controller->jobs->active->pdata[i])->awaits_verdict = FALSE;
   forget_verdicts (reconciliation);
-  controller->next_scan = controller->next_dispatch = (struct timespec){ 0 };
+  controller->machines->next_scan = controller->dispatch->next_run = (struct timespec){ 0 };
 }
 
 static void
--- a/src/reconciliation/recorder.c
+++ b/src/reconciliation/recorder.c
@@ -87,11 +87,11 @@
 on_written_read (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
-  HzbReconciliation *reconciliation = epoch_call->controller->reconciliation;
+  HzbReconciliation *reconciliation = ((HzbController *) epoch_call->module)->reconciliation;
   HzbKvEntry item = { 0 };
   gboolean known;
 
-  if (epoch_call->epoch != epoch_call->controller->ownership_epoch)
+  if (!hzb_epoch_call_is_current (epoch_call))
     return;
   known = result == HZB_KV_NOT_FOUND || (result == HZB_KV_OK && hzb_kv_entry_decode (body, &item));
   /* Until it is durable it is the record that was read: what is there now is what the next try is conditional on. */
@@ -108,10 +108,10 @@
 on_written (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->controller;
+  HzbController *controller = epoch_call->module;
   HzbReconciliation *reconciliation = controller->reconciliation;
 
-  if (epoch_call->epoch != controller->ownership_epoch)
+  if (!hzb_epoch_call_is_current (epoch_call))
     return;
   if (result == HZB_KV_OK)
     {
@@ -123,7 +123,7 @@
     {
       const HzbVerdictPage *page = reconciliation->in_flight->len ? reconciliation->in_flight->pdata[0] : NULL;
       hzb_kv_client_get (controller->kv, HZB_KV_RECORD, page ? page->key : HZB_KEY_RECONCILIATION_STATE,
-                         on_written_read, hzb_epoch_call_new (controller, NULL));
+                         on_written_read, hzb_epoch_call_new (controller->ownership, controller, NULL));
     }
   else
     try_again_later (reconciliation);
@@ -158,7 +158,8 @@
     }
   reconciliation->sending = TRUE;
   reconciliation->next_write = hzb_time_plus (now, WRITE_EVERY_S);
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_written, hzb_epoch_call_new (controller, NULL));
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_written,
+                        hzb_epoch_call_new (controller->ownership, controller, NULL));
 }
 
 /* ---- the end ---- */
@@ -216,10 +217,10 @@
 on_cleaned (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
-  HzbReconciliation *reconciliation = epoch_call->controller->reconciliation;
+  HzbReconciliation *reconciliation = ((HzbController *) epoch_call->module)->reconciliation;
   guint removed = GPOINTER_TO_UINT (epoch_call->data);
 
-  if (epoch_call->epoch != epoch_call->controller->ownership_epoch)
+  if (!hzb_epoch_call_is_current (epoch_call))
     return;
   if (result != HZB_KV_OK)
     {
@@ -255,7 +256,7 @@
   reconciliation->sending = TRUE;
   reconciliation->next_write = hzb_time_plus (now, WRITE_EVERY_S);
   hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_cleaned,
-                        hzb_epoch_call_new (controller, GUINT_TO_POINTER (removed)));
+                        hzb_epoch_call_new (controller->ownership, controller, GUINT_TO_POINTER (removed)));
 }
 
 /* Commands are counted for a minute, and the archive has them. */
--- a/src/reconciliation/roster.c
+++ b/src/reconciliation/roster.c
@@ -57,7 +57,7 @@
 {
   const GPtrArray *known = roster->sent ? roster->sent : roster->recorded;
 
-  if (!names (known, roster->controller->incarnation))
+  if (!names (known, roster->controller->node->incarnation))
     return TRUE;
   for (guint i = 0; i < roster->controller->settings->peers->len && i < MOST_NAMES - 1; i++)
     {
@@ -88,7 +88,7 @@
 {
   g_clear_pointer (&roster->sent, g_ptr_array_unref);
   roster->sent = g_ptr_array_new_with_free_func (g_free);
-  g_ptr_array_add (roster->sent, g_strndup (roster->controller->incarnation, NAME_CHARS));
+  g_ptr_array_add (roster->sent, g_strndup (roster->controller->node->incarnation, NAME_CHARS));
   for (guint i = 0; i < roster->controller->settings->peers->len && i < MOST_NAMES - 1; i++)
     if (peer_process (roster, i))
       g_ptr_array_add (roster->sent, g_strndup (peer_process (roster, i), NAME_CHARS));
@@ -111,7 +111,7 @@
 {
   evidence->has_flush_record = roster->has_flush_record;
   evidence->has_roster = roster->recorded != NULL;
-  evidence->self_on_roster = names (roster->recorded, roster->controller->incarnation);
+  evidence->self_on_roster = names (roster->recorded, roster->controller->node->incarnation);
   evidence->all_peers_heard = TRUE;
   for (guint i = 0; i < roster->controller->settings->peers->len; i++)
     {
--- a/src/records/completed-job-archive.c
+++ b/src/records/completed-job-archive.c
@@ -38,13 +38,13 @@
 on_moved (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->controller;
+  HzbController *controller = epoch_call->module;
   g_autoptr (GPtrArray) uids = epoch_call->data;
   g_autoptr (GPtrArray) failed = NULL;
 
   if (result == HZB_KV_CONFLICT)
     hzb_kv_commit_decode (body, NULL, &failed);
-  for (guint i = 0; i < uids->len && epoch_call->epoch == controller->ownership_epoch; i++)
+  for (guint i = 0; i < uids->len && hzb_epoch_call_is_current (epoch_call); i++)
     {
       HzbJob *job = hzb_jobs_find (controller->jobs, uids->pdata[i]);
       if (!job)
@@ -54,7 +54,7 @@
       for (guint k = 0; failed && k < failed->len; k++)
         job->archiving = job->archiving || g_str_has_suffix (failed->pdata[k], job->uid);
     }
-  if (epoch_call->epoch == controller->ownership_epoch)
+  if (hzb_epoch_call_is_current (epoch_call))
     controller->completed_job_archive->archiving = FALSE;
   g_free (epoch_call);
 }
@@ -90,5 +90,6 @@
       g_ptr_array_add (uids, g_strdup (job->uid));
     }
   completed_job_archive->archiving = TRUE;
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_moved, hzb_epoch_call_new (controller, uids));
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_moved,
+                        hzb_epoch_call_new (controller->ownership, controller, uids));
 }
--- a/src/records/record-flush.c
+++ b/src/records/record-flush.c
@@ -129,11 +129,11 @@
 on_flush_read (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbRecords *records = epoch_call->controller->records;
+  HzbRecords *records = ((HzbController *) epoch_call->module)->records;
   HzbFlush *flush = epoch_call->data;
   HzbKvEntry item = { 0 };
 
-  if (epoch_call->epoch != epoch_call->controller->ownership_epoch)
+  if (!hzb_epoch_call_is_current (epoch_call))
     {
       hzb_flush_free (flush);
       g_free (epoch_call);
@@ -154,7 +154,7 @@
     }
   /* Not at once: an outage may last for minutes. */
   records->unresolved = epoch_call;
-  records->next = hzb_time_plus (hzb_clock_now (epoch_call->controller->clock), REFUSED_PAUSE_S);
+  records->next = hzb_time_plus (hzb_clock_now (((HzbController *) epoch_call->module)->clock), REFUSED_PAUSE_S);
 }
 
 static void
@@ -168,10 +168,10 @@
 on_flushed (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbRecords *records = epoch_call->controller->records;
+  HzbRecords *records = ((HzbController *) epoch_call->module)->records;
   HzbFlush *flush = epoch_call->data;
 
-  if (epoch_call->epoch != epoch_call->controller->ownership_epoch)
+  if (!hzb_epoch_call_is_current (epoch_call))
     {
       hzb_flush_free (flush);
       g_free (epoch_call);
@@ -179,19 +179,21 @@
     }
   if (result == HZB_KV_UNKNOWN || result == HZB_KV_CONFLICT)
     {
-      hzb_kv_client_get (epoch_call->controller->kv, HZB_KV_RECORD, HZB_KEY_FLUSH, on_flush_read, epoch_call);
+      hzb_kv_client_get (((HzbController *) epoch_call->module)->kv, HZB_KV_RECORD, HZB_KEY_FLUSH, on_flush_read,
+                         epoch_call);
       return;
     }
   if (result == HZB_KV_OK)
     {
       hzb_kv_commit_decode (body, &records->version, NULL);
       flush_applied (records, flush);
-      epoch_call->controller->next_dispatch = (struct timespec){ 0 }; /* what was released, and recorded, can be used */
+      ((HzbController *) epoch_call->module)->dispatch->next_run =
+          (struct timespec){ 0 }; /* what was released, and recorded, can be used */
     }
   else
     {
       flush_failed (records, flush);
-      records->next = hzb_time_plus (hzb_clock_now (epoch_call->controller->clock), REFUSED_PAUSE_S);
+      records->next = hzb_time_plus (hzb_clock_now (((HzbController *) epoch_call->module)->clock), REFUSED_PAUSE_S);
     }
   hzb_flush_free (flush);
   g_free (epoch_call);
@@ -460,7 +462,8 @@
       records->next_clean = hzb_time_plus (now, CLEAN_EVERY_S);
     }
   records->flushing = TRUE;
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_flushed, hzb_epoch_call_new (controller, out));
+  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_flushed,
+                        hzb_epoch_call_new (controller->ownership, controller, out));
 }
 
 void
@@ -468,7 +471,7 @@
 {
   HzbController *controller = records->controller;
   struct timespec now = hzb_clock_now (controller->clock);
-  if (controller->ownership < HZB_OWNERSHIP_RECOVERING || !hzb_election_leading (controller->election))
+  if (!hzb_ownership_leader_loaded (controller->ownership) || !hzb_election_leading (controller->election))
     return;
   hzb_completed_job_archive_tick (controller->completed_job_archive, now);
   if (records->unresolved && !hzb_time_before (now, records->next))
--- a/src/scheduling/dispatch.h
+++ b/src/scheduling/dispatch.h
@@ -22,9 +22,10 @@
   GPtrArray *machines_with_queues[HZB_N_SCHEDULING_CLASSES]; /* HzbMachine that have such work in their lists */
   guint generation; /* of the machines, when machines with lists were indexed */
   gboolean gang_waits;
-  double least_cpus;      /* of a waiting task: a machine with less than that free needs no look */
-  guint examined;         /* machines looked at so far, for tests */
-  HzbStartPacing *pacing; /* (nullable): how fast tasks may be started after a cold start */
+  double least_cpus;        /* of a waiting task: a machine with less than that free needs no look */
+  guint examined;           /* machines looked at so far, for tests */
+  HzbStartPacing *pacing;   /* (nullable): how fast tasks may be started after a cold start */
+  struct timespec next_run; /* of hzb_dispatch_run(), as its caller keeps it; unset: at once */
 } HzbDispatch;
 
 HzbDispatch *hzb_dispatch_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings, GRand *rand);
--- a/src/scheduling/machines.h
+++ b/src/scheduling/machines.h
@@ -96,6 +96,7 @@
   guint generation; /* counts removals: who keeps machines looks them up anew */
   HzbClock *clock;
   const HzbSettings *settings;
+  struct timespec next_scan; /* when the leader examines every machine again; unset: at once */
 } HzbMachines;
 
 HzbMachines *hzb_machines_new (HzbClock *clock, const HzbSettings *settings);
--- a/src/shards/leaseholder.c
+++ b/src/shards/leaseholder.c
@@ -51,7 +51,7 @@
 gboolean
 hzb_leaseholder_valid (HzbLeaseholder *leaseholder)
 {
-  return leaseholder->controller->ownership == HZB_OWNERSHIP_LEASEHOLDER
+  return hzb_ownership_is_leaseholder (leaseholder->controller->ownership)
          && hzb_time_before (hzb_clock_now (leaseholder->controller->clock), leaseholder->valid_until);
 }
 
@@ -267,7 +267,8 @@
   const HzbController *controller = leaseholder->controller;
   /* Guards against an answer to a poll of before this node let go of its shard: it would hold the shard again without what
    * it had been sent before, and the leader would go on believing that all of it is in good hands. */
-  return leaseholder->polled_epoch == controller->ownership_epoch && !hzb_election_leading (controller->election)
+  return leaseholder->polled_epoch == hzb_ownership_epoch (controller->ownership)
+         && !hzb_election_leading (controller->election)
          && answer->term == hzb_election_leader_term (controller->election);
 }
 
@@ -301,13 +302,13 @@
     }
   if (!answer->fencing_token)
     return;
-  if (controller->ownership == HZB_OWNERSHIP_NONE
+  if (hzb_ownership_state (controller->ownership) == HZB_OWNERSHIP_NONE
       && hzb_kv_replica_state (controller->kv_replica) == HZB_KV_REPLICA_FOLLOWING)
     {
       leaseholder->fencing_token = answer->fencing_token;
       hzb_controller_begin_leased (controller, answer->fencing_token);
     }
-  else if (controller->ownership != HZB_OWNERSHIP_LEASEHOLDER)
+  else if (!hzb_ownership_is_leaseholder (controller->ownership))
     return;
   else if (answer->fencing_token > leaseholder->fencing_token)
     raise_fencing_token (leaseholder, answer->fencing_token);
@@ -416,12 +417,12 @@
   if (!addr || hzb_kv_replica_state (controller->kv_replica) != HZB_KV_REPLICA_FOLLOWING)
     return;
   leaseholder->polling = TRUE;
-  leaseholder->polled_epoch = controller->ownership_epoch;
+  leaseholder->polled_epoch = hzb_ownership_epoch (controller->ownership);
   leaseholder->requests = now;
   root = hzb_peers_message (controller->peers, HZB_PEER_SHARD_POLL);
   if ((cancelled = hzb_cancellations_pack_request (controller->cancellations)))
     cJSON_AddItemToObject (root, "cancelled", cancelled);
-  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
+  if (hzb_ownership_is_leaseholder (controller->ownership))
     {
       hzb_json_add_u64 (root, "token", leaseholder->fencing_token);
       hzb_json_add_u64 (root, "have", leaseholder->in_number);
@@ -533,15 +534,15 @@
 
   if (hzb_election_leading (controller->election))
     return;
-  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER
+  if (hzb_ownership_is_leaseholder (controller->ownership)
       && (hzb_election_leader_term (controller->election) != hzb_fencing_token_term (leaseholder->fencing_token)))
     hzb_controller_end_leased (controller, "another leads");
-  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER && !hzb_leaseholder_valid (leaseholder))
+  if (hzb_ownership_is_leaseholder (controller->ownership) && !hzb_leaseholder_valid (leaseholder))
     hzb_controller_end_leased (controller, "the lease is over");
-  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER
+  if (hzb_ownership_is_leaseholder (controller->ownership)
       && hzb_time_between (leaseholder->last_answer, now) > LEASE_ABANDON_S)
     hzb_controller_end_leased (controller, "the leader does not answer");
-  if (controller->ownership == HZB_OWNERSHIP_LEASEHOLDER)
+  if (hzb_ownership_is_leaseholder (controller->ownership))
     {
       maintain_machines (leaseholder, now);
       if (!hzb_time_before (now, leaseholder->next_maintenance))
--- a/src/shards/shard-leases.c
+++ b/src/shards/shard-leases.c
@@ -332,7 +332,7 @@
     if (g_str_equal (g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i).peer->node, node))
       leaseholder = &g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i);
   if (!leaseholder || !incarnation || !hzb_election_leading (controller->election)
-      || controller->ownership < HZB_OWNERSHIP_RECOVERING)
+      || !hzb_ownership_leader_loaded (controller->ownership))
     {
       hzb_http_request_respond (http_request, 503, hzb_error_response_encode ("no blocks to lease here"), 0);
       return;
@@ -443,7 +443,7 @@
 {
   HzbController *controller = shard_leases->controller;
 
-  for (guint i = 0; i < shard_leases->leaseholders->len && controller->ownership >= HZB_OWNERSHIP_RECOVERING; i++)
+  for (guint i = 0; i < shard_leases->leaseholders->len && hzb_ownership_leader_loaded (controller->ownership); i++)
     {
       HzbLeaseholderView *leaseholder = &g_array_index (shard_leases->leaseholders, HzbLeaseholderView, i);
       if (leaseholder->fencing_token && hzb_time_between (leaseholder->requests, now) > MISSED_S)
--- a/src/shards/shard-machines.c
+++ b/src/shards/shard-machines.c
@@ -148,7 +148,7 @@
   const HzbController *controller = shard_leases->controller;
   return controller->lease_shards && machine->type && !machine->scale_in_requested && !machine->scale_in_candidate
          && !machine->reserved_for_services && !machine->unreachable && machine->known_to_cloud
-         && controller->ownership >= HZB_OWNERSHIP_RECOVERING && !shard_leases->gang_waits
+         && hzb_ownership_leader_loaded (controller->ownership) && !shard_leases->gang_waits
          && !shard_leases->only_leader_work_waits;
 }
 
--- a/tests/sim-cluster.c
+++ b/tests/sim-cluster.c
@@ -176,7 +176,7 @@
   node->transport->life = node->life;
   node->controller = hzb_controller_new (settings, sim->clock, &node->transport->parent, g_rand_int (sim->rand));
   if (node->old)
-    node->controller->schema_version = 1;
+    node->controller->node->schema_version = 1;
   if (sim->size.max_replicated_completed)
     node->controller->jobs->max_replicated_completed = sim->size.max_replicated_completed;
 }
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -342,7 +342,7 @@
       submit_at (sim, at, &status);
       g_assert_cmpuint (status, ==, 503); /* in this very moment */
       sim_run (sim, sim->now + 4);
-      g_assert_cmpint (sim->nodes[at].controller->ownership, ==, HZB_OWNERSHIP_NONE);
+      g_assert_cmpint (hzb_ownership_state (sim->nodes[at].controller->ownership), ==, HZB_OWNERSHIP_NONE);
       g_assert_false (hzb_controller_ready (sim->nodes[at].controller));
       sim_run (sim, sim->now + 8);
       for (guint i = 0; i < sim->machines->len; i++)
@@ -395,7 +395,7 @@
   some_work (sim, 4);
   sim_run (sim, 12);
   at = (guint) (sim_leader (sim) + 1) % SIM_NODES;
-  old = g_strdup (sim->nodes[at].controller->incarnation);
+  old = g_strdup (sim->nodes[at].controller->node->incarnation);
   restart_now (sim, GUINT_TO_POINTER (at));
   sim_run (sim, 20);
   controller = sim->nodes[at].controller;
@@ -403,7 +403,7 @@
   text[0] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":99999,\"format\":2}",
                              at, old);
   text[1] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":1,\"format\":2}", at,
-                             controller->incarnation);
+                             controller->node->incarnation);
   text[2] = g_strdup ("{\"node\":\"node-9\",\"incarnation\":\"x\",\"born\":1,\"number\":1,\"format\":2}");
   for (guint i = 0; i < 3; i++)
     {
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -138,7 +138,7 @@
 a_leaseholder (Sim *sim)
 {
   for (guint i = 0; i < SIM_NODES; i++)
-    if (sim->nodes[i].controller && sim->nodes[i].controller->ownership == HZB_OWNERSHIP_LEASEHOLDER
+    if (sim->nodes[i].controller && hzb_ownership_is_leaseholder (sim->nodes[i].controller->ownership)
         && sim->nodes[i].controller->machines->all->len >= 1)
       return (int) i;
   return -1;
@@ -161,9 +161,10 @@
         {
           const SimJob *job = sim->jobs->pdata[i];
           HzbController *controller = sim->nodes[node].controller;
-          const HzbJob *known = controller && job->told_cancelled && controller->ownership != HZB_OWNERSHIP_NONE
-                                    ? hzb_jobs_find (controller->jobs, job->uid)
-                                    : NULL;
+          const HzbJob *known =
+              controller && job->told_cancelled && hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_NONE
+                  ? hzb_jobs_find (controller->jobs, job->uid)
+                  : NULL;
           if (known && known->tasks && known->state == HZB_JOB_ACCEPTED
               && known->pending + known->queued + known->placed)
             g_error ("%s is called cancelled, and node-%u holds %u tasks of it at %.2f", job->uid, node,
--- a/tests/test-forgotten.c
+++ b/tests/test-forgotten.c
@@ -86,7 +86,7 @@
 a_leader_loads (const Sim *sim)
 {
   for (guint i = 0; i < SIM_NODES; i++)
-    if (sim->nodes[i].controller && sim->nodes[i].controller->ownership == HZB_OWNERSHIP_LOADING)
+    if (sim->nodes[i].controller && hzb_ownership_state (sim->nodes[i].controller->ownership) == HZB_OWNERSHIP_LOADING)
       return TRUE;
   return FALSE;
 }
@@ -177,7 +177,7 @@
 {
   guint n = 0;
   for (guint i = 0; i < SIM_NODES; i++)
-    n += sim->nodes[i].controller && sim->nodes[i].controller->ownership == HZB_OWNERSHIP_LEASEHOLDER;
+    n += sim->nodes[i].controller && hzb_ownership_is_leaseholder (sim->nodes[i].controller->ownership);
   return n;
 }
 
--- a/tests/test-leases.c
+++ b/tests/test-leases.c
@@ -219,7 +219,7 @@
         {
           sim_run (sim, sim->now + 0.5);
           for (guint i = 0; i < SIM_NODES; i++)
-            if (sim->nodes[i].controller->ownership == HZB_OWNERSHIP_LEASEHOLDER
+            if (hzb_ownership_is_leaseholder (sim->nodes[i].controller->ownership)
                 && sim->nodes[i].controller->machines->all->len >= 1)
               leaseholder = (int) i;
         }
--- a/tests/test-partitions.c
+++ b/tests/test-partitions.c
@@ -64,7 +64,7 @@
   sim_crash (sim, (guint) leader);
   sim_run (sim, sim->now + 25);
   g_assert_cmpint (sim_leader (sim), !=, -1);
-  g_assert_cmpint (sim->nodes[sim_leader (sim)].controller->ownership, ==, HZB_OWNERSHIP_READY);
+  g_assert_cmpint (hzb_ownership_state (sim->nodes[sim_leader (sim)].controller->ownership), ==, HZB_OWNERSHIP_READY);
   g_assert_true (machine->gone);
   sim_start (sim, (guint) leader);
   sim_run (sim, 400);
--- a/tests/test-services.c
+++ b/tests/test-services.c
@@ -442,13 +442,13 @@
           machine->cut = machine->spot;
         }
       since = sim->now;
-      while (sim_leader (sim) < 0 || sim->nodes[sim_leader (sim)].controller->ownership < HZB_OWNERSHIP_RECOVERING)
+      while (sim_leader (sim) < 0 || !hzb_ownership_leader_loaded (sim->nodes[sim_leader (sim)].controller->ownership))
         sim_run (sim, sim->now + 0.1);
       since = sim->now;
       sim_run (sim, since + 8); /* workers give a leader up after 4 s */
       g_assert_cmpuint (sim_running (sim, service, NULL), ==, 4);
       controller = sim->nodes[sim_leader (sim)].controller;
-      g_assert_cmpint (controller->ownership, ==, HZB_OWNERSHIP_RECOVERING);
+      g_assert_cmpint (hzb_ownership_state (controller->ownership), ==, HZB_OWNERSHIP_RECOVERING);
       g_assert_cmpuint (hzb_jobs_find (controller->jobs, batch->uid)->unconfirmed, >, 0);
       sim_start (sim, leader);
       sim_run (sim, sim->now + 5);
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -44,7 +44,7 @@
 a_leader_has_heard_all (const Sim *sim)
 {
   for (guint i = 0; i < SIM_NODES; i++)
-    if (sim->nodes[i].controller && sim->nodes[i].controller->ownership == HZB_OWNERSHIP_READY)
+    if (sim->nodes[i].controller && hzb_ownership_state (sim->nodes[i].controller->ownership) == HZB_OWNERSHIP_READY)
       return TRUE;
   return FALSE;
 }
