--- a/src/api/admin.c
+++ b/src/api/admin.c
@@ -1,9 +1,10 @@
 /* The operators' side, under one versioned prefix, in the look of the user API. What belongs to a tenant has the
  * tenant in its path; there is one so far. */
-#include "controller.h"
+#include "controller-private.h"
 #include "json.h"
 #include "kv-protocol.h"
 #include "reconciliation-admin.h"
+#include "record-keys.h"
 #include "user-protocol.h"
 
 #include <math.h>
--- a/src/api/submissions.c
+++ b/src/api/submissions.c
@@ -1,7 +1,8 @@
 /* Submissions of users: whether a job can run, and its acceptance. What comes at once is accepted in one record, on condition
  * that none of its jobs is over. */
-#include "controller.h"
+#include "controller-private.h"
 #include "kv-protocol.h"
+#include "record-keys.h"
 #include "user-api-private.h"
 #include "user-protocol.h"
 
@@ -252,7 +253,8 @@
         hzb_user_api_add_check (api, http_request, spec->uid, HZB_QUESTION_SUBMISSION, NULL, 0);
       return;
     }
-  if (!hzb_controller_ready (controller) || !controller->machines->types || hzb_controller_kv_unresponsive (controller))
+  if (!hzb_controller_ready (controller) || !controller->machines->types
+      || hzb_kv_replica_store_unresponsive (controller->kv_replica))
     {
       hzb_user_api_reply_unavailable (http_request, "not ready yet");
       return;
--- a/src/api/user-api.c
+++ b/src/api/user-api.c
@@ -2,9 +2,10 @@
  * to have everything up to the moment of the question. One request to the key-value store proves it for all that wait. */
 #include "user-api.h"
 
-#include "controller.h"
+#include "controller-private.h"
 #include "json.h"
 #include "kv-protocol.h"
+#include "record-keys.h"
 #include "user-api-private.h"
 #include "user-protocol.h"
 
@@ -350,7 +351,7 @@
 {
   HzbCheck *check;
 
-  if (hzb_controller_kv_unresponsive (api->controller))
+  if (hzb_kv_replica_store_unresponsive (api->controller->kv_replica))
     {
       hzb_user_api_reply_unavailable (http_request, "the state service does not answer");
       return;
--- a/src/api/worker-api.c
+++ b/src/api/worker-api.c
@@ -1,5 +1,5 @@
 /* The workers' side: reports in, commands out. */
-#include "controller.h"
+#include "controller-private.h"
 #include "user-protocol.h"
 #include "worker-protocol.h"
 
@@ -104,7 +104,7 @@
           if (hzb_ownership_is_leaseholder (controller->ownership))
             hzb_leaseholder_report_finished (controller->leaseholder, task, ran);
           else if (job->finished + job->done == job->n_tasks)
-            hzb_controller_record_completion (controller, job);
+            hzb_records_complete_job (controller->records, job);
           else
             hzb_records_flush_soon (controller->records);
         }
--- a/src/cluster/cancellations.c
+++ b/src/cluster/cancellations.c
@@ -18,9 +18,10 @@
  * of it too. And one that learns of nothing, since it stands still or reaches neither the key-value store nor a peer, does not
  * have to be waited for: it answers no worker once it could have missed a cancellation (may_answer_workers ()), so some
  * seconds after all others knew, nobody acts without it (hzb_peers_fenced_revision ()). */
-#include "controller.h"
+#include "controller-private.h"
 #include "json.h"
 #include "kv-protocol.h"
+#include "record-keys.h"
 #include "user-protocol.h"
 
 #define MAX_REQUESTS_PER_MESSAGE 64u
@@ -312,7 +313,7 @@
   check_old_leader (cancellations);
   leader = hzb_election_leader (controller->election);
   if (cancellations->reading || !leader || !hzb_peers_unreachable (controller->peers, leader)
-      || hzb_controller_kv_unresponsive (controller))
+      || hzb_kv_replica_store_unresponsive (controller->kv_replica))
     return;
   cancellations->reading = TRUE;
   hzb_kv_client_get (controller->kv, HZB_KV_READ, HZB_KEY_FLUSH, on_flush_record_read, cancellations);
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -1,6 +1,7 @@
 #include "election.h"
 #include "json.h"
 #include "kv-protocol.h"
+#include "record-keys.h"
 
 #define TTL_MS 4000
 #define RENEW_S 0.9
--- a/src/cluster/election.h
+++ b/src/cluster/election.h
@@ -4,14 +4,6 @@
 #include "kv-client.h"
 #include "kv-protocol.h"
 
-#define HZB_KEY_LEADER_SCHEMA_1 "hzb/a/leader"
-#define HZB_KEY_TERM "hzb/a/term"
-/* Once every controller has said that it reads format 2, the leader records that for good and leads by another key. The
- * first one is left with a leader that nobody is, so that a process of version 1 that comes back after all never leads:
- * it would misread what has been recorded since. */
-#define HZB_KEY_SCHEMA_VERSION "hzb/a/format"
-#define HZB_KEY_LEADER_SCHEMA_2 "hzb/a/leader2"
-
 typedef enum
 {
   HZB_ELECTION_FOLLOWING,
--- a/src/cluster/peers.c
+++ b/src/cluster/peers.c
@@ -2,7 +2,7 @@
  *
  * Copies of old messages may come late, also from a process that has ended since. So each says which process sent it,
  * when that began, and counts: what is not the newest of its kind is refused, whoever it is from. */
-#include "controller.h"
+#include "controller-private.h"
 #include "json.h"
 #include "peer-heartbeat.h"
 #include "user-protocol.h"
@@ -609,12 +609,12 @@
 }
 
 void
-hzb_controller_peer_request (HzbHttpRequest *http_request, gpointer data)
+hzb_peers_handle_request (HzbPeers *peers, HzbHttpRequest *http_request)
 {
-  HzbController *controller = data;
+  HzbController *controller = peers->controller;
   gboolean shard = g_str_equal (http_request->path, "/peer/v1/block");
   cJSON *root = cJSON_ParseWithLength (http_request->body, http_request->length);
-  View *view = sender (controller->peers, shard ? HZB_PEER_SHARD_POLL : HZB_PEER_HEARTBEAT, root);
+  View *view = sender (peers, shard ? HZB_PEER_SHARD_POLL : HZB_PEER_HEARTBEAT, root);
 
   if (!view)
     hzb_http_request_respond (http_request, 400, hzb_error_response_encode ("not a message of a peer, or an old one"),
@@ -624,8 +624,8 @@
   else
     {
       g_autoptr (HzbPeerHeartbeat) theirs = hzb_peer_heartbeat_decode (root);
-      apply_heartbeat (controller->peers, view, theirs);
-      reply_heartbeat (controller->peers, http_request, theirs);
+      apply_heartbeat (peers, view, theirs);
+      reply_heartbeat (peers, http_request, theirs);
     }
   cJSON_Delete (root);
 }
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -90,5 +90,5 @@
 /** hzb_peers_message: a new message that identifies this process. Returns: (transfer full) */
 cJSON *hzb_peers_message (HzbPeers *peers, HzbPeerKind kind);
 
-/** hzb_controller_peer_request: HTTP handler of the address that peers use. */
-void hzb_controller_peer_request (HzbHttpRequest *http_request, gpointer data);
+/** hzb_peers_handle_request: answers a request of another controller, of whatever kind. */
+void hzb_peers_handle_request (HzbPeers *peers, HzbHttpRequest *http_request);
--- /dev/null
+++ b/src/controller/controller-wiring.c
@@ -0,0 +1,174 @@
+/* Builds the modules of a controller and gives each what it needs. */
+#include "controller-private.h"
+#include "record-keys.h"
+
+/* Guards against watches that use up the requests of the key-value store: each change ends the watch of every node, and
+ * opening the next one counts as a request. */
+#define WATCH_PART 0.25 /* of the requests that the key-value store takes, for the watches of all nodes */
+
+static double
+watch_interval_s (const HzbSettings *settings)
+{
+  return settings->size / (WATCH_PART * settings->kv_rps);
+}
+
+/* ---- the modules, from the ground up: each is given what it needs by the function of its name ---- */
+
+static HzbNode *
+new_node (HzbController *controller)
+{
+  HzbNode *node = g_new0 (HzbNode, 1);
+  node->settings = controller->settings;
+  node->clock = controller->clock;
+  node->transport = controller->transport;
+  node->schema_version = HZB_SCHEMA_VERSION;
+  return node;
+}
+
+static HzbKvReplica *
+new_kv_replica (HzbController *controller)
+{
+  return hzb_kv_replica_new (controller->kv, controller->clock, HZB_KEY_REPLICATED,
+                             watch_interval_s (controller->settings), &hzb_controller_replica_funcs, controller);
+}
+
+static HzbPeers *
+new_peers (HzbController *controller)
+{
+  return hzb_peers_new (controller);
+}
+
+static HzbCancellations *
+new_cancellations (HzbController *controller)
+{
+  return hzb_cancellations_new (controller);
+}
+
+static HzbReconciliation *
+new_reconciliation (HzbController *controller)
+{
+  return hzb_reconciliation_new (controller);
+}
+
+static HzbRecords *
+new_records (HzbController *controller)
+{
+  return hzb_records_new (controller);
+}
+
+static HzbCompletedJobArchive *
+new_completed_job_archive (HzbController *controller)
+{
+  return hzb_completed_job_archive_new (controller);
+}
+
+static HzbShardLeases *
+new_shard_leases (HzbController *controller)
+{
+  return hzb_shard_leases_new (controller);
+}
+
+static HzbLeaseholder *
+new_leaseholder (HzbController *controller)
+{
+  return hzb_leaseholder_new (controller);
+}
+
+static HzbProvisioning *
+new_provisioning (HzbController *controller)
+{
+  return hzb_provisioning_new (controller);
+}
+
+static HzbUserApi *
+new_user_api (HzbController *controller)
+{
+  return hzb_user_api_new (controller);
+}
+
+/* Names this process: another one of the same node has another. */
+static char *
+new_incarnation (GRand *rand)
+{
+  guint32 low = g_rand_int (rand);
+  guint32 high = g_rand_int (rand);
+  return g_strdup_printf ("%08x%08x", high, low);
+}
+
+HzbController *
+hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed)
+{
+  HzbController *controller = g_new0 (HzbController, 1);
+
+  controller->settings = settings;
+  controller->clock = clock;
+  controller->transport = transport;
+  controller->rand = g_rand_new_with_seed (seed);
+  controller->lease_shards = TRUE;
+  controller->metrics = hzb_metrics_new ();
+  controller->node = new_node (controller);
+
+  controller->kv = hzb_kv_client_new (transport, clock, settings);
+  controller->kv_replica = new_kv_replica (controller);
+  controller->cloud = hzb_cloud_client_new (transport, clock, settings);
+
+  controller->jobs = hzb_jobs_new (clock, settings);
+  controller->machines = hzb_machines_new (clock, settings);
+  controller->dispatch = hzb_dispatch_new (controller->jobs, controller->machines, settings, controller->rand);
+  controller->autoscaler = hzb_autoscaler_new (controller->jobs, controller->machines, settings);
+
+  controller->ownership = hzb_ownership_new (clock);
+  controller->election = hzb_election_new (controller->kv, clock, settings, controller->rand);
+  controller->node->incarnation = new_incarnation (controller->rand);
+  controller->peers = new_peers (controller);
+  controller->cancellations = new_cancellations (controller);
+
+  controller->reconciliation = new_reconciliation (controller);
+  controller->dispatch->pacing = hzb_reconciliation_pacing (controller->reconciliation);
+  controller->records = new_records (controller);
+  controller->completed_job_archive = new_completed_job_archive (controller);
+  controller->shard_leases = new_shard_leases (controller);
+  controller->leaseholder = new_leaseholder (controller);
+  controller->provisioning = new_provisioning (controller);
+  controller->api = new_user_api (controller);
+  return controller;
+}
+
+void
+hzb_controller_free (HzbController *controller)
+{
+  hzb_user_api_free (controller->api);
+  hzb_cancellations_free (controller->cancellations);
+  hzb_shard_leases_free (controller->shard_leases);
+  hzb_leaseholder_free (controller->leaseholder);
+  hzb_peers_free (controller->peers);
+  hzb_records_free (controller->records);
+  hzb_completed_job_archive_free (controller->completed_job_archive);
+  hzb_reconciliation_free (controller->reconciliation);
+  hzb_metrics_free (controller->metrics);
+  g_free (controller->node->incarnation);
+  g_free (controller->node);
+  hzb_jobs_end_ownership (controller->jobs);
+  hzb_machines_clear (controller->machines);
+  hzb_autoscaler_free (controller->autoscaler);
+  hzb_dispatch_free (controller->dispatch);
+  hzb_jobs_free (controller->jobs);
+  hzb_machines_free (controller->machines);
+  hzb_shard_free (controller->shard);
+  hzb_election_free (controller->election);
+  hzb_cloud_client_free (controller->cloud);
+  hzb_kv_client_free (controller->kv);
+  hzb_provisioning_free (controller->provisioning);
+  hzb_kv_replica_free (controller->kv_replica);
+  hzb_ownership_free (controller->ownership);
+  g_free (controller->owner_load_cursor);
+  g_rand_free (controller->rand);
+  g_free (controller);
+}
+
+void
+hzb_controller_set_http_servers (HzbController *controller, HzbHttpServer *api_server, HzbHttpServer *peer_server)
+{
+  controller->api_server = api_server;
+  controller->peer_server = peer_server;
+}
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -1,6 +1,7 @@
-#include "controller.h"
+#include "controller-private.h"
 #include "json.h"
 #include "kv-protocol.h"
+#include "record-keys.h"
 #include "user-protocol.h"
 #include "worker-protocol.h"
 
@@ -8,7 +9,6 @@
 #include <string.h>
 
 #define OWNER_PAGE_PAUSE_S 0.4 /* after a page of the owner's records that did not come */
-#define KV_UNRESPONSIVE_S (HZB_KV_REPLICA_WATCH_MS / 1000.0 + 1) /* longer than a watch takes */
 
 /* ---- the replica of the records ---- */
 
@@ -95,15 +95,8 @@
   hzb_controller_end_leased (controller, "the mirror is too far behind");
 }
 
-static const HzbKvReplicaFuncs kv_replica_funcs = { kv_replica_may_load, kv_replica_load_begin, kv_replica_apply,
-                                                    kv_replica_load_end, kv_replica_lost };
-
-/* It has not answered for longer than a watch takes: what has to be asked there is better refused at once. */
-gboolean
-hzb_controller_kv_unresponsive (HzbController *controller)
-{
-  return hzb_kv_client_unresponsive_s (controller->kv) > KV_UNRESPONSIVE_S;
-}
+const HzbKvReplicaFuncs hzb_controller_replica_funcs = { kv_replica_may_load, kv_replica_load_begin, kv_replica_apply,
+                                                         kv_replica_load_end, kv_replica_lost };
 
 gboolean
 hzb_controller_ready (HzbController *controller)
@@ -112,7 +105,7 @@
     return FALSE;
   /* In an outage for all it makes no difference where users ask; alone, or cut off from the others as well, another
    * node serves them better. */
-  return !hzb_controller_kv_unresponsive (controller)
+  return !hzb_kv_replica_store_unresponsive (controller->kv_replica)
          || (hzb_peers_any_reachable (controller->peers) && !hzb_peers_any_reaches_kv (controller->peers));
 }
 
@@ -229,55 +222,6 @@
   g_clear_pointer (&controller->shard, hzb_shard_free);
 }
 
-/* ---- the end of a job ---- */
-
-static void
-on_ended (HzbKvResult result, const char *body, gpointer user)
-{
-  HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->module;
-  g_autofree char *uid = epoch_call->data;
-  HzbJob *job = hzb_jobs_find (controller->jobs, uid);
-  guint64 revision = 0;
-
-  if (result == HZB_KV_OK && job)
-    {
-      cJSON *value = hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks);
-      hzb_kv_commit_decode (body, &revision, NULL);
-      hzb_jobs_apply (controller->jobs, uid, value, revision);
-      cJSON_Delete (value);
-    }
-  if (hzb_epoch_call_is_current (epoch_call) && job)
-    {
-      job->completing = FALSE;
-      if (result == HZB_KV_OK && job->tasks)
-        {
-          g_message ("job %s is done", uid);
-          hzb_records_drop_job (controller->records, job);
-          hzb_jobs_retire (controller->jobs, job);
-        }
-    }
-  g_free (epoch_call);
-}
-
-void
-hzb_controller_record_completion (HzbController *controller, HzbJob *job)
-{
-  g_autofree char *key = NULL;
-  HzbKvTransaction *transaction;
-
-  if (job->completing || job->state != HZB_JOB_ACCEPTED || !hzb_election_leading (controller->election))
-    return;
-  job->completing = TRUE;
-  key = g_strconcat (HZB_KEY_JOBS, job->uid, NULL);
-  transaction = hzb_kv_transaction_new ();
-  hzb_election_add_condition (controller->election, transaction);
-  hzb_jobs_compare_not_terminal (transaction, job->uid); /* it has not been cancelled */
-  hzb_kv_transaction_put (transaction, key, hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks), 0);
-  hzb_kv_client_commit (controller->kv, HZB_KV_ACCEPT, transaction, on_ended,
-                        hzb_epoch_call_new (controller->ownership, controller, g_strdup (job->uid)));
-}
-
 /* ---- connectivity ---- */
 
 /* Guards against a leader that only the workers can't reach: they are sent back to it by all others, until every
@@ -441,84 +385,9 @@
     hzb_user_api_request (controller->api, http_request);
 }
 
-/* Guards against watches that use up the requests of the key-value store: each change ends the watch of every node, and
- * opening the next one counts as a request. */
-#define WATCH_PART 0.25 /* of the requests that the key-value store takes, for the watches of all nodes */
-
-static double
-watch_interval_s (const HzbSettings *settings)
-{
-  return settings->size / (WATCH_PART * settings->kv_rps);
-}
-
-HzbController *
-hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed)
-{
-  HzbController *controller = g_new0 (HzbController, 1);
-  controller->settings = settings;
-  controller->clock = clock;
-  controller->transport = transport;
-  controller->node = g_new0 (HzbNode, 1);
-  controller->node->settings = settings;
-  controller->node->clock = clock;
-  controller->node->transport = transport;
-  controller->ownership = hzb_ownership_new (clock);
-  controller->rand = g_rand_new_with_seed (seed);
-  controller->kv = hzb_kv_client_new (transport, clock, settings);
-  controller->kv_replica = hzb_kv_replica_new (controller->kv, clock, HZB_KEY_REPLICATED, watch_interval_s (settings),
-                                               &kv_replica_funcs, controller);
-  controller->cloud = hzb_cloud_client_new (transport, clock, settings);
-  controller->election = hzb_election_new (controller->kv, clock, settings, controller->rand);
-  controller->jobs = hzb_jobs_new (clock, settings);
-  controller->machines = hzb_machines_new (clock, settings);
-  controller->dispatch = hzb_dispatch_new (controller->jobs, controller->machines, settings, controller->rand);
-  controller->autoscaler = hzb_autoscaler_new (controller->jobs, controller->machines, settings);
-  controller->api = hzb_user_api_new (controller);
-  controller->peers = hzb_peers_new (controller);
-  controller->cancellations = hzb_cancellations_new (controller);
-  controller->shard_leases = hzb_shard_leases_new (controller);
-  controller->leaseholder = hzb_leaseholder_new (controller);
-  controller->metrics = hzb_metrics_new ();
-  controller->lease_shards = TRUE;
-  controller->node->schema_version = HZB_SCHEMA_VERSION;
-  controller->node->incarnation =
-      g_strdup_printf ("%08x%08x", g_rand_int (controller->rand), g_rand_int (controller->rand));
-  controller->provisioning = hzb_provisioning_new (controller);
-  controller->records = hzb_records_new (controller);
-  controller->completed_job_archive = hzb_completed_job_archive_new (controller);
-  controller->reconciliation = hzb_reconciliation_new (controller);
-  controller->dispatch->pacing = hzb_reconciliation_pacing (controller->reconciliation);
-  return controller;
-}
-
 void
-hzb_controller_free (HzbController *controller)
+hzb_controller_peer_request (HzbHttpRequest *http_request, gpointer data)
 {
-  hzb_user_api_free (controller->api);
-  hzb_cancellations_free (controller->cancellations);
-  hzb_shard_leases_free (controller->shard_leases);
-  hzb_leaseholder_free (controller->leaseholder);
-  hzb_peers_free (controller->peers);
-  hzb_records_free (controller->records);
-  hzb_completed_job_archive_free (controller->completed_job_archive);
-  hzb_reconciliation_free (controller->reconciliation);
-  hzb_metrics_free (controller->metrics);
-  g_free (controller->node->incarnation);
-  g_free (controller->node);
-  hzb_jobs_end_ownership (controller->jobs);
-  hzb_machines_clear (controller->machines);
-  hzb_autoscaler_free (controller->autoscaler);
-  hzb_dispatch_free (controller->dispatch);
-  hzb_jobs_free (controller->jobs);
-  hzb_machines_free (controller->machines);
-  hzb_shard_free (controller->shard);
-  hzb_election_free (controller->election);
-  hzb_cloud_client_free (controller->cloud);
-  hzb_kv_client_free (controller->kv);
-  hzb_provisioning_free (controller->provisioning);
-  hzb_kv_replica_free (controller->kv_replica);
-  hzb_ownership_free (controller->ownership);
-  g_free (controller->owner_load_cursor);
-  g_rand_free (controller->rand);
-  g_free (controller);
+  HzbController *controller = data;
+  hzb_peers_handle_request (controller->peers, http_request);
 }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,91 +1,42 @@
-/* Ties the parts together: the replica of the records of durable records, leadership, and what an owner does over time. */
+/**
+ * SECTION: controller
+ * @short_description: one controller of the cluster: all modules of a node, tied together
+ *
+ * hzb_controller_tick() has to be called every HZB_TICK_MS. Requests come by hzb_controller_request() (users, workers,
+ * operators) and hzb_controller_peer_request() (other controllers).
+ */
 #pragma once
-#include "admin.h"
-#include "autoscaler.h"
-#include "cancellations.h"
-#include "cloud-client.h"
-#include "completed-job-archive.h"
-#include "dispatch.h"
-#include "election.h"
+#include "clock.h"
 #include "http.h"
-#include "kv-client.h"
-#include "kv-protocol.h"
-#include "kv-replica.h"
-#include "leader-maintenance.h"
-#include "leaseholder.h"
-#include "metrics.h"
-#include "node.h"
-#include "ownership.h"
-#include "peers.h"
-#include "provisioning.h"
-#include "reconciliation.h"
-#include "records.h"
-#include "shard-leases.h"
-#include "user-api.h"
-#include "worker-api.h"
-
-#define HZB_KEY_REPLICATED "hzb/a/"
-#define HZB_KEY_OWNER "hzb/x/"
-#define HZB_KEY_FLUSH "hzb/x/flush"
-#define HZB_KEY_SETTINGS "hzb/a/settings"
+#include "settings.h"
 
+/** HZB_TICK_MS: how often hzb_controller_tick() is to be called. */
 #define HZB_TICK_MS 50
 
-struct _HzbController
-{
-  HzbNode *node;
-  HzbSettings *settings;
-  HzbClock *clock;
-  HzbTransport *transport;
-  GRand *rand;
-  HzbKvClient *kv;
-  HzbCloudClient *cloud;
-  HzbElection *election;
-  HzbJobs *jobs;
-  HzbMachines *machines;
-  HzbDispatch *dispatch;
-  HzbAutoscaler *autoscaler;
-  HzbShard *shard;
-  HzbUserApi *api;
-  HzbCancellations *cancellations;
-  HzbShardLeases *shard_leases;
-  HzbLeaseholder *leaseholder;
-  HzbRecords *records;
-  HzbCompletedJobArchive *completed_job_archive;
-  HzbMetrics *metrics;
-  guint64 settings_version; /* of the operators' settings */
-  gboolean lease_shards;
-  HzbPeers *peers;
-  HzbProvisioning *provisioning;
-  HzbReconciliation *reconciliation;
+typedef struct _HzbController HzbController;
 
-  HzbHttpServer *api_server, *peer_server; /* NULL in tests: for what they count */
+/**
+ * hzb_controller_new:
+ * @settings: (transfer none): must outlive the controller, like @clock and @transport
+ * @seed: of its random numbers
+ *
+ * Returns: (transfer full): a controller that follows
+ */
+HzbController *hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed);
 
-  HzbKvReplica *kv_replica;
-  gboolean load_saw_leader; /* the reading of all records under way has shown who leads */
+void hzb_controller_free (HzbController *controller);
 
-  HzbOwnership *ownership;
-  char *owner_load_cursor;
-  gboolean owner_page_asked;
-  struct timespec next_owner_page;
-  struct timespec last_tick; /* the timer's */
-  struct timespec next_plan, next_summary;
-};
+/** hzb_controller_set_http_servers: (not owned): their counts are shown to operators. */
+void hzb_controller_set_http_servers (HzbController *controller, HzbHttpServer *api_server, HzbHttpServer *peer_server);
 
-HzbController *hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed);
-void hzb_controller_free (HzbController *controller);
+/** hzb_controller_tick: does what is due. */
 void hzb_controller_tick (HzbController *controller);
-void hzb_controller_request (HzbHttpRequest *http_request, gpointer data); /* users and workers */
-gboolean hzb_controller_ready (HzbController *controller);
-gboolean hzb_controller_kv_unresponsive (HzbController *controller);
-void hzb_controller_apply_record (HzbController *controller, const HzbKvEntry *item);
-void hzb_controller_record_completion (HzbController *controller, HzbJob *job); /* all its tasks have finished */
 
-/** hzb_controller_begin_leased: this node owns a shard that the leader leased to it. */
-void hzb_controller_begin_leased (HzbController *controller, guint64 fencing_token);
+/** hzb_controller_request: #HzbHandler of the address that users, workers and operators use; @data: the controller. */
+void hzb_controller_request (HzbHttpRequest *http_request, gpointer data);
 
-/** hzb_controller_end_leased: no more. Does nothing if it was not a leaseholder. */
-void hzb_controller_end_leased (HzbController *controller, const char *why);
+/** hzb_controller_peer_request: #HzbHandler of the address that other controllers use; @data: the controller. */
+void hzb_controller_peer_request (HzbHttpRequest *http_request, gpointer data);
 
-/** hzb_controller_recovered: every machine on record has answered the new leader, or is gone. */
-void hzb_controller_recovered (HzbController *controller);
+/** hzb_controller_ready: users are served here as well as at any other node, see GET /ready. */
+gboolean hzb_controller_ready (HzbController *controller);
--- a/src/controller/leader-maintenance.c
+++ b/src/controller/leader-maintenance.c
@@ -1,6 +1,6 @@
 #include "leader-maintenance.h"
 
-#include "controller.h"
+#include "controller-private.h"
 
 #define SOCKETS_PART 0.9  /* of a node's sockets, for the machines that report to it */
 #define LEASE_SLACK_S 1.0 /* beyond the lease and the drift of clocks */
@@ -75,7 +75,7 @@
           if (job->spec->kind == HZB_JOB_GANG)
             maintain_gang (controller, job);
           if (job->finished + job->done == job->n_tasks)
-            hzb_controller_record_completion (controller, job);
+            hzb_records_complete_job (controller->records, job);
           continue;
         }
       hzb_shard_leases_announce_cancellation (controller->shard_leases, job);
--- a/src/kv/kv-replica.c
+++ b/src/kv/kv-replica.c
@@ -8,6 +8,7 @@
  * service answers other calls, all is read anew in pages. */
 #define MAX_LOST_WATCHES 5u
 #define SERVED_LATELY_S 2.0
+#define STORE_UNRESPONSIVE_S (HZB_KV_REPLICA_WATCH_MS / 1000.0 + 1) /* longer than a watch takes */
 
 /* What the reading of all records does next. */
 typedef enum
@@ -400,3 +401,9 @@
   g_free (kv_replica->load_cursor);
   g_free (kv_replica);
 }
+
+gboolean
+hzb_kv_replica_store_unresponsive (const HzbKvReplica *kv_replica)
+{
+  return hzb_kv_client_unresponsive_s (kv_replica->kv) > STORE_UNRESPONSIVE_S;
+}
--- a/src/kv/kv-replica.h
+++ b/src/kv/kv-replica.h
@@ -70,3 +70,9 @@
 
 /** HZB_KV_REPLICA_WATCH_MS: how long a watch waits for a change before it is renewed. */
 #define HZB_KV_REPLICA_WATCH_MS 2000
+
+/**
+ * hzb_kv_replica_store_unresponsive: the key-value store has not answered for longer than a watch takes. What has to be read or
+ * written there is better refused at once.
+ */
+gboolean hzb_kv_replica_store_unresponsive (const HzbKvReplica *kv_replica);
--- a/src/main.c
+++ b/src/main.c
@@ -136,6 +136,7 @@
   g_autoptr (HzbClock) clock = NULL;
   g_autoptr (GMainLoop) loop = NULL;
   HzbController *controller;
+  HzbHttpServer *api_server = NULL, *peer_server = NULL;
 
   /* No GIO modules, no D-Bus: nothing here needs them and they cost start-up time. */
   g_setenv ("GIO_USE_VFS", "local", TRUE);
@@ -174,16 +175,16 @@
     return 1;
   clock = hzb_clock_new ();
   controller = hzb_controller_new (settings, clock, hzb_http_client_new (), g_random_int ());
-  controller->api_server =
-      hzb_http_server_new (settings->api_addr, settings->sockets, hzb_controller_request, controller, &error);
-  if (controller->api_server)
-    controller->peer_server =
+  api_server = hzb_http_server_new (settings->api_addr, settings->sockets, hzb_controller_request, controller, &error);
+  if (api_server)
+    peer_server =
         hzb_http_server_new (settings->peer_addr, settings->sockets, hzb_controller_peer_request, controller, &error);
-  if (!controller->peer_server)
+  if (!peer_server)
     {
       g_printerr ("hazelbank: can't listen: %s\n", error->message);
       return 1;
     }
+  hzb_controller_set_http_servers (controller, api_server, peer_server);
   g_message ("hazelbank %s, node %s, users and workers at %s", HZB_VERSION, settings->node, settings->api_addr);
   g_timeout_add (HZB_TICK_MS, on_tick, controller);
   hzb_controller_tick (controller);
--- a/src/provisioning/provisioning.c
+++ b/src/provisioning/provisioning.c
@@ -1,6 +1,6 @@
 /* What the owner has to do with the cloud: types, renting, returning, and the list of what there is. */
 #include "cloud-protocol.h"
-#include "controller.h"
+#include "controller-private.h"
 
 #include <math.h>
 
--- a/src/reconciliation/archive-store.c
+++ b/src/reconciliation/archive-store.c
@@ -1,6 +1,6 @@
 #include "archive-store.h"
 
-#include "controller.h"
+#include "controller-private.h"
 #include "json.h"
 #include "kv-protocol.h"
 #include "user-protocol.h"
--- a/src/reconciliation/codec.h
+++ b/src/reconciliation/codec.h
@@ -10,11 +10,6 @@
 
 #include <cjson/cJSON.h>
 
-#define HZB_KEY_RECONCILIATION "hzb/x/reconciliation/"
-#define HZB_KEY_RECONCILIATION_STATE HZB_KEY_RECONCILIATION "state"
-#define HZB_KEY_RECONCILIATION_VERDICTS HZB_KEY_RECONCILIATION "verdicts/"
-#define HZB_KEY_RECONCILIATION_KEPT HZB_KEY_RECONCILIATION "kept"
-
 /** HZB_RECONCILIATION_FORMAT: of these records and of archives. A higher one is refused. */
 #define HZB_RECONCILIATION_FORMAT 1u
 
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -1,8 +1,9 @@
 #include "quarantine.h"
 
 #include "codec.h"
-#include "controller.h"
+#include "controller-private.h"
 #include "kv-protocol.h"
+#include "record-keys.h"
 #include "worker-protocol.h"
 
 /* A transaction without an answer may be carried out so long after it was sent, and clocks drift a little. */
--- a/src/reconciliation/reconciliation-private.h
+++ b/src/reconciliation/reconciliation-private.h
@@ -4,7 +4,7 @@
  */
 #pragma once
 #include "codec.h"
-#include "controller.h"
+#include "controller-private.h"
 #include "reconciliation.h"
 #include "roster.h"
 
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -5,6 +5,7 @@
 
 #include "kv-protocol.h"
 #include "reconciliation-private.h"
+#include "record-keys.h"
 #include "worker-protocol.h"
 
 #include <string.h>
--- a/src/reconciliation/recorder.c
+++ b/src/reconciliation/recorder.c
@@ -3,6 +3,7 @@
 #include "json.h"
 #include "kv-protocol.h"
 #include "reconciliation-private.h"
+#include "record-keys.h"
 
 #include <string.h>
 
--- a/src/reconciliation/roster.c
+++ b/src/reconciliation/roster.c
@@ -1,6 +1,6 @@
 #include "roster.h"
 
-#include "controller.h"
+#include "controller-private.h"
 #include "json.h"
 
 #define NAME_CHARS 10  /* of a process: enough to tell processes apart */
--- a/src/records/completed-job-archive.c
+++ b/src/records/completed-job-archive.c
@@ -1,7 +1,8 @@
 #include "completed-job-archive.h"
 
-#include "controller.h"
+#include "controller-private.h"
 #include "kv-protocol.h"
+#include "record-keys.h"
 
 #define MOVE_EVERY_S 1.0
 #define MOVE_PART 0.15 /* of the changes that the key-value store takes */
--- a/src/records/record-flush.c
+++ b/src/records/record-flush.c
@@ -3,6 +3,7 @@
 #include "job-progress.h"
 #include "json.h"
 #include "kv-protocol.h"
+#include "record-keys.h"
 #include "records-private.h"
 
 #define FLUSH_EVERY_S 0.1    /* at the most, for what tasks wait for; the rest is written more seldom: */
--- a/src/records/record-pages.c
+++ b/src/records/record-pages.c
@@ -1,4 +1,5 @@
 #include "record-pages.h"
+#include "record-keys.h"
 
 #include <string.h>
 
--- a/src/records/records-private.h
+++ b/src/records/records-private.h
@@ -3,7 +3,7 @@
  * @short_description: what records.c (reading) and record-flush.c (writing) share
  */
 #pragma once
-#include "controller.h"
+#include "controller-private.h"
 #include "record-pages.h"
 
 struct _HzbRecords
--- a/src/records/records.c
+++ b/src/records/records.c
@@ -8,6 +8,7 @@
 #include "job-progress.h"
 #include "json.h"
 #include "kv-protocol.h"
+#include "record-keys.h"
 #include "records-private.h"
 
 #include <string.h>
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -29,6 +29,9 @@
 /** hzb_records_flush_soon: writes what is due, at most one transaction at a time. Cheap to call often. */
 void hzb_records_flush_soon (HzbRecords *records);
 
+/** hzb_records_complete_job: all tasks of the job have finished: makes that durable, unless the job has been cancelled. */
+void hzb_records_complete_job (HzbRecords *records, HzbJob *job);
+
 /** hzb_records_drop_job: the job needs no progress record any more. */
 void hzb_records_drop_job (HzbRecords *records, HzbJob *job);
 
--- a/src/scheduling/jobs.c
+++ b/src/scheduling/jobs.c
@@ -3,6 +3,7 @@
 #include "json.h"
 #include "kv-protocol.h"
 #include "machines.h"
+#include "record-keys.h"
 #include "user-protocol.h"
 
 #include <math.h>
--- a/src/scheduling/jobs.h
+++ b/src/scheduling/jobs.h
@@ -6,12 +6,6 @@
 #include "task.h"
 #include "user-protocol.h"
 
-/* Room for tenants: main is the only one so far. Jobs are accepted many to a record; how each ends has one of its own. */
-#define HZB_KEY_ACCEPTED "hzb/a/accepted/main/"
-#define HZB_KEY_JOBS "hzb/a/jobs/main/"
-/* Of jobs that completed long ago: not replicated, since a month of them would not fit a node's memory. */
-#define HZB_KEY_ARCHIVED "hzb/o/ended/main/"
-#define HZB_KEY_PROGRESS "hzb/x/progress/main/"
 /* Progress is kept in parts of so many tasks: a part has to fit a value. A part of another size says so. */
 #define HZB_CHUNK_TASKS_SCHEMA_1 32768u /* of version 1, which says none */
 
--- a/src/scheduling/machines.h
+++ b/src/scheduling/machines.h
@@ -5,8 +5,6 @@
 #include "jobs.h"
 #include "machine-type.h"
 
-#define HZB_KEY_MACHINES "hzb/x/machines/"
-
 typedef enum
 {
   HZB_MACHINE_BOOTING,    /* rented, its worker has not reported */
--- a/src/shards/leaseholder.c
+++ b/src/shards/leaseholder.c
@@ -1,5 +1,5 @@
 /* This node's part as a leaseholder: the shard that the leader has leased to it. lease.c says how leasing goes. */
-#include "controller.h"
+#include "controller-private.h"
 #include "json.h"
 #include "outbox.h"
 #include "shard-messages.h"
--- a/src/shards/shard-delegation.c
+++ b/src/shards/shard-delegation.c
@@ -1,5 +1,5 @@
 /* Which unstarted tasks go to a leaseholder that has room, and which of its machines come back for a service. */
-#include "controller.h"
+#include "controller-private.h"
 #include "scheduling-class.h"
 #include "shard-leases-private.h"
 
--- a/src/shards/shard-leases.c
+++ b/src/shards/shard-leases.c
@@ -12,7 +12,7 @@
  * gives it back.
  *
  * This file is the leader's part; leaseholder.c is the other side. */
-#include "controller.h"
+#include "controller-private.h"
 #include "json.h"
 #include "shard-leases-private.h"
 #include "user-protocol.h"
@@ -246,7 +246,7 @@
   hzb_task_set_state (controller->jobs, task, HZB_TASK_FINISHED, NULL);
   task->job->dirty = TRUE;
   if (task->job->finished + task->job->done == task->job->n_tasks)
-    hzb_controller_record_completion (controller, task->job);
+    hzb_records_complete_job (controller->records, task->job);
   else
     hzb_records_flush_soon (controller->records);
 }
--- a/src/shards/shard-machines.c
+++ b/src/shards/shard-machines.c
@@ -1,6 +1,6 @@
 /* Which machine is in whose shard: leased as they come up or stand idle, handed over with their work while the leader is late,
  * asked back when they are spare or needed here. */
-#include "controller.h"
+#include "controller-private.h"
 #include "shard-leases-private.h"
 
 #include <string.h>
--- a/tests/sim-cluster.h
+++ b/tests/sim-cluster.h
@@ -1,7 +1,7 @@
 /* A small deployment in simulated time: fakes of the key-value store, the cloud, the workers and the users,
  * written from the published protocol, around real controllers. After every step the rules are checked. */
 #pragma once
-#include "controller.h"
+#include "controller-private.h"
 
 #define SIM_NODES 3
 
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -1,6 +1,7 @@
 /* All controllers end under load and come back: nothing runs twice, nothing is lost, and no command is given for a job before
  * its verdict is durable. -m slow plays larger fleets and more seeds, -m perf measures. */
 #include "json.h"
+#include "record-keys.h"
 #include "sim-faults.h"
 #include "user-protocol.h"
 
--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -5,6 +5,7 @@
 #include "fake-transport.h"
 #include "kv-client.h"
 #include "kv-protocol.h"
+#include "record-keys.h"
 
 typedef struct
 {
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -1,4 +1,5 @@
 #include "job-progress.h"
+#include "record-keys.h"
 #include "support.h"
 
 #include <math.h>
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -1,4 +1,5 @@
 /* What is durable, and what is told of it. */
+#include "record-keys.h"
 #include "sim-faults.h"
 
 #include <string.h>
