--- a/src/controller/controller-private.h
+++ b/src/controller/controller-private.h
@@ -66,15 +66,28 @@
 
   HzbOwnership *ownership;
   char *owner_load_cursor;
-  gboolean owner_page_asked;
+  gboolean owner_page_requested;
   struct timespec next_owner_page;
   struct timespec last_tick; /* the timer's */
-  struct timespec next_plan, next_summary;
+  struct timespec next_consolidation, next_summary;
 };
 
 extern const HzbKvReplicaFuncs hzb_controller_replica_funcs;
 
-void hzb_controller_apply_record (HzbController *controller, const HzbKvEntry *item);
+/** hzb_controller_apply_record: takes a record that is replicated, as the key-value store has it. */
+void hzb_controller_apply_record (HzbController *controller, const HzbKvEntry *entry);
+
+/** hzb_controller_check_connectivity: a leader that another node could replace with profit steps down. */
+void hzb_controller_check_connectivity (HzbController *controller);
+
+/** hzb_controller_update_ownership: begins or ends the ownership of the leader's shard, as the election says. */
+void hzb_controller_update_ownership (HzbController *controller, struct timespec now);
+
+/** hzb_controller_dispatch: places tasks now. */
+void hzb_controller_dispatch (HzbController *controller, struct timespec now);
+
+/** hzb_controller_consolidate_when_due: moves tasks off machines that are to be scaled in, once a second. */
+void hzb_controller_consolidate_when_due (HzbController *controller, struct timespec now);
 
 /** hzb_controller_begin_leased: this node owns a shard that the leader leased to it. */
 void hzb_controller_begin_leased (HzbController *controller, guint64 fencing_token);
--- /dev/null
+++ b/src/controller/fleet-summary.c
@@ -0,0 +1,72 @@
+#include "fleet-summary.h"
+
+/* Of a node's sockets: when more of them are in use for machines, the log warns. */
+#define SOCKETS_PART 0.9
+
+/* Sums of machines, of machines' CPUs and of tasks' CPUs. */
+typedef struct
+{
+  guint up, leased, booting, other;
+  double up_cpus, scale_in_candidate_cpus, booting_cpus;
+  double held_cpus, running_cpus, waiting_cpus;
+} FleetSummary;
+
+static void
+add_machine (FleetSummary *summary, const HzbMachine *machine)
+{
+  if ((machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_LEASED) && machine->type)
+    {
+      summary->up++;
+      summary->leased += machine->state == HZB_MACHINE_LEASED;
+      summary->up_cpus += machine->type->cpus;
+      summary->scale_in_candidate_cpus += machine->scale_in_candidate ? machine->type->cpus : 0;
+    }
+  else if (machine->state == HZB_MACHINE_BOOTING && machine->type)
+    {
+      summary->booting++;
+      summary->booting_cpus += machine->type->cpus;
+    }
+  else
+    summary->other++;
+}
+
+static void
+add_job (FleetSummary *summary, const HzbJob *job)
+{
+  if (job->state != HZB_JOB_ACCEPTED)
+    return;
+  summary->waiting_cpus += (job->pending + job->queued) * job->spec->cpus;
+  summary->held_cpus += job->placed * job->spec->cpus;
+  summary->running_cpus += (job->running + job->delegated_running) * job->spec->cpus;
+}
+
+/* Guards against connections that are refused for want of sockets, which looks like machines that do not respond. */
+static void
+warn_of_few_sockets (const HzbSettings *settings, const FleetSummary *summary)
+{
+  guint machines_here = summary->up - summary->leased + summary->booting + summary->other;
+  if (machines_here > SOCKETS_PART * settings->sockets)
+    g_warning ("%u machines send their heartbeats to this node, and cluster.resources.sockets is %u: raise it, or add "
+               "controllers",
+               machines_here, settings->sockets);
+}
+
+void
+hzb_fleet_summary_log (const HzbMachines *machines, const HzbJobs *jobs, const HzbDispatch *dispatch,
+                       const HzbSettings *settings)
+{
+  FleetSummary summary = { 0 };
+
+  for (guint i = 0; i < machines->all->len; i++)
+    add_machine (&summary, machines->all->pdata[i]);
+  for (guint i = 0; i < jobs->active->len; i++)
+    add_job (&summary, jobs->active->pdata[i]);
+  g_message (
+      "fleet: %u machines up, %u of them leased to other controllers (%g CPUs: %g held by tasks, %g running tasks; %g on "
+      "scale-in candidates), %u booting (%g CPUs), %u other; tasks for %g CPUs wait; timers are %.0f ms late",
+      summary.up, summary.leased, summary.up_cpus, summary.held_cpus, summary.running_cpus,
+      summary.scale_in_candidate_cpus, summary.booting, summary.booting_cpus, summary.other, summary.waiting_cpus,
+      dispatch->lag_s * 1e3);
+  if (settings->sockets)
+    warn_of_few_sockets (settings, &summary);
+}
--- /dev/null
+++ b/src/controller/ownership-transitions.c
@@ -0,0 +1,167 @@
+/* How this node comes to own a shard, and how it gives it up. */
+#include "controller-private.h"
+#include "record-keys.h"
+
+#define OWNER_PAGE_PAUSE_S 0.4 /* after a page of the leader's records that did not come */
+
+/* ---- reading the records of the leader before ---- */
+
+static void on_owner_page (HzbKvResult result, const char *body, gpointer user);
+
+static void
+request_owner_page (HzbController *controller)
+{
+  controller->owner_page_requested = TRUE;
+  hzb_kv_client_range (controller->kv, HZB_KEY_OWNER, controller->owner_load_cursor, on_owner_page,
+                       hzb_epoch_call_new (controller->ownership, controller, NULL));
+}
+
+static void
+apply_owner_page (HzbController *controller, const GArray *entries)
+{
+  for (guint i = 0; i < entries->len; i++)
+    {
+      HzbKvEntry *entry = &g_array_index (entries, HzbKvEntry, i);
+      hzb_records_load (controller->records, entry);
+      hzb_reconciliation_load (controller->reconciliation, entry);
+      g_free (controller->owner_load_cursor);
+      controller->owner_load_cursor = g_strdup (entry->key);
+    }
+}
+
+static void
+finish_owner_load (HzbController *controller)
+{
+  hzb_records_load_finished (controller->records);
+  hzb_reconciliation_loaded (controller->reconciliation);
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_RECOVERING, "the records have been read");
+}
+
+static void
+on_owner_page (HzbKvResult result, const char *body, gpointer user)
+{
+  g_autofree HzbEpochCall *epoch_call = user;
+  HzbController *controller = epoch_call->module;
+  g_autoptr (GArray) entries = NULL;
+  gboolean more = FALSE;
+  guint64 revision = 0;
+
+  if (!hzb_epoch_call_is_current (epoch_call) || hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_LOADING)
+    return;
+  controller->owner_page_requested = FALSE;
+  entries = result == HZB_KV_OK ? hzb_kv_range_decode (body, &more, &revision) : NULL;
+  if (!entries)
+    {
+      /* Guards against a leader that asks again at once, all the time, while the key-value store refuses it. */
+      controller->next_owner_page = hzb_time_plus (hzb_clock_now (controller->clock), OWNER_PAGE_PAUSE_S);
+      return;
+    }
+  apply_owner_page (controller, entries);
+  if (more && entries->len)
+    request_owner_page (controller);
+  else
+    finish_owner_load (controller);
+}
+
+/* ---- as leader ---- */
+
+static void
+begin_leadership (HzbController *controller)
+{
+  hzb_ownership_begin_epoch (controller->ownership);
+  controller->shard =
+      hzb_shard_new (controller->settings, hzb_fencing_token (hzb_election_term (controller->election), 0));
+  hzb_shard_leases_reset (controller->shard_leases);
+  hzb_records_reset (controller->records);
+  hzb_reconciliation_reset (controller->reconciliation);
+  hzb_completed_job_archive_reset (controller->completed_job_archive);
+  hzb_provisioning_reset (controller->provisioning);
+  g_clear_pointer (&controller->owner_load_cursor, g_free);
+  hzb_machines_clear (controller->machines);
+  hzb_jobs_begin_ownership (controller->jobs, controller->shard);
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_LOADING, "elected");
+  request_owner_page (controller);
+}
+
+static void
+end_leadership (HzbController *controller)
+{
+  hzb_ownership_begin_epoch (controller->ownership);
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_NONE, "not the leader any more");
+  hzb_records_reset (controller->records);
+  hzb_reconciliation_reset (controller->reconciliation);
+  hzb_completed_job_archive_reset (controller->completed_job_archive);
+  hzb_jobs_end_ownership (controller->jobs);
+  hzb_machines_clear (controller->machines);
+  g_clear_pointer (&controller->shard, hzb_shard_free);
+}
+
+/* The shard is still that of an earlier term: this node was elected anew before it noticed that it had lost its leadership. */
+static gboolean
+shard_is_of_earlier_term (const HzbController *controller)
+{
+  return hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_NONE
+         && hzb_fencing_token_term (controller->shard->fencing_token) != hzb_election_term (controller->election);
+}
+
+/* Between its election and reading the leader's records, the replica of the records must have caught up with the record of the
+ * term: it then shows every job that the leader before could have started. */
+static gboolean
+may_begin_leadership (const HzbController *controller)
+{
+  return hzb_ownership_state (controller->ownership) == HZB_OWNERSHIP_NONE
+         && hzb_kv_replica_state (controller->kv_replica) == HZB_KV_REPLICA_FOLLOWING
+         && hzb_election_term_replicated (controller->election);
+}
+
+void
+hzb_controller_update_ownership (HzbController *controller, struct timespec now)
+{
+  gboolean leading = hzb_election_leading (controller->election);
+
+  if (leading)
+    hzb_controller_end_leased (controller, "this node leads now");
+  if (leading && shard_is_of_earlier_term (controller))
+    end_leadership (controller);
+  if (leading && may_begin_leadership (controller))
+    begin_leadership (controller);
+  else if (!leading && hzb_ownership_state (controller->ownership) > HZB_OWNERSHIP_LEASEHOLDER)
+    end_leadership (controller);
+  if (hzb_ownership_state (controller->ownership) == HZB_OWNERSHIP_LOADING && !controller->owner_page_requested
+      && !hzb_time_before (now, controller->next_owner_page))
+    request_owner_page (controller);
+}
+
+void
+hzb_controller_recovered (HzbController *controller)
+{
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_READY, "every machine has answered or is gone");
+}
+
+/* ---- as leaseholder ---- */
+
+void
+hzb_controller_begin_leased (HzbController *controller, guint64 fencing_token)
+{
+  hzb_ownership_begin_epoch (controller->ownership);
+  controller->shard = hzb_shard_new_leased (controller->settings, fencing_token);
+  controller->jobs->leaseholder = TRUE;
+  hzb_machines_clear (controller->machines);
+  hzb_leaseholder_clear (controller->leaseholder);
+  hzb_jobs_begin_ownership (controller->jobs, controller->shard);
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_LEASEHOLDER,
+                           "the leader has leased a shard to this node");
+}
+
+void
+hzb_controller_end_leased (HzbController *controller, const char *why)
+{
+  if (!hzb_ownership_is_leaseholder (controller->ownership))
+    return;
+  hzb_ownership_begin_epoch (controller->ownership);
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_NONE, why);
+  hzb_jobs_end_ownership (controller->jobs);
+  hzb_machines_clear (controller->machines);
+  hzb_leaseholder_clear (controller->leaseholder);
+  g_clear_pointer (&controller->shard, hzb_shard_free);
+}
