--- a/src/controller/controller-private.h
+++ b/src/controller/controller-private.h
@@ -31,47 +31,55 @@
 #include "user-api.h"
 #include "worker-api.h"
 
+/** HzbController: the modules are built and freed in controller-wiring.c. */
 struct _HzbController
 {
-  HzbNode *node;
-  HzbSettings *settings;
-  HzbClock *clock;
-  HzbTransport *transport;
-  GRand *rand;
-  HzbKvClient *kv;
-  HzbCloudClient *cloud;
+  HzbNode *node;           /**< what this process says of itself */
+  HzbSettings *settings;   /**< not owned */
+  HzbClock *clock;         /**< not owned */
+  HzbTransport *transport; /**< not owned */
+  GRand *rand;             /**< seeded, so that tests repeat */
+  HzbMetrics *metrics;     /**< counts of requests and answers */
+
+  HzbHttpServer *api_server;  /**< not owned; NULL in tests. For its counts only */
+  HzbHttpServer *peer_server; /**< likewise */
+
+  HzbKvClient *kv;          /**< the client of the key-value store */
+  HzbKvReplica *kv_replica; /**< the records that every controller follows */
+  HzbCloudClient *cloud;    /**< the client of the cloud */
+
+  HzbJobs *jobs;             /**< all jobs that are replicated, and tasks of those owned here */
+  HzbMachines *machines;     /**< of the shard owned here */
+  HzbDispatch *dispatch;     /**< which task runs where */
+  HzbAutoscaler *autoscaler; /**< how many machines there should be */
+  HzbShard *shard;           /**< the shard owned here, NULL: none; the same as jobs->shard */
+
+  HzbOwnership *ownership; /**< whether this node owns a shard, and in which role */
   HzbElection *election;
-  HzbJobs *jobs;
-  HzbMachines *machines;
-  HzbDispatch *dispatch;
-  HzbAutoscaler *autoscaler;
-  HzbShard *shard;
-  HzbUserApi *api;
+  HzbPeers *peers;
   HzbCancellations *cancellations;
-  HzbShardLeases *shard_leases;
-  HzbLeaseholder *leaseholder;
+  HzbReconciliation *reconciliation;
   HzbRecords *records;
   HzbCompletedJobArchive *completed_job_archive;
-  HzbMetrics *metrics;
-  guint64 settings_version; /* of the operators' settings */
-  gboolean lease_shards;
-  HzbPeers *peers;
+  HzbShardLeases *shard_leases; /**< the leader's side of leased shards */
+  HzbLeaseholder *leaseholder;  /**< the leaseholder's side */
   HzbProvisioning *provisioning;
-  HzbReconciliation *reconciliation;
+  HzbUserApi *api;
 
-  HzbHttpServer *api_server, *peer_server; /* NULL in tests: for what they count */
+  guint64 settings_version; /**< version of the record of the operators' settings; 0: there is none */
+  gboolean lease_shards;    /**< operators' setting: FALSE keeps all machines with the leader */
 
-  HzbKvReplica *kv_replica;
-  gboolean load_saw_leader; /* the reading of all records under way has shown who leads */
+  gboolean load_saw_leader;        /**< the reading of all records under way has shown who leads */
+  char *owner_load_cursor;         /**< the last key read of the leader's records; NULL: none yet */
+  gboolean owner_page_requested;   /**< a page of the leader's records is on its way */
+  struct timespec next_owner_page; /**< not before then is a page asked for again */
 
-  HzbOwnership *ownership;
-  char *owner_load_cursor;
-  gboolean owner_page_requested;
-  struct timespec next_owner_page;
-  struct timespec last_tick; /* the timer's */
-  struct timespec next_consolidation, next_summary;
+  struct timespec last_tick;          /**< when the timer last fired */
+  struct timespec next_consolidation; /**< of tasks, off machines that are to be scaled in */
+  struct timespec next_summary;       /**< of the fleet, in the log */
 };
 
+/** The functions by which the replica of the records hands over what it shows; user data: the controller. */
 extern const HzbKvReplicaFuncs hzb_controller_replica_funcs;
 
 /** hzb_controller_apply_record: takes a record that is replicated, as the key-value store has it. */
