--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -65,13 +65,48 @@
 static HzbShardLeases *
 new_shard_leases (HzbController *controller)
 {
-  return hzb_shard_leases_new (controller);
+  HzbShardLeasesDependencies dependencies = {
+    .node = controller->node,
+    .election = controller->election,
+    .ownership = controller->ownership,
+    .cancellations = controller->cancellations,
+    .jobs = controller->jobs,
+    .machines = controller->machines,
+    .dispatch = controller->dispatch,
+    .records = controller->records,
+    .leasing_enabled = &controller->lease_shards,
+  };
+  return hzb_shard_leases_new (&dependencies);
+}
+
+static void
+begin_lease (guint64 fencing_token, gpointer controller)
+{
+  hzb_controller_begin_leased (controller, fencing_token);
+}
+
+static void
+end_lease (const char *why, gpointer controller)
+{
+  hzb_controller_end_leased (controller, why);
 }
 
 static HzbLeaseholder *
 new_leaseholder (HzbController *controller)
 {
-  return hzb_leaseholder_new (controller);
+  HzbLeaseholderDependencies dependencies = {
+    .node = controller->node,
+    .election = controller->election,
+    .ownership = controller->ownership,
+    .kv_replica = controller->kv_replica,
+    .peers = controller->peers,
+    .cancellations = controller->cancellations,
+    .jobs = controller->jobs,
+    .machines = controller->machines,
+    .dispatch = controller->dispatch,
+  };
+  HzbLeaseholderCallbacks callbacks = { .begin_lease = begin_lease, .end_lease = end_lease, .user = controller };
+  return hzb_leaseholder_new (&dependencies, &callbacks);
 }
 
 static HzbProvisioning *
--- a/src/shards/outbox.h
+++ b/src/shards/outbox.h
@@ -1,26 +1,55 @@
-/* Numbered messages to another controller, repeated until they are acknowledged; and how tasks are named in them. */
+/**
+ * @file
+ * SECTION: outbox
+ * @short_description: numbered messages to another controller, repeated until they are acknowledged
+ *
+ * The leader keeps one outbox of batches for each leaseholder, a leaseholder keeps one of events for the leader. The receiver takes
+ * each number once and in order, so a repeated message changes nothing.
+ */
 #pragma once
-#include "jobs.h"
+#include <cjson/cJSON.h>
+#include <glib.h>
 
+/** HzbOutboxMessage: what the outbox keeps of a message; the first member of each type of message that goes through an outbox. */
 typedef struct
 {
-  GQueue waiting; /* not acknowledged */
-  guint64 number; /* of the last */
+  guint64 number; /**< its place in the order, from 1 on; set when it is pushed */
+  gboolean sent;  /**< it was sent at least once, so its content does not change any more */
+  gsize bytes;    /**< its encoded size, if the outbox limits the size of what is sent at once */
+} HzbOutboxMessage;
+
+/** HzbOutboxEncode: Returns: (transfer full): the message as it goes over the wire, its number included */
+typedef cJSON *(*HzbOutboxEncode) (const HzbOutboxMessage *message);
+
+/** HzbOutbox: the messages to one receiver that have not been acknowledged. */
+typedef struct
+{
+  GQueue waiting;         /**< (element-type HzbOutboxMessage): not acknowledged, by number */
+  guint64 number;         /**< of the message that was pushed last; 0: none was */
+  gsize max_bytes;        /**< of all messages that are sent at once; 0: no limit */
+  HzbOutboxEncode encode; /**< encodes a message, to measure it */
+  GDestroyNotify free;    /**< frees a message */
 } HzbOutbox;
 
-void hzb_outbox_push (HzbOutbox *outbox, cJSON *body); /* takes the body */
-void hzb_outbox_acknowledged (HzbOutbox *outbox, guint64 number);
-/* The first ones, as many as fit, and one at least: what is left goes once these are acknowledged. */
-cJSON *hzb_outbox_pack (const HzbOutbox *outbox, gsize max_bytes);
-void hzb_outbox_clear (HzbOutbox *outbox);
-/* The body of the last message, if it has a member of that name and has never been packed; else NULL. */
-cJSON *hzb_outbox_unsent (HzbOutbox *outbox, const char *member);
+/** hzb_outbox_init: makes @outbox empty; @max_bytes 0 sets no limit on what is sent at once. */
+void hzb_outbox_init (HzbOutbox *outbox, gsize max_bytes, HzbOutboxEncode encode, GDestroyNotify free_message);
+
+/** hzb_outbox_push: numbers @message (transfer full) and sends it from now on. */
+void hzb_outbox_push (HzbOutbox *outbox, HzbOutboxMessage *message);
 
-/* A message with this text as that member has not been acknowledged. */
-gboolean hzb_outbox_holds (const HzbOutbox *outbox, const char *member, const char *text);
+/** hzb_outbox_acknowledge: the receiver has taken all messages up to @number. */
+void hzb_outbox_acknowledge (HzbOutbox *outbox, guint64 number);
 
-typedef void (*HzbTaskFunc) (HzbTask *task, gpointer user);
+/**
+ * hzb_outbox_send: marks the first messages as sent, as many as fit the limit, and one at least. What is left goes once
+ * these are acknowledged.
+ *
+ * Returns: (transfer container) (element-type HzbOutboxMessage): what is to be sent now
+ */
+GPtrArray *hzb_outbox_send (const HzbOutbox *outbox);
 
-HzbTask *hzb_tasks_find (HzbJobs *jobs, const char *uid, int index); /* NULL: no such task is held here */
-void hzb_tasks_add (cJSON *groups, const HzbTask *task);
-void hzb_tasks_each (HzbJobs *jobs, const cJSON *groups, HzbTaskFunc func, gpointer user);
+/** hzb_outbox_last_unsent: Returns: (transfer none) (nullable): the last message, if it was never sent and may still grow */
+HzbOutboxMessage *hzb_outbox_last_unsent (const HzbOutbox *outbox);
+
+/** hzb_outbox_clear: drops all messages; the next one gets number 1. */
+void hzb_outbox_clear (HzbOutbox *outbox);
--- /dev/null
+++ b/src/shards/shard-events.c
@@ -0,0 +1,179 @@
+/* The leader applies what a leaseholder reports of the tasks and machines of its shard. */
+#include "shard-leases-private.h"
+
+/* ---- tasks that ended, or come back unstarted ---- */
+
+/* What the functions for single tasks need. */
+typedef struct
+{
+  HzbLeaseholderView *leaseholder;
+  double ran_s; /* for how long the tasks of the event ran */
+} EventContext;
+
+static void
+record_result (HzbTask *task, const EventContext *context)
+{
+  const HzbShardLeasesDependencies *modules = &context->leaseholder->shard_leases->modules;
+
+  task->job->did_well = TRUE;
+  hzb_jobs_record_run_time (modules->jobs, task->job, context->ran_s);
+  hzb_task_set_state (modules->jobs, task, HZB_TASK_FINISHED, NULL);
+  task->job->dirty = TRUE;
+  if (task->job->finished + task->job->done == task->job->n_tasks)
+    hzb_records_complete_job (modules->records, task->job);
+  else
+    hzb_records_flush_soon (modules->records);
+}
+
+static void
+task_finished (HzbTask *task, gpointer user)
+{
+  const EventContext *context = user;
+  HzbLeaseholderView *leaseholder = context->leaseholder;
+
+  if (task->state == HZB_TASK_DONE)
+    {
+      /* The event is repeated after a failover, and the result is durable already: the worker may forget it. */
+      task->leaseholder = leaseholder->id;
+      hzb_shard_leases_announce_durable (leaseholder->shard_leases, task);
+    }
+  else if (task->state == HZB_TASK_FINISHED)
+    task->leaseholder =
+        leaseholder->id; /* of a machine that was handed over with its result: announce it once durable */
+  else if (hzb_shards_is_delegated_to (task, leaseholder))
+    record_result (task, context);
+}
+
+static void
+task_returned (HzbTask *task, gpointer user)
+{
+  const EventContext *context = user;
+  if (!hzb_shards_is_delegated_to (task, context->leaseholder))
+    return;
+  hzb_task_set_state (context->leaseholder->shard_leases->modules.jobs, task, HZB_TASK_PENDING, NULL);
+  task->leaseholder = 0;
+}
+
+/* ---- machines that come back ---- */
+
+/* The heartbeats that the leaseholder received were newer than any copy of one that may still arrive here. */
+static void
+adopt_heartbeat_numbers (HzbMachine *machine, const HzbMachineReturn *returned)
+{
+  if (returned->agent_epoch < machine->agent_epoch)
+    return;
+  if (returned->agent_epoch > machine->agent_epoch)
+    machine->sequence = returned->sequence;
+  else
+    machine->sequence = MAX (machine->sequence, returned->sequence);
+  machine->agent_epoch = returned->agent_epoch;
+}
+
+/* The task is on the returned machine or nowhere, so it waits only for that machine's next heartbeat, or its end. */
+static void
+bind_task (HzbLeaseholderView *leaseholder, HzbMachine *machine, const HzbHeldTask *held)
+{
+  HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
+  HzbTask *task = hzb_tasks_find (jobs, held->uid, held->number);
+
+  if (!task || !hzb_shards_is_delegated_to (task, leaseholder))
+    return;
+  task->attempt = held->attempt;
+  task->leaseholder = 0;
+  hzb_task_set_state (jobs, task, HZB_TASK_STARTING, machine);
+}
+
+static void
+accept_returned_machine (HzbLeaseholderView *leaseholder, const HzbMachineReturn *returned)
+{
+  HzbShardLeases *shard_leases = leaseholder->shard_leases;
+  HzbMachines *machines = shard_leases->modules.machines;
+  HzbMachine *machine = hzb_machines_find (machines, returned->name);
+
+  if (!machine || !hzb_shards_is_leased_to (machine, leaseholder))
+    return;
+  hzb_machine_unverify (machines, machine, hzb_shard_leases_next_fencing_token (shard_leases), returned->why);
+  machine->unconfirmed_tasks_of = HZB_UNCONFIRMED_TASKS_OF_NONE;
+  machine->idle_since = hzb_clock_now (shard_leases->modules.node->clock);
+  if (returned->faulty)
+    machine->scale_in_requested = TRUE;
+  adopt_heartbeat_numbers (machine, returned);
+  for (guint i = 0; i < returned->lost->len; i++)
+    bind_task (leaseholder, machine, &g_array_index (returned->lost, HzbHeldTask, i));
+}
+
+void
+hzb_shards_apply_event (HzbLeaseholderView *leaseholder, const HzbShardEvent *event)
+{
+  HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
+  EventContext context = { leaseholder, event->ran_s };
+
+  hzb_task_groups_foreach (event->finished, jobs, task_finished, &context);
+  hzb_task_groups_foreach (event->returned, jobs, task_returned, &context);
+  if (event->machine)
+    accept_returned_machine (leaseholder, event->machine);
+}
+
+/* ---- counts of tasks by job: a member of HzbJob has the sum over all leaseholders ---- */
+
+static guint *
+sum_of (HzbJob *job, glong member)
+{
+  return &G_STRUCT_MEMBER (guint, job, member);
+}
+
+static void
+subtract_count (HzbJobs *jobs, glong member, const char *uid, guint count)
+{
+  HzbJob *job = hzb_jobs_find (jobs, uid);
+  if (job && *sum_of (job, member) >= count)
+    *sum_of (job, member) -= count;
+}
+
+static void
+clear_counts (HzbJobs *jobs, GHashTable *counts, glong member)
+{
+  GHashTableIter iter;
+  gpointer uid, count;
+
+  g_hash_table_iter_init (&iter, counts);
+  while (g_hash_table_iter_next (&iter, &uid, &count))
+    subtract_count (jobs, member, uid, GPOINTER_TO_UINT (count));
+  g_hash_table_remove_all (counts);
+}
+
+/* Jobs that a partial message does not name keep their counts. */
+static void
+apply_counts (HzbJobs *jobs, GHashTable *counts, glong member, const GArray *reported, gboolean partial)
+{
+  if (!partial)
+    clear_counts (jobs, counts, member);
+  for (guint i = 0; i < reported->len; i++)
+    {
+      const HzbJobCount *item = &g_array_index (reported, HzbJobCount, i);
+      HzbJob *job = hzb_jobs_find (jobs, item->uid);
+      if (!job || !job->tasks)
+        continue;
+      subtract_count (jobs, member, item->uid, GPOINTER_TO_UINT (g_hash_table_lookup (counts, item->uid)));
+      *sum_of (job, member) += item->count;
+      g_hash_table_insert (counts, g_strdup (item->uid), GUINT_TO_POINTER (item->count));
+    }
+}
+
+void
+hzb_shards_apply_counts (HzbLeaseholderView *leaseholder, const HzbShardPoll *poll)
+{
+  HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
+  apply_counts (jobs, leaseholder->running, G_STRUCT_OFFSET (HzbJob, delegated_running), poll->running,
+                poll->partial_counts);
+  apply_counts (jobs, leaseholder->leaving, G_STRUCT_OFFSET (HzbJob, delegated_leaving), poll->leaving,
+                poll->partial_counts);
+}
+
+void
+hzb_shards_clear_counts (HzbLeaseholderView *leaseholder)
+{
+  HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
+  clear_counts (jobs, leaseholder->running, G_STRUCT_OFFSET (HzbJob, delegated_running));
+  clear_counts (jobs, leaseholder->leaving, G_STRUCT_OFFSET (HzbJob, delegated_leaving));
+}
--- a/src/shards/shard-messages.c
+++ b/src/shards/shard-messages.c
@@ -1,7 +1,6 @@
 #include "shard-messages.h"
 
 #include "json.h"
-#include "machines.h"
 
 /* ---- tasks on machines that change hands ---- */
 
@@ -43,7 +42,8 @@
   return list;
 }
 
-/* One that names no job stays, as a task that nobody knows: the machine must not be taken for one without it. */
+/* An entry that names no job is kept as a task that is unknown here. Without it the receiver would conclude that the machine
+ * holds fewer tasks than it may hold. */
 static GArray *
 held_tasks_decode (const cJSON *list)
 {
@@ -176,6 +176,23 @@
 
 /* ---- recalls ---- */
 
+HzbRecall *
+hzb_recall_new (const char *machine, gboolean back, gboolean at_once)
+{
+  HzbRecall *recall = g_new0 (HzbRecall, 1);
+  recall->machine = g_strdup (machine);
+  recall->back = back;
+  recall->at_once = at_once;
+  return recall;
+}
+
+void
+hzb_recall_free (HzbRecall *recall)
+{
+  g_free (recall->machine);
+  g_free (recall);
+}
+
 cJSON *
 hzb_recall_encode (const HzbRecall *recall)
 {
@@ -186,39 +203,12 @@
   return message;
 }
 
-gboolean
-hzb_recall_decode (const cJSON *message, HzbRecall *recall)
+HzbRecall *
+hzb_recall_decode (const cJSON *message)
 {
   const char *back = hzb_json_text (message, "back"), *keep = hzb_json_text (message, "keep");
 
-  recall->back = back != NULL;
-  recall->machine = back ? back : keep;
-  recall->at_once = back && cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "now"));
-  return recall->machine != NULL;
-}
-
-/* ---- answers ---- */
-
-void
-hzb_shard_answer_encode (const HzbShardAnswer *answer, cJSON *message)
-{
-  hzb_json_add_u64 (message, "term", answer->term);
-  if (answer->end)
-    {
-      cJSON_AddTrueToObject (message, "end");
-      return;
-    }
-  hzb_json_add_u64 (message, "token", answer->fencing_token);
-  hzb_json_add_u64 (message, "have", answer->have);
-  cJSON_AddNumberToObject (message, "leaseS", answer->lease_s);
-}
-
-void
-hzb_shard_answer_decode (const cJSON *message, HzbShardAnswer *answer)
-{
-  answer->term = hzb_json_u64 (message, "term");
-  answer->end = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "end"));
-  answer->fencing_token = hzb_json_u64 (message, "token");
-  answer->have = hzb_json_u64 (message, "have");
-  answer->lease_s = hzb_json_number (message, "leaseS", 0);
+  if (back)
+    return hzb_recall_new (back, TRUE, cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "now")));
+  return keep ? hzb_recall_new (keep, FALSE, FALSE) : NULL;
 }
--- a/src/shards/shard-messages.h
+++ b/src/shards/shard-messages.h
@@ -1,43 +1,48 @@
 /**
+ * @file
  * SECTION: shard-messages
  * @short_description: what the leader and its leaseholders tell each other of machines, and its encoding
  *
- * The one place that knows how these messages are written. Groups of tasks, which are merged while they wait to be sent, are
- * in outbox.h.
+ * The only place that knows how these messages are written. shard-exchange.h puts them into polls and answers.
  */
 #pragma once
-#include "task.h"
+#include "machines.h"
 
 #include <cjson/cJSON.h>
 
 /** HzbHeldTask: a task that is, or may be, on a machine that changes hands. */
 typedef struct
 {
-  char *uid;
-  int number; /* below 0: none was named */
-  guint64 attempt;
-  gboolean runs;
+  char *uid;       /**< (nullable): of its job; NULL: the sender named none */
+  int number;      /**< of the task in its job; below 0: the sender named none */
+  guint64 attempt; /**< which start of the task it is */
+  gboolean runs;   /**< the worker has reported that it runs; else it may still be fetching its image */
 } HzbHeldTask;
 
-/** hzb_held_tasks_new: Returns: (transfer full) (element-type HzbHeldTask) */
+/** hzb_held_tasks_new: Returns: (transfer full) (element-type HzbHeldTask): none yet */
 GArray *hzb_held_tasks_new (void);
 
-/** hzb_held_tasks_add: the task as it is now. */
+/** hzb_held_tasks_add: adds a task to @held (element-type HzbHeldTask) in its present state. */
 void hzb_held_tasks_add (GArray *held, const HzbTask *task);
 
 /** HzbMachineLease: the leader leases a machine. */
 typedef struct
 {
-  char *name, *addr, *type, *zone;
-  gboolean spot;
-  guint64 agent_epoch, sequence; /* of its last report */
-  GArray *holds;                 /* HzbHeldTask; NULL: it had no tasks when it was leased */
+  char *name;          /**< of the machine */
+  char *addr;          /**< (nullable): host and port of its worker */
+  char *type;          /**< name of its machine type */
+  char *zone;          /**< in which it is */
+  gboolean spot;       /**< the cloud may take it back at any time */
+  guint64 agent_epoch; /**< of its last heartbeat */
+  guint64 sequence;    /**< of its last heartbeat */
+  GArray *holds; /**< (nullable) (element-type HzbHeldTask): what may be on it; NULL: it was leased without tasks */
 } HzbMachineLease;
 
+/** hzb_machine_lease_free: frees a lease and what it holds. */
 void hzb_machine_lease_free (HzbMachineLease *lease);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbMachineLease, hzb_machine_lease_free)
 
-/** hzb_machine_lease_new: of the machine as it is, without tasks. Returns: (transfer full) */
+/** hzb_machine_lease_new: Returns: (transfer full): of the machine in its present state, without tasks */
 HzbMachineLease *hzb_machine_lease_new (const HzbMachine *machine);
 
 /** hzb_machine_lease_encode: Returns: (transfer full) */
@@ -49,44 +54,44 @@
 /** HzbMachineReturn: a leaseholder gives a machine back. */
 typedef struct
 {
-  char *name, *why;
-  gboolean faulty;               /* it should go back to the cloud */
-  guint64 agent_epoch, sequence; /* of its last report */
-  GArray *lost;                  /* HzbHeldTask: what may be on it */
+  char *name;          /**< of the machine */
+  char *why;           /**< (nullable): for the leader's log */
+  gboolean faulty;     /**< the leader should return it to the cloud */
+  guint64 agent_epoch; /**< of its last heartbeat */
+  guint64 sequence;    /**< of its last heartbeat */
+  GArray *lost;        /**< (element-type HzbHeldTask): what may be on it */
 } HzbMachineReturn;
 
+/** hzb_machine_return_free: frees a return and what it holds. */
 void hzb_machine_return_free (HzbMachineReturn *returned);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbMachineReturn, hzb_machine_return_free)
 
 /** hzb_machine_return_new: Returns: (transfer full): with no tasks yet */
 HzbMachineReturn *hzb_machine_return_new (const char *name, const char *why, guint64 agent_epoch, guint64 sequence);
+
+/** hzb_machine_return_encode: Returns: (transfer full) */
 cJSON *hzb_machine_return_encode (const HzbMachineReturn *returned);
 
 /** hzb_machine_return_decode: Returns: (transfer full) (nullable): NULL if the message gives no machine back */
 HzbMachineReturn *hzb_machine_return_decode (const cJSON *message);
 
-/** HzbRecall: the leader asks for a machine back, or leaves it where it is after all. */
+/** HzbRecall: the leader asks for a machine back, or withdraws that. */
 typedef struct
 {
-  const char *machine; /* not owned */
-  gboolean back;       /* FALSE: it stays */
-  gboolean at_once;    /* with all that is on it */
+  char *machine;    /**< its name */
+  gboolean back;    /**< the leaseholder should give it back; FALSE: the leaseholder may keep it after all */
+  gboolean at_once; /**< with the tasks that are on it; FALSE: once these have ended */
 } HzbRecall;
 
-cJSON *hzb_recall_encode (const HzbRecall *recall);
+/** hzb_recall_new: Returns: (transfer full) */
+HzbRecall *hzb_recall_new (const char *machine, gboolean back, gboolean at_once);
 
-/** hzb_recall_decode: the name stays the message's. Returns: FALSE if the message says nothing of that kind */
-gboolean hzb_recall_decode (const cJSON *message, HzbRecall *recall);
+/** hzb_recall_free: frees a recall and what it holds. */
+void hzb_recall_free (HzbRecall *recall);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbRecall, hzb_recall_free)
 
-/** HzbShardAnswer: what each answer to a poll begins with. */
-typedef struct
-{
-  guint64 term;
-  gboolean end;          /* the shard was taken back; what follows is not said then */
-  guint64 fencing_token; /* of the shard; 0: there is none */
-  guint64 have;          /* all events up to this number have come */
-  double lease_s;        /* from when it was asked for */
-} HzbShardAnswer;
-
-void hzb_shard_answer_encode (const HzbShardAnswer *answer, cJSON *message);
-void hzb_shard_answer_decode (const cJSON *message, HzbShardAnswer *answer);
+/** hzb_recall_encode: Returns: (transfer full) */
+cJSON *hzb_recall_encode (const HzbRecall *recall);
+
+/** hzb_recall_decode: Returns: (transfer full) (nullable): NULL if the message recalls no machine */
+HzbRecall *hzb_recall_decode (const cJSON *message);
--- a/tests/test-shard-messages.c
+++ b/tests/test-shard-messages.c
@@ -1,5 +1,6 @@
 /* Messages about machines between the leader and its leaseholders: as the versions before wrote them, and back. */
 #include "json.h"
+#include "shard-exchange.h"
 #include "shard-messages.h"
 
 #include <string.h>
@@ -60,23 +61,25 @@
 static void
 test_recalls_and_answers (void)
 {
-  HzbRecall recall = { "i-1", FALSE, TRUE }, back;
-  g_autofree char *keep = print_and_free (hzb_recall_encode (&recall)), *now = NULL;
+  g_autoptr (HzbRecall) recall = hzb_recall_new ("i-1", FALSE, TRUE), back = NULL;
+  g_autofree char *keep = print_and_free (hzb_recall_encode (recall)), *now = NULL;
   HzbShardAnswer answer = { .term = 4, .fencing_token = 9, .have = 2, .lease_s = 10 }, read;
   cJSON *message;
 
   g_assert_cmpstr (keep, ==, "{\"keep\":\"i-1\"}");
-  recall.back = TRUE;
-  now = print_and_free (hzb_recall_encode (&recall));
+  recall->back = TRUE;
+  now = print_and_free (hzb_recall_encode (recall));
   message = cJSON_Parse (now);
-  g_assert_true (hzb_recall_decode (message, &back) && back.back && back.at_once);
+  back = hzb_recall_decode (message);
+  g_assert_true (back && back->back && back->at_once);
   cJSON_Delete (message);
   message = cJSON_Parse ("{\"n\":4}");
-  g_assert_false (hzb_recall_decode (message, &back));
+  g_assert_null (hzb_recall_decode (message));
   cJSON_Delete (message);
   message = cJSON_Parse ("{\"term\":4,\"token\":9,\"have\":2,\"leaseS\":10,\"batches\":[]}");
   hzb_shard_answer_decode (message, &read);
   g_assert_true (read.term == 4 && read.fencing_token == 9 && read.have == 2 && read.lease_s == 10 && !read.end);
+  hzb_shard_answer_clear (&read);
   cJSON_Delete (message);
   message = cJSON_CreateObject ();
   answer.end = TRUE;
