--- a/src/shards/leaseholder-private.h
+++ b/src/shards/leaseholder-private.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * SECTION: leaseholder-private
- * @short_description: what the files of the leaseholder's side share
+ * What the files of the leaseholder's side share.
  *
  * leaseholder.c ends the lease when it is over, leaseholder-poll.c polls the leader, leaseholder-answer.c applies the
  * leader's answer, and leaseholder-returns.c gives back what the node does not need.
@@ -28,7 +28,7 @@
   struct timespec valid_until;      /**< when the lease expires */
 };
 
-/** hzb_leaseholder_push: queues @event (transfer full) for the leader. */
+/** hzb_leaseholder_push: queues event (transfer full) for the leader. */
 static inline void
 hzb_leaseholder_push (HzbLeaseholder *leaseholder, HzbShardEvent *event)
 {
@@ -44,5 +44,5 @@
 /** hzb_leaseholder_return_unneeded: gives back machines and tasks with which this node can do nothing. */
 void hzb_leaseholder_return_unneeded (HzbLeaseholder *leaseholder, struct timespec now);
 
-/** hzb_leaseholder_push_returned: queues that @tasks (transfer full), which were never started here, go back to the leader. */
+/** hzb_leaseholder_push_returned: queues that tasks (transfer full), which were never started here, go back to the leader. */
 void hzb_leaseholder_push_returned (HzbLeaseholder *leaseholder, HzbTaskGroups *tasks);
--- a/src/shards/leaseholder.h
+++ b/src/shards/leaseholder.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * SECTION: leaseholder
- * @short_description: the shard that the leader has leased to this node
+ * The shard that the leader has leased to this node.
  *
  * shard-leases.h is the other side. README.md explains the protocol between them.
  */
@@ -37,12 +37,12 @@
 {
   /** The leader leases a shard with this fencing token to this node: makes the node a leaseholder. */
   void (*begin_lease) (guint64 fencing_token, gpointer user);
-  /** The lease is over: makes the node a leaseholder no more; @why is for the log. */
+  /** The lease is over: makes the node a leaseholder no more; why is for the log. */
   void (*end_lease) (const char *why, gpointer user);
   gpointer user; /**< (not owned): passed to each callback */
 } HzbLeaseholderCallbacks;
 
-/** hzb_leaseholder_new: Returns: (transfer full): without a shard; @dependencies and @callbacks are copied */
+/** hzb_leaseholder_new: Returns: (transfer full): without a shard; dependencies and callbacks are copied */
 HzbLeaseholder *
 hzb_leaseholder_new (const HzbLeaseholderDependencies *dependencies, const HzbLeaseholderCallbacks *callbacks);
 
@@ -61,13 +61,13 @@
 /** hzb_leaseholder_poll_soon: something waits for the leader's answer: the next poll is brought forward. */
 void hzb_leaseholder_poll_soon (HzbLeaseholder *leaseholder);
 
-/** hzb_leaseholder_report_finished: queues the task's result for the leader, which makes it durable; it ran for @ran_s seconds. */
+/** hzb_leaseholder_report_finished: queues the task's result for the leader, which makes it durable; it ran for ran_s seconds. */
 void hzb_leaseholder_report_finished (HzbLeaseholder *leaseholder, const HzbTask *task, double ran_s);
 
 /**
  * hzb_leaseholder_return_machine: removes the machine from this shard, and queues the return for the leader with the names of all
  * tasks that may be on it.
  *
- * @why goes over the wire.
+ * why goes over the wire.
  */
 void hzb_leaseholder_return_machine (HzbLeaseholder *leaseholder, HzbMachine *machine, const char *why);
--- a/src/shards/outbox.h
+++ b/src/shards/outbox.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * SECTION: outbox
- * @short_description: numbered messages to another controller, repeated until they are acknowledged
+ * Numbered messages to another controller, repeated until they are acknowledged.
  *
  * The leader keeps one outbox of batches for each leaseholder, a leaseholder keeps one of events for the leader. The receiver takes
  * each number once and in order, so a repeated message changes nothing.
@@ -31,13 +31,13 @@
   GDestroyNotify free;    /**< frees a message */
 } HzbOutbox;
 
-/** hzb_outbox_init: makes @outbox empty; @max_bytes 0 sets no limit on what is sent at once. */
+/** hzb_outbox_init: makes outbox empty; max_bytes 0 sets no limit on what is sent at once. */
 void hzb_outbox_init (HzbOutbox *outbox, gsize max_bytes, HzbOutboxEncode encode, GDestroyNotify free_message);
 
-/** hzb_outbox_push: numbers @message (transfer full) and sends it from now on. */
+/** hzb_outbox_push: numbers message (transfer full) and sends it from now on. */
 void hzb_outbox_push (HzbOutbox *outbox, HzbOutboxMessage *message);
 
-/** hzb_outbox_acknowledge: the receiver has taken all messages up to @number. */
+/** hzb_outbox_acknowledge: the receiver has taken all messages up to number. */
 void hzb_outbox_acknowledge (HzbOutbox *outbox, guint64 number);
 
 /**
--- a/src/shards/shard-exchange.h
+++ b/src/shards/shard-exchange.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * SECTION: shard-exchange
- * @short_description: the poll of a leaseholder and the leader's answer, and their encoding
+ * The poll of a leaseholder and the leader's answer, and their encoding.
  *
  * A leaseholder polls the leader about twice a second. The poll carries numbered events, the answer numbered batches; each side
  * repeats them until the other has acknowledged them (outbox.h). shard-messages.h encodes what they say of machines,
@@ -15,7 +15,7 @@
 /**
  * HzbShardBatch: something that the leader tells a leaseholder.
  *
- * Exactly one member beside @message is set when it is encoded.
+ * Exactly one member beside message is set when it is encoded.
  */
 typedef struct
 {
@@ -43,13 +43,13 @@
 /**
  * HzbShardEvent: something that a leaseholder tells the leader.
  *
- * Exactly one of @finished, @returned and @machine is set when it is encoded.
+ * Exactly one of finished, returned and machine is set when it is encoded.
  */
 typedef struct
 {
   HzbOutboxMessage message;  /**< its place in the leaseholder's outbox */
   HzbTaskGroups *finished;   /**< (nullable): tasks that ended well, and whose result the leader makes durable */
-  double ran_s;              /**< with @finished: for how long they ran, in seconds */
+  double ran_s;              /**< with finished: for how long they ran, in seconds */
   HzbTaskGroups *returned;   /**< (nullable): tasks that the leaseholder has not started and has dropped */
   HzbMachineReturn *machine; /**< (nullable): a machine that the leaseholder gives back */
 } HzbShardEvent;
@@ -77,13 +77,13 @@
 /** hzb_job_counts_new: Returns: (transfer full) (element-type HzbJobCount): none yet */
 GArray *hzb_job_counts_new (void);
 
-/** hzb_job_counts_add: says that of the job @uid (copied) there are @count tasks. */
+/** hzb_job_counts_add: says that of the job uid (copied) there are count tasks. */
 void hzb_job_counts_add (GArray *counts, const char *uid, guint count);
 
 /**
  * HzbShardPoll: what a leaseholder asks and tells the leader.
  *
- * A node that holds no shard sends @fencing_token 0 and none of the members below it.
+ * A node that holds no shard sends fencing_token 0 and none of the members below it.
  */
 typedef struct
 {
@@ -128,8 +128,8 @@
 void hzb_shard_answer_clear (HzbShardAnswer *answer);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HzbShardAnswer, hzb_shard_answer_clear)
 
-/** hzb_shard_answer_encode: adds the answer to @message. */
+/** hzb_shard_answer_encode: adds the answer to message. */
 void hzb_shard_answer_encode (const HzbShardAnswer *answer, cJSON *message);
 
-/** hzb_shard_answer_decode: fills @answer, to be cleared with hzb_shard_answer_clear(). */
+/** hzb_shard_answer_decode: fills answer, to be cleared with hzb_shard_answer_clear(). */
 void hzb_shard_answer_decode (const cJSON *message, HzbShardAnswer *answer);
--- a/src/shards/shard-leases-private.h
+++ b/src/shards/shard-leases-private.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * SECTION: shard-leases-private
- * @short_description: what the files of the leader's side of leased shards share
+ * What the files of the leader's side of leased shards share.
  *
  * shard-leases.c keeps the leaseholders and reclaims shards, shard-requests.c answers polls, shard-events.c applies what
  * leaseholders report, shard-machines.c decides which machine is in whose shard, and shard-delegation.c which tasks go there.
@@ -36,7 +36,7 @@
   GPtrArray *kinds;    /**< (element-type HzbMachine): one machine of each kind in its shard, as of the last scan */
 } HzbLeaseholderView;
 
-/** _HzbShardLeases: the module's state; all but @modules and @leaseholders is of the present term. */
+/** _HzbShardLeases: the module's state; all but modules and leaseholders is of the present term. */
 struct _HzbShardLeases
 {
   HzbShardLeasesDependencies modules; /**< what it works with */
@@ -45,7 +45,7 @@
   struct timespec next_hand_over;     /**< no machine is handed over with its tasks before */
   double *cpus; /**< of each shard, by id, the leader's own at 0; as of the last scan and the leases since */
   struct timespec scanned_at;      /**< unset: never in this term */
-  guint generation;                /**< of the machines at the last scan; @kinds is stale once it has changed */
+  guint generation;                /**< of the machines at the last scan; kinds is stale once it has changed */
   gboolean gang_waits;             /**< at the last scan a gang waited, which needs the machines of all shards */
   gboolean only_leader_work_waits; /**< at the last scan all that waited had to run in the leader's shard */
 };
@@ -57,7 +57,7 @@
   return id ? shard_leases->leaseholders->pdata[id - 1] : NULL;
 }
 
-/** hzb_shards_push: queues @batch (transfer full) for the leaseholder. */
+/** hzb_shards_push: queues batch (transfer full) for the leaseholder. */
 static inline void
 hzb_shards_push (HzbLeaseholderView *leaseholder, HzbShardBatch *batch)
 {
@@ -99,7 +99,7 @@
  */
 void hzb_shards_scan (HzbShardLeases *shard_leases, struct timespec now);
 
-/** hzb_shards_delegate: delegates unstarted tasks to a leaseholder that has room for @room_cpus CPUs' worth. */
+/** hzb_shards_delegate: delegates unstarted tasks to a leaseholder that has room for room_cpus CPUs' worth. */
 void hzb_shards_delegate (HzbLeaseholderView *leaseholder, double room_cpus, struct timespec now);
 
 /**
--- a/src/shards/shard-leases.h
+++ b/src/shards/shard-leases.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * SECTION: shard-leases
- * @short_description: shards leased to other controllers, the leader's side
+ * Shards leased to other controllers, the leader's side.
  *
  * leaseholder.h is the other side. README.md explains the protocol between them.
  */
@@ -33,7 +33,7 @@
       *leasing_enabled; /**< FALSE: no machine is leased, and leased ones are asked back; an operator sets it */
 } HzbShardLeasesDependencies;
 
-/** hzb_shard_leases_new: Returns: (transfer full): without leaseholders; @dependencies is copied */
+/** hzb_shard_leases_new: Returns: (transfer full): without leaseholders; dependencies is copied */
 HzbShardLeases *hzb_shard_leases_new (const HzbShardLeasesDependencies *dependencies);
 
 /** hzb_shard_leases_free: frees the module; the machines and tasks stay as they are. */
@@ -46,7 +46,7 @@
 void hzb_shard_leases_tick (HzbShardLeases *shard_leases, struct timespec now);
 
 /**
- * hzb_shard_leases_request: answers the poll @root of a leaseholder. The answer has status 503 while this node does not lead or
+ * hzb_shard_leases_request: answers the poll root of a leaseholder. The answer has status 503 while this node does not lead or
  * has not read its records, and if the poll names no known node or no process.
  */
 void hzb_shard_leases_request (HzbShardLeases *shard_leases, HzbHttpRequest *http_request, const cJSON *root);
--- a/src/shards/shard-messages.h
+++ b/src/shards/shard-messages.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * SECTION: shard-messages
- * @short_description: what the leader and its leaseholders tell each other of machines, and its encoding
+ * What the leader and its leaseholders tell each other of machines, and its encoding.
  *
  * The only place that knows how these messages are written. shard-exchange.h puts them into polls and answers.
  */
@@ -22,7 +22,7 @@
 /** hzb_held_tasks_new: Returns: (transfer full) (element-type HzbHeldTask): none yet */
 GArray *hzb_held_tasks_new (void);
 
-/** hzb_held_tasks_add: adds a task to @held (element-type HzbHeldTask) in its present state. */
+/** hzb_held_tasks_add: adds a task to held (element-type HzbHeldTask) in its present state. */
 void hzb_held_tasks_add (GArray *held, const HzbTask *task);
 
 /** HzbMachineLease: the leader leases a machine. */
--- a/src/shards/shard-status.h
+++ b/src/shards/shard-status.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * SECTION: shard-status
- * @short_description: what the administration API shows of a shard, and its encoding
+ * What the administration API shows of a shard, and its encoding.
  */
 #pragma once
 #include <cjson/cJSON.h>
--- a/src/shards/task-groups.h
+++ b/src/shards/task-groups.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * SECTION: task-groups
- * @short_description: tasks named by job in the messages about shards, and their encoding
+ * Tasks named by job in the messages about shards, and their encoding.
  *
  * On the wire: an object with an array of task numbers for each job's uid.
  */
@@ -31,16 +31,16 @@
 /** hzb_task_groups_add: adds a task. */
 void hzb_task_groups_add (HzbTaskGroups *groups, const HzbTask *task);
 
-/** hzb_task_groups_add_group: adds a copy of a whole group, of a job that @groups does not name yet. */
+/** hzb_task_groups_add_group: adds a copy of a whole group, of a job that groups does not name yet. */
 void hzb_task_groups_add_group (HzbTaskGroups *groups, const HzbTaskGroup *group);
 
-/** hzb_task_groups_foreach: calls @func for each task of @groups (nullable) that is held here. */
+/** hzb_task_groups_foreach: calls func for each task of groups (nullable) that is held here. */
 void hzb_task_groups_foreach (const HzbTaskGroups *groups, HzbJobs *jobs, HzbTaskFunc func, gpointer user);
 
 /** hzb_task_groups_encode: Returns: (transfer full) */
 cJSON *hzb_task_groups_encode (const HzbTaskGroups *groups);
 
-/** hzb_task_groups_decode: Returns: (transfer full) (nullable): NULL if @message (nullable) is NULL */
+/** hzb_task_groups_decode: Returns: (transfer full) (nullable): NULL if message (nullable) is NULL */
 HzbTaskGroups *hzb_task_groups_decode (const cJSON *message);
 
 /** hzb_tasks_find: Returns: (transfer none) (nullable): the task of this number of a job; NULL if it is not held here */
--- a/tests/test-shard-messages.c
+++ b/tests/test-shard-messages.c
@@ -1,4 +1,4 @@
-/* Messages about machines between the leader and its leaseholders: as the versions before wrote them, and back. */
+/* Messages between the leader and its leaseholders: as the versions before wrote them, and back. */
 #include "json.h"
 #include "shard-exchange.h"
 #include "shard-messages.h"
@@ -89,6 +89,155 @@
   g_assert_cmpstr (now, ==, "{\"term\":4,\"end\":true}");
 }
 
+/* ---- polls and answers ---- */
+
+static const char poll_text[] =
+    "{\"node\":\"b\",\"incarnation\":\"0a1b\",\"cancelled\":{\"run-000007\":{\"version\":12,\"n\":3}},\"token\":4194305,"
+    "\"have\":2,\"events\":[{\"finished\":{\"run-000001\":[3]},\"ranS\":1.5,\"n\":1},"
+    "{\"returned\":{\"run-000001\":[4,5],\"run-000002\":[0]},\"n\":2},"
+    "{\"machine\":\"i-1\",\"why\":\"it is silent\",\"sick\":false,\"session\":3,\"seq\":18,\"lost\":[],\"n\":3}],"
+    "\"room\":2.5,\"leaving\":{},\"running\":{\"run-000001\":7},\"partial\":true}";
+static const char answer_text[] =
+    "{\"heard\":[\"run-000007\"],\"batches\":["
+    "{\"machine\":\"i-2\",\"addr\":\"\",\"type\":\"small\",\"zone\":\"za\",\"spot\":false,\"session\":0,\"seq\":0,\"n\":4},"
+    "{\"tasks\":{\"run-000002\":[1,2]},\"n\":5},{\"durable\":{\"run-000001\":[3]},\"n\":6},"
+    "{\"back\":\"i-2\",\"now\":true,\"n\":7},{\"cancelled\":\"run-000002\",\"n\":8}],"
+    "\"term\":4,\"token\":4194305,\"have\":3,\"leaseS\":10}";
+
+/* What hzb_peers_message() has begun. */
+static cJSON *
+message_of_node_b (void)
+{
+  cJSON *message = cJSON_CreateObject ();
+  cJSON_AddStringToObject (message, "node", "b");
+  cJSON_AddStringToObject (message, "incarnation", "0a1b");
+  return message;
+}
+
+static void
+test_polls (void)
+{
+  cJSON *message = cJSON_Parse (poll_text), *again = message_of_node_b ();
+  g_autoptr (HzbShardPoll) poll = hzb_shard_poll_decode (message);
+  const HzbShardEvent *finished = poll->events->pdata[0], *returned = poll->events->pdata[1];
+  const HzbTaskGroup *group = &g_array_index (returned->returned, HzbTaskGroup, 0);
+  g_autofree char *text = NULL;
+
+  g_assert_cmpstr (poll->node, ==, "b");
+  g_assert_cmpstr (poll->incarnation, ==, "0a1b");
+  g_assert_true (poll->fencing_token == 4194305 && poll->have == 2 && poll->room_cpus == 2.5 && poll->partial_counts);
+  g_assert_cmpuint (poll->events->len, ==, 3);
+  g_assert_true (finished->message.number == 1 && finished->ran_s == 1.5 && finished->finished && !finished->returned
+                 && !finished->machine);
+  g_assert_cmpstr (group->uid, ==, "run-000001");
+  g_assert_true (group->numbers->len == 2 && g_array_index (group->numbers, gint, 1) == 5);
+  g_assert_nonnull (((HzbShardEvent *) poll->events->pdata[2])->machine);
+  g_assert_true (poll->leaving->len == 0 && poll->running->len == 1
+                 && g_array_index (poll->running, HzbJobCount, 0).count == 7);
+  cJSON_Delete (message); /* a decoded poll keeps nothing of the message */
+  hzb_shard_poll_encode (poll, again);
+  text = print_and_free (again);
+  g_assert_cmpstr (text, ==, poll_text);
+}
+
+/* A node that holds no shard says nothing of one. */
+static void
+test_polls_without_shard (void)
+{
+  g_autoptr (HzbShardPoll) poll = hzb_shard_poll_new ();
+  cJSON *message = message_of_node_b ();
+  g_autofree char *text = NULL;
+
+  poll->have = 3;
+  hzb_shard_poll_encode (poll, message);
+  text = print_and_free (message);
+  g_assert_cmpstr (text, ==, "{\"node\":\"b\",\"incarnation\":\"0a1b\"}");
+}
+
+/* What makes no sense is left out, and the rest is taken. */
+static void
+test_malformed_polls (void)
+{
+  cJSON *message =
+      cJSON_Parse ("{\"events\":[{\"n\":1,\"finished\":{\"run-000001\":[\"3\",4]}},7],"
+                   "\"running\":{\"run-000001\":-1,\"run-000002\":\"2\",\"run-000003\":2},\"leaving\":[1]}");
+  g_autoptr (HzbShardPoll) poll = hzb_shard_poll_decode (message);
+  const HzbShardEvent *event = poll->events->pdata[0];
+
+  g_assert_true (!poll->node && !poll->incarnation && !poll->cancellations_request && !poll->partial_counts);
+  g_assert_cmpuint (poll->events->len, ==, 2);
+  g_assert_cmpuint (g_array_index (event->finished, HzbTaskGroup, 0).numbers->len, ==, 1);
+  g_assert_cmpuint (poll->running->len, ==, 1);
+  g_assert_cmpstr (g_array_index (poll->running, HzbJobCount, 0).uid, ==, "run-000003");
+  g_assert_cmpuint (poll->leaving->len, ==, 0);
+  cJSON_Delete (message);
+}
+
+static void
+test_answers (void)
+{
+  cJSON *message = cJSON_Parse (answer_text), *again = cJSON_CreateObject ();
+  HzbShardAnswer answer;
+  const HzbShardBatch *batch;
+  g_autofree char *text = NULL;
+
+  hzb_shard_answer_decode (message, &answer);
+  cJSON_Delete (message);
+  g_assert_cmpuint (answer.batches->len, ==, 5);
+  batch = answer.batches->pdata[0];
+  g_assert_true (batch->lease && !batch->delegated && !batch->durable && !batch->recall && !batch->cancelled_uid);
+  batch = answer.batches->pdata[3];
+  g_assert_true (batch->recall->back && batch->recall->at_once && batch->message.number == 7);
+  batch = answer.batches->pdata[4];
+  g_assert_cmpstr (batch->cancelled_uid, ==, "run-000002");
+  hzb_shard_answer_encode (&answer, again);
+  text = print_and_free (again);
+  g_assert_cmpstr (text, ==, answer_text);
+  hzb_shard_answer_clear (&answer);
+}
+
+/* ---- the outbox ---- */
+
+static HzbShardBatch *
+cancellation_batch (const char *uid)
+{
+  HzbShardBatch *batch = hzb_shard_batch_new ();
+  batch->cancelled_uid = g_strdup (uid);
+  return batch;
+}
+
+/* As many as fit go at once, one at least; what is not acknowledged goes again. */
+static void
+test_outbox (void)
+{
+  static const char first[] = "{\"cancelled\":\"run-000001\",\"n\":1}";
+  HzbOutbox outbox;
+
+  hzb_outbox_init (&outbox, 2 * sizeof first, (HzbOutboxEncode) hzb_shard_batch_encode,
+                   (GDestroyNotify) hzb_shard_batch_free);
+  for (guint i = 0; i < 3; i++)
+    hzb_outbox_push (&outbox, &cancellation_batch ("run-000001")->message);
+  g_assert_true (hzb_outbox_last_unsent (&outbox)->number == 3);
+  for (guint round = 0; round < 2; round++)
+    {
+      g_autoptr (GPtrArray) sent = hzb_outbox_send (&outbox);
+      g_assert_cmpuint (sent->len, ==, 2);
+      g_assert_true (((HzbOutboxMessage *) sent->pdata[0])->number == 1);
+    }
+  hzb_outbox_acknowledge (&outbox, 2);
+  g_assert_cmpuint (outbox.waiting.length, ==, 1);
+  outbox.max_bytes = 1;
+  {
+    g_autoptr (GPtrArray) sent = hzb_outbox_send (&outbox);
+    g_assert_cmpuint (sent->len, ==, 1);
+  }
+  g_assert_null (hzb_outbox_last_unsent (&outbox));
+  hzb_outbox_clear (&outbox);
+  hzb_outbox_push (&outbox, &cancellation_batch ("run-000002")->message);
+  g_assert_true (hzb_outbox_last_unsent (&outbox)->number == 1);
+  hzb_outbox_clear (&outbox);
+}
+
 int
 main (int argc, char **argv)
 {
@@ -96,5 +245,10 @@
   g_test_add_func ("/block-messages/leases", test_leases);
   g_test_add_func ("/block-messages/returns", test_returns);
   g_test_add_func ("/block-messages/recalls-and-answers", test_recalls_and_answers);
+  g_test_add_func ("/block-messages/polls", test_polls);
+  g_test_add_func ("/block-messages/polls-without-shard", test_polls_without_shard);
+  g_test_add_func ("/block-messages/malformed-polls", test_malformed_polls);
+  g_test_add_func ("/block-messages/answers", test_answers);
+  g_test_add_func ("/block-messages/outbox", test_outbox);
   return g_test_run ();
 }
