--- a/src/shards/leaseholder-answer.c
+++ b/src/shards/leaseholder-answer.c
@@ -151,7 +151,7 @@
     {
       const HzbShardBatch *batch = batches->pdata[i];
       if (batch->message.number != leaseholder->batches_taken + 1)
-        continue; /* repeated, since the leader has not seen the acknowledgement yet */
+        continue; /* the leader repeats the batch, since the acknowledgement has not reached it yet */
       leaseholder->batches_taken++;
       apply_batch (leaseholder, batch);
     }
@@ -183,7 +183,7 @@
          && answer->term == hzb_election_leader_term (election);
 }
 
-/* The node begins to hold the shard, or goes on to. Returns: FALSE if it cannot hold one now */
+/* This node begins to hold the shard, or goes on holding it. Returns: FALSE if this node cannot hold a shard now */
 static gboolean
 take_lease (HzbLeaseholder *leaseholder, guint64 fencing_token)
 {
--- a/src/shards/leaseholder-poll.c
+++ b/src/shards/leaseholder-poll.c
@@ -99,7 +99,7 @@
   return poll;
 }
 
-/* ---- sending it ---- */
+/* ---- sending the poll ---- */
 
 static void
 on_answer (guint status, const char *body, gsize length, gpointer user)
@@ -117,7 +117,7 @@
   hzb_shard_answer_clear (&answer);
 }
 
-/* (nullable): NULL if no leader is known, or this node has no address of it */
+/* Returns: (nullable): NULL if no leader is known, or this node has no address of it */
 static const char *
 leader_address (const HzbLeaseholder *leaseholder)
 {
--- a/src/shards/leaseholder-private.h
+++ b/src/shards/leaseholder-private.h
@@ -35,7 +35,7 @@
   hzb_outbox_push (&leaseholder->events, &event->message);
 }
 
-/** hzb_leaseholder_poll_if_due: polls the leader, unless a poll is on its way or the next one has time. */
+/** hzb_leaseholder_poll_if_due: polls the leader, unless a poll is on its way or the next one is not due yet. */
 void hzb_leaseholder_poll_if_due (HzbLeaseholder *leaseholder, struct timespec now);
 
 /** hzb_leaseholder_apply_answer: applies the leader's answer to the poll that was sent last. */
--- a/src/shards/leaseholder-returns.c
+++ b/src/shards/leaseholder-returns.c
@@ -2,9 +2,9 @@
 #include "leaseholder-private.h"
 
 #define UNSTARTED_TTL_S 6.0         /* a task that has not started for so long goes back */
-#define IDLE_S 10.0                 /* and so does a machine that has been idle for so long */
-#define MISSED_HEARTBEATS 3         /* and one that has been unresponsive for so many intervals */
-#define MAX_RETURNED_PER_EVENT 800u /* tasks, up to 30 bytes each */
+#define IDLE_S 10.0                 /* a machine that has been idle for so long goes back */
+#define MISSED_HEARTBEATS 3         /* a machine that has sent no heartbeat for so many intervals goes back */
+#define MAX_RETURNED_PER_EVENT 800u /* tasks, up to 30 bytes each: the event has to fit a poll */
 #define MAINTENANCE_INTERVAL_S 0.5  /* how often tasks that have to go back are looked for */
 
 /* ---- machines ---- */
@@ -49,12 +49,12 @@
 typedef enum
 {
   STAYS,
-  UNRESPONSIVE, /* it sends no heartbeats */
-  UNREACHABLE,  /* it shows none of what it was answered */
-  FAULTY,       /* it fails what it starts */
+  UNRESPONSIVE, /* the machine sends no heartbeats */
+  UNREACHABLE,  /* its heartbeats do not show what it was answered: the answers seem not to arrive */
+  FAULTY,       /* tasks fail on the machine, and not because of their jobs */
   RECLAIMED,    /* the cloud has announced that it takes the machine back */
   RECALLED,     /* the leader asked for it */
-  IDLE,         /* it has had nothing to do for a while */
+  IDLE,         /* the machine has had no task for a while */
   N_REASONS_TO_RETURN
 } ReasonToReturn;
 
--- a/src/shards/leaseholder.c
+++ b/src/shards/leaseholder.c
@@ -4,9 +4,9 @@
 /* The node gives its lease up when the leader has not answered for so long, so that it does not keep machines which the leader
  * cannot give work. */
 #define LEASE_ABANDON_S 5.0
-/* Guards against a poll that is larger than a request may be. The leader would refuse it each time and acknowledge nothing in
- * it, and the whole shard would be lost, when hundreds of machines become unresponsive together. With the rest of the poll it
- * stays below 64 KiB. */
+/* Guards against a poll that is larger than a request may be. The leader would refuse such a poll each time and
+ * acknowledge no event, and the node would lose its whole shard, when hundreds of machines become unresponsive together. With
+ * the rest of the poll these bytes stay below 64 KiB. */
 #define MAX_EVENT_BYTES (36 * 1024)
 
 HzbLeaseholder *
@@ -52,7 +52,7 @@
   hzb_leaseholder_poll_soon (leaseholder);
 }
 
-/* (nullable): why the lease is over, for the log; NULL while it lasts */
+/* Returns: (nullable): why the lease is over, for the log; NULL while it lasts */
 static const char *
 reason_to_end_lease (HzbLeaseholder *leaseholder, struct timespec now)
 {
--- a/src/shards/outbox.c
+++ b/src/shards/outbox.c
@@ -54,9 +54,9 @@
 }
 
 HzbOutboxMessage *
-hzb_outbox_last_unsent (const HzbOutbox *outbox)
+hzb_outbox_last_unsent (HzbOutbox *outbox)
 {
-  HzbOutboxMessage *last = g_queue_peek_tail ((GQueue *) &outbox->waiting);
+  HzbOutboxMessage *last = g_queue_peek_tail (&outbox->waiting);
   return last && !last->sent ? last : NULL;
 }
 
--- a/src/shards/outbox.h
+++ b/src/shards/outbox.h
@@ -49,7 +49,7 @@
 GPtrArray *hzb_outbox_send (const HzbOutbox *outbox);
 
 /** hzb_outbox_last_unsent: Returns: (transfer none) (nullable): the last message, if it was never sent and may still grow */
-HzbOutboxMessage *hzb_outbox_last_unsent (const HzbOutbox *outbox);
+HzbOutboxMessage *hzb_outbox_last_unsent (HzbOutbox *outbox);
 
 /** hzb_outbox_clear: drops all messages; the next one gets number 1. */
 void hzb_outbox_clear (HzbOutbox *outbox);
--- a/src/shards/shard-events.c
+++ b/src/shards/shard-events.c
@@ -33,13 +33,13 @@
 
   if (task->state == HZB_TASK_DONE)
     {
-      /* The event is repeated after a failover, and the result is durable already: the worker may forget it. */
+      /* The leaseholder repeats the event after a failover. The result is durable already, so the worker may forget it. */
       task->leaseholder = leaseholder->id;
       hzb_shard_leases_announce_durable (leaseholder->shard_leases, task);
     }
   else if (task->state == HZB_TASK_FINISHED)
-    task->leaseholder =
-        leaseholder->id; /* of a machine that was handed over with its result: announce it once durable */
+    /* The task's machine was handed over with the result on it: the leaseholder is told once the result is durable. */
+    task->leaseholder = leaseholder->id;
   else if (hzb_shards_is_delegated_to (task, leaseholder))
     record_result (task, context);
 }
--- a/src/shards/shard-machines.c
+++ b/src/shards/shard-machines.c
@@ -4,14 +4,19 @@
 
 #include <string.h>
 
-#define STEADY_S 3.0 /* a leaseholder is leased machines once it has polled steadily for so long */
-#define POLLS_S 1.5  /* and polled last at most so long ago */
-#define MAX_TASKS_HANDED_OVER                                                                                          \
-  400u                            /* on a machine that changes hands: they have to fit one message when it comes back */
-#define HAND_OVER_CPUS_PART 0.7   /* a shard with less than this part of the leader's CPUs gets machines that work */
-#define HAND_OVER_INTERVAL_S 0.25 /* each hand-over costs its machine a second or so; in a large fleet it is shorter: */
-#define HAND_OVER_ALL_MACHINES_S 10.0 /* every machine could be handed over in so long */
-#define OVERLOADED_LAG_S 0.015        /* machines with tasks are handed over while timers fire so late on average */
+/* The leader leases machines only to a leaseholder that has polled without interruption for STEADY_S, and lately. */
+#define STEADY_S 3.0
+#define LATELY_S 1.5
+/* A machine with more tasks is not handed over: one message has to name all of them when the machine comes back. */
+#define MAX_TASKS_HANDED_OVER 400u
+/* A machine with tasks is handed over only to a shard that has less than this part of the leader's CPUs. */
+#define HAND_OVER_CPUS_PART 0.7
+/* Each hand-over keeps its machine from work for about a second, so hand-overs are paced. In a large fleet they follow each other
+ * faster, so that every machine could be handed over within HAND_OVER_ALL_MACHINES_S. */
+#define HAND_OVER_INTERVAL_S 0.25
+#define HAND_OVER_ALL_MACHINES_S 10.0
+/* The leader hands machines with tasks over only while its timers fire so late on average. */
+#define OVERLOADED_LAG_S 0.015
 
 static gboolean
 gang_waits (const HzbJobs *jobs)
@@ -106,7 +111,7 @@
          && hzb_time_between (shard_leases->scanned_at, now) < hzb_machines_scan_interval_s (machines);
 }
 
-/* Not at every heartbeat or poll, since the scan examines every machine. */
+/* A scan examines every machine, which would be too much at every heartbeat and poll. */
 void
 hzb_shards_scan (HzbShardLeases *shard_leases, struct timespec now)
 {
@@ -130,7 +135,7 @@
 static gboolean
 may_be_leased_machines (const HzbLeaseholderView *leaseholder, struct timespec now)
 {
-  return hzb_time_is_set (leaseholder->last_poll) && hzb_time_between (leaseholder->last_poll, now) <= POLLS_S
+  return hzb_time_is_set (leaseholder->last_poll) && hzb_time_between (leaseholder->last_poll, now) <= LATELY_S
          && hzb_time_between (leaseholder->steady_since, now) >= STEADY_S;
 }
 
--- a/src/shards/shard-requests.c
+++ b/src/shards/shard-requests.c
@@ -5,7 +5,7 @@
 
 #define LEASE_S 10.0 /* how long a lease lasts from when the poll was sent; the design page names this value */
 
-/* (nullable): NULL if no other node has that name */
+/* Returns: (nullable): NULL if no other node has that name */
 static HzbLeaseholderView *
 find_leaseholder (HzbShardLeases *shard_leases, const char *node)
 {
@@ -66,13 +66,13 @@
     {
       const HzbShardEvent *event = events->pdata[i];
       if (event->message.number != leaseholder->events_taken + 1)
-        continue; /* repeated, since the answer that acknowledged it was lost */
+        continue; /* the leaseholder repeats the event, since the answer that acknowledged it was lost */
       leaseholder->events_taken++;
       hzb_shards_apply_event (leaseholder, event);
     }
 }
 
-/* What a leaseholder that holds its shard says, and what it gets for that. */
+/* Applies what a leaseholder that holds its shard reports, and delegates tasks to it for the room that it states. */
 static void
 apply_poll (HzbLeaseholderView *leaseholder, const HzbShardPoll *poll, struct timespec now)
 {
