--- a/tests/test-shard-messages.c
+++ b/tests/test-shard-messages.c
@@ -2,6 +2,7 @@
 #include "json.h"
 #include "shard-exchange.h"
 #include "shard-messages.h"
+#include "shard-status.h"
 
 #include <string.h>
 
@@ -196,6 +197,24 @@
   hzb_shard_answer_clear (&answer);
 }
 
+/* ---- the administration API ---- */
+
+static void
+test_status (void)
+{
+  const HzbShardStatus own = { .holder = "a", .fencing_token = 4194304, .machines = 2, .cpus = 12 },
+                       leased = { .holder = "b", .leased = TRUE, .delegated_tasks = 3 };
+  g_autoptr (GArray) statuses = g_array_new (FALSE, FALSE, sizeof (HzbShardStatus));
+  g_autofree char *text = NULL;
+
+  g_array_append_val (statuses, own);
+  g_array_append_val (statuses, leased);
+  text = print_and_free (hzb_shard_statuses_encode (statuses));
+  g_assert_cmpstr (text, ==,
+                   "{\"blocks\":[{\"holder\":\"a\",\"token\":4194304,\"machines\":2,\"cpus\":12},"
+                   "{\"holder\":\"b\",\"token\":0,\"machines\":0,\"cpus\":0,\"tasksGranted\":3}]}");
+}
+
 /* ---- the outbox ---- */
 
 static HzbShardBatch *
@@ -249,6 +268,7 @@
   g_test_add_func ("/block-messages/polls-without-shard", test_polls_without_shard);
   g_test_add_func ("/block-messages/malformed-polls", test_malformed_polls);
   g_test_add_func ("/block-messages/answers", test_answers);
+  g_test_add_func ("/block-messages/status", test_status);
   g_test_add_func ("/block-messages/outbox", test_outbox);
   return g_test_run ();
 }
