--- a/tests/load-workers.c
+++ b/tests/load-workers.c
@@ -17,10 +17,10 @@
 
 #define API_PORT 18080
 #define PEER_PORT 18081
-#define STORE_PORT 18082
+#define KV_PORT 18082
 #define CLOUD_PORT 18083
-#define REPORT_S 5.0
-#define ANSWER_WITHIN_S 4.0 /* a worker waits no longer */
+#define HEARTBEAT_INTERVAL_S 5.0
+#define RESPONSE_TIMEOUT_S 4.0 /* a worker waits no longer */
 #define RETRY_S 1.0
 #define TURN_MS 5
 #define MOST_SECONDS 300
@@ -77,7 +77,7 @@
 }
 
 static void
-send_report (Worker *worker)
+send_heartbeat (Worker *worker)
 {
   g_autofree char *body = NULL, *request = NULL;
   gssize sent;
@@ -106,7 +106,7 @@
 
 /* Guards of the protocol that are not needed here are left out: these workers run nothing. */
 static void
-take_answer (Worker *worker, const char *body)
+take_response (Worker *worker, const char *body)
 {
   guint status = (guint) g_ascii_strtoull (worker->input + strlen ("HTTP/1.1 "), NULL, 10);
   double latency = real_now_s () - worker->asked_s;
@@ -123,13 +123,13 @@
   worker->asking = FALSE;
   worker->read = 0;
   if (status == 200)
-    worker->next_s = real_now_s () + REPORT_S * g_random_double_range (0.75, 1.25);
+    worker->next_s = real_now_s () + HEARTBEAT_INTERVAL_S * g_random_double_range (0.75, 1.25);
   else
     close_worker (worker, RETRY_S);
 }
 
 static void
-read_answer (Worker *worker)
+read_response (Worker *worker)
 {
   gssize got = recv (worker->fd, worker->input + worker->read, sizeof worker->input - 1 - worker->read, 0);
   const char *body, *length;
@@ -147,7 +147,7 @@
   body = strstr (worker->input, "\r\n\r\n");
   length = strstr (worker->input, "Content-Length: ");
   if (body && length && strlen (body + 4) >= g_ascii_strtoull (length + strlen ("Content-Length: "), NULL, 10))
-    take_answer (worker, body + 4);
+    take_response (worker, body + 4);
 }
 
 static gboolean
@@ -160,18 +160,18 @@
       {
         Worker *worker = &g_array_index (workers, Worker, ready[i].data.u64);
         if (worker->fd >= 0)
-          read_answer (worker);
+          read_response (worker);
       }
   for (guint i = 0; i < workers->len; i++)
     {
       Worker *worker = &g_array_index (workers, Worker, i);
-      if (worker->asking && real_now_s () - worker->asked_s > ANSWER_WITHIN_S)
+      if (worker->asking && real_now_s () - worker->asked_s > RESPONSE_TIMEOUT_S)
         {
           losses++;
           close_worker (worker, RETRY_S);
         }
       else if (!worker->asking && real_now_s () >= worker->next_s)
-        send_report (worker);
+        send_heartbeat (worker);
     }
   return G_SOURCE_CONTINUE;
 }
@@ -187,7 +187,7 @@
       "[[cluster.teams]]\nname = \"red\"\ncpus = 100\n[cluster.workers]\nreport_s = %g\nlease_s = 26.5\ncancel_s = 46.5\n"
       "[cluster.state]\nrps = 800\nwrite_rps = 70\nvalue_kb = 16\ntxn_ops = 16\n[cluster.cloud]\nrps = 15\nlist_lag_s = 3\n"
       "[cluster.resources]\nsockets = %u\n",
-      API_PORT, PEER_PORT, CLOUD_PORT, STORE_PORT, REPORT_S, machines + 200);
+      API_PORT, PEER_PORT, CLOUD_PORT, KV_PORT, HEARTBEAT_INTERVAL_S, machines + 200);
   return real_write_file (text);
 }
 
@@ -277,7 +277,7 @@
   g_autoptr (GOptionContext) context = g_option_context_new ("- many workers for one controller");
   g_autoptr (GError) error = NULL;
   struct rlimit limit = { (rlim_t) machines + 500, (rlim_t) machines + 500 };
-  SimSize size = sim_size_large;
+  SimConfig config = sim_config_large;
   GPid pid;
 
   g_option_context_add_main_entries (context, entries, NULL);
@@ -291,9 +291,9 @@
   if (setrlimit (RLIMIT_NOFILE, &limit) != 0)
     g_printerr ("load-workers: the limit of descriptors stays as it is\n");
   alarm ((guint) (2 * seconds + 60)); /* it stops by itself, whatever happens */
-  size.machines = (guint) machines;
-  size.check_s = MOST_SECONDS;
-  sim = real_sim_new (1, &size);
+  config.machines = (guint) machines;
+  config.check_interval_s = MOST_SECONDS;
+  sim = real_sim_new (1, &config);
   workers = g_array_sized_new (FALSE, TRUE, sizeof (Worker), (guint) machines);
   latencies = g_array_new (FALSE, FALSE, sizeof (double));
   events = epoll_create1 (EPOLL_CLOEXEC);
@@ -307,7 +307,7 @@
       worker.next_s = 2 + g_random_double_range (0, 2);
       g_array_append_val (workers, worker);
     }
-  real_serve (sim, STORE_PORT, TRUE);
+  real_serve (sim, KV_PORT, TRUE);
   real_serve (sim, CLOUD_PORT, FALSE);
   g_timeout_add (TURN_MS, on_workers, NULL);
   settings = write_settings ((guint) machines);
--- a/tests/real-processes.c
+++ b/tests/real-processes.c
@@ -27,14 +27,14 @@
 }
 
 Sim *
-real_sim_new (guint32 seed, const SimSize *size)
+real_sim_new (guint32 seed, const SimConfig *config)
 {
-  Sim *sim = sim_new_sized (seed, size);
+  Sim *sim = sim_new_with_config (seed, config);
   for (guint i = 0; i < SIM_NODES; i++)
     sim_crash (sim, i);
   g_sequence_remove_range (g_sequence_get_begin_iter (sim->events), g_sequence_get_end_iter (sim->events));
   sim->nodes[0].controller = (gpointer) sim; /* somebody is there to be answered; never looked into */
-  sim->nodes[0].life = 0;
+  sim->nodes[0].incarnation = 0;
   began_us = g_get_monotonic_time ();
   g_timeout_add (TURN_MS, on_turn, sim);
   return sim;
@@ -52,7 +52,7 @@
 } FakeRequest;
 
 static void
-on_fake_answer (guint status, const char *body, gsize length, gpointer user)
+on_fake_response (guint status, const char *body, gsize length, gpointer user)
 {
   FakeRequest *request = user;
   soup_message_set_status (request->message, status);
@@ -73,15 +73,15 @@
   request->server = server;
   request->message = g_object_ref (message);
   call->method = g_strdup (message->method);
-  call->addr = g_strdup (request->store ? SIM_STORE_ADDRESS : SIM_CLOUD_ADDRESS);
+  call->addr = g_strdup (request->store ? SIM_KV_ADDRESS : SIM_CLOUD_ADDRESS);
   call->path = soup_uri_to_string (soup_message_get_uri (message), TRUE);
   call->body = g_strndup (body->data, body->length);
-  call->done = on_fake_answer;
+  call->done = on_fake_response;
   call->user = request;
   call->refs = 1;
   soup_server_pause_message (server, message);
   if (request->store)
-    sim_store_request (request->sim, call);
+    sim_kv_store_request (request->sim, call);
   else
     sim_cloud_request (request->sim, call);
 }
--- a/tests/real-processes.h
+++ b/tests/real-processes.h
@@ -3,7 +3,7 @@
 #include "sim-internal.h"
 
 /** real_sim_new: the fakes of a simulated cluster without its controllers, which are processes here. */
-Sim *real_sim_new (guint32 seed, const SimSize *size);
+Sim *real_sim_new (guint32 seed, const SimConfig *config);
 
 /** real_serve: answers HTTP at the port as the key-value store, or the cloud, of @sim. */
 void real_serve (Sim *sim, guint port, gboolean store);
--- a/tests/sim-cloud.c
+++ b/tests/sim-cloud.c
@@ -14,16 +14,16 @@
   machine->zone = g_strdup (zone);
   machine->spot = spot;
   machine->cpus = *type == 'b' ? 8 : 4;
-  machine->rented = sim->now;
+  machine->rented_at = sim->now;
   machine->up_at = sim->now + up_after;
   machine->listed_at = sim->now + g_rand_double_range (sim->rand, 1, 4);
-  machine->gone_at = INFINITY;
+  machine->terminated_at = INFINITY;
   machine->agent_epoch = 1;
   machine->tasks = g_ptr_array_new ();
   machine->node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
   g_ptr_array_add (sim->machines, machine);
-  if (!sim->boot_never || !sim_chance (sim, 0.2))
-    sim_at (sim, machine->up_at, sim_machine_tick, machine);
+  if (!sim->some_never_boot || !sim_chance (sim, 0.2))
+    sim_schedule (sim, machine->up_at, sim_machine_tick, machine);
   return machine;
 }
 
@@ -31,7 +31,7 @@
 sim_cloud_request (Sim *sim, SimCall *call)
 {
   if (g_str_equal (call->path, "/machine_types"))
-    sim_answer (
+    sim_respond (
         sim, call, 200,
         g_strdup ("{\"flavors\":[{\"sku\":\"big\",\"cpus\":8,\"gpus\":0,\"ramGb\":32,\"localGb\":50,\"pullGbPerS\":1,"
                   "\"price\":1.0,\"lowPrice\":0.4,\"readyS\":4,\"yards\":[\"za\",\"zb\"]},"
@@ -41,19 +41,19 @@
     {
       cJSON *root = cJSON_Parse (call->body), *out, *list;
       const char *request = hzb_json_text (root, "hire");
-      const char *known = g_hash_table_lookup (sim->requested, request);
+      const char *known = g_hash_table_lookup (sim->rental_requests, request);
       if (!known)
         {
           guint alive = 0, count = (guint) hzb_json_number (root, "count", 1);
           char *text;
           for (guint i = 0; i < sim->machines->len; i++)
-            alive += !((SimMachine *) sim->machines->pdata[i])->gone;
+            alive += !((SimMachine *) sim->machines->pdata[i])->terminated;
           out = cJSON_CreateObject ();
           list = cJSON_AddArrayToObject (out, "hosts");
-          sim->rentals++;
-          if (g_strcmp0 (sim->closed_zone, hzb_json_text (root, "yard")) == 0)
+          sim->rental_calls++;
+          if (g_strcmp0 (sim->zone_without_capacity, hzb_json_text (root, "yard")) == 0)
             count = 0;
-          for (; count && alive < sim->size.machines; count--, alive++)
+          for (; count && alive < sim->config.machines; count--, alive++)
             cJSON_AddItemToArray (
                 list,
                 cJSON_CreateString (sim_add_machine (sim, hzb_json_text (root, "flavor"), hzb_json_text (root, "yard"),
@@ -65,34 +65,34 @@
               text = cJSON_PrintUnformatted (out);
               known = g_strdup (text);
               cJSON_free (text);
-              g_hash_table_insert (sim->requested, g_strdup (request), (gpointer) known);
+              g_hash_table_insert (sim->rental_requests, g_strdup (request), (gpointer) known);
             }
           cJSON_Delete (out);
         }
       cJSON_Delete (root);
       if (known)
-        sim_answer (sim, call, 200, g_strdup (known));
+        sim_respond (sim, call, 200, g_strdup (known));
       else
-        sim_answer (sim, call, 503, g_strdup ("{\"error\":\"no capacity\"}"));
+        sim_respond (sim, call, 503, g_strdup ("{\"error\":\"no capacity\"}"));
     }
   else if (g_str_equal (call->path, "/hosts/return"))
     {
       cJSON *root = cJSON_Parse (call->body);
       const cJSON *item;
-      sim->most_returned = MAX (sim->most_returned, (guint) cJSON_GetArraySize (cJSON_GetObjectItem (root, "hosts")));
+      sim->largest_return = MAX (sim->largest_return, (guint) cJSON_GetArraySize (cJSON_GetObjectItem (root, "hosts")));
       cJSON_ArrayForEach (item, cJSON_GetObjectItem (root, "hosts"))
         for (guint i = 0; i < sim->machines->len; i++)
           {
             SimMachine *machine = sim->machines->pdata[i];
-            if (g_str_equal (machine->name, item->valuestring) && !machine->gone)
+            if (g_str_equal (machine->name, item->valuestring) && !machine->terminated)
               {
-                machine->gone = TRUE;
-                machine->gone_at = sim->now;
+                machine->terminated = TRUE;
+                machine->terminated_at = sim->now;
                 g_ptr_array_set_size (machine->tasks, 0);
               }
           }
       cJSON_Delete (root);
-      sim_answer (sim, call, 200, g_strdup ("{}"));
+      sim_respond (sim, call, 200, g_strdup ("{}"));
     }
   else
     {
@@ -105,7 +105,7 @@
         {
           const SimMachine *machine = sim->machines->pdata[i];
           cJSON *item;
-          if (machine->unlisted || sim->now < machine->listed_at || sim->now > machine->gone_at + 3
+          if (machine->missing_from_inventory || sim->now < machine->listed_at || sim->now > machine->terminated_at + 3
               || (since && strcmp (machine->name, since) <= 0))
             continue;
           if (n++ == 500)
@@ -119,13 +119,13 @@
           cJSON_AddStringToObject (item, "flavor", machine->type);
           cJSON_AddStringToObject (item, "yard", machine->zone);
           cJSON_AddBoolToObject (item, "loaners", machine->spot);
-          cJSON_AddStringToObject (item, "status", machine->failed ? "failed" : machine->up ? "running" : "starting");
-          cJSON_AddNumberToObject (item, "ageS", sim->now - machine->rented);
+          cJSON_AddStringToObject (item, "status", machine->crashed ? "failed" : machine->up ? "running" : "starting");
+          cJSON_AddNumberToObject (item, "ageS", sim->now - machine->rented_at);
           cJSON_AddItemToArray (list, item);
         }
       cJSON_AddBoolToObject (root, "hasNext", more);
       text = cJSON_PrintUnformatted (root);
       cJSON_Delete (root);
-      sim_answer (sim, call, 200, text);
+      sim_respond (sim, call, 200, text);
     }
 }
--- a/tests/sim-cluster.c
+++ b/tests/sim-cluster.c
@@ -11,7 +11,7 @@
 }
 
 void
-sim_at (Sim *sim, double at, void (*run) (Sim *sim, gpointer data), gpointer data)
+sim_schedule (Sim *sim, double at, void (*run) (Sim *sim, gpointer data), gpointer data)
 {
   SimEvent *e = g_new0 (SimEvent, 1);
   e->at = MAX (at, sim->now);
@@ -37,7 +37,7 @@
       if (sim->now >= sim->next_check)
         {
           sim_check (sim);
-          sim->next_check = sim->now + sim->size.check_s;
+          sim->next_check = sim->now + sim->config.check_interval_s;
         }
     }
   hzb_clock_advance (sim->clock, until - sim->now);
@@ -45,14 +45,14 @@
 }
 
 void
-sim_broken (Sim *sim, const char *rule, const char *format, ...)
+sim_violation (Sim *sim, const char *rule, const char *format, ...)
 {
   va_list args;
   g_autofree char *text = NULL;
   va_start (args, format);
   text = g_strdup_vprintf (format, args);
   va_end (args);
-  g_ptr_array_add (sim->broken, g_strdup_printf ("%s at %.2f: %s", rule, sim->now, text));
+  g_ptr_array_add (sim->violations, g_strdup_printf ("%s at %.2f: %s", rule, sim->now, text));
 }
 
 gboolean
@@ -70,25 +70,25 @@
 /* ---- controllers ---- */
 
 void
-sim_enter (Sim *sim)
+sim_measure_begin (Sim *sim)
 {
   if (sim->measures)
     sim->entered_us = g_get_monotonic_time ();
 }
 
 void
-sim_leave (Sim *sim, SimPart part)
+sim_measure_end (Sim *sim, SimPart part)
 {
   if (sim->measures)
     sim->spent_us[part] += g_get_monotonic_time () - sim->entered_us;
 }
 
 void
-sim_ask (Sim *sim, guint node, HzbHttpRequest *http_request)
+sim_client_request (Sim *sim, guint node, HzbHttpRequest *http_request)
 {
-  if (sim->ask_process)
+  if (sim->send_to_process)
     {
-      sim->ask_process (sim, node, http_request);
+      sim->send_to_process (sim, node, http_request);
       return;
     }
   sim_trace (&(SimTraceEvent){ .at = sim->now,
@@ -106,11 +106,11 @@
   SimNode *node = data;
   if (node->controller && !node->paused)
     {
-      sim_enter (sim);
+      sim_measure_begin (sim);
       hzb_controller_tick (node->controller);
-      sim_leave (sim, SIM_PART_TICKS);
+      sim_measure_end (sim, SIM_PART_TICKS);
     }
-  sim_at (sim, sim->now + 0.1, node_tick, node);
+  sim_schedule (sim, sim->now + 0.1, node_tick, node);
 }
 
 /* By hand, all tests can be played with features on: HZB_SIM_FEATURES=deploy/reconciliation.toml */
@@ -122,8 +122,8 @@
 
   if (without)
     return;
-  if (sim->size.features)
-    hzb_settings_parse_features (settings, sim->size.features, "simulated", &error);
+  if (sim->config.features)
+    hzb_settings_parse_features (settings, sim->config.features, "simulated", &error);
   else if (path)
     hzb_settings_load_features (settings, path, &error);
   g_assert_no_error (error);
@@ -135,9 +135,9 @@
   SimNode *node = &sim->nodes[at];
   GString *text = g_string_new (NULL);
   g_autofree char *ops =
-      sim->size.next_txn_ops ? g_strdup_printf ("txn_ops = %u\n", sim->size.next_txn_ops) : g_strdup ("");
+      sim->config.next_txn_ops ? g_strdup_printf ("txn_ops = %u\n", sim->config.next_txn_ops) : g_strdup ("");
   g_autofree char *rate =
-      sim->size.next_write_rps > 0 ? g_strdup_printf ("write_rps = %g\n", sim->size.next_write_rps) : g_strdup ("");
+      sim->config.next_write_rps > 0 ? g_strdup_printf ("write_rps = %g\n", sim->config.next_write_rps) : g_strdup ("");
   g_autofree char *next = g_strconcat (ops, rate, NULL);
   g_autoptr (GError) error = NULL;
   HzbSettings *settings;
@@ -155,30 +155,30 @@
       "[cluster.workers]\nreport_s = %g\nlease_s = %g\ngang_wait_s = 20\ngang_peer_s = 4\ncancel_s = %g\n"
       "[cluster.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = 16\ntxn_ops = %u\n[cluster.state.next]\nvalue_kb = 2\n%s"
       "[cluster.cloud]\nrps = %g\nlist_lag_s = 3\n",
-      sim->size.heartbeat_interval_s, sim->size.lease_s, sim->size.cancel_s, sim->size.kv_rps, sim->size.kv_write_rps,
-      sim->size.txn_ops, next, sim->size.cloud_rps);
-  for (guint i = 0; i < sim->size.teams; i++)
+      sim->config.heartbeat_interval_s, sim->config.lease_s, sim->config.cancel_s, sim->config.kv_rps,
+      sim->config.kv_write_rps, sim->config.txn_ops, next, sim->config.cloud_rps);
+  for (guint i = 0; i < sim->config.teams; i++)
     {
       g_autofree char *name = i < 2 ? g_strdup (i ? "blue" : "red") : g_strdup_printf ("team-%02u", i);
       g_string_append_printf (text, "[[cluster.teams]]\nname = \"%s\"\ncpus = %g\ncpus_max = %g\n", name,
-                              sim->size.team_guarantee, sim->size.team_max);
+                              sim->config.team_guarantee, sim->config.team_max);
     }
   g_string_append (text, "[[cluster.teams]]\nname = \"guest\"\ncpus = 0\ncpus_max = 0\n");
   settings = hzb_settings_parse (text->str, "simulated", &error);
   g_assert_no_error (error);
   g_string_free (text, TRUE);
   load_features (sim, node->without_features, settings);
-  node->life++;
+  node->incarnation++;
   node->transport = g_new0 (SimTransport, 1);
   node->transport->parent.send = sim_send;
   node->transport->sim = sim;
-  node->transport->at = at;
-  node->transport->life = node->life;
+  node->transport->node = at;
+  node->transport->incarnation = node->incarnation;
   node->controller = hzb_controller_new (settings, sim->clock, &node->transport->parent, g_rand_int (sim->rand));
-  if (node->old)
+  if (node->runs_version_1)
     node->controller->node->schema_version = 1;
-  if (sim->size.max_replicated_completed)
-    node->controller->jobs->max_replicated_completed = sim->size.max_replicated_completed;
+  if (sim->config.max_replicated_completed)
+    node->controller->jobs->max_replicated_completed = sim->config.max_replicated_completed;
 }
 
 /* What the process held is gone with it; its memory is left alone, as calls on their way still name it. */
@@ -199,59 +199,59 @@
 }
 
 /* The usual little deployment; small pages, so that reading on is tried. */
-const SimSize sim_size_little = { .machines = 12,
-                                  .teams = 2,
-                                  .team_max = 24,
-                                  .team_guarantee = 8,
-                                  .heartbeat_interval_s = 1.5,
-                                  .lease_s = 10,
-                                  .cancel_s = 30,
-                                  .kv_rps = 200,
-                                  .kv_write_rps = 60,
-                                  .txn_ops = 8,
-                                  .cloud_rps = 6,
-                                  .rows = 5 };
+const SimConfig sim_config_small = { .machines = 12,
+                                     .teams = 2,
+                                     .team_max = 24,
+                                     .team_guarantee = 8,
+                                     .heartbeat_interval_s = 1.5,
+                                     .lease_s = 10,
+                                     .cancel_s = 30,
+                                     .kv_rps = 200,
+                                     .kv_write_rps = 60,
+                                     .txn_ops = 8,
+                                     .cloud_rps = 6,
+                                     .range_page_rows = 5 };
 
-const SimSize sim_size_large = { .machines = 1800,
-                                 .teams = 8,
-                                 .team_max = 3000,
-                                 .team_guarantee = 800,
-                                 .heartbeat_interval_s = 5,
-                                 .lease_s = 26.5,
-                                 .cancel_s = 46.5,
-                                 .kv_rps = 800,
-                                 .kv_write_rps = 70,
-                                 .txn_ops = 16,
-                                 .cloud_rps = 15,
-                                 .rows = 500,
-                                 .check_s = 0.5,
-                                 .kept_changes = 10000 };
+const SimConfig sim_config_large = { .machines = 1800,
+                                     .teams = 8,
+                                     .team_max = 3000,
+                                     .team_guarantee = 800,
+                                     .heartbeat_interval_s = 5,
+                                     .lease_s = 26.5,
+                                     .cancel_s = 46.5,
+                                     .kv_rps = 800,
+                                     .kv_write_rps = 70,
+                                     .txn_ops = 16,
+                                     .cloud_rps = 15,
+                                     .range_page_rows = 500,
+                                     .check_interval_s = 0.5,
+                                     .retained_changes = 10000 };
 
 Sim *
 sim_new (guint32 seed)
 {
-  return sim_new_sized (seed, &sim_size_little);
+  return sim_new_with_config (seed, &sim_config_small);
 }
 
 Sim *
-sim_new_sized (guint32 seed, const SimSize *size)
+sim_new_with_config (guint32 seed, const SimConfig *config)
 {
   Sim *sim = g_new0 (Sim, 1);
-  sim->size = *size;
+  sim->config = *config;
   sim->by_uid = g_hash_table_new (g_str_hash, g_str_equal);
   sim->clock = hzb_clock_new_manual ();
   sim->rand = g_rand_new_with_seed (seed);
   sim->events = g_sequence_new (g_free);
-  sim_store_init (sim);
-  sim->requested = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  sim_kv_store_init (sim);
+  sim->rental_requests = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   sim->machines = g_ptr_array_new ();
   sim->jobs = g_ptr_array_new ();
-  sim->broken = g_ptr_array_new_with_free_func (g_free);
+  sim->violations = g_ptr_array_new_with_free_func (g_free);
   for (guint i = 0; i < SIM_NODES; i++)
     {
-      sim->nodes[i].late = g_ptr_array_new_with_free_func (g_free);
+      sim->nodes[i].deferred = g_ptr_array_new_with_free_func (g_free);
       sim_start (sim, i);
-      sim_at (sim, 0.03 * (i + 1), node_tick, &sim->nodes[i]);
+      sim_schedule (sim, 0.03 * (i + 1), node_tick, &sim->nodes[i]);
     }
   return sim;
 }
@@ -260,10 +260,10 @@
 sim_free (Sim *sim)
 {
   g_sequence_free (sim->events);
-  sim_store_free (sim);
-  g_hash_table_unref (sim->requested);
+  sim_kv_store_free (sim);
+  g_hash_table_unref (sim->rental_requests);
   g_hash_table_unref (sim->by_uid);
-  g_ptr_array_unref (sim->broken);
+  g_ptr_array_unref (sim->violations);
   g_rand_free (sim->rand);
   hzb_clock_free (sim->clock);
   g_free (sim);
--- a/tests/sim-faults.c
+++ b/tests/sim-faults.c
@@ -4,30 +4,30 @@
 #include <string.h>
 
 void
-expect_no_fault (Sim *sim, const char *what, guint32 seed)
+expect_no_violation (Sim *sim, const char *what, guint32 seed)
 {
-  for (guint i = 0; i < sim->broken->len && i < 5; i++)
-    g_test_message ("%s", (char *) sim->broken->pdata[i]);
-  if (sim->broken->len)
-    g_error ("%s, seed %u: %s", what, seed, (char *) sim->broken->pdata[0]);
+  for (guint i = 0; i < sim->violations->len && i < 5; i++)
+    g_test_message ("%s", (char *) sim->violations->pdata[i]);
+  if (sim->violations->len)
+    g_error ("%s, seed %u: %s", what, seed, (char *) sim->violations->pdata[0]);
 }
 
 /* Also that nothing is forgotten and no one starved. */
 void
-expect_all_over (Sim *sim, const char *what, guint32 seed)
+expect_all_finished (Sim *sim, const char *what, guint32 seed)
 {
   sim_check_end (sim);
-  expect_no_fault (sim, what, seed);
+  expect_no_violation (sim, what, seed);
   for (guint i = 0; i < sim->jobs->len; i++)
     {
       const SimJob *job = sim->jobs->pdata[i];
-      if (!job->told_done && !job->told_cancelled && !job->bad)
+      if (!job->confirmed_done && !job->confirmed_cancelled && !job->always_fails)
         g_error ("%s, seed %u: %s is not over", what, seed, job->uid);
     }
 }
 
 void
-crash_one (Sim *sim, gpointer data)
+crash_random_controller (Sim *sim, gpointer data)
 {
   int leader = sim_leader (sim);
   guint at =
@@ -38,7 +38,7 @@
 }
 
 void
-start_all (Sim *sim, gpointer data)
+start_all_controllers (Sim *sim, gpointer data)
 {
   for (guint i = 0; i < SIM_NODES; i++)
     if (!sim->nodes[i].controller)
@@ -46,50 +46,51 @@
 }
 
 void
-crash_all (Sim *sim, gpointer data)
+crash_all_controllers (Sim *sim, gpointer data)
 {
   for (guint i = 0; i < SIM_NODES; i++)
     sim_crash (sim, i);
-  sim_at (sim, sim->now + g_rand_double_range (sim->rand, 0.2, 6), start_all, NULL);
+  sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 0.2, 6), start_all_controllers, NULL);
 }
 
 void
-flip_outage (Sim *sim, gpointer data)
+toggle_kv_outage (Sim *sim, gpointer data)
 {
-  sim->outage = !sim->outage;
+  sim->kv_outage = !sim->kv_outage;
 }
 
 void
-cut_leader (Sim *sim, gpointer data)
+cut_off_leader_at_random (Sim *sim, gpointer data)
 {
   int leader = sim_leader (sim);
   SimNode *node = &sim->nodes[MAX (leader, 0)];
   switch (g_rand_int_range (sim->rand, 0, 4))
     {
     case 0:
-      node->cut_store = TRUE;
+      node->cut_off_from_kv = TRUE;
       break;
     case 1:
-      node->refused = TRUE;
+      node->refused_by_kv = TRUE;
       break;
     case 2:
-      node->cut_workers = TRUE;
+      node->cut_off_from_workers = TRUE;
       break;
     default:
-      node->cut_store = node->cut_peers = TRUE;
+      node->cut_off_from_kv = node->cut_off_from_peers = TRUE;
       break;
     }
 }
 
 void
-heal (Sim *sim, gpointer data)
+heal_controllers (Sim *sim, gpointer data)
 {
   for (guint i = 0; i < SIM_NODES; i++)
-    sim->nodes[i].cut_store = sim->nodes[i].refused = sim->nodes[i].cut_workers = sim->nodes[i].cut_peers = FALSE;
+    sim->nodes[i].cut_off_from_kv = sim->nodes[i].refused_by_kv = sim->nodes[i].cut_off_from_workers =
+        sim->nodes[i].cut_off_from_peers = FALSE;
 }
 
 void
-hurt_machine (Sim *sim, gpointer data)
+fail_random_machine (Sim *sim, gpointer data)
 {
   SimMachine *machine;
   if (!sim->machines->len)
@@ -98,7 +99,7 @@
   switch (g_rand_int_range (sim->rand, 0, 4))
     {
     case 0:
-      machine->cut = !machine->cut;
+      machine->partitioned = !machine->partitioned;
       break;
     case 1:
       machine->hung = !machine->hung;
@@ -107,41 +108,41 @@
       machine->faulty = !machine->faulty;
       break;
     default:
-      machine->failed = TRUE; /* stopped with all that was on it */
+      machine->crashed = TRUE; /* stopped with all that was on it */
       g_ptr_array_set_size (machine->tasks, 0);
       break;
     }
 }
 
 static SimMachine *
-own_machine_with_tasks (Sim *sim, HzbMachineState state)
+machine_in_state_with_tasks (Sim *sim, HzbMachineState state)
 {
   HzbController *controller = sim->nodes[MAX (sim_leader (sim), 0)].controller;
   for (guint i = 0; controller && i < sim->machines->len; i++)
     {
       SimMachine *machine = sim->machines->pdata[i];
       const HzbMachine *known = hzb_machines_find (controller->machines, machine->name);
-      if (machine->tasks->len && !machine->gone && known && known->state == state)
+      if (machine->tasks->len && !machine->terminated && known && known->state == state)
         return machine;
     }
   return NULL;
 }
 
 void
-some_work (Sim *sim, guint jobs)
+add_arrays (Sim *sim, guint jobs)
 {
   for (guint i = 0; i < jobs; i++)
     sim_add_job (sim, 1 + 0.3 * i, i % 2 ? "red" : "blue", 8, 3, 20)->type = "small";
 }
 
 SimMachine *
-run_until (Sim *sim, HzbMachineState state)
+run_until_machine_is (Sim *sim, HzbMachineState state)
 {
   SimMachine *machine = NULL;
   while (!machine && sim->now < 60)
     {
       sim_run (sim, sim->now + 0.5);
-      machine = own_machine_with_tasks (sim, state);
+      machine = machine_in_state_with_tasks (sim, state);
     }
   g_assert_nonnull (machine);
   return machine;
@@ -156,18 +157,19 @@
   return NULL;
 }
 
-char last_body[400];
+char last_response_body[400];
 
 void
-keep_status (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
+capture_status (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
   guint *out = http_request->impl;
   *out = status;
-  g_strlcpy (last_body, body ? body : "", sizeof last_body);
+  g_strlcpy (last_response_body, body ? body : "", sizeof last_response_body);
 }
 
 guint
-report_to (Sim *sim, guint node, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_statuses)
+heartbeat_to (Sim *sim, guint node, SimMachine *machine, guint64 agent_epoch, guint64 sequence,
+              const char *task_statuses)
 {
   HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
   guint status = 0;
@@ -179,16 +181,16 @@
                        machine->name, machine->type, machine->zone, (guint) agent_epoch, (guint) sequence,
                        machine->fencing_token, task_statuses);
   http_request->length = strlen (http_request->body);
-  http_request->reply = keep_status;
+  http_request->reply = capture_status;
   http_request->impl = &status;
   hzb_controller_request (http_request, sim->nodes[node].controller);
   return status;
 }
 
 guint
-report_again (Sim *sim, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_statuses)
+heartbeat_to_leader (Sim *sim, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_statuses)
 {
-  return report_to (sim, (guint) sim_leader (sim), machine, agent_epoch, sequence, task_statuses);
+  return heartbeat_to (sim, (guint) sim_leader (sim), machine, agent_epoch, sequence, task_statuses);
 }
 
 guint
@@ -198,8 +200,8 @@
   for (guint i = 0; i < sim->machines->len; i++)
     {
       const SimMachine *machine = sim->machines->pdata[i];
-      for (guint k = 0; k < machine->tasks->len && !machine->gone; k++)
-        n += ((SimTask *) machine->tasks->pdata[k])->state == 2;
+      for (guint k = 0; k < machine->tasks->len && !machine->terminated; k++)
+        n += ((SimTask *) machine->tasks->pdata[k])->state == SIM_TASK_RUNNING;
     }
   return n;
 }
@@ -221,11 +223,11 @@
   guint *out = http_request->impl;
   out[0] = status;
   out[1] = retry;
-  g_strlcpy (last_body, body ? body : "", sizeof last_body);
+  g_strlcpy (last_response_body, body ? body : "", sizeof last_response_body);
 }
 
 guint
-ask (Sim *sim, guint node, const char *method, const char *path, const char *body, guint *retry)
+user_request (Sim *sim, guint node, const char *method, const char *path, const char *body, guint *retry)
 {
   HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
   guint out[2] = { 0 };
@@ -242,7 +244,7 @@
   return out[0];
 }
 
-static const char standing[] =
+static const char service_request[] =
     "{\"uid\":\"run-%06u\",\"lane\":\"web\",\"owner\":\"%s\",\"shape\":\"standing\",\"urgency\":\"production\",\"pieces\":%u,"
     "\"cpus\":%g,\"gpus\":0,\"ramGb\":1,\"bundle\":\"img\",\"sizeGb\":0.5,\"samePlace\":false,\"spread\":false,"
     "\"loaners\":true,\"expectS\":%s,\"snapshotEveryS\":0,\"snapshotS\":0}";
@@ -251,14 +253,14 @@
 submit_service (Sim *sim, guint node, guint uid, const char *team, guint n, double cpus, const char *expect,
                 guint *retry)
 {
-  g_autofree char *body = g_strdup_printf (standing, uid, team, n, cpus, expect);
-  return ask (sim, node, "POST", "/api/jobs", body, retry);
+  g_autofree char *body = g_strdup_printf (service_request, uid, team, n, cpus, expect);
+  return user_request (sim, node, "POST", "/api/jobs", body, retry);
 }
 
 guint
-submit_changed (Sim *sim, guint node, guint uid, const char *field, const char *value)
+submit_service_with (Sim *sim, guint node, guint uid, const char *field, const char *value)
 {
-  g_autofree char *body = g_strdup_printf (standing, uid, "red", 2, 1.0, "0");
+  g_autofree char *body = g_strdup_printf (service_request, uid, "red", 2, 1.0, "0");
   g_autofree char *text = NULL;
   cJSON *root = cJSON_Parse (body);
   cJSON_DeleteItemFromObject (root, field);
@@ -266,11 +268,11 @@
     cJSON_AddRawToObject (root, field, value);
   text = cJSON_PrintUnformatted (root);
   cJSON_Delete (root);
-  return ask (sim, node, "POST", "/api/jobs", text, NULL);
+  return user_request (sim, node, "POST", "/api/jobs", text, NULL);
 }
 
 void
-many_jobs (Sim *sim, guint n, double over_s, double run_s)
+add_many_arrays (Sim *sim, guint n, double over_s, double run_s)
 {
   for (guint i = 0; i < n; i++)
     {
@@ -284,12 +286,12 @@
 Sim *
 large_fleet (guint32 seed, guint machines, guint jobs, double run_s)
 {
-  Sim *sim = sim_new_sized (seed, &sim_size_large);
+  Sim *sim = sim_new_with_config (seed, &sim_config_large);
   for (guint i = 0; i < machines; i++)
     sim_add_machine (sim, i % 3 ? "small" : "big", i % 2 ? "za" : "zb", TRUE, g_rand_double_range (sim->rand, 1, 5));
-  many_jobs (sim, jobs, 10, run_s);
+  add_many_arrays (sim, jobs, 10, run_s);
   sim_run (sim, 25);
-  expect_no_fault (sim, "a large fleet at work", seed);
+  expect_no_violation (sim, "a large fleet at work", seed);
   return sim;
 }
 
--- a/tests/sim-store.c
+++ b/tests/sim-kv-store.c
@@ -41,27 +41,27 @@
 
 /* The changes after that revision are not all kept any more. */
 static gboolean
-changes_are_lost (const Sim *sim, guint64 after)
+changes_are_compacted (const Sim *sim, guint64 after)
 {
-  guint kept = sim->size.kept_changes;
-  return kept && sim->history->len > kept
-         && after < ((const Change *) sim->history->pdata[sim->history->len - kept - 1])->version;
+  guint kept = sim->config.retained_changes;
+  return kept && sim->kv_changes->len > kept
+         && after < ((const Change *) sim->kv_changes->pdata[sim->kv_changes->len - kept - 1])->version;
 }
 
 static char *
 watch_body (Sim *sim, const char *prefix, guint64 after, gboolean *any)
 {
   cJSON *root = cJSON_CreateObject (), *list;
-  guint first = sim->history->len;
+  guint first = sim->kv_changes->len;
   char *text;
   hzb_json_add_u64 (root, "epoch", sim->revision);
   list = cJSON_AddArrayToObject (root, "news");
   *any = FALSE;
-  while (first && ((Change *) sim->history->pdata[first - 1])->version > after)
+  while (first && ((Change *) sim->kv_changes->pdata[first - 1])->version > after)
     first--;
-  for (guint i = first; i < sim->history->len; i++)
+  for (guint i = first; i < sim->kv_changes->len; i++)
     {
-      const Change *change = sim->history->pdata[i];
+      const Change *change = sim->kv_changes->pdata[i];
       cJSON *item;
       if (!g_str_has_prefix (change->key, prefix))
         continue;
@@ -86,14 +86,14 @@
       Watcher *watcher = sim->watchers->pdata[i];
       gboolean any;
       char *body;
-      if (sim->outage)
+      if (sim->kv_outage)
         return;
-      if (sim->nodes[watcher->call->node].refused)
+      if (sim->nodes[watcher->call->node].refused_by_kv)
         continue; /* it waits, as in an outage */
       body = watch_body (sim, watcher->prefix, watcher->after, &any);
       if (any || sim->now >= watcher->until)
         {
-          sim_answer (sim, watcher->call, 200, body);
+          sim_respond (sim, watcher->call, 200, body);
           g_free (watcher->prefix);
           g_free (watcher);
           g_ptr_array_remove_index (sim->watchers, i--);
@@ -104,7 +104,7 @@
 }
 
 static void
-watch_over (Sim *sim, gpointer data)
+watch_timeout (Sim *sim, gpointer data)
 {
   wake_watchers (sim);
 }
@@ -128,7 +128,7 @@
       for (gsize i = 0; i < n; i++)
         back = back || (x[i] & ~(i < machine ? y[i] : 0));
       if (back)
-        sim_broken (sim, "progress_went_back", "%s, %s: %s -> %s", key, old->string, from, to);
+        sim_violation (sim, "progress_went_back", "%s, %s: %s -> %s", key, old->string, from, to);
     }
   cJSON_Delete (before);
   cJSON_Delete (after);
@@ -146,7 +146,7 @@
     change->key = g_strdup (key);
     change->text = g_strdup (text);
     change->version = sim->revision;
-    g_ptr_array_add (sim->history, change);
+    g_ptr_array_add (sim->kv_changes, change);
     if (text)
       {
         Value *value = g_new0 (Value, 1);
@@ -161,7 +161,7 @@
 }
 
 static void
-end_lease (Sim *sim, guint64 lease)
+remove_lease (Sim *sim, guint64 lease)
 {
   g_autoptr (GPtrArray) keys = g_ptr_array_new_with_free_func (g_free);
   GHashTableIter iter;
@@ -185,54 +185,55 @@
 } Lease;
 
 static void
-lease_tick (Sim *sim, gpointer data)
+expire_lease (Sim *sim, gpointer data)
 {
   guint64 id = GPOINTER_TO_SIZE (data);
   Lease *lease = g_hash_table_lookup (sim->leases, data);
   if (!lease)
     return;
-  if (sim->outage)
+  if (sim->kv_outage)
     lease->until = sim->now + lease->ttl; /* every lease has its full time again */
   if (sim->now >= lease->until)
-    end_lease (sim, id);
+    remove_lease (sim, id);
   else
-    sim_at (sim, sim->outage ? sim->now + 0.1 : lease->until + 0.05, lease_tick, data);
+    sim_schedule (sim, sim->kv_outage ? sim->now + 0.1 : lease->until + 0.05, expire_lease, data);
 }
 
 static guint
-store_txn (Sim *sim, const char *body, char **out)
+kv_transaction (Sim *sim, const char *body, char **out)
 {
   cJSON *transaction = cJSON_Parse (body ? body : ""), *root = cJSON_CreateObject (), *failed = cJSON_CreateArray ();
   const cJSON *item;
   guint status = 200, changes = (guint) cJSON_GetArraySize (cJSON_GetObjectItem (transaction, "then"));
   if (!transaction)
-    sim_broken (sim, "malformed", "a transaction: %s", body ? body : "no body");
-  sim->write_budget = MIN (sim->write_budget + (sim->now - sim->write_filled) * sim->write_rate, sim->write_rate);
-  sim->write_filled = sim->now;
-  if (sim->write_rate > 0 && changes > sim->write_budget)
+    sim_violation (sim, "malformed", "a transaction: %s", body ? body : "no body");
+  sim->kv_write_budget =
+      MIN (sim->kv_write_budget + (sim->now - sim->kv_write_budget_at) * sim->kv_write_rate, sim->kv_write_rate);
+  sim->kv_write_budget_at = sim->now;
+  if (sim->kv_write_rate > 0 && changes > sim->kv_write_budget)
     {
       cJSON_Delete (transaction);
       cJSON_Delete (root);
       cJSON_Delete (failed);
       return 429;
     }
-  if (sim->most_changes && changes > sim->most_changes)
+  if (sim->kv_max_changes && changes > sim->kv_max_changes)
     {
-      sim_broken (sim, "too_large", "%u changes in a transaction", changes);
+      sim_violation (sim, "too_large", "%u changes in a transaction", changes);
       status = 400;
     }
   cJSON_ArrayForEach (item, cJSON_GetObjectItem (transaction, "then"))
     {
       char *value = cJSON_PrintUnformatted (cJSON_GetObjectItem (item, "value"));
-      if (sim->most_value && value && strlen (value) > sim->most_value)
+      if (sim->kv_max_value_bytes && value && strlen (value) > sim->kv_max_value_bytes)
         {
-          sim_broken (sim, "too_large", "%s has %u bytes", hzb_json_text (item, "put"), (guint) strlen (value));
+          sim_violation (sim, "too_large", "%s has %u bytes", hzb_json_text (item, "put"), (guint) strlen (value));
           status = 400;
         }
       cJSON_free (value);
     }
-  sim->write_budget -= changes;
-  sim->written += changes;
+  sim->kv_write_budget -= changes;
+  sim->kv_writes += changes;
   cJSON_ArrayForEach (item, cJSON_GetObjectItem (transaction, "when"))
     {
       const Value *value = g_hash_table_lookup (sim->kv, hzb_json_text (item, "path"));
@@ -325,7 +326,7 @@
 }
 
 static char *
-store_range (Sim *sim, const char *path)
+kv_range (Sim *sim, const char *path)
 {
   g_autofree char *prefix = sim_query (path, "starts"), *after = sim_query (path, "since");
   g_autoptr (GPtrArray) keys = g_ptr_array_new ();
@@ -343,12 +344,12 @@
     {
       const Value *value = g_hash_table_lookup (sim->kv, keys->pdata[i]);
       cJSON *row;
-      if (i == sim->size.rows)
+      if (i == sim->config.range_page_rows)
         {
           more = TRUE;
           break;
         }
-      sim->rows_read++;
+      sim->kv_rows_read++;
       row = cJSON_CreateObject ();
       cJSON_AddStringToObject (row, "path", keys->pdata[i]);
       cJSON_AddRawToObject (row, "value", value->text);
@@ -363,7 +364,7 @@
 }
 
 static char *
-store_item (Sim *sim, const char *key)
+kv_get (Sim *sim, const char *key)
 {
   const Value *value = g_hash_table_lookup (sim->kv, key);
   cJSON *root;
@@ -380,25 +381,25 @@
 }
 
 void
-sim_store_request (Sim *sim, SimCall *call)
+sim_kv_store_request (Sim *sim, SimCall *call)
 {
   char *body = NULL;
 
-  sim->requests++;
-  if (sim->outage || sim->nodes[call->node].refused)
-    sim_answer (sim, call, 503, NULL);
+  sim->kv_requests++;
+  if (sim->kv_outage || sim->nodes[call->node].refused_by_kv)
+    sim_respond (sim, call, 503, NULL);
   else if (g_str_equal (call->path, "/multi"))
     {
-      guint status = store_txn (sim, call->body, &body);
-      sim_answer (sim, call, status, body);
+      guint status = kv_transaction (sim, call->body, &body);
+      sim_respond (sim, call, status, body);
     }
   else if (g_str_has_prefix (call->path, "/kv/"))
     {
-      body = store_item (sim, call->path + 4);
-      sim_answer (sim, call, body ? 200 : 404, body);
+      body = kv_get (sim, call->path + 4);
+      sim_respond (sim, call, body ? 200 : 404, body);
     }
   else if (g_str_has_prefix (call->path, "/kv?"))
-    sim_answer (sim, call, 200, store_range (sim, call->path));
+    sim_respond (sim, call, 200, kv_range (sim, call->path));
   else if (g_str_has_prefix (call->path, "/follow"))
     {
       Watcher *watcher = g_new0 (Watcher, 1);
@@ -407,15 +408,15 @@
       watcher->prefix = sim_query (call->path, "starts");
       watcher->after = g_ascii_strtoull (after, NULL, 10);
       watcher->until = sim->now + g_ascii_strtod (wait, NULL) / 1000;
-      if (changes_are_lost (sim, watcher->after))
+      if (changes_are_compacted (sim, watcher->after))
         {
           g_free (watcher->prefix);
           g_free (watcher);
-          sim_answer (sim, call, 410, NULL);
+          sim_respond (sim, call, 410, NULL);
           return;
         }
       g_ptr_array_add (sim->watchers, watcher);
-      sim_at (sim, watcher->until, watch_over, NULL);
+      sim_schedule (sim, watcher->until, watch_timeout, NULL);
       wake_watchers (sim);
     }
   else if (g_str_equal (call->path, "/leases"))
@@ -427,8 +428,8 @@
       cJSON_Delete (root);
       sim->lease_number++;
       g_hash_table_insert (sim->leases, GSIZE_TO_POINTER (sim->lease_number), lease);
-      sim_at (sim, lease->until, lease_tick, GSIZE_TO_POINTER (sim->lease_number));
-      sim_answer (sim, call, 200, g_strdup_printf ("{\"permit\":%" G_GUINT64_FORMAT "}", sim->lease_number));
+      sim_schedule (sim, lease->until, expire_lease, GSIZE_TO_POINTER (sim->lease_number));
+      sim_respond (sim, call, 200, g_strdup_printf ("{\"permit\":%" G_GUINT64_FORMAT "}", sim->lease_number));
     }
   else
     {
@@ -436,26 +437,26 @@
       Lease *lease = g_hash_table_lookup (sim->leases, GSIZE_TO_POINTER (id));
       guint status = lease ? 200 : 404;
       if (lease && g_str_equal (call->method, "DELETE"))
-        end_lease (sim, id);
+        remove_lease (sim, id);
       else if (lease)
         lease->until = sim->now + lease->ttl;
-      sim_answer (sim, call, status, NULL);
+      sim_respond (sim, call, status, NULL);
     }
 }
 
 void
-sim_store_init (Sim *sim)
+sim_kv_store_init (Sim *sim)
 {
   sim->kv = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, value_free);
   sim->leases = g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, g_free);
-  sim->history = g_ptr_array_new_with_free_func (change_free);
+  sim->kv_changes = g_ptr_array_new_with_free_func (change_free);
   sim->watchers = g_ptr_array_new ();
 }
 
 void
-sim_store_free (Sim *sim)
+sim_kv_store_free (Sim *sim)
 {
   g_hash_table_unref (sim->kv);
   g_hash_table_unref (sim->leases);
-  g_ptr_array_unref (sim->history);
+  g_ptr_array_unref (sim->kv_changes);
 }
--- a/tests/sim-network.c
+++ b/tests/sim-network.c
@@ -24,11 +24,11 @@
   if (call->over)
     return;
   call->over = TRUE;
-  if (node->controller && node->life == call->life)
+  if (node->controller && node->incarnation == call->incarnation)
     {
-      sim_enter (sim);
+      sim_measure_begin (sim);
       call->done (status, body ? body : "", body ? strlen (body) : 0, call->user);
-      sim_leave (sim, SIM_PART_ANSWERS);
+      sim_measure_end (sim, SIM_PART_RESPONSES);
     }
 }
 
@@ -51,33 +51,33 @@
   late = g_new0 (SimEvent, 1);
   late->run = run;
   late->data = data;
-  g_ptr_array_add (node->late, late);
+  g_ptr_array_add (node->deferred, late);
   return TRUE;
 }
 
 void
-sim_wake (Sim *sim, guint at)
+sim_resume (Sim *sim, guint at)
 {
   SimNode *node = &sim->nodes[at];
-  g_autoptr (GPtrArray) late = node->late;
-  node->late = g_ptr_array_new_with_free_func (g_free);
+  g_autoptr (GPtrArray) late = node->deferred;
+  node->deferred = g_ptr_array_new_with_free_func (g_free);
   node->paused = FALSE;
   for (guint i = 0; i < late->len; i++)
     ((SimEvent *) late->pdata[i])->run (sim, ((SimEvent *) late->pdata[i])->data);
 }
 
 static void
-on_answer (Sim *sim, gpointer data)
+on_response (Sim *sim, gpointer data)
 {
   SimCall *call = data;
-  if (sim_node_paused (&sim->nodes[call->node], on_answer, call))
+  if (sim_node_paused (&sim->nodes[call->node], on_response, call))
     return;
   call_finish (sim, call, call->status, call->reply);
   call_unref (call);
 }
 
 double
-sim_delay (Sim *sim)
+sim_latency (Sim *sim)
 {
   return g_rand_double_range (sim->rand, 0.001, 0.01);
 }
@@ -86,21 +86,21 @@
 is_cut (Sim *sim, const SimCall *call)
 {
   const SimNode *node = &sim->nodes[call->node];
-  gboolean store = g_str_equal (call->addr, SIM_STORE_ADDRESS), cloud = g_str_equal (call->addr, SIM_CLOUD_ADDRESS);
+  gboolean store = g_str_equal (call->addr, SIM_KV_ADDRESS), cloud = g_str_equal (call->addr, SIM_CLOUD_ADDRESS);
   if (store)
-    return node->cut_store;
+    return node->cut_off_from_kv;
   if (cloud)
     return FALSE;
-  return node->cut_peers || sim->nodes[call->addr[7] - '1'].cut_peers;
+  return node->cut_off_from_peers || sim->nodes[call->addr[7] - '1'].cut_off_from_peers;
 }
 
 /* Takes body and the call's part of the way back. */
 void
-sim_answer (Sim *sim, SimCall *call, guint status, char *body)
+sim_respond (Sim *sim, SimCall *call, guint status, char *body)
 {
   const SimNode *node = &sim->nodes[call->node];
   gboolean of_peer = !g_str_has_prefix (call->addr, "10.9.");
-  double late = of_peer && status ? node->peer_answer_delay_s : 0;
+  double late = of_peer && status ? node->peer_response_delay_s : 0;
   call->status = status;
   call->reply = body;
   sim_trace (&(SimTraceEvent){ .at = sim->now,
@@ -112,10 +112,10 @@
                                .body = body });
   if (of_peer && body)
     sim->largest_reply = MAX (sim->largest_reply, strlen (body));
-  if (sim_chance (sim, sim->lose) || is_cut (sim, call))
+  if (sim_chance (sim, sim->loss_chance) || is_cut (sim, call))
     call_unref (call);
   else
-    sim_at (sim, sim->now + sim_delay (sim) + late, on_answer, call);
+    sim_schedule (sim, sim->now + sim_latency (sim) + late, on_response, call);
 }
 
 /* What a process of version 1 never said. */
@@ -143,8 +143,8 @@
   {
     Sim *sim = pair[0];
     SimCall *call = pair[1];
-    gboolean old = sim->nodes[call->addr[7] - '1'].old;
-    sim_answer (sim, call, status, old ? as_version_1 (body) : g_strdup (body));
+    gboolean old = sim->nodes[call->addr[7] - '1'].runs_version_1;
+    sim_respond (sim, call, status, old ? as_version_1 (body) : g_strdup (body));
   }
   g_free (pair);
 }
@@ -153,8 +153,8 @@
 on_arrival (Sim *sim, gpointer data)
 {
   SimCall *call = data;
-  if (g_str_equal (call->addr, SIM_STORE_ADDRESS))
-    sim_store_request (sim, call);
+  if (g_str_equal (call->addr, SIM_KV_ADDRESS))
+    sim_kv_store_request (sim, call);
   else if (g_str_equal (call->addr, SIM_CLOUD_ADDRESS))
     sim_cloud_request (sim, call);
   else
@@ -164,7 +164,7 @@
       gpointer *pair;
       if (!target->controller || target->refuses_peers)
         {
-          sim_answer (sim, call, 0, NULL);
+          sim_respond (sim, call, 0, NULL);
           return;
         }
       if (sim_node_paused (target, on_arrival, call))
@@ -172,7 +172,7 @@
       if (call->body && strlen (call->body) > HZB_MAX_BODY)
         {
           sim->oversized_requests++;
-          sim_answer (sim, call, 400, NULL); /* as the HTTP server does */
+          sim_respond (sim, call, 400, NULL); /* as the HTTP server does */
           return;
         }
       http_request = g_new0 (HzbHttpRequest, 1);
@@ -186,19 +186,19 @@
       http_request->reply = peer_reply;
       http_request->impl = pair;
       sim->largest_request = MAX (sim->largest_request, http_request->length);
-      sim_enter (sim);
+      sim_measure_begin (sim);
       hzb_controller_peer_request (http_request, target->controller);
-      sim_leave (sim, SIM_PART_PEERS);
+      sim_measure_end (sim, SIM_PART_PEERS);
     }
 }
 
 /* The same message, whose answer nobody hears. */
 static SimCall *
-unheard_copy (const SimCall *call)
+copy_without_response (const SimCall *call)
 {
   SimCall *copy = g_new0 (SimCall, 1);
   copy->node = call->node;
-  copy->life = G_MAXUINT;
+  copy->incarnation = G_MAXUINT;
   copy->method = g_strdup (call->method);
   copy->addr = g_strdup (call->addr);
   copy->path = g_strdup (call->path);
@@ -214,13 +214,13 @@
   SimTransport *from = (SimTransport *) transport;
   Sim *sim = from->sim;
   SimCall *call = g_new0 (SimCall, 1);
-  call->node = from->at;
-  call->life = from->life;
+  call->node = from->node;
+  call->incarnation = from->incarnation;
   call->method = g_strdup (method);
   call->addr = g_strdup (addr);
   call->path = g_strdup (path);
   call->body = body;
-  if (sim->nodes[from->at].old && !g_str_has_prefix (addr, "10.9."))
+  if (sim->nodes[from->node].runs_version_1 && !g_str_has_prefix (addr, "10.9."))
     {
       call->body = as_version_1 (body);
       g_free (body);
@@ -235,18 +235,19 @@
                                .method = method,
                                .path = path,
                                .body = call->body });
-  sim_at (sim, sim->now + timeout_ms / 1000.0, on_timeout, call);
-  if (sim_chance (sim, sim->lose) || is_cut (sim, call))
+  sim_schedule (sim, sim->now + timeout_ms / 1000.0, on_timeout, call);
+  if (sim_chance (sim, sim->loss_chance) || is_cut (sim, call))
     return;
-  if (!g_str_has_prefix (addr, "10.9.") && sim_chance (sim, sim->peer_copies))
-    sim_at (sim, sim->now + g_rand_double_range (sim->rand, 0.2, 30), on_arrival, unheard_copy (call));
-  if (g_str_equal (path, "/multi") && sim_chance (sim, sim->late_writes))
+  if (!g_str_has_prefix (addr, "10.9.") && sim_chance (sim, sim->peer_copy_chance))
+    sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 0.2, 30), on_arrival, copy_without_response (call));
+  if (g_str_equal (path, "/multi") && sim_chance (sim, sim->late_transaction_chance))
     {
-      sim_at (sim, sim->now + g_rand_double_range (sim->rand, 2, 12), on_arrival, unheard_copy (call));
+      sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 2, 12), on_arrival, copy_without_response (call));
       return;
     }
   call->refs++;
   /* Held back: it is carried out long after its sender has given up. */
-  sim_at (sim, sim->now + (sim_chance (sim, sim->late) ? g_rand_double_range (sim->rand, 1, 9) : sim_delay (sim)),
-          on_arrival, call);
+  sim_schedule (
+      sim, sim->now + (sim_chance (sim, sim->delay_chance) ? g_rand_double_range (sim->rand, 1, 9) : sim_latency (sim)),
+      on_arrival, call);
 }
--- a/tests/sim-rules.c
+++ b/tests/sim-rules.c
@@ -6,34 +6,34 @@
 
 #define FORGOTTEN_S 75.0
 #define FORGOTTEN_AMONG_OTHERS_S 90.0
-#define ANSWERED_LATELY_S 20.0
+#define RECENT_RESPONSE_S 20.0
 #define LEFT_WAITING_S 90.0
 
 static gboolean
 on_machine (const SimTask *task)
 {
-  return task->state >= 1 && task->state <= 3;
+  return task->state >= SIM_TASK_GATHERING && task->state <= SIM_TASK_CHECKPOINTING;
 }
 
 /* While faults last: no question about a job is answered, though most others get answers. */
 static void
-check_silence (Sim *sim)
+check_responses (Sim *sim)
 {
-  guint accepted = 0, answered_lately = 0;
+  guint accepted = 0, answered_recently = 0;
   for (guint i = 0; i < sim->jobs->len; i++)
     {
       const SimJob *job = sim->jobs->pdata[i];
       accepted += job->accepted;
-      answered_lately += job->accepted && sim->now - job->answered_at < ANSWERED_LATELY_S;
+      answered_recently += job->accepted && sim->now - job->last_response_at < RECENT_RESPONSE_S;
     }
-  for (guint i = 0; i < sim->jobs->len && 2 * answered_lately > accepted; i++)
+  for (guint i = 0; i < sim->jobs->len && 2 * answered_recently > accepted; i++)
     {
       SimJob *job = sim->jobs->pdata[i];
-      if (!job->accepted || sim->now - job->answered_at < FORGOTTEN_AMONG_OTHERS_S)
+      if (!job->accepted || sim->now - job->last_response_at < FORGOTTEN_AMONG_OTHERS_S)
         continue;
-      sim_broken (sim, "forgotten", "no question about %s is answered since %.0f; its user was told:\n%s", job->uid,
-                  job->answered_at, job->history->str);
-      job->answered_at = sim->now; /* said once */
+      sim_violation (sim, "forgotten", "no question about %s is answered since %.0f; its user was told:\n%s", job->uid,
+                     job->last_response_at, job->response_history->str);
+      job->last_response_at = sim->now; /* said once */
     }
 }
 
@@ -44,9 +44,9 @@
   for (guint i = 0; i < sim->jobs->len; i++)
     {
       const SimJob *job = sim->jobs->pdata[i];
-      if (job->accepted && sim->now - job->answered_at > FORGOTTEN_S)
-        sim_broken (sim, "forgotten", "no question about %s is answered since %.0f; its user was told:\n%s", job->uid,
-                    job->answered_at, job->history->str);
+      if (job->accepted && sim->now - job->last_response_at > FORGOTTEN_S)
+        sim_violation (sim, "forgotten", "no question about %s is answered since %.0f; its user was told:\n%s",
+                       job->uid, job->last_response_at, job->response_history->str);
     }
 }
 
@@ -65,34 +65,34 @@
           const SimJob *other = sim->jobs->pdata[k];
           gboolean same_class = g_str_equal (other->job_class, job->job_class),
                    same_team = g_str_equal (other->team, job->team);
-          if (other->bad || other->told_cancelled)
+          if (other->always_fails || other->confirmed_cancelled)
             continue;
           of_team += same_team;
-          team_served += same_team && other->told_done;
+          team_served += same_team && other->confirmed_done;
           of_class += same_class;
-          class_served += same_class && other->told_done;
-          if (same_class && other->n > largest)
+          class_served += same_class && other->confirmed_done;
+          if (same_class && other->n_tasks > largest)
             {
-              largest = other->n;
+              largest = other->n_tasks;
               n_largest = largest_served = 0;
             }
-          if (same_class && other->n == largest)
+          if (same_class && other->n_tasks == largest)
             {
               n_largest++;
-              largest_served += other->told_done;
+              largest_served += other->confirmed_done;
             }
         }
       if (2 * team_served < of_team)
-        sim_broken (sim, "starved", "of team %s %u of %u jobs are over", job->team, team_served, of_team);
+        sim_violation (sim, "starved", "of team %s %u of %u jobs are over", job->team, team_served, of_team);
       if (2 * class_served < of_class)
-        sim_broken (sim, "starved", "of class %s %u of %u jobs are over", job->job_class, class_served, of_class);
+        sim_violation (sim, "starved", "of class %s %u of %u jobs are over", job->job_class, class_served, of_class);
       if (2 * largest_served < n_largest)
-        sim_broken (sim, "starved", "of the largest of class %s %u of %u are over", job->job_class, largest_served,
-                    n_largest);
-      if (job->n == largest && !job->bad && !job->told_cancelled
-          && (job->began_at <= 0 || job->began_at - job->submit_at > 240))
-        sim_broken (sim, "starved", "%s, the largest of class %s, began at %.0f", job->uid, job->job_class,
-                    job->began_at);
+        sim_violation (sim, "starved", "of the largest of class %s %u of %u are over", job->job_class, largest_served,
+                       n_largest);
+      if (job->n_tasks == largest && !job->always_fails && !job->confirmed_cancelled
+          && (job->first_start_at <= 0 || job->first_start_at - job->submit_at > 240))
+        sim_violation (sim, "starved", "%s, the largest of class %s, began at %.0f", job->uid, job->job_class,
+                       job->first_start_at);
     }
 }
 
@@ -100,25 +100,25 @@
 static double
 team_limit (const Sim *sim, const char *team)
 {
-  return g_str_equal (team, "guest") ? INFINITY : sim->size.team_max;
+  return g_str_equal (team, "guest") ? INFINITY : sim->config.team_max;
 }
 
 /* Room on each machine that works, in CPUs; negative: it is of no use. Counts each job's tasks that are on a machine. */
 static double *
-count_room (const Sim *sim, GHashTable *placed)
+count_free_cpus (const Sim *sim, GHashTable *placed)
 {
   double *room = g_new0 (double, sim->machines->len);
   for (guint k = 0; k < sim->machines->len; k++)
     {
       const SimMachine *machine = sim->machines->pdata[k];
-      gboolean works = machine->up && !machine->gone && !machine->failed && !machine->cut && !machine->hung
-                       && !machine->faulty && !machine->one_way_partitioned;
+      gboolean works = machine->up && !machine->terminated && !machine->crashed && !machine->partitioned
+                       && !machine->hung && !machine->faulty && !machine->one_way_partitioned;
       double free = machine->cpus;
-      for (guint t = 0; t < machine->tasks->len && !machine->gone; t++)
+      for (guint t = 0; t < machine->tasks->len && !machine->terminated; t++)
         {
           const SimTask *task = machine->tasks->pdata[t];
           SimJob *job = sim_find_job ((Sim *) sim, task->uid);
-          if (task->state >= 4)
+          if (task->state >= SIM_TASK_ENDED)
             continue;
           free -= job->cpus;
           g_hash_table_insert (placed, job,
@@ -145,28 +145,28 @@
 
 /* Once all troubles are over no job is left waiting while a machine that fits has room and its team is under its limit. */
 static void
-check_waiting (Sim *sim, GHashTable *teams)
+check_unplaced (Sim *sim, GHashTable *teams)
 {
   g_autoptr (GHashTable) placed_of = g_hash_table_new (NULL, NULL); /* SimJob -> tasks */
-  g_autofree double *room = count_room (sim, placed_of);
+  g_autofree double *room = count_free_cpus (sim, placed_of);
 
   for (guint i = 0; i < sim->jobs->len; i++)
     {
       SimJob *job = sim->jobs->pdata[i];
       const double *used = g_hash_table_lookup (teams, job->team);
       guint placed = GPOINTER_TO_UINT (g_hash_table_lookup (placed_of, job)), finished = 0;
-      for (guint k = 0; k < job->n; k++)
+      for (guint k = 0; k < job->n_tasks; k++)
         finished += job->finished[k];
-      if (!job->accepted || job->told_cancelled || job->told_done || job->asked_cancel || job->bad || job->gang
-          || placed + finished >= job->n || (used ? *used : 0) + job->cpus > team_limit (sim, job->team)
-          || !fits_somewhere (sim, job, room))
-        job->waits_since = 0;
-      else if (job->waits_since <= 0)
-        job->waits_since = sim->now;
-      else if (sim->now - job->waits_since > LEFT_WAITING_S)
+      if (!job->accepted || job->confirmed_cancelled || job->confirmed_done || job->cancel_requested
+          || job->always_fails || job->gang || placed + finished >= job->n_tasks
+          || (used ? *used : 0) + job->cpus > team_limit (sim, job->team) || !fits_somewhere (sim, job, room))
+        job->unplaced_since = 0;
+      else if (job->unplaced_since <= 0)
+        job->unplaced_since = sim->now;
+      else if (sim->now - job->unplaced_since > LEFT_WAITING_S)
         {
-          sim_broken (sim, "left_waiting", "%s since %.0f", job->uid, job->waits_since);
-          job->waits_since = sim->now;
+          sim_violation (sim, "left_waiting", "%s since %.0f", job->uid, job->unplaced_since);
+          job->unplaced_since = sim->now;
         }
     }
 }
@@ -175,25 +175,25 @@
 static void
 count_replicas (Sim *sim)
 {
-  double step = sim->now - sim->counted_at;
-  sim->counted_at = sim->now;
+  double step = sim->now - sim->replicas_counted_at;
+  sim->replicas_counted_at = sim->now;
   for (guint i = 0; i < sim->jobs->len; i++)
     {
       SimJob *job = sim->jobs->pdata[i];
       guint running = 0;
-      if (!job->service || !job->accepted || job->asked_cancel || sim->now < job->accepted_at + 10)
+      if (!job->service || !job->accepted || job->cancel_requested || sim->now < job->accepted_at + 10)
         continue;
       for (guint k = 0; k < sim->machines->len; k++)
         {
           const SimMachine *machine = sim->machines->pdata[k];
-          for (guint t = 0; t < machine->tasks->len && !machine->gone && !machine->failed && !machine->hung; t++)
+          for (guint t = 0; t < machine->tasks->len && !machine->terminated && !machine->crashed && !machine->hung; t++)
             {
               const SimTask *task = machine->tasks->pdata[t];
-              running += task->state == 2 && g_str_equal (task->uid, job->uid);
+              running += task->state == SIM_TASK_RUNNING && g_str_equal (task->uid, job->uid);
             }
         }
-      job->wanted_s += job->n * step;
-      job->missed_s += (job->n - MIN (running, job->n)) * step;
+      job->replica_wanted_s += job->n_tasks * step;
+      job->replica_missed_s += (job->n_tasks - MIN (running, job->n_tasks)) * step;
     }
 }
 
@@ -205,7 +205,7 @@
   for (guint i = 0; i < sim->machines->len; i++)
     {
       const SimMachine *machine = sim->machines->pdata[i];
-      for (guint k = 0; k < machine->tasks->len && !machine->gone; k++)
+      for (guint k = 0; k < machine->tasks->len && !machine->terminated; k++)
         {
           const SimTask *task = machine->tasks->pdata[k];
           SimJob *job = sim_find_job (sim, task->uid);
@@ -215,10 +215,10 @@
             continue;
           name = g_strdup_printf ("%s/%u", task->uid, task->task);
           if (g_hash_table_contains (places, name))
-            sim_broken (sim, "ran_twice", "%s on %s and another", name, machine->name);
+            sim_violation (sim, "ran_twice", "%s on %s and another", name, machine->name);
           g_hash_table_add (places, name);
-          if (job->told_cancelled && sim->now > job->cancelled_at + sim->size.cancel_s)
-            sim_broken (sim, "ran_cancelled", "%s on %s", name, machine->name);
+          if (job->confirmed_cancelled && sim->now > job->cancel_confirmed_at + sim->config.cancel_s)
+            sim_violation (sim, "ran_cancelled", "%s on %s", name, machine->name);
           used = g_hash_table_lookup (teams, job->team);
           if (!used)
             {
@@ -227,19 +227,19 @@
             }
           *used += job->cpus;
           if (*used > team_limit (sim, job->team) + 1e-9)
-            sim_broken (sim, "quota", "%s uses %g", job->team, *used);
+            sim_violation (sim, "quota", "%s uses %g", job->team, *used);
         }
     }
   count_replicas (sim);
-  if (sim->now >= sim->next_silence_check)
+  if (sim->now >= sim->next_response_check)
     {
-      check_silence (sim);
-      sim->next_silence_check = sim->now + 1;
+      check_responses (sim);
+      sim->next_response_check = sim->now + 1;
     }
-  if (sim->calm_at > 0 && sim->now >= sim->calm_at && sim->now >= sim->next_wait_check)
+  if (sim->faults_over_at > 0 && sim->now >= sim->faults_over_at && sim->now >= sim->next_placement_check)
     {
-      check_waiting (sim, teams);
-      sim->next_wait_check = sim->now + 1;
+      check_unplaced (sim, teams);
+      sim->next_placement_check = sim->now + 1;
     }
   {
     GHashTableIter iter;
--- a/tests/sim-user.c
+++ b/tests/sim-user.c
@@ -24,34 +24,34 @@
 
 /* Whether it is an answer, and not a request to come back. */
 static gboolean
-is_answer (guint status)
+is_conclusive (guint status)
 {
   return status == 200 || status == 201 || status == 400 || status == 404 || status == 422;
 }
 
 static void
-note_told (Sim *sim, SimJob *job, guint status, const char *state)
+note_response (Sim *sim, SimJob *job, guint status, const char *state)
 {
   if (!state)
     state = "";
   if (status != job->last_status || g_strcmp0 (state, job->last_state) != 0)
-    g_string_append_printf (job->history, "  %.2f: %u %s\n", sim->now, status, state);
+    g_string_append_printf (job->response_history, "  %.2f: %u %s\n", sim->now, status, state);
   job->last_status = status;
   g_strlcpy (job->last_state, state, sizeof job->last_state);
-  if (!is_answer (status))
+  if (!is_conclusive (status))
     return;
   if (job->accepted)
-    job->longest_silence_s = MAX (job->longest_silence_s, sim->now - job->answered_at);
-  job->answered_at = sim->now;
+    job->longest_response_gap_s = MAX (job->longest_response_gap_s, sim->now - job->last_response_at);
+  job->last_response_at = sim->now;
 }
 
 void
-sim_told (Sim *sim, SimJob *job, guint status, const char *state)
+sim_user_response (Sim *sim, SimJob *job, guint status, const char *state)
 {
   gboolean all = TRUE;
-  for (guint i = 0; i < job->n; i++)
+  for (guint i = 0; i < job->n_tasks; i++)
     all = all && job->finished[i];
-  note_told (sim, job, status, state);
+  note_response (sim, job, status, state);
   if (status == 200 || status == 201)
     {
       gboolean done = g_strcmp0 (state, "done") == 0, cancelled = g_strcmp0 (state, "cancelled") == 0;
@@ -59,23 +59,25 @@
         job->accepted_at = sim->now;
       job->accepted = TRUE;
       if (!job->submitted)
-        sim_broken (sim, "invented", "%s", job->uid);
+        sim_violation (sim, "invented", "%s", job->uid);
       if (done && !all)
-        sim_broken (sim, "not_done", "%s is called done", job->uid);
-      if ((job->told_done && !done) || (job->told_cancelled && !cancelled) || (cancelled && !job->asked_cancel))
-        sim_broken (sim, "went_back", "%s is called %s; its user was told:\n%s", job->uid, state, job->history->str);
-      if (cancelled && !job->told_cancelled)
-        job->cancelled_at = sim->now;
-      job->told_done = job->told_done || done;
-      job->told_cancelled = job->told_cancelled || cancelled;
+        sim_violation (sim, "not_done", "%s is called done", job->uid);
+      if ((job->confirmed_done && !done) || (job->confirmed_cancelled && !cancelled)
+          || (cancelled && !job->cancel_requested))
+        sim_violation (sim, "went_back", "%s is called %s; its user was told:\n%s", job->uid, state,
+                       job->response_history->str);
+      if (cancelled && !job->confirmed_cancelled)
+        job->cancel_confirmed_at = sim->now;
+      job->confirmed_done = job->confirmed_done || done;
+      job->confirmed_cancelled = job->confirmed_cancelled || cancelled;
     }
   else if (status == 503 || status == 429)
     {
-      sim->refused_services += job->service && !job->accepted;
+      sim->deferred_services += job->service && !job->accepted;
       return;
     }
   else if (job->accepted && (status == 404 || status == 400 || status == 422))
-    sim_broken (sim, "forgotten", "%s got %u; its user was told:\n%s", job->uid, status, job->history->str);
+    sim_violation (sim, "forgotten", "%s got %u; its user was told:\n%s", job->uid, status, job->response_history->str);
 }
 
 static void
@@ -88,7 +90,7 @@
   sim_trace (
       &(SimTraceEvent){ .at = sim->now, .kind = "response", .path = call->job->uid, .status = status, .body = body });
   if (sim->now - call->sent <= (call->what == USER_POLLS ? POLL_WAIT_S : REQUEST_WAIT_S))
-    sim_told (sim, call->job, status, hzb_json_text (root, "status"));
+    sim_user_response (sim, call->job, status, hzb_json_text (root, "status"));
   cJSON_Delete (root);
   g_free (call);
   g_free (pair);
@@ -137,20 +139,20 @@
           job->service                               ? "production"
           : g_str_equal (job->job_class, "pressing") ? "urgent"
                                                      : "normal",
-          job->n, job->cpus, types, zone, job->same_zone ? "true" : "false", job->spread ? "true" : "false",
+          job->n_tasks, job->cpus, types, zone, job->same_zone ? "true" : "false", job->spread ? "true" : "false",
           job->spot ? "true" : "false", job->service ? 0 : job->run_s);
       job->submitted = TRUE;
     }
   else
     http_request->path = g_strdup_printf ("/api/jobs/%s%s", job->uid, call->what == USER_CANCELS ? "/cancel" : "");
-  if (call->what == USER_CANCELS && !job->asked_cancel)
-    g_string_append_printf (job->history, "  %.2f: its user asks to cancel it\n", sim->now);
+  if (call->what == USER_CANCELS && !job->cancel_requested)
+    g_string_append_printf (job->response_history, "  %.2f: its user asks to cancel it\n", sim->now);
   if (call->what == USER_CANCELS)
-    job->asked_cancel = TRUE;
+    job->cancel_requested = TRUE;
   http_request->length = strlen (http_request->body);
-  sim_enter (sim);
-  sim_ask (sim, at, http_request);
-  sim_leave (sim, SIM_PART_USERS);
+  sim_measure_begin (sim);
+  sim_client_request (sim, at, http_request);
+  sim_measure_end (sim, SIM_PART_USERS);
 }
 
 static void
@@ -161,14 +163,14 @@
   call->job = job;
   call->sent = sim->now;
   call->what = !job->accepted ? USER_SUBMITS
-               : job->wants_cancel && !job->told_cancelled
+               : job->wants_cancel && !job->confirmed_cancelled
                        && sim->now > (job->cancel_at > 0 ? job->cancel_at : job->submit_at + 8)
-                       && !(job->polls_only && job->asked_cancel)
+                       && !(job->polls_only && job->cancel_requested)
                    ? USER_CANCELS
                : sim_chance (sim, 0.1) ? USER_SUBMITS
                                        : USER_POLLS;
-  sim_at (sim, sim->now + sim_delay (sim), user_arrives, call);
-  sim_at (sim, sim->now + g_rand_double_range (sim->rand, 1, 3), user_step, job);
+  sim_schedule (sim, sim->now + sim_latency (sim), user_arrives, call);
+  sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 1, 3), user_step, job);
 }
 
 SimJob *
@@ -177,17 +179,17 @@
   SimJob *job = g_new0 (SimJob, 1);
   job->uid = g_strdup_printf ("run-%06u", 100000 + sim->jobs->len);
   job->team = g_strdup (team);
-  job->n = n;
+  job->n_tasks = n;
   job->job_class = n % 3 == 0 ? "pressing" : "batch";
   job->cpus = cpus;
   job->run_s = run_s;
   job->spot = TRUE;
   job->submit_at = at;
   job->finished = g_new0 (guchar, n);
-  job->history = g_string_new (NULL);
+  job->response_history = g_string_new (NULL);
   g_ptr_array_add (sim->jobs, job);
   g_hash_table_insert (sim->by_uid, job->uid, job);
-  sim_at (sim, at, user_step, job);
+  sim_schedule (sim, at, user_step, job);
   return job;
 }
 
@@ -198,7 +200,7 @@
   for (guint i = 0; i < sim->jobs->len; i++)
     {
       const SimJob *job = sim->jobs->pdata[i];
-      n += !job->told_done && !job->told_cancelled;
+      n += !job->confirmed_done && !job->confirmed_cancelled;
     }
   return n;
 }
@@ -210,12 +212,12 @@
   for (guint i = 0; i < sim->machines->len; i++)
     {
       const SimMachine *machine = sim->machines->pdata[i];
-      for (guint k = 0; k < machine->tasks->len && !machine->gone && !machine->failed
+      for (guint k = 0; k < machine->tasks->len && !machine->terminated && !machine->crashed
                         && (!zone || g_str_equal (machine->zone, zone));
            k++)
         {
           const SimTask *task = machine->tasks->pdata[k];
-          n += task->state == 2 && g_str_equal (task->uid, job->uid);
+          n += task->state == SIM_TASK_RUNNING && g_str_equal (task->uid, job->uid);
         }
     }
   return n;
--- a/tests/sim-worker.c
+++ b/tests/sim-worker.c
@@ -7,10 +7,10 @@
 
 #define IN_FLIGHT_S 0.05 /* an answer with a start takes less */
 
-static const char *const state_names[] = { "fetching", "gathering", "running", "saving", "ended" };
+static const char *const status_names[] = { "fetching", "gathering", "running", "saving", "ended" };
 
 static void
-forget_tasks (SimMachine *machine)
+drop_tasks (SimMachine *machine)
 {
   for (guint i = 0; i < machine->tasks->len; i++)
     {
@@ -23,8 +23,8 @@
 static void
 end_task (SimTask *task, const char *why)
 {
-  task->state = 4;
-  g_strlcpy (task->why, why, sizeof task->why);
+  task->state = SIM_TASK_ENDED;
+  g_strlcpy (task->cause, why, sizeof task->cause);
 }
 
 SimTask *
@@ -37,9 +37,9 @@
   task->ready_at = sim->now + 0.5;
   task->end_at = task->ready_at + job->run_s * g_rand_double_range (sim->rand, 0.6, 1.5);
   g_ptr_array_add (machine->tasks, task);
-  sim->started++;
-  if (job->began_at <= 0)
-    job->began_at = sim->now;
+  sim->tasks_started++;
+  if (job->first_start_at <= 0)
+    job->first_start_at = sim->now;
   return task;
 }
 
@@ -51,13 +51,14 @@
   for (guint i = 0; i < sim->machines->len; i++)
     {
       const SimMachine *other = sim->machines->pdata[i];
-      for (guint k = 0; k < other->tasks->len && !other->gone; k++)
+      for (guint k = 0; k < other->tasks->len && !other->terminated; k++)
         {
           const SimTask *task = other->tasks->pdata[k];
-          here += task->state < 4 && g_str_equal (task->uid, job->uid) && g_str_equal (other->zone, machine->zone);
+          here += task->state < SIM_TASK_ENDED && g_str_equal (task->uid, job->uid)
+                  && g_str_equal (other->zone, machine->zone);
         }
     }
-  return here <= (job->n + 1) / 2;
+  return here <= (job->n_tasks + 1) / 2;
 }
 
 /* samePlace: all tasks that are on a machine, or may be, are in one zone. */
@@ -67,10 +68,10 @@
   for (guint i = 0; i < sim->machines->len; i++)
     {
       const SimMachine *other = sim->machines->pdata[i];
-      for (guint k = 0; k < other->tasks->len && !other->gone && !g_str_equal (other->zone, machine->zone); k++)
+      for (guint k = 0; k < other->tasks->len && !other->terminated && !g_str_equal (other->zone, machine->zone); k++)
         {
           const SimTask *task = other->tasks->pdata[k];
-          if (task->state < 4 && g_str_equal (task->uid, job->uid))
+          if (task->state < SIM_TASK_ENDED && g_str_equal (task->uid, job->uid))
             return FALSE;
         }
     }
@@ -93,7 +94,7 @@
       gboolean this_one = g_str_equal (other->uid, uid) && other->task == number;
       if (this_one && other->attempt == attempt)
         return;
-      if (other->state < 4)
+      if (other->state < SIM_TASK_ENDED)
         {
           used += sim_find_job (sim, other->uid)->cpus;
           same = same || this_one;
@@ -101,22 +102,22 @@
     }
   if (!job)
     return;
-  if (job->told_cancelled && sim->now > job->cancelled_at + IN_FLIGHT_S)
-    sim_broken (sim, "started_cancelled", "%s on %s", task_status, machine->name);
+  if (job->confirmed_cancelled && sim->now > job->cancel_confirmed_at + IN_FLIGHT_S)
+    sim_violation (sim, "started_cancelled", "%s on %s", task_status, machine->name);
   task = sim_put_task (sim, machine, job, number, attempt);
   if (same)
     end_task (task, "in_use");
   else if (used + job->cpus > machine->cpus)
     end_task (task, "full");
   else if (job->spot == FALSE && machine->spot)
-    sim_broken (sim, "wrong_place", "%s on a spot machine", task_status);
+    sim_violation (sim, "wrong_place", "%s on a spot machine", task_status);
   else if (job->spread && !zone_has_place (sim, job, machine))
-    sim_broken (sim, "wrong_place", "%s: too many in %s", task_status, machine->zone);
+    sim_violation (sim, "wrong_place", "%s: too many in %s", task_status, machine->zone);
   else if (job->same_zone && !in_one_zone (sim, job, machine))
-    sim_broken (sim, "wrong_place", "%s in %s, others are in another zone", task_status, machine->zone);
+    sim_violation (sim, "wrong_place", "%s in %s, others are in another zone", task_status, machine->zone);
   else if ((job->zone && !g_str_equal (job->zone, machine->zone))
            || (job->type && !g_str_equal (job->type, machine->type)))
-    sim_broken (sim, "wrong_place", "%s on %s in %s", task_status, machine->type, machine->zone);
+    sim_violation (sim, "wrong_place", "%s on %s in %s", task_status, machine->type, machine->zone);
 }
 
 static void
@@ -138,9 +139,9 @@
           g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
           if (!g_str_equal (name, task_status) || task->attempt != attempt)
             continue;
-          if (g_str_equal (verb, "kill") && task->state < 4)
+          if (g_str_equal (verb, "kill") && task->state < SIM_TASK_ENDED)
             end_task (task, "stopped");
-          else if (g_str_equal (verb, "reap") && task->state == 4)
+          else if (g_str_equal (verb, "reap") && task->state == SIM_TASK_ENDED)
             {
               g_free (task->uid);
               g_free (task);
@@ -152,7 +153,7 @@
 }
 
 static char *
-report_of (Sim *sim, SimMachine *machine)
+encode_heartbeat (Sim *sim, SimMachine *machine)
 {
   cJSON *root = cJSON_CreateObject (), *list;
   char *text;
@@ -164,8 +165,8 @@
   hzb_json_add_u64 (root, "tenure", machine->agent_epoch);
   hzb_json_add_u64 (root, "tick", ++machine->sequence);
   hzb_json_add_u64 (root, "baton", machine->fencing_token);
-  if (machine->taken_at > 0)
-    cJSON_AddNumberToObject (root, "reclaimInS", machine->taken_at - sim->now);
+  if (machine->reclaim_at > 0)
+    cJSON_AddNumberToObject (root, "reclaimInS", machine->reclaim_at - sim->now);
   list = cJSON_AddArrayToObject (root, "pieces");
   for (guint i = 0; i < machine->tasks->len; i++)
     {
@@ -174,9 +175,9 @@
       g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
       cJSON_AddStringToObject (item, "piece", name);
       hzb_json_add_u64 (item, "try", task->attempt);
-      cJSON_AddStringToObject (item, "status", state_names[task->state]);
-      if (task->state == 4)
-        cJSON_AddStringToObject (item, "cause", task->why);
+      cJSON_AddStringToObject (item, "status", status_names[task->state]);
+      if (task->state == SIM_TASK_ENDED)
+        cJSON_AddStringToObject (item, "cause", task->cause);
       cJSON_AddItemToArray (list, item);
     }
   text = cJSON_PrintUnformatted (root);
@@ -193,20 +194,20 @@
   double sent;
   guint status;
   gboolean over, copy;
-} Report;
+} Heartbeat;
 
 /* The answer, or that none came within 4 s. */
 static void
-report_over (Sim *sim, gpointer data)
+heartbeat_response (Sim *sim, gpointer data)
 {
-  Report *r = data;
+  Heartbeat *r = data;
   SimMachine *machine = r->machine;
   cJSON *root;
-  if (machine->gone || machine->hung || !machine->asking || machine->report_number != r->number)
+  if (machine->terminated || machine->hung || !machine->awaits_response || machine->heartbeat_number != r->number)
     return; /* given up already: the late answer is dropped */
-  if (machine->cut)
+  if (machine->partitioned)
     r->status = 0;
-  machine->asking = FALSE;
+  machine->awaits_response = FALSE;
   root = r->status ? cJSON_Parse (r->body) : NULL;
   if (r->status == 200)
     {
@@ -214,9 +215,9 @@
       if (fencing_token >= machine->fencing_token && fencing_token > 0 && r->agent_epoch == machine->agent_epoch)
         {
           if (fencing_token > machine->fencing_token)
-            machine->next_report = MIN (machine->next_report, sim->now + 0.5);
+            machine->next_heartbeat_at = MIN (machine->next_heartbeat_at, sim->now + 0.5);
           machine->fencing_token = fencing_token;
-          machine->lease_from = r->sent;
+          machine->lease_renewed_at = r->sent;
           carry_out (sim, machine, cJSON_GetObjectItem (root, "orders"));
         }
     }
@@ -225,7 +226,7 @@
       const char *steward = r->status == 421 ? hzb_json_text (root, "steward") : NULL;
       guint to = steward ? (guint) (steward[strlen (steward) - 1] - '0') : r->node;
       machine->node = to != r->node ? to : (r->node + 1) % SIM_NODES;
-      machine->next_report = sim->now + (to != r->node ? 0.2 : 1);
+      machine->next_heartbeat_at = sim->now + (to != r->node ? 0.2 : 1);
     }
   cJSON_Delete (root);
 }
@@ -235,23 +236,24 @@
 {
   gpointer *pair = http_request->impl;
   Sim *sim = pair[0];
-  Report *r = pair[1];
+  Heartbeat *r = pair[1];
   g_free (pair);
   sim_trace (&(SimTraceEvent){ .at = sim->now, .kind = "response", .node = r->node, .status = status, .body = body });
   r->status = status;
   r->body = g_strdup (body);
-  if (!r->copy && !r->machine->one_way_partitioned && !sim_chance (sim, sim->lose) && !sim->nodes[r->node].cut_workers)
-    sim_at (sim, sim->now + sim_delay (sim), report_over, r);
+  if (!r->copy && !r->machine->one_way_partitioned && !sim_chance (sim, sim->loss_chance)
+      && !sim->nodes[r->node].cut_off_from_workers)
+    sim_schedule (sim, sim->now + sim_latency (sim), heartbeat_response, r);
 }
 
 static void
-report_arrives (Sim *sim, gpointer data)
+heartbeat_arrives (Sim *sim, gpointer data)
 {
-  Report *r = data;
+  Heartbeat *r = data;
   SimNode *node = &sim->nodes[r->node];
   HzbHttpRequest *http_request;
   gpointer *pair;
-  if (!node->controller || node->cut_workers || sim_node_paused (node, report_arrives, r))
+  if (!node->controller || node->cut_off_from_workers || sim_node_paused (node, heartbeat_arrives, r))
     return;
   http_request = g_new0 (HzbHttpRequest, 1);
   pair = g_new0 (gpointer, 2);
@@ -263,45 +265,49 @@
   http_request->length = strlen (http_request->body);
   http_request->reply = worker_reply;
   http_request->impl = pair;
-  sim_enter (sim);
-  sim_ask (sim, r->node, http_request);
-  sim_leave (sim, SIM_PART_REPORTS);
+  sim_measure_begin (sim);
+  sim_client_request (sim, r->node, http_request);
+  sim_measure_end (sim, SIM_PART_HEARTBEATS);
 }
 
 static void
-report_gives_up (Sim *sim, gpointer data)
+heartbeat_timeout (Sim *sim, gpointer data)
 {
-  Report *r = data;
+  Heartbeat *r = data;
   r->status = 0;
-  report_over (sim, r);
+  heartbeat_response (sim, r);
 }
 
 static void
-send_report (Sim *sim, SimMachine *machine)
+send_heartbeat (Sim *sim, SimMachine *machine)
 {
-  Report *r = g_new0 (Report, 1);
+  Heartbeat *r = g_new0 (Heartbeat, 1);
   r->machine = machine;
-  r->body = report_of (sim, machine);
-  r->number = ++machine->report_number;
+  r->body = encode_heartbeat (sim, machine);
+  r->number = ++machine->heartbeat_number;
   r->node = machine->node;
   r->agent_epoch = machine->agent_epoch;
   r->sent = sim->now;
-  machine->asking = TRUE;
-  machine->next_report = sim->now + sim->size.heartbeat_interval_s * g_rand_double_range (sim->rand, 0.75, 1.25);
-  sim_at (sim, sim->now + 4, report_gives_up, r);
-  if (sim_chance (sim, sim->copies))
+  machine->awaits_response = TRUE;
+  machine->next_heartbeat_at =
+      sim->now + sim->config.heartbeat_interval_s * g_rand_double_range (sim->rand, 0.75, 1.25);
+  sim_schedule (sim, sim->now + 4, heartbeat_timeout, r);
+  if (sim_chance (sim, sim->heartbeat_copy_chance))
     {
       /* From seconds to well over a lease. */
-      Report *copy = g_new0 (Report, 1);
+      Heartbeat *copy = g_new0 (Heartbeat, 1);
       *copy = *r;
       copy->body = g_strdup (r->body);
       copy->copy = TRUE;
       copy->node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
-      sim_at (sim, sim->now + g_rand_double_range (sim->rand, 1, 4 * sim->size.lease_s), report_arrives, copy);
+      sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 1, 4 * sim->config.lease_s), heartbeat_arrives,
+                    copy);
     }
-  if (!machine->cut && !sim_chance (sim, sim->lose))
-    sim_at (sim, sim->now + (sim_chance (sim, sim->late) ? g_rand_double_range (sim->rand, 1, 9) : sim_delay (sim)),
-            report_arrives, r);
+  if (!machine->partitioned && !sim_chance (sim, sim->loss_chance))
+    sim_schedule (
+        sim,
+        sim->now + (sim_chance (sim, sim->delay_chance) ? g_rand_double_range (sim->rand, 1, 9) : sim_latency (sim)),
+        heartbeat_arrives, r);
 }
 
 void
@@ -309,21 +315,21 @@
 {
   SimMachine *machine = data;
   gboolean changed = FALSE;
-  if (machine->gone || machine->failed)
+  if (machine->terminated || machine->crashed)
     return;
-  sim_at (sim, sim->now + 0.25, sim_machine_tick, machine);
+  sim_schedule (sim, sim->now + 0.25, sim_machine_tick, machine);
   if (!machine->up)
     {
       machine->up = TRUE;
-      machine->lease_from = machine->next_report = sim->now;
+      machine->lease_renewed_at = machine->next_heartbeat_at = sim->now;
     }
-  if (sim->now - machine->lease_from > sim->size.lease_s)
+  if (sim->now - machine->lease_renewed_at > sim->config.lease_s)
     {
-      forget_tasks (machine); /* a hung machine's lease ends as well */
+      drop_tasks (machine); /* a hung machine's lease ends as well */
       machine->agent_epoch++;
       machine->sequence = 0;
-      machine->asking = FALSE;
-      machine->lease_from = sim->now;
+      machine->awaits_response = FALSE;
+      machine->lease_renewed_at = sim->now;
     }
   if (machine->hung)
     return;
@@ -331,46 +337,46 @@
     {
       SimTask *task = machine->tasks->pdata[i];
       SimJob *job = sim_find_job (sim, task->uid);
-      if (job->gang && task->state >= 1 && task->state <= 2)
+      if (job->gang && task->state >= SIM_TASK_GATHERING && task->state <= SIM_TASK_RUNNING)
         {
           guint here = 0;
           for (guint a = 0; a < sim->machines->len; a++)
             {
               const SimMachine *other = sim->machines->pdata[a];
-              for (guint k = 0; k < other->tasks->len && !other->gone; k++)
+              for (guint k = 0; k < other->tasks->len && !other->terminated; k++)
                 {
                   const SimTask *mate = other->tasks->pdata[k];
                   here += g_str_equal (mate->uid, task->uid) && mate->attempt == task->attempt
-                          && ((mate->state >= 1 && mate->state <= 2)
-                              || (mate->state == 4 && g_str_equal (mate->why, "done")));
+                          && ((mate->state >= SIM_TASK_GATHERING && mate->state <= SIM_TASK_RUNNING)
+                              || (mate->state == SIM_TASK_ENDED && g_str_equal (mate->cause, "done")));
                 }
             }
-          if (task->state == 1 && here == job->n)
+          if (task->state == SIM_TASK_GATHERING && here == job->n_tasks)
             {
-              task->state = 2;
+              task->state = SIM_TASK_RUNNING;
               task->end_at = sim->now + job->run_s;
             }
-          else if (task->state == 2 && here < job->n)
+          else if (task->state == SIM_TASK_RUNNING && here < job->n_tasks)
             end_task (task, "mates_gone");
         }
-      if (task->state == 0 && sim->now >= task->ready_at)
+      if (task->state == SIM_TASK_FETCHING && sim->now >= task->ready_at)
         {
           task->state = job->gang ? 1 : 2;
-          if (machine->faulty || job->bad)
+          if (machine->faulty || job->always_fails)
             end_task (task, "error");
         }
-      else if (task->state == 2 && sim->now >= task->end_at)
+      else if (task->state == SIM_TASK_RUNNING && sim->now >= task->end_at)
         {
           end_task (task, "done");
           job->finished[task->task] = !job->service;
-          sim->ran++;
+          sim->tasks_completed++;
         }
       else
         continue;
       changed = TRUE;
     }
   if (changed)
-    machine->next_report = MIN (machine->next_report, sim->now + 0.3);
-  if (!machine->asking && sim->now >= machine->next_report)
-    send_report (sim, machine);
+    machine->next_heartbeat_at = MIN (machine->next_heartbeat_at, sim->now + 0.3);
+  if (!machine->awaits_response && sim->now >= machine->next_heartbeat_at)
+    send_heartbeat (sim, machine);
 }
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static void
-some_jobs (Sim *sim)
+add_jobs (Sim *sim)
 {
   static const char *const teams[] = { "red", "blue" };
   for (guint i = 0; i < 10; i++)
@@ -19,60 +19,60 @@
 }
 
 static void
-test_quiet (void)
+test_fault_free (void)
 {
   Sim *sim = sim_new (1);
-  some_jobs (sim);
+  add_jobs (sim);
   sim_run (sim, 150);
-  expect_all_over (sim, "quiet", 1);
-  g_assert_cmpuint (sim->ran, >, 20);
+  expect_all_finished (sim, "fault free", 1);
+  g_assert_cmpuint (sim->tasks_completed, >, 20);
   sim_free (sim);
 }
 
 static void
-surprise (Sim *sim, gpointer data)
+add_unrequested_machine (Sim *sim, gpointer data)
 {
   sim_add_machine (sim, "big", "za", FALSE, 0.5);
 }
 
 static void
-test_failures (void)
+test_random_failures (void)
 {
   for (guint32 seed = 1; seed <= 24; seed++)
     {
       Sim *sim = sim_new (seed);
-      some_jobs (sim);
-      sim->lose = seed % 3 ? 0.02 : 0;
-      sim->late = seed % 2 ? 0.02 : 0;
-      sim->boot_never = TRUE;
+      add_jobs (sim);
+      sim->loss_chance = seed % 3 ? 0.02 : 0;
+      sim->delay_chance = seed % 2 ? 0.02 : 0;
+      sim->some_never_boot = TRUE;
       for (guint i = 0; i < 4; i++)
         {
-          sim_at (sim, g_rand_double_range (sim->rand, 5, 60), crash_one, NULL);
-          sim_at (sim, g_rand_double_range (sim->rand, 5, 60), hurt_machine, NULL);
-          sim_at (sim, g_rand_double_range (sim->rand, 5, 60), hurt_machine, NULL);
-          sim_at (sim, g_rand_double_range (sim->rand, 10, 80), start_all, NULL);
+          sim_schedule (sim, g_rand_double_range (sim->rand, 5, 60), crash_random_controller, NULL);
+          sim_schedule (sim, g_rand_double_range (sim->rand, 5, 60), fail_random_machine, NULL);
+          sim_schedule (sim, g_rand_double_range (sim->rand, 5, 60), fail_random_machine, NULL);
+          sim_schedule (sim, g_rand_double_range (sim->rand, 10, 80), start_all_controllers, NULL);
         }
-      sim_at (sim, g_rand_double_range (sim->rand, 5, 50), surprise, NULL);
+      sim_schedule (sim, g_rand_double_range (sim->rand, 5, 50), add_unrequested_machine, NULL);
       if (seed % 4 == 0)
-        sim_at (sim, g_rand_double_range (sim->rand, 10, 50), crash_all, NULL);
+        sim_schedule (sim, g_rand_double_range (sim->rand, 10, 50), crash_all_controllers, NULL);
       if (seed % 2)
         {
           double at = g_rand_double_range (sim->rand, 10, 50);
-          sim_at (sim, at, flip_outage, NULL);
-          sim_at (sim, at + g_rand_double_range (sim->rand, 1, 15), flip_outage, NULL);
+          sim_schedule (sim, at, toggle_kv_outage, NULL);
+          sim_schedule (sim, at + g_rand_double_range (sim->rand, 1, 15), toggle_kv_outage, NULL);
         }
       if (seed % 3 == 1)
         {
           double at = g_rand_double_range (sim->rand, 10, 50);
-          sim_at (sim, at, cut_leader, NULL);
-          sim_at (sim, at + g_rand_double_range (sim->rand, 2, 25), heal, NULL);
+          sim_schedule (sim, at, cut_off_leader_at_random, NULL);
+          sim_schedule (sim, at + g_rand_double_range (sim->rand, 2, 25), heal_controllers, NULL);
         }
-      sim_at (sim, 85, start_all, NULL);
-      sim_at (sim, 85, heal, NULL);
+      sim_schedule (sim, 85, start_all_controllers, NULL);
+      sim_schedule (sim, 85, heal_controllers, NULL);
       sim_run (sim, 100);
-      sim->lose = sim->late = 0;
+      sim->loss_chance = sim->delay_chance = 0;
       sim_run (sim, 450);
-      expect_all_over (sim, "failures", seed);
+      expect_all_finished (sim, "random failures", seed);
       sim_free (sim);
     }
 }
@@ -80,7 +80,7 @@
 /* A machine that an earlier owner used stays silent towards the new one: its tasks start nowhere else until the
  * cloud has confirmed its return, although other machines are free. */
 static void
-test_silent_machine (void)
+test_unresponsive_machine_after_failover (void)
 {
   Sim *sim = sim_new (5);
   SimJob *job = sim_add_job (sim, 1, "red", 4, 2, 60);
@@ -91,24 +91,24 @@
     if (((SimMachine *) sim->machines->pdata[i])->tasks->len)
       machine = sim->machines->pdata[i];
   g_assert_nonnull (machine);
-  g_assert_false (job->told_done);
+  g_assert_false (job->confirmed_done);
   leader = sim_leader (sim);
-  machine->cut = TRUE;
+  machine->partitioned = TRUE;
   sim_crash (sim, (guint) leader);
   sim_run (sim, 29);
   g_assert_cmpint (sim_leader (sim), !=, -1);
-  g_assert_false (machine->gone);
+  g_assert_false (machine->terminated);
   sim_run (sim, 45);
-  g_assert_true (machine->gone);
+  g_assert_true (machine->terminated);
   sim_start (sim, (guint) leader);
   sim_run (sim, 250);
-  expect_all_over (sim, "silent machine", 5);
+  expect_all_finished (sim, "unresponsive machine after failover", 5);
   sim_free (sim);
 }
 
 /* A quick restart of the leader is a new incarnation: it ends the old lease and leads with a higher term. */
 static void
-test_quick_restart (void)
+test_leader_restart_is_new_incarnation (void)
 {
   Sim *sim = sim_new (6);
   int leader;
@@ -123,98 +123,98 @@
   g_assert_cmpint (sim_leader (sim), !=, -1);
   g_assert_cmpuint (hzb_election_term (sim->nodes[sim_leader (sim)].controller->election), >, term);
   sim_run (sim, 150);
-  expect_all_over (sim, "quick restart", 6);
+  expect_all_finished (sim, "leader restart is new incarnation", 6);
   sim_free (sim);
 }
 
 /* While the key-value store is away, workers' leases live and running tasks are kept. */
 static void
-test_outage_keeps_tasks (void)
+test_kv_outage_keeps_running_tasks (void)
 {
   Sim *sim = sim_new (8);
   guint started;
   SimJob *kept = sim_add_job (sim, 1, "red", 6, 2, 60);
   sim_add_job (sim, 1, "blue", 60, 2, 6);
   sim_run (sim, 20);
-  g_assert_cmpuint (sim->started, >=, 6);
-  sim->outage = TRUE;
+  g_assert_cmpuint (sim->tasks_started, >=, 6);
+  sim->kv_outage = TRUE;
   sim_run (sim, 27);
-  started = sim->started;
+  started = sim->tasks_started;
   sim_run (sim, 45);
   /* Nothing starts once the leadership can't be proven any more. */
-  g_assert_cmpuint (sim->started, ==, started);
+  g_assert_cmpuint (sim->tasks_started, ==, started);
   for (guint i = 0; i < sim->machines->len; i++)
     g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
-  sim->outage = FALSE;
+  sim->kv_outage = FALSE;
   sim_run (sim, 200);
-  g_assert_true (kept->told_done);
-  expect_all_over (sim, "outage", 8);
+  g_assert_true (kept->confirmed_done);
+  expect_all_finished (sim, "outage", 8);
   sim_free (sim);
 }
 
 /* The cloud will take a machine: a task that can neither save nor end before then starts elsewhere at once, one that is
  * nearly over runs on, and the machine goes back as soon as it is empty. */
 static void
-test_notice (void)
+test_spot_reclaim_notice (void)
 {
   Sim *sim = sim_new (87);
   SimJob *brief = sim_add_job (sim, 1, "red", 1, 3, 10), *lengthy = sim_add_job (sim, 1, "red", 1, 3, 200);
   SimMachine *machine;
   double at;
   brief->type = lengthy->type = "big"; /* 8 CPUs: they share one */
-  machine = run_until (sim, HZB_MACHINE_ACTIVE);
+  machine = run_until_machine_is (sim, HZB_MACHINE_ACTIVE);
   while (machine->tasks->len < 2 && sim->now < 30)
     sim_run (sim, sim->now + 0.5);
   g_assert_cmpuint (machine->tasks->len, ==, 2);
   sim_run (sim, sim->now + 3);
-  machine->taken_at = sim->now + 40;
+  machine->reclaim_at = sim->now + 40;
   at = sim->now;
   sim_run (sim, at + 4);
   g_assert_cmpuint (machine->tasks->len, ==, 1);
   g_assert_cmpstr (((SimTask *) machine->tasks->pdata[0])->uid, ==, brief->uid);
   sim_run (sim, at + 25);
-  g_assert_true (brief->told_done);
-  g_assert_true (machine->gone);
+  g_assert_true (brief->confirmed_done);
+  g_assert_true (machine->terminated);
   sim_run (sim, 500);
-  expect_all_over (sim, "notice", 87);
+  expect_all_finished (sim, "spot reclaim notice", 87);
   sim_free (sim);
 }
 
 /* A job that fails wherever it starts is tried ever more slowly, and others go on. */
 static void
-test_bad_job (void)
+test_failing_job_backs_off (void)
 {
   Sim *sim = sim_new (9);
   SimJob *bad = sim_add_job (sim, 1, "red", 10, 1, 5), *good;
-  bad->bad = TRUE;
+  bad->always_fails = TRUE;
   good = sim_add_job (sim, 5, "blue", 10, 2, 5);
   sim_run (sim, 120);
-  g_assert_true (good->told_done);
-  g_assert_cmpuint (sim->started, <, 120);
-  expect_no_fault (sim, "bad job", 9);
+  g_assert_true (good->confirmed_done);
+  g_assert_cmpuint (sim->tasks_started, <, 120);
+  expect_no_violation (sim, "failing job backs off", 9);
   sim_free (sim);
 }
 
 /* A job that fails on every machine for a while is not left waiting after that, though other work there goes on and on. */
 static void
-test_all_fail_a_while (void)
+test_transient_failure_on_every_machine (void)
 {
   for (guint32 seed = 60; seed < 64; seed++)
     {
       Sim *sim = sim_new (seed);
       SimJob *job;
       sim_add_job (sim, 1, "blue", 6, 1, 260);
-      sim->size.machines = 2;
+      sim->config.machines = 2;
       sim_run (sim, 20);
       job = sim_add_job (sim, 20, "red", 4, 1, 5);
-      job->bad = TRUE;
+      job->always_fails = TRUE;
       sim_run (sim, 60);
-      job->bad = FALSE;
-      sim->calm_at = 60;
+      job->always_fails = FALSE;
+      sim->faults_over_at = 60;
       sim_run (sim, 160);
-      g_assert_true (job->told_done);
+      g_assert_true (job->confirmed_done);
       sim_run (sim, 500);
-      expect_all_over (sim, "all fail a while", seed);
+      expect_all_finished (sim, "transient failure on every machine", seed);
       sim_free (sim);
     }
 }
@@ -222,7 +222,7 @@
 /* A team without guarantee or limit takes what others leave, beyond what any of them may use, and no more: a huge array
  * and a swarm of single tasks beside work of teams that have a guarantee. */
 static void
-test_guest_team (void)
+test_team_without_guarantee (void)
 {
   for (guint32 seed = 64; seed < 68; seed++)
     {
@@ -232,48 +232,48 @@
       for (guint i = 0; i < 30; i++)
         sim_add_job (sim, 10 + 0.3 * i, "guest", 1, 0.5, 4)->job_class = "single";
       sim_run (sim, 30);
-      g_assert_cmpfloat (0.5 * sim_running (sim, huge, NULL), >, sim->size.team_max);
+      g_assert_cmpfloat (0.5 * sim_running (sim, huge, NULL), >, sim->config.team_max);
       late = sim_add_job (sim, 30, "red", 6, 1, 5); /* urgent, within its team's guarantee */
       for (guint i = 0; i < 4; i++)
         sim_add_job (sim, 32 + i, i % 2 ? "red" : "blue", 4, 1, 8);
       sim_run (sim, 80); /* other work is stopped for it after a part of what its aim allows */
-      g_assert_true (late->told_done);
-      sim->calm_at = 60;
+      g_assert_true (late->confirmed_done);
+      sim->faults_over_at = 60;
       sim_run (sim, 300);
-      expect_all_over (sim, "guest team", seed);
+      expect_all_finished (sim, "team without guarantee", seed);
       sim_free (sim);
     }
 }
 
 /* A cancellation while starts are on their way: told only once durable, and soon nothing of the job is left. */
 static void
-test_cancel_in_flight (void)
+test_cancellation_during_starts (void)
 {
   Sim *sim = sim_new (13);
   SimJob *job = sim_add_job (sim, 1, "red", 12, 2, 200);
   while (!machine_with_tasks (sim) && sim->now < 60)
     sim_run (sim, sim->now + 0.1);
   job->wants_cancel = TRUE;
-  sim->late = 0.1;
-  sim->lose = 0.1;
+  sim->delay_chance = 0.1;
+  sim->loss_chance = 0.1;
   sim_run (sim, 60);
-  sim->late = sim->lose = 0;
+  sim->delay_chance = sim->loss_chance = 0;
   sim_run (sim, 90);
-  g_assert_true (job->told_cancelled);
+  g_assert_true (job->confirmed_cancelled);
   g_assert_null (machine_with_tasks (sim));
-  expect_no_fault (sim, "cancel in flight", 13);
+  expect_no_violation (sim, "cancellation during starts", 13);
   sim_free (sim);
 }
 
 /* A rental carried out late, or by nobody known, is used or goes back. */
 static void
-test_surprise_machine (void)
+test_unrequested_machine (void)
 {
   Sim *sim = sim_new (16);
   SimMachine *idle = sim_add_machine (sim, "small", "za", FALSE, 1);
   sim_run (sim, 150);
-  g_assert_true (idle->gone);
-  expect_no_fault (sim, "surprise", 16);
+  g_assert_true (idle->terminated);
+  expect_no_violation (sim, "surprise", 16);
   sim_free (sim);
 }
 
@@ -287,11 +287,11 @@
   sim_run (sim, 25);
   machine = machine_with_tasks (sim);
   g_assert_nonnull (machine);
-  machine->gone = TRUE; /* taken with no notice */
-  machine->gone_at = sim->now;
+  machine->terminated = TRUE; /* taken with no notice */
+  machine->terminated_at = sim->now;
   g_ptr_array_set_size (machine->tasks, 0);
   sim_run (sim, 260);
-  expect_all_over (sim, "gang", 17);
+  expect_all_finished (sim, "gang", 17);
   sim_free (sim);
 }
 
@@ -305,7 +305,7 @@
   http_request->path = g_strconcat ("/admin/v1/", path, NULL);
   http_request->body = g_strdup (body);
   http_request->length = strlen (body);
-  http_request->reply = keep_status;
+  http_request->reply = capture_status;
   http_request->impl = &status;
   hzb_controller_request (http_request, sim->nodes[at].controller);
   sim_run (sim, sim->now + 0.3);
@@ -313,13 +313,13 @@
 }
 
 static void
-submit_at (Sim *sim, guint at, guint *status)
+query_status_at (Sim *sim, guint at, guint *status)
 {
   HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
   http_request->method = g_strdup ("GET");
   http_request->path = g_strdup ("/api/jobs/run-100000");
   http_request->body = g_strdup ("");
-  http_request->reply = keep_status;
+  http_request->reply = capture_status;
   http_request->impl = status;
   hzb_controller_request (http_request, sim->nodes[at].controller);
 }
@@ -327,19 +327,19 @@
 /* A controller that loses the key-value store and the other controllers, but not its workers: it soon stops answering
  * them, so that they go on elsewhere with their leases alive, and tells users at once that it can't say. */
 static void
-test_cut_off_but_for_workers (void)
+test_controller_reaches_workers_only (void)
 {
   for (guint32 seed = 52; seed < 56; seed++)
     {
       Sim *sim = sim_new (seed);
       SimMachine *machine;
       guint at, status = 0;
-      some_work (sim, 10);
-      machine = run_until (sim, HZB_MACHINE_LEASED);
+      add_arrays (sim, 10);
+      machine = run_until_machine_is (sim, HZB_MACHINE_LEASED);
       at = seed % 2 ? (guint) sim_leader (sim) : machine->node;
-      sim->nodes[at].cut_store = sim->nodes[at].cut_peers = TRUE;
+      sim->nodes[at].cut_off_from_kv = sim->nodes[at].cut_off_from_peers = TRUE;
       sim_run (sim, sim->now + 5);
-      submit_at (sim, at, &status);
+      query_status_at (sim, at, &status);
       g_assert_cmpuint (status, ==, 503); /* in this very moment */
       sim_run (sim, sim->now + 4);
       g_assert_cmpint (hzb_ownership_state (sim->nodes[at].controller->ownership), ==, HZB_OWNERSHIP_NONE);
@@ -347,15 +347,15 @@
       sim_run (sim, sim->now + 8);
       for (guint i = 0; i < sim->machines->len; i++)
         g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
-      heal (sim, NULL);
+      heal_controllers (sim, NULL);
       sim_run (sim, 500);
-      expect_all_over (sim, "cut off but for workers", seed);
+      expect_all_finished (sim, "controller reaches workers only", seed);
       sim_free (sim);
     }
 }
 
 static void
-restart_now (Sim *sim, gpointer data)
+restart_controller (Sim *sim, gpointer data)
 {
   guint at = GPOINTER_TO_UINT (data);
   sim_crash (sim, at);
@@ -365,38 +365,39 @@
 /* Each node is back within a fraction of a second, again and again, in elections, leases and flushes; what its earlier
  * processes sent comes late. */
 static void
-test_back_at_once (void)
+test_rapid_restarts (void)
 {
   for (guint32 seed = 100; seed < 106; seed++)
     {
       Sim *sim = sim_new (seed);
       double at;
-      sim->peer_copies = 0.3;
-      some_work (sim, 12);
+      sim->peer_copy_chance = 0.3;
+      add_arrays (sim, 12);
       for (at = 2; at < 50; at += g_rand_double_range (sim->rand, 0.3, 9))
-        sim_at (sim, at, restart_now, GUINT_TO_POINTER ((guint) g_rand_int_range (sim->rand, 0, SIM_NODES)));
+        sim_schedule (sim, at, restart_controller,
+                      GUINT_TO_POINTER ((guint) g_rand_int_range (sim->rand, 0, SIM_NODES)));
       sim_run (sim, 55);
-      sim->peer_copies = 0;
+      sim->peer_copy_chance = 0;
       sim_run (sim, 600);
-      expect_all_over (sim, "back at once", seed);
+      expect_all_finished (sim, "rapid restarts", seed);
       sim_free (sim);
     }
 }
 
 /* A message of an earlier process does not count as the new one's: no shard is taken back for it. */
 static void
-test_earlier_process (void)
+test_messages_of_earlier_incarnation (void)
 {
   Sim *sim = sim_new (57);
   HzbController *controller, *leader;
   HzbHttpRequest *http_request;
   guint status[3] = { 0 }, at;
   g_autofree char *old = NULL, *text[3] = { NULL };
-  some_work (sim, 4);
+  add_arrays (sim, 4);
   sim_run (sim, 12);
   at = (guint) (sim_leader (sim) + 1) % SIM_NODES;
   old = g_strdup (sim->nodes[at].controller->node->incarnation);
-  restart_now (sim, GUINT_TO_POINTER (at));
+  restart_controller (sim, GUINT_TO_POINTER (at));
   sim_run (sim, 20);
   controller = sim->nodes[at].controller;
   leader = sim->nodes[sim_leader (sim)].controller;
@@ -412,19 +413,19 @@
       http_request->path = g_strdup ("/peer/v1/block");
       http_request->body = g_strdup (text[i]);
       http_request->length = strlen (text[i]);
-      http_request->reply = keep_status;
+      http_request->reply = capture_status;
       http_request->impl = &status[i];
       hzb_controller_peer_request (http_request, leader);
       g_assert_cmpuint (status[i], ==, 400);
     }
   sim_run (sim, 300);
-  expect_all_over (sim, "earlier process", 57);
+  expect_all_finished (sim, "messages of earlier incarnation", 57);
   sim_free (sim);
 }
 
 /* The leader loses the workers, and nothing else: another leads before the workers' leases are over. */
 static void
-test_leader_loses_workers (void)
+test_leader_cut_off_from_workers (void)
 {
   Sim *sim = sim_new (51);
   guint leader;
@@ -432,20 +433,20 @@
     sim_add_job (sim, 1, i % 2 ? "red" : "blue", 6, 3, 80)->type = "small";
   sim_run (sim, 25);
   leader = (guint) sim_leader (sim);
-  sim->nodes[leader].cut_workers = TRUE;
+  sim->nodes[leader].cut_off_from_workers = TRUE;
   sim_run (sim, 40);
   g_assert_cmpint (sim_leader (sim), !=, leader);
   for (guint i = 0; i < sim->machines->len; i++)
     g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
-  sim->nodes[leader].cut_workers = FALSE;
+  sim->nodes[leader].cut_off_from_workers = FALSE;
   sim_run (sim, 500);
-  expect_all_over (sim, "leader loses workers", 51);
+  expect_all_finished (sim, "leader cut off from workers", 51);
   sim_free (sim);
 }
 
 /* All machines of a small fleet hang, again and again: the lead passes on once for that, not every time. */
 static void
-test_machines_hang (void)
+test_all_machines_hang_repeatedly (void)
 {
   Sim *sim = sim_new (58);
   guint64 term;
@@ -465,14 +466,14 @@
   g_assert_cmpint (sim_leader (sim), !=, -1);
   g_assert_cmpuint (hzb_election_term (sim->nodes[sim_leader (sim)].controller->election), <=, term + 1);
   sim_run (sim, 600);
-  expect_all_over (sim, "machines hang", 58);
+  expect_all_finished (sim, "all machines hang repeatedly", 58);
   sim_free (sim);
 }
 
 /* Operators: settings are checked, refused when another has changed them, and apply on all nodes; a machine is
  * drained, also by a later leader. */
 static void
-test_administration (void)
+test_admin_api (void)
 {
   Sim *sim = sim_new (50);
   SimMachine *machine;
@@ -482,9 +483,9 @@
   sim_run (sim, 20);
   leader = sim_leader (sim);
   g_assert_cmpuint (ask_admin (sim, 0, "GET", "settings", ""), ==, 200);
-  g_assert_nonnull (strstr (last_body, "\"version\":0"));
+  g_assert_nonnull (strstr (last_response_body, "\"version\":0"));
   g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":1.5}}"), ==, 400);
-  g_assert_nonnull (strstr (last_body, "dispatchH: expected a number from 0 to 1"));
+  g_assert_nonnull (strstr (last_response_body, "dispatchH: expected a number from 0 to 1"));
   g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"speed\":1}}"), ==, 400);
   g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"settings\":{}}"), ==, 400);
   g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":0.25}}"), ==,
@@ -508,27 +509,27 @@
   sim_crash (sim, (guint) leader);
   sim_start (sim, (guint) leader);
   sim_run (sim, 250);
-  g_assert_true (machine->gone);
+  g_assert_true (machine->terminated);
   for (guint i = 0; i < SIM_NODES; i++) /* a new process has them too */
     g_assert_cmpfloat (sim->nodes[i].controller->dispatch->h, ==, 0.25);
-  expect_all_over (sim, "administration", 50);
+  expect_all_finished (sim, "admin api", 50);
   sim_free (sim);
 }
 
 static void
-expect_broken (Sim *sim, const char *rule, SimJob *job, guint status, const char *state)
+expect_violation (Sim *sim, const char *rule, SimJob *job, guint status, const char *state)
 {
-  sim_told (sim, job, status, state);
-  g_assert_cmpuint (sim->broken->len, ==, 1);
-  g_assert_true (g_str_has_prefix (sim->broken->pdata[0], rule));
-  g_ptr_array_set_size (sim->broken, 0);
+  sim_user_response (sim, job, status, state);
+  g_assert_cmpuint (sim->violations->len, ==, 1);
+  g_assert_true (g_str_has_prefix (sim->violations->pdata[0], rule));
+  g_ptr_array_set_size (sim->violations, 0);
 }
 
 static gboolean
-has_broken (Sim *sim, const char *rule, const char *text)
+has_violation (Sim *sim, const char *rule, const char *text)
 {
-  for (guint i = 0; i < sim->broken->len; i++)
-    if (g_str_has_prefix (sim->broken->pdata[i], rule) && strstr (sim->broken->pdata[i], text))
+  for (guint i = 0; i < sim->violations->len; i++)
+    if (g_str_has_prefix (sim->violations->pdata[i], rule) && strstr (sim->violations->pdata[i], text))
       return TRUE;
   return FALSE;
 }
@@ -540,70 +541,70 @@
   Sim *sim = sim_new (10);
   SimJob *job = sim_add_job (sim, 1e6, "red", 30, 2, 50);
   SimMachine *a = sim_add_machine (sim, "big", "za", FALSE, 1e6), *b = sim_add_machine (sim, "big", "za", FALSE, 1e6);
-  sim_put_task (sim, a, job, 0, 1)->state = 2;
+  sim_put_task (sim, a, job, 0, 1)->state = SIM_TASK_RUNNING;
   sim_check (sim);
-  g_assert_cmpuint (sim->broken->len, ==, 0);
-  sim_put_task (sim, b, job, 0, 2)->state = 2;
+  g_assert_cmpuint (sim->violations->len, ==, 0);
+  sim_put_task (sim, b, job, 0, 2)->state = SIM_TASK_RUNNING;
   sim_check (sim);
-  g_assert_true (g_str_has_prefix (sim->broken->pdata[0], "ran_twice"));
-  g_ptr_array_set_size (sim->broken, 0);
+  g_assert_true (g_str_has_prefix (sim->violations->pdata[0], "ran_twice"));
+  g_ptr_array_set_size (sim->violations, 0);
   g_ptr_array_set_size (b->tasks, 0);
   for (guint i = 1; i < 13; i++)
-    sim_put_task (sim, a, job, i, 1)->state = 2;
+    sim_put_task (sim, a, job, i, 1)->state = SIM_TASK_RUNNING;
   sim_check (sim);
-  g_assert_true (g_str_has_prefix (sim->broken->pdata[0], "quota"));
-  g_ptr_array_set_size (sim->broken, 0);
+  g_assert_true (g_str_has_prefix (sim->violations->pdata[0], "quota"));
+  g_ptr_array_set_size (sim->violations, 0);
   g_ptr_array_set_size (a->tasks, 1);
-  job->told_cancelled = TRUE;
+  job->confirmed_cancelled = TRUE;
   sim_check (sim);
-  g_assert_cmpuint (sim->broken->len, ==, 0);
-  job->cancelled_at = sim->now - 31;
+  g_assert_cmpuint (sim->violations->len, ==, 0);
+  job->cancel_confirmed_at = sim->now - 31;
   sim_check (sim);
-  g_assert_true (g_str_has_prefix (sim->broken->pdata[0], "ran_cancelled"));
-  g_ptr_array_set_size (sim->broken, 0);
+  g_assert_true (g_str_has_prefix (sim->violations->pdata[0], "ran_cancelled"));
+  g_ptr_array_set_size (sim->violations, 0);
   g_ptr_array_set_size (a->tasks, 0);
-  expect_broken (sim, "invented", sim_add_job (sim, 1e6, "red", 1, 1, 1), 200, "queued");
+  expect_violation (sim, "invented", sim_add_job (sim, 1e6, "red", 1, 1, 1), 200, "queued");
   job = sim_add_job (sim, 1e6, "red", 2, 1, 1);
   job->submitted = TRUE;
-  sim_told (sim, job, 201, "queued");
-  g_assert_cmpuint (sim->broken->len, ==, 0);
-  expect_broken (sim, "forgotten", job, 404, NULL);
-  expect_broken (sim, "not_done", job, 200, "done");
-  expect_broken (sim, "went_back", job, 200, "running"); /* it was called done */
+  sim_user_response (sim, job, 201, "queued");
+  g_assert_cmpuint (sim->violations->len, ==, 0);
+  expect_violation (sim, "forgotten", job, 404, NULL);
+  expect_violation (sim, "not_done", job, 200, "done");
+  expect_violation (sim, "went_back", job, 200, "running"); /* it was called done */
   job = sim_add_job (sim, 1e6, "red", 2, 1, 1);
   job->submitted = TRUE;
-  expect_broken (sim, "went_back", job, 200, "cancelled"); /* its user did not ask for that */
+  expect_violation (sim, "went_back", job, 200, "cancelled"); /* its user did not ask for that */
   job = sim_add_job (sim, 1e6, "red", 2, 1, 1);
   job->zone = "zb";
   {
     g_autofree char *task_status = g_strdup_printf ("%s/0", job->uid);
     sim_start_task (sim, a, task_status, 9); /* a is in za */
-    g_assert_true (g_str_has_prefix (sim->broken->pdata[0], "wrong_place"));
+    g_assert_true (g_str_has_prefix (sim->violations->pdata[0], "wrong_place"));
   }
   job->zone = NULL;
-  g_ptr_array_set_size (sim->broken, 0);
+  g_ptr_array_set_size (sim->violations, 0);
   /* At a day's end. */
   for (guint i = 0; i < sim->jobs->len; i++)
     ((SimJob *) sim->jobs->pdata[i])->team = g_strdup ("blue");
   job = sim_add_job (sim, 1e6, "red", 4, 1, 1);
-  job->submitted = job->accepted = job->told_done = TRUE;
-  job->began_at = job->answered_at = 1;
+  job->submitted = job->accepted = job->confirmed_done = TRUE;
+  job->first_start_at = job->last_response_at = 1;
   sim->now = 70;
   sim_check_end (sim);
-  for (guint i = 0; i < sim->broken->len; i++)
-    g_assert_null (strstr (sim->broken->pdata[i], job->uid));
-  g_ptr_array_set_size (sim->broken, 0);
+  for (guint i = 0; i < sim->violations->len; i++)
+    g_assert_null (strstr (sim->violations->pdata[i], job->uid));
+  g_ptr_array_set_size (sim->violations, 0);
   sim->now = 80;
   sim_check_end (sim);
-  g_assert_true (has_broken (sim, "forgotten", job->uid));
+  g_assert_true (has_violation (sim, "forgotten", job->uid));
   job->submit_at = 0;
-  job->began_at = 300;
-  job->told_done = FALSE;
+  job->first_start_at = 300;
+  job->confirmed_done = FALSE;
   sim_check_end (sim);
-  g_assert_true (has_broken (sim, "starved", job->uid));
-  g_assert_true (has_broken (sim, "starved", "of team red 0 of 1 jobs"));
-  g_assert_true (has_broken (sim, "starved", "of class batch 0 of"));
-  g_assert_true (has_broken (sim, "starved", "of the largest of class batch 0 of"));
+  g_assert_true (has_violation (sim, "starved", job->uid));
+  g_assert_true (has_violation (sim, "starved", "of team red 0 of 1 jobs"));
+  g_assert_true (has_violation (sim, "starved", "of class batch 0 of"));
+  g_assert_true (has_violation (sim, "starved", "of the largest of class batch 0 of"));
   sim_free (sim);
 }
 
@@ -625,7 +626,7 @@
 
 /* Places held for a gang on a machine that then takes no new tasks are given up: it would wait there for ever. */
 static void
-test_gang_on_spare_machine (void)
+test_gang_reservation_on_scale_in_candidate (void)
 {
   for (guint32 seed = 90; seed < 94; seed++)
     {
@@ -640,8 +641,8 @@
       else
         task->machine->scale_in_requested = TRUE;
       sim_run (sim, sim->now + 90);
-      g_assert_true (gang->told_done);
-      expect_all_over (sim, "a gang on a spare machine", seed);
+      g_assert_true (gang->confirmed_done);
+      expect_all_finished (sim, "a gang on a spare machine", seed);
       sim_free (sim);
     }
 }
@@ -652,24 +653,24 @@
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
   g_test_add_func ("/cluster/checks-can-fail", test_checks_can_fail);
-  g_test_add_func ("/cluster/quiet", test_quiet);
-  g_test_add_func ("/cluster/failures", test_failures);
-  g_test_add_func ("/cluster/silent-machine", test_silent_machine);
-  g_test_add_func ("/cluster/quick-restart", test_quick_restart);
-  g_test_add_func ("/cluster/outage-keeps-tasks", test_outage_keeps_tasks);
-  g_test_add_func ("/cluster/notice", test_notice);
-  g_test_add_func ("/cluster/bad-job", test_bad_job);
-  g_test_add_func ("/cluster/all-fail-a-while", test_all_fail_a_while);
-  g_test_add_func ("/cluster/guest-team", test_guest_team);
-  g_test_add_func ("/cluster/cancel-in-flight", test_cancel_in_flight);
-  g_test_add_func ("/cluster/surprise-machine", test_surprise_machine);
+  g_test_add_func ("/cluster/fault-free", test_fault_free);
+  g_test_add_func ("/cluster/random-failures", test_random_failures);
+  g_test_add_func ("/cluster/unresponsive-machine-after-failover", test_unresponsive_machine_after_failover);
+  g_test_add_func ("/cluster/leader-restart-is-new-incarnation", test_leader_restart_is_new_incarnation);
+  g_test_add_func ("/cluster/kv-outage-keeps-running-tasks", test_kv_outage_keeps_running_tasks);
+  g_test_add_func ("/cluster/spot-reclaim-notice", test_spot_reclaim_notice);
+  g_test_add_func ("/cluster/failing-job-backs-off", test_failing_job_backs_off);
+  g_test_add_func ("/cluster/transient-failure-on-every-machine", test_transient_failure_on_every_machine);
+  g_test_add_func ("/cluster/team-without-guarantee", test_team_without_guarantee);
+  g_test_add_func ("/cluster/cancellation-during-starts", test_cancellation_during_starts);
+  g_test_add_func ("/cluster/unrequested-machine", test_unrequested_machine);
   g_test_add_func ("/cluster/gang-loses-machine", test_gang_loses_machine);
-  g_test_add_func ("/cluster/cut-off-but-for-workers", test_cut_off_but_for_workers);
-  g_test_add_func ("/cluster/back-at-once", test_back_at_once);
-  g_test_add_func ("/cluster/earlier-process", test_earlier_process);
-  g_test_add_func ("/cluster/leader-loses-workers", test_leader_loses_workers);
-  g_test_add_func ("/cluster/machines-hang", test_machines_hang);
-  g_test_add_func ("/cluster/administration", test_administration);
-  g_test_add_func ("/cluster/gang-on-spare-machine", test_gang_on_spare_machine);
+  g_test_add_func ("/cluster/controller-reaches-workers-only", test_controller_reaches_workers_only);
+  g_test_add_func ("/cluster/rapid-restarts", test_rapid_restarts);
+  g_test_add_func ("/cluster/messages-of-earlier-incarnation", test_messages_of_earlier_incarnation);
+  g_test_add_func ("/cluster/leader-cut-off-from-workers", test_leader_cut_off_from_workers);
+  g_test_add_func ("/cluster/all-machines-hang-repeatedly", test_all_machines_hang_repeatedly);
+  g_test_add_func ("/cluster/admin-api", test_admin_api);
+  g_test_add_func ("/cluster/gang-reservation-on-scale-in-candidate", test_gang_reservation_on_scale_in_candidate);
   return g_test_run ();
 }
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -43,7 +43,7 @@
   for (guint i = 0; i < sim->machines->len; i++)
     {
       const SimMachine *machine = sim->machines->pdata[i];
-      for (guint k = 0; k < machine->tasks->len && !machine->gone; k++)
+      for (guint k = 0; k < machine->tasks->len && !machine->terminated; k++)
         g_hash_table_add (witness->begun, g_strdup (((SimTask *) machine->tasks->pdata[k])->uid));
     }
   return witness;
@@ -60,7 +60,7 @@
 
 /* A verdict that is durable never changes, whoever leads. */
 static void
-see_page (const char *key, const cJSON *page, gpointer user)
+witness_verdicts (const char *key, const cJSON *page, gpointer user)
 {
   Witness *witness = user;
   const cJSON *row;
@@ -83,9 +83,9 @@
 
 /* What a leader after the end has started. */
 static void
-see_machine (Witness *witness, const SimMachine *machine)
+witness_starts (Witness *witness, const SimMachine *machine)
 {
-  for (guint k = 0; k < machine->tasks->len && !machine->gone; k++)
+  for (guint k = 0; k < machine->tasks->len && !machine->terminated; k++)
     {
       const SimTask *task = machine->tasks->pdata[k];
       if (hzb_fencing_token_term (task->attempt >> 17) <= witness->term
@@ -98,11 +98,11 @@
 
 /* The job's end is on record, or its user wants it to be. */
 static gboolean
-is_over (Witness *witness, const char *uid)
+is_terminal (Witness *witness, const char *uid)
 {
   g_autofree char *key = g_strconcat (HZB_KEY_JOBS, uid, NULL);
   SimJob *job = g_hash_table_lookup (witness->sim->by_uid, uid);
-  return job->asked_cancel || sim_largest_record (witness->sim, key) > 0;
+  return job->cancel_requested || sim_largest_record (witness->sim, key) > 0;
 }
 
 static GHashTable *
@@ -112,10 +112,10 @@
   for (guint i = 0; i < sim->machines->len; i++)
     {
       const SimMachine *machine = sim->machines->pdata[i];
-      for (guint k = 0; k < machine->tasks->len && !machine->gone; k++)
+      for (guint k = 0; k < machine->tasks->len && !machine->terminated; k++)
         {
           const SimTask *task = machine->tasks->pdata[k];
-          if (task->state == 4)
+          if (task->state == SIM_TASK_ENDED)
             g_hash_table_insert (ended,
                                  g_strdup_printf ("%s %" G_GUINT64_FORMAT " %s/%u %" G_GUINT64_FORMAT, machine->name,
                                                   machine->agent_epoch, task->uid, task->task, task->attempt),
@@ -127,7 +127,7 @@
 
 /* What a worker was told to forget. One that has begun another agent epoch has forgotten it by itself. */
 static void
-see_reaped (Witness *witness)
+witness_reaped (Witness *witness)
 {
   Sim *sim = witness->sim;
   GHashTable *ended = ended_tasks (sim);
@@ -143,11 +143,11 @@
         {
           const SimMachine *machine = sim->machines->pdata[i];
           same_agent_epoch = same_agent_epoch
-                             || (g_str_equal (machine->name, words[0]) && !machine->gone && !machine->failed
+                             || (g_str_equal (machine->name, words[0]) && !machine->terminated && !machine->crashed
                                  && machine->agent_epoch == g_ascii_strtoull (words[1], NULL, 10));
         }
       if (same_agent_epoch && !g_hash_table_contains (ended, key) && g_hash_table_contains (witness->begun, uid)
-          && !g_hash_table_contains (witness->decided, uid) && !is_over (witness, uid))
+          && !g_hash_table_contains (witness->decided, uid) && !is_terminal (witness, uid))
         g_error ("%s was reaped before its job's verdict was durable", (char *) key);
     }
   g_hash_table_unref (witness->ended);
@@ -161,29 +161,29 @@
   double until = sim->now + seconds;
   while (sim->now < until)
     {
-      guint started = sim->started, second;
+      guint started = sim->tasks_started, second;
       sim_run (sim, sim->now + 0.1);
       second = (guint) (sim->now - witness->ended_at);
       if (second < G_N_ELEMENTS (witness->starts))
-        witness->starts[second] += sim->started - started;
-      sim_each_record (sim, VERDICTS, see_page, witness);
+        witness->starts[second] += sim->tasks_started - started;
+      sim_each_record (sim, VERDICTS, witness_verdicts, witness);
       for (guint i = 0; i < sim->machines->len; i++)
-        see_machine (witness, sim->machines->pdata[i]);
-      see_reaped (witness);
+        witness_starts (witness, sim->machines->pdata[i]);
+      witness_reaped (witness);
     }
 }
 
 /* ---- the cluster ---- */
 
-static SimSize
-small_size (guint machines)
+static SimConfig
+small_config (guint machines)
 {
-  SimSize size = machines > 100 ? sim_size_large : sim_size_little;
-  size.machines = machines + machines / 10;
-  size.team_max = 12 * machines; /* unconfirmed tasks count, too: what waits could start all the same */
-  size.check_s = 0.2;
-  size.features = FEATURES;
-  return size;
+  SimConfig config = machines > 100 ? sim_config_large : sim_config_small;
+  config.machines = machines + machines / 10;
+  config.team_max = 12 * machines; /* unconfirmed tasks count, too: what waits could start all the same */
+  config.check_interval_s = 0.2;
+  config.features = FEATURES;
+  return config;
 }
 
 static void
@@ -196,9 +196,9 @@
 /* A cluster at work: arrays of all teams, one of them so large that some of its tasks are not released when all end, and a
  * service. */
 static Sim *
-cluster_at_work (guint32 seed, const SimSize *size, guint machines, double run_s)
+cluster_at_work (guint32 seed, const SimConfig *config, guint machines, double run_s)
 {
-  Sim *sim = sim_new_sized (seed, size);
+  Sim *sim = sim_new_with_config (seed, config);
   add_machines (sim, machines);
   for (guint i = 0; i < machines * 2 / 3; i++)
     {
@@ -209,15 +209,15 @@
   sim_add_job (sim, 1.5, "blue", MAX (80, machines * 5), 1, run_s);
   /* Not spread: there are too few machines that the cloud does not take back for two zones. */
   add_service (sim, 2, "red", 3, 2, 200)->spread = FALSE;
-  sim_run (sim, 20 + size->heartbeat_interval_s * 2);
-  expect_no_fault (sim, "at work", seed);
+  sim_run (sim, 20 + config->heartbeat_interval_s * 2);
+  expect_no_violation (sim, "at work", seed);
   g_assert_cmpint (sim_leader (sim), >=, 0);
   g_assert_cmpuint (tasks_running (sim), >, machines / 2);
   return sim;
 }
 
 static Witness *
-end_all (Sim *sim)
+crash_all_under_witness (Sim *sim)
 {
   Witness *witness = witness_new (sim);
   for (guint i = 0; i < SIM_NODES; i++)
@@ -252,18 +252,18 @@
 static void
 finish (Sim *sim, Witness *witness, const char *what, guint32 seed)
 {
-  heal (sim, NULL);
-  sim->outage = FALSE;
-  sim->late_writes = 0;
-  start_all (sim, NULL);
-  sim->calm_at = sim->now + 40;
+  heal_controllers (sim, NULL);
+  sim->kv_outage = FALSE;
+  sim->late_transaction_chance = 0;
+  start_all_controllers (sim, NULL);
+  sim->faults_over_at = sim->now + 40;
   if (witness)
     {
       witness_run (witness, 60);
       witness_free (witness);
     }
   sim_run (sim, sim->now + (witness ? 400 : 460));
-  expect_all_over (sim, what, seed);
+  expect_all_finished (sim, what, seed);
   sim_free (sim);
 }
 
@@ -272,29 +272,29 @@
 static void
 play_under_load (guint32 seed, guint machines, const char *features, double away_s)
 {
-  SimSize size = small_size (machines);
+  SimConfig config = small_config (machines);
   Sim *sim;
   Witness *witness;
   guint busiest = 0, written;
 
-  size.features = features;
-  sim = cluster_at_work (seed, &size, machines, 60);
-  sim->most_value = LEAST_VALUE;
-  sim->most_changes = size.txn_ops;
-  witness = end_all (sim);
-  written = sim->written;
+  config.features = features;
+  sim = cluster_at_work (seed, &config, machines, 60);
+  sim->kv_max_value_bytes = LEAST_VALUE;
+  sim->kv_max_changes = config.txn_ops;
+  witness = crash_all_under_witness (sim);
+  written = sim->kv_writes;
   sim_run (sim, sim->now + away_s);
-  start_all (sim, NULL);
+  start_all_controllers (sim, NULL);
   witness_run (witness, 59 - away_s);
   for (guint i = 0; i < G_N_ELEMENTS (witness->starts); i++)
     busiest = MAX (busiest, witness->starts[i]);
   g_test_message (
       "%u machines, seed %u, away for %.1f s: verdicts durable %.1f to %.1f s after the end, at most %u starts "
       "a second, %u changes in the first minute",
-      machines, seed, away_s, witness->first_verdict, witness->last_verdict, busiest, sim->written - written);
+      machines, seed, away_s, witness->first_verdict, witness->last_verdict, busiest, sim->kv_writes - written);
   g_assert_cmpuint (g_hash_table_size (witness->decided), >, 0);
   g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COMPLETE, 120));
-  sim_each_record (sim, VERDICTS, see_page, witness);
+  sim_each_record (sim, VERDICTS, witness_verdicts, witness);
   g_assert_cmpuint (sim_largest_record (sim, STATE), ==, 0); /* nothing is left for the next leader */
   g_assert_cmpuint (sim_largest_record (sim, VERDICTS), ==, 0);
   finish (sim, witness, "under load", seed);
@@ -315,20 +315,20 @@
 /* Half of the machines are silent through the restart, and back before or after their leases are over; some hear nothing,
  * some are in no run queue of the cloud, some have begun another agent epoch. */
 static void
-test_silent_machines (void)
+test_unresponsive_machines (void)
 {
   static const double back_s[] = { 4, 9.8, 25 };
   for (guint32 seed = 1030; seed < 1036; seed++)
     {
-      SimSize size = small_size (30);
-      Sim *sim = cluster_at_work (seed, &size, 30, 60);
-      Witness *witness = end_all (sim);
+      SimConfig config = small_config (30);
+      Sim *sim = cluster_at_work (seed, &config, 30, 60);
+      Witness *witness = crash_all_under_witness (sim);
       for (guint i = 0; i < sim->machines->len; i++)
         {
           SimMachine *machine = sim->machines->pdata[i];
-          machine->cut = i % 2 == 0;
+          machine->partitioned = i % 2 == 0;
           machine->one_way_partitioned = i % 7 == 1;
-          machine->unlisted = i % 5 == 3; /* the cloud does not show it, and it reports */
+          machine->missing_from_inventory = i % 5 == 3; /* the cloud does not show it, and it reports */
           if (i % 9 == 5)
             {
               machine->agent_epoch++; /* its lease ended, and it has begun another agent epoch */
@@ -336,27 +336,27 @@
               g_ptr_array_set_size (machine->tasks, 0);
             }
         }
-      sim->copies = 0.1; /* reports from before the end come after the verdicts */
+      sim->heartbeat_copy_chance = 0.1; /* reports from before the end come after the verdicts */
       sim_run (sim, sim->now + 2);
-      start_all (sim, NULL);
+      start_all_controllers (sim, NULL);
       witness_run (witness, back_s[seed % G_N_ELEMENTS (back_s)]);
       for (guint i = 0; i < sim->machines->len; i++)
         {
           SimMachine *machine = sim->machines->pdata[i];
-          machine->cut = machine->one_way_partitioned = machine->unlisted = FALSE;
+          machine->partitioned = machine->one_way_partitioned = machine->missing_from_inventory = FALSE;
         }
-      finish (sim, witness, "silent machines", seed);
+      finish (sim, witness, "unresponsive machines", seed);
     }
 }
 
 /* Cancelled and not told, with half of a gang's tasks over, and with results that nobody has heard of. */
 static void
-test_what_happened_meanwhile (void)
+test_events_during_downtime (void)
 {
   for (guint32 seed = 1040; seed < 1046; seed++)
     {
-      SimSize size = small_size (20);
-      Sim *sim = cluster_at_work (seed, &size, 20, 25);
+      SimConfig config = small_config (20);
+      Sim *sim = cluster_at_work (seed, &config, 20, 25);
       SimJob *gang = sim_add_job (sim, sim->now + 0.1, "red", 4, 1, 12);
       Witness *witness;
       gang->gang = TRUE;
@@ -368,13 +368,13 @@
           job->cancel_at = sim->now;
         }
       sim_run (sim, sim->now + 0.3 * (seed % 4));
-      witness = end_all (sim);
+      witness = crash_all_under_witness (sim);
       sim_run (sim, sim->now + 8); /* many tasks end, their leases live */
-      sim->lose = 0.5;             /* also the first reports of results */
-      start_all (sim, NULL);
+      sim->loss_chance = 0.5;      /* also the first reports of results */
+      start_all_controllers (sim, NULL);
       witness_run (witness, 5);
-      sim->lose = 0;
-      finish (sim, witness, "what happened meanwhile", seed);
+      sim->loss_chance = 0;
+      finish (sim, witness, "events during downtime", seed);
     }
 }
 
@@ -382,21 +382,21 @@
 
 /* Everything ends again in each state, and the next ones go on from what is durable. */
 static void
-test_ends_in_each_state (void)
+test_crash_in_each_state (void)
 {
   for (guint32 seed = 1050; seed < 1054; seed++)
     for (int state = HZB_RECONCILIATION_DETECTING; state <= HZB_RECONCILIATION_RECORDED; state++)
       {
-        SimSize size = small_size (20);
-        Sim *sim = cluster_at_work (seed, &size, 20, 60);
-        Witness *witness = end_all (sim);
+        SimConfig config = small_config (20);
+        Sim *sim = cluster_at_work (seed, &config, 20, 60);
+        Witness *witness = crash_all_under_witness (sim);
         ((SimMachine *) sim->machines->pdata[0])->hung = TRUE; /* so that deciding takes a while */
         sim_run (sim, sim->now + 1);
-        start_all (sim, NULL);
+        start_all_controllers (sim, NULL);
         while (state_of (sim) != (HzbReconciliationState) state && sim->now < witness->ended_at + 60)
           {
             sim_run (sim, sim->now + 0.02);
-            sim_each_record (sim, VERDICTS, see_page, witness);
+            sim_each_record (sim, VERDICTS, witness_verdicts, witness);
           }
         g_assert_cmpint (state_of (sim), ==, state);
         sim_run (sim, sim->now + g_rand_double_range (sim->rand, 0, 1));
@@ -406,55 +406,55 @@
           for (guint i = 0; i < SIM_NODES; i++)
             sim_crash (sim, i);
         sim_run (sim, sim->now + 1);
-        start_all (sim, NULL);
+        start_all_controllers (sim, NULL);
         g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COMPLETE, 200)
                        || state == HZB_RECONCILIATION_DETECTING);
-        finish (sim, witness, "ends in each state", seed);
+        finish (sim, witness, "crash in each state", seed);
       }
 }
 
 /* Two that believe to lead, the store refused to one, out, or without answers to what it carries out. */
 static void
-test_store_and_leaders (void)
+test_kv_faults_and_two_leaders (void)
 {
   for (guint32 seed = 1060; seed < 1072; seed++)
     {
-      SimSize size = small_size (20);
-      Sim *sim = cluster_at_work (seed, &size, 20, 60);
-      Witness *witness = end_all (sim);
+      SimConfig config = small_config (20);
+      Sim *sim = cluster_at_work (seed, &config, 20, 60);
+      Witness *witness = crash_all_under_witness (sim);
       sim_run (sim, sim->now + 1);
-      start_all (sim, NULL);
-      sim->most_changes = size.txn_ops;
-      sim->late_writes = seed % 4 == 0 ? 0.4 : 0;
+      start_all_controllers (sim, NULL);
+      sim->kv_max_changes = config.txn_ops;
+      sim->late_transaction_chance = seed % 4 == 0 ? 0.4 : 0;
       witness_run_until (witness, HZB_RECONCILIATION_COLLECTING, 30);
       witness_run (witness, g_rand_double_range (sim->rand, 0, 2));
       if (seed % 4 == 1)
-        cut_leader (sim, NULL);
+        cut_off_leader_at_random (sim, NULL);
       else if (seed % 4 == 2)
-        sim->outage = TRUE;
+        sim->kv_outage = TRUE;
       else if (seed % 4 == 3)
         sim->nodes[MAX (sim_leader (sim), 0)].paused = TRUE;
       witness_run (witness, 9);
       for (guint i = 0; i < SIM_NODES; i++)
         if (sim->nodes[i].paused)
-          sim_wake (sim, i);
+          sim_resume (sim, i);
       witness_run (witness, 20);
-      finish (sim, witness, "store and leaders", seed);
+      finish (sim, witness, "kv faults and two leaders", seed);
     }
 }
 
 /* A leader that knows nothing of it leads in between: what was decided before is given up, and nothing breaks. */
 static void
-test_leader_without_it (void)
+test_leader_without_reconciliation (void)
 {
   for (guint32 seed = 1080; seed < 1084; seed++)
     {
-      SimSize size = small_size (20);
-      Sim *sim = cluster_at_work (seed, &size, 20, 60);
-      Witness *witness = end_all (sim);
+      SimConfig config = small_config (20);
+      Sim *sim = cluster_at_work (seed, &config, 20, 60);
+      Witness *witness = crash_all_under_witness (sim);
       ((SimMachine *) sim->machines->pdata[0])->hung = TRUE;
       sim_run (sim, sim->now + 1);
-      start_all (sim, NULL);
+      start_all_controllers (sim, NULL);
       g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COLLECTING, 30));
       witness_run (witness, 2);
       g_hash_table_remove_all (witness->begun); /* it records no verdicts */
@@ -467,7 +467,7 @@
               sim_start (sim, i);
             }
           sim_run (sim, sim->now + 15);
-          expect_no_fault (sim, "a leader without it", seed);
+          expect_no_violation (sim, "a leader without it", seed);
         }
       g_assert_cmpint (state_of (sim), ==, HZB_RECONCILIATION_NONE);
       g_assert_cmpuint (sim_largest_record (sim, STATE), ==, 0);
@@ -483,13 +483,13 @@
   static const char *const pages[] = { "{\"format\":9,\"id\":1,\"jobs\":{}}", "[]", "{\"format\":1,\"id\":1}" };
   for (guint i = 0; i < G_N_ELEMENTS (pages); i++)
     {
-      SimSize size = small_size (20);
-      Sim *sim = cluster_at_work (1090 + i, &size, 20, 60);
-      Witness *witness = end_all (sim);
+      SimConfig config = small_config (20);
+      Sim *sim = cluster_at_work (1090 + i, &config, 20, 60);
+      Witness *witness = crash_all_under_witness (sim);
       sim_put_record (sim, VERDICTS "000007", pages[i]);
       sim_put_record (sim, STATE, i ? "{\"format\":1,\"id\":2,\"term\":1,\"starts\":1}" : pages[0]);
       sim_put_record (sim, "hzb/x/reconciliation/kept", pages[i]);
-      start_all (sim, NULL);
+      start_all_controllers (sim, NULL);
       g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COMPLETE, 200));
       g_assert_cmpuint (sim_largest_record (sim, VERDICTS), ==, 0);
       finish (sim, witness, "unreadable records", 1090 + i);
@@ -502,7 +502,7 @@
 decide (Sim *sim, const SimJob *job, const char *body)
 {
   g_autofree char *path = g_strdup_printf ("/admin/v1/reconciliation/quarantine/%s/0", job->uid);
-  return ask (sim, (guint) MAX (sim_leader (sim), 0), "POST", path, body, NULL);
+  return user_request (sim, (guint) MAX (sim_leader (sim), 0), "POST", path, body, NULL);
 }
 
 static gboolean
@@ -511,7 +511,7 @@
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       const SimTask *task = machine->tasks->pdata[i];
-      if (g_str_equal (task->uid, job->uid) && task->state < 4)
+      if (g_str_equal (task->uid, job->uid) && task->state < SIM_TASK_ENDED)
         return TRUE;
     }
   return FALSE;
@@ -539,39 +539,39 @@
 
 typedef enum
 {
-  UNRECORDED_INVENTED,
+  UNRECORDED_NEVER_ACCEPTED,
   UNRECORDED_ACCEPTED_LATE,
-  UNRECORDED_ENDED_LONG_AGO,
-  UNRECORDED_KEPT,
-  UNRECORDED_N
+  UNRECORDED_COMPLETED_LONG_AGO,
+  UNRECORDED_KEPT_BY_OPERATOR,
+  N_UNRECORDED
 } Unrecorded;
 
 static void
 play_unrecorded (guint32 seed, Unrecorded kind)
 {
-  SimSize size = small_size (12);
-  Sim *sim = cluster_at_work (seed, &size, 12, 100);
+  SimConfig config = small_config (12);
+  Sim *sim = cluster_at_work (seed, &config, 12, 100);
   SimJob *job = sim_add_job (sim, 1e8, "guest", 1, 1, 500);
   SimMachine *machine = machine_with_tasks (sim);
-  Witness *witness = end_all (sim);
+  Witness *witness = crash_all_under_witness (sim);
   g_autofree char *old_end = g_strconcat (HZB_KEY_ARCHIVED, job->uid, NULL);
   double seen;
 
-  job->bad = TRUE; /* no user waits for it */
-  if (kind == UNRECORDED_KEPT)
+  job->always_fails = TRUE; /* no user waits for it */
+  if (kind == UNRECORDED_KEPT_BY_OPERATOR)
     {
       /* Nothing else keeps the machine from being given back. */
       g_ptr_array_set_size (machine->tasks, 0);
       cancel_all (sim);
     }
-  sim_put_task (sim, machine, job, 0, 7)->state = 2;
+  sim_put_task (sim, machine, job, 0, 7)->state = SIM_TASK_RUNNING;
   ((SimTask *) machine->tasks->pdata[machine->tasks->len - 1])->end_at = 1e9;
-  start_all (sim, NULL);
+  start_all_controllers (sim, NULL);
   g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COLLECTING, 30));
   seen = sim->now;
-  if (kind == UNRECORDED_ENDED_LONG_AGO)
+  if (kind == UNRECORDED_COMPLETED_LONG_AGO)
     sim_put_record (sim, old_end, "{\"state\":\"done\",\"n\":1}");
-  if (kind == UNRECORDED_KEPT)
+  if (kind == UNRECORDED_KEPT_BY_OPERATOR)
     {
       guint status;
       do
@@ -586,28 +586,28 @@
   if (kind == UNRECORDED_ACCEPTED_LATE)
     accept_late (sim, job);
   witness_run (witness, 25);
-  if (kind == UNRECORDED_KEPT)
+  if (kind == UNRECORDED_KEPT_BY_OPERATOR)
     {
       sim_crash (sim, (guint) MAX (sim_leader (sim), 0)); /* also under the next leader */
       witness_run (witness, 40);
-      start_all (sim, NULL);
+      start_all_controllers (sim, NULL);
       g_assert_true (runs (machine, job));
       g_assert_cmpuint (decide (sim, job, "{\"decision\":\"stop\"}"), ==, 200);
       witness_run (witness, 5);
     }
   g_assert_true (runs (machine, job) == (kind == UNRECORDED_ACCEPTED_LATE));
   g_assert_cmpuint (decide (sim, sim->jobs->pdata[0], "{\"decision\":\"stop\"}"), ==, 404);
-  g_assert_cmpuint (
-      ask (sim, (guint) (MAX (sim_leader (sim), 0) + 1) % SIM_NODES, "GET", "/admin/v1/reconciliation", "", NULL), ==,
-      421);
+  g_assert_cmpuint (user_request (sim, (guint) (MAX (sim_leader (sim), 0) + 1) % SIM_NODES, "GET",
+                                  "/admin/v1/reconciliation", "", NULL),
+                    ==, 421);
   g_ptr_array_remove (sim->jobs, job);
-  finish (sim, witness, "unrecorded", seed);
+  finish (sim, witness, "unrecorded tasks", seed);
 }
 
 static void
-test_unrecorded (void)
+test_unrecorded_tasks (void)
 {
-  for (int kind = 0; kind < UNRECORDED_N; kind++)
+  for (int kind = 0; kind < N_UNRECORDED; kind++)
     for (guint32 seed = 1100; seed < 1103; seed++)
       play_unrecorded (seed, (Unrecorded) kind);
 }
@@ -615,7 +615,7 @@
 /* ---- operators ---- */
 
 static void
-keep_body (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
+capture_body (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
   *(char **) http_request->impl = g_strdup (status == 200 ? body : NULL);
 }
@@ -628,7 +628,7 @@
   http_request->method = g_strdup ("GET");
   http_request->path = g_strdup (path);
   http_request->body = g_strdup ("");
-  http_request->reply = keep_body;
+  http_request->reply = capture_body;
   http_request->impl = &body;
   hzb_controller_request (http_request, sim->nodes[MAX (sim_leader (sim), 0)].controller);
   sim_run (sim, sim->now + 3);
@@ -640,21 +640,21 @@
 static void
 test_archives (void)
 {
-  SimSize size = small_size (12);
+  SimConfig config = small_config (12);
   Sim *sim;
   Witness *witness;
   g_autofree char *list = NULL;
   cJSON *root;
   guint64 newest = 0;
 
-  size.features = FEATURES "keep = 2\npace_s = 5\n";
-  sim = cluster_at_work (1120, &size, 12, 120);
-  sim->most_value = LEAST_VALUE;
+  config.features = FEATURES "keep = 2\npace_s = 5\n";
+  sim = cluster_at_work (1120, &config, 12, 120);
+  sim->kv_max_value_bytes = LEAST_VALUE;
   for (guint round = 0; round < 3; round++)
     {
-      witness = end_all (sim);
+      witness = crash_all_under_witness (sim);
       sim_run (sim, sim->now + 1);
-      start_all (sim, NULL);
+      start_all_controllers (sim, NULL);
       g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COMPLETE, 200));
       witness_free (witness);
     }
@@ -685,10 +685,10 @@
 
 /* Neither a change of leader nor the restart of one controller is a cold start. */
 static void
-test_change_of_leader (void)
+test_failover_is_no_cold_start (void)
 {
-  SimSize size = small_size (12);
-  Sim *sim = cluster_at_work (1130, &size, 12, 100);
+  SimConfig config = small_config (12);
+  Sim *sim = cluster_at_work (1130, &config, 12, 100);
   for (guint i = 0; i < 6; i++)
     {
       guint leader = (guint) MAX (sim_leader (sim), 0);
@@ -701,7 +701,7 @@
           g_assert_cmpint (state_of (sim), <=, HZB_RECONCILIATION_DETECTING);
         }
     }
-  finish (sim, NULL, "change of leader", 1130);
+  finish (sim, NULL, "failover is no cold start", 1130);
 }
 
 /* ---- measurement ---- */
@@ -714,20 +714,20 @@
     for (guint on = 0; on < 2; on++)
       for (guint32 seed = 1200; seed < 1220; seed++)
         {
-          double away_s = seed < 1210 ? 2 : 1.2 * (fleets[i] > 100 ? sim_size_large : sim_size_little).lease_s;
-          SimSize size = small_size (fleets[i]);
+          double away_s = seed < 1210 ? 2 : 1.2 * (fleets[i] > 100 ? sim_config_large : sim_config_small).lease_s;
+          SimConfig config = small_config (fleets[i]);
           Sim *sim;
           Witness *witness;
           guint written, busiest = 0, first = 0, rentals;
-          size.features = on ? FEATURES : "";
-          sim = cluster_at_work (seed, &size, fleets[i], 60);
-          witness = end_all (sim);
+          config.features = on ? FEATURES : "";
+          sim = cluster_at_work (seed, &config, fleets[i], 60);
+          witness = crash_all_under_witness (sim);
           if (!on)
             g_hash_table_remove_all (witness->begun); /* nothing is decided there */
-          written = sim->written;
-          rentals = sim->rentals;
+          written = sim->kv_writes;
+          rentals = sim->rental_calls;
           sim_run (sim, sim->now + away_s);
-          start_all (sim, NULL);
+          start_all_controllers (sim, NULL);
           witness_run (witness, 60 - away_s);
           for (guint k = 0; k < G_N_ELEMENTS (witness->starts); k++)
             {
@@ -738,7 +738,7 @@
               "%u machines, seed %u, away %.0f s, %s: verdicts %.1f to %.1f s; %u starts in the first minute, %u in the "
               "busiest second; %u rental calls; %u changes; %u rules broken",
               fleets[i], seed, away_s, on ? "on" : "off", witness->first_verdict, witness->last_verdict, first, busiest,
-              sim->rentals - rentals, sim->written - written, sim->broken->len);
+              sim->rental_calls - rentals, sim->kv_writes - written, sim->violations->len);
           finish (sim, witness, "measure", seed);
         }
 }
@@ -749,15 +749,15 @@
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
   g_test_add_func ("/cold-start/under-load", test_under_load);
-  g_test_add_func ("/cold-start/silent-machines", test_silent_machines);
-  g_test_add_func ("/cold-start/what-happened-meanwhile", test_what_happened_meanwhile);
-  g_test_add_func ("/cold-start/ends-in-each-state", test_ends_in_each_state);
-  g_test_add_func ("/cold-start/store-and-leaders", test_store_and_leaders);
-  g_test_add_func ("/cold-start/leader-without-it", test_leader_without_it);
+  g_test_add_func ("/cold-start/unresponsive-machines", test_unresponsive_machines);
+  g_test_add_func ("/cold-start/events-during-downtime", test_events_during_downtime);
+  g_test_add_func ("/cold-start/crash-in-each-state", test_crash_in_each_state);
+  g_test_add_func ("/cold-start/kv-faults-and-two-leaders", test_kv_faults_and_two_leaders);
+  g_test_add_func ("/cold-start/leader-without-reconciliation", test_leader_without_reconciliation);
   g_test_add_func ("/cold-start/unreadable-records", test_unreadable_records);
-  g_test_add_func ("/cold-start/unrecorded", test_unrecorded);
+  g_test_add_func ("/cold-start/unrecorded-tasks", test_unrecorded_tasks);
   g_test_add_func ("/cold-start/archives", test_archives);
-  g_test_add_func ("/cold-start/change-of-leader", test_change_of_leader);
+  g_test_add_func ("/cold-start/failover-is-no-cold-start", test_failover_is_no_cold_start);
   g_test_add_func ("/cold-start/measure", test_measure);
   return g_test_run ();
 }
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -7,17 +7,17 @@
 
 typedef enum
 {
-  GAP_PLAIN,
-  GAP_IN_BETWEEN,     /* the cancellation comes in the second between the two */
-  GAP_CANCELLER_ENDS, /* whoever took it ends after its answer */
-  GAP_RESTART_INSIDE, /* a controller restarts in the outage */
-  GAP_TWO_REFUSED,    /* another controller is refused beside the leader */
-  GAP_LATE_WRITES,    /* transactions get no answer and are carried out late */
-  GAP_BY_STATUS,      /* the user learns it from a status question */
-  GAP_SECOND_LEADER,
-  GAP_PEERS_CUT, /* and the leader is cut off from the other controllers too */
-  GAP_N
-} Gap;
+  REFUSED_PLAIN,
+  REFUSED_CANCEL_BEFORE_OUTAGE, /* the cancellation comes in the second between the two */
+  REFUSED_CONFIRMER_CRASHES,    /* whoever took it ends after its answer */
+  REFUSED_RESTART_IN_OUTAGE,    /* a controller restarts in the outage */
+  REFUSED_TWO_CONTROLLERS,      /* another controller is refused beside the leader */
+  REFUSED_LATE_TRANSACTIONS,    /* transactions get no answer and are carried out late */
+  REFUSED_STATUS_QUERY,         /* the user learns it from a status question */
+  REFUSED_SECOND_LEADER,
+  REFUSED_AND_CUT_FROM_PEERS, /* and the leader is cut off from the other controllers too */
+  N_REFUSED
+} RefusedVariant;
 
 static void
 cancel_some (Sim *sim, gpointer data)
@@ -35,28 +35,28 @@
 }
 
 static guint
-told_cancelled (Sim *sim)
+confirmed_cancelled (Sim *sim)
 {
   guint n = 0;
   for (guint i = 0; i < sim->jobs->len; i++)
-    n += ((SimJob *) sim->jobs->pdata[i])->told_cancelled;
+    n += ((SimJob *) sim->jobs->pdata[i])->confirmed_cancelled;
   return n;
 }
 
 /* The users are told as long as the leader can be asked; and nothing cancelled runs on though the outage is longer than
  * a cancellation may take. */
 static guint
-play_gap (guint32 seed, Gap gap)
+play_leader_refused (guint32 seed, RefusedVariant variant)
 {
   Sim *sim = sim_new (seed);
-  guint leader, told;
+  guint leader, confirmed;
   for (guint i = 0; i < 8; i++)
     {
       SimJob *job = sim_add_job (sim, 1 + 0.2 * i, i % 4 < 2 ? "red" : "blue", 4, 1.5, 70);
-      job->polls_only = gap == GAP_BY_STATUS;
+      job->polls_only = variant == REFUSED_STATUS_QUERY;
     }
   sim_run (sim, 25);
-  if (gap == GAP_SECOND_LEADER)
+  if (variant == REFUSED_SECOND_LEADER)
     {
       leader = (guint) MAX (sim_leader (sim), 0);
       sim_crash (sim, leader);
@@ -66,53 +66,53 @@
     }
   g_assert_cmpint (sim_leader (sim), !=, -1);
   leader = (guint) sim_leader (sim);
-  sim->nodes[leader].refused = TRUE;
-  sim->nodes[leader].cut_peers = gap == GAP_PEERS_CUT;
-  if (gap == GAP_TWO_REFUSED)
-    sim->nodes[(leader + 1) % SIM_NODES].refused = TRUE;
-  if (gap == GAP_LATE_WRITES)
-    sim->late_writes = 0.4;
-  sim_run (sim, sim->now + (gap == GAP_IN_BETWEEN ? 0.9 : 0.05));
+  sim->nodes[leader].refused_by_kv = TRUE;
+  sim->nodes[leader].cut_off_from_peers = variant == REFUSED_AND_CUT_FROM_PEERS;
+  if (variant == REFUSED_TWO_CONTROLLERS)
+    sim->nodes[(leader + 1) % SIM_NODES].refused_by_kv = TRUE;
+  if (variant == REFUSED_LATE_TRANSACTIONS)
+    sim->late_transaction_chance = 0.4;
+  sim_run (sim, sim->now + (variant == REFUSED_CANCEL_BEFORE_OUTAGE ? 0.9 : 0.05));
   cancel_some (sim, NULL);
   sim_run (sim, sim->now + 1.8);
-  sim->outage = TRUE;
-  sim->late_writes = 0;
-  if (gap == GAP_CANCELLER_ENDS)
+  sim->kv_outage = TRUE;
+  sim->late_transaction_chance = 0;
+  if (variant == REFUSED_CONFIRMER_CRASHES)
     for (guint i = 0; i < SIM_NODES; i++)
       if (i != leader)
         sim_crash (sim, i);
   sim_run (sim, sim->now + 6);
-  if (gap == GAP_RESTART_INSIDE)
+  if (variant == REFUSED_RESTART_IN_OUTAGE)
     restart_follower (sim, NULL);
-  told = told_cancelled (sim);
+  confirmed = confirmed_cancelled (sim);
   sim_run (sim, sim->now + 6);
-  heal (sim, NULL);
+  heal_controllers (sim, NULL);
   sim_run (sim, sim->now + 34); /* cancel_s is 30 */
-  sim->outage = FALSE;
-  start_all (sim, NULL);
-  sim->calm_at = sim->now + 5;
+  sim->kv_outage = FALSE;
+  start_all_controllers (sim, NULL);
+  sim->faults_over_at = sim->now + 5;
   sim_run (sim, sim->now + 250);
-  expect_all_over (sim, "gap", seed);
+  expect_all_finished (sim, "leader refused then kv outage", seed);
   sim_free (sim);
-  return told;
+  return confirmed;
 }
 
 static void
-test_gap (void)
+test_leader_refused_then_kv_outage (void)
 {
-  guint told[GAP_N] = { 0 };
-  for (guint gap = 0; gap < GAP_N; gap++)
+  guint confirmed[N_REFUSED] = { 0 };
+  for (guint variant = 0; variant < N_REFUSED; variant++)
     for (guint32 seed = 200; seed < 210; seed++)
-      told[gap] += play_gap (seed, gap);
+      confirmed[variant] += play_leader_refused (seed, variant);
   /* The leader can be asked though the key-value store refuses it, so it is not by silence that the rule holds. */
-  g_assert_cmpuint (told[GAP_PLAIN], >, 20);
-  g_assert_cmpuint (told[GAP_BY_STATUS], >, 15);
-  g_assert_cmpuint (told[GAP_PEERS_CUT], ==, 0);
+  g_assert_cmpuint (confirmed[REFUSED_PLAIN], >, 20);
+  g_assert_cmpuint (confirmed[REFUSED_STATUS_QUERY], >, 15);
+  g_assert_cmpuint (confirmed[REFUSED_AND_CUT_FROM_PEERS], ==, 0);
 }
 
 /* On an ordinary day a cancellation is told about as soon as it is recorded, whoever is asked. */
 static void
-test_told_at_once (void)
+test_cancellation_confirmed_at_once (void)
 {
   for (guint32 seed = 220; seed < 224; seed++)
     {
@@ -124,12 +124,12 @@
       asked = sim->now;
       cancel_some (sim, NULL);
       sim_run (sim, 27);
-      g_assert_cmpuint (told_cancelled (sim), ==, 4);
+      g_assert_cmpuint (confirmed_cancelled (sim), ==, 4);
       for (guint i = 0; i < sim->jobs->len; i += 2)
-        last = MAX (last, ((SimJob *) sim->jobs->pdata[i])->cancelled_at);
+        last = MAX (last, ((SimJob *) sim->jobs->pdata[i])->cancel_confirmed_at);
       g_assert_cmpfloat (last - asked, <, 5); /* users ask every 1 to 3 s */
       sim_run (sim, 300);
-      expect_all_over (sim, "told at once", seed);
+      expect_all_finished (sim, "cancellation confirmed at once", seed);
       sim_free (sim);
     }
 }
@@ -145,7 +145,7 @@
 }
 
 static void
-short_tasks (Sim *sim)
+add_short_tasks (Sim *sim)
 {
   for (guint i = 0; i < 8; i++)
     sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 40, 1, 10)->type = "small";
@@ -153,7 +153,7 @@
 
 /* Of a job that is called cancelled nobody holds tasks without knowing that, for so long from now. */
 static void
-watch_holders (Sim *sim, double seconds)
+expect_no_unaware_owner (Sim *sim, double seconds)
 {
   for (double until = sim->now + seconds; sim->now < until; sim_run (sim, sim->now + 0.02))
     for (guint i = 0; i < sim->jobs->len; i++)
@@ -161,10 +161,10 @@
         {
           const SimJob *job = sim->jobs->pdata[i];
           HzbController *controller = sim->nodes[node].controller;
-          const HzbJob *known =
-              controller && job->told_cancelled && hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_NONE
-                  ? hzb_jobs_find (controller->jobs, job->uid)
-                  : NULL;
+          const HzbJob *known = controller && job->confirmed_cancelled
+                                        && hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_NONE
+                                    ? hzb_jobs_find (controller->jobs, job->uid)
+                                    : NULL;
           if (known && known->tasks && known->state == HZB_JOB_ACCEPTED
               && known->pending + known->queued + known->placed)
             g_error ("%s is called cancelled, and node-%u holds %u tasks of it at %.2f", job->uid, node,
@@ -175,52 +175,52 @@
 /* A leaseholder that the key-value store refuses does not see the cancellation: nobody is told before the leader has told it,
  * and so nothing starts afterwards. */
 static void
-test_leaseholder_unaware (void)
+test_leaseholder_misses_cancellation (void)
 {
-  guint told = 0;
+  guint confirmed = 0;
   for (guint32 seed = 230; seed < 242; seed++)
     {
       Sim *sim = sim_new (seed);
       int leaseholder;
-      short_tasks (sim);
+      add_short_tasks (sim);
       while ((leaseholder = a_leaseholder (sim)) < 0 && sim->now < 40)
         sim_run (sim, sim->now + 0.5);
       g_assert_cmpint (leaseholder, !=, -1);
-      sim->nodes[leaseholder].refused = TRUE;
+      sim->nodes[leaseholder].refused_by_kv = TRUE;
       sim_run (sim, sim->now + 0.3);
       cancel_all (sim);
-      watch_holders (sim, 5);
-      told += told_cancelled (sim);
-      heal (sim, NULL);
+      expect_no_unaware_owner (sim, 5);
+      confirmed += confirmed_cancelled (sim);
+      heal_controllers (sim, NULL);
       sim_run (sim, sim->now + 200);
-      expect_all_over (sim, "lessee unaware", seed);
+      expect_all_finished (sim, "leaseholder misses cancellation", seed);
       sim_free (sim);
     }
-  g_assert_cmpuint (told, >, 24); /* of 96, some of which are done before */
+  g_assert_cmpuint (confirmed, >, 24); /* of 96, some of which are done before */
 }
 
 /* The leader ends, and a leaseholder that nobody reaches goes on for a while: what the next leader can't rule out there is
  * not called cancelled yet. */
 static void
-test_leaseholder_left_alone (void)
+test_isolated_leaseholder_after_leader_crash (void)
 {
   for (guint32 seed = 242; seed < 254; seed++)
     {
       Sim *sim = sim_new (seed);
       int leaseholder, leader;
-      short_tasks (sim);
+      add_short_tasks (sim);
       while ((leaseholder = a_leaseholder (sim)) < 0 && sim->now < 40)
         sim_run (sim, sim->now + 0.5);
       g_assert_cmpint (leaseholder, !=, -1);
       leader = sim_leader (sim);
-      sim->nodes[leaseholder].refused = sim->nodes[leaseholder].cut_peers = TRUE;
+      sim->nodes[leaseholder].refused_by_kv = sim->nodes[leaseholder].cut_off_from_peers = TRUE;
       sim_crash (sim, (guint) leader);
       cancel_all (sim);
-      watch_holders (sim, 15);
-      heal (sim, NULL);
-      start_all (sim, NULL);
+      expect_no_unaware_owner (sim, 15);
+      heal_controllers (sim, NULL);
+      start_all_controllers (sim, NULL);
       sim_run (sim, sim->now + 200);
-      expect_all_over (sim, "lessee left alone", seed);
+      expect_all_finished (sim, "isolated leaseholder after leader crash", seed);
       sim_free (sim);
     }
 }
@@ -231,38 +231,38 @@
 cut_off_leader (Sim *sim, gpointer data)
 {
   SimNode *node = &sim->nodes[MAX (sim_leader (sim), 0)];
-  node->cut_store = node->cut_peers = TRUE;
+  node->cut_off_from_kv = node->cut_off_from_peers = TRUE;
 }
 
 static void
-refuse_leader (Sim *sim, gpointer data)
+refuse_leader_by_kv (Sim *sim, gpointer data)
 {
-  sim->nodes[MAX (sim_leader (sim), 0)].refused = TRUE;
+  sim->nodes[MAX (sim_leader (sim), 0)].refused_by_kv = TRUE;
 }
 
 static void
-begin_outage (Sim *sim, gpointer data)
+begin_kv_outage (Sim *sim, gpointer data)
 {
-  sim->outage = TRUE;
+  sim->kv_outage = TRUE;
 }
 
 static void
-late_writes (Sim *sim, gpointer data)
+delay_transactions (Sim *sim, gpointer data)
 {
-  sim->late_writes = 0.4;
+  sim->late_transaction_chance = 0.4;
 }
 
 static void
-late_reports (Sim *sim, gpointer data)
+copy_heartbeats (Sim *sim, gpointer data)
 {
-  sim->copies = 0.4;
+  sim->heartbeat_copy_chance = 0.4;
 }
 
 static void
 slow_links (Sim *sim, gpointer data)
 {
-  sim->late = 0.05;
-  sim->lose = 0.03;
+  sim->delay_chance = 0.05;
+  sim->loss_chance = 0.03;
 }
 
 static void
@@ -273,15 +273,15 @@
 }
 
 static void
-mute_some (Sim *sim, gpointer data)
+partition_some_workers (Sim *sim, gpointer data)
 {
   for (guint i = 0; i < sim->machines->len; i++)
-    ((SimMachine *) sim->machines->pdata[i])->cut = g_rand_int_range (sim->rand, 0, 4) == 0;
+    ((SimMachine *) sim->machines->pdata[i])->partitioned = g_rand_int_range (sim->rand, 0, 4) == 0;
 }
 
 /* Users call off jobs that run, and their machines hang. */
 static void
-cancel_and_hang (Sim *sim, gpointer data)
+cancel_and_hang_machines (Sim *sim, gpointer data)
 {
   cancel_some (sim, NULL);
   for (guint i = 0; i < sim->machines->len; i++)
@@ -309,62 +309,78 @@
 crash_leader_again (Sim *sim, gpointer data)
 {
   guint left = GPOINTER_TO_UINT (data);
-  start_all (sim, NULL);
+  start_all_controllers (sim, NULL);
   crash_leader (sim, NULL);
   if (left)
-    sim_at (sim, sim->now + g_rand_double_range (sim->rand, 3, 8), crash_leader_again, GUINT_TO_POINTER (left - 1));
+    sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 3, 8), crash_leader_again,
+                  GUINT_TO_POINTER (left - 1));
 }
 
 static void
-all_away (Sim *sim, gpointer data)
+stop_all_beyond_lease (Sim *sim, gpointer data)
 {
   for (guint i = 0; i < SIM_NODES; i++)
     sim_crash (sim, i);
   /* Longer than a lease; one is back first. */
-  sim_at (sim, sim->now + g_rand_double_range (sim->rand, 11, 16), start_one, NULL);
-  sim_at (sim, sim->now + g_rand_double_range (sim->rand, 17, 22), start_all, NULL);
+  sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 11, 16), start_one, NULL);
+  sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 17, 22), start_all_controllers, NULL);
 }
 
 static void
-leaders_change (Sim *sim, gpointer data)
+fail_over_ten_times (Sim *sim, gpointer data)
 {
   crash_leader_again (sim, GUINT_TO_POINTER (9)); /* ten times */
 }
 
 /* A zone with a controller: its workers reach that one only, which reaches nobody but the key-value store. */
 static void
-cut_zone (Sim *sim, gpointer data)
+partition_zone (Sim *sim, gpointer data)
 {
-  sim->nodes[0].cut_peers = TRUE;
+  sim->nodes[0].cut_off_from_peers = TRUE;
   for (guint i = 0; i < sim->machines->len; i++)
     {
       SimMachine *machine = sim->machines->pdata[i];
-      machine->cut = g_str_equal (machine->zone, "za") && machine->node != 0;
+      machine->partitioned = g_str_equal (machine->zone, "za") && machine->node != 0;
     }
 }
 
 static void
 calm (Sim *sim, gpointer data)
 {
-  sim->outage = FALSE;
-  sim->late_writes = sim->copies = sim->late = sim->lose = sim->peer_copies = 0;
-  heal (sim, NULL);
-  start_all (sim, NULL);
+  sim->kv_outage = FALSE;
+  sim->late_transaction_chance = sim->heartbeat_copy_chance = sim->delay_chance = sim->loss_chance =
+      sim->peer_copy_chance = 0;
+  heal_controllers (sim, NULL);
+  start_all_controllers (sim, NULL);
   for (guint i = 0; i < sim->machines->len; i++)
     {
       SimMachine *machine = sim->machines->pdata[i];
-      machine->cut = machine->hung = machine->one_way_partitioned = machine->faulty = FALSE;
+      machine->partitioned = machine->hung = machine->one_way_partitioned = machine->faulty = FALSE;
     }
 }
 
-static void (*const troubles[]) (Sim *sim, gpointer data) = {
-  cut_off_leader,         refuse_leader, begin_outage, late_writes,  late_reports, slow_links,
-  partition_some_one_way, mute_some,     cancel_some,  crash_leader, crash_all,    leaders_change,
-  cancel_and_hang,        cut_zone,      crash_one,    cut_leader,   all_away,
+static void (*const faults[]) (Sim *sim, gpointer data) = {
+  cut_off_leader,
+  refuse_leader_by_kv,
+  begin_kv_outage,
+  delay_transactions,
+  copy_heartbeats,
+  slow_links,
+  partition_some_one_way,
+  partition_some_workers,
+  cancel_some,
+  crash_leader,
+  crash_all_controllers,
+  fail_over_ten_times,
+  cancel_and_hang_machines,
+  partition_zone,
+  crash_random_controller,
+  cut_off_leader_at_random,
+  stop_all_beyond_lease,
 };
 
 static void
-test_any_two (void)
+test_random_combinations (void)
 {
   for (guint32 seed = 300; seed < 348; seed++)
     {
@@ -381,14 +397,14 @@
           job->polls_only = i % 4 == 2;
         }
       for (guint i = 0; i < n; i++)
-        sim_at (sim, at + g_rand_double_range (sim->rand, 0, 4),
-                troubles[g_rand_int_range (sim->rand, 0, G_N_ELEMENTS (troubles))], NULL);
-      sim_at (sim, at + g_rand_double_range (sim->rand, 4, 45), calm, NULL);
-      sim_at (sim, 122, calm, NULL);
+        sim_schedule (sim, at + g_rand_double_range (sim->rand, 0, 4),
+                      faults[g_rand_int_range (sim->rand, 0, G_N_ELEMENTS (faults))], NULL);
+      sim_schedule (sim, at + g_rand_double_range (sim->rand, 4, 45), calm, NULL);
+      sim_schedule (sim, 122, calm, NULL);
       sim_run (sim, 125);
-      sim->calm_at = sim->now;
+      sim->faults_over_at = sim->now;
       sim_run (sim, 600);
-      expect_all_over (sim, "any two", seed);
+      expect_all_finished (sim, "random combinations", seed);
       sim_free (sim);
     }
 }
@@ -396,7 +412,7 @@
 /* Cancellations meet the end of their job's last task, and the transactions of both are held up: a job ends one way only, and
  * whoever was told how is never told otherwise. */
 static void
-test_cancel_at_end (void)
+test_cancellation_races_completion (void)
 {
   for (guint32 seed = 700; seed < 708; seed++)
     {
@@ -405,7 +421,7 @@
       for (guint i = 0; i < 30; i++)
         sim_add_job (sim, 1 + 1.5 * i, i % 2 ? "red" : "blue", 2, 1, 6);
       sim_run (sim, 20);
-      sim->late = 0.3;
+      sim->delay_chance = 0.3;
       while (sim->now < 90)
         {
           sim_run (sim, sim->now + 0.1);
@@ -419,18 +435,18 @@
                 }
             }
         }
-      sim->late = 0;
-      sim_at (sim, 100, crash_all, NULL); /* what is recorded is read anew */
-      sim->calm_at = 120;
+      sim->delay_chance = 0;
+      sim_schedule (sim, 100, crash_all_controllers, NULL); /* what is recorded is read anew */
+      sim->faults_over_at = 120;
       sim_run (sim, 300);
       for (guint i = 0; i < sim->jobs->len; i++)
         {
-          done += ((SimJob *) sim->jobs->pdata[i])->told_done;
-          cancelled += ((SimJob *) sim->jobs->pdata[i])->told_cancelled;
+          done += ((SimJob *) sim->jobs->pdata[i])->confirmed_done;
+          cancelled += ((SimJob *) sim->jobs->pdata[i])->confirmed_cancelled;
         }
       g_assert_cmpuint (done, >, 0);
       g_assert_cmpuint (cancelled, >, 0);
-      expect_all_over (sim, "cancel at end", seed);
+      expect_all_finished (sim, "cancellation races completion", seed);
       sim_free (sim);
     }
 }
@@ -440,11 +456,12 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/cluster/gap", test_gap);
-  g_test_add_func ("/cluster/told-at-once", test_told_at_once);
-  g_test_add_func ("/cluster/lessee-unaware", test_leaseholder_unaware);
-  g_test_add_func ("/cluster/lessee-left-alone", test_leaseholder_left_alone);
-  g_test_add_func ("/cluster/any-two", test_any_two);
-  g_test_add_func ("/cluster/cancel-at-end", test_cancel_at_end);
+  g_test_add_func ("/combined-faults/leader-refused-then-kv-outage", test_leader_refused_then_kv_outage);
+  g_test_add_func ("/combined-faults/cancellation-confirmed-at-once", test_cancellation_confirmed_at_once);
+  g_test_add_func ("/combined-faults/leaseholder-misses-cancellation", test_leaseholder_misses_cancellation);
+  g_test_add_func ("/combined-faults/isolated-leaseholder-after-leader-crash",
+                   test_isolated_leaseholder_after_leader_crash);
+  g_test_add_func ("/combined-faults/random-combinations", test_random_combinations);
+  g_test_add_func ("/combined-faults/cancellation-races-completion", test_cancellation_races_completion);
   return g_test_run ();
 }
--- a/tests/test-size.c
+++ b/tests/test-largest-fleet.c
@@ -9,14 +9,14 @@
 #define MACHINES_LATER 6000u
 #define UP_BY_S 30.0 /* from the first job on, by eight calls a second for fifty machines each, and their boots */
 
-static SimSize
-size_of (guint machines)
+static SimConfig
+config_of (guint machines)
 {
-  SimSize size = sim_size_large;
-  size.machines = machines + machines / 20;
-  size.team_max = 5000;
-  size.check_s = 2;
-  return size;
+  SimConfig config = sim_config_large;
+  config.machines = machines + machines / 20;
+  config.team_max = 5000;
+  config.check_interval_s = 2;
+  return config;
 }
 
 static void
@@ -30,18 +30,18 @@
 static Sim *
 fleet_at_work (guint32 seed, guint machines, double run_s)
 {
-  SimSize size = size_of (machines);
-  Sim *sim = sim_new_sized (seed, &size);
+  SimConfig config = config_of (machines);
+  Sim *sim = sim_new_with_config (seed, &config);
   add_machines (sim, machines);
-  many_jobs (sim, machines * 3 / 40, 10, run_s);
+  add_many_arrays (sim, machines * 3 / 40, 10, run_s);
   sim_run (sim, 30);
-  expect_no_fault (sim, "a fleet at work", seed);
+  expect_no_violation (sim, "a fleet at work", seed);
   g_assert_cmpint (sim_leader (sim), >=, 0);
   return sim;
 }
 
 static gboolean
-a_leader_has_heard_all (const Sim *sim)
+a_leader_verified_all (const Sim *sim)
 {
   for (guint i = 0; i < SIM_NODES; i++)
     if (sim->nodes[i].controller && hzb_ownership_state (sim->nodes[i].controller->ownership) == HZB_OWNERSHIP_READY)
@@ -51,10 +51,10 @@
 
 /* Returns: after how many seconds all machines have answered the leader. */
 static double
-run_until_all_answered (Sim *sim, double most_s)
+run_until_all_verified (Sim *sim, double most_s)
 {
   double began = sim->now;
-  while (!a_leader_has_heard_all (sim) && sim->now < began + most_s)
+  while (!a_leader_verified_all (sim) && sim->now < began + most_s)
     sim_run (sim, sim->now + 0.1);
   return sim->now - began;
 }
@@ -76,7 +76,7 @@
   for (guint i = 0; i < sim->machines->len; i++)
     {
       SimMachine *machine = sim->machines->pdata[i];
-      machine->cut = zone ? g_str_equal (machine->zone, zone) : i % every == 0;
+      machine->partitioned = zone ? g_str_equal (machine->zone, zone) : i % every == 0;
     }
 }
 
@@ -84,7 +84,7 @@
 heal_machines (Sim *sim)
 {
   for (guint i = 0; i < sim->machines->len; i++)
-    ((SimMachine *) sim->machines->pdata[i])->cut = FALSE;
+    ((SimMachine *) sim->machines->pdata[i])->partitioned = FALSE;
 }
 
 static void
@@ -97,14 +97,14 @@
 static void
 finish (Sim *sim, const char *what, guint32 seed)
 {
-  sim->outage = FALSE;
-  heal (sim, NULL);
+  sim->kv_outage = FALSE;
+  heal_controllers (sim, NULL);
   heal_machines (sim);
-  start_all (sim, NULL);
-  sim->calm_at = sim->now + 40;
+  start_all_controllers (sim, NULL);
+  sim->faults_over_at = sim->now + 40;
   sim_run (sim, sim->now + 500);
   expect_messages_fit (sim);
-  expect_all_over (sim, what, seed);
+  expect_all_finished (sim, what, seed);
   sim_free (sim);
 }
 
@@ -120,7 +120,7 @@
   sim_crash (sim, leader);
   sim_run (sim, sim->now + 8);
   sim_start (sim, leader);
-  answered = run_until_all_answered (sim, 30);
+  answered = run_until_all_verified (sim, 30);
   g_test_message ("%u machines, seed %u: all have answered the next leader %.1f s after the last ended", machines, seed,
                   answered + 8);
   g_assert_cmpfloat (answered, <, 30);
@@ -129,12 +129,12 @@
   sim_run (sim, sim->now + 15);
   cut_machines (sim, NULL, 2);
   sim_run (sim, sim->now + 10);
-  sim->outage = TRUE;
+  sim->kv_outage = TRUE;
   sim_run (sim, sim->now + 8);
-  sim->outage = FALSE;
-  crash_all (sim, NULL);
+  sim->kv_outage = FALSE;
+  crash_all_controllers (sim, NULL);
   sim_run (sim, sim->now + 20);
-  expect_no_fault (sim, "failures", seed);
+  expect_no_violation (sim, "failures", seed);
   finish (sim, "failures", seed);
 }
 
@@ -152,46 +152,47 @@
 /* The cloud has as many of one kind, and none is rented when the work comes. Returns: (transfer full): the cluster, with its
  * machines up. */
 static Sim *
-fleet_from_none (guint32 seed, guint machines)
+fleet_scaled_out_from_zero (guint32 seed, guint machines)
 {
-  SimSize size = size_of (machines);
+  SimConfig config = config_of (machines);
   Sim *sim;
   guint up = 0;
-  size.machines = machines;
-  size.cloud_rps = 8;
-  sim = sim_new_sized (seed, &size);
-  sim->closed_zone = "zb";
-  many_jobs (sim, machines / 4, 5, 120);
+  config.machines = machines;
+  config.cloud_rps = 8;
+  sim = sim_new_with_config (seed, &config);
+  sim->zone_without_capacity = "zb";
+  add_many_arrays (sim, machines / 4, 5, 120);
   for (guint i = 0; i < sim->jobs->len; i++)
     ((SimJob *) sim->jobs->pdata[i])->type = "small";
   sim_run (sim, UP_BY_S);
   for (guint i = 0; i < sim->machines->len; i++)
     up += ((SimMachine *) sim->machines->pdata[i])->up;
-  g_test_message ("%u machines, seed %u: %u are up after %g s, by %u calls", machines, seed, up, UP_BY_S, sim->rentals);
-  expect_no_fault (sim, "from none", seed);
+  g_test_message ("%u machines, seed %u: %u are up after %g s, by %u calls", machines, seed, up, UP_BY_S,
+                  sim->rental_calls);
+  expect_no_violation (sim, "scale out from zero", seed);
   g_assert_cmpuint (up, >, machines * 9 / 10);
   return sim;
 }
 
 static void
-test_from_none (void)
+test_scale_out_from_zero (void)
 {
-  sim_free (fleet_from_none (810, MACHINES));
+  sim_free (fleet_scaled_out_from_zero (810, MACHINES));
 }
 
 /* Until all jobs are over. Known to be red at its first seed: KNOWN-RED.txt. */
 static void
-test_from_none_to_end (void)
+test_scale_out_from_zero_to_completion (void)
 {
-  Sim *sim = fleet_from_none (810, MACHINES);
-  sim->calm_at = sim->now + 40;
+  Sim *sim = fleet_scaled_out_from_zero (810, MACHINES);
+  sim->faults_over_at = sim->now + 40;
   sim_run (sim, sim->now + 150); /* where it fails, so that a known red takes no longer than it has to */
-  expect_no_fault (sim, "from none, full", 810);
-  finish (sim, "from none", 810);
+  expect_no_violation (sim, "from none, full", 810);
+  finish (sim, "scale out from zero", 810);
   for (guint32 seed = 811; g_test_slow () && seed < 816; seed++)
     {
-      finish (fleet_from_none (seed, MACHINES), "from none", seed);
-      finish (fleet_from_none (seed, MACHINES_LATER), "from none", seed);
+      finish (fleet_scaled_out_from_zero (seed, MACHINES), "scale out from zero", seed);
+      finish (fleet_scaled_out_from_zero (seed, MACHINES_LATER), "scale out from zero", seed);
     }
 }
 
@@ -199,10 +200,10 @@
 
 /* More jobs run than fit any message: every controller shows all of them all the same. */
 static void
-test_many_jobs (void)
+test_more_jobs_than_one_message (void)
 {
-  SimSize size = size_of (300);
-  Sim *sim = sim_new_sized (820, &size);
+  SimConfig config = config_of (300);
+  Sim *sim = sim_new_with_config (820, &config);
   guint leader, jobs = 2200, running;
   add_machines (sim, 300);
   for (guint i = 0; i < jobs; i++)
@@ -238,7 +239,7 @@
   static const char *const names[] = { "ticks", "reports", "users", "peers", "answers" };
   Sim *sim = fleet_at_work (830, machines, 300);
   g_autoptr (GString) text = g_string_new (NULL);
-  guint requests = sim->requests, written = sim->written, leader;
+  guint requests = sim->kv_requests, written = sim->kv_writes, leader;
   double answered, began = sim->now;
 
   sim->measures = TRUE;
@@ -246,12 +247,12 @@
   for (guint i = 0; i < SIM_N_PARTS; i++)
     g_string_append_printf (text, " %s %.2f", names[i], (double) sim->spent_us[i] / 1e3 / 60);
   leader = (guint) sim_leader (sim);
-  requests = sim->requests - requests;
-  written = sim->written - written;
+  requests = sim->kv_requests - requests;
+  written = sim->kv_writes - written;
   sim_crash (sim, leader);
   while (sim_leader (sim) < 0)
     sim_run (sim, sim->now + 0.1);
-  answered = run_until_all_answered (sim, 60);
+  answered = run_until_all_verified (sim, 60);
   g_test_message (
       "%u machines: ms of processor a second, all controllers:%s; state service %.1f requests, %.2f changes a "
       "second; largest request %.1f KiB, reply %.1f KiB; next leader heard by all after %.1f s; heap %.1f MiB",
@@ -273,10 +274,10 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/size/failures", test_failures);
-  g_test_add_func ("/size/from-none", test_from_none);
-  g_test_add_func ("/size/from-none-to-end", test_from_none_to_end);
-  g_test_add_func ("/size/many-jobs", test_many_jobs);
-  g_test_add_func ("/size/measure", test_measure);
+  g_test_add_func ("/largest-fleet/failures", test_failures);
+  g_test_add_func ("/largest-fleet/scale-out-from-zero", test_scale_out_from_zero);
+  g_test_add_func ("/largest-fleet/scale-out-from-zero-to-completion", test_scale_out_from_zero_to_completion);
+  g_test_add_func ("/largest-fleet/more-jobs-than-one-message", test_more_jobs_than_one_message);
+  g_test_add_func ("/largest-fleet/measure", test_measure);
   return g_test_run ();
 }
--- a/tests/test-forgotten.c
+++ b/tests/test-liveness.c
@@ -3,18 +3,18 @@
 #include "sim-faults.h"
 
 /* While leaders end: a change takes some 5 s, and a third of the questions go to a node that is down. */
-#define LONGEST_SILENCE_S 45.0
+#define LONGEST_RESPONSE_GAP_S 45.0
 
 static double
-longest_silence_s (const Sim *sim, const SimJob **of)
+longest_response_gap_s (const Sim *sim, const SimJob **of)
 {
   double longest = 0;
   for (guint i = 0; i < sim->jobs->len; i++)
     {
       const SimJob *job = sim->jobs->pdata[i];
-      if (job->longest_silence_s > longest)
+      if (job->longest_response_gap_s > longest)
         {
-          longest = job->longest_silence_s;
+          longest = job->longest_response_gap_s;
           *of = job;
         }
     }
@@ -22,12 +22,12 @@
 }
 
 static void
-end_leader (Sim *sim, gpointer data)
+crash_leader_for_a_while (Sim *sim, gpointer data)
 {
   int leader = sim_leader (sim);
   if (leader >= 0)
     sim_crash (sim, (guint) leader);
-  sim_at (sim, sim->now + 5, start_all, NULL);
+  sim_schedule (sim, sim->now + 5, start_all_controllers, NULL);
 }
 
 static void
@@ -42,20 +42,20 @@
 {
   SimMachine *machine = sim->machines->pdata[g_rand_int_range (sim->rand, 0, (gint32) sim->machines->len)];
   machine->hung = TRUE;
-  sim_at (sim, sim->now + 34.5, resume_machine, machine);
+  sim_schedule (sim, sim->now + 34.5, resume_machine, machine);
 }
 
 /* Leaders end one after another; machines hang meanwhile, and users cancel a third of the jobs. */
 static void
-play_changes_of_leader (guint32 seed, guint machines)
+play_repeated_failover (guint32 seed, guint machines)
 {
   Sim *sim = large_fleet (seed, machines, machines / 12, 150);
   const SimJob *job = NULL;
   double until = 150, longest;
   for (double at = 26; at < until; at += g_rand_double_range (sim->rand, 9, 16))
-    sim_at (sim, at, end_leader, NULL);
+    sim_schedule (sim, at, crash_leader_for_a_while, NULL);
   for (double at = 25; at < until; at += 1.5)
-    sim_at (sim, at, hang_machine, NULL);
+    sim_schedule (sim, at, hang_machine, NULL);
   for (guint i = 0; i < sim->jobs->len; i += 3)
     {
       SimJob *cancelled = sim->jobs->pdata[i];
@@ -63,27 +63,27 @@
       cancelled->cancel_at = g_rand_double_range (sim->rand, 30, 60);
     }
   sim_run (sim, until + 10);
-  longest = longest_silence_s (sim, &job);
+  longest = longest_response_gap_s (sim, &job);
   g_test_message ("%u machines, seed %u: the longest time without an answer is %.1f s, about %s:\n%s", machines, seed,
-                  longest, job ? job->uid : "none", job ? job->history->str : "");
-  expect_no_fault (sim, "changes of leader", seed);
-  g_assert_cmpfloat (longest, <, LONGEST_SILENCE_S);
-  start_all (sim, NULL);
+                  longest, job ? job->uid : "none", job ? job->response_history->str : "");
+  expect_no_violation (sim, "repeated failover", seed);
+  g_assert_cmpfloat (longest, <, LONGEST_RESPONSE_GAP_S);
+  start_all_controllers (sim, NULL);
   sim_run (sim, 700);
-  expect_all_over (sim, "changes of leader", seed);
+  expect_all_finished (sim, "repeated failover", seed);
   sim_free (sim);
 }
 
 static void
-test_changes_of_leader (void)
+test_repeated_failover (void)
 {
   for (guint32 seed = 300; seed < 303; seed++)
-    play_changes_of_leader (seed, 600);
-  play_changes_of_leader (303, 1500);
+    play_repeated_failover (seed, 600);
+  play_repeated_failover (303, 1500);
 }
 
 static gboolean
-a_leader_loads (const Sim *sim)
+a_leader_is_loading (const Sim *sim)
 {
   for (guint i = 0; i < SIM_NODES; i++)
     if (sim->nodes[i].controller && hzb_ownership_state (sim->nodes[i].controller->ownership) == HZB_OWNERSHIP_LOADING)
@@ -94,9 +94,9 @@
 /* Jobs are cancelled while nobody leads, and the next leader can't read its records for longer than a cancellation may
  * take: users are told, since every controller knows, and nothing of these jobs runs on. */
 static void
-test_cancelled_while_records_are_read (void)
+test_cancellation_while_leader_loads (void)
 {
-  guint told = 0;
+  guint confirmed = 0;
   for (guint32 seed = 320; seed < 328; seed++)
     {
       Sim *sim = sim_new (seed);
@@ -108,39 +108,39 @@
       sim_crash (sim, leader);
       sim_start (sim, leader);
       cancel_all (sim);
-      while (!a_leader_loads (sim) && sim->now < 40)
+      while (!a_leader_is_loading (sim) && sim->now < 40)
         sim_run (sim, sim->now + 0.001);
-      g_assert_true (a_leader_loads (sim));
-      sim->outage = TRUE;
-      sim_run (sim, sim->now + sim->size.cancel_s + 15);
-      g_assert_true (a_leader_loads (sim));
+      g_assert_true (a_leader_is_loading (sim));
+      sim->kv_outage = TRUE;
+      sim_run (sim, sim->now + sim->config.cancel_s + 15);
+      g_assert_true (a_leader_is_loading (sim));
       for (guint i = 0; i < sim->jobs->len; i++)
-        told += ((SimJob *) sim->jobs->pdata[i])->told_cancelled;
-      g_test_message ("seed %u: %u told", seed, told);
-      sim->outage = FALSE;
+        confirmed += ((SimJob *) sim->jobs->pdata[i])->confirmed_cancelled;
+      g_test_message ("seed %u: %u told", seed, confirmed);
+      sim->kv_outage = FALSE;
       sim_run (sim, sim->now + 500);
-      expect_all_over (sim, "cancelled while records are read", seed);
+      expect_all_finished (sim, "cancellation while leader loads", seed);
       sim_free (sim);
     }
-  g_assert_cmpuint (told, >, 8);
+  g_assert_cmpuint (confirmed, >, 8);
 }
 
 /* More cancellations than go with a message can't be acknowledged: one node is down, and no machine answers. One that can
  * be does not wait behind them. */
 static void
-test_more_than_a_message (void)
+test_more_cancellations_than_one_message (void)
 {
   for (guint32 seed = 340; seed < 344; seed++)
     {
       Sim *sim = sim_new (seed);
       SimJob *job;
       g_autofree char *path = NULL;
-      guint follower, told = 0, status = 0;
+      guint follower, confirmed = 0, status = 0;
       for (guint i = 0; i < 90; i++)
         sim_add_job (sim, 1 + 0.1 * i, i % 2 ? "red" : "blue", 1, 0.25, 300);
       sim_run (sim, 25);
       for (guint i = 0; i < sim->machines->len; i++)
-        ((SimMachine *) sim->machines->pdata[i])->cut = TRUE;
+        ((SimMachine *) sim->machines->pdata[i])->partitioned = TRUE;
       cancel_all (sim);
       sim_crash (sim, (guint) MAX (sim_leader (sim), 0));
       while (sim_leader (sim) < 0 && sim->now < 40)
@@ -154,18 +154,18 @@
       for (guint i = 0; i < SIM_NODES; i++)
         if (sim->nodes[i].controller && (int) i != sim_leader (sim))
           follower = i;
-      job->asked_cancel = TRUE;
-      status = ask (sim, follower, "POST", path, "", NULL);
+      job->cancel_requested = TRUE;
+      status = user_request (sim, follower, "POST", path, "", NULL);
       for (guint i = 0; i < 90; i++)
-        told += ((SimJob *) sim->jobs->pdata[i])->told_cancelled;
-      g_test_message ("seed %u: %u at %.1f, %u others told", seed, status, sim->now, told);
-      g_assert_cmpuint (told, <, 90 - 64);
+        confirmed += ((SimJob *) sim->jobs->pdata[i])->confirmed_cancelled;
+      g_test_message ("seed %u: %u at %.1f, %u others told", seed, status, sim->now, confirmed);
+      g_assert_cmpuint (confirmed, <, 90 - 64);
       g_assert_cmpuint (status, ==, 200);
-      start_all (sim, NULL);
+      start_all_controllers (sim, NULL);
       for (guint i = 0; i < sim->machines->len; i++)
-        ((SimMachine *) sim->machines->pdata[i])->cut = FALSE;
+        ((SimMachine *) sim->machines->pdata[i])->partitioned = FALSE;
       sim_run (sim, 200);
-      expect_all_over (sim, "more than a message", seed);
+      expect_all_finished (sim, "more cancellations than one message", seed);
       sim_free (sim);
     }
 }
@@ -184,15 +184,15 @@
 static void
 cut_leader_from_peers (Sim *sim, gboolean cut)
 {
-  sim->nodes[MAX (sim_leader (sim), 0)].cut_peers = cut;
+  sim->nodes[MAX (sim_leader (sim), 0)].cut_off_from_peers = cut;
 }
 
 /* Hundreds of machines with dozens of tasks each fall silent together, while for a moment the leader can't be asked: what
  * their leaseholders have to say fits no single request, and no shard is lost for that. */
 static void
-test_much_to_say (void)
+test_more_events_than_one_message (void)
 {
-  Sim *sim = sim_new_sized (350, &sim_size_large);
+  Sim *sim = sim_new_with_config (350, &sim_config_large);
   for (guint i = 0; i < 300; i++)
     sim_add_machine (sim, "big", i % 2 ? "za" : "zb", TRUE, g_rand_double_range (sim->rand, 1, 5));
   for (guint i = 0; i < 60; i++)
@@ -200,7 +200,7 @@
   sim_run (sim, 40);
   g_assert_cmpuint (leaseholders (sim), ==, SIM_NODES - 1);
   for (guint i = 0; i < sim->machines->len; i++)
-    ((SimMachine *) sim->machines->pdata[i])->cut = i % 3 > 0;
+    ((SimMachine *) sim->machines->pdata[i])->partitioned = i % 3 > 0;
   for (guint i = 0; i < 60; i++) /* silent after three reports of 5 s */
     {
       cut_leader_from_peers (sim, i % 8 < 5);
@@ -209,7 +209,7 @@
   cut_leader_from_peers (sim, FALSE);
   g_assert_cmpuint (leaseholders (sim), ==, SIM_NODES - 1);
   g_assert_cmpuint (sim->oversized_requests, ==, 0);
-  expect_no_fault (sim, "much to say", 350);
+  expect_no_violation (sim, "more events than one message", 350);
   sim_free (sim);
 }
 
@@ -224,30 +224,30 @@
 }
 
 static void
-wake_all (Sim *sim, gpointer data)
+resume_all (Sim *sim, gpointer data)
 {
   for (guint i = 0; i < SIM_NODES; i++)
     if (sim->nodes[i].paused)
-      sim_wake (sim, i);
+      sim_resume (sim, i);
 }
 
 static void
-cut_zone (Sim *sim, gpointer data)
+partition_zone (Sim *sim, gpointer data)
 {
   const char *zone = g_rand_boolean (sim->rand) ? "za" : "zb";
   for (guint i = 0; i < sim->machines->len; i++)
     {
       SimMachine *machine = sim->machines->pdata[i];
-      machine->cut = g_str_equal (machine->zone, zone);
+      machine->partitioned = g_str_equal (machine->zone, zone);
     }
 }
 
 static void
-heal_all (Sim *sim, gpointer data)
+heal_network (Sim *sim, gpointer data)
 {
-  heal (sim, NULL);
+  heal_controllers (sim, NULL);
   for (guint i = 0; i < sim->machines->len; i++)
-    ((SimMachine *) sim->machines->pdata[i])->cut = FALSE;
+    ((SimMachine *) sim->machines->pdata[i])->partitioned = FALSE;
 }
 
 static void
@@ -266,21 +266,21 @@
 
 /* Two that overlap last as long as the longer one, at the most: in an outage nothing can be proven fresh. */
 static void
-begin_outage (Sim *sim, gpointer data)
+begin_kv_outage (Sim *sim, gpointer data)
 {
-  sim->outage = TRUE;
+  sim->kv_outage = TRUE;
 }
 
 static void
-end_outage (Sim *sim, gpointer data)
+end_kv_outage (Sim *sim, gpointer data)
 {
-  sim->outage = FALSE;
+  sim->kv_outage = FALSE;
 }
 
 static void
-toggle_late_writes (Sim *sim, gpointer data)
+toggle_late_transactions (Sim *sim, gpointer data)
 {
-  sim->late_writes = sim->late_writes > 0 ? 0 : 0.2;
+  sim->late_transaction_chance = sim->late_transaction_chance > 0 ? 0 : 0.2;
 }
 
 /* One fault, and its end. */
@@ -292,31 +292,31 @@
     {
     case 0:
     case 1:
-      sim_at (sim, at, end_leader, NULL);
+      sim_schedule (sim, at, crash_leader_for_a_while, NULL);
       break;
     case 2:
       until = at + g_rand_double_range (sim->rand, 10, 75);
-      sim_at (sim, at, pause_node, NULL);
-      sim_at (sim, until, wake_all, NULL);
+      sim_schedule (sim, at, pause_node, NULL);
+      sim_schedule (sim, until, resume_all, NULL);
       break;
     case 3:
-      sim_at (sim, at, cut_leader, NULL);
-      sim_at (sim, until, heal_all, NULL);
+      sim_schedule (sim, at, cut_off_leader_at_random, NULL);
+      sim_schedule (sim, until, heal_network, NULL);
       break;
     case 4:
-      sim_at (sim, at, begin_outage, NULL);
-      sim_at (sim, until, end_outage, NULL);
+      sim_schedule (sim, at, begin_kv_outage, NULL);
+      sim_schedule (sim, until, end_kv_outage, NULL);
       break;
     case 5:
-      sim_at (sim, at, cut_zone, NULL);
-      sim_at (sim, until, heal_all, NULL);
+      sim_schedule (sim, at, partition_zone, NULL);
+      sim_schedule (sim, until, heal_network, NULL);
       break;
     case 6:
-      sim_at (sim, at, toggle_late_writes, NULL);
-      sim_at (sim, until, toggle_late_writes, NULL);
+      sim_schedule (sim, at, toggle_late_transactions, NULL);
+      sim_schedule (sim, until, toggle_late_transactions, NULL);
       break;
     default:
-      sim_at (sim, at, crash_all, NULL);
+      sim_schedule (sim, at, crash_all_controllers, NULL);
       break;
     }
   return until;
@@ -325,15 +325,15 @@
 static void
 play_faults (guint32 seed, guint machines)
 {
-  SimSize size = sim_size_large;
+  SimConfig config = sim_config_large;
   Sim *sim;
   const SimJob *job = NULL;
   double end = 0, longest;
-  size.machines = machines;
-  size.kept_changes = 600;
-  size.rows = 100;
-  size.max_replicated_completed = 150;
-  sim = sim_new_sized (seed, &size);
+  config.machines = machines;
+  config.retained_changes = 600;
+  config.range_page_rows = 100;
+  config.max_replicated_completed = 150;
+  sim = sim_new_with_config (seed, &config);
   for (guint i = 0; i < machines; i++)
     sim_add_machine (sim, i % 3 ? "small" : "big", i % 2 ? "za" : "zb", TRUE, g_rand_double_range (sim->rand, 1, 5));
   for (guint i = 0; i < 40; i++)
@@ -343,29 +343,29 @@
   for (guint i = 0; i < 9; i++)
     end = MAX (end, random_fault (sim, g_rand_double_range (sim->rand, 20, 140)));
   for (guint i = 0; i < 3; i++)
-    sim_at (sim, g_rand_double_range (sim->rand, 20, 140), cancel_burst, NULL);
+    sim_schedule (sim, g_rand_double_range (sim->rand, 20, 140), cancel_burst, NULL);
   for (double at = 20; at < 150; at += 600.0 / machines)
-    sim_at (sim, at, hang_machine, NULL);
+    sim_schedule (sim, at, hang_machine, NULL);
   end = MAX (end, 190);
   sim_run (sim, end + 1);
-  sim->outage = FALSE;
-  sim->late_writes = 0;
-  heal_all (sim, NULL);
-  wake_all (sim, NULL);
-  start_all (sim, NULL);
+  sim->kv_outage = FALSE;
+  sim->late_transaction_chance = 0;
+  heal_network (sim, NULL);
+  resume_all (sim, NULL);
+  start_all_controllers (sim, NULL);
   sim_run (sim, end + 90);
-  longest = longest_silence_s (sim, &job);
+  longest = longest_response_gap_s (sim, &job);
   g_test_message ("%u machines, seed %u: the longest time without an answer is %.1f s, about %s", machines, seed,
                   longest, job ? job->uid : "none");
   sim_check_forgotten (sim);
-  expect_no_fault (sim, "faults at random", seed);
+  expect_no_violation (sim, "random faults", seed);
   sim_run (sim, end + 500);
-  expect_all_over (sim, "faults at random", seed);
+  expect_all_finished (sim, "random faults", seed);
   sim_free (sim);
 }
 
 static void
-test_faults_at_random (void)
+test_random_faults (void)
 {
   /* By hand, with -m slow: 40 schedules. */
   for (guint32 seed = 360; seed < (g_test_slow () ? 400 : 363); seed++)
@@ -377,10 +377,10 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/forgotten/changes-of-leader", test_changes_of_leader);
-  g_test_add_func ("/forgotten/cancelled-while-records-are-read", test_cancelled_while_records_are_read);
-  g_test_add_func ("/forgotten/more-than-a-message", test_more_than_a_message);
-  g_test_add_func ("/forgotten/much-to-say", test_much_to_say);
-  g_test_add_func ("/forgotten/faults-at-random", test_faults_at_random);
+  g_test_add_func ("/liveness/repeated-failover", test_repeated_failover);
+  g_test_add_func ("/liveness/cancellation-while-leader-loads", test_cancellation_while_leader_loads);
+  g_test_add_func ("/liveness/more-cancellations-than-one-message", test_more_cancellations_than_one_message);
+  g_test_add_func ("/liveness/more-events-than-one-message", test_more_events_than_one_message);
+  g_test_add_func ("/liveness/random-faults", test_random_faults);
   return g_test_run ();
 }
