--- a/tests/test-overload.c
+++ b/tests/test-overload.c
@@ -10,7 +10,7 @@
 /* Whoever falls silent accepts what comes and answers nothing; the others are served, and on waking nothing is done that
  * a later leader did not allow. */
 static void
-test_silent_controllers (void)
+test_stalled_controllers (void)
 {
   for (guint32 seed = 600; seed < 612; seed++)
     {
@@ -28,20 +28,20 @@
       sim_run (sim, 40);
       meanwhile = sim_add_job (sim, 40, "red", 3, 1, 5);
       sim_run (sim, 85);
-      g_assert_true (meanwhile->told_done);
+      g_assert_true (meanwhile->confirmed_done);
       for (guint i = 0; i < SIM_NODES; i++)
         if (sim->nodes[i].paused)
           {
-            sim_wake (sim, i);
+            sim_resume (sim, i);
             sim_run (sim, sim->now + g_rand_double_range (sim->rand, 0, 4));
           }
       if (seed % 4 == 0)
-        crash_one (sim, NULL);
+        crash_random_controller (sim, NULL);
       sim_run (sim, sim->now + 5);
-      start_all (sim, NULL);
-      sim->calm_at = sim->now + 5;
+      start_all_controllers (sim, NULL);
+      sim->faults_over_at = sim->now + 5;
       sim_run (sim, 330);
-      expect_all_over (sim, "silent controllers", seed);
+      expect_all_finished (sim, "stalled controllers", seed);
       sim_free (sim);
     }
 }
@@ -55,14 +55,14 @@
   guint *answers, *refusals;
   double asked;
   double *slowest;
-} Question;
+} StatusQuery;
 
 static void
-on_answer (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
+on_response (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
-  Question *question = http_request->impl;
+  StatusQuery *question = http_request->impl;
   cJSON *root = cJSON_Parse (body ? body : "");
-  sim_told (question->sim, question->job, status, hzb_json_text (root, "status"));
+  sim_user_response (question->sim, question->job, status, hzb_json_text (root, "status"));
   *question->answers += 1;
   *question->refusals += status == 503;
   *question->slowest = MAX (*question->slowest, question->sim->now - question->asked);
@@ -76,26 +76,26 @@
 static double slowest;
 
 static void
-ask_status (Sim *sim, guint node, SimJob *job)
+query_status (Sim *sim, guint node, SimJob *job)
 {
   HzbHttpRequest *http_request;
-  Question *question;
+  StatusQuery *question;
   if (!sim->nodes[node].controller || sim->nodes[node].paused)
     return;
   http_request = g_new0 (HzbHttpRequest, 1);
-  question = g_new0 (Question, 1);
-  *question = (Question){ sim, job, &answers, &refusals, sim->now, &slowest };
+  question = g_new0 (StatusQuery, 1);
+  *question = (StatusQuery){ sim, job, &answers, &refusals, sim->now, &slowest };
   http_request->method = g_strdup ("GET");
   http_request->path = g_strdup_printf ("/api/jobs/%s", job->uid);
   http_request->body = g_strdup ("");
-  http_request->reply = on_answer;
+  http_request->reply = on_response;
   http_request->impl = question;
   hzb_controller_request (http_request, sim->nodes[node].controller);
 }
 
 /* So many questions about each accepted job within the second, at all nodes. */
 static guint
-ask_for_a_second (Sim *sim, guint each)
+query_for_a_second (Sim *sim, guint each)
 {
   guint asked = 0;
   double until = sim->now + 1;
@@ -106,7 +106,7 @@
           SimJob *job = sim->jobs->pdata[i];
           if (!job->accepted)
             continue;
-          ask_status (sim, (i + k) % SIM_NODES, job);
+          query_status (sim, (i + k) % SIM_NODES, job);
           asked++;
         }
       sim_run (sim, sim->now + 1.0 / each);
@@ -118,7 +118,7 @@
 /* Ten times as many questions cost the key-value store hardly more requests, since one proves freshness for all that wait;
  * each is answered within the time that its user waits, no answer is older than one before, and submissions go on. */
 static void
-test_many_questions (void)
+test_status_query_burst (void)
 {
   for (guint32 seed = 620; seed < 624; seed++)
     {
@@ -130,19 +130,19 @@
       sim_run (sim, 20);
       answers = refusals = 0;
       slowest = 0;
-      before = sim->requests;
+      before = sim->kv_requests;
       for (guint s = 0; s < 8; s++)
-        asked_few += ask_for_a_second (sim, 2);
-      few = sim->requests - before;
-      before = sim->requests;
+        asked_few += query_for_a_second (sim, 2);
+      few = sim->kv_requests - before;
+      before = sim->kv_requests;
       if (seed % 2)
         sim->nodes[(sim_leader (sim) + 1) % SIM_NODES].paused = TRUE;
       meanwhile = sim_add_job (sim, sim->now, "red", 1, 1, 3);
       for (guint s = 0; s < 8; s++)
-        asked_many += ask_for_a_second (sim, 20);
-      many = sim->requests - before;
+        asked_many += query_for_a_second (sim, 20);
+      many = sim->kv_requests - before;
       g_assert_cmpuint (asked_many, >, 8 * asked_few);
-      g_assert_cmpuint (many, <, 8 * (guint) (0.5 * sim->size.kv_rps)); /* paced, and shared: */
+      g_assert_cmpuint (many, <, 8 * (guint) (0.5 * sim->config.kv_rps)); /* paced, and shared: */
       g_assert_cmpuint (8 * many, <, asked_many);
       g_assert_cmpuint (many, <, 4 * few);
       g_assert_cmpfloat (slowest, <, 2);
@@ -150,34 +150,34 @@
       g_assert_true (meanwhile->accepted && meanwhile->accepted_at < 32);
       for (guint i = 0; i < SIM_NODES; i++)
         if (sim->nodes[i].paused)
-          sim_wake (sim, i);
-      sim->calm_at = sim->now + 10;
+          sim_resume (sim, i);
+      sim->faults_over_at = sim->now + 10;
       sim_run (sim, 330);
-      expect_all_over (sim, "many questions", seed);
+      expect_all_finished (sim, "status query burst", seed);
       sim_free (sim);
     }
 }
 
 /* While the key-value store is out, each of many questions gets its refusal at once. */
 static void
-test_many_questions_in_an_outage (void)
+test_status_query_burst_in_kv_outage (void)
 {
   Sim *sim = sim_new (626);
   for (guint i = 0; i < 30; i++)
     sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 2, 1, 60);
   sim_run (sim, 20);
-  sim->outage = TRUE;
+  sim->kv_outage = TRUE;
   sim_run (sim, 26);
   answers = refusals = 0;
   slowest = 0;
   for (guint s = 0; s < 5; s++)
-    ask_for_a_second (sim, 10);
+    query_for_a_second (sim, 10);
   g_assert_cmpuint (answers, >, 1000);
   g_assert_cmpuint (refusals, ==, answers);
   g_assert_cmpfloat (slowest, <, 0.1);
-  sim->outage = FALSE;
+  sim->kv_outage = FALSE;
   sim_run (sim, 330);
-  expect_all_over (sim, "many questions in an outage", 626);
+  expect_all_finished (sim, "status query burst in kv outage", 626);
   sim_free (sim);
 }
 
@@ -186,7 +186,7 @@
 /* A swarm of a guest's single tasks costs few changes in the store, and takes its room from nobody: work of a team with a
  * guarantee is as soon over as without it. */
 static void
-test_guest_swarm (void)
+test_many_small_jobs_without_guarantee (void)
 {
   for (guint32 seed = 630; seed < 634; seed++)
     {
@@ -201,19 +201,19 @@
             sim_add_job (sim, 12, "guest", 150, 0.5, 10)->job_class = "sweep";
           for (guint i = 0; i < 8; i++)
             g_ptr_array_add (own, sim_add_job (sim, 20 + i, i % 2 ? "red" : "blue", 8, 1, 12));
-          sim->calm_at = 60;
+          sim->faults_over_at = 60;
           while (sim->now < 400 && over[guests] <= 0)
             {
               gboolean all = TRUE;
               sim_run (sim, sim->now + 1);
               for (guint i = 0; i < own->len; i++)
-                all = all && ((SimJob *) own->pdata[i])->told_done;
+                all = all && ((SimJob *) own->pdata[i])->confirmed_done;
               if (all)
                 over[guests] = sim->now;
             }
           sim_run (sim, 420);
-          g_assert_cmpuint (sim->written, <, 8 * sim->jobs->len + 200);
-          expect_all_over (sim, "guest swarm", seed);
+          g_assert_cmpuint (sim->kv_writes, <, 8 * sim->jobs->len + 200);
+          expect_all_finished (sim, "many small jobs without guarantee", seed);
           g_ptr_array_unref (own);
           sim_free (sim);
         }
@@ -223,61 +223,61 @@
 
 /* ---- jobs with a mistake ---- */
 
-static guint set_aside; /* machines */
+static guint quarantined; /* machines */
 
 static void
-count_set_aside (const gchar *domain, GLogLevelFlags level, const gchar *message, gpointer user)
+count_quarantined (const gchar *domain, GLogLevelFlags level, const gchar *message, gpointer user)
 {
-  set_aside += strstr (message, "is set aside") != NULL;
+  quarantined += strstr (message, "is set aside") != NULL;
 }
 
 /* Jobs that fail wherever they start: no machine goes back or is rented for them, a faulty machine is still found, all else
  * goes on, and they stay known and can be cancelled. */
 static void
-test_jobs_with_a_mistake (void)
+test_jobs_that_always_fail (void)
 {
   for (guint32 seed = 640; seed < 646; seed++)
     {
       Sim *sim = sim_new (seed);
       SimMachine *faulty;
-      SimJob *mistaken[3];
+      SimJob *failing[3];
       guint rented, handler;
-      set_aside = 0;
-      handler = g_log_set_handler ("hazelbank", G_LOG_LEVEL_MESSAGE, count_set_aside, NULL);
+      quarantined = 0;
+      handler = g_log_set_handler ("hazelbank", G_LOG_LEVEL_MESSAGE, count_quarantined, NULL);
       for (guint i = 0; i < 3; i++)
         {
-          mistaken[i] = sim_add_job (sim, 18 + i, i == 2 ? "guest" : i ? "red" : "blue", 6, 1, 10);
-          mistaken[i]->bad = mistaken[i]->wants_cancel = TRUE;
-          mistaken[i]->cancel_at = 150;
+          failing[i] = sim_add_job (sim, 18 + i, i == 2 ? "guest" : i ? "red" : "blue", 6, 1, 10);
+          failing[i]->always_fails = failing[i]->wants_cancel = TRUE;
+          failing[i]->cancel_at = 150;
         }
       for (guint i = 0; i < 14; i++)
         sim_add_job (sim, 1 + 5 * i, i % 2 ? "red" : "blue", 4, 1.5, 12);
       sim_run (sim, 25);
-      while (!(faulty = machine_with_tasks (sim)) || faulty->gone)
+      while (!(faulty = machine_with_tasks (sim)) || faulty->terminated)
         sim_run (sim, sim->now + 0.5);
       faulty->faulty = TRUE;
       if (seed % 2)
-        crash_one (sim, NULL);
+        crash_random_controller (sim, NULL);
       sim_run (sim, sim->now + 7);
-      start_all (sim, NULL);
+      start_all_controllers (sim, NULL);
       sim_run (sim, 110);
-      g_assert_true (faulty->gone);
-      g_assert_cmpuint (set_aside, <=, 1); /* no sound machine for the jobs' sake */
+      g_assert_true (faulty->terminated);
+      g_assert_cmpuint (quarantined, <=, 1); /* no sound machine for the jobs' sake */
       rented = sim->machine_number;
       sim_run (sim, 148);
       g_assert_cmpuint (sim->machine_number - rented, <=, 2); /* only failures are left to do */
-      g_assert_cmpuint (sim->started, <, 14 * 4 + 120);
+      g_assert_cmpuint (sim->tasks_started, <, 14 * 4 + 120);
       for (guint i = 0; i < 3; i++)
         {
-          g_autofree char *path = g_strdup_printf ("/api/jobs/%s", mistaken[i]->uid);
-          g_assert_cmpuint (ask (sim, i, "GET", path, "", NULL), ==, 200);
+          g_autofree char *path = g_strdup_printf ("/api/jobs/%s", failing[i]->uid);
+          g_assert_cmpuint (user_request (sim, i, "GET", path, "", NULL), ==, 200);
         }
-      sim->calm_at = 150;
+      sim->faults_over_at = 150;
       sim_run (sim, 330);
       for (guint i = 0; i < 3; i++)
-        g_assert_true (mistaken[i]->told_cancelled);
+        g_assert_true (failing[i]->confirmed_cancelled);
       g_log_remove_handler ("hazelbank", handler);
-      expect_all_over (sim, "jobs with a mistake", seed);
+      expect_all_finished (sim, "jobs that always fail", seed);
       sim_free (sim);
     }
 }
@@ -285,7 +285,7 @@
 /* In an outage nobody calls the key-value store all the time: neither a leader that can't read its records, nor one that does
  * not know what became of what it wrote. */
 static void
-test_calls_in_an_outage (void)
+test_kv_request_rate_in_kv_outage (void)
 {
   for (guint32 seed = 650; seed < 654; seed++)
     {
@@ -295,7 +295,7 @@
         sim_add_job (sim, 1 + i, i % 2 ? "red" : "blue", 6, 1.5, 25);
       sim_run (sim, 20);
       if (seed % 2)
-        sim->late_writes = 1; /* no transaction gets an answer */
+        sim->late_transaction_chance = 1; /* no transaction gets an answer */
       else
         {
           sim_crash (sim, (guint) MAX (sim_leader (sim), 0));
@@ -303,18 +303,18 @@
             sim_run (sim, sim->now + 0.001);
         }
       sim_run (sim, sim->now + (seed % 2 ? 2 : 0.01));
-      sim->outage = TRUE;
+      sim->kv_outage = TRUE;
       sim_run (sim, sim->now + 1);
-      before = sim->requests;
+      before = sim->kv_requests;
       sim_run (sim, sim->now + 20);
-      g_test_message ("seed %u: %u requests in 20 s", seed, sim->requests - before);
+      g_test_message ("seed %u: %u requests in 20 s", seed, sim->kv_requests - before);
       /* Of three nodes: a watch and a lease renewal now and then, and two tries a second of whatever failed. */
-      g_assert_cmpuint (sim->requests - before, <, SIM_NODES * 20 * 6);
-      sim->outage = FALSE;
-      sim->late_writes = 0;
-      start_all (sim, NULL);
+      g_assert_cmpuint (sim->kv_requests - before, <, SIM_NODES * 20 * 6);
+      sim->kv_outage = FALSE;
+      sim->late_transaction_chance = 0;
+      start_all_controllers (sim, NULL);
       sim_run (sim, sim->now + 300);
-      expect_all_over (sim, "calls in an outage", seed);
+      expect_all_finished (sim, "kv request rate in kv outage", seed);
       sim_free (sim);
     }
 }
@@ -324,11 +324,11 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/cluster/silent-controllers", test_silent_controllers);
-  g_test_add_func ("/cluster/many-questions", test_many_questions);
-  g_test_add_func ("/cluster/many-questions-in-an-outage", test_many_questions_in_an_outage);
-  g_test_add_func ("/cluster/calls-in-an-outage", test_calls_in_an_outage);
-  g_test_add_func ("/cluster/guest-swarm", test_guest_swarm);
-  g_test_add_func ("/cluster/jobs-with-a-mistake", test_jobs_with_a_mistake);
+  g_test_add_func ("/overload/stalled-controllers", test_stalled_controllers);
+  g_test_add_func ("/overload/status-query-burst", test_status_query_burst);
+  g_test_add_func ("/overload/status-query-burst-in-kv-outage", test_status_query_burst_in_kv_outage);
+  g_test_add_func ("/overload/kv-request-rate-in-kv-outage", test_kv_request_rate_in_kv_outage);
+  g_test_add_func ("/overload/many-small-jobs-without-guarantee", test_many_small_jobs_without_guarantee);
+  g_test_add_func ("/overload/jobs-that-always-fail", test_jobs_that_always_fail);
   return g_test_run ();
 }
--- a/tests/test-processes.c
+++ b/tests/test-processes.c
@@ -8,7 +8,7 @@
 #include <unistd.h>
 
 #define API_PORT 18100u /* of the first controller; its peers' port is the next one */
-#define STORE_PORT 18120u
+#define KV_PORT 18120u
 #define CLOUD_PORT 18121u
 #define MACHINES 30u
 #define JOBS 24u
@@ -34,7 +34,7 @@
 }
 
 static void
-ask_process (Sim *sim, guint node, HzbHttpRequest *http_request)
+send_to_process (Sim *sim, guint node, HzbHttpRequest *http_request)
 {
   g_autofree char *addr = g_strdup_printf ("127.0.0.1:%u", API_PORT + 2 * node);
   hzb_send (client, http_request->method, addr, http_request->path, g_steal_pointer (&http_request->body), 4000,
@@ -44,7 +44,7 @@
 /* ---- controllers ---- */
 
 static char *
-write_settings (guint node, const SimSize *size)
+write_settings (guint node, const SimConfig *config)
 {
   g_autoptr (GString) text = g_string_new (NULL);
 
@@ -61,11 +61,11 @@
                           "zones = [\"za\", \"zb\"]\nskew_ms = 5\n[cluster.workers]\nreport_s = %g\nlease_s = %g\n"
                           "cancel_s = %g\n[cluster.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = 16\ntxn_ops = %u\n"
                           "[cluster.state.next]\nvalue_kb = 2\n[cluster.cloud]\nrps = %g\nlist_lag_s = 3\n",
-                          CLOUD_PORT, STORE_PORT, size->heartbeat_interval_s, size->lease_s, size->cancel_s,
-                          size->kv_rps, size->kv_write_rps, size->txn_ops, size->cloud_rps);
+                          CLOUD_PORT, KV_PORT, config->heartbeat_interval_s, config->lease_s, config->cancel_s,
+                          config->kv_rps, config->kv_write_rps, config->txn_ops, config->cloud_rps);
   for (guint i = 0; i < 2; i++)
     g_string_append_printf (text, "[[cluster.teams]]\nname = \"%s\"\ncpus = %g\ncpus_max = %g\n", i ? "blue" : "red",
-                            size->team_guarantee, size->team_max);
+                            config->team_guarantee, config->team_max);
   return real_write_file (text->str);
 }
 
@@ -94,32 +94,32 @@
 {
   guint n = 0;
   for (guint i = 0; i < sim->jobs->len; i++)
-    n += !((SimJob *) sim->jobs->pdata[i])->told_done;
+    n += !((SimJob *) sim->jobs->pdata[i])->confirmed_done;
   return n;
 }
 
 static void
 test_cold_start (void)
 {
-  SimSize size = sim_size_little;
+  SimConfig config = sim_config_small;
   char *settings[SIM_NODES];
   g_autofree char *features = real_write_file ("[reconciliation]\nenabled = true\npace_s = 5\n");
   g_autofree char *log = real_write_file (""), *logged = NULL;
   Sim *sim;
   double killed;
 
-  size.machines = MACHINES;
-  size.team_max = 4 * MACHINES;
-  size.lease_s = 30; /* nothing ends because this machine is busy with other things */
-  size.check_s = 0.1;
-  size.cancel_s = 60;
-  sim = real_sim_new (1300, &size);
+  config.machines = MACHINES;
+  config.team_max = 4 * MACHINES;
+  config.lease_s = 30; /* nothing ends because this machine is busy with other things */
+  config.check_interval_s = 0.1;
+  config.cancel_s = 60;
+  sim = real_sim_new (1300, &config);
   client = hzb_http_client_new ();
-  sim->ask_process = ask_process;
-  real_serve (sim, STORE_PORT, TRUE);
+  sim->send_to_process = send_to_process;
+  real_serve (sim, KV_PORT, TRUE);
   real_serve (sim, CLOUD_PORT, FALSE);
   for (guint i = 0; i < SIM_NODES; i++)
-    settings[i] = write_settings (i, &size);
+    settings[i] = write_settings (i, &config);
   for (guint i = 0; i < MACHINES; i++)
     sim_add_machine (sim, i % 3 ? "small" : "big", i % 2 ? "za" : "zb", TRUE, 2);
   start_controllers (sim, settings, features, log);
@@ -135,8 +135,8 @@
   while (unfinished (sim) && sim->now < LONGEST_S)
     real_turn_until (sim, sim->now + 0.1);
   g_test_message ("killed at %.1f s, all %u jobs were over at %.1f s; %u tasks were started", killed, JOBS, sim->now,
-                  sim->started);
-  expect_no_fault (sim, "a cold start of processes", 1300);
+                  sim->tasks_started);
+  expect_no_violation (sim, "a cold start of processes", 1300);
   g_assert_cmpuint (unfinished (sim), ==, 0);
   kill_controllers (sim);
   g_assert_true (g_file_get_contents (log, &logged, NULL, NULL));
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -6,7 +6,7 @@
 
 /* While the key-value store is away a finished job is not called done, and its results are kept by the workers. */
 static void
-test_done_is_durable_first (void)
+test_done_confirmed_after_durable (void)
 {
   Sim *sim = sim_new (14);
   SimJob *job = sim_add_job (sim, 1, "red", 4, 2, 15);
@@ -14,27 +14,27 @@
   guint ended = 0;
   sim_run (sim, 15);
   g_assert_nonnull (machine_with_tasks (sim));
-  sim->outage = TRUE;
+  sim->kv_outage = TRUE;
   sim_run (sim, 45);
-  g_assert_false (job->told_done);
+  g_assert_false (job->confirmed_done);
   for (guint i = 0; i < sim->machines->len; i++)
     {
       machine = sim->machines->pdata[i];
       for (guint k = 0; k < machine->tasks->len; k++)
-        ended += g_str_equal (((SimTask *) machine->tasks->pdata[k])->why, "done");
+        ended += g_str_equal (((SimTask *) machine->tasks->pdata[k])->cause, "done");
     }
   g_assert_cmpuint (ended, ==, 4);
-  sim->outage = FALSE;
+  sim->kv_outage = FALSE;
   sim_run (sim, 60);
-  g_assert_true (job->told_done);
-  expect_all_over (sim, "durable first", 14);
+  g_assert_true (job->confirmed_done);
+  expect_all_finished (sim, "durable first", 14);
   sim_free (sim);
 }
 
 /* Many transactions come late. The simulated cluster checks that no record of progress ever goes back, as one would if an
  * older set of results overwrote a newer one of the same term. */
 static void
-test_late_flush (void)
+test_late_transactions (void)
 {
   for (guint32 seed = 30; seed < 38; seed++)
     {
@@ -42,11 +42,11 @@
       for (guint i = 0; i < 5; i++)
         sim_add_job (sim, 1 + i, i % 2 ? "red" : "blue", 25, 1, 4);
       sim_run (sim, 12);
-      sim->late = 0.3;
+      sim->delay_chance = 0.3;
       sim_run (sim, 40);
-      sim->late = 0;
+      sim->delay_chance = 0;
       sim_run (sim, 200);
-      expect_all_over (sim, "late flush", seed);
+      expect_all_finished (sim, "late transactions", seed);
       sim_free (sim);
     }
 }
@@ -54,22 +54,22 @@
 /* The key-value store takes few changes: what is refused with 429 is sent once more, whole, and neither a new job nor a
  * new machine waits for the records of all the others. */
 static void
-test_few_changes (void)
+test_low_write_rate (void)
 {
   Sim *sim = sim_new (19);
   SimJob *late;
   guint before;
   for (guint i = 0; i < 24; i++)
     sim_add_job (sim, 1 + 0.1 * i, i % 2 ? "red" : "blue", 10, 1, 4)->type = "small";
-  sim->write_rate = 10;
+  sim->kv_write_rate = 10;
   sim_run (sim, 40);
-  before = sim->written;
+  before = sim->kv_writes;
   late = sim_add_job (sim, 40, "red", 3, 1, 2); /* urgent */
   sim_run (sim, 55);
-  g_assert_true (late->told_done);
-  g_assert_cmpuint (sim->written - before, <, 100);
+  g_assert_true (late->confirmed_done);
+  g_assert_cmpuint (sim->kv_writes - before, <, 100);
   sim_run (sim, 500);
-  expect_all_over (sim, "few changes", 19);
+  expect_all_finished (sim, "low write rate", 19);
   sim_free (sim);
 }
 
@@ -84,7 +84,7 @@
       http_request->method = g_strdup ("GET");
       http_request->path = g_strdup_printf ("/api/jobs/%s", ((SimJob *) sim->jobs->pdata[i])->uid);
       http_request->body = g_strdup ("");
-      http_request->reply = keep_status;
+      http_request->reply = capture_status;
       http_request->impl = &status[i];
       hzb_controller_request (http_request, sim->nodes[at].controller);
     }
@@ -96,18 +96,18 @@
 
 /* After all nodes have ended and begun anew with a whole day's records, each answers for every job. */
 static void
-test_nothing_forgotten (void)
+test_full_restart_answers_for_every_job (void)
 {
   Sim *sim = sim_new (58);
   for (guint i = 0; i < 90; i++)
     sim_add_job (sim, 1 + 0.4 * i, i % 2 ? "red" : "blue", 2, 1, 3)->wants_cancel = i % 9 == 0;
   sim_run (sim, 45);
-  crash_all (sim, NULL);
+  crash_all_controllers (sim, NULL);
   sim_run (sim, 55);
   for (guint i = 0; i < SIM_NODES; i++)
     g_assert_cmpuint (count_unanswered (sim, i), ==, 0);
   sim_run (sim, 400);
-  expect_all_over (sim, "nothing forgotten", 58);
+  expect_all_finished (sim, "full restart answers for every job", 58);
   for (guint i = 0; i < SIM_NODES; i++)
     g_assert_cmpuint (count_unanswered (sim, i), ==, 0);
   sim_free (sim);
@@ -116,13 +116,13 @@
 /* Records of jobs that completed long ago are not replicated, and still answer: users go on asking, submit again and cancel,
  * while nodes end and one misses so much that it has to read all anew. */
 static void
-test_old_ones_move (void)
+test_archive_of_completed_jobs (void)
 {
-  SimSize size = sim_size_little;
-  size.max_replicated_completed = 4;
+  SimConfig config = sim_config_small;
+  config.max_replicated_completed = 4;
   for (guint32 seed = 130; seed < 134; seed++)
     {
-      Sim *sim = sim_new_sized (seed, &size);
+      Sim *sim = sim_new_with_config (seed, &config);
       guint moved = 0;
       GHashTableIter iter;
       gpointer key;
@@ -130,21 +130,21 @@
         sim_add_job (sim, 1 + 2 * i, i % 2 ? "red" : "blue", 2, 1, 3)->wants_cancel = i % 4 == 3;
       for (guint i = 0; i < 5; i++)
         {
-          sim_at (sim, g_rand_double_range (sim->rand, 20, 110), crash_one, NULL);
-          sim_at (sim, g_rand_double_range (sim->rand, 20, 110), start_all, NULL);
+          sim_schedule (sim, g_rand_double_range (sim->rand, 20, 110), crash_random_controller, NULL);
+          sim_schedule (sim, g_rand_double_range (sim->rand, 20, 110), start_all_controllers, NULL);
         }
       sim_run (sim, 60);
       if (seed % 2)
         {
-          sim->nodes[1].cut_store = TRUE; /* a while, in which much moves */
+          sim->nodes[1].cut_off_from_kv = TRUE; /* a while, in which much moves */
           sim_run (sim, 85);
-          sim->nodes[1].cut_store = FALSE;
+          sim->nodes[1].cut_off_from_kv = FALSE;
           if (sim->nodes[1].controller)
             hzb_kv_replica_reset (
                 sim->nodes[1].controller->kv_replica); /* as when the changes since are not kept any more */
         }
       sim_run (sim, 112);
-      start_all (sim, NULL);
+      start_all_controllers (sim, NULL);
       sim_run (sim, 250);
       g_hash_table_iter_init (&iter, sim->kv);
       while (g_hash_table_iter_next (&iter, &key, NULL))
@@ -156,13 +156,13 @@
               g_assert_false (g_hash_table_contains (sim->kv, other));
             }
         }
-      g_assert_cmpuint (moved, ==, 40 - size.max_replicated_completed);
+      g_assert_cmpuint (moved, ==, 40 - config.max_replicated_completed);
       for (guint i = 0; i < SIM_NODES; i++)
         g_assert_cmpuint (g_hash_table_size (sim->nodes[i].controller->jobs->by_uid), ==,
-                          size.max_replicated_completed);
+                          config.max_replicated_completed);
       /* Users come back long after, and one asks about what was never submitted. */
       sim_run (sim, 300);
-      expect_all_over (sim, "old ones move", seed);
+      expect_all_finished (sim, "archive of completed jobs", seed);
       sim_free (sim);
     }
 }
@@ -184,7 +184,7 @@
 /* A job was accepted when values could be larger, has ended and has moved away: its repeated submission gets its state, and
  * the same texts in a new job are refused. */
 static void
-test_repeat_with_long_texts (void)
+test_idempotent_request_with_long_texts (void)
 {
   Sim *sim = sim_new (70);
   g_autofree char *known = long_submission ("run-700001"), *other = long_submission ("run-700002");
@@ -192,9 +192,9 @@
   sim_run (sim, 5);
   for (guint i = 0; i < SIM_NODES; i++)
     {
-      g_assert_cmpuint (ask (sim, i, "POST", "/api/jobs", known, NULL), ==, 200);
-      g_assert_nonnull (strstr (last_body, "done"));
-      g_assert_cmpuint (ask (sim, i, "POST", "/api/jobs", other, NULL), ==, 400);
+      g_assert_cmpuint (user_request (sim, i, "POST", "/api/jobs", known, NULL), ==, 200);
+      g_assert_nonnull (strstr (last_response_body, "done"));
+      g_assert_cmpuint (user_request (sim, i, "POST", "/api/jobs", other, NULL), ==, 400);
     }
   sim_free (sim);
 }
@@ -204,11 +204,11 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/cluster/done-is-durable-first", test_done_is_durable_first);
-  g_test_add_func ("/cluster/late-flush", test_late_flush);
-  g_test_add_func ("/cluster/few-changes", test_few_changes);
-  g_test_add_func ("/cluster/nothing-forgotten", test_nothing_forgotten);
-  g_test_add_func ("/cluster/old-ones-move", test_old_ones_move);
-  g_test_add_func ("/cluster/repeat-with-long-texts", test_repeat_with_long_texts);
+  g_test_add_func ("/records/done-confirmed-after-durable", test_done_confirmed_after_durable);
+  g_test_add_func ("/records/late-transactions", test_late_transactions);
+  g_test_add_func ("/records/low-write-rate", test_low_write_rate);
+  g_test_add_func ("/records/full-restart-answers-for-every-job", test_full_restart_answers_for_every_job);
+  g_test_add_func ("/records/archive-of-completed-jobs", test_archive_of_completed_jobs);
+  g_test_add_func ("/records/idempotent-request-with-long-texts", test_idempotent_request_with_long_texts);
   return g_test_run ();
 }
--- a/tests/test-scale.c
+++ b/tests/test-scale.c
@@ -9,7 +9,7 @@
 /* ---- what a decision costs ---- */
 
 static guint
-examines_heartbeats (guint machines, guint jobs, guint *of_a_run)
+examined_for_heartbeats (guint machines, guint jobs, guint *of_a_run)
 {
   Bench b;
   g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
@@ -40,12 +40,12 @@
 
 /* A report looks at a sample of lists, a run of placing at so many machines, however many there are. */
 static void
-test_decisions (void)
+test_cost_of_decisions (void)
 {
   static const guint fleets[] = { 40, 400, 1200, MACHINES };
   for (guint i = 0; i < G_N_ELEMENTS (fleets); i++)
     {
-      guint run, reports = examines_heartbeats (fleets[i], 200, &run);
+      guint run, reports = examined_for_heartbeats (fleets[i], 200, &run);
       g_test_message ("%u machines: %u looks for 20 reports, %u for a run", fleets[i], reports, run);
       /* Four starts a report, each after a look at no more than 32 lists, twice. */
       g_assert_cmpuint (reports, <=, 20 * (4 + 1) * 2 * 32);
@@ -63,38 +63,38 @@
 {
   guint n = 0;
   for (guint i = 0; i < sim->machines->len; i++)
-    n += !((SimMachine *) sim->machines->pdata[i])->gone && !((SimMachine *) sim->machines->pdata[i])->failed;
+    n += !((SimMachine *) sim->machines->pdata[i])->terminated && !((SimMachine *) sim->machines->pdata[i])->crashed;
   return n;
 }
 
 /* Half of the machines stop within three seconds. */
 static void
-test_half_falls (void)
+test_half_of_machines_crash (void)
 {
   Sim *sim = large_fleet (11, MACHINES, 150, 60);
   guint rentals;
   for (guint i = 0; i < sim->machines->len; i += 2)
     {
       SimMachine *machine = sim->machines->pdata[i];
-      machine->failed = TRUE;
+      machine->crashed = TRUE;
       g_ptr_array_set_size (machine->tasks, 0);
       if (i % 600 == 0)
         sim_run (sim, sim->now + 0.5);
     }
-  rentals = sim->rentals;
+  rentals = sim->rental_calls;
   sim_run (sim, sim->now + 60);
-  expect_no_fault (sim, "half falls", 0);
+  expect_no_violation (sim, "half of machines crash", 0);
   /* No wave of calls: one plan a second, and no more than what lacks. */
-  g_assert_cmpuint (sim->rentals - rentals, <, 60);
+  g_assert_cmpuint (sim->rental_calls - rentals, <, 60);
   g_assert_cmpuint (alive (sim), <=, MACHINES);
   sim_run (sim, 400);
-  expect_all_over (sim, "half falls", 0);
+  expect_all_finished (sim, "half of machines crash", 0);
   sim_free (sim);
 }
 
 /* The leader ends while three hundred machines are silent: the others' work goes on and new work starts at once. */
 static void
-test_takeover (void)
+test_failover_with_unresponsive_machines (void)
 {
   Sim *sim = large_fleet (12, MACHINES, 150, 200);
   guint started, cut = 0, written, at = (guint) MAX (sim_leader (sim), 0);
@@ -102,31 +102,31 @@
   for (guint i = 0; i < sim->machines->len && cut < 300; i++)
     {
       SimMachine *machine = sim->machines->pdata[i];
-      machine->cut = machine->up && i % 5 == 0;
-      cut += machine->cut;
+      machine->partitioned = machine->up && i % 5 == 0;
+      cut += machine->partitioned;
     }
   sim_crash (sim, at);
   began = sim->now;
-  many_jobs (sim, 20, 5, 10);
-  started = sim->started;
-  written = sim->written;
+  add_many_arrays (sim, 20, 5, 10);
+  started = sim->tasks_started;
+  written = sim->kv_writes;
   sim_run (sim, began + 25); /* no lease is over, no machine can have been given back */
-  expect_no_fault (sim, "takeover", 0);
+  expect_no_violation (sim, "failover with unresponsive machines", 0);
   g_assert_cmpint (sim_leader (sim), !=, -1);
-  g_assert_cmpuint (sim->started - started, >, 100);
+  g_assert_cmpuint (sim->tasks_started - started, >, 100);
   /* Progress once a second, and what waits at once: with pages written at each report it is 600 (tried by hand). */
-  g_assert_cmpuint (sim->written - written, <, 25 * 10);
+  g_assert_cmpuint (sim->kv_writes - written, <, 25 * 10);
   sim_start (sim, at);
   for (guint i = 0; i < sim->machines->len; i++)
-    ((SimMachine *) sim->machines->pdata[i])->cut = FALSE;
+    ((SimMachine *) sim->machines->pdata[i])->partitioned = FALSE;
   sim_run (sim, 700);
-  expect_all_over (sim, "takeover", 0);
+  expect_all_finished (sim, "failover with unresponsive machines", 0);
   sim_free (sim);
 }
 
 /* All nodes begin anew with the records of a day. */
 static void
-test_begin_anew (void)
+test_full_restart (void)
 {
   Sim *sim = large_fleet (13, MACHINES, 200, 100);
   guint rows, requests, work = tasks_running (sim);
@@ -134,8 +134,8 @@
   for (guint i = 0; i < SIM_NODES; i++)
     sim_crash (sim, i);
   sim_run (sim, sim->now + 1);
-  rows = sim->rows_read;
-  requests = sim->requests;
+  rows = sim->kv_rows_read;
+  requests = sim->kv_requests;
   for (guint i = 0; i < SIM_NODES; i++)
     sim_start (sim, i);
   began = sim->now;
@@ -144,29 +144,29 @@
   for (guint i = 0; i < SIM_NODES; i++)
     g_assert_true (hzb_controller_ready (sim->nodes[i].controller));
   /* Each reads what there is once, and the leader the owner's part. */
-  g_assert_cmpuint (sim->rows_read - rows, <=, (SIM_NODES + 1) * g_hash_table_size (sim->kv) + 20);
-  g_assert_cmpuint (sim->requests - requests, <, 1500);
+  g_assert_cmpuint (sim->kv_rows_read - rows, <=, (SIM_NODES + 1) * g_hash_table_size (sim->kv) + 20);
+  g_assert_cmpuint (sim->kv_requests - requests, <, 1500);
   sim_run (sim, began + 24);
   /* Nothing that ran was lost: no lease has ended. */
   for (guint i = 0; i < sim->machines->len; i++)
     g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
   g_assert_cmpuint (tasks_running (sim), >, work / 2);
-  expect_no_fault (sim, "begin anew", 0);
+  expect_no_violation (sim, "full restart", 0);
   sim_run (sim, 700);
-  expect_all_over (sim, "begin anew", 0);
+  expect_all_finished (sim, "full restart", 0);
   sim_free (sim);
 }
 
 /* The leader stands still for longer than its lease while its clock runs on; another leads meanwhile. */
 static void
-test_stands_still (void)
+test_stalled_leader (void)
 {
   Sim *sim = large_fleet (14, 900, 120, 40);
   int old = sim_leader (sim);
   g_assert_cmpint (old, !=, -1);
   sim->nodes[old].paused = TRUE;
   sim_run (sim, sim->now + 22);
-  sim_wake (sim, (guint) old);
+  sim_resume (sim, (guint) old);
   sim_run (sim, sim->now + 3);
   g_assert_false (hzb_election_leading (sim->nodes[old].controller->election));
   g_assert_cmpint (sim_leader (sim), !=, -1);
@@ -174,11 +174,11 @@
   old = (sim_leader (sim) + 1) % SIM_NODES;
   sim->nodes[old].paused = TRUE;
   sim_run (sim, sim->now + 13);
-  sim_wake (sim, (guint) old);
+  sim_resume (sim, (guint) old);
   sim_run (sim, sim->now + 30);
-  expect_no_fault (sim, "stands still", 0);
+  expect_no_violation (sim, "stalled leader", 0);
   sim_run (sim, 500);
-  expect_all_over (sim, "stands still", 0);
+  expect_all_finished (sim, "stalled leader", 0);
   sim_free (sim);
 }
 
@@ -187,10 +187,10 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/scale/decisions", test_decisions);
-  g_test_add_func ("/scale/half-falls", test_half_falls);
-  g_test_add_func ("/scale/takeover", test_takeover);
-  g_test_add_func ("/scale/begin-anew", test_begin_anew);
-  g_test_add_func ("/scale/stands-still", test_stands_still);
+  g_test_add_func ("/scale/cost-of-decisions", test_cost_of_decisions);
+  g_test_add_func ("/scale/half-of-machines-crash", test_half_of_machines_crash);
+  g_test_add_func ("/scale/failover-with-unresponsive-machines", test_failover_with_unresponsive_machines);
+  g_test_add_func ("/scale/full-restart", test_full_restart);
+  g_test_add_func ("/scale/stalled-leader", test_stalled_leader);
   return g_test_run ();
 }
--- a/tests/test-services.c
+++ b/tests/test-services.c
@@ -6,7 +6,7 @@
 /* Replicas run until their job is cancelled, through machines that stop, notices and replicas that end by themselves; a
  * service is never done. */
 static void
-test_service (void)
+test_replicas_restart_until_cancelled (void)
 {
   for (guint32 seed = 400; seed < 406; seed++)
     {
@@ -17,30 +17,30 @@
       for (guint i = 0; i < 6; i++)
         sim_add_job (sim, 1 + i, i % 2 ? "red" : "blue", 5, 2, 12);
       sim_run (sim, 50);
-      g_assert_cmpfloat (calm->missed_s, <, 0.1 * calm->wanted_s);
-      g_assert_cmpfloat (ends->missed_s, <, 0.6 * ends->wanted_s);
+      g_assert_cmpfloat (calm->replica_missed_s, <, 0.1 * calm->replica_wanted_s);
+      g_assert_cmpfloat (ends->replica_missed_s, <, 0.6 * ends->replica_wanted_s);
       machine = machine_with_tasks (sim);
       if (seed % 2)
         {
-          machine->failed = TRUE;
+          machine->crashed = TRUE;
           g_ptr_array_set_size (machine->tasks, 0);
         }
       else
-        machine->taken_at = sim->now + 8;
-      sim->calm_at = sim->now + 15;
+        machine->reclaim_at = sim->now + 8;
+      sim->faults_over_at = sim->now + 15;
       sim_run (sim, 118);
-      g_assert_false (calm->told_done || ends->told_done);
-      g_assert_cmpfloat (calm->missed_s, <, 0.4 * calm->wanted_s);
+      g_assert_false (calm->confirmed_done || ends->confirmed_done);
+      g_assert_cmpfloat (calm->replica_missed_s, <, 0.4 * calm->replica_wanted_s);
       sim_run (sim, 300);
-      g_assert_true (calm->told_cancelled && ends->told_cancelled);
-      expect_all_over (sim, "service", seed);
+      g_assert_true (calm->confirmed_cancelled && ends->confirmed_cancelled);
+      expect_all_finished (sim, "replicas restart until cancelled", seed);
       sim_free (sim);
     }
 }
 
 /* Production goes first: a fleet full of lower work makes room at once, and of a team at its limit lower work stops. */
 static void
-test_service_preempts (void)
+test_service_preempts_lower_classes (void)
 {
   Sim *sim = sim_new (410);
   SimJob *service;
@@ -49,14 +49,14 @@
   sim_run (sim, 40);
   service = add_service (sim, 40, "red", 4, 2, 120);
   sim_run (sim, 110);
-  g_assert_cmpfloat (service->wanted_s, >, 200);
-  g_assert_cmpfloat (service->missed_s, <, 0.3 * service->wanted_s);
+  g_assert_cmpfloat (service->replica_wanted_s, >, 200);
+  g_assert_cmpfloat (service->replica_missed_s, <, 0.3 * service->replica_wanted_s);
   sim_free (sim);
 }
 
 /* Room that is kept for replicas does not stand empty while other work waits for long. */
 static void
-test_kept_room (void)
+test_headroom_yields_to_waiting_work (void)
 {
   Sim *sim = sim_new (412);
   add_service (sim, 2, "red", 2, 1, 260);
@@ -66,16 +66,16 @@
       job->spot = FALSE;
       job->type = "big";
     }
-  sim->size.machines = 3;
-  sim->calm_at = 20;
+  sim->config.machines = 3;
+  sim->faults_over_at = 20;
   sim_run (sim, 900);
-  expect_all_over (sim, "kept room", 412);
+  expect_all_finished (sim, "headroom yields to waiting work", 412);
   sim_free (sim);
 }
 
 /* The only machines that suit are leased and full of long work: they come back with it, and it gives way. */
 static void
-test_kept_machine_comes_back (void)
+test_leased_machine_recalled_for_service (void)
 {
   for (guint32 seed = 413; seed < 417; seed++)
     {
@@ -94,11 +94,11 @@
       for (guint i = 0; i < controller->machines->all->len; i++)
         leased += ((HzbMachine *) controller->machines->all->pdata[i])->state == HZB_MACHINE_LEASED;
       g_assert_cmpuint (leased, >, 0);
-      sim->size.machines = 0; /* no more are to be had */
+      sim->config.machines = 0; /* no more are to be had */
       service = add_service (sim, 30, "red", 4, 1, 120);
       sim_run (sim, 110);
-      g_assert_cmpfloat (service->missed_s, <, 0.05 * service->wanted_s);
-      expect_no_fault (sim, "kept machine comes back", seed);
+      g_assert_cmpfloat (service->replica_missed_s, <, 0.05 * service->replica_wanted_s);
+      expect_no_violation (sim, "leased machine recalled for service", seed);
       sim_free (sim);
     }
 }
@@ -130,15 +130,15 @@
   for (guint i = 0; i < G_N_ELEMENTS (wrong); i++, uid++)
     {
       g_autofree char *path = g_strdup_printf ("/api/jobs/run-%06u", uid);
-      g_assert_cmpuint (submit_changed (sim, node, uid, wrong[i].field, wrong[i].value), ==, wrong[i].status);
-      g_assert_nonnull (strstr (last_body, "\"error\""));
-      g_assert_cmpuint (ask (sim, (node + 1) % SIM_NODES, "GET", path, "", NULL), ==, 404);
+      g_assert_cmpuint (submit_service_with (sim, node, uid, wrong[i].field, wrong[i].value), ==, wrong[i].status);
+      g_assert_nonnull (strstr (last_response_body, "\"error\""));
+      g_assert_cmpuint (user_request (sim, (node + 1) % SIM_NODES, "GET", path, "", NULL), ==, 404);
     }
 }
 
 /* Odd requests get their answer and are never accepted, on every node. */
 static void
-test_odd_requests (void)
+test_invalid_requests (void)
 {
   Sim *sim = sim_new (411);
   SimJob *job = sim_add_job (sim, 1, "red", 4, 2, 8);
@@ -157,23 +157,23 @@
       g_assert_cmpuint (submit_service (sim, node, uid + 2, "nobody", 2, 1, "0", NULL), ==, 422);
       g_assert_cmpuint (submit_service (sim, node, uid + 3, "red", 2, 1, "\"long\"", NULL), ==, 400);
       g_assert_cmpuint (submit_service (sim, node, uid + 4, "red", 2, 1, "-1", NULL), ==, 400);
-      g_assert_cmpuint (ask (sim, node, "GET", "/api/jobs/run-000010", "", NULL), ==, 404);
+      g_assert_cmpuint (user_request (sim, node, "GET", "/api/jobs/run-000010", "", NULL), ==, 404);
       g_assert_cmpuint (submit_service (sim, node, uid + 5, "red", 2, 1, "0", NULL), ==, 201);
       g_assert_cmpuint (submit_service (sim, (node + 1) % SIM_NODES, uid + 5, "red", 2, 1, "0", NULL), ==,
                         200); /* a repeat */
     }
   sim_run (sim, sim->now + 20);
-  g_assert_true (job->told_done);
+  g_assert_true (job->confirmed_done);
   path = g_strdup_printf ("/api/jobs/%s/cancel", job->uid);
-  g_assert_cmpuint (ask (sim, 1, "POST", path, "", NULL), ==, 200);
-  sim->outage = TRUE;
+  g_assert_cmpuint (user_request (sim, 1, "POST", path, "", NULL), ==, 200);
+  sim->kv_outage = TRUE;
   sim_run (sim, sim->now + 6);
   for (guint node = 0; node < SIM_NODES; node++)
     {
       g_assert_cmpuint (submit_service (sim, node, 90, "red", 30, 1, "0", &retry), ==, 503);
       g_assert_cmpuint (retry, >, 0);
       g_assert_cmpuint (submit_service (sim, node, 91, "red", 2, 1, "0", &retry), ==, 503);
-      g_assert_cmpuint (ask (sim, node, "POST", path, "", NULL), ==, 200); /* done, and told so before */
+      g_assert_cmpuint (user_request (sim, node, "POST", path, "", NULL), ==, 200); /* done, and told so before */
     }
   sim_free (sim);
 }
@@ -181,7 +181,7 @@
 static gboolean
 alive (const SimMachine *machine)
 {
-  return !machine->gone && !machine->failed;
+  return !machine->terminated && !machine->crashed;
 }
 
 static double
@@ -196,7 +196,7 @@
 /* A day of services alone: they get machines, no more than they and what is kept for them need, for as long as they run;
  * nothing of them is left in the owner's records afterwards. */
 static void
-test_services_alone (void)
+test_services_only (void)
 {
   for (guint32 seed = 470; seed < 474; seed++)
     {
@@ -212,10 +212,10 @@
           g_assert_cmpfloat (cpus_rented (sim), <=, 9 + 2 * 5 + 2 * 8);
         }
       for (guint i = 0; i < 3; i++)
-        g_assert_cmpfloat (services[i]->missed_s, <, 0.05 * services[i]->wanted_s);
-      sim->calm_at = 30;
+        g_assert_cmpfloat (services[i]->replica_missed_s, <, 0.05 * services[i]->replica_wanted_s);
+      sim->faults_over_at = 30;
       sim_run (sim, 400);
-      expect_all_over (sim, "services alone", seed);
+      expect_all_finished (sim, "services only", seed);
       g_assert_cmpfloat (cpus_rented (sim), ==, 0);
       g_assert_cmpuint (sim_largest_record (sim, "hzb/x/progress/"), ==, 0);
       sim_free (sim);
@@ -224,14 +224,14 @@
 
 /* More services than there is room for: what fits runs, and what is cancelled makes room for the others. */
 static void
-test_services_beyond_room (void)
+test_more_services_than_capacity (void)
 {
   for (guint32 seed = 480; seed < 484; seed++)
     {
       Sim *sim = sim_new (seed);
       SimJob *first, *second, *batch = sim_add_job (sim, 1, "blue", 4, 1, 30);
       double cpus;
-      sim->size.machines = 3;
+      sim->config.machines = 3;
       first = add_service (sim, 3, "red", 10, 2, 120);
       second = add_service (sim, 4, "blue", 10, 2, 260);
       first->spread = second->spread = FALSE;
@@ -239,14 +239,14 @@
       cpus = 2 * (sim_running (sim, first, NULL) + sim_running (sim, second, NULL));
       g_assert_cmpfloat (cpus, >=, cpus_rented (sim) - 2);
       sim_run (sim, 160);
-      g_assert_true (first->told_cancelled);
+      g_assert_true (first->confirmed_cancelled);
       g_assert_cmpuint (2 * sim_running (sim, second, NULL), >=, MIN (20, cpus_rented (sim) - 2));
       sim_run (sim, 255);
-      g_assert_cmpuint (ask (sim, 0, "GET", "/api/jobs/run-100002", "", NULL), ==, 200);
-      sim->calm_at = 300;
+      g_assert_cmpuint (user_request (sim, 0, "GET", "/api/jobs/run-100002", "", NULL), ==, 200);
+      sim->faults_over_at = 300;
       sim_run (sim, 450);
-      g_assert_true (batch->told_done);
-      expect_all_over (sim, "services beyond room", seed);
+      g_assert_true (batch->confirmed_done);
+      expect_all_finished (sim, "more services than capacity", seed);
       sim_free (sim);
     }
 }
@@ -254,40 +254,40 @@
 /* Many services come and go, as over months: how they ended moves out of what every node replicas of the records, each node still answers
  * for all of them, and the owner's pages name none. */
 static void
-test_services_over_months (void)
+test_months_of_services (void)
 {
-  SimSize size = sim_size_little;
+  SimConfig config = sim_config_small;
   Sim *sim;
   guint kept = 0;
-  size.max_replicated_completed = 4;
-  sim = sim_new_sized (490, &size);
+  config.max_replicated_completed = 4;
+  sim = sim_new_with_config (490, &config);
   for (guint i = 0; i < 80; i++)
     {
       double at = 1 + 2 * i;
       add_service (sim, at, i % 2 ? "red" : "blue", 1, 1, at + 6);
     }
-  sim_at (sim, 70, crash_all, NULL);
+  sim_schedule (sim, 70, crash_all_controllers, NULL);
   sim_run (sim, 400);
   for (guint node = 0; node < SIM_NODES; node++)
     {
       kept = g_hash_table_size (sim->nodes[node].controller->jobs->by_uid);
-      g_assert_cmpuint (kept, ==, size.max_replicated_completed);
+      g_assert_cmpuint (kept, ==, config.max_replicated_completed);
     }
   for (guint i = 0; i < sim->jobs->len; i += 7)
     {
       g_autofree char *path = g_strdup_printf ("/api/jobs/%s", ((SimJob *) sim->jobs->pdata[i])->uid);
-      g_assert_cmpuint (ask (sim, i % SIM_NODES, "GET", path, "", NULL), ==, 200);
-      g_assert_nonnull (strstr (last_body, "cancelled"));
+      g_assert_cmpuint (user_request (sim, i % SIM_NODES, "GET", path, "", NULL), ==, 200);
+      g_assert_nonnull (strstr (last_response_body, "cancelled"));
     }
   g_assert_cmpuint (sim_largest_record (sim, "hzb/x/progress/"), ==, 0);
-  expect_all_over (sim, "services over months", 490);
+  expect_all_finished (sim, "months of services", 490);
   sim_free (sim);
 }
 
 /* A service is cancelled while a replica of it moves, or while a machine of it hangs and goes on later, and now and then
  * the leader ends as well. */
 static void
-test_cancelled_as_it_moves (void)
+test_cancelled_while_replica_moves (void)
 {
   for (guint32 seed = 500; seed < 512; seed++)
     {
@@ -298,27 +298,27 @@
       sim_run (sim, 60 - g_rand_double_range (sim->rand, 0, 3));
       machine = machine_with_tasks (sim);
       if (seed % 2)
-        machine->taken_at = sim->now + 5;
+        machine->reclaim_at = sim->now + 5;
       else
         machine->hung = TRUE;
       if (seed % 3 == 0)
-        sim_at (sim, sim->now + g_rand_double_range (sim->rand, 0, 3), crash_one, NULL);
+        sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 0, 3), crash_random_controller, NULL);
       sim_run (sim, 60 + g_rand_double_range (sim->rand, 2, 14));
       machine->hung = FALSE; /* it goes on, within its lease or after it */
-      start_all (sim, NULL);
+      start_all_controllers (sim, NULL);
       sim_run (sim, 120);
-      g_assert_true (service->told_cancelled);
+      g_assert_true (service->confirmed_cancelled);
       g_assert_cmpuint (sim_running (sim, service, NULL), ==, 0);
-      sim->calm_at = 130;
+      sim->faults_over_at = 130;
       sim_run (sim, 330);
-      expect_all_over (sim, "cancelled as it moves", seed);
+      expect_all_finished (sim, "cancelled while replica moves", seed);
       sim_free (sim);
     }
 }
 
 /* One of two zones goes: half of the replicas stay, the others wait, as spread asks; they come back with the zone. */
 static void
-test_zone_of_service_goes (void)
+test_zone_loss (void)
 {
   for (guint32 seed = 520; seed < 524; seed++)
     {
@@ -327,13 +327,13 @@
       sim_run (sim, 40);
       g_assert_cmpuint (sim_running (sim, service, "za"), ==, 2);
       g_assert_cmpuint (sim_running (sim, service, "zb"), ==, 2);
-      sim->closed_zone = "za";
+      sim->zone_without_capacity = "za";
       for (guint i = 0; i < sim->machines->len; i++)
         {
           SimMachine *machine = sim->machines->pdata[i];
           if (!g_str_equal (machine->zone, "za"))
             continue;
-          machine->failed = TRUE;
+          machine->crashed = TRUE;
           g_ptr_array_set_size (machine->tasks, 0);
         }
       for (guint t = 41; t < 120; t++)
@@ -341,19 +341,19 @@
           sim_run (sim, t);
           g_assert_cmpuint (sim_running (sim, service, "zb"), ==, 2);
         }
-      sim->closed_zone = NULL;
+      sim->zone_without_capacity = NULL;
       sim_run (sim, 190);
       g_assert_cmpuint (sim_running (sim, service, "za"), ==, 2);
-      sim->calm_at = 190;
+      sim->faults_over_at = 190;
       sim_run (sim, 330);
-      expect_all_over (sim, "zone of a service goes", seed);
+      expect_all_finished (sim, "zone of a service goes", seed);
       sim_free (sim);
     }
 }
 
 /* All replicas in one zone: when one loses its machine it comes back beside the others; when all do, anywhere. */
 static void
-test_service_in_one_zone (void)
+test_same_zone_service (void)
 {
   for (guint32 seed = 530; seed < 536; seed++)
     {
@@ -370,16 +370,16 @@
           SimMachine *other = sim->machines->pdata[i];
           if (seed % 2 ? other != machine : !g_str_equal (other->zone, machine->zone))
             continue;
-          other->failed = TRUE;
+          other->crashed = TRUE;
           g_ptr_array_set_size (other->tasks, 0);
         }
       if (seed % 2 == 0)
-        sim->closed_zone = machine->zone;
+        sim->zone_without_capacity = machine->zone;
       sim_run (sim, 120);
       g_assert_cmpuint (MAX (sim_running (sim, service, "za"), sim_running (sim, service, "zb")), ==, 6);
-      sim->calm_at = 120;
+      sim->faults_over_at = 120;
       sim_run (sim, 330);
-      expect_all_over (sim, "service in one zone", seed);
+      expect_all_finished (sim, "same zone service", seed);
       sim_free (sim);
     }
 }
@@ -387,7 +387,7 @@
 /* Replicas that end as soon as they start: they are tried ever more seldom, no machine is given up for them, all else goes
  * on, and the service is known and can be cancelled. */
 static void
-test_replicas_end_at_once (void)
+test_crash_looping_replicas (void)
 {
   for (guint32 seed = 540; seed < 544; seed++)
     {
@@ -395,19 +395,19 @@
       SimJob *ends = add_service (sim, 3, "red", 3, 1, 150), *sound = add_service (sim, 4, "blue", 3, 1, 150);
       guint before;
       ends->run_s = seed % 2 ? 0.01 : 1e9;
-      ends->bad = seed % 2 == 0;
+      ends->always_fails = seed % 2 == 0;
       for (guint i = 0; i < 6; i++)
         sim_add_job (sim, 5 + 4 * i, i % 2 ? "red" : "blue", 4, 1, 10);
       sim_run (sim, 60);
-      before = sim->started;
+      before = sim->tasks_started;
       sim_run (sim, 120);
-      g_test_message ("%u starts in a minute", sim->started - before);
-      g_assert_cmpuint (sim->started - before, <=, 3 * 60 / 8);
+      g_test_message ("%u starts in a minute", sim->tasks_started - before);
+      g_assert_cmpuint (sim->tasks_started - before, <=, 3 * 60 / 8);
       sim_run (sim, 148);
-      g_assert_cmpuint (sim->started - before, >=, 1);
-      g_assert_cmpfloat (sound->missed_s, <, 0.05 * sound->wanted_s);
+      g_assert_cmpuint (sim->tasks_started - before, >=, 1);
+      g_assert_cmpfloat (sound->replica_missed_s, <, 0.05 * sound->replica_wanted_s);
       sim_run (sim, 300);
-      expect_all_over (sim, "replicas end at once", seed);
+      expect_all_finished (sim, "crash looping replicas", seed);
       sim_free (sim);
     }
 }
@@ -415,7 +415,7 @@
 /* The leader ends just after it has released a service's replicas, and spot machines can't be reached from then on: the next
  * leader waits for ordinary ones only, since the service may run on no other. What may run on spot machines waits for those. */
 static void
-test_takeover_waits_for_allowed_kinds (void)
+test_failover_waits_for_eligible_machines_only (void)
 {
   for (guint32 seed = 550; seed < 558; seed++)
     {
@@ -439,7 +439,7 @@
       for (guint i = 0; i < sim->machines->len; i++)
         {
           SimMachine *machine = sim->machines->pdata[i];
-          machine->cut = machine->spot;
+          machine->partitioned = machine->spot;
         }
       since = sim->now;
       while (sim_leader (sim) < 0 || !hzb_ownership_leader_loaded (sim->nodes[sim_leader (sim)].controller->ownership))
@@ -453,9 +453,9 @@
       sim_start (sim, leader);
       sim_run (sim, sim->now + 5);
       for (guint i = 0; i < sim->machines->len; i++)
-        ((SimMachine *) sim->machines->pdata[i])->cut = FALSE;
+        ((SimMachine *) sim->machines->pdata[i])->partitioned = FALSE;
       sim_run (sim, 600);
-      expect_all_over (sim, "takeover waits for allowed kinds", seed);
+      expect_all_finished (sim, "failover waits for eligible machines only", seed);
       sim_free (sim);
     }
 }
@@ -465,18 +465,19 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/cluster/service", test_service);
-  g_test_add_func ("/cluster/service-preempts", test_service_preempts);
-  g_test_add_func ("/cluster/kept-room", test_kept_room);
-  g_test_add_func ("/cluster/kept-machine-comes-back", test_kept_machine_comes_back);
-  g_test_add_func ("/cluster/odd-requests", test_odd_requests);
-  g_test_add_func ("/cluster/services-alone", test_services_alone);
-  g_test_add_func ("/cluster/services-beyond-room", test_services_beyond_room);
-  g_test_add_func ("/cluster/services-over-months", test_services_over_months);
-  g_test_add_func ("/cluster/cancelled-as-it-moves", test_cancelled_as_it_moves);
-  g_test_add_func ("/cluster/zone-of-service-goes", test_zone_of_service_goes);
-  g_test_add_func ("/cluster/service-in-one-zone", test_service_in_one_zone);
-  g_test_add_func ("/cluster/replicas-end-at-once", test_replicas_end_at_once);
-  g_test_add_func ("/cluster/takeover-waits-for-allowed-kinds", test_takeover_waits_for_allowed_kinds);
+  g_test_add_func ("/services/replicas-restart-until-cancelled", test_replicas_restart_until_cancelled);
+  g_test_add_func ("/services/service-preempts-lower-classes", test_service_preempts_lower_classes);
+  g_test_add_func ("/services/headroom-yields-to-waiting-work", test_headroom_yields_to_waiting_work);
+  g_test_add_func ("/services/leased-machine-recalled-for-service", test_leased_machine_recalled_for_service);
+  g_test_add_func ("/services/invalid-requests", test_invalid_requests);
+  g_test_add_func ("/services/services-only", test_services_only);
+  g_test_add_func ("/services/more-services-than-capacity", test_more_services_than_capacity);
+  g_test_add_func ("/services/months-of-services", test_months_of_services);
+  g_test_add_func ("/services/cancelled-while-replica-moves", test_cancelled_while_replica_moves);
+  g_test_add_func ("/services/zone-loss", test_zone_loss);
+  g_test_add_func ("/services/same-zone-service", test_same_zone_service);
+  g_test_add_func ("/services/crash-looping-replicas", test_crash_looping_replicas);
+  g_test_add_func ("/services/failover-waits-for-eligible-machines-only",
+                   test_failover_waits_for_eligible_machines_only);
   return g_test_run ();
 }
--- a/tests/test-leases.c
+++ b/tests/test-shard-leases.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static SimMachine *
-lent_machine_with_tasks (Sim *sim, HzbController *controller)
+leased_machine_with_tasks (Sim *sim, HzbController *controller)
 {
   for (guint i = 0; i < sim->machines->len; i++)
     {
@@ -18,7 +18,7 @@
 
 /* Enough work for several machines: some are leased, and tasks run on them. */
 static SimMachine *
-run_until_lent (Sim *sim)
+run_until_leased (Sim *sim)
 {
   SimMachine *machine = NULL;
   for (guint i = 0; i < 10; i++)
@@ -30,7 +30,7 @@
     {
       sim_run (sim, sim->now + 0.5);
       if (sim_leader (sim) >= 0)
-        machine = lent_machine_with_tasks (sim, sim->nodes[sim_leader (sim)].controller);
+        machine = leased_machine_with_tasks (sim, sim->nodes[sim_leader (sim)].controller);
     }
   g_assert_nonnull (machine);
   return machine;
@@ -47,37 +47,37 @@
 
 /* A leaseholder ends: its shard goes back to the leader, and what runs on its machines runs on. */
 static void
-test_leaseholder_ends (void)
+test_leaseholder_crash (void)
 {
   Sim *sim = sim_new (40);
-  SimMachine *machine = run_until_lent (sim);
+  SimMachine *machine = run_until_leased (sim);
   guint64 agent_epoch = machine->agent_epoch;
   guint tasks = machine->tasks->len;
   sim_crash (sim, node_of_leaseholder (sim, machine));
   sim_run (sim, sim->now + 9);
   g_assert_cmpuint (machine->agent_epoch, ==, agent_epoch); /* its lease lived */
   g_assert_cmpuint (machine->tasks->len, >=, tasks > 0);
-  start_all (sim, NULL);
+  start_all_controllers (sim, NULL);
   sim_run (sim, 600);
-  expect_all_over (sim, "lessee ends", 40);
+  expect_all_finished (sim, "leaseholder crash", 40);
   sim_free (sim);
 }
 
 /* A leaseholder is cut off from the leader but not from its machines: it goes on under its fencing token, while the leader takes
  * the shard back. Nothing of it starts elsewhere until every machine has answered the leader. */
 static void
-test_leaseholder_cut_off (void)
+test_leaseholder_cut_off_from_leader (void)
 {
   for (guint32 seed = 41; seed < 47; seed++)
     {
       Sim *sim = sim_new (seed);
-      SimMachine *machine = run_until_lent (sim);
+      SimMachine *machine = run_until_leased (sim);
       guint at = node_of_leaseholder (sim, machine);
       HzbController *controller = sim->nodes[sim_leader (sim)].controller;
       guint64 fencing_token = hzb_machines_find (controller->machines, machine->name)->fencing_token,
               seen = machine->fencing_token;
       HzbMachine *known;
-      sim->nodes[at].cut_peers = TRUE;
+      sim->nodes[at].cut_off_from_peers = TRUE;
       sim_run (sim, sim->now + 6);
       known = hzb_machines_find (controller->machines, machine->name);
       g_assert_nonnull (known);
@@ -85,26 +85,26 @@
       g_assert_cmpint (known->state, !=, HZB_MACHINE_LEASED);
       g_assert_cmpuint (known->fencing_token, >, MAX (fencing_token, seen));
       sim_run (sim, sim->now + 14);
-      sim->nodes[at].cut_peers = FALSE;
+      sim->nodes[at].cut_off_from_peers = FALSE;
       sim_run (sim, 600);
-      expect_all_over (sim, "lessee cut off", seed);
+      expect_all_finished (sim, "leaseholder cut off from leader", seed);
       sim_free (sim);
     }
 }
 
 /* The leader ends: the next one hears every machine, leased or not, before it starts what might run. */
 static void
-test_leader_of_leaseholders_ends (void)
+test_leader_crash (void)
 {
   for (guint32 seed = 47; seed < 53; seed++)
     {
       Sim *sim = sim_new (seed);
-      run_until_lent (sim);
+      run_until_leased (sim);
       sim_crash (sim, (guint) sim_leader (sim));
       sim_run (sim, sim->now + g_rand_double_range (sim->rand, 0.5, 12));
-      start_all (sim, NULL);
+      start_all_controllers (sim, NULL);
       sim_run (sim, 600);
-      expect_all_over (sim, "leader of lessees ends", seed);
+      expect_all_finished (sim, "leader crash", seed);
       sim_free (sim);
     }
 }
@@ -112,12 +112,12 @@
 /* After a takeover the new leader has every machine, and none is without tasks: working ones are handed over, with
  * their tasks, which run on; whoever ends in the midst of that. */
 static void
-test_hand_over (void)
+test_hand_over_of_working_machines (void)
 {
   for (guint32 seed = 110; seed < 118; seed++)
     {
       Sim *sim = sim_new (seed);
-      guint handed = 0;
+      guint handed_over = 0;
       int leader;
       for (guint i = 0; i < 12; i++)
         sim_add_job (sim, 1 + 0.3 * i, i % 2 ? "red" : "blue", 8, 3, 60)->type = "small";
@@ -135,57 +135,58 @@
             {
               const SimMachine *machine = sim->machines->pdata[i];
               const HzbMachine *known = hzb_machines_find (controller->machines, machine->name);
-              handed += known && known->state == HZB_MACHINE_LEASED && machine->tasks->len && machine->agent_epoch == 1;
+              handed_over +=
+                  known && known->state == HZB_MACHINE_LEASED && machine->tasks->len && machine->agent_epoch == 1;
             }
-          if (handed && k > 10 + seed % 4)
+          if (handed_over && k > 10 + seed % 4)
             break;
         }
-      g_assert_cmpuint (handed, >, 0);
+      g_assert_cmpuint (handed_over, >, 0);
       if (seed % 3 == 0)
         sim_crash (sim, (guint) (sim_leader (sim) + 1) % SIM_NODES);
       else if (seed % 3 == 1)
         sim_crash (sim, (guint) sim_leader (sim));
       sim_run (sim, sim->now + 7);
-      start_all (sim, NULL);
+      start_all_controllers (sim, NULL);
       sim_run (sim, 900);
-      expect_all_over (sim, "hand over", seed);
+      expect_all_finished (sim, "hand over of working machines", seed);
       sim_free (sim);
     }
 }
 
 /* Much work, leased shards, and everything fails. */
 static void
-test_leases_and_failures (void)
+test_random_failures (void)
 {
   for (guint32 seed = 60; seed < 72; seed++)
     {
       Sim *sim = sim_new (seed);
-      run_until_lent (sim);
-      sim->lose = seed % 3 ? 0.03 : 0;
-      sim->late = seed % 2 ? 0.05 : 0;
+      run_until_leased (sim);
+      sim->loss_chance = seed % 3 ? 0.03 : 0;
+      sim->delay_chance = seed % 2 ? 0.05 : 0;
       for (guint i = 0; i < 3; i++)
         {
           double at = sim->now + g_rand_double_range (sim->rand, 0, 50);
-          sim_at (sim, at, crash_one, NULL);
-          sim_at (sim, at + g_rand_double_range (sim->rand, 1, 8), start_all, NULL);
-          sim_at (sim, sim->now + g_rand_double_range (sim->rand, 0, 50), hurt_machine, NULL);
+          sim_schedule (sim, at, crash_random_controller, NULL);
+          sim_schedule (sim, at + g_rand_double_range (sim->rand, 1, 8), start_all_controllers, NULL);
+          sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 0, 50), fail_random_machine, NULL);
           at = sim->now + g_rand_double_range (sim->rand, 0, 40);
-          sim_at (sim, at, cut_leader, NULL);
-          sim_at (sim, at + g_rand_double_range (sim->rand, 2, 15), heal, NULL);
+          sim_schedule (sim, at, cut_off_leader_at_random, NULL);
+          sim_schedule (sim, at + g_rand_double_range (sim->rand, 2, 15), heal_controllers, NULL);
         }
       sim_run (sim, sim->now + 60);
-      start_all (sim, NULL);
-      heal (sim, NULL);
-      sim->lose = sim->late = 0;
+      start_all_controllers (sim, NULL);
+      heal_controllers (sim, NULL);
+      sim->loss_chance = sim->delay_chance = 0;
       sim_run (sim, sim->now + 500);
-      expect_all_over (sim, "leases and failures", seed);
+      expect_all_finished (sim, "random failures", seed);
       sim_free (sim);
     }
 }
 
 /* Work that only the leader's shard may have waits: machines are not leased, to stand idle elsewhere. */
 static void
-test_own_work (void)
+test_no_lease_for_leader_only_work (void)
 {
   Sim *sim = sim_new (74);
   for (guint i = 0; i < 8; i++)
@@ -199,14 +200,14 @@
         g_assert_cmpint (((HzbMachine *) controller->machines->all->pdata[i])->state, !=, HZB_MACHINE_LEASED);
     }
   sim_run (sim, 400);
-  expect_all_over (sim, "own work", 74);
+  expect_all_finished (sim, "no lease for leader only work", 74);
   sim_free (sim);
 }
 
 /* A leader can't be asked for a while, and then answers slowly: the leaseholder has given its shard up by then. It is not a leaseholder
  * again by that answer, without all that it was sent before. */
 static void
-test_answer_after_giving_up (void)
+test_late_renewal_after_release (void)
 {
   for (guint32 seed = 90; seed < 106; seed++)
     {
@@ -226,21 +227,21 @@
       g_assert_cmpint (leaseholder, !=, -1);
       leader = (guint) MAX (sim_leader (sim), 0);
       sim_run (sim, sim->now + g_rand_double_range (sim->rand, 0, 2));
-      sim->nodes[leaseholder].peer_answer_delay_s = 1.35;
+      sim->nodes[leaseholder].peer_response_delay_s = 1.35;
       sim->nodes[leader].refuses_peers = TRUE;
       sim_run (sim, sim->now + 3.6);
       sim->nodes[leader].refuses_peers = FALSE;
       sim_run (sim, sim->now + 4);
-      sim->nodes[leaseholder].peer_answer_delay_s = 0;
+      sim->nodes[leaseholder].peer_response_delay_s = 0;
       for (guint i = 0; i < sim->jobs->len; i++)
         {
           SimJob *job = sim->jobs->pdata[i];
           job->wants_cancel = seed % 2 == 1;
           job->cancel_at = sim->now;
         }
-      sim->calm_at = sim->now + 10;
+      sim->faults_over_at = sim->now + 10;
       sim_run (sim, sim->now + 250);
-      expect_all_over (sim, "answer after giving up", seed);
+      expect_all_finished (sim, "late renewal after release", seed);
       sim_free (sim);
     }
 }
@@ -250,12 +251,12 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/cluster/lessee-ends", test_leaseholder_ends);
-  g_test_add_func ("/cluster/lessee-cut-off", test_leaseholder_cut_off);
-  g_test_add_func ("/cluster/leader-of-lessees-ends", test_leader_of_leaseholders_ends);
-  g_test_add_func ("/cluster/hand-over", test_hand_over);
-  g_test_add_func ("/cluster/own-work", test_own_work);
-  g_test_add_func ("/cluster/leases-and-failures", test_leases_and_failures);
-  g_test_add_func ("/cluster/answer-after-giving-up", test_answer_after_giving_up);
+  g_test_add_func ("/shard-leases/leaseholder-crash", test_leaseholder_crash);
+  g_test_add_func ("/shard-leases/leaseholder-cut-off-from-leader", test_leaseholder_cut_off_from_leader);
+  g_test_add_func ("/shard-leases/leader-crash", test_leader_crash);
+  g_test_add_func ("/shard-leases/hand-over-of-working-machines", test_hand_over_of_working_machines);
+  g_test_add_func ("/shard-leases/no-lease-for-leader-only-work", test_no_lease_for_leader_only_work);
+  g_test_add_func ("/shard-leases/random-failures", test_random_failures);
+  g_test_add_func ("/shard-leases/late-renewal-after-release", test_late_renewal_after_release);
   return g_test_run ();
 }
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -8,17 +8,17 @@
 /* ---- two versions ---- */
 
 static void
-set_old (Sim *sim, guint node, gboolean old)
+set_version_1 (Sim *sim, guint node, gboolean old)
 {
   sim_crash (sim, node);
-  sim->nodes[node].old = old;
+  sim->nodes[node].runs_version_1 = old;
   sim_start (sim, node);
 }
 
 /* While one node is of version 1, silent or just restarted, no service is taken and nothing is written that it would
  * misread; afterwards it is, and a return to version 1 is refused. */
 static void
-test_rollout (void)
+test_rolling_upgrade (void)
 {
   for (guint32 seed = 420; seed < 426; seed++)
     {
@@ -26,7 +26,7 @@
       guint retry = 0;
       HzbController *controller;
       for (guint i = 0; i < SIM_NODES; i++)
-        set_old (sim, i, TRUE);
+        set_version_1 (sim, i, TRUE);
       for (guint i = 0; i < 8; i++)
         sim_add_job (sim, 1 + 3 * i, i % 2 ? "red" : "blue", 5, 1.5, 20)->wants_cancel = i % 3 == 2;
       sim_run (sim, 15);
@@ -35,14 +35,14 @@
           g_assert_cmpuint (submit_service (sim, 2, 50, "red", 2, 1, "0", &retry), ==, 503);
           g_assert_cmpuint (retry, >, 0);
           g_assert_cmpint (hzb_election_schema_version (sim->nodes[2].controller->election), ==, 1);
-          set_old (sim, i, FALSE);
+          set_version_1 (sim, i, FALSE);
           if (seed % 3 == 1 && i == 1)
-            set_old (sim, 2, TRUE); /* it dies before its turn and comes back old */
+            set_version_1 (sim, 2, TRUE); /* it dies before its turn and comes back old */
           if (seed % 3 == 2 && i == 0)
             {
-              sim->outage = TRUE;
+              sim->kv_outage = TRUE;
               sim_run (sim, sim->now + 7);
-              sim->outage = FALSE;
+              sim->kv_outage = FALSE;
             }
           sim_run (sim, sim->now + 6);
         }
@@ -50,33 +50,33 @@
       for (guint i = 0; i < SIM_NODES; i++)
         g_assert_cmpint (hzb_election_schema_version (sim->nodes[i].controller->election), ==, 2);
       g_assert_cmpuint (submit_service (sim, 1, 50, "red", 2, 1, "0", NULL), ==, 201);
-      g_assert_cmpuint (ask (sim, 0, "POST", "/api/jobs/run-000050/cancel", "", NULL), ==, 200);
+      g_assert_cmpuint (user_request (sim, 0, "POST", "/api/jobs/run-000050/cancel", "", NULL), ==, 200);
       /* The lead still passes on, by the key of format 2. */
-      crash_one (sim, NULL);
+      crash_random_controller (sim, NULL);
       sim_run (sim, sim->now + 10);
-      start_all (sim, NULL);
+      start_all_controllers (sim, NULL);
       sim_run (sim, sim->now + 10);
       g_assert_cmpint (sim_leader (sim), !=, -1);
       controller = sim->nodes[sim_leader (sim)].controller;
-      set_old (sim, (guint) (sim_leader (sim) + 1) % SIM_NODES, TRUE);
+      set_version_1 (sim, (guint) (sim_leader (sim) + 1) % SIM_NODES, TRUE);
       sim_run (sim, sim->now + 5);
       g_assert_false (hzb_peers_all_support_schema (controller->peers, 2));
-      set_old (sim, (guint) (sim_leader (sim) + 1) % SIM_NODES, FALSE);
+      set_version_1 (sim, (guint) (sim_leader (sim) + 1) % SIM_NODES, FALSE);
       sim_run (sim, sim->now + 200);
-      expect_all_over (sim, "rollout", seed);
+      expect_all_finished (sim, "rolling upgrade", seed);
       sim_free (sim);
     }
 }
 
 /* Upgrades through deaths, cuts, outages and cancellations, with services from their end on, and limits that fall. */
 static void
-test_rollout_and_troubles (void)
+test_rolling_upgrade_with_faults (void)
 {
   for (guint32 seed = 430; seed < 442; seed++)
     {
       Sim *sim = sim_new (seed);
       for (guint i = 0; i < SIM_NODES; i++)
-        set_old (sim, i, TRUE);
+        set_version_1 (sim, i, TRUE);
       for (guint i = 0; i < 12; i++)
         {
           SimJob *job =
@@ -90,30 +90,30 @@
       for (guint i = 0; i < SIM_NODES; i++)
         {
           double at = sim->now + g_rand_double_range (sim->rand, 0, 4);
-          sim_at (sim, at, seed % 2 ? cut_leader : crash_one, NULL);
-          sim_at (sim, at + g_rand_double_range (sim->rand, 2, 8), heal, NULL);
-          sim_at (sim, at + g_rand_double_range (sim->rand, 2, 8), start_all, NULL);
+          sim_schedule (sim, at, seed % 2 ? cut_off_leader_at_random : crash_random_controller, NULL);
+          sim_schedule (sim, at + g_rand_double_range (sim->rand, 2, 8), heal_controllers, NULL);
+          sim_schedule (sim, at + g_rand_double_range (sim->rand, 2, 8), start_all_controllers, NULL);
           if (seed % 4 == 3)
             {
-              sim_at (sim, at, flip_outage, NULL);
-              sim_at (sim, at + 3, flip_outage, NULL);
+              sim_schedule (sim, at, toggle_kv_outage, NULL);
+              sim_schedule (sim, at + 3, toggle_kv_outage, NULL);
             }
-          set_old (sim, i, FALSE);
+          set_version_1 (sim, i, FALSE);
           sim_run (sim, sim->now + g_rand_double_range (sim->rand, 4, 10));
         }
       sim_run (sim, 60);
-      sim->most_value = 2048;
-      sim->most_changes = 8; /* as the settings say, of 8 */
-      sim_at (sim, 70, crash_one, NULL);
-      sim_at (sim, 76, start_all, NULL);
-      sim_at (sim, 85, hurt_machine, NULL);
-      sim_at (sim, 95, crash_all, NULL);
+      sim->kv_max_value_bytes = 2048;
+      sim->kv_max_changes = 8; /* as the settings say, of 8 */
+      sim_schedule (sim, 70, crash_random_controller, NULL);
+      sim_schedule (sim, 76, start_all_controllers, NULL);
+      sim_schedule (sim, 85, fail_random_machine, NULL);
+      sim_schedule (sim, 95, crash_all_controllers, NULL);
       sim_run (sim, 110);
-      start_all (sim, NULL);
-      sim->outage = FALSE;
-      sim->calm_at = 125;
+      start_all_controllers (sim, NULL);
+      sim->kv_outage = FALSE;
+      sim->faults_over_at = 125;
       sim_run (sim, 500);
-      expect_all_over (sim, "rollout and troubles", seed);
+      expect_all_finished (sim, "rolling upgrade with faults", seed);
       sim_free (sim);
     }
 }
@@ -124,10 +124,10 @@
 {
   guint node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES), status;
   g_autofree char *path = g_strdup_printf ("/api/jobs/run-%06u", uid + 1);
-  g_assert_cmpuint (submit_changed (sim, node, uid, "pieces", "0"), ==, 400);
-  status = submit_changed (sim, node, uid + 1, "pieces", "25"); /* beyond the team's limit */
+  g_assert_cmpuint (submit_service_with (sim, node, uid, "pieces", "0"), ==, 400);
+  status = submit_service_with (sim, node, uid + 1, "pieces", "25"); /* beyond the team's limit */
   g_assert_true (status == 422 || (may_wait && status == 503));
-  status = ask (sim, (node + 1) % SIM_NODES, "GET", path, "", NULL);
+  status = user_request (sim, (node + 1) % SIM_NODES, "GET", path, "", NULL);
   g_assert_true (status == 404 || (may_wait && status == 503));
 }
 
@@ -135,14 +135,14 @@
  * has led, a step inside an outage; with cancellations, repeats and questions all along, and a service that asks from the
  * beginning. */
 static void
-test_rollout_at_random (void)
+test_rolling_upgrade_in_random_order (void)
 {
   for (guint32 seed = 470; seed < 486; seed++)
     {
       Sim *sim = sim_new (seed);
       guint order[SIM_NODES] = { 0, 1, 2 }, retry = 0, second = seed % 3 == 1;
       for (guint i = 0; i < SIM_NODES; i++)
-        set_old (sim, i, TRUE);
+        set_version_1 (sim, i, TRUE);
       for (guint i = SIM_NODES - 1; i > 0; i--)
         {
           guint k = (guint) g_rand_int_range (sim->rand, 0, (gint32) i + 1), swap = order[i];
@@ -157,20 +157,20 @@
       g_assert_cmpuint (retry, >, 0);
       for (guint i = 0; i < SIM_NODES; i++)
         {
-          sim->outage = seed % 4 == 2 && i == 1;
-          set_old (sim, order[i], FALSE);
+          sim->kv_outage = seed % 4 == 2 && i == 1;
+          set_version_1 (sim, order[i], FALSE);
           if (second && i == 0)
-            set_old (sim, order[++i], FALSE); /* two at once */
+            set_version_1 (sim, order[++i], FALSE); /* two at once */
           sim_run (sim, sim->now + g_rand_double_range (sim->rand, 1, 5));
-          sim->outage = FALSE;
+          sim->kv_outage = FALSE;
           sim_run (sim, sim->now + g_rand_double_range (sim->rand, 5, 9));
           expect_refused (sim, 60 + 10 * i, TRUE);
           if (i + 1 < SIM_NODES && seed % 2)
             {
               int leader = sim_leader (sim);
-              set_old (sim, order[SIM_NODES - 1], TRUE); /* old once more, whoever led meanwhile */
-              if (leader >= 0 && !sim->nodes[leader].old)
-                set_old (sim, (guint) leader, FALSE); /* and then leads, perhaps */
+              set_version_1 (sim, order[SIM_NODES - 1], TRUE); /* old once more, whoever led meanwhile */
+              if (leader >= 0 && !sim->nodes[leader].runs_version_1)
+                set_version_1 (sim, (guint) leader, FALSE); /* and then leads, perhaps */
               sim_run (sim, sim->now + 8);
               g_assert_cmpint (hzb_election_schema_version (sim->nodes[order[0]].controller->election), ==, 1);
             }
@@ -179,79 +179,79 @@
       expect_refused (sim, 95, FALSE);
       for (guint i = 0; i < SIM_NODES; i++)
         g_assert_cmpint (hzb_election_schema_version (sim->nodes[i].controller->election), ==, 2);
-      sim->calm_at = sim->now;
+      sim->faults_over_at = sim->now;
       sim_run (sim, 300);
-      g_assert_cmpuint (sim->refused_services, >, 0);
-      expect_all_over (sim, "rollout at random", seed);
+      g_assert_cmpuint (sim->deferred_services, >, 0);
+      expect_all_finished (sim, "rolling upgrade in random order", seed);
       sim_free (sim);
     }
 }
 
 typedef enum
 {
-  FALL_AT_TAKEOVER,
-  FALL_AT_HAND_OVER,
-  FALL_AT_A_STEP,
-  FALL_AFTER_A_RESTART,
-  FALL_N
-} Fall;
+  SHRINK_AT_FAILOVER,
+  SHRINK_AT_HAND_OVER,
+  SHRINK_DURING_UPGRADE,
+  SHRINK_AFTER_RESTART,
+  N_SHRINK
+} LimitsShrink;
 
 /* The limits fall to 2 KiB and 5 changes, and the rate to a third, at the worst moments. Nothing that is sent since the
  * start is larger, so nothing is refused; services, a large job and machines on many pages go on. */
 static void
-test_limits_fall (void)
+test_kv_limits_shrink (void)
 {
-  for (guint32 seed = 490; seed < 490 + 2 * FALL_N; seed++)
+  for (guint32 seed = 490; seed < 490 + 2 * N_SHRINK; seed++)
     {
-      SimSize size = sim_size_little;
+      SimConfig config = sim_config_small;
       Sim *sim;
-      Fall fall = (Fall) (seed % FALL_N);
-      size.txn_ops = 24;
-      size.next_txn_ops = 5;
-      size.next_write_rps = 20;
-      sim = sim_new_sized (seed, &size);
+      LimitsShrink shrink = (LimitsShrink) (seed % N_SHRINK);
+      config.txn_ops = 24;
+      config.next_txn_ops = 5;
+      config.next_write_rps = 20;
+      sim = sim_new_with_config (seed, &config);
       sim_add_job (sim, 1, "red", 900, 0.25, 5)->job_class = "large";
       for (guint i = 0; i < 24; i++)
         sim_add_job (sim, 1 + 1.5 * i, i % 2 ? "red" : "blue", 1 + i % 5, 1, 8)->wants_cancel = i % 4 == 3;
       add_service (sim, 6, "blue", 3, 1, 120);
-      if (fall == FALL_AT_A_STEP)
+      if (shrink == SHRINK_DURING_UPGRADE)
         for (guint i = 0; i < SIM_NODES; i++)
-          set_old (sim, i, TRUE);
+          set_version_1 (sim, i, TRUE);
       sim_run (sim, 25);
-      if (fall == FALL_AT_TAKEOVER)
+      if (shrink == SHRINK_AT_FAILOVER)
         {
           sim_crash (sim, (guint) MAX (sim_leader (sim), 0));
           sim_run (sim, 25 + g_rand_double_range (sim->rand, 3.5, 6));
         }
-      else if (fall == FALL_AT_HAND_OVER)
-        run_until (sim, HZB_MACHINE_LEASED);
-      else if (fall == FALL_AT_A_STEP)
+      else if (shrink == SHRINK_AT_HAND_OVER)
+        run_until_machine_is (sim, HZB_MACHINE_LEASED);
+      else if (shrink == SHRINK_DURING_UPGRADE)
         {
-          set_old (sim, 0, FALSE);
-          set_old (sim, 1, FALSE);
+          set_version_1 (sim, 0, FALSE);
+          set_version_1 (sim, 1, FALSE);
           sim_run (sim, 25 + g_rand_double_range (sim->rand, 3, 7));
         }
       else
         {
           for (guint i = 0; i < SIM_NODES; i++)
             sim_crash (sim, i);
-          start_all (sim, NULL);
+          start_all_controllers (sim, NULL);
           sim_run (sim, 25 + g_rand_double_range (sim->rand, 0, 3));
         }
-      sim->most_value = 2048;
-      sim->most_changes = 5;
-      sim->write_rate = 20;
-      start_all (sim, NULL);
+      sim->kv_max_value_bytes = 2048;
+      sim->kv_max_changes = 5;
+      sim->kv_write_rate = 20;
+      start_all_controllers (sim, NULL);
       for (guint i = 0; i < SIM_NODES; i++)
-        if (sim->nodes[i].old)
-          set_old (sim, i, FALSE);
+        if (sim->nodes[i].runs_version_1)
+          set_version_1 (sim, i, FALSE);
       sim_run (sim, 60);
-      crash_one (sim, NULL);
+      crash_random_controller (sim, NULL);
       sim_run (sim, 66);
-      start_all (sim, NULL);
-      sim->calm_at = 80;
+      start_all_controllers (sim, NULL);
+      sim->faults_over_at = 80;
       sim_run (sim, 420);
-      expect_all_over (sim, "limits fall", seed);
+      expect_all_finished (sim, "kv limits shrink", seed);
       sim_free (sim);
     }
 }
@@ -259,7 +259,7 @@
 /* What version 1 wrote is read and, where it is too large, written anew in small pages, with no moment at which a node
  * that starts would read less. */
 static void
-test_large_records (void)
+test_oversized_records_of_version_1 (void)
 {
   for (guint32 seed = 450; seed < 454; seed++)
     {
@@ -271,7 +271,7 @@
         {
           SimJob *job = sim_add_job (sim, 1e6, i % 2 ? "red" : "blue", 4, 1, 4);
           job->submitted = job->accepted = TRUE;
-          job->answered_at = 30;
+          job->last_response_at = 30;
           job->finished[0] = job->finished[1] = 1;
           g_string_append_printf (
               accepted,
@@ -300,18 +300,18 @@
       sim_put_record (sim, "hzb/x/progress/main/000001", progress->str);
       g_assert_cmpuint (sim_largest_record (sim, "hzb/x/progress/"), >, 2048);
       g_assert_cmpuint (sim_largest_record (sim, "hzb/x/machines/"), >, 2048);
-      sim->most_value = 2048;
-      sim->most_changes = 8;
-      sim->nodes[1].old = seed % 2 == 1;
-      start_all (sim, NULL);
+      sim->kv_max_value_bytes = 2048;
+      sim->kv_max_changes = 8;
+      sim->nodes[1].runs_version_1 = seed % 2 == 1;
+      start_all_controllers (sim, NULL);
       for (guint i = 0; i < sim->jobs->len; i++)
         {
           SimJob *job = sim->jobs->pdata[i];
           job->submit_at = 0;
-          job->answered_at = 1;
+          job->last_response_at = 1;
         }
       if (seed >= 452)
-        sim_at (sim, 4.5, crash_all, NULL); /* in the midst of it */
+        sim_schedule (sim, 4.5, crash_all_controllers, NULL); /* in the midst of it */
       sim_run (sim, 60);
       g_assert_cmpuint (sim_largest_record (sim, "hzb/x/progress/"), <=, 2048);
       g_assert_cmpuint (sim_largest_record (sim, "hzb/x/machines/"), <=, 2048);
@@ -322,8 +322,9 @@
           const HzbJob *known = hzb_jobs_find (sim->nodes[0].controller->jobs, job->uid);
           g_assert_cmpint (known->state, ==, HZB_JOB_DONE);
         }
-      g_assert_cmpuint (sim->started, <=, 80 + 40); /* what was done is not done again; a crash may lose a start */
-      expect_no_fault (sim, "large records", seed);
+      g_assert_cmpuint (sim->tasks_started, <=,
+                        80 + 40); /* what was done is not done again; a crash may lose a start */
+      expect_no_violation (sim, "oversized records of version 1", seed);
       sim_free (sim);
     }
 }
@@ -331,7 +332,7 @@
 /* What the version in production wrote (format 2, commit 0357c99), as its code writes it: a service that it took with an
  * estimate goes on, a repeat of it is known, a job that was half done is finished, one that is over stays so. */
 static void
-test_records_of_production (void)
+test_records_of_production_version (void)
 {
   static const char *const records[][2] = {
     { "hzb/a/accepted/main/node-1-0a0b0c0d0e0f1011-1",
@@ -355,32 +356,32 @@
     sim_crash (sim, i);
   for (guint i = 0; i < G_N_ELEMENTS (records); i++)
     sim_put_record (sim, records[i][0], records[i][1]);
-  start_all (sim, NULL);
+  start_all_controllers (sim, NULL);
   sim_run (sim, 60);
   for (guint i = 0; i < SIM_NODES; i++)
     {
       g_assert_cmpint (hzb_election_schema_version (sim->nodes[i].controller->election), ==, 2);
       g_assert_cmpuint (submit_service (sim, i, 100000, "red", 2, 1, "5", NULL), ==, 200);
       g_assert_cmpuint (submit_service (sim, i, 778, "red", 2, 1, "0", NULL), ==, 200);
-      g_assert_nonnull (strstr (last_body, "cancelled"));
-      g_assert_cmpuint (ask (sim, i, "GET", "/api/jobs/run-000779", "", NULL), ==, 200);
-      g_assert_nonnull (strstr (last_body, "done"));
+      g_assert_nonnull (strstr (last_response_body, "cancelled"));
+      g_assert_cmpuint (user_request (sim, i, "GET", "/api/jobs/run-000779", "", NULL), ==, 200);
+      g_assert_nonnull (strstr (last_response_body, "done"));
       g_assert_cmpuint (submit_service (sim, i, 780, "red", 2, 1, "5", NULL), ==, 400);
     }
   g_assert_cmpint (sim_leader (sim), !=, -1);
   g_assert_cmpuint (sim_running (sim, service, NULL), ==, 2);
-  g_assert_cmpuint (ask (sim, 0, "POST", "/api/jobs/run-100000/cancel", "", NULL), ==, 200);
-  service->asked_cancel = TRUE;
+  g_assert_cmpuint (user_request (sim, 0, "POST", "/api/jobs/run-100000/cancel", "", NULL), ==, 200);
+  service->cancel_requested = TRUE;
   sim_run (sim, sim->now + 10);
   g_assert_cmpuint (sim_running (sim, service, NULL), ==, 0);
-  expect_no_fault (sim, "records of production", 465);
+  expect_no_violation (sim, "records of production version", 465);
   sim_free (sim);
 }
 
 /* The key-value store calls every larger value malformed, also beyond what the settings say: the node neither loops nor
  * stops serving, and goes on once it can. */
 static void
-test_malformed (void)
+test_transactions_refused_as_malformed (void)
 {
   Sim *sim = sim_new (460);
   SimJob *late;
@@ -389,20 +390,20 @@
     sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 10, 1, 15);
   late = sim_add_job (sim, 12, "red", 2, 1, 5);
   sim_run (sim, 10);
-  sim->most_value = 100;
+  sim->kv_max_value_bytes = 100;
   sim_run (sim, 11);
-  before = sim->requests;
+  before = sim->kv_requests;
   sim_run (sim, 41);
-  g_assert_cmpuint (sim->requests - before, <, 30 * 40);
+  g_assert_cmpuint (sim->kv_requests - before, <, 30 * 40);
   g_assert_cmpint (sim_leader (sim), !=, -1);
   g_assert_false (late->accepted);
-  g_assert_cmpuint (sim->broken->len, >, 0);
-  for (guint i = 0; i < sim->broken->len; i++)
-    g_assert_true (g_str_has_prefix (sim->broken->pdata[i], "too_large"));
-  g_ptr_array_set_size (sim->broken, 0);
-  sim->most_value = 2048;
+  g_assert_cmpuint (sim->violations->len, >, 0);
+  for (guint i = 0; i < sim->violations->len; i++)
+    g_assert_true (g_str_has_prefix (sim->violations->pdata[i], "too_large"));
+  g_ptr_array_set_size (sim->violations, 0);
+  sim->kv_max_value_bytes = 2048;
   sim_run (sim, 300);
-  expect_all_over (sim, "malformed", 460);
+  expect_all_finished (sim, "transactions refused as malformed", 460);
   sim_free (sim);
 }
 
@@ -411,12 +412,12 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/cluster/rollout", test_rollout);
-  g_test_add_func ("/cluster/rollout-and-troubles", test_rollout_and_troubles);
-  g_test_add_func ("/cluster/rollout-at-random", test_rollout_at_random);
-  g_test_add_func ("/cluster/limits-fall", test_limits_fall);
-  g_test_add_func ("/cluster/records-of-production", test_records_of_production);
-  g_test_add_func ("/cluster/malformed", test_malformed);
-  g_test_add_func ("/cluster/large-records", test_large_records);
+  g_test_add_func ("/upgrade/rolling-upgrade", test_rolling_upgrade);
+  g_test_add_func ("/upgrade/rolling-upgrade-with-faults", test_rolling_upgrade_with_faults);
+  g_test_add_func ("/upgrade/rolling-upgrade-in-random-order", test_rolling_upgrade_in_random_order);
+  g_test_add_func ("/upgrade/kv-limits-shrink", test_kv_limits_shrink);
+  g_test_add_func ("/upgrade/records-of-production-version", test_records_of_production_version);
+  g_test_add_func ("/upgrade/transactions-refused-as-malformed", test_transactions_refused_as_malformed);
+  g_test_add_func ("/upgrade/oversized-records-of-version-1", test_oversized_records_of_version_1);
   return g_test_run ();
 }
--- a/tests/test-partitions.c
+++ b/tests/test-worker-heartbeats.c
@@ -6,7 +6,7 @@
 /* A machine whose reports arrive while nothing reaches it, the leader's own and a leased one: its lease ends though every
  * report was answered; it gets no work that it does not carry out, its tasks run elsewhere, and it goes back. */
 static void
-test_deaf_machine (void)
+test_one_way_partition (void)
 {
   for (guint32 seed = 80; seed < 84; seed++)
     {
@@ -15,8 +15,8 @@
       SimMachine *machine;
       const HzbMachine *known;
       double began;
-      some_work (sim, 10);
-      machine = run_until (sim, state);
+      add_arrays (sim, 10);
+      machine = run_until_machine_is (sim, state);
       began = sim->now;
       machine->one_way_partitioned = TRUE;
       sim_run (sim, began + 16);
@@ -24,129 +24,129 @@
       known = hzb_machines_find (sim->nodes[sim_leader (sim)].controller->machines, machine->name);
       g_assert_true (!known || !hzb_machine_usable (known));
       sim_run (sim, began + 50);
-      g_assert_true (machine->gone);
+      g_assert_true (machine->terminated);
       sim_run (sim, 500);
-      expect_all_over (sim, "deaf machine", seed);
+      expect_all_finished (sim, "one way partition", seed);
       sim_free (sim);
     }
 }
 
 /* A short deafness costs no machine and no task. */
 static void
-test_short_deafness (void)
+test_short_one_way_partition (void)
 {
   Sim *sim = sim_new (84);
   SimMachine *machine;
-  some_work (sim, 10);
-  machine = run_until (sim, HZB_MACHINE_ACTIVE);
+  add_arrays (sim, 10);
+  machine = run_until_machine_is (sim, HZB_MACHINE_ACTIVE);
   machine->one_way_partitioned = TRUE;
   sim_run (sim, sim->now + 3);
   machine->one_way_partitioned = FALSE;
   sim_run (sim, sim->now + 15);
   g_assert_cmpuint (machine->agent_epoch, ==, 1);
-  g_assert_false (machine->gone);
+  g_assert_false (machine->terminated);
   sim_run (sim, 400);
-  expect_all_over (sim, "short deafness", 84);
+  expect_all_finished (sim, "short one way partition", 84);
   sim_free (sim);
 }
 
 /* A takeover does not wait for ever for a machine that never shows the new fencing token though it reports all the time. */
 static void
-test_deaf_at_takeover (void)
+test_one_way_partition_during_failover (void)
 {
   Sim *sim = sim_new (85);
   SimMachine *machine;
   int leader;
-  some_work (sim, 10);
-  machine = run_until (sim, HZB_MACHINE_ACTIVE);
+  add_arrays (sim, 10);
+  machine = run_until_machine_is (sim, HZB_MACHINE_ACTIVE);
   leader = sim_leader (sim);
   machine->one_way_partitioned = TRUE;
   sim_crash (sim, (guint) leader);
   sim_run (sim, sim->now + 25);
   g_assert_cmpint (sim_leader (sim), !=, -1);
   g_assert_cmpint (hzb_ownership_state (sim->nodes[sim_leader (sim)].controller->ownership), ==, HZB_OWNERSHIP_READY);
-  g_assert_true (machine->gone);
+  g_assert_true (machine->terminated);
   sim_start (sim, (guint) leader);
   sim_run (sim, 400);
-  expect_all_over (sim, "deaf at takeover", 85);
+  expect_all_finished (sim, "one way partition during failover", 85);
   sim_free (sim);
 }
 
 /* A report that comes late, or again, says nothing new: its empty list does not free tasks that run. */
 static void
-test_late_report (void)
+test_late_heartbeat (void)
 {
   Sim *sim = sim_new (11);
   SimMachine *machine;
   guint started;
   sim_add_job (sim, 1, "red", 6, 2, 60);
-  machine = run_until (sim, HZB_MACHINE_ACTIVE);
+  machine = run_until_machine_is (sim, HZB_MACHINE_ACTIVE);
   sim_run (sim, 25);
-  started = sim->started;
-  g_assert_cmpuint (report_again (sim, machine, machine->agent_epoch, 1, ""), ==, 503);
-  g_assert_cmpuint (report_again (sim, machine, machine->agent_epoch, machine->sequence, ""), ==, 503);
+  started = sim->tasks_started;
+  g_assert_cmpuint (heartbeat_to_leader (sim, machine, machine->agent_epoch, 1, ""), ==, 503);
+  g_assert_cmpuint (heartbeat_to_leader (sim, machine, machine->agent_epoch, machine->sequence, ""), ==, 503);
   sim_run (sim, 32);
-  g_assert_cmpuint (sim->started, ==, started);
+  g_assert_cmpuint (sim->tasks_started, ==, started);
   sim_run (sim, 200);
-  expect_all_over (sim, "late report", 11);
+  expect_all_finished (sim, "late heartbeat", 11);
   sim_free (sim);
 }
 
 /* Once a machine's lease is over for certain, a report of that agent epoch makes it look alive no more, whatever its number;
  * and a report alone, as a copy of one long gone may be, makes no machine that gets work. */
 static void
-test_late_copies_revive_nothing (void)
+test_late_copy_does_not_revive_expired_epoch (void)
 {
   Sim *sim = sim_new (86);
   SimMachine *machine, gone = { .name = (char *) "i-900001", .type = (char *) "big", .zone = (char *) "za" };
   HzbController *controller;
-  some_work (sim, 10);
-  machine = run_until (sim, HZB_MACHINE_ACTIVE);
+  add_arrays (sim, 10);
+  machine = run_until_machine_is (sim, HZB_MACHINE_ACTIVE);
   controller = sim->nodes[sim_leader (sim)].controller;
-  machine->cut = TRUE;
+  machine->partitioned = TRUE;
   sim_run (sim, sim->now + 13);
   g_assert_cmpint (hzb_machines_find (controller->machines, machine->name)->state, ==, HZB_MACHINE_LEASE_EXPIRED);
-  g_assert_cmpuint (report_again (sim, machine, 1, 100000, ""), ==, 503);
+  g_assert_cmpuint (heartbeat_to_leader (sim, machine, 1, 100000, ""), ==, 503);
   g_assert_cmpint (hzb_machines_find (controller->machines, machine->name)->state, ==, HZB_MACHINE_LEASE_EXPIRED);
-  g_assert_cmpuint (report_again (sim, &gone, 1, 1, ""), ==, 200);
-  g_assert_nonnull (strstr (last_body, "\"orders\":[]"));
+  g_assert_cmpuint (heartbeat_to_leader (sim, &gone, 1, 1, ""), ==, 200);
+  g_assert_nonnull (strstr (last_response_body, "\"orders\":[]"));
   g_assert_false (hzb_machine_usable (hzb_machines_find (controller->machines, gone.name)));
-  machine->cut = FALSE;
+  machine->partitioned = FALSE;
   sim_run (sim, 600);
-  expect_all_over (sim, "late copies revive nothing", 86);
+  expect_all_finished (sim, "late copy does not revive expired epoch", 86);
   sim_free (sim);
 }
 
 /* Copies of reports and of messages between nodes come late, to any node, while leaders and machines change. */
 static void
-test_late_copies (void)
+test_late_copies_under_failures (void)
 {
   for (guint32 seed = 90; seed < 98; seed++)
     {
       Sim *sim = sim_new (seed);
-      sim->copies = 0.4;
-      sim->peer_copies = seed % 2 ? 0.4 : 0;
-      some_work (sim, 12);
+      sim->heartbeat_copy_chance = 0.4;
+      sim->peer_copy_chance = seed % 2 ? 0.4 : 0;
+      add_arrays (sim, 12);
       for (guint i = 0; i < 3; i++)
         {
-          sim_at (sim, g_rand_double_range (sim->rand, 10, 60), crash_one, NULL);
-          sim_at (sim, g_rand_double_range (sim->rand, 10, 60), hurt_machine, NULL);
-          sim_at (sim, g_rand_double_range (sim->rand, 15, 70), start_all, NULL);
+          sim_schedule (sim, g_rand_double_range (sim->rand, 10, 60), crash_random_controller, NULL);
+          sim_schedule (sim, g_rand_double_range (sim->rand, 10, 60), fail_random_machine, NULL);
+          sim_schedule (sim, g_rand_double_range (sim->rand, 15, 70), start_all_controllers, NULL);
         }
       if (seed % 4 == 3)
-        sim_at (sim, g_rand_double_range (sim->rand, 15, 50), crash_all, NULL);
-      sim_at (sim, 75, start_all, NULL);
+        sim_schedule (sim, g_rand_double_range (sim->rand, 15, 50), crash_all_controllers, NULL);
+      sim_schedule (sim, 75, start_all_controllers, NULL);
       sim_run (sim, 80);
-      sim->copies = sim->peer_copies = 0;
+      sim->heartbeat_copy_chance = sim->peer_copy_chance = 0;
       sim_run (sim, 650);
-      expect_all_over (sim, "late copies", seed);
+      expect_all_finished (sim, "late copies under failures", seed);
       sim_free (sim);
     }
 }
 
 /* A worker that has seen a newer fencing token: whoever answers it with less has been replaced, and gives way. */
 static void
-test_newer_token (void)
+test_newer_fencing_token (void)
 {
   Sim *sim = sim_new (12);
   SimMachine *machine;
@@ -156,18 +156,18 @@
   machine = machine_with_tasks (sim);
   controller = sim->nodes[sim_leader (sim)].controller;
   machine->fencing_token += hzb_fencing_token (7, 0);
-  g_assert_cmpuint (report_again (sim, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 503);
+  g_assert_cmpuint (heartbeat_to_leader (sim, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 503);
   g_assert_false (hzb_election_leading (controller->election));
   machine->fencing_token -= hzb_fencing_token (7, 0);
   sim_run (sim, 120);
-  expect_all_over (sim, "newer token", 12);
+  expect_all_finished (sim, "newer fencing token", 12);
   sim_free (sim);
 }
 
 /* A report sent under an older fencing token may still be overtaken by that fencing token's orders: it is answered, so that the
  * lease lives, but nothing is concluded from it and nothing ordered. */
 static void
-test_older_token (void)
+test_older_fencing_token (void)
 {
   Sim *sim = sim_new (18);
   HzbController *controller;
@@ -175,15 +175,17 @@
   sim_add_job (sim, 1, "red", 30, 2, 30);
   sim_run (sim, 12);
   controller = sim->nodes[sim_leader (sim)].controller;
-  g_assert_cmpuint (report_again (sim, &machine, 1, 1,
-                                  "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
-                    ==, 200);
-  g_assert_nonnull (strstr (last_body, "\"orders\":[]"));
+  g_assert_cmpuint (
+      heartbeat_to_leader (sim, &machine, 1, 1,
+                           "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
+      ==, 200);
+  g_assert_nonnull (strstr (last_response_body, "\"orders\":[]"));
   g_assert_cmpint (hzb_machines_find (controller->machines, "i-900000")->state, ==, HZB_MACHINE_BOOTING);
   machine.fencing_token = hzb_fencing_token (hzb_election_term (controller->election), 0);
-  g_assert_cmpuint (report_again (sim, &machine, 1, 2,
-                                  "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
-                    ==, 200);
+  g_assert_cmpuint (
+      heartbeat_to_leader (sim, &machine, 1, 2,
+                           "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
+      ==, 200);
   g_assert_cmpint (hzb_machines_find (controller->machines, "i-900000")->state, ==, HZB_MACHINE_ACTIVE);
   sim_free (sim);
 }
@@ -193,13 +195,14 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/cluster/deaf-machine", test_deaf_machine);
-  g_test_add_func ("/cluster/short-deafness", test_short_deafness);
-  g_test_add_func ("/cluster/deaf-at-takeover", test_deaf_at_takeover);
-  g_test_add_func ("/cluster/late-report", test_late_report);
-  g_test_add_func ("/cluster/late-copies-revive-nothing", test_late_copies_revive_nothing);
-  g_test_add_func ("/cluster/late-copies", test_late_copies);
-  g_test_add_func ("/cluster/newer-token", test_newer_token);
-  g_test_add_func ("/cluster/older-token", test_older_token);
+  g_test_add_func ("/worker-heartbeats/one-way-partition", test_one_way_partition);
+  g_test_add_func ("/worker-heartbeats/short-one-way-partition", test_short_one_way_partition);
+  g_test_add_func ("/worker-heartbeats/one-way-partition-during-failover", test_one_way_partition_during_failover);
+  g_test_add_func ("/worker-heartbeats/late-heartbeat", test_late_heartbeat);
+  g_test_add_func ("/worker-heartbeats/late-copy-does-not-revive-expired-epoch",
+                   test_late_copy_does_not_revive_expired_epoch);
+  g_test_add_func ("/worker-heartbeats/late-copies-under-failures", test_late_copies_under_failures);
+  g_test_add_func ("/worker-heartbeats/newer-fencing-token", test_newer_fencing_token);
+  g_test_add_func ("/worker-heartbeats/older-fencing-token", test_older_fencing_token);
   return g_test_run ();
 }
