--- a/tests/load-workers.c
+++ b/tests/load-workers.c
@@ -1,5 +1,5 @@
 /* Load tool: one real controller process on loopback, with fakes of the key-value store and the cloud behind HTTP, and as many
- * connections of workers as asked for. It measures how reports are answered at rest and after the controller was killed and
+ * connections of workers as asked for. It measures how heartbeats are answered at rest and after the controller was killed and
  * started again, and stops by itself. Not part of the tests:
  *
  *     target/tests/load-workers --controller target/hazelbank --machines 4000 --seconds 30
@@ -20,7 +20,7 @@
 #define KV_PORT 18082
 #define CLOUD_PORT 18083
 #define HEARTBEAT_INTERVAL_S 5.0
-#define RESPONSE_TIMEOUT_S 4.0 /* a worker waits no longer */
+#define RESPONSE_TIMEOUT_S 4.0 /* a worker's timeout */
 #define RETRY_S 1.0
 #define TURN_MS 5
 #define MOST_SECONDS 300
@@ -31,7 +31,7 @@
   char name[16];
   guint tick;
   guint64 fencing_token;
-  gboolean asking, answered; /* answered: since the last restart */
+  gboolean asking, answered; /* answered: the worker got a 200 since the last restart */
   double next_s, asked_s;
   guint refused, most_refused; /* in a row */
   char input[4096];
@@ -41,7 +41,7 @@
 static Sim *sim;
 static GArray *workers; /* Worker */
 static GArray *latencies;
-static guint answers, refusals, losses;
+static guint responses, refusals, losses;
 static int events;
 
 /* ---- workers ---- */
@@ -92,7 +92,7 @@
   sent = send (worker->fd, request, strlen (request), MSG_NOSIGNAL);
   if (sent != (gssize) strlen (request))
     {
-      worker->next_s = real_now_s () + 0.02; /* the connection is not there yet */
+      worker->next_s = real_now_s () + 0.02; /* the connection is not established yet */
       if (errno != EAGAIN && errno != ENOTCONN)
         {
           losses++;
@@ -104,7 +104,7 @@
   worker->asked_s = real_now_s ();
 }
 
-/* Guards of the protocol that are not needed here are left out: these workers run nothing. */
+/* Takes the fencing token without the checks of a real worker: these workers run no tasks. */
 static void
 take_response (Worker *worker, const char *body)
 {
@@ -115,7 +115,7 @@
   g_array_append_val (latencies, latency);
   worker->fencing_token = MAX (worker->fencing_token, hzb_json_u64 (root, "baton"));
   cJSON_Delete (root);
-  answers += status == 200;
+  responses += status == 200;
   refusals += status != 200;
   worker->refused = status == 200 ? 0 : worker->refused + 1;
   worker->most_refused = MAX (worker->most_refused, worker->refused);
@@ -233,7 +233,7 @@
   double began = real_now_s (), all = -1, before, after, memory;
   guint most_refused = 0;
 
-  answers = refusals = losses = 0;
+  responses = refusals = losses = 0;
   g_array_set_size (latencies, 0);
   for (guint i = 0; i < workers->len; i++)
     {
@@ -255,11 +255,11 @@
     most_refused = MAX (most_refused, g_array_index (workers, Worker, i).most_refused);
   read_usage (pid, &after, &memory);
   g_print (
-      "%s: %.0f s, %u workers: %u reports answered (%.0f a second), %u refused (%u in a row at most), %u without answer; p50 "
-      "%.1f ms, p99 %.1f ms, most %.1f ms; all answered after %.1f s; processor %.3f of a core, %.2f ms a report, %.1f MiB\n",
-      what, seconds, workers->len, answers, answers / seconds, refusals, most_refused, losses, percentile (0.5),
+      "%s: %.0f s, %u workers: %u heartbeats answered (%.0f a second), %u refused (%u in a row at most), %u without response; p50 "
+      "%.1f ms, p99 %.1f ms, most %.1f ms; all answered after %.1f s; processor %.3f of a core, %.2f ms a heartbeat, %.1f MiB\n",
+      what, seconds, workers->len, responses, responses / seconds, refusals, most_refused, losses, percentile (0.5),
       percentile (0.99), percentile (1), all, (after - before) / seconds,
-      answers ? 1e3 * (after - before) / answers : 0, memory);
+      responses ? 1e3 * (after - before) / responses : 0, memory);
   return all;
 }
 
@@ -290,7 +290,7 @@
     }
   if (setrlimit (RLIMIT_NOFILE, &limit) != 0)
     g_printerr ("load-workers: the limit of descriptors stays as it is\n");
-  alarm ((guint) (2 * seconds + 60)); /* it stops by itself, whatever happens */
+  alarm ((guint) (2 * seconds + 60)); /* ends this process if something blocks for ever */
   config.machines = (guint) machines;
   config.check_interval_s = MOST_SECONDS;
   sim = real_sim_new (1, &config);
--- a/tests/real-processes.c
+++ b/tests/real-processes.c
@@ -33,7 +33,7 @@
   for (guint i = 0; i < SIM_NODES; i++)
     sim_crash (sim, i);
   g_sequence_remove_range (g_sequence_get_begin_iter (sim->events), g_sequence_get_end_iter (sim->events));
-  sim->nodes[0].controller = (gpointer) sim; /* somebody is there to be answered; never looked into */
+  sim->nodes[0].controller = (gpointer) sim; /* marks the caller of the fakes as running; never dereferenced */
   sim->nodes[0].incarnation = 0;
   began_us = g_get_monotonic_time ();
   g_timeout_add (TURN_MS, on_turn, sim);
@@ -46,7 +46,7 @@
 typedef struct
 {
   Sim *sim;
-  gboolean store;
+  gboolean is_kv; /* of the key-value store; otherwise of the cloud */
   SoupServer *server;
   SoupMessage *message;
 } FakeRequest;
@@ -73,28 +73,28 @@
   request->server = server;
   request->message = g_object_ref (message);
   call->method = g_strdup (message->method);
-  call->addr = g_strdup (request->store ? SIM_KV_ADDRESS : SIM_CLOUD_ADDRESS);
+  call->addr = g_strdup (request->is_kv ? SIM_KV_ADDRESS : SIM_CLOUD_ADDRESS);
   call->path = soup_uri_to_string (soup_message_get_uri (message), TRUE);
   call->body = g_strndup (body->data, body->length);
   call->done = on_fake_response;
   call->user = request;
   call->refs = 1;
   soup_server_pause_message (server, message);
-  if (request->store)
+  if (request->is_kv)
     sim_kv_store_request (request->sim, call);
   else
     sim_cloud_request (request->sim, call);
 }
 
 void
-real_serve (Sim *sim, guint port, gboolean store)
+real_serve (Sim *sim, guint port, gboolean is_kv)
 {
   g_autoptr (GError) error = NULL;
   SoupServer *server = soup_server_new (NULL, NULL);
   FakeRequest *kind = g_new0 (FakeRequest, 1);
 
   kind->sim = sim;
-  kind->store = store;
+  kind->is_kv = is_kv;
   soup_server_add_handler (server, NULL, on_fake_request, kind, g_free);
   if (!soup_server_listen_local (server, port, SOUP_SERVER_LISTEN_IPV4_ONLY, &error))
     g_error ("port %u: %s", port, error->message);
@@ -102,7 +102,7 @@
 
 /* ---- controllers ---- */
 
-/* However this process ends, the controller ends with it. */
+/* The kernel kills the controller when this process ends, however that happens. */
 static void
 set_up_child (gpointer log)
 {
--- a/tests/real-processes.h
+++ b/tests/real-processes.h
@@ -5,8 +5,8 @@
 /** real_sim_new: the fakes of a simulated cluster without its controllers, which are processes here. */
 Sim *real_sim_new (guint32 seed, const SimConfig *config);
 
-/** real_serve: answers HTTP at the port as the key-value store, or the cloud, of @sim. */
-void real_serve (Sim *sim, guint port, gboolean store);
+/** real_serve: answers HTTP at the port as the key-value store of @sim, or as its cloud. */
+void real_serve (Sim *sim, guint port, gboolean is_kv);
 
 /** real_start: starts a controller; it ends with this process. @log: (nullable): what it logs is added to this file */
 GPid real_start (const char *program, const char *settings, const char *features, const char *log);
--- a/tests/sim-cluster.c
+++ b/tests/sim-cluster.c
@@ -113,7 +113,8 @@
   sim_schedule (sim, sim->now + 0.1, node_tick, node);
 }
 
-/* By hand, all tests can be played with features on: HZB_SIM_FEATURES=deploy/reconciliation.toml */
+/* Loads the features of a controller. HZB_SIM_FEATURES=deploy/reconciliation.toml plays all tests with these on; done
+ * by hand. */
 static void
 load_features (const Sim *sim, gboolean without, HzbSettings *settings)
 {
@@ -130,9 +131,9 @@
 }
 
 void
-sim_start (Sim *sim, guint at)
+sim_start (Sim *sim, guint node_index)
 {
-  SimNode *node = &sim->nodes[at];
+  SimNode *node = &sim->nodes[node_index];
   GString *text = g_string_new (NULL);
   g_autofree char *ops =
       sim->config.next_txn_ops ? g_strdup_printf ("txn_ops = %u\n", sim->config.next_txn_ops) : g_strdup ("");
@@ -142,10 +143,10 @@
   g_autoptr (GError) error = NULL;
   HzbSettings *settings;
   g_string_printf (
-      text, "node = \"node-%u\"\nsite = \"za\"\napi_addr = \"10.0.0.%u:80\"\ncluster_listen = \"10.0.0.%u:81\"\n", at,
-      at + 1, at + 1);
+      text, "node = \"node-%u\"\nsite = \"za\"\napi_addr = \"10.0.0.%u:80\"\ncluster_listen = \"10.0.0.%u:81\"\n",
+      node_index, node_index + 1, node_index + 1);
   for (guint i = 0; i < SIM_NODES; i++)
-    if (i != at)
+    if (i != node_index)
       g_string_append_printf (text, "[[peers]]\nnode = \"node-%u\"\nsite = \"za\"\naddress = \"10.0.0.%u:81\"\n", i,
                               i + 1);
   g_string_append_printf (
@@ -172,7 +173,7 @@
   node->transport = g_new0 (SimTransport, 1);
   node->transport->parent.send = sim_send;
   node->transport->sim = sim;
-  node->transport->node = at;
+  node->transport->node = node_index;
   node->transport->incarnation = node->incarnation;
   node->controller = hzb_controller_new (settings, sim->clock, &node->transport->parent, g_rand_int (sim->rand));
   if (node->runs_version_1)
@@ -181,12 +182,12 @@
     node->controller->jobs->max_replicated_completed = sim->config.max_replicated_completed;
 }
 
-/* What the process held is gone with it; its memory is left alone, as calls on their way still name it. */
+/* The memory of the process is not freed: calls in flight still point to it. */
 void
-sim_crash (Sim *sim, guint at)
+sim_crash (Sim *sim, guint node_index)
 {
-  sim->nodes[at].controller = NULL;
-  sim->nodes[at].paused = FALSE;
+  sim->nodes[node_index].controller = NULL;
+  sim->nodes[node_index].paused = FALSE;
 }
 
 int
@@ -198,7 +199,7 @@
   return -1;
 }
 
-/* The usual little deployment; small pages, so that reading on is tried. */
+/* The range pages are small so that the tests read several of them. */
 const SimConfig sim_config_small = { .machines = 12,
                                      .teams = 2,
                                      .team_max = 24,
--- a/tests/sim-cluster.h
+++ b/tests/sim-cluster.h
@@ -67,7 +67,7 @@
   double rented_at, up_at, listed_at, terminated_at, cpus;
   guint64 agent_epoch, sequence, fencing_token;
   double lease_renewed_at, next_heartbeat_at;
-  guint node, heartbeat_number; /* node: the controller that the worker reports to */
+  guint node, heartbeat_number; /* node: the controller that the worker sends heartbeats to */
   gboolean awaits_response;     /* of its heartbeat in flight */
   GPtrArray *tasks;             /* SimTask */
 } SimMachine;
--- a/tests/sim-faults.c
+++ b/tests/sim-faults.c
@@ -1,4 +1,4 @@
-/* What several tests do to the simulated cluster, and what they expect of it. */
+/* Faults and work that several tests bring into the simulated cluster, and what they expect of it. */
 #include "sim-faults.h"
 
 #include <string.h>
@@ -12,7 +12,7 @@
     g_error ("%s, seed %u: %s", what, seed, (char *) sim->violations->pdata[0]);
 }
 
-/* Also that nothing is forgotten and no one starved. */
+/* Every job is done or cancelled, every user got a response lately, and no team or class was starved. */
 void
 expect_all_finished (Sim *sim, const char *what, guint32 seed)
 {
@@ -34,7 +34,7 @@
       leader >= 0 && g_rand_boolean (sim->rand) ? (guint) leader : (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
   sim_crash (sim, at);
   if (g_rand_boolean (sim->rand))
-    sim_start (sim, at); /* within a fraction of a second */
+    sim_start (sim, at); /* restarted before its lease can expire */
 }
 
 void
@@ -108,7 +108,7 @@
       machine->faulty = !machine->faulty;
       break;
     default:
-      machine->crashed = TRUE; /* stopped with all that was on it */
+      machine->crashed = TRUE; /* its tasks are lost */
       g_ptr_array_set_size (machine->tasks, 0);
       break;
     }
--- a/tests/sim-kv-store.c
+++ b/tests/sim-kv-store.c
@@ -39,7 +39,7 @@
   double until;
 } Watcher;
 
-/* The changes after that revision are not all kept any more. */
+/* Whether changes after that revision were already compacted. */
 static gboolean
 changes_are_compacted (const Sim *sim, guint64 after)
 {
@@ -89,7 +89,7 @@
       if (sim->kv_outage)
         return;
       if (sim->nodes[watcher->call->node].refused_by_kv)
-        continue; /* it waits, as in an outage */
+        continue; /* the watch stays open, as in an outage */
       body = watch_body (sim, watcher->prefix, watcher->after, &any);
       if (any || sim->now >= watcher->until)
         {
@@ -109,7 +109,7 @@
   wake_watchers (sim);
 }
 
-/* What is recorded of a job's progress can only grow until it is removed. */
+/* Checks that the recorded progress of each job only grows until it is removed. */
 static void
 check_progress (Sim *sim, const char *key, const char *from, const char *to)
 {
@@ -192,7 +192,7 @@
   if (!lease)
     return;
   if (sim->kv_outage)
-    lease->until = sim->now + lease->ttl; /* every lease has its full time again */
+    lease->until = sim->now + lease->ttl; /* after an outage every lease has its full time to live again */
   if (sim->now >= lease->until)
     remove_lease (sim, id);
   else
--- a/tests/sim-network.c
+++ b/tests/sim-network.c
@@ -1,4 +1,4 @@
-/* Calls between hosts: delays, losses, cuts, late copies, and processes that stand still. */
+/* Calls between hosts: delays, losses, partitions, late copies, and paused processes. */
 #include "sim-internal.h"
 #include "user-protocol.h"
 
@@ -41,7 +41,7 @@
   call_unref (data);
 }
 
-/* Kept until the node wakes; TRUE: it stands. */
+/* Defers the event while the node's process is paused. Returns: TRUE if it is. */
 gboolean
 sim_node_paused (SimNode *node, void (*run) (Sim *sim, gpointer data), gpointer data)
 {
@@ -86,15 +86,15 @@
 is_cut (Sim *sim, const SimCall *call)
 {
   const SimNode *node = &sim->nodes[call->node];
-  gboolean store = g_str_equal (call->addr, SIM_KV_ADDRESS), cloud = g_str_equal (call->addr, SIM_CLOUD_ADDRESS);
-  if (store)
+  gboolean kv = g_str_equal (call->addr, SIM_KV_ADDRESS), cloud = g_str_equal (call->addr, SIM_CLOUD_ADDRESS);
+  if (kv)
     return node->cut_off_from_kv;
   if (cloud)
     return FALSE;
   return node->cut_off_from_peers || sim->nodes[call->addr[7] - '1'].cut_off_from_peers;
 }
 
-/* Takes body and the call's part of the way back. */
+/* Takes the body and the reference to the call. */
 void
 sim_respond (Sim *sim, SimCall *call, guint status, char *body)
 {
@@ -118,7 +118,7 @@
     sim_schedule (sim, sim->now + sim_latency (sim) + late, on_response, call);
 }
 
-/* What a process of version 1 never said. */
+/* Removes the fields that a process of version 1 does not send. */
 static char *
 as_version_1 (const char *body)
 {
@@ -192,7 +192,7 @@
     }
 }
 
-/* The same message, whose answer nobody hears. */
+/* A copy of the message whose response is dropped. */
 static SimCall *
 copy_without_response (const SimCall *call)
 {
@@ -246,7 +246,7 @@
       return;
     }
   call->refs++;
-  /* Held back: it is carried out long after its sender has given up. */
+  /* A delayed request is carried out long after its sender has timed out. */
   sim_schedule (
       sim, sim->now + (sim_chance (sim, sim->delay_chance) ? g_rand_double_range (sim->rand, 1, 9) : sim_latency (sim)),
       on_arrival, call);
--- a/tests/sim-rules.c
+++ b/tests/sim-rules.c
@@ -1,4 +1,5 @@
-/* What is checked while the cluster runs, and at its end: the rules, and that no one is starved. */
+/* The rules of the protocol, checked while the cluster runs and at its end, and that no team, class or large job is
+ * starved. */
 #include "sim-internal.h"
 
 #include <math.h>
@@ -15,7 +16,7 @@
   return task->state >= SIM_TASK_GATHERING && task->state <= SIM_TASK_CHECKPOINTING;
 }
 
-/* While faults last: no question about a job is answered, though most others get answers. */
+/* While faults last: a job is forgotten if its user gets no conclusive response although most other users do. */
 static void
 check_responses (Sim *sim)
 {
@@ -33,11 +34,11 @@
         continue;
       sim_violation (sim, "forgotten", "no question about %s is answered since %.0f; its user was told:\n%s", job->uid,
                      job->last_response_at, job->response_history->str);
-      job->last_response_at = sim->now; /* said once */
+      job->last_response_at = sim->now; /* reported once */
     }
 }
 
-/* Once all faults are over for a while. */
+/* To be called once all faults have been over for a while. */
 void
 sim_check_forgotten (Sim *sim)
 {
@@ -50,7 +51,7 @@
     }
 }
 
-/* What is looked at once everything should be over. */
+/* To be called once every job should be terminal. */
 void
 sim_check_end (Sim *sim)
 {
@@ -103,7 +104,8 @@
   return g_str_equal (team, "guest") ? INFINITY : sim->config.team_max;
 }
 
-/* Room on each machine that works, in CPUs; negative: it is of no use. Counts each job's tasks that are on a machine. */
+/* Returns: the free CPUs of each machine, by index; negative if the machine can't take tasks. Fills @placed with the
+ * number of tasks of each job that are on a machine. */
 static double *
 count_free_cpus (const Sim *sim, GHashTable *placed)
 {
@@ -143,7 +145,8 @@
   return FALSE;
 }
 
-/* Once all troubles are over no job is left waiting while a machine that fits has room and its team is under its limit. */
+/* Once all faults are over no job may be left waiting while a machine that fits has room and the job's team is under
+ * its limit. */
 static void
 check_unplaced (Sim *sim, GHashTable *teams)
 {
@@ -171,7 +174,7 @@
     }
 }
 
-/* The plain count of what services are asked for: replica time, and how much of it was served. */
+/* Counts the replica time that services were asked for, and how much of it was not served. */
 static void
 count_replicas (Sim *sim)
 {
--- a/tests/sim-user.c
+++ b/tests/sim-user.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* A user waits for an answer so long. What comes later, as from a node that stood still, nobody reads. */
+/* How long a user waits for a response. A later response, such as that of a resumed controller, is dropped. */
 #define POLL_WAIT_S 2.0
 #define REQUEST_WAIT_S 5.0
 
@@ -22,7 +22,7 @@
 
 static void user_step (Sim *sim, gpointer data);
 
-/* Whether it is an answer, and not a request to come back. */
+/* Whether the response says something about the job; 429 and 503 only ask the user to retry. */
 static gboolean
 is_conclusive (guint status)
 {
@@ -111,7 +111,7 @@
     }
   if (sim->nodes[at].paused)
     {
-      g_free (call); /* the user gives it up */
+      g_free (call); /* the user's request times out */
       return;
     }
   http_request = g_new0 (HzbHttpRequest, 1);
--- a/tests/sim-worker.c
+++ b/tests/sim-worker.c
@@ -1,11 +1,11 @@
-/* Fakes of the workers, one to a machine: reports, leases, tasks. */
+/* Fakes of the workers, one for each machine: heartbeats, leases, tasks. */
 #include "json.h"
 #include "sim-internal.h"
 
 #include <math.h>
 #include <string.h>
 
-#define IN_FLIGHT_S 0.05 /* an answer with a start takes less */
+#define IN_FLIGHT_S 0.05 /* more than a response with a start takes */
 
 static const char *const status_names[] = { "fetching", "gathering", "running", "saving", "ended" };
 
@@ -43,7 +43,7 @@
   return task;
 }
 
-/* spread: at most half of the tasks, rounded up, in one zone; the one just put there is counted. */
+/* spread: at most half of the tasks, rounded up, are in one zone. The task that was just put on the machine counts. */
 static gboolean
 zone_has_place (Sim *sim, const SimJob *job, const SimMachine *machine)
 {
@@ -61,7 +61,7 @@
   return here <= (job->n_tasks + 1) / 2;
 }
 
-/* samePlace: all tasks that are on a machine, or may be, are in one zone. */
+/* samePlace: all tasks that have not ended are in one zone. */
 static gboolean
 in_one_zone (Sim *sim, const SimJob *job, const SimMachine *machine)
 {
@@ -196,7 +196,7 @@
   gboolean over, copy;
 } Heartbeat;
 
-/* The answer, or that none came within 4 s. */
+/* The response to a heartbeat, or its timeout after 4 s (status 0). */
 static void
 heartbeat_response (Sim *sim, gpointer data)
 {
@@ -204,7 +204,7 @@
   SimMachine *machine = r->machine;
   cJSON *root;
   if (machine->terminated || machine->hung || !machine->awaits_response || machine->heartbeat_number != r->number)
-    return; /* given up already: the late answer is dropped */
+    return; /* the heartbeat has timed out: its late response is dropped */
   if (machine->partitioned)
     r->status = 0;
   machine->awaits_response = FALSE;
@@ -294,7 +294,7 @@
   sim_schedule (sim, sim->now + 4, heartbeat_timeout, r);
   if (sim_chance (sim, sim->heartbeat_copy_chance))
     {
-      /* From seconds to well over a lease. */
+      /* The copy arrives after 1 s to four times the length of a lease. */
       Heartbeat *copy = g_new0 (Heartbeat, 1);
       *copy = *r;
       copy->body = g_strdup (r->body);
@@ -325,7 +325,7 @@
     }
   if (sim->now - machine->lease_renewed_at > sim->config.lease_s)
     {
-      drop_tasks (machine); /* a hung machine's lease ends as well */
+      drop_tasks (machine); /* the lease of a hung machine expires as well */
       machine->agent_epoch++;
       machine->sequence = 0;
       machine->awaits_response = FALSE;
--- a/tests/support.h
+++ b/tests/support.h
@@ -1,4 +1,4 @@
-/* What several tests begin with. */
+/* Settings, machine types, machines and jobs that tests of single modules begin with. */
 #pragma once
 #include "dispatch.h"
 #include "scheduling-class.h"
@@ -81,7 +81,7 @@
   g_rand_free (b->rand);
 }
 
-/* As it is recorded when the job is accepted. */
+/* The record of an accepted job. */
 static inline cJSON *
 bench_record (Bench *b, const char *uid, const char *team, HzbPriority priority, guint tasks, double cpus,
               double estimate)
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -1,4 +1,5 @@
-/* Seeded schedules of failures through the real controllers, with the rules checked after every step. */
+/* The simulated cluster: seeded schedules of failures around real controllers, with the rules checked after every
+ * event. */
 #include "sim-faults.h"
 
 #include <string.h>
@@ -77,8 +78,8 @@
     }
 }
 
-/* A machine that an earlier owner used stays silent towards the new one: its tasks start nowhere else until the
- * cloud has confirmed its return, although other machines are free. */
+/* A machine with tasks is unresponsive after a failover. The new leader starts these tasks on no other machine,
+ * although some are free, until the cloud has confirmed that the machine is terminated. */
 static void
 test_unresponsive_machine_after_failover (void)
 {
@@ -106,7 +107,8 @@
   sim_free (sim);
 }
 
-/* A quick restart of the leader is a new incarnation: it ends the old lease and leads with a higher term. */
+/* A leader that restarts within its lease is a new incarnation: it revokes the lease of its predecessor and leads with
+ * a higher term. */
 static void
 test_leader_restart_is_new_incarnation (void)
 {
@@ -127,7 +129,7 @@
   sim_free (sim);
 }
 
-/* While the key-value store is away, workers' leases live and running tasks are kept. */
+/* In an outage of the key-value store controllers go on renewing the workers' leases, and running tasks are kept. */
 static void
 test_kv_outage_keeps_running_tasks (void)
 {
@@ -141,7 +143,7 @@
   sim_run (sim, 27);
   started = sim->tasks_started;
   sim_run (sim, 45);
-  /* Nothing starts once the leadership can't be proven any more. */
+  /* Nothing starts once the leader can't prove that its lease is valid. */
   g_assert_cmpuint (sim->tasks_started, ==, started);
   for (guint i = 0; i < sim->machines->len; i++)
     g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
@@ -152,8 +154,8 @@
   sim_free (sim);
 }
 
-/* The cloud will take a machine: a task that can neither save nor end before then starts elsewhere at once, one that is
- * nearly over runs on, and the machine goes back as soon as it is empty. */
+/* The cloud announces that it reclaims a spot machine. A task that can neither checkpoint nor end in time is stopped
+ * and starts elsewhere at once; a task that ends in time runs on; the machine is returned as soon as it is empty. */
 static void
 test_spot_reclaim_notice (void)
 {
@@ -180,7 +182,7 @@
   sim_free (sim);
 }
 
-/* A job that fails wherever it starts is tried ever more slowly, and others go on. */
+/* A job that fails on every machine is retried with a growing back-off, and other jobs go on. */
 static void
 test_failing_job_backs_off (void)
 {
@@ -195,7 +197,8 @@
   sim_free (sim);
 }
 
-/* A job that fails on every machine for a while is not left waiting after that, though other work there goes on and on. */
+/* A job that failed on every machine for a while starts again after that, although other work never leaves these
+ * machines empty. */
 static void
 test_transient_failure_on_every_machine (void)
 {
@@ -219,8 +222,8 @@
     }
 }
 
-/* A team without guarantee or limit takes what others leave, beyond what any of them may use, and no more: a huge array
- * and a swarm of single tasks beside work of teams that have a guarantee. */
+/* A team without guarantee and limit uses what the others leave, also more than the limit of any other team, and gives
+ * way to teams with a guarantee. It submits one huge array and many single tasks. */
 static void
 test_team_without_guarantee (void)
 {
@@ -236,7 +239,7 @@
       late = sim_add_job (sim, 30, "red", 6, 1, 5); /* urgent, within its team's guarantee */
       for (guint i = 0; i < 4; i++)
         sim_add_job (sim, 32 + i, i % 2 ? "red" : "blue", 4, 1, 8);
-      sim_run (sim, 80); /* other work is stopped for it after a part of what its aim allows */
+      sim_run (sim, 80); /* lower work is preempted once part of the time that the objective allows has passed */
       g_assert_true (late->confirmed_done);
       sim->faults_over_at = 60;
       sim_run (sim, 300);
@@ -245,7 +248,8 @@
     }
 }
 
-/* A cancellation while starts are on their way: told only once durable, and soon nothing of the job is left. */
+/* A job is cancelled while starts of its tasks are in flight: the cancellation is confirmed only once it is durable,
+ * and soon no task of the job is left. */
 static void
 test_cancellation_during_starts (void)
 {
@@ -265,7 +269,8 @@
   sim_free (sim);
 }
 
-/* A rental carried out late, or by nobody known, is used or goes back. */
+/* A machine that no controller knows to have requested, such as one of a rental that was carried out late, is used or
+ * returned. */
 static void
 test_unrequested_machine (void)
 {
@@ -287,7 +292,7 @@
   sim_run (sim, 25);
   machine = machine_with_tasks (sim);
   g_assert_nonnull (machine);
-  machine->terminated = TRUE; /* taken with no notice */
+  machine->terminated = TRUE; /* reclaimed by the cloud without notice */
   machine->terminated_at = sim->now;
   g_ptr_array_set_size (machine->tasks, 0);
   sim_run (sim, 260);
@@ -324,8 +329,8 @@
   hzb_controller_request (http_request, sim->nodes[at].controller);
 }
 
-/* A controller that loses the key-value store and the other controllers, but not its workers: it soon stops answering
- * them, so that they go on elsewhere with their leases alive, and tells users at once that it can't say. */
+/* A controller is cut off from the key-value store and from its peers, but not from its workers. It stops answering
+ * workers early enough that other controllers renew their leases, and answers users 503 at once. */
 static void
 test_controller_reaches_workers_only (void)
 {
@@ -340,7 +345,7 @@
       sim->nodes[at].cut_off_from_kv = sim->nodes[at].cut_off_from_peers = TRUE;
       sim_run (sim, sim->now + 5);
       query_status_at (sim, at, &status);
-      g_assert_cmpuint (status, ==, 503); /* in this very moment */
+      g_assert_cmpuint (status, ==, 503); /* without waiting for a timeout */
       sim_run (sim, sim->now + 4);
       g_assert_cmpint (hzb_ownership_state (sim->nodes[at].controller->ownership), ==, HZB_OWNERSHIP_NONE);
       g_assert_false (hzb_controller_ready (sim->nodes[at].controller));
@@ -362,8 +367,8 @@
   sim_start (sim, at);
 }
 
-/* Each node is back within a fraction of a second, again and again, in elections, leases and flushes; what its earlier
- * processes sent comes late. */
+/* Controllers restart within a fraction of a second, again and again, in the midst of elections, leases and flushes,
+ * while copies of what their earlier processes sent arrive late. */
 static void
 test_rapid_restarts (void)
 {
@@ -384,7 +389,7 @@
     }
 }
 
-/* A message of an earlier process does not count as the new one's: no shard is taken back for it. */
+/* The leader refuses messages of an earlier incarnation of a controller, and reclaims no shard because of one. */
 static void
 test_messages_of_earlier_incarnation (void)
 {
@@ -423,7 +428,7 @@
   sim_free (sim);
 }
 
-/* The leader loses the workers, and nothing else: another leads before the workers' leases are over. */
+/* The leader is cut off from the workers only: another controller leads before the workers' leases expire. */
 static void
 test_leader_cut_off_from_workers (void)
 {
@@ -444,7 +449,7 @@
   sim_free (sim);
 }
 
-/* All machines of a small fleet hang, again and again: the lead passes on once for that, not every time. */
+/* All machines of a small fleet hang, again and again: the leader resigns at most once for that. */
 static void
 test_all_machines_hang_repeatedly (void)
 {
@@ -470,8 +475,8 @@
   sim_free (sim);
 }
 
-/* Operators: settings are checked, refused when another has changed them, and apply on all nodes; a machine is
- * drained, also by a later leader. */
+/* The admin API checks settings, refuses a change that is based on an older version, and applies it on all nodes. A
+ * drain of a machine is carried on by the next leader. */
 static void
 test_admin_api (void)
 {
@@ -510,7 +515,7 @@
   sim_start (sim, (guint) leader);
   sim_run (sim, 250);
   g_assert_true (machine->terminated);
-  for (guint i = 0; i < SIM_NODES; i++) /* a new process has them too */
+  for (guint i = 0; i < SIM_NODES; i++) /* a restarted controller has the settings too */
     g_assert_cmpfloat (sim->nodes[i].controller->dispatch->h, ==, 0.25);
   expect_all_finished (sim, "admin api", 50);
   sim_free (sim);
@@ -534,7 +539,7 @@
   return FALSE;
 }
 
-/* The checks themselves: each can fail. */
+/* Each check of the simulated cluster can fail. */
 static void
 test_checks_can_fail (void)
 {
@@ -570,10 +575,10 @@
   g_assert_cmpuint (sim->violations->len, ==, 0);
   expect_violation (sim, "forgotten", job, 404, NULL);
   expect_violation (sim, "not_done", job, 200, "done");
-  expect_violation (sim, "went_back", job, 200, "running"); /* it was called done */
+  expect_violation (sim, "went_back", job, 200, "running"); /* it was confirmed done before */
   job = sim_add_job (sim, 1e6, "red", 2, 1, 1);
   job->submitted = TRUE;
-  expect_violation (sim, "went_back", job, 200, "cancelled"); /* its user did not ask for that */
+  expect_violation (sim, "went_back", job, 200, "cancelled"); /* its user has not cancelled it */
   job = sim_add_job (sim, 1e6, "red", 2, 1, 1);
   job->zone = "zb";
   {
@@ -583,7 +588,7 @@
   }
   job->zone = NULL;
   g_ptr_array_set_size (sim->violations, 0);
-  /* At a day's end. */
+  /* The checks at the end of a run. */
   for (guint i = 0; i < sim->jobs->len; i++)
     ((SimJob *) sim->jobs->pdata[i])->team = g_strdup ("blue");
   job = sim_add_job (sim, 1e6, "red", 4, 1, 1);
@@ -608,7 +613,7 @@
   sim_free (sim);
 }
 
-/* Returns: a task of the job for which the leader holds a place, once there is one. */
+/* Returns: a task of the job for which the leader holds a reservation, once there is one. */
 static HzbTask *
 run_until_reserved (Sim *sim, const SimJob *gang)
 {
@@ -624,7 +629,8 @@
   return NULL;
 }
 
-/* Places held for a gang on a machine that then takes no new tasks are given up: it would wait there for ever. */
+/* Reservations on a machine that is then to be returned are released: the gang would wait for ever for a machine that
+ * takes no new tasks. */
 static void
 test_gang_reservation_on_scale_in_candidate (void)
 {
@@ -642,7 +648,7 @@
         task->machine->scale_in_requested = TRUE;
       sim_run (sim, sim->now + 90);
       g_assert_true (gang->confirmed_done);
-      expect_all_finished (sim, "a gang on a spare machine", seed);
+      expect_all_finished (sim, "gang reservation on scale in candidate", seed);
       sim_free (sim);
     }
 }
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -1,5 +1,5 @@
-/* All controllers end under load and come back: nothing runs twice, nothing is lost, and no command is given for a job before
- * its verdict is durable. -m slow plays larger fleets and more seeds, -m perf measures. */
+/* Cold starts: all controllers crash under load and restart. No task runs twice, none is lost, and no command for a
+ * job is sent before its verdict is durable. -m slow plays larger fleets and more seeds, -m perf measures. */
 #include "json.h"
 #include "record-keys.h"
 #include "sim-faults.h"
@@ -11,21 +11,21 @@
 #define BARRIER FEATURES "barrier = true\n"
 #define VERDICTS "hzb/x/reconciliation/verdicts/"
 #define STATE "hzb/x/reconciliation/state"
-#define LEAST_VALUE 2048u /* bytes: what cluster.state.next allows */
+#define LEAST_VALUE 2048u /* bytes; the limit that cluster.state.next names */
 #define LATE_ACCEPTANCE_S 11.0
 
 /* ---- the witness ---- */
 
-/* What the store and the workers show, seen from outside of the controllers. */
+/* Observes the records and the workers from outside of the controllers, from the crash of all controllers on. */
 typedef struct
 {
   Sim *sim;
-  guint64 term;        /* of the last leader before the end */
-  GHashTable *begun;   /* uids of jobs that had a task on a machine then */
+  guint64 term;        /* of the last leader before the crash */
+  GHashTable *begun;   /* uids of jobs that had a task on a machine at the crash */
   GHashTable *decided; /* uid -> its verdict's row */
-  GHashTable *ended;   /* tasks that had ended as of the last look, by machine, agent epoch, name and attempt -> uid */
+  GHashTable *ended;   /* tasks that had ended as of the last step, by machine, agent epoch, name and attempt -> uid */
   double ended_at, first_command, first_verdict, last_verdict;
-  guint starts[60]; /* by second after the end of all */
+  guint starts[60]; /* by second after the crash */
 } Witness;
 
 static Witness *
@@ -58,7 +58,7 @@
   g_free (witness);
 }
 
-/* A verdict that is durable never changes, whoever leads. */
+/* Checks that a durable verdict never changes, whoever leads. */
 static void
 witness_verdicts (const char *key, const cJSON *page, gpointer user)
 {
@@ -81,7 +81,7 @@
     }
 }
 
-/* What a leader after the end has started. */
+/* Checks that a leader after the crash started only tasks whose verdict is durable. */
 static void
 witness_starts (Witness *witness, const SimMachine *machine)
 {
@@ -96,7 +96,7 @@
     }
 }
 
-/* The job's end is on record, or its user wants it to be. */
+/* Whether the job's completion is on record, or its user has cancelled it. */
 static gboolean
 is_terminal (Witness *witness, const char *uid)
 {
@@ -125,7 +125,8 @@
   return ended;
 }
 
-/* What a worker was told to forget. One that has begun another agent epoch has forgotten it by itself. */
+/* Checks that results were reaped only after their job's verdict is durable. A worker that began another agent epoch
+ * has dropped its tasks by itself. */
 static void
 witness_reaped (Witness *witness)
 {
@@ -180,7 +181,7 @@
 {
   SimConfig config = machines > 100 ? sim_config_large : sim_config_small;
   config.machines = machines + machines / 10;
-  config.team_max = 12 * machines; /* unconfirmed tasks count, too: what waits could start all the same */
+  config.team_max = 12 * machines; /* unconfirmed tasks count too: pending ones could start in spite of them */
   config.check_interval_s = 0.2;
   config.features = FEATURES;
   return config;
@@ -193,8 +194,8 @@
     sim_add_machine (sim, i % 3 ? "small" : "big", i % 2 ? "za" : "zb", TRUE, g_rand_double_range (sim->rand, 1, 5));
 }
 
-/* A cluster at work: arrays of all teams, one of them so large that some of its tasks are not released when all end, and a
- * service. */
+/* A cluster at work: arrays of all teams, one so large that some of its tasks are not released when all controllers
+ * crash, and a service. */
 static Sim *
 cluster_at_work (guint32 seed, const SimConfig *config, guint machines, double run_s)
 {
@@ -207,7 +208,7 @@
       job->spot = TRUE;
     }
   sim_add_job (sim, 1.5, "blue", MAX (80, machines * 5), 1, run_s);
-  /* Not spread: there are too few machines that the cloud does not take back for two zones. */
+  /* Not spread: there are too few machines that are not spot for two zones. */
   add_service (sim, 2, "red", 3, 2, 200)->spread = FALSE;
   sim_run (sim, 20 + config->heartbeat_interval_s * 2);
   expect_no_violation (sim, "at work", seed);
@@ -248,7 +249,7 @@
   return state_of (witness->sim) == state;
 }
 
-/* @witness: NULL if there was no cold start lately. */
+/* Ends all faults, and expects that all jobs finish. @witness: (nullable): of the cold start, if there was one lately */
 static void
 finish (Sim *sim, Witness *witness, const char *what, guint32 seed)
 {
@@ -289,13 +290,14 @@
   for (guint i = 0; i < G_N_ELEMENTS (witness->starts); i++)
     busiest = MAX (busiest, witness->starts[i]);
   g_test_message (
-      "%u machines, seed %u, away for %.1f s: verdicts durable %.1f to %.1f s after the end, at most %u starts "
+      "%u machines, seed %u, down for %.1f s: verdicts durable %.1f to %.1f s after the crash, at most %u starts "
       "a second, %u changes in the first minute",
       machines, seed, away_s, witness->first_verdict, witness->last_verdict, busiest, sim->kv_writes - written);
   g_assert_cmpuint (g_hash_table_size (witness->decided), >, 0);
   g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COMPLETE, 120));
   sim_each_record (sim, VERDICTS, witness_verdicts, witness);
-  g_assert_cmpuint (sim_largest_record (sim, STATE), ==, 0); /* nothing is left for the next leader */
+  g_assert_cmpuint (sim_largest_record (sim, STATE), ==,
+                    0); /* no record of the reconciliation is left for the next leader */
   g_assert_cmpuint (sim_largest_record (sim, VERDICTS), ==, 0);
   finish (sim, witness, "under load", seed);
 }
@@ -312,8 +314,8 @@
     }
 }
 
-/* Half of the machines are silent through the restart, and back before or after their leases are over; some hear nothing,
- * some are in no run queue of the cloud, some have begun another agent epoch. */
+/* Half of the machines are unresponsive through the restart, and return before or after their leases expire. Some are
+ * one-way partitioned, some are missing from the cloud's inventory, some have begun another agent epoch. */
 static void
 test_unresponsive_machines (void)
 {
@@ -328,15 +330,15 @@
           SimMachine *machine = sim->machines->pdata[i];
           machine->partitioned = i % 2 == 0;
           machine->one_way_partitioned = i % 7 == 1;
-          machine->missing_from_inventory = i % 5 == 3; /* the cloud does not show it, and it reports */
+          machine->missing_from_inventory = i % 5 == 3; /* missing from the cloud's inventory, yet sends heartbeats */
           if (i % 9 == 5)
             {
-              machine->agent_epoch++; /* its lease ended, and it has begun another agent epoch */
+              machine->agent_epoch++; /* its lease expired, and it has begun another agent epoch */
               machine->sequence = 0;
               g_ptr_array_set_size (machine->tasks, 0);
             }
         }
-      sim->heartbeat_copy_chance = 0.1; /* reports from before the end come after the verdicts */
+      sim->heartbeat_copy_chance = 0.1; /* heartbeats from before the crash arrive after the verdicts */
       sim_run (sim, sim->now + 2);
       start_all_controllers (sim, NULL);
       witness_run (witness, back_s[seed % G_N_ELEMENTS (back_s)]);
@@ -349,7 +351,8 @@
     }
 }
 
-/* Cancelled and not told, with half of a gang's tasks over, and with results that nobody has heard of. */
+/* Events while all controllers are down: cancellations that were recorded but not confirmed, a gang of which half the
+ * tasks have ended, and results that no controller has seen. */
 static void
 test_events_during_downtime (void)
 {
@@ -369,8 +372,8 @@
         }
       sim_run (sim, sim->now + 0.3 * (seed % 4));
       witness = crash_all_under_witness (sim);
-      sim_run (sim, sim->now + 8); /* many tasks end, their leases live */
-      sim->loss_chance = 0.5;      /* also the first reports of results */
+      sim_run (sim, sim->now + 8); /* many tasks end while the leases of their machines are valid */
+      sim->loss_chance = 0.5;      /* also the first heartbeats that show results */
       start_all_controllers (sim, NULL);
       witness_run (witness, 5);
       sim->loss_chance = 0;
@@ -378,9 +381,10 @@
     }
 }
 
-/* ---- controllers and the store ---- */
+/* ---- controllers and the key-value store ---- */
 
-/* Everything ends again in each state, and the next ones go on from what is durable. */
+/* All controllers, or the leader only, crash again in each state of the reconciliation, and the next leader goes on
+ * from what is durable. */
 static void
 test_crash_in_each_state (void)
 {
@@ -390,7 +394,8 @@
         SimConfig config = small_config (20);
         Sim *sim = cluster_at_work (seed, &config, 20, 60);
         Witness *witness = crash_all_under_witness (sim);
-        ((SimMachine *) sim->machines->pdata[0])->hung = TRUE; /* so that deciding takes a while */
+        ((SimMachine *) sim->machines->pdata[0])->hung =
+            TRUE; /* an unresponsive machine, so that deciding takes a while */
         sim_run (sim, sim->now + 1);
         start_all_controllers (sim, NULL);
         while (state_of (sim) != (HzbReconciliationState) state && sim->now < witness->ended_at + 60)
@@ -401,7 +406,7 @@
         g_assert_cmpint (state_of (sim), ==, state);
         sim_run (sim, sim->now + g_rand_double_range (sim->rand, 0, 1));
         if (seed % 2)
-          sim_crash (sim, (guint) MAX (sim_leader (sim), 0)); /* a change of leader goes on with it, too */
+          sim_crash (sim, (guint) MAX (sim_leader (sim), 0)); /* after a failover the reconciliation goes on, too */
         else
           for (guint i = 0; i < SIM_NODES; i++)
             sim_crash (sim, i);
@@ -413,7 +418,8 @@
       }
 }
 
-/* Two that believe to lead, the store refused to one, out, or without answers to what it carries out. */
+/* Two controllers that both believe to lead; a key-value store that refuses one controller, has an outage, or carries
+ * transactions out without a response. */
 static void
 test_kv_faults_and_two_leaders (void)
 {
@@ -443,7 +449,7 @@
     }
 }
 
-/* A leader that knows nothing of it leads in between: what was decided before is given up, and nothing breaks. */
+/* A leader without the feature leads in between: the verdicts decided before are discarded, and no rule is broken. */
 static void
 test_leader_without_reconciliation (void)
 {
@@ -457,7 +463,7 @@
       start_all_controllers (sim, NULL);
       g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COLLECTING, 30));
       witness_run (witness, 2);
-      g_hash_table_remove_all (witness->begun); /* it records no verdicts */
+      g_hash_table_remove_all (witness->begun); /* a leader without the feature records no verdicts */
       for (guint with = 0; with < 2; with++)
         {
           for (guint i = 0; i < SIM_NODES; i++)
@@ -476,7 +482,7 @@
     }
 }
 
-/* An unreadable page counts for nothing: its jobs wait for their machines, the others' verdicts hold. */
+/* An unreadable page is ignored: its jobs wait for their machines, and the verdicts of other pages hold. */
 static void
 test_unreadable_records (void)
 {
@@ -557,10 +563,10 @@
   g_autofree char *old_end = g_strconcat (HZB_KEY_ARCHIVED, job->uid, NULL);
   double seen;
 
-  job->always_fails = TRUE; /* no user waits for it */
+  job->always_fails = TRUE; /* no user polls it */
   if (kind == UNRECORDED_KEPT_BY_OPERATOR)
     {
-      /* Nothing else keeps the machine from being given back. */
+      /* Without other tasks, only the operator's decision keeps the machine from being returned as idle. */
       g_ptr_array_set_size (machine->tasks, 0);
       cancel_all (sim);
     }
@@ -576,8 +582,8 @@
       guint status;
       do
         status = decide (sim, job, "{\"decision\":\"stop\"}");
-      while (status == 404 && sim->now < seen + LATE_ACCEPTANCE_S); /* it has not been reported yet */
-      g_assert_cmpuint (status, ==, 409);                           /* not proven */
+      while (status == 404 && sim->now < seen + LATE_ACCEPTANCE_S); /* no heartbeat has shown the task yet */
+      g_assert_cmpuint (status, ==, 409);                           /* not yet proven to be in no record */
       g_assert_cmpuint (decide (sim, job, "{\"decision\":\"maybe\"}"), ==, 400);
       g_assert_cmpuint (decide (sim, job, "{\"decision\":\"keep\"}"), ==, 200);
     }
@@ -588,7 +594,7 @@
   witness_run (witness, 25);
   if (kind == UNRECORDED_KEPT_BY_OPERATOR)
     {
-      sim_crash (sim, (guint) MAX (sim_leader (sim), 0)); /* also under the next leader */
+      sim_crash (sim, (guint) MAX (sim_leader (sim), 0)); /* the decision holds under the next leader */
       witness_run (witness, 40);
       start_all_controllers (sim, NULL);
       g_assert_true (runs (machine, job));
@@ -636,7 +642,7 @@
   return body;
 }
 
-/* The archive can be read through the administration API, and is bounded. */
+/* The archive of reconciliations can be read through the admin API, and its size is bounded. */
 static void
 test_archives (void)
 {
@@ -683,7 +689,7 @@
   finish (sim, NULL, "archives", 1120);
 }
 
-/* Neither a change of leader nor the restart of one controller is a cold start. */
+/* Neither a failover nor the restart of one controller is a cold start. */
 static void
 test_failover_is_no_cold_start (void)
 {
@@ -723,7 +729,7 @@
           sim = cluster_at_work (seed, &config, fleets[i], 60);
           witness = crash_all_under_witness (sim);
           if (!on)
-            g_hash_table_remove_all (witness->begun); /* nothing is decided there */
+            g_hash_table_remove_all (witness->begun); /* no verdicts are needed there */
           written = sim->kv_writes;
           rentals = sim->rental_calls;
           sim_run (sim, sim->now + away_s);
@@ -735,7 +741,7 @@
               first += witness->starts[k];
             }
           g_test_message (
-              "%u machines, seed %u, away %.0f s, %s: verdicts %.1f to %.1f s; %u starts in the first minute, %u in the "
+              "%u machines, seed %u, down %.0f s, %s: verdicts %.1f to %.1f s; %u starts in the first minute, %u in the "
               "busiest second; %u rental calls; %u changes; %u rules broken",
               fleets[i], seed, away_s, on ? "on" : "off", witness->first_verdict, witness->last_verdict, first, busiest,
               sim->rental_calls - rentals, sim->kv_writes - written, sim->violations->len);
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -1,21 +1,21 @@
-/* Troubles that meet: most rules that were ever broken broke when two did. */
+/* Combinations of faults: most violations of rules that were ever found took two faults at the same time. */
 #include "sim-faults.h"
 
 #include <string.h>
 
-/* ---- the gap: the key-value store refuses the leader alone, then everybody ---- */
+/* ---- the key-value store refuses the leader alone, then all controllers ---- */
 
 typedef enum
 {
   REFUSED_PLAIN,
-  REFUSED_CANCEL_BEFORE_OUTAGE, /* the cancellation comes in the second between the two */
-  REFUSED_CONFIRMER_CRASHES,    /* whoever took it ends after its answer */
-  REFUSED_RESTART_IN_OUTAGE,    /* a controller restarts in the outage */
-  REFUSED_TWO_CONTROLLERS,      /* another controller is refused beside the leader */
-  REFUSED_LATE_TRANSACTIONS,    /* transactions get no answer and are carried out late */
-  REFUSED_STATUS_QUERY,         /* the user learns it from a status question */
+  REFUSED_CANCEL_BEFORE_OUTAGE, /* the users cancel in the second between the two */
+  REFUSED_CONFIRMER_CRASHES,    /* the controllers that confirmed cancellations crash */
+  REFUSED_RESTART_IN_OUTAGE,    /* a follower restarts in the outage */
+  REFUSED_TWO_CONTROLLERS,      /* a follower is refused together with the leader */
+  REFUSED_LATE_TRANSACTIONS,    /* transactions get no response and are carried out late */
+  REFUSED_STATUS_QUERY,         /* the users learn of the cancellation by polling the status */
   REFUSED_SECOND_LEADER,
-  REFUSED_AND_CUT_FROM_PEERS, /* and the leader is cut off from the other controllers too */
+  REFUSED_AND_CUT_FROM_PEERS, /* the leader is cut off from its peers as well */
   N_REFUSED
 } RefusedVariant;
 
@@ -43,8 +43,8 @@
   return n;
 }
 
-/* The users are told as long as the leader can be asked; and nothing cancelled runs on though the outage is longer than
- * a cancellation may take. */
+/* Cancellations are confirmed as long as peers can reach the leader; and no cancelled task runs on, although the
+ * outage is longer than cancel_s. Returns: how many were confirmed before the end of the outage. */
 static guint
 play_leader_refused (guint32 seed, RefusedVariant variant)
 {
@@ -104,30 +104,31 @@
   for (guint variant = 0; variant < N_REFUSED; variant++)
     for (guint32 seed = 200; seed < 210; seed++)
       confirmed[variant] += play_leader_refused (seed, variant);
-  /* The leader can be asked though the key-value store refuses it, so it is not by silence that the rule holds. */
+  /* The rule must not hold merely because no cancellation is confirmed: peers can reach the leader though the
+   * key-value store refuses it. */
   g_assert_cmpuint (confirmed[REFUSED_PLAIN], >, 20);
   g_assert_cmpuint (confirmed[REFUSED_STATUS_QUERY], >, 15);
   g_assert_cmpuint (confirmed[REFUSED_AND_CUT_FROM_PEERS], ==, 0);
 }
 
-/* On an ordinary day a cancellation is told about as soon as it is recorded, whoever is asked. */
+/* Without faults a cancellation is confirmed about as soon as it is recorded, by any controller. */
 static void
 test_cancellation_confirmed_at_once (void)
 {
   for (guint32 seed = 220; seed < 224; seed++)
     {
       Sim *sim = sim_new (seed);
-      double asked, last = 0;
+      double cancelled_at, last = 0;
       for (guint i = 0; i < 8; i++)
         sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 6, 1.5, 60);
       sim_run (sim, 20);
-      asked = sim->now;
+      cancelled_at = sim->now;
       cancel_some (sim, NULL);
       sim_run (sim, 27);
       g_assert_cmpuint (confirmed_cancelled (sim), ==, 4);
       for (guint i = 0; i < sim->jobs->len; i += 2)
         last = MAX (last, ((SimJob *) sim->jobs->pdata[i])->cancel_confirmed_at);
-      g_assert_cmpfloat (last - asked, <, 5); /* users ask every 1 to 3 s */
+      g_assert_cmpfloat (last - cancelled_at, <, 5); /* users poll every 1 to 3 s */
       sim_run (sim, 300);
       expect_all_finished (sim, "cancellation confirmed at once", seed);
       sim_free (sim);
@@ -151,7 +152,8 @@
     sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 40, 1, 10)->type = "small";
 }
 
-/* Of a job that is called cancelled nobody holds tasks without knowing that, for so long from now. */
+/* For so many seconds from now: no owner holds tasks of a job whose cancellation is confirmed without knowing of the
+ * cancellation. */
 static void
 expect_no_unaware_owner (Sim *sim, double seconds)
 {
@@ -172,8 +174,8 @@
         }
 }
 
-/* A leaseholder that the key-value store refuses does not see the cancellation: nobody is told before the leader has told it,
- * and so nothing starts afterwards. */
+/* A leaseholder that the key-value store refuses does not see a cancellation in its replica. The cancellation is
+ * confirmed only after the leader has passed it on to the leaseholder, so no task starts afterwards. */
 static void
 test_leaseholder_misses_cancellation (void)
 {
@@ -196,11 +198,11 @@
       expect_all_finished (sim, "leaseholder misses cancellation", seed);
       sim_free (sim);
     }
-  g_assert_cmpuint (confirmed, >, 24); /* of 96, some of which are done before */
+  g_assert_cmpuint (confirmed, >, 24); /* of 96 jobs, some of which are done before */
 }
 
-/* The leader ends, and a leaseholder that nobody reaches goes on for a while: what the next leader can't rule out there is
- * not called cancelled yet. */
+/* The leader crashes while a leaseholder is isolated from everything but its machines, and goes on for a while. A
+ * cancellation is not confirmed while the next leader can't rule out that the leaseholder starts tasks of the job. */
 static void
 test_isolated_leaseholder_after_leader_crash (void)
 {
@@ -225,7 +227,7 @@
     }
 }
 
-/* ---- any two or three of the list, within seconds of each other ---- */
+/* ---- two or three random faults, within seconds of each other ---- */
 
 static void
 cut_off_leader (Sim *sim, gpointer data)
@@ -279,7 +281,7 @@
     ((SimMachine *) sim->machines->pdata[i])->partitioned = g_rand_int_range (sim->rand, 0, 4) == 0;
 }
 
-/* Users call off jobs that run, and their machines hang. */
+/* Users cancel jobs that run, and machines hang. */
 static void
 cancel_and_hang_machines (Sim *sim, gpointer data)
 {
@@ -321,7 +323,7 @@
 {
   for (guint i = 0; i < SIM_NODES; i++)
     sim_crash (sim, i);
-  /* Longer than a lease; one is back first. */
+  /* The controllers are down for longer than a lease; one starts first. */
   sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 11, 16), start_one, NULL);
   sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 17, 22), start_all_controllers, NULL);
 }
@@ -329,10 +331,11 @@
 static void
 fail_over_ten_times (Sim *sim, gpointer data)
 {
-  crash_leader_again (sim, GUINT_TO_POINTER (9)); /* ten times */
+  crash_leader_again (sim, GUINT_TO_POINTER (9)); /* ten failovers in all */
 }
 
-/* A zone with a controller: its workers reach that one only, which reaches nobody but the key-value store. */
+/* A zone with a controller is partitioned: its workers reach that controller only, and the controller reaches its
+ * workers and the key-value store only. */
 static void
 partition_zone (Sim *sim, gpointer data)
 {
@@ -345,7 +348,7 @@
 }
 
 static void
-calm (Sim *sim, gpointer data)
+end_all_faults (Sim *sim, gpointer data)
 {
   sim->kv_outage = FALSE;
   sim->late_transaction_chance = sim->heartbeat_copy_chance = sim->delay_chance = sim->loss_chance =
@@ -399,8 +402,8 @@
       for (guint i = 0; i < n; i++)
         sim_schedule (sim, at + g_rand_double_range (sim->rand, 0, 4),
                       faults[g_rand_int_range (sim->rand, 0, G_N_ELEMENTS (faults))], NULL);
-      sim_schedule (sim, at + g_rand_double_range (sim->rand, 4, 45), calm, NULL);
-      sim_schedule (sim, 122, calm, NULL);
+      sim_schedule (sim, at + g_rand_double_range (sim->rand, 4, 45), end_all_faults, NULL);
+      sim_schedule (sim, 122, end_all_faults, NULL);
       sim_run (sim, 125);
       sim->faults_over_at = sim->now;
       sim_run (sim, 600);
@@ -409,8 +412,8 @@
     }
 }
 
-/* Cancellations meet the end of their job's last task, and the transactions of both are held up: a job ends one way only, and
- * whoever was told how is never told otherwise. */
+/* Users cancel a job just as its last task ends, and the transactions of both are delayed: a job ends in one way only,
+ * and no user is ever told otherwise. */
 static void
 test_cancellation_races_completion (void)
 {
@@ -436,7 +439,7 @@
             }
         }
       sim->delay_chance = 0;
-      sim_schedule (sim, 100, crash_all_controllers, NULL); /* what is recorded is read anew */
+      sim_schedule (sim, 100, crash_all_controllers, NULL); /* the records are read again */
       sim->faults_over_at = 120;
       sim_run (sim, 300);
       for (guint i = 0; i < sim->jobs->len; i++)
--- a/tests/test-largest-fleet.c
+++ b/tests/test-largest-fleet.c
@@ -1,5 +1,5 @@
-/* Fleets of 4,000 and 6,000 machines: no number in the program is met, and all rules hold while much of it fails. The short
- * form runs in CI; -m slow plays more seeds and sizes, -m perf measures. */
+/* The largest fleets, 4,000 and 6,000 machines: no limit in the program is reached, and all rules hold while many
+ * machines fail. CI runs the short form; -m slow plays more seeds and sizes, -m perf measures. */
 #include "sim-faults.h"
 #include "user-protocol.h"
 
@@ -7,7 +7,7 @@
 
 #define MACHINES 4000u
 #define MACHINES_LATER 6000u
-#define UP_BY_S 30.0 /* from the first job on, by eight calls a second for fifty machines each, and their boots */
+#define UP_BY_S 30.0 /* from the first job on: eight calls a second for 50 machines each, and the time to boot */
 
 static SimConfig
 config_of (guint machines)
@@ -26,7 +26,7 @@
     sim_add_machine (sim, i % 3 ? "small" : "big", i % 2 ? "za" : "zb", TRUE, g_rand_double_range (sim->rand, 1, 5));
 }
 
-/* As many machines, at work for some 20 s, with three jobs for each forty machines. */
+/* So many machines, at work for some 20 s, with three jobs for every 40 machines. */
 static Sim *
 fleet_at_work (guint32 seed, guint machines, double run_s)
 {
@@ -49,7 +49,7 @@
   return FALSE;
 }
 
-/* Returns: after how many seconds all machines have answered the leader. */
+/* Returns: after how many seconds all machines are verified by the leader. */
 static double
 run_until_all_verified (Sim *sim, double most_s)
 {
@@ -108,8 +108,8 @@
   sim_free (sim);
 }
 
-/* The leader ends under load, then a zone is cut off while half of the others are silent, users cancel by the hundred, the
- * key-value store is out, and all controllers end. */
+/* The leader crashes under load; then a zone is partitioned and users cancel by the hundred; then every second machine
+ * is partitioned, the key-value store has an outage, and all controllers crash. */
 static void
 play_failures (guint32 seed, guint machines)
 {
@@ -121,7 +121,7 @@
   sim_run (sim, sim->now + 8);
   sim_start (sim, leader);
   answered = run_until_all_verified (sim, 30);
-  g_test_message ("%u machines, seed %u: all have answered the next leader %.1f s after the last ended", machines, seed,
+  g_test_message ("%u machines, seed %u: all were verified by the next leader %.1f s after the crash", machines, seed,
                   answered + 8);
   g_assert_cmpfloat (answered, <, 30);
   cut_machines (sim, "za", 0);
@@ -149,8 +149,8 @@
     }
 }
 
-/* The cloud has as many of one kind, and none is rented when the work comes. Returns: (transfer full): the cluster, with its
- * machines up. */
+/* The work comes while no machine is rented, and the cloud has just enough of one type. Returns: (transfer full): the
+ * cluster, with its machines up. */
 static Sim *
 fleet_scaled_out_from_zero (guint32 seed, guint machines)
 {
@@ -180,13 +180,13 @@
   sim_free (fleet_scaled_out_from_zero (810, MACHINES));
 }
 
-/* Until all jobs are over. Known to be red at its first seed: KNOWN-RED.txt. */
+/* Runs until all jobs are terminal. The first seed is known to be red: see KNOWN-RED.txt. */
 static void
 test_scale_out_from_zero_to_completion (void)
 {
   Sim *sim = fleet_scaled_out_from_zero (810, MACHINES);
   sim->faults_over_at = sim->now + 40;
-  sim_run (sim, sim->now + 150); /* where it fails, so that a known red takes no longer than it has to */
+  sim_run (sim, sim->now + 150); /* fails here, so that the known red test takes no longer than it has to */
   expect_no_violation (sim, "from none, full", 810);
   finish (sim, "scale out from zero", 810);
   for (guint32 seed = 811; g_test_slow () && seed < 816; seed++)
@@ -198,7 +198,7 @@
 
 /* ---- messages ---- */
 
-/* More jobs run than fit any message: every controller shows all of them all the same. */
+/* More jobs run than fit one heartbeat between controllers: every controller still shows the counts of all of them. */
 static void
 test_more_jobs_than_one_message (void)
 {
@@ -236,7 +236,7 @@
 static void
 measure (guint machines)
 {
-  static const char *const names[] = { "ticks", "reports", "users", "peers", "answers" };
+  static const char *const names[] = { "ticks", "heartbeats", "users", "peers", "responses" };
   Sim *sim = fleet_at_work (830, machines, 300);
   g_autoptr (GString) text = g_string_new (NULL);
   guint requests = sim->kv_requests, written = sim->kv_writes, leader;
@@ -254,8 +254,8 @@
     sim_run (sim, sim->now + 0.1);
   answered = run_until_all_verified (sim, 60);
   g_test_message (
-      "%u machines: ms of processor a second, all controllers:%s; state service %.1f requests, %.2f changes a "
-      "second; largest request %.1f KiB, reply %.1f KiB; next leader heard by all after %.1f s; heap %.1f MiB",
+      "%u machines: ms of processor a second, all controllers:%s; key-value store %.1f requests, %.2f changes a "
+      "second; largest request %.1f KiB, reply %.1f KiB; all machines verified by the next leader after %.1f s; heap %.1f MiB",
       machines, text->str, requests / 60.0, written / 60.0, (double) sim->largest_request / 1024,
       (double) sim->largest_reply / 1024, answered, (double) mallinfo2 ().uordblks / 1048576);
   sim_free (sim);
--- a/tests/test-liveness.c
+++ b/tests/test-liveness.c
@@ -1,8 +1,9 @@
-/* Large fleets under faults: no accepted job is forgotten. A question about it is never answered 404, and some question
- * about it is answered within 75 s once the faults are over, and within 90 s while most others get answers. */
+/* Liveness under faults: no accepted job is forgotten. A status query about it never gets 404, and some query gets a
+ * conclusive response within 75 s once the faults are over, and within 90 s while most other users get theirs. */
 #include "sim-faults.h"
 
-/* While leaders end: a change takes some 5 s, and a third of the questions go to a node that is down. */
+/* While leaders crash one after another: a failover takes some 5 s, and a third of the queries go to a node that is
+ * down. */
 #define LONGEST_RESPONSE_GAP_S 45.0
 
 static double
@@ -36,7 +37,7 @@
   ((SimMachine *) machine)->hung = FALSE;
 }
 
-/* What happens to some machine of a large fleet every second or two. */
+/* As happens to some machine of a large fleet every second or two. */
 static void
 hang_machine (Sim *sim, gpointer data)
 {
@@ -45,7 +46,7 @@
   sim_schedule (sim, sim->now + 34.5, resume_machine, machine);
 }
 
-/* Leaders end one after another; machines hang meanwhile, and users cancel a third of the jobs. */
+/* Leaders crash one after another; machines hang meanwhile, and users cancel a third of the jobs. */
 static void
 play_repeated_failover (guint32 seed, guint machines)
 {
@@ -64,7 +65,7 @@
     }
   sim_run (sim, until + 10);
   longest = longest_response_gap_s (sim, &job);
-  g_test_message ("%u machines, seed %u: the longest time without an answer is %.1f s, about %s:\n%s", machines, seed,
+  g_test_message ("%u machines, seed %u: the longest time without a response is %.1f s, about %s:\n%s", machines, seed,
                   longest, job ? job->uid : "none", job ? job->response_history->str : "");
   expect_no_violation (sim, "repeated failover", seed);
   g_assert_cmpfloat (longest, <, LONGEST_RESPONSE_GAP_S);
@@ -91,8 +92,8 @@
   return FALSE;
 }
 
-/* Jobs are cancelled while nobody leads, and the next leader can't read its records for longer than a cancellation may
- * take: users are told, since every controller knows, and nothing of these jobs runs on. */
+/* Jobs are cancelled while no controller leads, and the next leader can't load its records for longer than cancel_s.
+ * The cancellations are confirmed, since every controller knows of them, and no task of these jobs runs on. */
 static void
 test_cancellation_while_leader_loads (void)
 {
@@ -116,7 +117,7 @@
       g_assert_true (a_leader_is_loading (sim));
       for (guint i = 0; i < sim->jobs->len; i++)
         confirmed += ((SimJob *) sim->jobs->pdata[i])->confirmed_cancelled;
-      g_test_message ("seed %u: %u told", seed, confirmed);
+      g_test_message ("seed %u: %u confirmed", seed, confirmed);
       sim->kv_outage = FALSE;
       sim_run (sim, sim->now + 500);
       expect_all_finished (sim, "cancellation while leader loads", seed);
@@ -125,8 +126,8 @@
   g_assert_cmpuint (confirmed, >, 8);
 }
 
-/* More cancellations than go with a message can't be acknowledged: one node is down, and no machine answers. One that can
- * be does not wait behind them. */
+/* More cancellations than fit one message can't be acknowledged, since one controller is down and no machine answers.
+ * A cancellation that can be acknowledged does not wait behind them. */
 static void
 test_more_cancellations_than_one_message (void)
 {
@@ -158,7 +159,7 @@
       status = user_request (sim, follower, "POST", path, "", NULL);
       for (guint i = 0; i < 90; i++)
         confirmed += ((SimJob *) sim->jobs->pdata[i])->confirmed_cancelled;
-      g_test_message ("seed %u: %u at %.1f, %u others told", seed, status, sim->now, confirmed);
+      g_test_message ("seed %u: %u at %.1f, %u others confirmed", seed, status, sim->now, confirmed);
       g_assert_cmpuint (confirmed, <, 90 - 64);
       g_assert_cmpuint (status, ==, 200);
       start_all_controllers (sim, NULL);
@@ -187,8 +188,8 @@
   sim->nodes[MAX (sim_leader (sim), 0)].cut_off_from_peers = cut;
 }
 
-/* Hundreds of machines with dozens of tasks each fall silent together, while for a moment the leader can't be asked: what
- * their leaseholders have to say fits no single request, and no shard is lost for that. */
+/* Hundreds of machines with dozens of tasks each become unresponsive together while the leader refuses connections for
+ * a moment. The events of their leaseholders then fit no single request, and no shard is lost because of that. */
 static void
 test_more_events_than_one_message (void)
 {
@@ -201,7 +202,7 @@
   g_assert_cmpuint (leaseholders (sim), ==, SIM_NODES - 1);
   for (guint i = 0; i < sim->machines->len; i++)
     ((SimMachine *) sim->machines->pdata[i])->partitioned = i % 3 > 0;
-  for (guint i = 0; i < 60; i++) /* silent after three reports of 5 s */
+  for (guint i = 0; i < 60; i++) /* unresponsive after three missed heartbeats of 5 s */
     {
       cut_leader_from_peers (sim, i % 8 < 5);
       sim_run (sim, sim->now + 0.5);
@@ -213,7 +214,7 @@
   sim_free (sim);
 }
 
-/* ---- faults at random ---- */
+/* ---- random faults ---- */
 
 static void
 pause_node (Sim *sim, gpointer data)
@@ -264,7 +265,8 @@
     }
 }
 
-/* Two that overlap last as long as the longer one, at the most: in an outage nothing can be proven fresh. */
+/* Outages that overlap end with the first end: in an outage no response can be proven fresh, so a longer one would
+ * break the time limit of the test. */
 static void
 begin_kv_outage (Sim *sim, gpointer data)
 {
@@ -283,7 +285,7 @@
   sim->late_transaction_chance = sim->late_transaction_chance > 0 ? 0 : 0.2;
 }
 
-/* One fault, and its end. */
+/* Schedules one fault and its end. Returns: when it ends. */
 static double
 random_fault (Sim *sim, double at)
 {
@@ -338,7 +340,7 @@
     sim_add_machine (sim, i % 3 ? "small" : "big", i % 2 ? "za" : "zb", TRUE, g_rand_double_range (sim->rand, 1, 5));
   for (guint i = 0; i < 40; i++)
     sim_add_job (sim, 1 + 0.5 * i, i % 2 ? "red" : "blue", (guint) g_rand_int_range (sim->rand, 10, 60), 1, 60);
-  for (guint i = 0; i < 500; i++) /* one task each, four in a second, a quarter cancelled */
+  for (guint i = 0; i < 500; i++) /* one task each, four jobs a second, a quarter of them cancelled */
     sim_add_job (sim, 5 + 0.25 * i, i % 2 ? "red" : "blue", 1, 1, 8)->wants_cancel = i % 4 == 0;
   for (guint i = 0; i < 9; i++)
     end = MAX (end, random_fault (sim, g_rand_double_range (sim->rand, 20, 140)));
@@ -355,7 +357,7 @@
   start_all_controllers (sim, NULL);
   sim_run (sim, end + 90);
   longest = longest_response_gap_s (sim, &job);
-  g_test_message ("%u machines, seed %u: the longest time without an answer is %.1f s, about %s", machines, seed,
+  g_test_message ("%u machines, seed %u: the longest time without a response is %.1f s, about %s", machines, seed,
                   longest, job ? job->uid : "none");
   sim_check_forgotten (sim);
   expect_no_violation (sim, "random faults", seed);
@@ -367,7 +369,7 @@
 static void
 test_random_faults (void)
 {
-  /* By hand, with -m slow: 40 schedules. */
+  /* With -m slow, by hand: 40 schedules. */
   for (guint32 seed = 360; seed < (g_test_slow () ? 400 : 363); seed++)
     play_faults (seed, 600);
 }
--- a/tests/test-overload.c
+++ b/tests/test-overload.c
@@ -1,21 +1,20 @@
-/* Faults and loads that no list named: controllers that fall silent, many times as many questions, guest teams, jobs that
- * were submitted with a mistake. */
+/* Stalled controllers, bursts of status queries, large loads of teams without a guarantee, and jobs that always fail. */
 #include "json.h"
 #include "sim-faults.h"
 
 #include <string.h>
 
-/* ---- silent controllers ---- */
+/* ---- stalled controllers ---- */
 
-/* Whoever falls silent accepts what comes and answers nothing; the others are served, and on waking nothing is done that
- * a later leader did not allow. */
+/* One or two controllers stall: they accept connections and answer nothing. The others go on, and a resumed controller
+ * does nothing that a later leader has not allowed. */
 static void
 test_stalled_controllers (void)
 {
   for (guint32 seed = 600; seed < 612; seed++)
     {
       Sim *sim = sim_new (seed);
-      guint leader, other, silent = 1 + seed % 2;
+      guint leader, other, n_stalled = 1 + seed % 2;
       SimJob *meanwhile;
       for (guint i = 0; i < 10; i++)
         sim_add_job (sim, 1 + 2 * i, i % 2 ? "red" : "blue", 1 + i % 6, 1.5, 15)->wants_cancel = i % 4 == 3;
@@ -23,7 +22,7 @@
       leader = (guint) MAX (sim_leader (sim), 0);
       other = (leader + 1) % SIM_NODES;
       sim->nodes[seed % 3 ? leader : other].paused = TRUE;
-      if (silent > 1)
+      if (n_stalled > 1)
         sim->nodes[seed % 3 ? other : leader].paused = TRUE;
       sim_run (sim, 40);
       meanwhile = sim_add_job (sim, 40, "red", 3, 1, 5);
@@ -46,14 +45,14 @@
     }
 }
 
-/* ---- many questions ---- */
+/* ---- bursts of status queries ---- */
 
 typedef struct
 {
   Sim *sim;
   SimJob *job;
-  guint *answers, *refusals;
-  double asked;
+  guint *responses, *refusals;
+  double sent_at;
   double *slowest;
 } StatusQuery;
 
@@ -63,16 +62,16 @@
   StatusQuery *question = http_request->impl;
   cJSON *root = cJSON_Parse (body ? body : "");
   sim_user_response (question->sim, question->job, status, hzb_json_text (root, "status"));
-  *question->answers += 1;
+  *question->responses += 1;
   *question->refusals += status == 503;
-  *question->slowest = MAX (*question->slowest, question->sim->now - question->asked);
+  *question->slowest = MAX (*question->slowest, question->sim->now - question->sent_at);
   if (status == 503)
     g_assert_cmpuint (retry, >, 0);
   cJSON_Delete (root);
   g_free (question);
 }
 
-static guint answers, refusals;
+static guint responses, refusals;
 static double slowest;
 
 static void
@@ -84,7 +83,7 @@
     return;
   http_request = g_new0 (HzbHttpRequest, 1);
   question = g_new0 (StatusQuery, 1);
-  *question = (StatusQuery){ sim, job, &answers, &refusals, sim->now, &slowest };
+  *question = (StatusQuery){ sim, job, &responses, &refusals, sim->now, &slowest };
   http_request->method = g_strdup ("GET");
   http_request->path = g_strdup_printf ("/api/jobs/%s", job->uid);
   http_request->body = g_strdup ("");
@@ -93,11 +92,11 @@
   hzb_controller_request (http_request, sim->nodes[node].controller);
 }
 
-/* So many questions about each accepted job within the second, at all nodes. */
+/* Sends so many status queries about each accepted job within one second, spread over all nodes. */
 static guint
 query_for_a_second (Sim *sim, guint each)
 {
-  guint asked = 0;
+  guint sent = 0;
   double until = sim->now + 1;
   for (guint k = 0; k < each; k++)
     {
@@ -107,16 +106,17 @@
           if (!job->accepted)
             continue;
           query_status (sim, (i + k) % SIM_NODES, job);
-          asked++;
+          sent++;
         }
       sim_run (sim, sim->now + 1.0 / each);
     }
   sim_run (sim, until);
-  return asked;
+  return sent;
 }
 
-/* Ten times as many questions cost the key-value store hardly more requests, since one proves freshness for all that wait;
- * each is answered within the time that its user waits, no answer is older than one before, and submissions go on. */
+/* Ten times as many status queries cost hardly more requests to the key-value store, since one read proves freshness
+ * for all queries that wait. Each is answered within the user's timeout, no response is older than an earlier one, and
+ * submissions go on. */
 static void
 test_status_query_burst (void)
 {
@@ -128,7 +128,7 @@
       for (guint i = 0; i < 40; i++)
         sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 2, 1, 20)->wants_cancel = i % 5 == 0;
       sim_run (sim, 20);
-      answers = refusals = 0;
+      responses = refusals = 0;
       slowest = 0;
       before = sim->kv_requests;
       for (guint s = 0; s < 8; s++)
@@ -146,7 +146,7 @@
       g_assert_cmpuint (8 * many, <, asked_many);
       g_assert_cmpuint (many, <, 4 * few);
       g_assert_cmpfloat (slowest, <, 2);
-      g_assert_cmpuint (refusals, <, answers / 10);
+      g_assert_cmpuint (refusals, <, responses / 10);
       g_assert_true (meanwhile->accepted && meanwhile->accepted_at < 32);
       for (guint i = 0; i < SIM_NODES; i++)
         if (sim->nodes[i].paused)
@@ -158,7 +158,7 @@
     }
 }
 
-/* While the key-value store is out, each of many questions gets its refusal at once. */
+/* In an outage of the key-value store each of many status queries is refused at once. */
 static void
 test_status_query_burst_in_kv_outage (void)
 {
@@ -168,12 +168,12 @@
   sim_run (sim, 20);
   sim->kv_outage = TRUE;
   sim_run (sim, 26);
-  answers = refusals = 0;
+  responses = refusals = 0;
   slowest = 0;
   for (guint s = 0; s < 5; s++)
     query_for_a_second (sim, 10);
-  g_assert_cmpuint (answers, >, 1000);
-  g_assert_cmpuint (refusals, ==, answers);
+  g_assert_cmpuint (responses, >, 1000);
+  g_assert_cmpuint (refusals, ==, responses);
   g_assert_cmpfloat (slowest, <, 0.1);
   sim->kv_outage = FALSE;
   sim_run (sim, 330);
@@ -181,10 +181,10 @@
   sim_free (sim);
 }
 
-/* ---- guest teams ---- */
+/* ---- teams without a guarantee ---- */
 
-/* A swarm of a guest's single tasks costs few changes in the store, and takes its room from nobody: work of a team with a
- * guarantee is as soon over as without it. */
+/* Many jobs of one task each, of a team without a guarantee, cost few changes in the key-value store and take no
+ * capacity from others: work of teams with a guarantee completes as early as without them. */
 static void
 test_many_small_jobs_without_guarantee (void)
 {
@@ -221,7 +221,7 @@
     }
 }
 
-/* ---- jobs with a mistake ---- */
+/* ---- jobs that always fail ---- */
 
 static guint quarantined; /* machines */
 
@@ -231,8 +231,8 @@
   quarantined += strstr (message, "is set aside") != NULL;
 }
 
-/* Jobs that fail wherever they start: no machine goes back or is rented for them, a faulty machine is still found, all else
- * goes on, and they stay known and can be cancelled. */
+/* Jobs that fail on every machine: no machine is quarantined, returned or rented because of them, a machine that is
+ * really faulty is still found, other work goes on, and the failing jobs stay known and can be cancelled. */
 static void
 test_jobs_that_always_fail (void)
 {
@@ -262,10 +262,10 @@
       start_all_controllers (sim, NULL);
       sim_run (sim, 110);
       g_assert_true (faulty->terminated);
-      g_assert_cmpuint (quarantined, <=, 1); /* no sound machine for the jobs' sake */
+      g_assert_cmpuint (quarantined, <=, 1); /* at most the faulty machine, and no sound one */
       rented = sim->machine_number;
       sim_run (sim, 148);
-      g_assert_cmpuint (sim->machine_number - rented, <=, 2); /* only failures are left to do */
+      g_assert_cmpuint (sim->machine_number - rented, <=, 2); /* only failing jobs are left */
       g_assert_cmpuint (sim->tasks_started, <, 14 * 4 + 120);
       for (guint i = 0; i < 3; i++)
         {
@@ -282,8 +282,8 @@
     }
 }
 
-/* In an outage nobody calls the key-value store all the time: neither a leader that can't read its records, nor one that does
- * not know what became of what it wrote. */
+/* In an outage no controller calls the key-value store in a tight loop: neither a leader that can't read its records,
+ * nor one that does not know the outcome of its last transaction. */
 static void
 test_kv_request_rate_in_kv_outage (void)
 {
@@ -295,7 +295,7 @@
         sim_add_job (sim, 1 + i, i % 2 ? "red" : "blue", 6, 1.5, 25);
       sim_run (sim, 20);
       if (seed % 2)
-        sim->late_transaction_chance = 1; /* no transaction gets an answer */
+        sim->late_transaction_chance = 1; /* no transaction gets a response */
       else
         {
           sim_crash (sim, (guint) MAX (sim_leader (sim), 0));
@@ -308,7 +308,7 @@
       before = sim->kv_requests;
       sim_run (sim, sim->now + 20);
       g_test_message ("seed %u: %u requests in 20 s", seed, sim->kv_requests - before);
-      /* Of three nodes: a watch and a lease renewal now and then, and two tries a second of whatever failed. */
+      /* For each node: a watch and a lease renewal now and then, and two retries a second of whatever failed. */
       g_assert_cmpuint (sim->kv_requests - before, <, SIM_NODES * 20 * 6);
       sim->kv_outage = FALSE;
       sim->late_transaction_chance = 0;
--- a/tests/test-processes.c
+++ b/tests/test-processes.c
@@ -1,5 +1,6 @@
-/* Three real controllers on loopback are killed under load and started again: the fakes' rules hold, nothing is lost, and the
- * controllers say that they have reconciled. The time is the real one, so nothing here depends on how long a step takes. */
+/* Three real controller processes on loopback are killed under load and started again: the rules that the fakes check
+ * hold, no task is lost, and the controllers log that they have reconciled. Time is real here, so no assertion depends
+ * on how long a step takes. */
 #include "real-processes.h"
 #include "sim-faults.h"
 
@@ -7,26 +8,26 @@
 #include <string.h>
 #include <unistd.h>
 
-#define API_PORT 18100u /* of the first controller; its peers' port is the next one */
+#define API_PORT 18100u /* of the first controller; its port for peers is the next one */
 #define KV_PORT 18120u
 #define CLOUD_PORT 18121u
 #define MACHINES 30u
 #define JOBS 24u
-#define LONGEST_S 240.0 /* a machine that is busy with other things is slow */
+#define LONGEST_S 240.0 /* the host may be busy with other work */
 
 static const char *program;
 static HzbTransport *client;
 static GPid pids[SIM_NODES];
 
-/* ---- the users' and workers' way to the processes ---- */
+/* ---- requests of users and workers to the processes ---- */
 
 static void
 on_reply (guint status, const char *body, gsize length, gpointer user)
 {
   HzbHttpRequest *http_request = user;
-  gboolean report = g_str_equal (http_request->path, "/hello");
-  /* A worker learns that its connection was refused; a user asks again by itself. */
-  if (status || report)
+  gboolean heartbeat = g_str_equal (http_request->path, "/hello");
+  /* A worker needs to know that its connection was refused; a user retries after a timeout. */
+  if (status || heartbeat)
     http_request->reply (http_request, status, body, 0);
   g_free (http_request->method);
   g_free (http_request->path);
@@ -75,7 +76,7 @@
   for (guint i = 0; i < SIM_NODES; i++)
     {
       pids[i] = real_start (program, settings[i], features, log);
-      sim->nodes[i].controller = (gpointer) sim; /* never looked into */
+      sim->nodes[i].controller = (gpointer) sim; /* marks the process as running; never dereferenced */
     }
 }
 
@@ -85,7 +86,8 @@
   for (guint i = 0; i < SIM_NODES; i++)
     {
       real_kill (pids[i]);
-      sim->nodes[i].controller = i ? NULL : sim->nodes[i].controller; /* the first stands for the fakes' callers */
+      sim->nodes[i].controller =
+          i ? NULL : sim->nodes[i].controller; /* the first one stands for the callers of the fakes */
     }
 }
 
@@ -110,7 +112,7 @@
 
   config.machines = MACHINES;
   config.team_max = 4 * MACHINES;
-  config.lease_s = 30; /* nothing ends because this machine is busy with other things */
+  config.lease_s = 30; /* long, so that no lease expires because the host is busy with other work */
   config.check_interval_s = 0.1;
   config.cancel_s = 60;
   sim = real_sim_new (1300, &config);
@@ -157,7 +159,7 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  alarm ((guint) LONGEST_S + 60); /* it stops by itself, whatever happens */
+  alarm ((guint) LONGEST_S + 60); /* ends this process if something blocks for ever */
   if (argc != 2)
     {
       g_printerr ("usage: test-processes CONTROLLER\n");
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -1,10 +1,11 @@
-/* What is durable, and what is told of it. */
+/* Records: what is durable, and what users are told of it. */
 #include "record-keys.h"
 #include "sim-faults.h"
 
 #include <string.h>
 
-/* While the key-value store is away a finished job is not called done, and its results are kept by the workers. */
+/* In an outage of the key-value store a job whose tasks have all ended is not called done, and the workers keep its
+ * results. */
 static void
 test_done_confirmed_after_durable (void)
 {
@@ -31,8 +32,8 @@
   sim_free (sim);
 }
 
-/* Many transactions come late. The simulated cluster checks that no record of progress ever goes back, as one would if an
- * older set of results overwrote a newer one of the same term. */
+/* Many transactions are carried out late. The fake key-value store checks that no record of progress goes back, as it
+ * would if an older flush of the same term overwrote a newer one. */
 static void
 test_late_transactions (void)
 {
@@ -51,8 +52,8 @@
     }
 }
 
-/* The key-value store takes few changes: what is refused with 429 is sent once more, whole, and neither a new job nor a
- * new machine waits for the records of all the others. */
+/* The key-value store takes few changes a second. A transaction that got 429 is sent again as a whole, and neither a
+ * new job nor a new machine waits until the records of all others are written. */
 static void
 test_low_write_rate (void)
 {
@@ -94,7 +95,7 @@
   return n;
 }
 
-/* After all nodes have ended and begun anew with a whole day's records, each answers for every job. */
+/* After a restart of all controllers with a day's records, each of them answers for every job. */
 static void
 test_full_restart_answers_for_every_job (void)
 {
@@ -113,8 +114,9 @@
   sim_free (sim);
 }
 
-/* Records of jobs that completed long ago are not replicated, and still answer: users go on asking, submit again and cancel,
- * while nodes end and one misses so much that it has to read all anew. */
+/* Jobs that completed long ago are archived outside of the replicated records, and users still get responses about
+ * them, to queries, repeated submissions and cancellations, while controllers crash and one has to read all records
+ * again because the changes it missed were compacted. */
 static void
 test_archive_of_completed_jobs (void)
 {
@@ -136,12 +138,11 @@
       sim_run (sim, 60);
       if (seed % 2)
         {
-          sim->nodes[1].cut_off_from_kv = TRUE; /* a while, in which much moves */
+          sim->nodes[1].cut_off_from_kv = TRUE; /* long enough for many records to move to the archive */
           sim_run (sim, 85);
           sim->nodes[1].cut_off_from_kv = FALSE;
           if (sim->nodes[1].controller)
-            hzb_kv_replica_reset (
-                sim->nodes[1].controller->kv_replica); /* as when the changes since are not kept any more */
+            hzb_kv_replica_reset (sim->nodes[1].controller->kv_replica); /* as if the changes since were compacted */
         }
       sim_run (sim, 112);
       start_all_controllers (sim, NULL);
@@ -150,7 +151,7 @@
       while (g_hash_table_iter_next (&iter, &key, NULL))
         {
           moved += g_str_has_prefix (key, HZB_KEY_ARCHIVED);
-          if (g_str_has_prefix (key, HZB_KEY_ARCHIVED)) /* in one place only */
+          if (g_str_has_prefix (key, HZB_KEY_ARCHIVED)) /* each job has a record in one place only */
             {
               g_autofree char *other = g_strconcat (HZB_KEY_JOBS, (char *) key + strlen (HZB_KEY_ARCHIVED), NULL);
               g_assert_false (g_hash_table_contains (sim->kv, other));
@@ -160,7 +161,7 @@
       for (guint i = 0; i < SIM_NODES; i++)
         g_assert_cmpuint (g_hash_table_size (sim->nodes[i].controller->jobs->by_uid), ==,
                           config.max_replicated_completed);
-      /* Users come back long after, and one asks about what was never submitted. */
+      /* Users return much later, and one asks about a job that was never submitted. */
       sim_run (sim, 300);
       expect_all_finished (sim, "archive of completed jobs", seed);
       sim_free (sim);
@@ -173,7 +174,7 @@
 {
   g_autoptr (GString) text = g_string_new (NULL);
   for (guint i = 0; i < 200; i++)
-    g_string_append (text, "\\u0001"); /* one byte each, six in a record */
+    g_string_append (text, "\\u0001"); /* one byte each in the request, six in a record */
   return g_strdup_printf (
       "{\"uid\":\"%s\",\"lane\":\"%s\",\"owner\":\"red\",\"shape\":\"sweep\",\"urgency\":\"normal\","
       "\"pieces\":2,\"cpus\":1,\"gpus\":0,\"ramGb\":1,\"bundle\":\"%s\",\"sizeGb\":0.5,\"samePlace\":false,"
@@ -181,8 +182,8 @@
       uid, text->str, text->str);
 }
 
-/* A job was accepted when values could be larger, has ended and has moved away: its repeated submission gets its state, and
- * the same texts in a new job are refused. */
+/* A job with long texts was accepted when values could be larger, and is archived. Its repeated submission gets its
+ * state; a new job with the same texts is refused. */
 static void
 test_idempotent_request_with_long_texts (void)
 {
--- a/tests/test-scale.c
+++ b/tests/test-scale.c
@@ -1,5 +1,5 @@
-/* Many machines: what a decision costs, counted, and that the rules hold while many fall together. Bounds are by count,
- * nothing here looks at how long anything takes. */
+/* Large fleets: how many candidates a decision examines, and that the rules hold while many machines fail together.
+ * Bounds are counts; no test here measures time. */
 #include "sim-faults.h"
 #include "support.h"
 #include "worker-protocol.h"
@@ -24,7 +24,7 @@
     bench_machine (&b, "small", i % 2 ? "za" : "zb", TRUE);
   for (guint i = 0; i < jobs; i++)
     bench_job (&b, i % 2 ? "red" : "blue", HZB_PRIORITY_NORMAL, 200, 1, 30);
-  for (guint i = 0; i < 20; i++) /* until every list is full */
+  for (guint i = 0; i < 20; i++) /* until every run queue is full */
     hzb_dispatch_run (b.dispatch, now);
   before = b.dispatch->examined;
   hzb_dispatch_run (b.dispatch, now);
@@ -38,19 +38,20 @@
   return before;
 }
 
-/* A report looks at a sample of lists, a run of placing at so many machines, however many there are. */
+/* A heartbeat examines a sample of run queues and a dispatch run a bounded number of machines, however large the fleet
+ * is. */
 static void
 test_cost_of_decisions (void)
 {
   static const guint fleets[] = { 40, 400, 1200, MACHINES };
   for (guint i = 0; i < G_N_ELEMENTS (fleets); i++)
     {
-      guint run, reports = examined_for_heartbeats (fleets[i], 200, &run);
-      g_test_message ("%u machines: %u looks for 20 reports, %u for a run", fleets[i], reports, run);
-      /* Four starts a report, each after a look at no more than 32 lists, twice. */
-      g_assert_cmpuint (reports, <=, 20 * (4 + 1) * 2 * 32);
+      guint run, heartbeats = examined_for_heartbeats (fleets[i], 200, &run);
+      g_test_message ("%u machines: %u candidates examined for 20 reports, %u for a run", fleets[i], heartbeats, run);
+      /* Four starts for each heartbeat, each after at most two scans of 32 run queues. */
+      g_assert_cmpuint (heartbeats, <=, 20 * (4 + 1) * 2 * 32);
       g_assert_cmpuint (run, <=, 20000 + 400 * 8 + 200 * 8);
-      /* What a look at every machine for every waiting job would take: beyond the bound where there are many. */
+      /* An examination of every machine for every waiting job would exceed the bound on large fleets. */
       if (fleets[i] >= 400)
         g_assert_cmpuint (200 * fleets[i], >, 20000 + 400 * 8 + 200 * 8);
     }
@@ -67,7 +68,7 @@
   return n;
 }
 
-/* Half of the machines stop within three seconds. */
+/* Half of the machines crash within three seconds. */
 static void
 test_half_of_machines_crash (void)
 {
@@ -84,7 +85,7 @@
   rentals = sim->rental_calls;
   sim_run (sim, sim->now + 60);
   expect_no_violation (sim, "half of machines crash", 0);
-  /* No wave of calls: one plan a second, and no more than what lacks. */
+  /* No burst of rental calls: one plan a second, and no more machines than are missing. */
   g_assert_cmpuint (sim->rental_calls - rentals, <, 60);
   g_assert_cmpuint (alive (sim), <=, MACHINES);
   sim_run (sim, 400);
@@ -92,7 +93,8 @@
   sim_free (sim);
 }
 
-/* The leader ends while three hundred machines are silent: the others' work goes on and new work starts at once. */
+/* The leader crashes while 300 machines are unresponsive: work on the other machines goes on, and new work starts at
+ * once. */
 static void
 test_failover_with_unresponsive_machines (void)
 {
@@ -110,11 +112,12 @@
   add_many_arrays (sim, 20, 5, 10);
   started = sim->tasks_started;
   written = sim->kv_writes;
-  sim_run (sim, began + 25); /* no lease is over, no machine can have been given back */
+  sim_run (sim, began + 25); /* no lease has expired and no machine can have been returned */
   expect_no_violation (sim, "failover with unresponsive machines", 0);
   g_assert_cmpint (sim_leader (sim), !=, -1);
   g_assert_cmpuint (sim->tasks_started - started, >, 100);
-  /* Progress once a second, and what waits at once: with pages written at each report it is 600 (tried by hand). */
+  /* Progress is written once a second, and pages that something waits for at once. If pages were written at each
+   * heartbeat it would be 600 changes (tried by hand). */
   g_assert_cmpuint (sim->kv_writes - written, <, 25 * 10);
   sim_start (sim, at);
   for (guint i = 0; i < sim->machines->len; i++)
@@ -124,7 +127,7 @@
   sim_free (sim);
 }
 
-/* All nodes begin anew with the records of a day. */
+/* All controllers restart with the records of a day. */
 static void
 test_full_restart (void)
 {
@@ -143,11 +146,11 @@
   g_assert_cmpint (sim_leader (sim), !=, -1);
   for (guint i = 0; i < SIM_NODES; i++)
     g_assert_true (hzb_controller_ready (sim->nodes[i].controller));
-  /* Each reads what there is once, and the leader the owner's part. */
+  /* Each controller reads all records once, and the leader also the part that only an owner reads. */
   g_assert_cmpuint (sim->kv_rows_read - rows, <=, (SIM_NODES + 1) * g_hash_table_size (sim->kv) + 20);
   g_assert_cmpuint (sim->kv_requests - requests, <, 1500);
   sim_run (sim, began + 24);
-  /* Nothing that ran was lost: no lease has ended. */
+  /* No running task was lost: no lease has expired. */
   for (guint i = 0; i < sim->machines->len; i++)
     g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
   g_assert_cmpuint (tasks_running (sim), >, work / 2);
@@ -157,7 +160,7 @@
   sim_free (sim);
 }
 
-/* The leader stands still for longer than its lease while its clock runs on; another leads meanwhile. */
+/* The leader stalls for longer than its lease while its clock runs on; another controller leads meanwhile. */
 static void
 test_stalled_leader (void)
 {
@@ -170,7 +173,7 @@
   sim_run (sim, sim->now + 3);
   g_assert_false (hzb_election_leading (sim->nodes[old].controller->election));
   g_assert_cmpint (sim_leader (sim), !=, -1);
-  /* And a leaseholder. */
+  /* The same with a leaseholder. */
   old = (sim_leader (sim) + 1) % SIM_NODES;
   sim->nodes[old].paused = TRUE;
   sim_run (sim, sim->now + 13);
--- a/tests/test-services.c
+++ b/tests/test-services.c
@@ -3,22 +3,22 @@
 
 #include <string.h>
 
-/* Replicas run until their job is cancelled, through machines that stop, notices and replicas that end by themselves; a
- * service is never done. */
+/* Replicas are restarted until their job is cancelled, through crashes of machines, reclaim notices and replicas that
+ * end by themselves; a service is never done. */
 static void
 test_replicas_restart_until_cancelled (void)
 {
   for (guint32 seed = 400; seed < 406; seed++)
     {
       Sim *sim = sim_new (seed);
-      SimJob *calm = add_service (sim, 3, "red", 4, 1, 120), *ends = add_service (sim, 4, "blue", 3, 1, 120);
+      SimJob *steady = add_service (sim, 3, "red", 4, 1, 120), *restarting = add_service (sim, 4, "blue", 3, 1, 120);
       SimMachine *machine;
-      ends->run_s = 9;
+      restarting->run_s = 9;
       for (guint i = 0; i < 6; i++)
         sim_add_job (sim, 1 + i, i % 2 ? "red" : "blue", 5, 2, 12);
       sim_run (sim, 50);
-      g_assert_cmpfloat (calm->replica_missed_s, <, 0.1 * calm->replica_wanted_s);
-      g_assert_cmpfloat (ends->replica_missed_s, <, 0.6 * ends->replica_wanted_s);
+      g_assert_cmpfloat (steady->replica_missed_s, <, 0.1 * steady->replica_wanted_s);
+      g_assert_cmpfloat (restarting->replica_missed_s, <, 0.6 * restarting->replica_wanted_s);
       machine = machine_with_tasks (sim);
       if (seed % 2)
         {
@@ -29,16 +29,17 @@
         machine->reclaim_at = sim->now + 8;
       sim->faults_over_at = sim->now + 15;
       sim_run (sim, 118);
-      g_assert_false (calm->confirmed_done || ends->confirmed_done);
-      g_assert_cmpfloat (calm->replica_missed_s, <, 0.4 * calm->replica_wanted_s);
+      g_assert_false (steady->confirmed_done || restarting->confirmed_done);
+      g_assert_cmpfloat (steady->replica_missed_s, <, 0.4 * steady->replica_wanted_s);
       sim_run (sim, 300);
-      g_assert_true (calm->confirmed_cancelled && ends->confirmed_cancelled);
+      g_assert_true (steady->confirmed_cancelled && restarting->confirmed_cancelled);
       expect_all_finished (sim, "replicas restart until cancelled", seed);
       sim_free (sim);
     }
 }
 
-/* Production goes first: a fleet full of lower work makes room at once, and of a team at its limit lower work stops. */
+/* A production service preempts lower classes at once on a full fleet, and also within its own team if that is at its
+ * limit. */
 static void
 test_service_preempts_lower_classes (void)
 {
@@ -54,7 +55,7 @@
   sim_free (sim);
 }
 
-/* Room that is kept for replicas does not stand empty while other work waits for long. */
+/* Headroom for replicas is given up while other work has waited for long. */
 static void
 test_headroom_yields_to_waiting_work (void)
 {
@@ -73,7 +74,8 @@
   sim_free (sim);
 }
 
-/* The only machines that suit are leased and full of long work: they come back with it, and it gives way. */
+/* The only machines that suit a service are leased out and full of long work: the leader recalls them, and the work on
+ * them is preempted. */
 static void
 test_leased_machine_recalled_for_service (void)
 {
@@ -94,7 +96,7 @@
       for (guint i = 0; i < controller->machines->all->len; i++)
         leased += ((HzbMachine *) controller->machines->all->pdata[i])->state == HZB_MACHINE_LEASED;
       g_assert_cmpuint (leased, >, 0);
-      sim->config.machines = 0; /* no more are to be had */
+      sim->config.machines = 0; /* the cloud has no capacity left */
       service = add_service (sim, 30, "red", 4, 1, 120);
       sim_run (sim, 110);
       g_assert_cmpfloat (service->replica_missed_s, <, 0.05 * service->replica_wanted_s);
@@ -103,7 +105,7 @@
     }
 }
 
-/* What is wrong with a service gets its documented answer and is never accepted, on this node. */
+/* Each invalid submission gets its documented status at this node and is not accepted. */
 static void
 expect_refusals (Sim *sim, guint node, guint uid)
 {
@@ -136,7 +138,7 @@
     }
 }
 
-/* Odd requests get their answer and are never accepted, on every node. */
+/* Invalid requests get their documented status and are not accepted, at every node. */
 static void
 test_invalid_requests (void)
 {
@@ -144,7 +146,7 @@
   SimJob *job = sim_add_job (sim, 1, "red", 4, 2, 8);
   guint retry = 0;
   g_autofree char *path = NULL;
-  /* Right after a start nothing is decided yet, but what is malformed. */
+  /* Right after a start a controller can refuse only what is malformed. */
   g_assert_cmpuint (submit_service (sim, 0, 1, "red", 0, 1, "0", NULL), ==, 400);
   sim_run (sim, 25);
   for (guint node = 0; node < SIM_NODES; node++)
@@ -160,7 +162,7 @@
       g_assert_cmpuint (user_request (sim, node, "GET", "/api/jobs/run-000010", "", NULL), ==, 404);
       g_assert_cmpuint (submit_service (sim, node, uid + 5, "red", 2, 1, "0", NULL), ==, 201);
       g_assert_cmpuint (submit_service (sim, (node + 1) % SIM_NODES, uid + 5, "red", 2, 1, "0", NULL), ==,
-                        200); /* a repeat */
+                        200); /* a repeated submission */
     }
   sim_run (sim, sim->now + 20);
   g_assert_true (job->confirmed_done);
@@ -173,7 +175,7 @@
       g_assert_cmpuint (submit_service (sim, node, 90, "red", 30, 1, "0", &retry), ==, 503);
       g_assert_cmpuint (retry, >, 0);
       g_assert_cmpuint (submit_service (sim, node, 91, "red", 2, 1, "0", &retry), ==, 503);
-      g_assert_cmpuint (user_request (sim, node, "POST", path, "", NULL), ==, 200); /* done, and told so before */
+      g_assert_cmpuint (user_request (sim, node, "POST", path, "", NULL), ==, 200); /* done, as was confirmed before */
     }
   sim_free (sim);
 }
@@ -193,8 +195,8 @@
   return cpus;
 }
 
-/* A day of services alone: they get machines, no more than they and what is kept for them need, for as long as they run;
- * nothing of them is left in the owner's records afterwards. */
+/* Only services run: they get as many machines as their replicas and their headroom need, and no more; afterwards the
+ * leader's records name none of them. */
 static void
 test_services_only (void)
 {
@@ -208,7 +210,7 @@
       for (guint t = 60; t < 150; t += 10)
         {
           sim_run (sim, t);
-          /* the replicas, what is kept in two zones, and in each part of a machine */
+          /* the replicas, the headroom in two zones, and a machine in each that is partly used */
           g_assert_cmpfloat (cpus_rented (sim), <=, 9 + 2 * 5 + 2 * 8);
         }
       for (guint i = 0; i < 3; i++)
@@ -222,7 +224,7 @@
     }
 }
 
-/* More services than there is room for: what fits runs, and what is cancelled makes room for the others. */
+/* More services than the fleet can hold: those that fit run, and a cancelled one makes room for others. */
 static void
 test_more_services_than_capacity (void)
 {
@@ -251,8 +253,8 @@
     }
 }
 
-/* Many services come and go, as over months: how they ended moves out of what every node replicas of the records, each node still answers
- * for all of them, and the owner's pages name none. */
+/* Many services come and go, as over months: completed ones move from the replicated records to the archive, each node
+ * still answers for all of them, and the leader's progress pages name none. */
 static void
 test_months_of_services (void)
 {
@@ -284,8 +286,8 @@
   sim_free (sim);
 }
 
-/* A service is cancelled while a replica of it moves, or while a machine of it hangs and goes on later, and now and then
- * the leader ends as well. */
+/* A service is cancelled while a replica of it moves, or while one of its machines hangs and resumes later; sometimes
+ * a controller crashes as well. */
 static void
 test_cancelled_while_replica_moves (void)
 {
@@ -304,7 +306,7 @@
       if (seed % 3 == 0)
         sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 0, 3), crash_random_controller, NULL);
       sim_run (sim, 60 + g_rand_double_range (sim->rand, 2, 14));
-      machine->hung = FALSE; /* it goes on, within its lease or after it */
+      machine->hung = FALSE; /* it resumes, before or after its lease has expired */
       start_all_controllers (sim, NULL);
       sim_run (sim, 120);
       g_assert_true (service->confirmed_cancelled);
@@ -316,7 +318,8 @@
     }
 }
 
-/* One of two zones goes: half of the replicas stay, the others wait, as spread asks; they come back with the zone. */
+/* One of two zones is lost: half of the replicas run on, and the others wait, as spread demands, until the zone is
+ * back. */
 static void
 test_zone_loss (void)
 {
@@ -351,7 +354,8 @@
     }
 }
 
-/* All replicas in one zone: when one loses its machine it comes back beside the others; when all do, anywhere. */
+/* All replicas must be in one zone: a replica whose machine crashed restarts in the zone of the others; if all
+ * crashed, in any zone. */
 static void
 test_same_zone_service (void)
 {
@@ -384,18 +388,18 @@
     }
 }
 
-/* Replicas that end as soon as they start: they are tried ever more seldom, no machine is given up for them, all else goes
- * on, and the service is known and can be cancelled. */
+/* Replicas that end as soon as they start are restarted with a growing back-off. No machine is returned because of
+ * them, other work goes on, and the service stays known and can be cancelled. */
 static void
 test_crash_looping_replicas (void)
 {
   for (guint32 seed = 540; seed < 544; seed++)
     {
       Sim *sim = sim_new (seed);
-      SimJob *ends = add_service (sim, 3, "red", 3, 1, 150), *sound = add_service (sim, 4, "blue", 3, 1, 150);
+      SimJob *restarting = add_service (sim, 3, "red", 3, 1, 150), *sound = add_service (sim, 4, "blue", 3, 1, 150);
       guint before;
-      ends->run_s = seed % 2 ? 0.01 : 1e9;
-      ends->always_fails = seed % 2 == 0;
+      restarting->run_s = seed % 2 ? 0.01 : 1e9;
+      restarting->always_fails = seed % 2 == 0;
       for (guint i = 0; i < 6; i++)
         sim_add_job (sim, 5 + 4 * i, i % 2 ? "red" : "blue", 4, 1, 10);
       sim_run (sim, 60);
@@ -412,8 +416,9 @@
     }
 }
 
-/* The leader ends just after it has released a service's replicas, and spot machines can't be reached from then on: the next
- * leader waits for ordinary ones only, since the service may run on no other. What may run on spot machines waits for those. */
+/* The leader crashes just after it has released the replicas of a service, and spot machines are partitioned from then
+ * on. The next leader starts the service as soon as the other machines have answered, since the service may not run on
+ * spot machines; a job that may run there waits for them. */
 static void
 test_failover_waits_for_eligible_machines_only (void)
 {
@@ -425,7 +430,7 @@
       HzbJob *known = NULL;
       guint leader;
       double since;
-      add_service (sim, 2, "red", 3, 1, 400); /* so that there are ordinary machines */
+      add_service (sim, 2, "red", 3, 1, 400); /* so that there are machines that are not spot */
       sim_run (sim, 40);
       service = add_service (sim, 40, "red", 4, 1, 400);
       leader = (guint) sim_leader (sim);
@@ -445,7 +450,7 @@
       while (sim_leader (sim) < 0 || !hzb_ownership_leader_loaded (sim->nodes[sim_leader (sim)].controller->ownership))
         sim_run (sim, sim->now + 0.1);
       since = sim->now;
-      sim_run (sim, since + 8); /* workers give a leader up after 4 s */
+      sim_run (sim, since + 8); /* workers time out after 4 s and turn to another controller */
       g_assert_cmpuint (sim_running (sim, service, NULL), ==, 4);
       controller = sim->nodes[sim_leader (sim)].controller;
       g_assert_cmpint (hzb_ownership_state (controller->ownership), ==, HZB_OWNERSHIP_RECOVERING);
--- a/tests/test-shard-leases.c
+++ b/tests/test-shard-leases.c
@@ -1,4 +1,4 @@
-/* Shards leased to other controllers, while these, the leader or the network fail. */
+/* Shards that the leader leases to other controllers, while these, the leader or the network fail. */
 #include "sim-faults.h"
 
 #include <string.h>
@@ -16,7 +16,7 @@
   return NULL;
 }
 
-/* Enough work for several machines: some are leased, and tasks run on them. */
+/* Submits work for several machines. Returns: a leased machine with tasks. */
 static SimMachine *
 run_until_leased (Sim *sim)
 {
@@ -24,7 +24,7 @@
   for (guint i = 0; i < 10; i++)
     {
       SimJob *job = sim_add_job (sim, 1 + 0.3 * i, i % 2 ? "red" : "blue", 8, 3, 25);
-      job->type = "small"; /* so that there are many machines */
+      job->type = "small"; /* a small type, so that there are many machines */
     }
   while (!machine && sim->now < 60)
     {
@@ -45,7 +45,7 @@
   return (guint) (name[strlen (name) - 1] - '0');
 }
 
-/* A leaseholder ends: its shard goes back to the leader, and what runs on its machines runs on. */
+/* A leaseholder crashes: the leader reclaims its shard, and the tasks on its machines run on. */
 static void
 test_leaseholder_crash (void)
 {
@@ -55,7 +55,7 @@
   guint tasks = machine->tasks->len;
   sim_crash (sim, node_of_leaseholder (sim, machine));
   sim_run (sim, sim->now + 9);
-  g_assert_cmpuint (machine->agent_epoch, ==, agent_epoch); /* its lease lived */
+  g_assert_cmpuint (machine->agent_epoch, ==, agent_epoch); /* its lease did not expire */
   g_assert_cmpuint (machine->tasks->len, >=, tasks > 0);
   start_all_controllers (sim, NULL);
   sim_run (sim, 600);
@@ -63,8 +63,8 @@
   sim_free (sim);
 }
 
-/* A leaseholder is cut off from the leader but not from its machines: it goes on under its fencing token, while the leader takes
- * the shard back. Nothing of it starts elsewhere until every machine has answered the leader. */
+/* A leaseholder is cut off from its peers but not from its machines, and goes on under its fencing token, while the
+ * leader reclaims the shard. No task of the shard starts elsewhere until every machine of it has answered the leader. */
 static void
 test_leaseholder_cut_off_from_leader (void)
 {
@@ -81,7 +81,7 @@
       sim_run (sim, sim->now + 6);
       known = hzb_machines_find (controller->machines, machine->name);
       g_assert_nonnull (known);
-      /* Nothing that the old leaseholder sends is obeyed once the machine has heard the leader. */
+      /* Once the machine has the leader's token it obeys no command of the old leaseholder. */
       g_assert_cmpint (known->state, !=, HZB_MACHINE_LEASED);
       g_assert_cmpuint (known->fencing_token, >, MAX (fencing_token, seen));
       sim_run (sim, sim->now + 14);
@@ -92,7 +92,8 @@
     }
 }
 
-/* The leader ends: the next one hears every machine, leased or not, before it starts what might run. */
+/* The leader crashes: the next one hears from every machine, leased or not, before it starts a task that may run
+ * there. */
 static void
 test_leader_crash (void)
 {
@@ -109,8 +110,8 @@
     }
 }
 
-/* After a takeover the new leader has every machine, and none is without tasks: working ones are handed over, with
- * their tasks, which run on; whoever ends in the midst of that. */
+/* After a failover the new leader owns every machine, and none is idle, so it hands working machines over to
+ * leaseholders, with their tasks, which run on. The leader or a leaseholder crashes in the midst of that. */
 static void
 test_hand_over_of_working_machines (void)
 {
@@ -154,7 +155,7 @@
     }
 }
 
-/* Much work, leased shards, and everything fails. */
+/* Leased shards under load, with random failures of controllers, machines and the network. */
 static void
 test_random_failures (void)
 {
@@ -184,7 +185,8 @@
     }
 }
 
-/* Work that only the leader's shard may have waits: machines are not leased, to stand idle elsewhere. */
+/* While only work waits that the leader alone places, it leases no machine: the machine would be idle at the
+ * leaseholder. */
 static void
 test_no_lease_for_leader_only_work (void)
 {
@@ -204,8 +206,9 @@
   sim_free (sim);
 }
 
-/* A leader can't be asked for a while, and then answers slowly: the leaseholder has given its shard up by then. It is not a leaseholder
- * again by that answer, without all that it was sent before. */
+/* A leader refuses connections for a while, and its response to a renewal then comes so late that the leaseholder has
+ * released the shard. The late response must not make it a leaseholder again: it no longer has the tasks and machines
+ * that it was sent before. */
 static void
 test_late_renewal_after_release (void)
 {
--- a/tests/test-unavailable-controller.c
+++ b/tests/test-unavailable-controller.c
@@ -1,10 +1,10 @@
-/* One controller is away, for whatever cause: cancellations are told all the same, and never before it must have stopped
- * acting without them. */
+/* One controller is unavailable: down, stalled or cut off. Cancellations are confirmed all the same, but not before
+ * that controller must have stopped acting without them. */
 #include "sim-faults.h"
 
 #include <string.h>
 
-#define CONFIRMED_WITHIN_S 45.0 /* users are told by then: 15 s after all others know, and a question every 5 s */
+#define CONFIRMED_WITHIN_S 45.0 /* 15 s after all other controllers know, and users poll every 5 s */
 
 static guint
 other_node (guint node)
@@ -22,7 +22,7 @@
   return sim;
 }
 
-/* When the last user was told; G_MAXDOUBLE: some never was. */
+/* Returns: when the last cancellation was confirmed; G_MAXDOUBLE if one was not. */
 static double
 run_until_all_confirmed (Sim *sim, double until)
 {
@@ -39,7 +39,7 @@
   return all_confirmed;
 }
 
-/* The others follow one another as leaders, faster than a silent machine is given up. */
+/* The available controllers follow one another as leaders, faster than an unresponsive machine is returned. */
 static void
 restart_other_leader (Sim *sim, gpointer unavailable)
 {
@@ -52,29 +52,29 @@
 }
 
 static void
-play_unavailable (guint32 seed, gboolean leads, gboolean frozen)
+play_unavailable (guint32 seed, gboolean leads, gboolean stalled)
 {
   Sim *sim = cluster_at_work (seed);
   guint leader = (guint) MAX (sim_leader (sim), 0), unavailable = leads ? leader : other_node (leader);
   double began, confirmed;
 
-  /* Some machines are silent all along, so that nothing can be proven of them. */
+  /* Some machines are unresponsive all along, so that no leader can prove anything about their tasks. */
   for (guint i = 0; i < sim->machines->len; i += 3)
     ((SimMachine *) sim->machines->pdata[i])->hung = TRUE;
-  sim->nodes[unavailable].paused = frozen;
-  sim->nodes[unavailable].cut_off_from_kv = sim->nodes[unavailable].cut_off_from_peers = !frozen;
+  sim->nodes[unavailable].paused = stalled;
+  sim->nodes[unavailable].cut_off_from_kv = sim->nodes[unavailable].cut_off_from_peers = !stalled;
   sim_run (sim, 32);
   for (guint i = 1; i < 12; i++)
     sim_schedule (sim, sim->now + 7.0 * i, restart_other_leader, GUINT_TO_POINTER (unavailable));
   cancel_all (sim);
   began = sim->now;
   confirmed = run_until_all_confirmed (sim, began + 90);
-  g_test_message ("seed %u, %s %s: all told after %.1f s", seed, leads ? "leader" : "lessee",
-                  frozen ? "frozen" : "cut off", confirmed - began);
+  g_test_message ("seed %u, %s %s: all confirmed after %.1f s", seed, leads ? "leader" : "leaseholder",
+                  stalled ? "stalled" : "cut off", confirmed - began);
   expect_no_violation (sim, "cancellation confirmed without it", seed);
   g_assert_cmpfloat (confirmed - began, <, CONFIRMED_WITHIN_S);
   sim_run (sim, began + 95);
-  if (frozen)
+  if (stalled)
     sim_resume (sim, unavailable);
   heal_controllers (sim, NULL);
   for (guint i = 0; i < sim->machines->len; i++)
@@ -97,7 +97,8 @@
     }
 }
 
-/* The key-value store refuses one controller alone: it learns of cancellations from its peers, so nobody waits for it. */
+/* The key-value store refuses one controller alone: the controller learns of cancellations from its peers, so no
+ * confirmation waits for it. */
 static void
 test_refused_by_kv_learns_from_peers (void)
 {
@@ -116,7 +117,7 @@
           const SimJob *job = sim->jobs->pdata[i];
           const HzbJob *known = hzb_jobs_find (sim->nodes[refused].controller->jobs, job->uid);
           g_assert_cmpint (known->state, ==, HZB_JOB_CANCELLED);
-          g_assert_cmpuint (known->version, >, before); /* not by its own replica of the records */
+          g_assert_cmpuint (known->version, >, before); /* learned from a peer, not by its own replica of the records */
         }
       sim_run (sim, 300);
       expect_all_finished (sim, "refused by kv learns from peers", seed);
@@ -124,8 +125,8 @@
     }
 }
 
-/* Guards against a controller that stood still: what comes first on waking finds it as it was, before it has looked at its
- * clock. The others count on it that it renews no worker's lease any more. */
+/* Guards against a controller that was stalled: the first heartbeat after it resumes reaches it before its timers have
+ * run. The other controllers rely on it that it renews no worker's lease any more. */
 static void
 test_resumed_leader_is_self_fenced (void)
 {
@@ -135,7 +136,7 @@
       guint leader = (guint) MAX (sim_leader (sim), 0);
       SimMachine *machine = run_until_machine_is (sim, HZB_MACHINE_ACTIVE);
       g_assert_cmpuint (heartbeat_to (sim, leader, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 200);
-      machine->partitioned = TRUE; /* no other controller has answered it */
+      machine->partitioned = TRUE; /* no other controller renews its lease */
       sim->nodes[leader].paused = TRUE;
       sim_run (sim, sim->now + HZB_CANCELLATIONS_KNOWN_S + 1);
       g_assert_true (hzb_election_leading (sim->nodes[leader].controller->election));
@@ -148,8 +149,9 @@
     }
 }
 
-/* Guards against the first answer of a new leader: it knows nothing of the machine yet, but it renews its lease. A machine that
- * reports once between two cuts would run cancelled work for another lease. */
+/* Guards against the first response of a new leader: the leader knows nothing of the machine yet, but the response
+ * renews the machine's lease. Without a kill command a machine that sends one heartbeat between two partitions would
+ * run cancelled tasks for another lease. */
 static void
 test_first_response_stops_cancelled_work (void)
 {
@@ -179,8 +181,8 @@
     }
 }
 
-/* An outage of the key-value store for all is no reason to answer no workers: controllers prove to each other that none knows
- * more, so no lease ends and no work is lost, however long it lasts. */
+/* In an outage of the key-value store for all controllers they prove to each other that none knows more. They go on
+ * answering workers, so no agent epoch ends and no work is lost, however long the outage lasts. */
 static void
 test_kv_outage_keeps_agent_epochs (void)
 {
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -1,6 +1,6 @@
-/* Lower limits of the key-value store, and two versions side by side. The records of version 1 that are read
- * here were written for the purpose, as that version's code wrote them; what a process of version 1 does not say is taken
- * out of the messages of a node that stands for one. */
+/* Rolling upgrades from version 1, and limits of the key-value store that shrink. The records of version 1 are
+ * fixtures, written as its code writes them. A process of version 1 is simulated by a node whose messages lack the
+ * fields that version 1 does not send. */
 #include "sim-faults.h"
 
 #include <string.h>
@@ -15,8 +15,8 @@
   sim_start (sim, node);
 }
 
-/* While one node is of version 1, silent or just restarted, no service is taken and nothing is written that it would
- * misread; afterwards it is, and a return to version 1 is refused. */
+/* While one node runs version 1, is down or has just restarted, services are refused with 503 and no record is written
+ * that version 1 would misread. Afterwards services are accepted, and a node that returns to version 1 is refused. */
 static void
 test_rolling_upgrade (void)
 {
@@ -37,7 +37,7 @@
           g_assert_cmpint (hzb_election_schema_version (sim->nodes[2].controller->election), ==, 1);
           set_version_1 (sim, i, FALSE);
           if (seed % 3 == 1 && i == 1)
-            set_version_1 (sim, 2, TRUE); /* it dies before its turn and comes back old */
+            set_version_1 (sim, 2, TRUE); /* it crashes before its upgrade and restarts with version 1 */
           if (seed % 3 == 2 && i == 0)
             {
               sim->kv_outage = TRUE;
@@ -51,7 +51,7 @@
         g_assert_cmpint (hzb_election_schema_version (sim->nodes[i].controller->election), ==, 2);
       g_assert_cmpuint (submit_service (sim, 1, 50, "red", 2, 1, "0", NULL), ==, 201);
       g_assert_cmpuint (user_request (sim, 0, "POST", "/api/jobs/run-000050/cancel", "", NULL), ==, 200);
-      /* The lead still passes on, by the key of format 2. */
+      /* Failover still works, by the leader key of format 2. */
       crash_random_controller (sim, NULL);
       sim_run (sim, sim->now + 10);
       start_all_controllers (sim, NULL);
@@ -68,7 +68,8 @@
     }
 }
 
-/* Upgrades through deaths, cuts, outages and cancellations, with services from their end on, and limits that fall. */
+/* Rolling upgrades through crashes, partitions, outages and cancellations, with services towards their end, and then
+ * smaller limits of the key-value store. */
 static void
 test_rolling_upgrade_with_faults (void)
 {
@@ -118,7 +119,8 @@
     }
 }
 
-/* What is wrong with a service is refused by any node in any phase, perhaps only once it can be decided, and never accepted. */
+/* An invalid service is refused by any node in any phase of the upgrade, or answered 503 while that can't be decided,
+ * and is never accepted. */
 static void
 expect_refused (Sim *sim, guint uid, gboolean may_wait)
 {
@@ -131,9 +133,9 @@
   g_assert_true (status == 404 || (may_wait && status == 503));
 }
 
-/* The steps of a rollout in any order: two nodes at once, one that ends before its turn and comes back old after a new one
- * has led, a step inside an outage; with cancellations, repeats and questions all along, and a service that asks from the
- * beginning. */
+/* The steps of a rolling upgrade in any order: two nodes at once, a node that restarts with version 1 after a new one
+ * has led, a step during an outage; with cancellations, repeated submissions and status queries all along, and a
+ * service that is submitted from the beginning. */
 static void
 test_rolling_upgrade_in_random_order (void)
 {
@@ -160,7 +162,7 @@
           sim->kv_outage = seed % 4 == 2 && i == 1;
           set_version_1 (sim, order[i], FALSE);
           if (second && i == 0)
-            set_version_1 (sim, order[++i], FALSE); /* two at once */
+            set_version_1 (sim, order[++i], FALSE); /* two nodes at once */
           sim_run (sim, sim->now + g_rand_double_range (sim->rand, 1, 5));
           sim->kv_outage = FALSE;
           sim_run (sim, sim->now + g_rand_double_range (sim->rand, 5, 9));
@@ -168,9 +170,9 @@
           if (i + 1 < SIM_NODES && seed % 2)
             {
               int leader = sim_leader (sim);
-              set_version_1 (sim, order[SIM_NODES - 1], TRUE); /* old once more, whoever led meanwhile */
+              set_version_1 (sim, order[SIM_NODES - 1], TRUE); /* back to version 1, whoever led meanwhile */
               if (leader >= 0 && !sim->nodes[leader].runs_version_1)
-                set_version_1 (sim, (guint) leader, FALSE); /* and then leads, perhaps */
+                set_version_1 (sim, (guint) leader, FALSE); /* restarted, so that the node of version 1 may lead */
               sim_run (sim, sim->now + 8);
               g_assert_cmpint (hzb_election_schema_version (sim->nodes[order[0]].controller->election), ==, 1);
             }
@@ -196,8 +198,9 @@
   N_SHRINK
 } LimitsShrink;
 
-/* The limits fall to 2 KiB and 5 changes, and the rate to a third, at the worst moments. Nothing that is sent since the
- * start is larger, so nothing is refused; services, a large job and machines on many pages go on. */
+/* The limits of the key-value store shrink to 2 KiB and 5 changes, and its rate to a third, at the worst moments.
+ * Controllers keep within the coming limits from their start on, so no transaction is refused; services, a large job
+ * and machines on many pages go on. */
 static void
 test_kv_limits_shrink (void)
 {
@@ -256,8 +259,8 @@
     }
 }
 
-/* What version 1 wrote is read and, where it is too large, written anew in small pages, with no moment at which a node
- * that starts would read less. */
+/* Records of version 1 that exceed the new limits are read and rewritten as small pages. A controller that starts at
+ * any moment in between reads no less. */
 static void
 test_oversized_records_of_version_1 (void)
 {
@@ -311,7 +314,7 @@
           job->last_response_at = 1;
         }
       if (seed >= 452)
-        sim_schedule (sim, 4.5, crash_all_controllers, NULL); /* in the midst of it */
+        sim_schedule (sim, 4.5, crash_all_controllers, NULL); /* in the midst of the rewrite */
       sim_run (sim, 60);
       g_assert_cmpuint (sim_largest_record (sim, "hzb/x/progress/"), <=, 2048);
       g_assert_cmpuint (sim_largest_record (sim, "hzb/x/machines/"), <=, 2048);
@@ -323,14 +326,15 @@
           g_assert_cmpint (known->state, ==, HZB_JOB_DONE);
         }
       g_assert_cmpuint (sim->tasks_started, <=,
-                        80 + 40); /* what was done is not done again; a crash may lose a start */
+                        80 + 40); /* completed tasks are not run again; a crash may lose a start */
       expect_no_violation (sim, "oversized records of version 1", seed);
       sim_free (sim);
     }
 }
 
-/* What the version in production wrote (format 2, commit 0357c99), as its code writes it: a service that it took with an
- * estimate goes on, a repeat of it is known, a job that was half done is finished, one that is over stays so. */
+/* Records of the version in production (format 2, commit 0357c99), as its code writes them: a service that it accepted
+ * with an estimate goes on, its repeated submission is recognised, a half-completed job is completed, and a terminal
+ * one stays so. */
 static void
 test_records_of_production_version (void)
 {
@@ -349,7 +353,7 @@
     { "hzb/x/progress/main/000001", "{\"run-100000/0\":{\"released\":2,\"team\":\"red\",\"cpus\":1,\"gpus\":0}}" },
   };
   Sim *sim = sim_new (465);
-  SimJob *service = sim_add_job (sim, 1e6, "red", 2, 1, 1e9); /* run-100000: its user comes no more */
+  SimJob *service = sim_add_job (sim, 1e6, "red", 2, 1, 1e9); /* run-100000: its user does not return */
   service->service = service->spread = service->submitted = service->accepted = TRUE;
   service->spot = FALSE;
   for (guint i = 0; i < SIM_NODES; i++)
@@ -378,8 +382,8 @@
   sim_free (sim);
 }
 
-/* The key-value store calls every larger value malformed, also beyond what the settings say: the node neither loops nor
- * stops serving, and goes on once it can. */
+/* The key-value store refuses values of more than 100 bytes as malformed, although the settings allow larger ones: the
+ * controllers neither loop nor stop serving, and go on once the values are accepted. */
 static void
 test_transactions_refused_as_malformed (void)
 {
--- a/tests/test-worker-heartbeats.c
+++ b/tests/test-worker-heartbeats.c
@@ -1,10 +1,11 @@
-/* Reports that come late, again or from machines that hear nothing, and fencing tokens. */
+/* Heartbeats of workers that arrive late or twice, one-way partitions, and fencing tokens. */
 #include "sim-faults.h"
 
 #include <string.h>
 
-/* A machine whose reports arrive while nothing reaches it, the leader's own and a leased one: its lease ends though every
- * report was answered; it gets no work that it does not carry out, its tasks run elsewhere, and it goes back. */
+/* The heartbeats of a machine arrive while no response reaches it. Its lease expires although every heartbeat was
+ * answered; it gets no further work, its tasks run elsewhere, and it is returned. Played with a machine of the leader
+ * and with a leased one. */
 static void
 test_one_way_partition (void)
 {
@@ -31,7 +32,7 @@
     }
 }
 
-/* A short deafness costs no machine and no task. */
+/* A one-way partition that is shorter than a lease costs no machine and no task. */
 static void
 test_short_one_way_partition (void)
 {
@@ -50,7 +51,8 @@
   sim_free (sim);
 }
 
-/* A takeover does not wait for ever for a machine that never shows the new fencing token though it reports all the time. */
+/* A failover does not wait for ever for a machine that sends heartbeats but never shows the new leader's fencing
+ * token. */
 static void
 test_one_way_partition_during_failover (void)
 {
@@ -72,7 +74,7 @@
   sim_free (sim);
 }
 
-/* A report that comes late, or again, says nothing new: its empty list does not free tasks that run. */
+/* A heartbeat that arrives late or twice is refused: its empty list of tasks does not free tasks that run. */
 static void
 test_late_heartbeat (void)
 {
@@ -92,13 +94,14 @@
   sim_free (sim);
 }
 
-/* Once a machine's lease is over for certain, a report of that agent epoch makes it look alive no more, whatever its number;
- * and a report alone, as a copy of one long gone may be, makes no machine that gets work. */
+/* Once a machine's lease has certainly expired, no heartbeat of that agent epoch revives the machine, whatever its
+ * sequence number. And a heartbeat of an unknown machine, which may be a late copy from a terminated one, makes no
+ * machine that gets work. */
 static void
 test_late_copy_does_not_revive_expired_epoch (void)
 {
   Sim *sim = sim_new (86);
-  SimMachine *machine, gone = { .name = (char *) "i-900001", .type = (char *) "big", .zone = (char *) "za" };
+  SimMachine *machine, terminated = { .name = (char *) "i-900001", .type = (char *) "big", .zone = (char *) "za" };
   HzbController *controller;
   add_arrays (sim, 10);
   machine = run_until_machine_is (sim, HZB_MACHINE_ACTIVE);
@@ -108,16 +111,17 @@
   g_assert_cmpint (hzb_machines_find (controller->machines, machine->name)->state, ==, HZB_MACHINE_LEASE_EXPIRED);
   g_assert_cmpuint (heartbeat_to_leader (sim, machine, 1, 100000, ""), ==, 503);
   g_assert_cmpint (hzb_machines_find (controller->machines, machine->name)->state, ==, HZB_MACHINE_LEASE_EXPIRED);
-  g_assert_cmpuint (heartbeat_to_leader (sim, &gone, 1, 1, ""), ==, 200);
+  g_assert_cmpuint (heartbeat_to_leader (sim, &terminated, 1, 1, ""), ==, 200);
   g_assert_nonnull (strstr (last_response_body, "\"orders\":[]"));
-  g_assert_false (hzb_machine_usable (hzb_machines_find (controller->machines, gone.name)));
+  g_assert_false (hzb_machine_usable (hzb_machines_find (controller->machines, terminated.name)));
   machine->partitioned = FALSE;
   sim_run (sim, 600);
   expect_all_finished (sim, "late copy does not revive expired epoch", 86);
   sim_free (sim);
 }
 
-/* Copies of reports and of messages between nodes come late, to any node, while leaders and machines change. */
+/* Late copies of heartbeats and of messages between controllers arrive at any controller, while controllers and
+ * machines fail. */
 static void
 test_late_copies_under_failures (void)
 {
@@ -144,7 +148,7 @@
     }
 }
 
-/* A worker that has seen a newer fencing token: whoever answers it with less has been replaced, and gives way. */
+/* A worker shows a higher fencing token than the leader's: the leader has been replaced and steps down. */
 static void
 test_newer_fencing_token (void)
 {
@@ -164,8 +168,8 @@
   sim_free (sim);
 }
 
-/* A report sent under an older fencing token may still be overtaken by that fencing token's orders: it is answered, so that the
- * lease lives, but nothing is concluded from it and nothing ordered. */
+/* A heartbeat under an older fencing token may be followed by commands under that token which are still in flight. The
+ * leader answers it, which renews the lease, but concludes nothing from it and sends no commands. */
 static void
 test_older_fencing_token (void)
 {
