--- a/tests/sim-faults.c
+++ b/tests/sim-faults.c
@@ -30,11 +30,11 @@
 crash_random_controller (Sim *sim, gpointer data)
 {
   int leader = sim_leader (sim);
-  guint at =
+  guint node_index =
       leader >= 0 && g_rand_boolean (sim->rand) ? (guint) leader : (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
-  sim_crash (sim, at);
+  sim_crash (sim, node_index);
   if (g_rand_boolean (sim->rand))
-    sim_start (sim, at); /* restarted before its lease can expire */
+    sim_start (sim, node_index); /* restarted before its lease can expire */
 }
 
 void
--- a/tests/sim-network.c
+++ b/tests/sim-network.c
@@ -56,9 +56,9 @@
 }
 
 void
-sim_resume (Sim *sim, guint at)
+sim_resume (Sim *sim, guint node_index)
 {
-  SimNode *node = &sim->nodes[at];
+  SimNode *node = &sim->nodes[node_index];
   g_autoptr (GPtrArray) late = node->deferred;
   node->deferred = g_ptr_array_new_with_free_func (g_free);
   node->paused = FALSE;
--- a/tests/sim-user.c
+++ b/tests/sim-user.c
@@ -101,15 +101,15 @@
 {
   UserCall *call = data;
   SimJob *job = call->job;
-  guint at = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
+  guint node_index = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
   HzbHttpRequest *http_request;
   gpointer *pair;
-  if (!sim->nodes[at].controller)
+  if (!sim->nodes[node_index].controller)
     {
       g_free (call);
       return;
     }
-  if (sim->nodes[at].paused)
+  if (sim->nodes[node_index].paused)
     {
       g_free (call); /* the user's request times out */
       return;
@@ -151,7 +151,7 @@
     job->cancel_requested = TRUE;
   http_request->length = strlen (http_request->body);
   sim_measure_begin (sim);
-  sim_client_request (sim, at, http_request);
+  sim_client_request (sim, node_index, http_request);
   sim_measure_end (sim, SIM_PART_USERS);
 }
 
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -301,7 +301,7 @@
 }
 
 static guint
-ask_admin (Sim *sim, guint at, const char *method, const char *path, const char *body)
+ask_admin (Sim *sim, guint node_index, const char *method, const char *path, const char *body)
 {
   HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
   static guint status;
@@ -312,13 +312,13 @@
   http_request->length = strlen (body);
   http_request->reply = capture_status;
   http_request->impl = &status;
-  hzb_controller_request (http_request, sim->nodes[at].controller);
+  hzb_controller_request (http_request, sim->nodes[node_index].controller);
   sim_run (sim, sim->now + 0.3);
   return status;
 }
 
 static void
-query_status_at (Sim *sim, guint at, guint *status)
+query_status_at (Sim *sim, guint node_index, guint *status)
 {
   HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
   http_request->method = g_strdup ("GET");
@@ -326,7 +326,7 @@
   http_request->body = g_strdup ("");
   http_request->reply = capture_status;
   http_request->impl = status;
-  hzb_controller_request (http_request, sim->nodes[at].controller);
+  hzb_controller_request (http_request, sim->nodes[node_index].controller);
 }
 
 /* A controller is cut off from the key-value store and from its peers, but not from its workers. It stops answering
@@ -338,17 +338,17 @@
     {
       Sim *sim = sim_new (seed);
       SimMachine *machine;
-      guint at, status = 0;
+      guint node_index, status = 0;
       add_arrays (sim, 10);
       machine = run_until_machine_is (sim, HZB_MACHINE_LEASED);
-      at = seed % 2 ? (guint) sim_leader (sim) : machine->node;
-      sim->nodes[at].cut_off_from_kv = sim->nodes[at].cut_off_from_peers = TRUE;
+      node_index = seed % 2 ? (guint) sim_leader (sim) : machine->node;
+      sim->nodes[node_index].cut_off_from_kv = sim->nodes[node_index].cut_off_from_peers = TRUE;
       sim_run (sim, sim->now + 5);
-      query_status_at (sim, at, &status);
+      query_status_at (sim, node_index, &status);
       g_assert_cmpuint (status, ==, 503); /* without waiting for a timeout */
       sim_run (sim, sim->now + 4);
-      g_assert_cmpint (hzb_ownership_state (sim->nodes[at].controller->ownership), ==, HZB_OWNERSHIP_NONE);
-      g_assert_false (hzb_controller_ready (sim->nodes[at].controller));
+      g_assert_cmpint (hzb_ownership_state (sim->nodes[node_index].controller->ownership), ==, HZB_OWNERSHIP_NONE);
+      g_assert_false (hzb_controller_ready (sim->nodes[node_index].controller));
       sim_run (sim, sim->now + 8);
       for (guint i = 0; i < sim->machines->len; i++)
         g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
@@ -362,9 +362,9 @@
 static void
 restart_controller (Sim *sim, gpointer data)
 {
-  guint at = GPOINTER_TO_UINT (data);
-  sim_crash (sim, at);
-  sim_start (sim, at);
+  guint node_index = GPOINTER_TO_UINT (data);
+  sim_crash (sim, node_index);
+  sim_start (sim, node_index);
 }
 
 /* Controllers restart within a fraction of a second, again and again, in the midst of elections, leases and flushes,
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -29,9 +29,9 @@
 static void
 restart_follower (Sim *sim, gpointer data)
 {
-  guint at = (guint) (sim_leader (sim) + 1) % SIM_NODES;
-  sim_crash (sim, at);
-  sim_start (sim, at);
+  guint node_index = (guint) (sim_leader (sim) + 1) % SIM_NODES;
+  sim_crash (sim, node_index);
+  sim_start (sim, node_index);
 }
 
 static guint
@@ -293,18 +293,18 @@
 static void
 start_one (Sim *sim, gpointer data)
 {
-  guint at = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
-  if (!sim->nodes[at].controller)
-    sim_start (sim, at);
+  guint node_index = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
+  if (!sim->nodes[node_index].controller)
+    sim_start (sim, node_index);
 }
 
 static void
 crash_leader (Sim *sim, gpointer data)
 {
-  guint at = (guint) MAX (sim_leader (sim), 0);
-  sim_crash (sim, at);
+  guint node_index = (guint) MAX (sim_leader (sim), 0);
+  sim_crash (sim, node_index);
   if (g_rand_boolean (sim->rand))
-    sim_start (sim, at);
+    sim_start (sim, node_index);
 }
 
 static void
--- a/tests/test-liveness.c
+++ b/tests/test-liveness.c
@@ -219,9 +219,9 @@
 static void
 pause_node (Sim *sim, gpointer data)
 {
-  guint at = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
-  if (sim->nodes[at].controller)
-    sim->nodes[at].paused = TRUE;
+  guint node_index = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
+  if (sim->nodes[node_index].controller)
+    sim->nodes[node_index].paused = TRUE;
 }
 
 static void
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -75,7 +75,7 @@
 }
 
 static guint
-count_unanswered (Sim *sim, guint at)
+count_unanswered (Sim *sim, guint node_index)
 {
   guint n = 0;
   g_autofree guint *status = g_new0 (guint, sim->jobs->len);
@@ -87,7 +87,7 @@
       http_request->body = g_strdup ("");
       http_request->reply = capture_status;
       http_request->impl = &status[i];
-      hzb_controller_request (http_request, sim->nodes[at].controller);
+      hzb_controller_request (http_request, sim->nodes[node_index].controller);
     }
   sim_run (sim, sim->now + 2);
   for (guint i = 0; i < sim->jobs->len; i++)
--- a/tests/test-shard-leases.c
+++ b/tests/test-shard-leases.c
@@ -72,12 +72,12 @@
     {
       Sim *sim = sim_new (seed);
       SimMachine *machine = run_until_leased (sim);
-      guint at = node_of_leaseholder (sim, machine);
+      guint node_index = node_of_leaseholder (sim, machine);
       HzbController *controller = sim->nodes[sim_leader (sim)].controller;
       guint64 fencing_token = hzb_machines_find (controller->machines, machine->name)->fencing_token,
               seen = machine->fencing_token;
       HzbMachine *known;
-      sim->nodes[at].cut_off_from_peers = TRUE;
+      sim->nodes[node_index].cut_off_from_peers = TRUE;
       sim_run (sim, sim->now + 6);
       known = hzb_machines_find (controller->machines, machine->name);
       g_assert_nonnull (known);
@@ -85,7 +85,7 @@
       g_assert_cmpint (known->state, !=, HZB_MACHINE_LEASED);
       g_assert_cmpuint (known->fencing_token, >, MAX (fencing_token, seen));
       sim_run (sim, sim->now + 14);
-      sim->nodes[at].cut_off_from_peers = FALSE;
+      sim->nodes[node_index].cut_off_from_peers = FALSE;
       sim_run (sim, 600);
       expect_all_finished (sim, "leaseholder cut off from leader", seed);
       sim_free (sim);
