--- a/tests/load-workers.c
+++ b/tests/load-workers.c
@@ -31,8 +31,8 @@
   char name[16];
   guint tick;
   guint64 fencing_token;
-  gboolean asking, answered; /* answered: the worker got a 200 since the last restart */
-  double next_s, asked_s;
+  gboolean awaits_response, answered; /* answered: the worker got a 200 since the last restart */
+  double next_s, sent_s;
   guint refused, most_refused; /* in a row */
   char input[4096];
   gsize read;
@@ -52,7 +52,7 @@
   if (worker->fd >= 0)
     close (worker->fd);
   worker->fd = -1;
-  worker->asking = FALSE;
+  worker->awaits_response = FALSE;
   worker->read = 0;
   worker->next_s = real_now_s () + retry_s;
 }
@@ -100,8 +100,8 @@
         }
       return;
     }
-  worker->asking = TRUE;
-  worker->asked_s = real_now_s ();
+  worker->awaits_response = TRUE;
+  worker->sent_s = real_now_s ();
 }
 
 /* Takes the fencing token without the checks of a real worker: these workers run no tasks. */
@@ -109,7 +109,7 @@
 take_response (Worker *worker, const char *body)
 {
   guint status = (guint) g_ascii_strtoull (worker->input + strlen ("HTTP/1.1 "), NULL, 10);
-  double latency = real_now_s () - worker->asked_s;
+  double latency = real_now_s () - worker->sent_s;
   cJSON *root = cJSON_Parse (body);
 
   g_array_append_val (latencies, latency);
@@ -120,7 +120,7 @@
   worker->refused = status == 200 ? 0 : worker->refused + 1;
   worker->most_refused = MAX (worker->most_refused, worker->refused);
   worker->answered = worker->answered || status == 200;
-  worker->asking = FALSE;
+  worker->awaits_response = FALSE;
   worker->read = 0;
   if (status == 200)
     worker->next_s = real_now_s () + HEARTBEAT_INTERVAL_S * g_random_double_range (0.75, 1.25);
@@ -138,7 +138,7 @@
     return;
   if (got <= 0)
     {
-      losses += worker->asking;
+      losses += worker->awaits_response;
       close_worker (worker, RETRY_S);
       return;
     }
@@ -165,12 +165,12 @@
   for (guint i = 0; i < workers->len; i++)
     {
       Worker *worker = &g_array_index (workers, Worker, i);
-      if (worker->asking && real_now_s () - worker->asked_s > RESPONSE_TIMEOUT_S)
+      if (worker->awaits_response && real_now_s () - worker->sent_s > RESPONSE_TIMEOUT_S)
         {
           losses++;
           close_worker (worker, RETRY_S);
         }
-      else if (!worker->asking && real_now_s () >= worker->next_s)
+      else if (!worker->awaits_response && real_now_s () >= worker->next_s)
         send_heartbeat (worker);
     }
   return G_SOURCE_CONTINUE;
--- a/tests/sim-rules.c
+++ b/tests/sim-rules.c
@@ -32,7 +32,7 @@
       SimJob *job = sim->jobs->pdata[i];
       if (!job->accepted || sim->now - job->last_response_at < FORGOTTEN_AMONG_OTHERS_S)
         continue;
-      sim_violation (sim, "forgotten", "no question about %s is answered since %.0f; its user was told:\n%s", job->uid,
+      sim_violation (sim, "forgotten", "no conclusive response about %s since %.0f; its user was told:\n%s", job->uid,
                      job->last_response_at, job->response_history->str);
       job->last_response_at = sim->now; /* reported once */
     }
@@ -46,8 +46,8 @@
     {
       const SimJob *job = sim->jobs->pdata[i];
       if (job->accepted && sim->now - job->last_response_at > FORGOTTEN_S)
-        sim_violation (sim, "forgotten", "no question about %s is answered since %.0f; its user was told:\n%s",
-                       job->uid, job->last_response_at, job->response_history->str);
+        sim_violation (sim, "forgotten", "no conclusive response about %s since %.0f; its user was told:\n%s", job->uid,
+                       job->last_response_at, job->response_history->str);
     }
 }
 
--- a/tests/sim-worker.c
+++ b/tests/sim-worker.c
@@ -200,33 +200,35 @@
 static void
 heartbeat_response (Sim *sim, gpointer data)
 {
-  Heartbeat *r = data;
-  SimMachine *machine = r->machine;
+  Heartbeat *heartbeat = data;
+  SimMachine *machine = heartbeat->machine;
   cJSON *root;
-  if (machine->terminated || machine->hung || !machine->awaits_response || machine->heartbeat_number != r->number)
+  if (machine->terminated || machine->hung || !machine->awaits_response
+      || machine->heartbeat_number != heartbeat->number)
     return; /* the heartbeat has timed out: its late response is dropped */
   if (machine->partitioned)
-    r->status = 0;
+    heartbeat->status = 0;
   machine->awaits_response = FALSE;
-  root = r->status ? cJSON_Parse (r->body) : NULL;
-  if (r->status == 200)
+  root = heartbeat->status ? cJSON_Parse (heartbeat->body) : NULL;
+  if (heartbeat->status == 200)
     {
       guint64 fencing_token = hzb_json_u64 (root, "baton");
-      if (fencing_token >= machine->fencing_token && fencing_token > 0 && r->agent_epoch == machine->agent_epoch)
+      if (fencing_token >= machine->fencing_token && fencing_token > 0
+          && heartbeat->agent_epoch == machine->agent_epoch)
         {
           if (fencing_token > machine->fencing_token)
             machine->next_heartbeat_at = MIN (machine->next_heartbeat_at, sim->now + 0.5);
           machine->fencing_token = fencing_token;
-          machine->lease_renewed_at = r->sent;
+          machine->lease_renewed_at = heartbeat->sent;
           carry_out (sim, machine, cJSON_GetObjectItem (root, "orders"));
         }
     }
   else
     {
-      const char *steward = r->status == 421 ? hzb_json_text (root, "steward") : NULL;
-      guint to = steward ? (guint) (steward[strlen (steward) - 1] - '0') : r->node;
-      machine->node = to != r->node ? to : (r->node + 1) % SIM_NODES;
-      machine->next_heartbeat_at = sim->now + (to != r->node ? 0.2 : 1);
+      const char *steward = heartbeat->status == 421 ? hzb_json_text (root, "steward") : NULL;
+      guint to = steward ? (guint) (steward[strlen (steward) - 1] - '0') : heartbeat->node;
+      machine->node = to != heartbeat->node ? to : (heartbeat->node + 1) % SIM_NODES;
+      machine->next_heartbeat_at = sim->now + (to != heartbeat->node ? 0.2 : 1);
     }
   cJSON_Delete (root);
 }
@@ -236,68 +238,69 @@
 {
   gpointer *pair = http_request->impl;
   Sim *sim = pair[0];
-  Heartbeat *r = pair[1];
+  Heartbeat *heartbeat = pair[1];
   g_free (pair);
-  sim_trace (&(SimTraceEvent){ .at = sim->now, .kind = "response", .node = r->node, .status = status, .body = body });
-  r->status = status;
-  r->body = g_strdup (body);
-  if (!r->copy && !r->machine->one_way_partitioned && !sim_chance (sim, sim->loss_chance)
-      && !sim->nodes[r->node].cut_off_from_workers)
-    sim_schedule (sim, sim->now + sim_latency (sim), heartbeat_response, r);
+  sim_trace (
+      &(SimTraceEvent){ .at = sim->now, .kind = "response", .node = heartbeat->node, .status = status, .body = body });
+  heartbeat->status = status;
+  heartbeat->body = g_strdup (body);
+  if (!heartbeat->copy && !heartbeat->machine->one_way_partitioned && !sim_chance (sim, sim->loss_chance)
+      && !sim->nodes[heartbeat->node].cut_off_from_workers)
+    sim_schedule (sim, sim->now + sim_latency (sim), heartbeat_response, heartbeat);
 }
 
 static void
 heartbeat_arrives (Sim *sim, gpointer data)
 {
-  Heartbeat *r = data;
-  SimNode *node = &sim->nodes[r->node];
+  Heartbeat *heartbeat = data;
+  SimNode *node = &sim->nodes[heartbeat->node];
   HzbHttpRequest *http_request;
   gpointer *pair;
-  if (!node->controller || node->cut_off_from_workers || sim_node_paused (node, heartbeat_arrives, r))
+  if (!node->controller || node->cut_off_from_workers || sim_node_paused (node, heartbeat_arrives, heartbeat))
     return;
   http_request = g_new0 (HzbHttpRequest, 1);
   pair = g_new0 (gpointer, 2);
   pair[0] = sim;
-  pair[1] = r;
+  pair[1] = heartbeat;
   http_request->method = g_strdup ("POST");
   http_request->path = g_strdup ("/hello");
-  http_request->body = g_steal_pointer (&r->body);
+  http_request->body = g_steal_pointer (&heartbeat->body);
   http_request->length = strlen (http_request->body);
   http_request->reply = worker_reply;
   http_request->impl = pair;
   sim_measure_begin (sim);
-  sim_client_request (sim, r->node, http_request);
+  sim_client_request (sim, heartbeat->node, http_request);
   sim_measure_end (sim, SIM_PART_HEARTBEATS);
 }
 
 static void
 heartbeat_timeout (Sim *sim, gpointer data)
 {
-  Heartbeat *r = data;
-  r->status = 0;
-  heartbeat_response (sim, r);
+  Heartbeat *heartbeat = data;
+  heartbeat->status = 0;
+  heartbeat_response (sim, heartbeat);
 }
 
 static void
 send_heartbeat (Sim *sim, SimMachine *machine)
 {
-  Heartbeat *r = g_new0 (Heartbeat, 1);
-  r->machine = machine;
-  r->body = encode_heartbeat (sim, machine);
-  r->number = ++machine->heartbeat_number;
-  r->node = machine->node;
-  r->agent_epoch = machine->agent_epoch;
-  r->sent = sim->now;
+  Heartbeat *heartbeat = g_new0 (Heartbeat, 1);
+  heartbeat->machine = machine;
+  heartbeat->body = encode_heartbeat (sim, machine);
+  heartbeat->number = ++machine->heartbeat_number;
+  heartbeat->node = machine->node;
+  heartbeat->agent_epoch = machine->agent_epoch;
+  heartbeat->sent = sim->now;
   machine->awaits_response = TRUE;
   machine->next_heartbeat_at =
       sim->now + sim->config.heartbeat_interval_s * g_rand_double_range (sim->rand, 0.75, 1.25);
-  sim_schedule (sim, sim->now + 4, heartbeat_timeout, r);
+  sim_schedule (sim, sim->now + 4, heartbeat_timeout, heartbeat);
   if (sim_chance (sim, sim->heartbeat_copy_chance))
     {
       /* The copy arrives after 1 s to four times the length of a lease. */
       Heartbeat *copy = g_new0 (Heartbeat, 1);
-      *copy = *r;
-      copy->body = g_strdup (r->body);
+      *copy = *heartbeat;
+      copy->body = g_strdup (heartbeat->body);
       copy->copy = TRUE;
       copy->node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
       sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 1, 4 * sim->config.lease_s), heartbeat_arrives,
@@ -307,7 +310,7 @@
     sim_schedule (
         sim,
         sim->now + (sim_chance (sim, sim->delay_chance) ? g_rand_double_range (sim->rand, 1, 9) : sim_latency (sim)),
-        heartbeat_arrives, r);
+        heartbeat_arrives, heartbeat);
 }
 
 void
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -7,15 +7,15 @@
 
 typedef enum
 {
-  REFUSED_PLAIN,
+  REFUSED_PLAIN,                /* nothing else happens */
   REFUSED_CANCEL_BEFORE_OUTAGE, /* the users cancel in the second between the two */
   REFUSED_CONFIRMER_CRASHES,    /* the controllers that confirmed cancellations crash */
   REFUSED_RESTART_IN_OUTAGE,    /* a follower restarts in the outage */
   REFUSED_TWO_CONTROLLERS,      /* a follower is refused together with the leader */
   REFUSED_LATE_TRANSACTIONS,    /* transactions get no response and are carried out late */
   REFUSED_STATUS_QUERY,         /* the users learn of the cancellation by polling the status */
-  REFUSED_SECOND_LEADER,
-  REFUSED_AND_CUT_FROM_PEERS, /* the leader is cut off from its peers as well */
+  REFUSED_SECOND_LEADER,        /* a failover has taken place before */
+  REFUSED_AND_CUT_FROM_PEERS,   /* the leader is cut off from its peers as well */
   N_REFUSED
 } RefusedVariant;
 
--- a/tests/test-overload.c
+++ b/tests/test-overload.c
@@ -59,16 +59,16 @@
 static void
 on_response (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
-  StatusQuery *question = http_request->impl;
+  StatusQuery *query = http_request->impl;
   cJSON *root = cJSON_Parse (body ? body : "");
-  sim_user_response (question->sim, question->job, status, hzb_json_text (root, "status"));
-  *question->responses += 1;
-  *question->refusals += status == 503;
-  *question->slowest = MAX (*question->slowest, question->sim->now - question->sent_at);
+  sim_user_response (query->sim, query->job, status, hzb_json_text (root, "status"));
+  *query->responses += 1;
+  *query->refusals += status == 503;
+  *query->slowest = MAX (*query->slowest, query->sim->now - query->sent_at);
   if (status == 503)
     g_assert_cmpuint (retry, >, 0);
   cJSON_Delete (root);
-  g_free (question);
+  g_free (query);
 }
 
 static guint responses, refusals;
@@ -78,17 +78,17 @@
 query_status (Sim *sim, guint node, SimJob *job)
 {
   HzbHttpRequest *http_request;
-  StatusQuery *question;
+  StatusQuery *query;
   if (!sim->nodes[node].controller || sim->nodes[node].paused)
     return;
   http_request = g_new0 (HzbHttpRequest, 1);
-  question = g_new0 (StatusQuery, 1);
-  *question = (StatusQuery){ sim, job, &responses, &refusals, sim->now, &slowest };
+  query = g_new0 (StatusQuery, 1);
+  *query = (StatusQuery){ sim, job, &responses, &refusals, sim->now, &slowest };
   http_request->method = g_strdup ("GET");
   http_request->path = g_strdup_printf ("/api/jobs/%s", job->uid);
   http_request->body = g_strdup ("");
   http_request->reply = on_response;
-  http_request->impl = question;
+  http_request->impl = query;
   hzb_controller_request (http_request, sim->nodes[node].controller);
 }
 
@@ -123,7 +123,7 @@
   for (guint32 seed = 620; seed < 624; seed++)
     {
       Sim *sim = sim_new (seed);
-      guint before, few, many, asked_few = 0, asked_many = 0;
+      guint before, few, many, sent_few = 0, sent_many = 0;
       SimJob *meanwhile;
       for (guint i = 0; i < 40; i++)
         sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 2, 1, 20)->wants_cancel = i % 5 == 0;
@@ -132,18 +132,18 @@
       slowest = 0;
       before = sim->kv_requests;
       for (guint s = 0; s < 8; s++)
-        asked_few += query_for_a_second (sim, 2);
+        sent_few += query_for_a_second (sim, 2);
       few = sim->kv_requests - before;
       before = sim->kv_requests;
       if (seed % 2)
         sim->nodes[(sim_leader (sim) + 1) % SIM_NODES].paused = TRUE;
       meanwhile = sim_add_job (sim, sim->now, "red", 1, 1, 3);
       for (guint s = 0; s < 8; s++)
-        asked_many += query_for_a_second (sim, 20);
+        sent_many += query_for_a_second (sim, 20);
       many = sim->kv_requests - before;
-      g_assert_cmpuint (asked_many, >, 8 * asked_few);
+      g_assert_cmpuint (sent_many, >, 8 * sent_few);
       g_assert_cmpuint (many, <, 8 * (guint) (0.5 * sim->config.kv_rps)); /* paced, and shared: */
-      g_assert_cmpuint (8 * many, <, asked_many);
+      g_assert_cmpuint (8 * many, <, sent_many);
       g_assert_cmpuint (many, <, 4 * few);
       g_assert_cmpfloat (slowest, <, 2);
       g_assert_cmpuint (refusals, <, responses / 10);
--- a/tests/test-unavailable-controller.c
+++ b/tests/test-unavailable-controller.c
@@ -56,7 +56,7 @@
 {
   Sim *sim = cluster_at_work (seed);
   guint leader = (guint) MAX (sim_leader (sim), 0), unavailable = leads ? leader : other_node (leader);
-  double began, confirmed;
+  double began, confirmed_at;
 
   /* Some machines are unresponsive all along, so that no leader can prove anything about their tasks. */
   for (guint i = 0; i < sim->machines->len; i += 3)
@@ -68,11 +68,11 @@
     sim_schedule (sim, sim->now + 7.0 * i, restart_other_leader, GUINT_TO_POINTER (unavailable));
   cancel_all (sim);
   began = sim->now;
-  confirmed = run_until_all_confirmed (sim, began + 90);
+  confirmed_at = run_until_all_confirmed (sim, began + 90);
   g_test_message ("seed %u, %s %s: all confirmed after %.1f s", seed, leads ? "leader" : "leaseholder",
-                  stalled ? "stalled" : "cut off", confirmed - began);
+                  stalled ? "stalled" : "cut off", confirmed_at - began);
   expect_no_violation (sim, "cancellation confirmed without it", seed);
-  g_assert_cmpfloat (confirmed - began, <, CONFIRMED_WITHIN_S);
+  g_assert_cmpfloat (confirmed_at - began, <, CONFIRMED_WITHIN_S);
   sim_run (sim, began + 95);
   if (stalled)
     sim_resume (sim, unavailable);
