--- a/tests/load-workers.c
+++ b/tests/load-workers.c
@@ -1,5 +1,5 @@
 /* Load tool: one real controller process on loopback, with fakes of the key-value store and the cloud behind HTTP, and as many
- * connections of workers as asked for. It measures how reports are answered at rest and after the controller was killed and
+ * connections of workers as asked for. It measures how heartbeats are answered at rest and after the controller was killed and
  * started again, and stops by itself. Not part of the tests:
  *
  *     target/tests/load-workers --controller target/hazelbank --machines 4000 --seconds 30
@@ -17,10 +17,10 @@
 
 #define API_PORT 18080
 #define PEER_PORT 18081
-#define STORE_PORT 18082
+#define KV_PORT 18082
 #define CLOUD_PORT 18083
-#define REPORT_S 5.0
-#define ANSWER_WITHIN_S 4.0 /* a worker waits no longer */
+#define HEARTBEAT_INTERVAL_S 5.0
+#define RESPONSE_TIMEOUT_S 4.0 /* a worker's timeout */
 #define RETRY_S 1.0
 #define TURN_MS 5
 #define MOST_SECONDS 300
@@ -31,8 +31,8 @@
   char name[16];
   guint tick;
   guint64 fencing_token;
-  gboolean asking, answered; /* answered: since the last restart */
-  double next_s, asked_s;
+  gboolean awaits_response, answered; /* answered: the worker got a 200 since the last restart */
+  double next_s, sent_s;
   guint refused, most_refused; /* in a row */
   char input[4096];
   gsize read;
@@ -41,7 +41,7 @@
 static Sim *sim;
 static GArray *workers; /* Worker */
 static GArray *latencies;
-static guint answers, refusals, losses;
+static guint responses, refusals, losses;
 static int events;
 
 /* ---- workers ---- */
@@ -52,7 +52,7 @@
   if (worker->fd >= 0)
     close (worker->fd);
   worker->fd = -1;
-  worker->asking = FALSE;
+  worker->awaits_response = FALSE;
   worker->read = 0;
   worker->next_s = real_now_s () + retry_s;
 }
@@ -77,7 +77,7 @@
 }
 
 static void
-send_report (Worker *worker)
+send_heartbeat (Worker *worker)
 {
   g_autofree char *body = NULL, *request = NULL;
   gssize sent;
@@ -92,7 +92,7 @@
   sent = send (worker->fd, request, strlen (request), MSG_NOSIGNAL);
   if (sent != (gssize) strlen (request))
     {
-      worker->next_s = real_now_s () + 0.02; /* the connection is not there yet */
+      worker->next_s = real_now_s () + 0.02; /* the connection is not established yet */
       if (errno != EAGAIN && errno != ENOTCONN)
         {
           losses++;
@@ -100,36 +100,36 @@
         }
       return;
     }
-  worker->asking = TRUE;
-  worker->asked_s = real_now_s ();
+  worker->awaits_response = TRUE;
+  worker->sent_s = real_now_s ();
 }
 
-/* Guards of the protocol that are not needed here are left out: these workers run nothing. */
+/* Takes the fencing token without the checks of a real worker: these workers run no tasks. */
 static void
-take_answer (Worker *worker, const char *body)
+take_response (Worker *worker, const char *body)
 {
   guint status = (guint) g_ascii_strtoull (worker->input + strlen ("HTTP/1.1 "), NULL, 10);
-  double latency = real_now_s () - worker->asked_s;
+  double latency = real_now_s () - worker->sent_s;
   cJSON *root = cJSON_Parse (body);
 
   g_array_append_val (latencies, latency);
   worker->fencing_token = MAX (worker->fencing_token, hzb_json_u64 (root, "baton"));
   cJSON_Delete (root);
-  answers += status == 200;
+  responses += status == 200;
   refusals += status != 200;
   worker->refused = status == 200 ? 0 : worker->refused + 1;
   worker->most_refused = MAX (worker->most_refused, worker->refused);
   worker->answered = worker->answered || status == 200;
-  worker->asking = FALSE;
+  worker->awaits_response = FALSE;
   worker->read = 0;
   if (status == 200)
-    worker->next_s = real_now_s () + REPORT_S * g_random_double_range (0.75, 1.25);
+    worker->next_s = real_now_s () + HEARTBEAT_INTERVAL_S * g_random_double_range (0.75, 1.25);
   else
     close_worker (worker, RETRY_S);
 }
 
 static void
-read_answer (Worker *worker)
+read_response (Worker *worker)
 {
   gssize got = recv (worker->fd, worker->input + worker->read, sizeof worker->input - 1 - worker->read, 0);
   const char *body, *length;
@@ -138,7 +138,7 @@
     return;
   if (got <= 0)
     {
-      losses += worker->asking;
+      losses += worker->awaits_response;
       close_worker (worker, RETRY_S);
       return;
     }
@@ -147,7 +147,7 @@
   body = strstr (worker->input, "\r\n\r\n");
   length = strstr (worker->input, "Content-Length: ");
   if (body && length && strlen (body + 4) >= g_ascii_strtoull (length + strlen ("Content-Length: "), NULL, 10))
-    take_answer (worker, body + 4);
+    take_response (worker, body + 4);
 }
 
 static gboolean
@@ -160,18 +160,18 @@
       {
         Worker *worker = &g_array_index (workers, Worker, ready[i].data.u64);
         if (worker->fd >= 0)
-          read_answer (worker);
+          read_response (worker);
       }
   for (guint i = 0; i < workers->len; i++)
     {
       Worker *worker = &g_array_index (workers, Worker, i);
-      if (worker->asking && real_now_s () - worker->asked_s > ANSWER_WITHIN_S)
+      if (worker->awaits_response && real_now_s () - worker->sent_s > RESPONSE_TIMEOUT_S)
         {
           losses++;
           close_worker (worker, RETRY_S);
         }
-      else if (!worker->asking && real_now_s () >= worker->next_s)
-        send_report (worker);
+      else if (!worker->awaits_response && real_now_s () >= worker->next_s)
+        send_heartbeat (worker);
     }
   return G_SOURCE_CONTINUE;
 }
@@ -187,7 +187,7 @@
       "[[cluster.teams]]\nname = \"red\"\ncpus = 100\n[cluster.workers]\nreport_s = %g\nlease_s = 26.5\ncancel_s = 46.5\n"
       "[cluster.state]\nrps = 800\nwrite_rps = 70\nvalue_kb = 16\ntxn_ops = 16\n[cluster.cloud]\nrps = 15\nlist_lag_s = 3\n"
       "[cluster.resources]\nsockets = %u\n",
-      API_PORT, PEER_PORT, CLOUD_PORT, STORE_PORT, REPORT_S, machines + 200);
+      API_PORT, PEER_PORT, CLOUD_PORT, KV_PORT, HEARTBEAT_INTERVAL_S, machines + 200);
   return real_write_file (text);
 }
 
@@ -233,7 +233,7 @@
   double began = real_now_s (), all = -1, before, after, memory;
   guint most_refused = 0;
 
-  answers = refusals = losses = 0;
+  responses = refusals = losses = 0;
   g_array_set_size (latencies, 0);
   for (guint i = 0; i < workers->len; i++)
     {
@@ -255,11 +255,11 @@
     most_refused = MAX (most_refused, g_array_index (workers, Worker, i).most_refused);
   read_usage (pid, &after, &memory);
   g_print (
-      "%s: %.0f s, %u workers: %u reports answered (%.0f a second), %u refused (%u in a row at most), %u without answer; p50 "
-      "%.1f ms, p99 %.1f ms, most %.1f ms; all answered after %.1f s; processor %.3f of a core, %.2f ms a report, %.1f MiB\n",
-      what, seconds, workers->len, answers, answers / seconds, refusals, most_refused, losses, percentile (0.5),
+      "%s: %.0f s, %u workers: %u heartbeats answered (%.0f a second), %u refused (%u in a row at most), %u without response; p50 "
+      "%.1f ms, p99 %.1f ms, most %.1f ms; all answered after %.1f s; processor %.3f of a core, %.2f ms a heartbeat, %.1f MiB\n",
+      what, seconds, workers->len, responses, responses / seconds, refusals, most_refused, losses, percentile (0.5),
       percentile (0.99), percentile (1), all, (after - before) / seconds,
-      answers ? 1e3 * (after - before) / answers : 0, memory);
+      responses ? 1e3 * (after - before) / responses : 0, memory);
   return all;
 }
 
@@ -277,7 +277,7 @@
   g_autoptr (GOptionContext) context = g_option_context_new ("- many workers for one controller");
   g_autoptr (GError) error = NULL;
   struct rlimit limit = { (rlim_t) machines + 500, (rlim_t) machines + 500 };
-  SimSize size = sim_size_large;
+  SimConfig config = sim_config_large;
   GPid pid;
 
   g_option_context_add_main_entries (context, entries, NULL);
@@ -290,10 +290,10 @@
     }
   if (setrlimit (RLIMIT_NOFILE, &limit) != 0)
     g_printerr ("load-workers: the limit of descriptors stays as it is\n");
-  alarm ((guint) (2 * seconds + 60)); /* it stops by itself, whatever happens */
-  size.machines = (guint) machines;
-  size.check_s = MOST_SECONDS;
-  sim = real_sim_new (1, &size);
+  alarm ((guint) (2 * seconds + 60)); /* ends this process if something blocks for ever */
+  config.machines = (guint) machines;
+  config.check_interval_s = MOST_SECONDS;
+  sim = real_sim_new (1, &config);
   workers = g_array_sized_new (FALSE, TRUE, sizeof (Worker), (guint) machines);
   latencies = g_array_new (FALSE, FALSE, sizeof (double));
   events = epoll_create1 (EPOLL_CLOEXEC);
@@ -307,7 +307,7 @@
       worker.next_s = 2 + g_random_double_range (0, 2);
       g_array_append_val (workers, worker);
     }
-  real_serve (sim, STORE_PORT, TRUE);
+  real_serve (sim, KV_PORT, TRUE);
   real_serve (sim, CLOUD_PORT, FALSE);
   g_timeout_add (TURN_MS, on_workers, NULL);
   settings = write_settings ((guint) machines);
