--- a/src/cluster/cancellation-log.c
+++ b/src/cluster/cancellation-log.c
@@ -2,7 +2,7 @@
 
 struct _HzbCancellationLog
 {
-  GQueue entries; /* HzbCancellation, the oldest first */
+  GQueue entries; /* HzbCancellation, by rising revision */
   guint capacity;
   guint64 complete_after; /* all cancellations with a higher revision are in the log */
 };
@@ -28,12 +28,19 @@
   return array;
 }
 
+void
+hzb_cancellations_array_add (GArray *cancellations, const char *uid, guint64 revision, guint n_tasks)
+{
+  const HzbCancellation cancellation = { g_strdup (uid), revision, n_tasks };
+  g_array_append_val (cancellations, cancellation);
+}
+
 HzbCancellationLog *
 hzb_cancellation_log_new (guint capacity)
 {
   HzbCancellationLog *log = g_new0 (HzbCancellationLog, 1);
   log->capacity = capacity;
-  log->complete_after = G_MAXUINT64; /* until something was read */
+  log->complete_after = G_MAXUINT64; /* complete for no revision until the first restart */
   return log;
 }
 
@@ -80,17 +87,15 @@
 
   if (after < log->complete_after)
     return 0;
-  /* From the end: what is asked for is mostly little. */
+  /* Search from the end: a peer usually lacks only the last few cancellations. */
   while (l && ((const HzbCancellation *) l->data)->revision > after)
     l = l->prev;
   for (l = l ? l->next : log->entries.head; l; l = l->next)
     {
       const HzbCancellation *entry = l->data;
-      HzbCancellation copy = *entry;
       if (into->len >= most && entry->revision != last)
         return last;
-      copy.uid = g_strdup (entry->uid);
-      g_array_append_val (into, copy);
+      hzb_cancellations_array_add (into, entry->uid, entry->revision, entry->n_tasks);
       last = entry->revision;
     }
   return MAX (upto, last);
--- a/src/cluster/cancellations.h
+++ b/src/cluster/cancellations.h
@@ -1,59 +1,106 @@
 /**
- * SECTION: cancellations
- * @short_description: when a cancelled job may be called cancelled
+ * @file
+ * SECTION: cancellations - when a cancelled job may be confirmed to users as cancelled.
+ *
+ * A cancellation is confirmed only once no controller can act without it any more: none can start a task of the job, or renew the
+ * lease of a worker without stopping what runs of the job there. cancellations.c tells the argument.
+ *
+ * Four concerns, a source file each: the rules of acknowledgement (cancellations.c), requests to the leader (cancellation-requests.c), what
+ * this controller knows and tells its peers (cancellation-knowledge.c), and the messages (cancellation-messages.h).
  */
 #pragma once
-#include "cancellation-log.h"
+#include "cancellation-messages.h"
+#include "election.h"
 #include "jobs.h"
+#include "kv-replica.h"
+#include "node.h"
+#include "ownership.h"
+#include "peers.h"
+#include "watermarks.h"
 
-/** HZB_CANCELLATIONS_KNOWN_S: an owner answers workers only while it knows all cancellations of so long ago. */
-#define HZB_CANCELLATIONS_KNOWN_S 10.0
-
-typedef struct _HzbController HzbController;
+/** HzbCancellations: opaque. */
 typedef struct _HzbCancellations HzbCancellations;
 
-HzbCancellations *hzb_cancellations_new (HzbController *controller);
+/** HzbCancellationsDependencies: the modules that are used; none is owned, all must outlive the #HzbCancellations. */
+typedef struct
+{
+  const HzbNode *node;            /**< this controller */
+  HzbKvClient *kv;                /**< to read the leader's flush record */
+  const HzbKvReplica *kv_replica; /**< asked for its revision and its age */
+  HzbElection *election;          /**< who leads, in which term */
+  const HzbOwnership *ownership;  /**< whether this controller has loaded its records as leader */
+  HzbJobs *jobs;                  /**< cancellations that peers list are applied to it */
+  HzbPeers *peers;                /**< what other controllers know */
+} HzbCancellationsDependencies;
+
+/** HzbCancellationsCallbacks: what the modules above do. All are set. */
+typedef struct
+{
+  /** On the leader: queues the cancellation for every leaseholder, once for each job. */
+  void (*announce) (HzbJob *job, gpointer user);
+
+  /** On the leader: every leaseholder that was delegated a task of this job has acknowledged the cancellation. */
+  gboolean (*all_leaseholders_acknowledged) (const HzbJob *job, gpointer user);
+
+  /** A request waits for the leader: poll it soon. */
+  void (*poll_leader_soon) (gpointer user);
+} HzbCancellationsCallbacks;
+
+/** hzb_cancellations_new: copies both structures. `user` is passed to the callbacks. Returns: (transfer full) */
+HzbCancellations *hzb_cancellations_new (const HzbCancellationsDependencies *dependencies,
+                                         const HzbCancellationsCallbacks *callbacks, gpointer user);
+
+/** hzb_cancellations_free: must not be called while a read of the key-value store is in flight. */
 void hzb_cancellations_free (HzbCancellations *cancellations);
+
+/** hzb_cancellations_tick: looks for acknowledgements of a leader that can't be asked. */
 void hzb_cancellations_tick (HzbCancellations *cancellations, struct timespec now);
 
-/** hzb_cancellations_acknowledged: no owner can act without this cancellation any more. */
+/* ---- acknowledgement ---- */
+
+/** hzb_cancellations_acknowledged: no controller can act without the cancellation of this job any more. Once TRUE, it stays TRUE. */
 gboolean hzb_cancellations_acknowledged (HzbCancellations *cancellations, HzbJob *job);
 
-/** hzb_cancellations_request: asks the owner for its acknowledgement. Returns: FALSE if nobody can be asked just now. */
+/** hzb_cancellations_acknowledged_revision: on the leader: it acknowledges all cancellations that were recorded up to this revision. */
+guint64 hzb_cancellations_acknowledged_revision (HzbCancellations *cancellations);
+
+/* ---- requests to the leader ---- */
+
+/**
+ * hzb_cancellations_request: asks the leader to acknowledge the cancellation of this job; the request is repeated for 10 s.
+ * Returns: FALSE if there is no leader that can be asked just now
+ */
 gboolean hzb_cancellations_request (HzbCancellations *cancellations, HzbJob *job);
 
-/** hzb_cancellations_pack_request: what goes with the next poll of the leader. Returns: (transfer full) (nullable) */
-cJSON *hzb_cancellations_pack_request (HzbCancellations *cancellations);
+/** hzb_cancellations_add_request: adds the pending requests to a poll of the leader. */
+void hzb_cancellations_add_request (HzbCancellations *cancellations, cJSON *poll);
 
-/** hzb_cancellations_handle_request: the leader's acknowledgements of what it was asked. Returns: (transfer full) */
-cJSON *hzb_cancellations_handle_request (HzbCancellations *cancellations, const cJSON *request);
+/** hzb_cancellations_answer_request: on the leader: adds to the answer to a poll which of the requested cancellations it acknowledges. */
+void hzb_cancellations_answer_request (HzbCancellations *cancellations, const cJSON *poll, cJSON *answer);
 
-/** hzb_cancellations_handle_response: takes the acknowledgements of the leader of this term. */
-void hzb_cancellations_handle_response (HzbCancellations *cancellations, guint64 term, const cJSON *acknowledged);
+/** hzb_cancellations_handle_response: takes the acknowledgements in an answer of the leader of this term. */
+void hzb_cancellations_handle_response (HzbCancellations *cancellations, guint64 term, const cJSON *answer);
 
-/** hzb_cancellations_note_record: the replica of the records has shown the record of a job's end. */
+/* ---- what this controller knows ---- */
+
+/** hzb_cancellations_note_record: the replica of the records has shown how a job completed, recorded at this revision. */
 void hzb_cancellations_note_record (HzbCancellations *cancellations, const HzbJob *job, guint64 revision);
 
 /** hzb_cancellations_note_reading: the replica of the records has read all records anew, as of this revision. */
 void hzb_cancellations_note_reading (HzbCancellations *cancellations, guint64 revision);
 
-/** hzb_cancellations_known_revision: all cancellations up to it are known here, by the replica of the records or by peers. */
-guint64 hzb_cancellations_known_revision (HzbCancellations *cancellations);
-
-/**
- * hzb_cancellations_since: adds to @into what was recorded after a revision. Returns: up to which revision that is all; 0 if
- * this node can't tell
- */
-guint64 hzb_cancellations_since (HzbCancellations *cancellations, guint64 after, GArray *into);
+/** hzb_cancellations_fill_heartbeat: see #HzbPeersCallbacks. */
+void hzb_cancellations_fill_heartbeat (HzbCancellations *cancellations, HzbPeerHeartbeat *heartbeat);
 
-/** hzb_cancellations_learn: a peer has named all cancellations between those known here and this revision. */
-void hzb_cancellations_learn (HzbCancellations *cancellations, const GArray *learned, guint64 up_to);
+/** hzb_cancellations_fill_reply: see #HzbPeersCallbacks. */
+void hzb_cancellations_fill_reply (HzbCancellations *cancellations, const HzbPeerHeartbeat *request,
+                                   HzbPeerHeartbeat *reply);
 
-/** hzb_cancellations_self_fenced: this process answers no worker while it could have missed a cancellation. */
-gboolean hzb_cancellations_self_fenced (HzbCancellations *cancellations);
+/** hzb_cancellations_apply_reply: see #HzbPeersCallbacks. */
+gboolean hzb_cancellations_apply_reply (HzbCancellations *cancellations, const HzbPeerHeartbeat *reply);
 
-/** hzb_cancellations_may_answer_workers: it can't have missed one that others rely on. */
+/**
+ * hzb_cancellations_may_answer_workers: this controller can't have missed a cancellation that others rely on. While FALSE it is
+ * self-fenced and must not answer a worker.
+ */
 gboolean hzb_cancellations_may_answer_workers (HzbCancellations *cancellations);
-
-/** hzb_cancellations_acknowledged_revision: on the owner: all cancellations recorded up to this revision are acknowledged. */
-guint64 hzb_cancellations_acknowledged_revision (HzbCancellations *cancellations);
--- a/src/cluster/peer-heartbeat.c
+++ b/src/cluster/peer-heartbeat.c
@@ -1,12 +1,11 @@
 #include "peer-heartbeat.h"
 
+#include "cancellation-messages.h"
 #include "json.h"
-#include "user-protocol.h"
 
 #include <math.h>
 
-#define NEVER_SERVED_S 1e6 /* the longest silence that is stated */
-#define MS_PER_S 1e3       /* times are stated in whole milliseconds, rounded down */
+#define MS_PER_S 1e3 /* ages are stated in whole milliseconds, rounded down */
 
 static void
 task_counts_clear (gpointer data)
@@ -51,10 +50,10 @@
 }
 
 void
-hzb_peer_heartbeat_add_peer_state (HzbPeerHeartbeat *heartbeat, const char *node, guint64 born,
+hzb_peer_heartbeat_add_peer_state (HzbPeerHeartbeat *heartbeat, const char *node, guint64 started_ms,
                                    guint64 cancellations_known, gboolean self_fenced)
 {
-  HzbPeerState state = { g_strdup (node), born, cancellations_known, self_fenced };
+  HzbPeerState state = { g_strdup (node), started_ms, cancellations_known, self_fenced };
   g_array_append_val (heartbeat->peer_states, state);
 }
 
@@ -67,7 +66,7 @@
       const HzbPeerState *state = &g_array_index (heartbeat->peer_states, HzbPeerState, i);
       cJSON *item = cJSON_CreateObject ();
       cJSON_AddStringToObject (item, "node", state->node);
-      hzb_json_add_u64 (item, "born", state->born);
+      hzb_json_add_u64 (item, "born", state->started_ms);
       hzb_json_add_u64 (item, "cancelledKnown", state->cancellations_known);
       cJSON_AddBoolToObject (item, "withholds", state->self_fenced);
       cJSON_AddItemToArray (list, item);
@@ -104,28 +103,20 @@
 static void
 encode_cancellations (const HzbPeerHeartbeat *heartbeat, cJSON *message)
 {
-  cJSON *list = cJSON_AddObjectToObject (message, "cancelled");
+  cJSON_AddItemToObject (message, "cancelled", hzb_cancellations_encode (heartbeat->cancellations));
   hzb_json_add_u64 (message, "cancelledUpTo", heartbeat->cancellations_up_to);
-  for (guint i = 0; i < heartbeat->cancellations->len; i++)
-    {
-      const HzbCancellation *cancellation = &g_array_index (heartbeat->cancellations, HzbCancellation, i);
-      cJSON *item = cJSON_CreateObject ();
-      hzb_json_add_u64 (item, "version", cancellation->revision);
-      cJSON_AddNumberToObject (item, "n", cancellation->n_tasks);
-      cJSON_AddItemToObject (list, cancellation->uid, item);
-    }
 }
 
 void
 hzb_peer_heartbeat_encode (const HzbPeerHeartbeat *heartbeat, cJSON *message)
 {
-  cJSON_DeleteItemFromObject (message, "format"); /* the envelope of a request has it */
+  cJSON_DeleteItemFromObject (message, "format"); /* a request has it from its envelope already */
   cJSON_AddNumberToObject (message, "format", heartbeat->schema_version);
   cJSON_AddBoolToObject (message, "leads", heartbeat->leads);
   hzb_json_add_u64 (message, "term", heartbeat->term);
-  cJSON_AddBoolToObject (message, "sendsWorkers", heartbeat->sends_workers);
+  cJSON_AddBoolToObject (message, "sendsWorkers", heartbeat->redirects_workers);
   cJSON_AddBoolToObject (message, "lostWorkers", heartbeat->lost_workers);
-  cJSON_AddNumberToObject (message, "storeSilenceS", MIN (heartbeat->kv_unresponsive_s, NEVER_SERVED_S));
+  cJSON_AddNumberToObject (message, "storeSilenceS", MIN (heartbeat->kv_unresponsive_s, HZB_KV_NEVER_SERVED_S));
   hzb_json_add_u64 (message, "mirrored", heartbeat->replicated_revision);
   hzb_json_add_u64 (message, "cancelledKnown", heartbeat->cancellations_known);
   cJSON_AddBoolToObject (message, "withholds", heartbeat->self_fenced);
@@ -181,23 +172,13 @@
     }
 }
 
-/* One that can't be read makes the list incomplete: then nothing is said. */
+/* A malformed cancellation makes the list incomplete. Then the reply must not count as complete up to any revision. */
 static void
 decode_cancellations (HzbPeerHeartbeat *heartbeat, const cJSON *message)
 {
-  const cJSON *item;
-  heartbeat->cancellations_up_to = hzb_json_u64 (message, "cancelledUpTo");
-  cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (message, "cancelled"))
-    {
-      HzbCancellation cancellation = { NULL, hzb_json_u64 (item, "version"), (guint) hzb_json_number (item, "n", 0) };
-      if (!item->string || !hzb_job_uid_is_valid (item->string) || !cancellation.revision)
-        {
-          heartbeat->cancellations_up_to = 0;
-          continue;
-        }
-      cancellation.uid = g_strdup (item->string);
-      g_array_append_val (heartbeat->cancellations, cancellation);
-    }
+  const cJSON *list = cJSON_GetObjectItemCaseSensitive (message, "cancelled");
+  gboolean complete = hzb_cancellations_decode (list, heartbeat->cancellations);
+  heartbeat->cancellations_up_to = complete ? hzb_json_u64 (message, "cancelledUpTo") : 0;
 }
 
 HzbPeerHeartbeat *
@@ -207,9 +188,9 @@
   heartbeat->schema_version = (guint) hzb_json_number (message, "format", 1);
   heartbeat->leads = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "leads"));
   heartbeat->term = hzb_json_u64 (message, "term");
-  heartbeat->sends_workers = !cJSON_IsFalse (cJSON_GetObjectItemCaseSensitive (message, "sendsWorkers"));
+  heartbeat->redirects_workers = !cJSON_IsFalse (cJSON_GetObjectItemCaseSensitive (message, "sendsWorkers"));
   heartbeat->lost_workers = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "lostWorkers"));
-  heartbeat->kv_unresponsive_s = hzb_json_number (message, "storeSilenceS", NEVER_SERVED_S);
+  heartbeat->kv_unresponsive_s = hzb_json_number (message, "storeSilenceS", HZB_KV_NEVER_SERVED_S);
   heartbeat->replicated_revision = hzb_json_u64 (message, "mirrored");
   heartbeat->cancellations_known = hzb_json_u64 (message, "cancelledKnown");
   heartbeat->lists_cancellations = cJSON_HasObjectItem (message, "cancelledKnown");
--- a/src/cluster/peer-heartbeat.h
+++ b/src/cluster/peer-heartbeat.h
@@ -1,9 +1,9 @@
 /**
- * SECTION: heartbeat
- * @short_description: what two controllers tell each other once a second, and its encoding
+ * @file
+ * SECTION: peer-heartbeat - what two controllers tell each other once a second, and its encoding.
  *
- * The one place that knows how a heartbeat is written. Fields that a version does not know are ignored, and those that an
- * older version does not send have the defaults named here.
+ * The one place that knows how a heartbeat is written. A receiver ignores fields that its version does not know. For a field that a sender of an
+ * older version does not send, the receiver assumes the default that is named at the member.
  */
 #pragma once
 #include "cancellation-log.h"
@@ -11,71 +11,80 @@
 #include <cjson/cJSON.h>
 #include <glib.h>
 
-/** HzbTaskCounts: how many tasks of a job have finished and run, for display. */
+/** HZB_KV_NEVER_SERVED_S: what a controller states in seconds that the key-value store never served. */
+#define HZB_KV_NEVER_SERVED_S 1e6
+
+/** HzbTaskCounts: how many tasks of a job are done and running, for display. */
 typedef struct
 {
-  char *uid;
-  guint done, running;
+  char *uid;     /**< of the job (owned) */
+  guint done;    /**< tasks that completed */
+  guint running; /**< tasks that run now */
 } HzbTaskCounts;
 
-/** HzbPeerState: what the sender knows of a third controller, from what that one said of itself. */
+/** HzbPeerState: what the sender knows of a third controller, from what that one has said of itself. */
 typedef struct
 {
-  char *node;
-  guint64 born; /* of the process that said so, in milliseconds of the time of day */
-  guint64 cancellations_known;
-  gboolean self_fenced;
+  char *node;                  /**< name of the third controller (owned) */
+  guint64 started_ms;          /**< when the process that said so started, in milliseconds of the time of day */
+  guint64 cancellations_known; /**< that process knew all cancellations up to this revision */
+  gboolean self_fenced;        /**< see #HzbPeerHeartbeat */
 } HzbPeerState;
 
-/** HzbWatermarkAge: for at least so long all controllers but one have known all cancellations up to the revision. */
+/** HzbWatermarkAge: a watermark as it is sent, see watermarks.h. */
 typedef struct
 {
-  guint64 revision;
-  double age_s;
+  guint64 revision; /**< all controllers but one know all cancellations up to this revision */
+  double age_s;     /**< for at least so many seconds */
 } HzbWatermarkAge;
 
-/** HzbPeerHeartbeat: */
+/** HzbPeerHeartbeat: a heartbeat, or the reply to one. */
 typedef struct
 {
-  gboolean leads;
-  guint64 term;             /* the highest that the sender knows */
-  guint schema_version;     /* of records and messages; 1: a version that states none */
-  gboolean sends_workers;   /* it lately redirected workers to the leader; TRUE for a version that does not say */
-  gboolean lost_workers;    /* it stepped down since no worker reported to it, not long ago */
-  double kv_unresponsive_s; /* since the key-value store last served it */
+  gboolean leads;             /**< the sender is the elected leader; default FALSE */
+  guint64 term;               /**< highest term that the sender knows; default 0 */
+  guint schema_version;       /**< of records and messages; default 1 */
+  gboolean redirects_workers; /**< the sender lately redirected workers to the leader; default TRUE */
+  gboolean lost_workers; /**< not long ago the sender stepped down because no worker reported to it; default FALSE */
+  double
+      kv_unresponsive_s; /**< seconds since the key-value store last served the sender; default HZB_KV_NEVER_SERVED_S */
   guint64
-      replicated_revision; /* its replica of the records has all changes up to this revision; 0: a version that does not say */
-  /* All cancellations recorded up to here are known to the sender, by its replica of the records or by peers; 0: a version that does not say. */
-  guint64 cancellations_known;
-  gboolean lists_cancellations; /* its replies name what the receiver lacks; FALSE: a version that does not */
-  /* It answers no worker once it could have missed a cancellation, see cancellations.h. */
-  gboolean self_fenced;
-  gboolean partial_counts; /* of some of the jobs only: of the others other heartbeats tell */
-  GArray *counts;          /* HzbTaskCounts, of the leader's unfinished jobs; may be empty */
-
-  GArray *peer_states;     /* HzbPeerState, of the other controllers */
-  GArray *watermarks;      /* HzbWatermarkAge, rising */
-  guint64 fenced_revision; /* see hzb_peers_fenced_revision() */
-
-  /* In replies only: what the receiver lacks. */
-  GArray *cancellations;       /* HzbCancellation, of what was recorded after the revision that the request stated */
-  guint64 cancellations_up_to; /* and these are all up to this one; 0: nothing is said */
+      replicated_revision; /**< the sender's replica of the records has all changes up to this revision; default 0 */
+  guint64
+      cancellations_known; /**< the sender knows all cancellations up to this revision, by its replica or by peers; default 0 */
+  gboolean
+      lists_cancellations; /**< the sender's replies list what the receiver lacks; FALSE for versions that state no @ref cancellations_known */
+  gboolean self_fenced;    /**< the sender answers no worker once it could have missed a cancellation; default FALSE */
+  gboolean partial_counts; /**< @ref counts covers some of the jobs only, other heartbeats cover the others */
+  GArray *counts;          /**< HzbTaskCounts of the leader's unfinished jobs; may be empty */
+  GArray *peer_states;     /**< HzbPeerState of the other controllers */
+  GArray *watermarks;      /**< HzbWatermarkAge, by rising revision */
+  guint64 fenced_revision; /**< see hzb_peers_fenced_revision() */
+  GArray *
+      cancellations; /**< in replies: HzbCancellation of what was recorded after the revision that the request stated */
+  guint64
+      cancellations_up_to; /**< in replies: @ref cancellations is complete up to this revision; 0: it says nothing */
 } HzbPeerHeartbeat;
 
-/** hzb_peer_heartbeat_new: Returns: (transfer full): one that says nothing yet */
+/** hzb_peer_heartbeat_new: Returns: (transfer full): a heartbeat with empty lists, and 0 everywhere else */
 HzbPeerHeartbeat *hzb_peer_heartbeat_new (void);
+
+/** hzb_peer_heartbeat_free: frees the heartbeat and its lists. */
 void hzb_peer_heartbeat_free (HzbPeerHeartbeat *heartbeat);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbPeerHeartbeat, hzb_peer_heartbeat_free)
 
-/** hzb_peer_heartbeat_add_counts: counts of one more job. */
+/** hzb_peer_heartbeat_add_counts: appends the task counts of a job. */
 void hzb_peer_heartbeat_add_counts (HzbPeerHeartbeat *heartbeat, const char *uid, guint done, guint running);
 
-/** hzb_peer_heartbeat_add_peer_state: what is known of one more controller. */
-void hzb_peer_heartbeat_add_peer_state (HzbPeerHeartbeat *heartbeat, const char *node, guint64 born,
+/** hzb_peer_heartbeat_add_peer_state: appends what the sender knows of a third controller. */
+void hzb_peer_heartbeat_add_peer_state (HzbPeerHeartbeat *heartbeat, const char *node, guint64 started_ms,
                                         guint64 cancellations_known, gboolean self_fenced);
 
 /** hzb_peer_heartbeat_encode: adds the heartbeat's fields to a message. */
 void hzb_peer_heartbeat_encode (const HzbPeerHeartbeat *heartbeat, cJSON *message);
 
-/** hzb_peer_heartbeat_decode: Returns: (transfer full): what the message says; what it lacks, or says wrongly, has its default */
+/**
+ * hzb_peer_heartbeat_decode: reads a heartbeat. A field that is missing or malformed has its default.
+ * Returns: (transfer full)
+ */
 HzbPeerHeartbeat *hzb_peer_heartbeat_decode (const cJSON *message);
--- /dev/null
+++ b/src/cluster/peer-knowledge.c
@@ -0,0 +1,124 @@
+#include "peer-knowledge.h"
+
+void
+hzb_peer_knowledge_init (HzbPeerKnowledge *knowledge, HzbPeerTable *table)
+{
+  knowledge->table = table;
+  hzb_watermarks_init (&knowledge->watermarks, HZB_FENCED_AFTER_S);
+}
+
+void
+hzb_peer_knowledge_clear (HzbPeerKnowledge *knowledge)
+{
+  hzb_watermarks_clear (&knowledge->watermarks);
+}
+
+/* A process never knows less than it did, and a process that replaces it reads the records before it owns anything. So what was relayed
+ * of a peer counts for as long as this controller has not heard the peer itself. */
+static guint64
+known_revision_of (const HzbPeerEntry *entry)
+{
+  return entry->incarnation ? entry->known_revision : entry->relayed_known_revision;
+}
+
+static gboolean
+is_self_fenced (const HzbPeerEntry *entry)
+{
+  return entry->incarnation ? entry->self_fenced : entry->relayed_self_fenced;
+}
+
+gboolean
+hzb_peer_knowledge_all_know (const HzbPeerKnowledge *knowledge, guint64 revision)
+{
+  const HzbPeerTable *table = knowledge->table;
+
+  if (!hzb_peer_table_covers_cluster (table))
+    return FALSE;
+  for (guint i = 0; i < table->n_entries; i++)
+    if (known_revision_of (&table->entries[i]) < revision)
+      return FALSE;
+  return TRUE;
+}
+
+/* The highest revision up to which all controllers but one know all cancellations, provided that the remaining one fences itself
+ * once it could have missed any; 0 if there is no such revision. */
+static guint64
+revision_known_by_all_but_one (const HzbPeerKnowledge *knowledge, guint64 replicated_revision)
+{
+  const HzbPeerTable *table = knowledge->table;
+  guint64 lowest = G_MAXUINT64, second_lowest = G_MAXUINT64;
+  gboolean lowest_is_self_fenced = FALSE;
+
+  if (!hzb_peer_table_covers_cluster (table))
+    return 0;
+  for (guint i = 0; i < table->n_entries; i++)
+    {
+      guint64 known_revision = known_revision_of (&table->entries[i]);
+      if (known_revision < lowest)
+        {
+          second_lowest = lowest;
+          lowest = known_revision;
+          lowest_is_self_fenced = is_self_fenced (&table->entries[i]);
+        }
+      else
+        second_lowest = MIN (second_lowest, known_revision);
+    }
+  return lowest_is_self_fenced ? MIN (second_lowest, replicated_revision) : 0;
+}
+
+void
+hzb_peer_knowledge_advance (HzbPeerKnowledge *knowledge, struct timespec now, guint64 replicated_revision)
+{
+  hzb_watermarks_add (&knowledge->watermarks, now, revision_known_by_all_but_one (knowledge, replicated_revision));
+  hzb_watermarks_advance (&knowledge->watermarks, now);
+}
+
+void
+hzb_peer_knowledge_fill_heartbeat (const HzbPeerKnowledge *knowledge, HzbPeerHeartbeat *heartbeat, struct timespec now)
+{
+  const HzbPeerTable *table = knowledge->table;
+
+  for (guint i = 0; i < table->n_entries; i++)
+    {
+      const HzbPeerEntry *entry = &table->entries[i];
+      guint64 started_ms = entry->incarnation ? entry->started_ms : entry->relayed_started_ms;
+      if (started_ms)
+        hzb_peer_heartbeat_add_peer_state (heartbeat, entry->peer->node, started_ms, known_revision_of (entry),
+                                           is_self_fenced (entry));
+    }
+  for (const GList *l = knowledge->watermarks.marks.head; l; l = l->next)
+    {
+      const HzbWatermark *watermark = l->data;
+      HzbWatermarkAge stated = { watermark->revision, hzb_time_between (watermark->since, now) };
+      g_array_append_val (heartbeat->watermarks, stated);
+    }
+  heartbeat->fenced_revision = knowledge->watermarks.fenced_revision;
+}
+
+/* Of a peer whose current process this controller has heard itself, it needs no relayed state. */
+static void
+apply_peer_state (HzbPeerTable *table, const HzbPeerState *state)
+{
+  HzbPeerEntry *entry = hzb_peer_table_find (table, state->node);
+
+  if (!entry || entry->incarnation || state->started_ms < entry->relayed_started_ms)
+    return;
+  entry->relayed_known_revision = state->started_ms > entry->relayed_started_ms
+                                      ? state->cancellations_known
+                                      : MAX (entry->relayed_known_revision, state->cancellations_known);
+  entry->relayed_started_ms = state->started_ms;
+  entry->relayed_self_fenced = state->self_fenced;
+}
+
+void
+hzb_peer_knowledge_apply_heartbeat (HzbPeerKnowledge *knowledge, const HzbPeerHeartbeat *heartbeat, struct timespec now)
+{
+  for (guint i = 0; i < heartbeat->peer_states->len; i++)
+    apply_peer_state (knowledge->table, &g_array_index (heartbeat->peer_states, HzbPeerState, i));
+  hzb_watermarks_raise (&knowledge->watermarks, heartbeat->fenced_revision);
+  for (guint i = 0; i < heartbeat->watermarks->len; i++)
+    {
+      const HzbWatermarkAge *stated = &g_array_index (heartbeat->watermarks, HzbWatermarkAge, i);
+      hzb_watermarks_add (&knowledge->watermarks, hzb_time_plus (now, -stated->age_s), stated->revision);
+    }
+}
--- /dev/null
+++ b/src/cluster/peer-queries.c
@@ -0,0 +1,171 @@
+/* What the other modules ask about the peers, answered from the heartbeats received so far. */
+#include "peers-private.h"
+
+#define ANY_REACHABLE_S 5.0
+#define REACHES_KV_S 2.5    /* the key-value store answers a controller that it serves more often than that */
+#define LONGEST_KNOWN_S 1e5 /* a controller that was not served for longer says nothing about when it was */
+#define LOST_WORKERS_LATELY_S 120.0
+
+static gboolean
+is_reachable (const HzbPeers *peers, const HzbPeerEntry *entry)
+{
+  return hzb_peer_table_silence_s (&peers->table, entry) < HZB_PEER_REACHABLE_S;
+}
+
+gboolean
+hzb_peers_any_reaches_kv (HzbPeers *peers)
+{
+  for (guint i = 0; i < peers->table.n_entries; i++)
+    {
+      const HzbPeerEntry *entry = &peers->table.entries[i];
+      if (is_reachable (peers, entry) && entry->kv_unresponsive_s < REACHES_KV_S)
+        return TRUE;
+    }
+  return FALSE;
+}
+
+gboolean
+hzb_peers_happened_lately (const HzbPeers *peers, struct timespec at, double seconds)
+{
+  return hzb_time_is_set (at) && hzb_time_between (at, hzb_clock_now (peers->uses.node->clock)) < seconds;
+}
+
+gboolean
+hzb_peers_this_node_lost_workers (const HzbPeers *peers)
+{
+  return hzb_peers_happened_lately (peers, peers->uses.node->workers_lost_at, LOST_WORKERS_LATELY_S);
+}
+
+gboolean
+hzb_peers_any_lost_workers (HzbPeers *peers)
+{
+  gboolean any = hzb_peers_this_node_lost_workers (peers);
+  for (guint i = 0; i < peers->table.n_entries && !any; i++)
+    any = peers->table.entries[i].lost_workers;
+  return any;
+}
+
+gboolean
+hzb_peers_any_sends_workers (HzbPeers *peers)
+{
+  for (guint i = 0; i < peers->table.n_entries; i++)
+    {
+      const HzbPeerEntry *entry = &peers->table.entries[i];
+      if (is_reachable (peers, entry) && entry->redirects_workers)
+        return TRUE;
+    }
+  return FALSE;
+}
+
+gboolean
+hzb_peers_any_reachable (HzbPeers *peers)
+{
+  for (guint i = 0; i < peers->table.n_entries; i++)
+    if (hzb_peer_table_silence_s (&peers->table, &peers->table.entries[i]) < ANY_REACHABLE_S)
+      return TRUE;
+  return peers->table.n_entries == 0;
+}
+
+/* NULL if the peer is unreachable or unknown. */
+static const HzbPeerEntry *
+find_reachable (HzbPeers *peers, const char *node)
+{
+  const HzbPeerEntry *entry = hzb_peer_table_find (&peers->table, node);
+  return entry && hzb_peer_table_silence_s (&peers->table, entry) <= HZB_PEER_REACHABLE_S ? entry : NULL;
+}
+
+gboolean
+hzb_peers_unreachable (HzbPeers *peers, const char *node)
+{
+  return !find_reachable (peers, node);
+}
+
+const char *
+hzb_peers_incarnation (HzbPeers *peers, const char *node)
+{
+  const HzbPeerEntry *entry = find_reachable (peers, node);
+  return entry ? entry->incarnation : NULL;
+}
+
+guint
+hzb_peers_schema_version (HzbPeers *peers, const char *node)
+{
+  const HzbPeerEntry *entry = find_reachable (peers, node);
+  return entry ? entry->schema_version : 1;
+}
+
+gboolean
+hzb_peers_all_support_schema (HzbPeers *peers, guint schema_version)
+{
+  for (guint i = 0; i < peers->table.n_entries; i++)
+    if (hzb_peers_schema_version (peers, peers->table.entries[i].peer->node) < schema_version)
+      return FALSE;
+  return TRUE;
+}
+
+gboolean
+hzb_peers_any_older_schema (HzbPeers *peers)
+{
+  for (guint i = 0; i < peers->table.n_entries; i++)
+    {
+      const HzbPeerEntry *entry = &peers->table.entries[i];
+      if (is_reachable (peers, entry) && entry->schema_version < peers->uses.node->schema_version)
+        return TRUE;
+    }
+  return FALSE;
+}
+
+gboolean
+hzb_peers_all_know_cancellations (HzbPeers *peers, guint64 revision)
+{
+  return hzb_peer_knowledge_all_know (&peers->knowledge, revision);
+}
+
+gboolean
+hzb_peers_any_lists_no_cancellations (HzbPeers *peers)
+{
+  for (guint i = 0; i < peers->table.n_entries; i++)
+    {
+      const HzbPeerEntry *entry = &peers->table.entries[i];
+      if (hzb_time_is_set (entry->last_heartbeat) && !entry->lists_cancellations)
+        return TRUE;
+    }
+  return FALSE;
+}
+
+gboolean
+hzb_peers_all_list_cancellations (HzbPeers *peers)
+{
+  for (guint i = 0; i < peers->table.n_entries; i++)
+    if (!peers->table.entries[i].lists_cancellations)
+      return FALSE;
+  return TRUE;
+}
+
+struct timespec
+hzb_peers_current_as_of (HzbPeers *peers)
+{
+  return peers->current_as_of;
+}
+
+guint64
+hzb_peers_fenced_revision (HzbPeers *peers)
+{
+  return peers->knowledge.watermarks.fenced_revision;
+}
+
+gboolean
+hzb_peers_last_kv_contact (HzbPeers *peers, const char *node, struct timespec *at)
+{
+  const HzbPeerEntry *entry = hzb_peer_table_find (&peers->table, node);
+  if (!entry || !hzb_time_is_set (entry->last_heartbeat) || entry->kv_unresponsive_s > LONGEST_KNOWN_S)
+    return FALSE;
+  *at = hzb_time_plus (entry->last_heartbeat, -entry->kv_unresponsive_s);
+  return TRUE;
+}
+
+void
+hzb_peers_task_counts (HzbPeers *peers, const char *uid, guint *done, guint *running)
+{
+  hzb_task_count_table_get (peers->task_counts, uid, done, running);
+}
--- a/src/cluster/watermarks.c
+++ b/src/cluster/watermarks.c
@@ -1,68 +1,73 @@
 #include "watermarks.h"
 
-#define MOST_MARKS 40u /* one a second and more */
+/* A controller adds about one watermark a second, and they leave after HZB_FENCED_AFTER_S. */
+#define MAX_WATERMARKS 40u
 
 void
-hzb_watermarks_init (HzbWatermarks *known, double after_s)
+hzb_watermarks_init (HzbWatermarks *watermarks, double after_s)
 {
-  *known = (HzbWatermarks){ .after_s = after_s };
+  *watermarks = (HzbWatermarks){ .after_s = after_s };
 }
 
 void
-hzb_watermarks_clear (HzbWatermarks *known)
+hzb_watermarks_clear (HzbWatermarks *watermarks)
 {
-  g_queue_clear_full (&known->marks, g_free);
+  g_queue_clear_full (&watermarks->marks, g_free);
 }
 
 static gint
-compare_marks (gconstpointer a, gconstpointer b, gpointer user)
+compare_revisions (gconstpointer a, gconstpointer b, gpointer user)
 {
-  const HzbWatermark *x = a, *y = b;
-  return x->revision < y->revision ? -1 : x->revision > y->revision;
+  const HzbWatermark *left = a, *right = b;
+  return left->revision < right->revision ? -1 : left->revision > right->revision;
 }
 
-/* Guards against changes of leader: whoever has begun anew goes on from what the others had seen. A mark that another one makes
- * needless is dropped. */
+/* The first watermark covers at least the revisions of the second, for at least as long. */
+static gboolean
+implies (const HzbWatermark *first, const HzbWatermark *second)
+{
+  return first->revision >= second->revision && !hzb_time_before (second->since, first->since);
+}
+
+/* Watermarks of other controllers are added too: a controller that has just restarted continues from what the others have seen, so
+ * that frequent changes of leader do not begin the wait anew. */
 void
-hzb_watermarks_add (HzbWatermarks *known, struct timespec since, guint64 revision)
+hzb_watermarks_add (HzbWatermarks *watermarks, struct timespec since, guint64 revision)
 {
+  const HzbWatermark added = { since, revision };
   GList *next;
-  HzbWatermark *added;
 
-  if (revision <= known->fenced_revision || known->marks.length >= MOST_MARKS)
+  if (revision <= watermarks->fenced_revision || watermarks->marks.length >= MAX_WATERMARKS)
     return;
-  for (GList *l = known->marks.head; l; l = next)
+  for (GList *l = watermarks->marks.head; l; l = next)
     {
-      HzbWatermark *mark = l->data;
       next = l->next;
-      if (mark->revision >= revision && !hzb_time_before (since, mark->since))
+      if (implies (l->data, &added))
         return;
-      if (mark->revision <= revision && !hzb_time_before (mark->since, since))
+      if (implies (&added, l->data))
         {
-          g_free (mark);
-          g_queue_delete_link (&known->marks, l);
+          g_free (l->data);
+          g_queue_delete_link (&watermarks->marks, l);
         }
     }
-  added = g_new0 (HzbWatermark, 1);
-  added->since = since;
-  added->revision = revision;
-  g_queue_insert_sorted (&known->marks, added, compare_marks, NULL);
+  g_queue_insert_sorted (&watermarks->marks, g_memdup2 (&added, sizeof added), compare_revisions, NULL);
 }
 
 void
-hzb_watermarks_raise (HzbWatermarks *known, guint64 revision)
+hzb_watermarks_raise (HzbWatermarks *watermarks, guint64 revision)
 {
-  known->fenced_revision = MAX (known->fenced_revision, revision);
+  watermarks->fenced_revision = MAX (watermarks->fenced_revision, revision);
 }
 
 void
-hzb_watermarks_advance (HzbWatermarks *known, struct timespec now)
+hzb_watermarks_advance (HzbWatermarks *watermarks, struct timespec now)
 {
-  const HzbWatermark *mark;
+  const HzbWatermark *oldest;
 
-  while ((mark = g_queue_peek_head (&known->marks)) && hzb_time_between (mark->since, now) > known->after_s)
+  while ((oldest = g_queue_peek_head (&watermarks->marks))
+         && hzb_time_between (oldest->since, now) > watermarks->after_s)
     {
-      known->fenced_revision = mark->revision;
-      g_free (g_queue_pop_head (&known->marks));
+      watermarks->fenced_revision = oldest->revision;
+      g_free (g_queue_pop_head (&watermarks->marks));
     }
 }
--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -32,16 +32,85 @@
                              watch_interval_s (controller->settings), &hzb_controller_replica_funcs, controller);
 }
 
+static void
+fill_heartbeat (HzbPeerHeartbeat *heartbeat, gpointer user)
+{
+  HzbController *controller = user;
+  hzb_cancellations_fill_heartbeat (controller->cancellations, heartbeat);
+}
+
+static void
+fill_heartbeat_reply (const HzbPeerHeartbeat *request, HzbPeerHeartbeat *reply, gpointer user)
+{
+  HzbController *controller = user;
+  hzb_cancellations_fill_reply (controller->cancellations, request, reply);
+}
+
+static gboolean
+apply_heartbeat_reply (const HzbPeerHeartbeat *reply, gpointer user)
+{
+  HzbController *controller = user;
+  return hzb_cancellations_apply_reply (controller->cancellations, reply);
+}
+
+static void
+handle_shard_poll (HzbHttpRequest *http_request, const cJSON *message, gpointer user)
+{
+  HzbController *controller = user;
+  hzb_shard_leases_request (controller->shard_leases, http_request, message);
+}
+
 static HzbPeers *
 new_peers (HzbController *controller)
 {
-  return hzb_peers_new (controller);
+  static const HzbPeersCallbacks callbacks = { .fill_heartbeat = fill_heartbeat,
+                                               .fill_reply = fill_heartbeat_reply,
+                                               .apply_reply = apply_heartbeat_reply,
+                                               .handle_shard_poll = handle_shard_poll };
+  const HzbPeersDependencies dependencies = { .node = controller->node,
+                                              .kv = controller->kv,
+                                              .kv_replica = controller->kv_replica,
+                                              .election = controller->election,
+                                              .ownership = controller->ownership,
+                                              .jobs = controller->jobs };
+  return hzb_peers_new (&dependencies, &callbacks, controller);
+}
+
+static void
+announce_cancellation (HzbJob *job, gpointer user)
+{
+  HzbController *controller = user;
+  hzb_shard_leases_announce_cancellation (controller->shard_leases, job);
+}
+
+static gboolean
+all_leaseholders_acknowledged (const HzbJob *job, gpointer user)
+{
+  HzbController *controller = user;
+  return hzb_shard_leases_all_acknowledged (controller->shard_leases, job);
+}
+
+static void
+poll_leader_soon (gpointer user)
+{
+  HzbController *controller = user;
+  hzb_leaseholder_poll_soon (controller->leaseholder);
 }
 
 static HzbCancellations *
 new_cancellations (HzbController *controller)
 {
-  return hzb_cancellations_new (controller);
+  static const HzbCancellationsCallbacks callbacks = { .announce = announce_cancellation,
+                                                       .all_leaseholders_acknowledged = all_leaseholders_acknowledged,
+                                                       .poll_leader_soon = poll_leader_soon };
+  const HzbCancellationsDependencies dependencies = { .node = controller->node,
+                                                      .kv = controller->kv,
+                                                      .kv_replica = controller->kv_replica,
+                                                      .election = controller->election,
+                                                      .ownership = controller->ownership,
+                                                      .jobs = controller->jobs,
+                                                      .peers = controller->peers };
+  return hzb_cancellations_new (&dependencies, &callbacks, controller);
 }
 
 static HzbReconciliation *
--- a/src/shards/leaseholder.c
+++ b/src/shards/leaseholder.c
@@ -330,8 +330,7 @@
   if (!root)
     return;
   hzb_shard_answer_decode (root, &answer);
-  hzb_cancellations_handle_response (leaseholder->controller->cancellations, answer.term,
-                                     cJSON_GetObjectItemCaseSensitive (root, "heard"));
+  hzb_cancellations_handle_response (leaseholder->controller->cancellations, answer.term, root);
   if (answer_counts (leaseholder, &answer))
     apply_answer (leaseholder, &answer, cJSON_GetObjectItemCaseSensitive (root, "batches"));
   cJSON_Delete (root);
@@ -409,7 +408,7 @@
 {
   HzbController *controller = leaseholder->controller;
   const char *leader = hzb_election_leader (controller->election), *addr = NULL;
-  cJSON *root, *cancelled;
+  cJSON *root;
 
   for (guint i = 0; leader && i < controller->settings->peers->len; i++)
     if (g_str_equal (((HzbPeer *) controller->settings->peers->pdata[i])->node, leader))
@@ -420,8 +419,7 @@
   leaseholder->polled_epoch = hzb_ownership_epoch (controller->ownership);
   leaseholder->requests = now;
   root = hzb_peers_message (controller->peers, HZB_PEER_SHARD_POLL);
-  if ((cancelled = hzb_cancellations_pack_request (controller->cancellations)))
-    cJSON_AddItemToObject (root, "cancelled", cancelled);
+  hzb_cancellations_add_request (controller->cancellations, root);
   if (hzb_ownership_is_leaseholder (controller->ownership))
     {
       hzb_json_add_u64 (root, "token", leaseholder->fencing_token);
--- a/src/shards/shard-leases.c
+++ b/src/shards/shard-leases.c
@@ -359,10 +359,7 @@
     reclaim_shard (shard_leases, leaseholder, "it has lost what it held");
   reply = cJSON_CreateObject ();
   answer.term = hzb_election_term (controller->election);
-  if (cJSON_HasObjectItem (root, "cancelled"))
-    cJSON_AddItemToObject (reply, "heard",
-                           hzb_cancellations_handle_request (controller->cancellations,
-                                                             cJSON_GetObjectItemCaseSensitive (root, "cancelled")));
+  hzb_cancellations_answer_request (controller->cancellations, root, reply);
   answer.end = fencing_token
                && (!leaseholder->fencing_token
                    || hzb_fencing_token_term (fencing_token) != answer.term); /* what it holds was taken back */
--- a/tests/test-peer-heartbeat.c
+++ b/tests/test-peer-heartbeat.c
@@ -123,7 +123,7 @@
   hzb_peer_heartbeat_add_counts (heartbeat, "run-000009", 3, 4);
   received = sent_and_received (heartbeat);
   g_assert_true (received->leads && received->self_fenced && received->lost_workers && received->lists_cancellations);
-  g_assert_false (received->sends_workers);
+  g_assert_false (received->redirects_workers);
   g_assert_cmpuint (received->term, ==, 12);
   g_assert_cmpuint (received->schema_version, ==, 2);
   g_assert_cmpuint (received->replicated_revision, ==, 4000000120);
@@ -156,7 +156,7 @@
       decoded ("{\"cancelledUpTo\":9,\"cancelled\":{\"../x\":{\"version\":3,\"n\":1}}}");
 
   g_assert_false (old->lists_cancellations || old->self_fenced);
-  g_assert_true (old->sends_workers);
+  g_assert_true (old->redirects_workers);
   g_assert_cmpuint (old->cancellations_known + old->replicated_revision + old->cancellations_up_to, ==, 0);
   g_assert_cmpuint (old->schema_version, ==, 1);
   g_assert_cmpuint (old->counts->len, ==, 1);
