--- a/src/cluster/cancellation-knowledge.c
+++ b/src/cluster/cancellation-knowledge.c
@@ -1,4 +1,5 @@
-/* Which cancellations this controller knows, what it tells its peers of them, and whether it knows enough to answer workers. */
+/* Which cancellations this controller knows, what it tells its peers of them, and whether it knows enough to answer
+ * workers. */
 #include "cancellations-private.h"
 
 #define MAX_LISTED_PER_REPLY 500u /* some 45 bytes each */
@@ -29,8 +30,9 @@
   return hzb_kv_replica_state (cancellations->uses.kv_replica) == HZB_KV_REPLICA_FOLLOWING;
 }
 
-/* Peers rely on the promise of this controller to fence itself while they can't reach it, so it is never taken back. It is not made before every
- * peer can list what this controller lacks. Otherwise work would be lost in an outage of the key-value store. */
+/* Peers rely on the promise of this controller to fence itself while they can't reach it, so it is never taken back. It
+ * is not made before every peer can list what this controller lacks. Otherwise work would be lost in an outage of the
+ * key-value store. */
 static gboolean
 fences_itself (HzbCancellations *cancellations)
 {
@@ -61,8 +63,8 @@
 {
   guint64 replicated_revision = hzb_kv_replica_revision (cancellations->uses.kv_replica);
 
-  /* While the replica reads all records anew, this controller owns nothing, and what the reading does not show has moved to the
-   * archive of completed jobs. */
+  /* While the replica reads all records anew, this controller owns nothing, and what the reading does not show has
+   * moved to the archive of completed jobs. */
   if (!replica_follows (cancellations))
     return;
   for (guint i = 0; i < listed->len; i++)
@@ -97,7 +99,8 @@
   const HzbCancellationsDependencies *uses = &cancellations->uses;
   struct timespec current_as_of;
 
-  /* A controller that has not heard any peer yet fences itself too: peers may rely on the promise of the process before. */
+  /* A controller that has not heard any peer yet fences itself too: peers may rely on the promise of the process
+   * before. */
   if (!fences_itself (cancellations)
       && (!uses->node->settings->peers->len || hzb_peers_any_lists_no_cancellations (uses->peers)))
     return TRUE;
--- a/src/cluster/cancellation-messages.h
+++ b/src/cluster/cancellation-messages.h
@@ -3,8 +3,8 @@
  * SECTION: cancellation-messages - encoding of what controllers tell each other about cancellations.
  *
  * The one place that knows how a list of cancellations is written in a message: in the reply to a heartbeat, and in the
- * request for acknowledgements that a leaseholder sends with its poll of the leader. Also decodes the part of the leader's flush record that
- * concerns cancellations.
+ * request for acknowledgements that a leaseholder sends with its poll of the leader. Also decodes the part of the
+ * leader's flush record that concerns cancellations.
  */
 #pragma once
 #include "cancellation-log.h"
@@ -15,16 +15,16 @@
 cJSON *hzb_cancellations_encode (const GArray *cancellations);
 
 /**
- * hzb_cancellations_decode: appends the cancellations of a JSON object (nullable) to an array of HzbCancellation. A malformed
- * member is left out.
+ * hzb_cancellations_decode: appends the cancellations of a JSON object (nullable) to an array of HzbCancellation. A
+ * malformed member is left out.
  *
  * Returns: TRUE if every member was well-formed
  */
 gboolean hzb_cancellations_decode (const cJSON *list, GArray *into);
 
 /**
- * hzb_cancellation_request_encode: adds to a leaseholder's poll the cancellations (element-type HzbCancellation) that the leader is asked to
- * acknowledge. An empty array adds nothing.
+ * hzb_cancellation_request_encode: adds to a leaseholder's poll the cancellations (element-type HzbCancellation) that
+ * the leader is asked to acknowledge. An empty array adds nothing.
  */
 void hzb_cancellation_request_encode (const GArray *cancellations, cJSON *poll);
 
@@ -34,7 +34,10 @@
  */
 GArray *hzb_cancellation_request_decode (const cJSON *poll);
 
-/** hzb_cancellation_response_encode: adds to the leader's answer the uids of the jobs whose cancellation it acknowledges. */
+/**
+ * hzb_cancellation_response_encode: adds to the leader's answer the uids of the jobs whose cancellation it
+ * acknowledges.
+ */
 void hzb_cancellation_response_encode (const GPtrArray *acknowledged_uids, cJSON *answer);
 
 /**
--- a/src/cluster/cancellation-requests.c
+++ b/src/cluster/cancellation-requests.c
@@ -1,4 +1,5 @@
-/* Requests for the leader's acknowledgement of cancellations: how a controller that does not lead asks, and how the leader answers. */
+/* Requests for the leader's acknowledgement of cancellations: how a controller that does not lead asks, and how the
+ * leader answers. */
 #include "cancellations-private.h"
 #include "kv-protocol.h"
 #include "record-keys.h"
@@ -67,8 +68,8 @@
          && !hzb_peers_unreachable (uses->peers, hzb_election_leader (uses->election));
 }
 
-/* What goes with this poll moves to the end of the queue, so that requests that the leader can't acknowledge for long do not keep later ones from
- * being sent. */
+/* What goes with this poll moves to the end of the queue, so that requests that the leader can't acknowledge for long
+ * do not keep later ones from being sent. */
 void
 hzb_cancellations_add_request (HzbCancellations *cancellations, cJSON *poll)
 {
@@ -128,7 +129,8 @@
     job->cancel_acknowledged = TRUE;
 }
 
-/* An acknowledgement of this term counts only if there is no later leader, and none is needed where this controller leads itself. */
+/* An acknowledgement of this term counts only if there is no later leader, and none is needed where this controller
+ * leads itself. */
 static gboolean
 is_of_current_leader (const HzbCancellations *cancellations, guint64 term)
 {
@@ -191,8 +193,8 @@
   hzb_kv_client_get (uses->kv, HZB_KV_READ, HZB_KEY_FLUSH, on_flush_record_read, cancellations);
 }
 
-/* A leader of schema version 1 acknowledges nothing. If the key-value store served that leader well after the record came here, then one of the
- * leader's watches has been renewed since and has brought it the cancellation. */
+/* A leader of schema version 1 acknowledges nothing. If the key-value store served that leader well after the record
+ * came here, then one of the leader's watches has been renewed since and has brought it the cancellation. */
 static void
 check_schema_1_leader (HzbCancellations *cancellations)
 {
@@ -200,7 +202,8 @@
   const char *leader = hzb_election_leader (uses->election);
   struct timespec served;
 
-  if (!leader || hzb_peers_unreachable (uses->peers, leader) || hzb_peers_schema_version (uses->peers, leader) > 1
+  if (!leader || hzb_peers_unreachable (uses->peers, leader)
+      || hzb_peers_schema_version (uses->peers, leader) > HZB_SCHEMA_VERSION_1
       || !hzb_peers_last_kv_contact (uses->peers, leader, &served))
     return;
   for (GList *l = cancellations->requests.head; l; l = l->next)
--- a/src/cluster/cancellations-private.h
+++ b/src/cluster/cancellations-private.h
@@ -12,20 +12,26 @@
   HzbCancellationsCallbacks callbacks; /**< upwards */
   gpointer user;                       /**< for the callbacks */
 
-  GQueue requests;  /**< of cancellation-requests.c: PendingRequest, the one first that was sent longest ago */
-  gboolean reading; /**< of cancellation-requests.c: a read of the flush record is in flight */
-  struct timespec next_attempt; /**< of cancellation-requests.c: when to look again for the leader's acknowledgements */
+  /* cancellation-requests.c */
+  GQueue requests;              /**< PendingRequest, the one first that was sent longest ago */
+  gboolean reading;             /**< a read of the flush record is in flight */
+  struct timespec next_attempt; /**< when to look again for the leader's acknowledgements */
 
-  HzbCancellationLog *log;  /**< of cancellation-knowledge.c */
-  guint64 learned_revision; /**< of cancellation-knowledge.c: peers have listed all cancellations up to this revision */
-  gboolean
-      self_fencing; /**< of cancellation-knowledge.c: this controller fences itself once it could have missed a cancellation; once TRUE, it stays TRUE */
+  /* cancellation-knowledge.c */
+  HzbCancellationLog *log;  /**< (owned) */
+  guint64 learned_revision; /**< peers have listed all cancellations up to this revision */
+  gboolean self_fencing;    /**< this process answers no worker once it could have missed a cancellation; stays TRUE */
 };
 
-/** hzb_cancellations_replica_has: this controller's replica has all records up to that of the job, including those of elections. */
+/**
+ * hzb_cancellations_replica_has: this controller's replica has all records up to that of the job, including those of
+ * elections.
+ */
 gboolean hzb_cancellations_replica_has (const HzbCancellations *cancellations, const HzbJob *job);
 
-/** hzb_cancellations_leader_acknowledges: on the leader: nothing of the job can be where its cancellation is not known. */
+/**
+ * hzb_cancellations_leader_acknowledges: on the leader: nothing of the job can be where its cancellation is not known.
+ */
 gboolean hzb_cancellations_leader_acknowledges (HzbCancellations *cancellations, HzbJob *job);
 
 /**
--- a/src/cluster/cancellations.c
+++ b/src/cluster/cancellations.c
@@ -1,24 +1,26 @@
 /* A cancelled job is confirmed as cancelled only once no controller can act without its cancellation.
  *
- * The record alone does not prove that. A leader that the key-value store refuses may take this for an outage that concerns every
- * controller, while the others are still served; an outage for all that begins a moment later keeps it from being replaced. Such a leader
- * would go on renewing the leases of workers with tasks whose cancellation it can't see, for as long as the outage lasts. So a controller that is to
- * confirm a cancellation asks the leader, with the poll that leaseholders send anyway; that needs no key-value store. The leader takes the
- * cancellation from the request (the record is durable and never changes). The leader acknowledges a cancellation once no task of the job may
- * be on a machine that has not answered under the leader's fencing token, and every leaseholder that was delegated a task of the job has acknowledged
- * the cancellation too.
+ * The record alone does not prove that. A leader that the key-value store refuses may take this for an outage that
+ * concerns every controller, while the others are still served; an outage for all that begins a moment later keeps it
+ * from being replaced. Such a leader would go on renewing the leases of workers with tasks whose cancellation it can't
+ * see, for as long as the outage lasts. So a controller that is to confirm a cancellation asks the leader, with the
+ * poll that leaseholders send anyway; that needs no key-value store. The leader takes the cancellation from the request
+ * (the record is durable and never changes). The leader acknowledges a cancellation once no task of the job may be on a
+ * machine that has not answered under the leader's fencing token, and every leaseholder that was delegated a task of
+ * the job has acknowledged the cancellation too.
  *
- * The leader's answer holds if there is no later leader. So the replica of the controller that asks must have all records up to the job's,
- * and the term of the leader that answers must be the highest in there. A later leader reads the record before it owns anything.
+ * The leader's answer holds if there is no later leader. So the replica of the controller that asks must have all
+ * records up to the job's, and the term of the leader that answers must be the highest in there. A later leader reads
+ * the record before it owns anything.
  *
  * Where the leader can't be reached, its acknowledgements are read from its flush record, which it writes anyway.
  *
- * None of this is needed where every controller knows the cancellation: each controller stops what it finds of the job, and
- * machines obey controllers only. Controllers list to each other the cancellations that a peer lacks, so that a controller that the
- * key-value store refuses learns of them too. A controller that learns of nothing, because it is stalled or reaches neither the key-value store
- * nor a peer, does not have to be waited for: it fences itself, which means that it answers no worker once it could have missed a cancellation
- * (hzb_cancellations_may_answer_workers()). So some seconds after all others knew, none acts without the cancellation
- * (hzb_peers_fenced_revision()). */
+ * None of this is needed where every controller knows the cancellation: each controller stops what it finds of the job,
+ * and machines obey controllers only. Controllers list to each other the cancellations that a peer lacks, so that a
+ * controller that the key-value store refuses learns of them too. A controller that learns of nothing, because it is
+ * stalled or reaches neither the key-value store nor a peer, does not have to be waited for: it fences itself, which
+ * means that it answers no worker once it could have missed a cancellation (hzb_cancellations_may_answer_workers()). So
+ * some seconds after all others knew, none acts without the cancellation (hzb_peers_fenced_revision()). */
 #include "cancellations-private.h"
 
 #define LOG_CAPACITY 4096u /* a peer that lacks older cancellations reads the records */
@@ -58,11 +60,11 @@
   return job;
 }
 
-/* Without this rule, a cancellation could remain unconfirmed for as long as leaders change: each new leader waits anew for the machines that
- * do not answer, and in a large fleet there always are some. A machine obeys controllers only. Each controller that knows the
- * cancellation starts nothing of the job, and answers each heartbeat that shows a task of the job with the command to stop it. So it does not
- * matter where the job's unconfirmed tasks are. One controller that is down, stalled or partitioned does not count once it
- * must have stopped answering workers. */
+/* Without this rule, a cancellation could remain unconfirmed for as long as leaders change: each new leader waits anew
+ * for the machines that do not answer, and in a large fleet there always are some. A machine obeys controllers only.
+ * Each controller that knows the cancellation starts nothing of the job, and answers each heartbeat that shows a task
+ * of the job with the command to stop it. So it does not matter where the job's unconfirmed tasks are. One controller
+ * that is down, stalled or partitioned does not count once it must have stopped answering workers. */
 static gboolean
 known_to_every_controller (const HzbCancellations *cancellations, const HzbJob *job)
 {
--- a/src/cluster/cancellations.h
+++ b/src/cluster/cancellations.h
@@ -2,11 +2,12 @@
  * @file
  * SECTION: cancellations - when a cancelled job may be confirmed to users as cancelled.
  *
- * A cancellation is confirmed only once no controller can act without it any more: none can start a task of the job, or renew the
- * lease of a worker without stopping what runs of the job there. cancellations.c tells the argument.
+ * A cancellation is confirmed only once no controller can act without it any more: none can start a task of the job, or
+ * renew the lease of a worker without stopping what runs of the job there. cancellations.c tells the argument.
  *
- * Four concerns, a source file each: the rules of acknowledgement (cancellations.c), requests to the leader (cancellation-requests.c), what
- * this controller knows and tells its peers (cancellation-knowledge.c), and the messages (cancellation-messages.h).
+ * Four concerns, a source file each: the rules of acknowledgement (cancellations.c), requests to the leader
+ * (cancellation-requests.c), what this controller knows and tells its peers (cancellation-knowledge.c), and the
+ * messages (cancellation-messages.h).
  */
 #pragma once
 #include "cancellation-messages.h"
@@ -58,24 +59,33 @@
 
 /* ---- acknowledgement ---- */
 
-/** hzb_cancellations_acknowledged: no controller can act without the cancellation of this job any more. Once TRUE, it stays TRUE. */
+/**
+ * hzb_cancellations_acknowledged: no controller can act without the cancellation of this job any more. Once TRUE, it
+ * stays TRUE.
+ */
 gboolean hzb_cancellations_acknowledged (HzbCancellations *cancellations, HzbJob *job);
 
-/** hzb_cancellations_acknowledged_revision: on the leader: it acknowledges all cancellations that were recorded up to this revision. */
+/**
+ * hzb_cancellations_acknowledged_revision: on the leader: it acknowledges all cancellations that were recorded up to
+ * this revision.
+ */
 guint64 hzb_cancellations_acknowledged_revision (HzbCancellations *cancellations);
 
 /* ---- requests to the leader ---- */
 
 /**
- * hzb_cancellations_request: asks the leader to acknowledge the cancellation of this job; the request is repeated for 10 s.
- * Returns: FALSE if there is no leader that can be asked just now
+ * hzb_cancellations_request: asks the leader to acknowledge the cancellation of this job; the request is repeated for
+ * 10 s. Returns: FALSE if there is no leader that can be asked just now
  */
 gboolean hzb_cancellations_request (HzbCancellations *cancellations, HzbJob *job);
 
 /** hzb_cancellations_add_request: adds the pending requests to a poll of the leader. */
 void hzb_cancellations_add_request (HzbCancellations *cancellations, cJSON *poll);
 
-/** hzb_cancellations_answer_request: on the leader: adds to the answer to a poll which of the requested cancellations it acknowledges. */
+/**
+ * hzb_cancellations_answer_request: on the leader: adds to the answer to a poll which of the requested cancellations
+ * it acknowledges.
+ */
 void hzb_cancellations_answer_request (HzbCancellations *cancellations, const cJSON *poll, cJSON *answer);
 
 /** hzb_cancellations_handle_response: takes the acknowledgements in an answer of the leader of this term. */
@@ -83,7 +93,9 @@
 
 /* ---- what this controller knows ---- */
 
-/** hzb_cancellations_note_record: the replica of the records has shown how a job completed, recorded at this revision. */
+/**
+ * hzb_cancellations_note_record: the replica of the records has shown how a job completed, recorded at this revision.
+ */
 void hzb_cancellations_note_record (HzbCancellations *cancellations, const HzbJob *job, guint64 revision);
 
 /** hzb_cancellations_note_reading: the replica of the records has read all records anew, as of this revision. */
@@ -100,7 +112,7 @@
 gboolean hzb_cancellations_apply_reply (HzbCancellations *cancellations, const HzbPeerHeartbeat *reply);
 
 /**
- * hzb_cancellations_may_answer_workers: this controller can't have missed a cancellation that others rely on. While FALSE it is
- * self-fenced and must not answer a worker.
+ * hzb_cancellations_may_answer_workers: this controller can't have missed a cancellation that others rely on. While
+ * FALSE it is self-fenced and must not answer a worker.
  */
 gboolean hzb_cancellations_may_answer_workers (HzbCancellations *cancellations);
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -1,52 +1,40 @@
-#include "election.h"
-#include "json.h"
-#include "kv-protocol.h"
+/* Who leads: what the replica of the records shows, and the state of this controller. */
+#include "election-private.h"
+
+#include "election-records.h"
+#include "node.h"
 #include "record-keys.h"
 
-#define TTL_MS 4000
-#define RENEW_S 0.9
+#define RENEW_INTERVAL_S 0.9
+#define STEP_DOWN_PAUSE_S 2.0
 
-struct _HzbElection
-{
-  HzbKvClient *kv;
-  HzbClock *clock;
-  const HzbSettings *settings;
-  GRand *rand;
-  HzbElectionState state;
-  char *incarnation;
-  guint64 lease, term, term_version; /* ours, while leading */
-  guint64 seen_term, seen_term_version;
-  char *leader, *leader_incarnation; /* by the replica of the records */
-  guint64 leader_lease, leader_term, leader_version;
-  struct timespec next, requests, lease_valid_until, renew_sent;
-  gboolean renewing, backing_off, raising, eager;
-  guint schema_version;
+static const char *const state_names[HZB_ELECTION_N_STATES] = {
+  [HZB_ELECTION_FOLLOWING] = "following", [HZB_ELECTION_REVOKING_OLD_LEASE] = "revoking-old-lease",
+  [HZB_ELECTION_LEASING] = "leasing",     [HZB_ELECTION_CAMPAIGNING] = "campaigning",
+  [HZB_ELECTION_LEADING] = "leading",
 };
 
-static const char nobody[] = "(none of version 1)"; /* leads by the first key, once the format is 2 */
-
-static const char *const names[] = { "following", "ending-old", "leasing", "campaigning", "leading" };
+static const guint legal_changes[HZB_ELECTION_N_STATES] = {
+  [HZB_ELECTION_FOLLOWING] = 1 << HZB_ELECTION_REVOKING_OLD_LEASE | 1 << HZB_ELECTION_LEASING,
+  [HZB_ELECTION_REVOKING_OLD_LEASE] = 1 << HZB_ELECTION_FOLLOWING,
+  [HZB_ELECTION_LEASING] = 1 << HZB_ELECTION_CAMPAIGNING | 1 << HZB_ELECTION_FOLLOWING,
+  [HZB_ELECTION_CAMPAIGNING] = 1 << HZB_ELECTION_LEADING | 1 << HZB_ELECTION_FOLLOWING,
+  [HZB_ELECTION_LEADING] = 1 << HZB_ELECTION_FOLLOWING,
+};
 
-static void
-set_state (HzbElection *election, HzbElectionState to, const char *why)
+void
+hzb_election_set_state (HzbElection *election, HzbElectionState to, const char *why)
 {
-  static const guint legal[] = {
-    [HZB_ELECTION_FOLLOWING] = 1 << HZB_ELECTION_REVOKING_OLD_LEASE | 1 << HZB_ELECTION_LEASING,
-    [HZB_ELECTION_REVOKING_OLD_LEASE] = 1 << HZB_ELECTION_FOLLOWING,
-    [HZB_ELECTION_LEASING] = 1 << HZB_ELECTION_CAMPAIGNING | 1 << HZB_ELECTION_FOLLOWING,
-    [HZB_ELECTION_CAMPAIGNING] = 1 << HZB_ELECTION_LEADING | 1 << HZB_ELECTION_FOLLOWING,
-    [HZB_ELECTION_LEADING] = 1 << HZB_ELECTION_FOLLOWING,
-  };
-  if (!(legal[election->state] & 1u << to))
+  if (!(legal_changes[election->state] & 1u << to))
     {
-      g_critical ("election: illegal change %s -> %s", names[election->state], names[to]);
+      g_critical ("election: illegal change %s -> %s", state_names[election->state], state_names[to]);
       return;
     }
   if (to == HZB_ELECTION_LEADING || election->state == HZB_ELECTION_LEADING)
-    g_message ("election: %s -> %s (term %" G_GUINT64_FORMAT "): %s", names[election->state], names[to], election->term,
-               why);
+    g_message ("election: %s -> %s (term %" G_GUINT64_FORMAT "): %s", state_names[election->state], state_names[to],
+               election->term, why);
   else
-    g_debug ("election: %s -> %s: %s", names[election->state], names[to], why);
+    g_debug ("election: %s -> %s: %s", state_names[election->state], state_names[to], why);
   election->state = to;
 }
 
@@ -58,7 +46,7 @@
   election->clock = clock;
   election->settings = settings;
   election->rand = rand;
-  election->schema_version = 1;
+  election->schema_version = HZB_SCHEMA_VERSION_1;
   election->incarnation = g_strdup_printf ("%s-%08x%08x", settings->node, g_rand_int (rand), g_rand_int (rand));
   return election;
 }
@@ -68,7 +56,6 @@
 {
   g_free (election->incarnation);
   g_free (election->leader);
-  g_free (election->leader_incarnation);
   g_free (election);
 }
 
@@ -109,7 +96,7 @@
   if (election->state == HZB_ELECTION_LEADING)
     return election->settings->node;
   if (election->leader && g_str_equal (election->leader, election->settings->node))
-    return NULL; /* an earlier life of ours */
+    return NULL; /* an earlier process of this controller, which has ended */
   return election->leader;
 }
 
@@ -132,32 +119,22 @@
                          : g_rand_double_range (election->rand, 0.05, 0.4);
 }
 
-static void
-on_ended (HzbKvResult result, const char *body, gpointer user)
-{
-  HzbElection *election = user;
-  if (election->state == HZB_ELECTION_REVOKING_OLD_LEASE)
-    {
-      election->next = hzb_time_plus (hzb_clock_now (election->clock), 0.3);
-      set_state (election, HZB_ELECTION_FOLLOWING, "the earlier lease was ended");
-    }
-}
-
 static void
 ignore_result (HzbKvResult result, const char *body, gpointer user)
 {
 }
 
-/* Guards against a lease left behind after a try whose end is not known: once it is over, a late
- * transaction that names it is refused by the key-value store. */
-static void
-give_up (HzbElection *election, const char *why)
+/* The outcome of the last campaign may be unknown. Once its lease is revoked, the key-value store refuses a late
+ * transaction that names the lease, so such a transaction can't make this controller the leader without its knowledge.
+ */
+void
+hzb_election_give_up (HzbElection *election, const char *why)
 {
   if (election->lease)
     hzb_kv_client_revoke_lease (election->kv, election->lease, ignore_result, election);
   election->lease = 0;
-  election->next = hzb_time_plus (hzb_clock_now (election->clock), 0.3 + jitter (election));
-  set_state (election, HZB_ELECTION_FOLLOWING, why);
+  election->next_campaign = hzb_time_plus (hzb_clock_now (election->clock), HZB_ELECTION_RETRY_S + jitter (election));
+  hzb_election_set_state (election, HZB_ELECTION_FOLLOWING, why);
 }
 
 void
@@ -165,8 +142,8 @@
 {
   if (election->state == HZB_ELECTION_LEADING)
     {
-      give_up (election, why);
-      election->next = hzb_time_plus (hzb_clock_now (election->clock), 2);
+      hzb_election_give_up (election, why);
+      election->next_campaign = hzb_time_plus (hzb_clock_now (election->clock), STEP_DOWN_PAUSE_S);
     }
 }
 
@@ -179,179 +156,73 @@
 void
 hzb_election_back_off (HzbElection *election, double seconds)
 {
-  election->next = hzb_time_plus (hzb_clock_now (election->clock), seconds);
+  election->next_campaign = hzb_time_plus (hzb_clock_now (election->clock), seconds);
   election->backing_off = TRUE;
 }
 
 static void
-on_campaign (HzbKvResult result, const char *body, gpointer user)
+apply_term (HzbElection *election, const HzbKvEntry *entry)
 {
-  HzbElection *election = user;
-  if (election->state != HZB_ELECTION_CAMPAIGNING)
+  if (entry->version <= election->seen_term_version)
     return;
-  if (result != HZB_KV_OK)
-    {
-      give_up (election, "the campaign failed");
-      return;
-    }
-  hzb_kv_commit_decode (body, &election->term_version, NULL);
-  election->lease_valid_until = hzb_time_plus (election->requests, TTL_MS / 1000.0 * 0.999 - 0.05);
-  election->renew_sent = election->requests;
-  election->renewing = FALSE;
-  set_state (election, HZB_ELECTION_LEADING, "elected");
-}
-
-static const char *
-leader_key (const HzbElection *election)
-{
-  return election->schema_version >= 2 ? HZB_KEY_LEADER_SCHEMA_2 : HZB_KEY_LEADER_SCHEMA_1;
-}
-
-static cJSON *
-pack_leader (const HzbElection *election)
-{
-  cJSON *value = cJSON_CreateObject ();
-  cJSON_AddStringToObject (value, "node", election->settings->node);
-  cJSON_AddStringToObject (value, "incarnation", election->incarnation);
-  hzb_json_add_u64 (value, "lease", election->lease);
-  hzb_json_add_u64 (value, "term", election->term);
-  return value;
+  election->seen_term_version = entry->version;
+  election->seen_term = hzb_term_record_decode (entry->value);
+  if (election->state == HZB_ELECTION_LEADING && election->seen_term > election->term)
+    hzb_election_give_up (election, "a newer term exists");
 }
 
 static void
-on_raised (HzbKvResult result, const char *body, gpointer user)
+apply_schema_version (HzbElection *election, const HzbKvEntry *entry)
 {
-  HzbElection *election = user;
-  election->raising = FALSE; /* the replica of the records shows whether it is so */
+  if (!entry->value || election->schema_version >= HZB_SCHEMA_VERSION_2)
+    return;
+  election->schema_version = hzb_schema_version_record_decode (entry->value);
+  g_message ("election: every controller reads schema version %u; processes of version 1 are refused from now on",
+             election->schema_version);
 }
 
-void
-hzb_election_raise_schema_version (HzbElection *election)
+/* The record of leadership shows that this controller's leadership is over. */
+static gboolean
+is_deposed (const HzbElection *election)
 {
-  HzbKvTransaction *transaction;
-  cJSON *value;
-
-  if (election->schema_version >= 2 || election->raising || !hzb_election_lease_valid (election))
-    return;
-  election->raising = TRUE;
-  transaction = hzb_kv_transaction_new ();
-  hzb_election_add_condition (election, transaction);
-  hzb_kv_transaction_compare (transaction, HZB_KEY_SCHEMA_VERSION, 0);
-  value = cJSON_CreateObject ();
-  cJSON_AddNumberToObject (value, "format", 2);
-  hzb_kv_transaction_put (transaction, HZB_KEY_SCHEMA_VERSION, value, 0);
-  value = cJSON_CreateObject ();
-  cJSON_AddStringToObject (value, "node", nobody);
-  hzb_json_add_u64 (value, "term", election->term);
-  hzb_kv_transaction_put (transaction, HZB_KEY_LEADER_SCHEMA_1, value, 0);
-  hzb_kv_transaction_put (transaction, HZB_KEY_LEADER_SCHEMA_2, pack_leader (election), election->lease);
-  hzb_kv_client_commit (election->kv, HZB_KV_LEASE, transaction, on_raised, election);
+  if (election->state != HZB_ELECTION_LEADING)
+    return FALSE;
+  return election->leader ? election->leader_term > election->term : election->leader_term == election->term;
 }
 
 static void
-on_lease (HzbKvResult result, const char *body, gpointer user)
+apply_leader (HzbElection *election, const HzbKvEntry *entry)
 {
-  HzbElection *election = user;
-  HzbKvTransaction *transaction;
-  cJSON *value;
+  HzbLeaderRecord record = hzb_leader_record_decode (entry->value);
 
-  if (election->state != HZB_ELECTION_LEASING)
+  if (entry->version <= election->leader_version || hzb_leader_record_is_placeholder (&record))
     return;
-  election->lease = result == HZB_KV_OK ? hzb_kv_lease_decode (body) : 0;
-  if (!election->lease || election->leader)
+  election->leader_version = entry->version;
+  g_free (election->leader);
+  election->leader = g_strdup (record.node);
+  if (entry->value)
     {
-      give_up (election, election->leader ? "another leads" : "no lease");
-      return;
+      election->leader_lease = record.lease;
+      election->leader_term = record.term;
     }
-  election->term = election->seen_term + 1;
-  transaction = hzb_kv_transaction_new ();
-  hzb_kv_transaction_compare (transaction, leader_key (election), 0);
-  hzb_kv_transaction_compare (transaction, HZB_KEY_TERM, election->seen_term_version);
-  hzb_kv_transaction_put (transaction, leader_key (election), pack_leader (election), election->lease);
-  value = cJSON_CreateObject ();
-  hzb_json_add_u64 (value, "term", election->term);
-  cJSON_AddStringToObject (value, "node", election->settings->node);
-  hzb_kv_transaction_put (transaction, HZB_KEY_TERM, value, 0);
-  set_state (election, HZB_ELECTION_CAMPAIGNING, "got a lease");
-  hzb_kv_client_commit (election->kv, HZB_KV_LEASE, transaction, on_campaign, election);
-}
-
-/* A renewal, and of which lease. */
-typedef struct
-{
-  HzbElection *election;
-  guint64 lease;
-} Renewal;
-
-static void
-on_renewed (HzbKvResult result, const char *body, gpointer user)
-{
-  g_autofree Renewal *renewal = user;
-  HzbElection *election = renewal->election;
-  /* Guards against an answer about the lease of an earlier leadership: it says nothing about this one. */
-  if (election->state != HZB_ELECTION_LEADING || renewal->lease != election->lease)
-    return;
-  election->renewing = FALSE;
-  if (result == HZB_KV_OK)
-    election->lease_valid_until = hzb_time_plus (election->renew_sent, TTL_MS / 1000.0 * 0.999 - 0.05);
-  else if (result == HZB_KV_NOT_FOUND)
+  else if (!election->backing_off)
+    election->next_campaign = hzb_time_plus (hzb_clock_now (election->clock), jitter (election));
+  if (is_deposed (election))
     {
       election->lease = 0;
-      give_up (election, "the lease has ended");
+      hzb_election_give_up (election, "the record of this leadership is gone or was replaced");
     }
 }
 
-static void
-renew (HzbElection *election, struct timespec now)
-{
-  Renewal *renewal = g_new0 (Renewal, 1);
-  renewal->election = election;
-  renewal->lease = election->lease;
-  election->renewing = TRUE;
-  election->renew_sent = now;
-  hzb_kv_client_renew_lease (election->kv, election->lease, on_renewed, renewal);
-}
-
 void
-hzb_election_apply_record (HzbElection *election, const HzbKvEntry *item)
+hzb_election_apply_record (HzbElection *election, const HzbKvEntry *entry)
 {
-  if (g_str_equal (item->key, HZB_KEY_TERM))
-    {
-      if (item->version <= election->seen_term_version)
-        return;
-      election->seen_term_version = item->version;
-      election->seen_term = hzb_json_u64 (item->value, "term");
-      if (election->state == HZB_ELECTION_LEADING && election->seen_term > election->term)
-        give_up (election, "a newer term exists");
-    }
-  else if (g_str_equal (item->key, HZB_KEY_SCHEMA_VERSION) && item->value && election->schema_version < 2)
-    {
-      election->schema_version = (guint) hzb_json_number (item->value, "format", 1);
-      g_message ("election: every controller reads format %u; version 1 is not served any more",
-                 election->schema_version);
-    }
-  else if ((g_str_equal (item->key, HZB_KEY_LEADER_SCHEMA_1) || g_str_equal (item->key, HZB_KEY_LEADER_SCHEMA_2))
-           && item->version > election->leader_version && g_strcmp0 (hzb_json_text (item->value, "node"), nobody) != 0)
-    {
-      election->leader_version = item->version;
-      g_clear_pointer (&election->leader, g_free);
-      g_clear_pointer (&election->leader_incarnation, g_free);
-      if (item->value)
-        {
-          election->leader = g_strdup (hzb_json_text (item->value, "node"));
-          election->leader_incarnation = g_strdup (hzb_json_text (item->value, "incarnation"));
-          election->leader_lease = hzb_json_u64 (item->value, "lease");
-          election->leader_term = hzb_json_u64 (item->value, "term");
-        }
-      else if (!election->backing_off)
-        election->next = hzb_time_plus (hzb_clock_now (election->clock), jitter (election));
-      if (election->state == HZB_ELECTION_LEADING
-          && (election->leader ? election->leader_term > election->term : election->leader_term == election->term))
-        {
-          election->lease = 0;
-          give_up (election, "the leader's record is gone or another's");
-        }
-    }
+  if (g_str_equal (entry->key, HZB_KEY_TERM))
+    apply_term (election, entry);
+  else if (g_str_equal (entry->key, HZB_KEY_SCHEMA_VERSION))
+    apply_schema_version (election, entry);
+  else if (g_str_equal (entry->key, HZB_KEY_LEADER_SCHEMA_1) || g_str_equal (entry->key, HZB_KEY_LEADER_SCHEMA_2))
+    apply_leader (election, entry);
 }
 
 void
@@ -361,23 +232,10 @@
 
   if (election->state == HZB_ELECTION_LEADING)
     {
-      if (!election->renewing && hzb_time_between (election->renew_sent, now) >= RENEW_S)
-        renew (election, now);
-      return;
-    }
-  if (election->state != HZB_ELECTION_FOLLOWING || !kv_replica_fresh || hzb_time_before (now, election->next))
-    return;
-  election->backing_off = FALSE;
-  if (election->leader && g_strcmp0 (election->leader, election->settings->node) == 0)
-    {
-      /* An earlier incarnation, or a campaign of ours whose answer was lost: it is ended, not trusted. */
-      set_state (election, HZB_ELECTION_REVOKING_OLD_LEASE, election->leader_incarnation);
-      hzb_kv_client_revoke_lease (election->kv, election->leader_lease, on_ended, election);
-    }
-  else if (!election->leader)
-    {
-      set_state (election, HZB_ELECTION_LEASING, "nobody leads");
-      election->requests = now;
-      hzb_kv_client_grant_lease (election->kv, TTL_MS, on_lease, election);
+      if (!election->renewing && hzb_time_between (election->renewal_sent, now) >= RENEW_INTERVAL_S)
+        hzb_election_renew (election, now);
     }
+  else if (election->state == HZB_ELECTION_FOLLOWING && kv_replica_fresh
+           && !hzb_time_before (now, election->next_campaign))
+    hzb_election_follow (election, now);
 }
--- a/src/cluster/node.h
+++ b/src/cluster/node.h
@@ -1,6 +1,6 @@
 /**
- * SECTION: node
- * @short_description: this controller process: its settings, its means, and what it says of itself
+ * @file
+ * SECTION: node - this controller's process: its settings, its means, and what it says of itself.
  *
  * Shared by the modules of a controller; it has no logic of its own.
  */
@@ -9,21 +9,27 @@
 #include "http.h"
 #include "settings.h"
 
+/** HZB_SCHEMA_VERSION_1: the first version of records and messages. Its processes state no version. */
+#define HZB_SCHEMA_VERSION_1 1
+
 /**
- * HZB_SCHEMA_VERSION: the version of records and messages that this program reads and writes.
- *
- * 1 is the version before, which states none. With 2, the owner acknowledges cancellations, and services can be accepted. Nothing
- * that a process of version 1 would misread is written while one may run.
+ * HZB_SCHEMA_VERSION_2: from this version on the leader acknowledges cancellations, and services can be accepted.
+ * Nothing that a process of version 1 would misread is written while one may run.
  */
-#define HZB_SCHEMA_VERSION 2
+#define HZB_SCHEMA_VERSION_2 2
+
+/** HZB_SCHEMA_VERSION: the version of records and messages that this program reads and writes. */
+#define HZB_SCHEMA_VERSION HZB_SCHEMA_VERSION_2
 
+/** HzbNode: this controller's process. Nothing is owned but @ref incarnation. */
 typedef struct
 {
-  HzbSettings *settings;
-  HzbClock *clock;
-  HzbTransport *transport;
-  char *incarnation;               /* names this process; another one of the same node has another */
-  guint schema_version;            /* that this process says it reads and writes */
-  struct timespec redirected_at;   /* when a worker was last redirected to the leader from here; unset: never */
-  struct timespec workers_lost_at; /* when this node last stepped down because no worker's heartbeat came */
+  HzbSettings *settings;   /**< name of the node, its peers, limits */
+  HzbClock *clock;         /**< the only source of time */
+  HzbTransport *transport; /**< sends HTTP requests */
+  char *incarnation;       /**< names this process; each process of a node has another one */
+  guint schema_version;    /**< of records and messages, as this process states; HZB_SCHEMA_VERSION but in tests */
+  struct timespec redirected_at; /**< when this process last redirected a worker to the leader; unset: never */
+  struct timespec
+      workers_lost_at; /**< when this process last stepped down because no worker reported to it; unset: never */
 } HzbNode;
--- a/src/cluster/ownership.c
+++ b/src/cluster/ownership.c
@@ -8,8 +8,9 @@
   struct timespec since;
 };
 
-/* As the administration API and the log show them. */
-static const char *const state_names[HZB_OWNERSHIP_N_STATES] = { "none", "lessee", "loading", "recovering", "ready" };
+/* In the log. */
+static const char *const state_names[HZB_OWNERSHIP_N_STATES] = { "none", "leaseholder", "loading", "recovering",
+                                                                 "ready" };
 
 static const guint legal_changes[HZB_OWNERSHIP_N_STATES] = {
   [HZB_OWNERSHIP_NONE] = 1 << HZB_OWNERSHIP_LOADING | 1 << HZB_OWNERSHIP_LEASEHOLDER,
--- a/src/cluster/peer-heartbeat.h
+++ b/src/cluster/peer-heartbeat.h
@@ -2,8 +2,8 @@
  * @file
  * SECTION: peer-heartbeat - what two controllers tell each other once a second, and its encoding.
  *
- * The one place that knows how a heartbeat is written. A receiver ignores fields that its version does not know. For a field that a sender of an
- * older version does not send, the receiver assumes the default that is named at the member.
+ * The one place that knows how a heartbeat is written. A receiver ignores fields that its version does not know. For a
+ * field that a sender of an older version does not send, the receiver assumes the default that is named at the member.
  */
 #pragma once
 #include "cancellation-log.h"
@@ -41,29 +41,42 @@
 /** HzbPeerHeartbeat: a heartbeat, or the reply to one. */
 typedef struct
 {
-  gboolean leads;             /**< the sender is the elected leader; default FALSE */
-  guint64 term;               /**< highest term that the sender knows; default 0 */
-  guint schema_version;       /**< of records and messages; default 1 */
-  gboolean redirects_workers; /**< the sender lately redirected workers to the leader; default TRUE */
-  gboolean lost_workers; /**< not long ago the sender stepped down because no worker reported to it; default FALSE */
-  double
-      kv_unresponsive_s; /**< seconds since the key-value store last served the sender; default HZB_KV_NEVER_SERVED_S */
-  guint64
-      replicated_revision; /**< the sender's replica of the records has all changes up to this revision; default 0 */
-  guint64
-      cancellations_known; /**< the sender knows all cancellations up to this revision, by its replica or by peers; default 0 */
-  gboolean
-      lists_cancellations; /**< the sender's replies list what the receiver lacks; FALSE for versions that state no @ref cancellations_known */
-  gboolean self_fenced;    /**< the sender answers no worker once it could have missed a cancellation; default FALSE */
-  gboolean partial_counts; /**< @ref counts covers some of the jobs only, other heartbeats cover the others */
-  GArray *counts;          /**< HzbTaskCounts of the leader's unfinished jobs; may be empty */
-  GArray *peer_states;     /**< HzbPeerState of the other controllers */
-  GArray *watermarks;      /**< HzbWatermarkAge, by rising revision */
-  guint64 fenced_revision; /**< see hzb_peers_fenced_revision() */
-  GArray *
-      cancellations; /**< in replies: HzbCancellation of what was recorded after the revision that the request stated */
-  guint64
-      cancellations_up_to; /**< in replies: @ref cancellations is complete up to this revision; 0: it says nothing */
+  /** The sender is the elected leader. Default FALSE. */
+  gboolean leads;
+  /** Highest term that the sender knows. Default 0. */
+  guint64 term;
+  /** Of records and messages. Default 1. */
+  guint schema_version;
+  /** The sender lately redirected workers to the leader. Default TRUE. */
+  gboolean redirects_workers;
+  /** Not long ago the sender stepped down because no worker reported to it. Default FALSE. */
+  gboolean lost_workers;
+  /** Seconds since the key-value store last served the sender. Default HZB_KV_NEVER_SERVED_S. */
+  double kv_unresponsive_s;
+  /** The sender's replica of the records has all changes up to this revision. Default 0. */
+  guint64 replicated_revision;
+  /** The sender knows all cancellations up to this revision, by its replica of the records or by peers. Default 0. */
+  guint64 cancellations_known;
+  /** The sender's replies list what the receiver lacks. FALSE for versions that state no @ref cancellations_known. */
+  gboolean lists_cancellations;
+  /** The sender answers no worker once it could have missed a cancellation. Default FALSE. */
+  gboolean self_fenced;
+  /** @ref counts covers some of the jobs only; other heartbeats cover the others. */
+  gboolean partial_counts;
+  /** HzbTaskCounts of the leader's unfinished jobs; may be empty. */
+  GArray *counts;
+
+  /** HzbPeerState of the other controllers. */
+  GArray *peer_states;
+  /** HzbWatermarkAge, by rising revision. */
+  GArray *watermarks;
+  /** See hzb_peers_fenced_revision(). */
+  guint64 fenced_revision;
+
+  /** In replies: HzbCancellation of what was recorded after the revision that the request stated. */
+  GArray *cancellations;
+  /** In replies: @ref cancellations is complete up to this revision; 0: the reply says nothing. */
+  guint64 cancellations_up_to;
 } HzbPeerHeartbeat;
 
 /** hzb_peer_heartbeat_new: Returns: (transfer full): a heartbeat with empty lists, and 0 everywhere else */
--- a/src/cluster/peer-knowledge.c
+++ b/src/cluster/peer-knowledge.c
@@ -13,8 +13,8 @@
   hzb_watermarks_clear (&knowledge->watermarks);
 }
 
-/* A process never knows less than it did, and a process that replaces it reads the records before it owns anything. So what was relayed
- * of a peer counts for as long as this controller has not heard the peer itself. */
+/* A process never knows less than it did, and a process that replaces it reads the records before it owns anything. So
+ * what was relayed of a peer counts for as long as this controller has not heard the peer itself. */
 static guint64
 known_revision_of (const HzbPeerEntry *entry)
 {
@@ -40,8 +40,8 @@
   return TRUE;
 }
 
-/* The highest revision up to which all controllers but one know all cancellations, provided that the remaining one fences itself
- * once it could have missed any; 0 if there is no such revision. */
+/* The highest revision up to which all controllers but one know all cancellations, provided that the remaining one
+ * fences itself once it could have missed any; 0 if there is no such revision. */
 static guint64
 revision_known_by_all_but_one (const HzbPeerKnowledge *knowledge, guint64 replicated_revision)
 {
--- a/src/cluster/peer-knowledge.h
+++ b/src/cluster/peer-knowledge.h
@@ -2,9 +2,9 @@
  * @file
  * SECTION: peer-knowledge - which cancellations the controllers of the cluster know. Private to this folder.
  *
- * A cancellation may be confirmed to users once every controller knows it, or all but one that must have fenced itself since
- * (docs/safety.md, "One controller is away"). What a controller has said of itself remains true, whoever repeats it and however late. So
- * heartbeats relay it, with the watermarks, to controllers that have restarted since.
+ * A cancellation may be confirmed to users once every controller knows it, or all but one that must have fenced itself
+ * since (docs/safety.md, "One controller is away"). What a controller has said of itself remains true, whoever repeats
+ * it and however late. So heartbeats relay it, with the watermarks, to controllers that have restarted since.
  */
 #pragma once
 #include "peer-heartbeat.h"
@@ -27,7 +27,10 @@
 /** hzb_peer_knowledge_all_know: every other controller knows all cancellations up to this revision. */
 gboolean hzb_peer_knowledge_all_know (const HzbPeerKnowledge *knowledge, guint64 revision);
 
-/** hzb_peer_knowledge_advance: once a second. This controller's own replica of the records has all changes up to `replicated_revision`. */
+/**
+ * hzb_peer_knowledge_advance: once a second. This controller's own replica of the records has all changes up to
+ * `replicated_revision`.
+ */
 void hzb_peer_knowledge_advance (HzbPeerKnowledge *knowledge, struct timespec now, guint64 replicated_revision);
 
 /** hzb_peer_knowledge_fill_heartbeat: adds to a heartbeat what this controller knows of its peers. */
--- a/src/cluster/peer-messages.h
+++ b/src/cluster/peer-messages.h
@@ -2,8 +2,8 @@
  * @file
  * SECTION: peer-messages - the fields with which every message between controllers identifies its sender.
  *
- * A copy of an old message may arrive late, also from a process that has ended since. So each message names the sending process, when that
- * process started, and a number that grows; peer-senders.h decides which messages are accepted.
+ * A copy of an old message may arrive late, also from a process that has ended since. So each message names the sending
+ * process, when that process started, and a number that grows; peer-senders.h decides which messages are accepted.
  */
 #pragma once
 #include <cjson/cJSON.h>
@@ -17,7 +17,9 @@
   HZB_PEER_N_KINDS     /**< how many kinds there are */
 } HzbPeerKind;
 
-/** HzbPeerEnvelope: identifies the process that sent a message. The strings belong to whoever filled in the structure. */
+/**
+ * HzbPeerEnvelope: identifies the process that sent a message. The strings belong to whoever filled in the structure.
+ */
 typedef struct
 {
   const char *node;        /**< (nullable): name of the controller */
@@ -30,5 +32,8 @@
 /** hzb_peer_envelope_encode: Returns: (transfer full): a new message with these fields */
 cJSON *hzb_peer_envelope_encode (const HzbPeerEnvelope *envelope);
 
-/** hzb_peer_envelope_decode: reads the fields of a message (nullable), whose strings it refers to. What the message lacks is NULL or 0. */
+/**
+ * hzb_peer_envelope_decode: reads the fields of a message (nullable), whose strings it refers to. What the message
+ * lacks is NULL or 0.
+ */
 HzbPeerEnvelope hzb_peer_envelope_decode (const cJSON *message);
--- a/src/cluster/peer-queries.c
+++ b/src/cluster/peer-queries.c
@@ -91,7 +91,7 @@
 hzb_peers_schema_version (HzbPeers *peers, const char *node)
 {
   const HzbPeerEntry *entry = find_reachable (peers, node);
-  return entry ? entry->schema_version : 1;
+  return entry ? entry->schema_version : HZB_SCHEMA_VERSION_1;
 }
 
 gboolean
--- a/src/cluster/peer-senders.c
+++ b/src/cluster/peer-senders.c
@@ -50,7 +50,7 @@
     g_hash_table_add (senders->replaced_incarnations, entry->incarnation);
   entry->incarnation = g_strdup (envelope->incarnation);
   entry->started_ms = MAX (envelope->started_ms, entry->started_ms);
-  entry->schema_version = 1;
+  entry->schema_version = HZB_SCHEMA_VERSION_1;
   entry->known_revision = 0;
   entry->lists_cancellations = entry->self_fenced = FALSE;
   memset (entry->last_number, 0, sizeof entry->last_number);
--- a/src/cluster/peer-senders.h
+++ b/src/cluster/peer-senders.h
@@ -2,8 +2,9 @@
  * @file
  * SECTION: peer-senders - which requests of peers are accepted. Private to this folder.
  *
- * Copies of old messages may arrive late, also from a process that has ended since. A request is accepted only if it comes from the newest
- * process of a known peer, and if its number exceeds those of all earlier requests of its kind from that process.
+ * Copies of old messages may arrive late, also from a process that has ended since. A request is accepted only if it
+ * comes from the newest process of a known peer, and if its number exceeds those of all earlier requests of its kind
+ * from that process.
  */
 #pragma once
 #include "peer-table.h"
@@ -21,8 +22,8 @@
 void hzb_peer_senders_clear (HzbPeerSenders *senders);
 
 /**
- * hzb_peer_senders_admit: decides about a request and notes its number. If the request is the first of a new process, what the table
- * holds of the peer's process before is reset. A refusal is logged.
+ * hzb_peer_senders_admit: decides about a request and notes its number. If the request is the first of a new process,
+ * what the table holds of the peer's process before is reset. A refusal is logged.
  *
  * A request whose schema version is lower than `lowest_schema_version` is refused.
  *
--- a/src/cluster/peer-table.h
+++ b/src/cluster/peer-table.h
@@ -2,8 +2,9 @@
  * @file
  * SECTION: peer-table - what this controller knows of each other controller. Private to this folder.
  *
- * One entry for each peer that the settings name. An entry holds what the peer's heartbeats and replies said last, what third controllers
- * have relayed of the peer, which process of the peer sends, and the state of the heartbeat that was sent to it.
+ * One entry for each peer that the settings name. An entry holds what the peer's heartbeats and replies said last, what
+ * third controllers have relayed of the peer, which process of the peer sends, and the state of the heartbeat that was
+ * sent to it.
  */
 #pragma once
 #include "node.h"
--- a/src/cluster/peers.c
+++ b/src/cluster/peers.c
@@ -6,8 +6,8 @@
 #define SHARD_POLL_PATH "/peer/v1/block"
 #define HEARTBEAT_INTERVAL_S 1.0
 #define HEARTBEAT_TIMEOUT_MS 1500u
-/* A heartbeat received from a peer makes one to it needless, but only the reply to this controller's own heartbeat proves something: see
- * hzb_peers_current_as_of(). So each controller sends one at least this often. */
+/* A heartbeat received from a peer makes one to it needless, but only the reply to this controller's own heartbeat
+ * proves something: see hzb_peers_current_as_of(). So each controller sends one at least this often. */
 #define HEARD_RECENTLY_S 0.9
 #define CONFIRM_INTERVAL_S 2.5
 #define REDIRECTED_LATELY_S 3.0
@@ -74,7 +74,8 @@
 
   heartbeat->schema_version = uses->node->schema_version;
   heartbeat->leads = hzb_election_leading (uses->election);
-  /* The term is relayed: a replaced leader may reach only controllers that the key-value store does not reach either. */
+  /* The term is relayed: a replaced leader may reach only controllers that the key-value store does not reach either.
+   */
   heartbeat->term = MAX (hzb_election_leader_term (uses->election), peers->highest_known_term);
   heartbeat->redirects_workers = hzb_peers_happened_lately (peers, uses->node->redirected_at, REDIRECTED_LATELY_S);
   heartbeat->lost_workers = hzb_peers_this_node_lost_workers (peers);
@@ -125,7 +126,8 @@
   struct timespec sent;
 } HeartbeatCall;
 
-/* A peer proves nothing if its own replica of the records is ahead of what it lists, or if it could not list all that this controller lacks. */
+/* A peer proves nothing if its own replica of the records is ahead of what it lists, or if it could not list all that
+ * this controller lacks. */
 static void
 apply_listed_cancellations (HzbPeers *peers, const HzbPeerHeartbeat *reply, struct timespec sent)
 {
@@ -214,7 +216,7 @@
   HzbPeerKind kind = g_str_equal (http_request->path, SHARD_POLL_PATH) ? HZB_PEER_SHARD_POLL : HZB_PEER_HEARTBEAT;
   cJSON *message = cJSON_ParseWithLength (http_request->body, http_request->length);
   HzbPeerEnvelope envelope = hzb_peer_envelope_decode (message);
-  guint lowest_schema_version = MIN (hzb_election_schema_version (peers->uses.election), 2);
+  guint lowest_schema_version = MIN (hzb_election_schema_version (peers->uses.election), HZB_SCHEMA_VERSION_2);
   HzbPeerEntry *sender =
       hzb_peer_senders_admit (&peers->senders, &peers->table, &envelope, kind, lowest_schema_version);
 
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -2,10 +2,10 @@
  * @file
  * SECTION: peers - messages between controllers.
  *
- * Once a second each controller exchanges a heartbeat with every other one, and answers what others ask of it. This module sends and
- * receives heartbeats, and answers from what they said: which controllers are reachable, which versions they run, and which
- * cancellations they know. What a heartbeat says of this controller's own cancellations, and the polls of leaseholders, are the business of
- * the modules above, which are called through #HzbPeersCallbacks.
+ * Once a second each controller exchanges a heartbeat with every other one, and answers what others ask of it. This
+ * module sends and receives heartbeats, and answers from what they said: which controllers are reachable, which
+ * versions they run, and which cancellations they know. What a heartbeat says of this controller's own cancellations,
+ * and the polls of leaseholders, are the business of the modules above, which are called through #HzbPeersCallbacks.
  *
  * A peer is "reachable" if its last heartbeat is at most 3 s old, unless a function says otherwise.
  */
@@ -42,7 +42,10 @@
   /** Fills in the cancellations that the sender of this request lacks. */
   void (*fill_reply) (const HzbPeerHeartbeat *request, HzbPeerHeartbeat *reply, gpointer user);
 
-  /** Takes the cancellations that a reply lists. Returns: TRUE if this controller now knows all that the reply claims to list */
+  /**
+   * Takes the cancellations that a reply lists.
+   * Returns: TRUE if this controller now knows all that the reply claims to list
+   */
   gboolean (*apply_reply) (const HzbPeerHeartbeat *reply, gpointer user);
 
   /** Answers the poll of a leaseholder. */
@@ -68,16 +71,24 @@
 /** hzb_peers_any_sends_workers: a reachable peer has lately redirected workers to the leader. */
 gboolean hzb_peers_any_sends_workers (HzbPeers *peers);
 
-/** hzb_peers_any_lost_workers: a controller, this one included, lately stepped down because no worker reported to it. */
+/**
+ * hzb_peers_any_lost_workers: a controller, this one included, lately stepped down because no worker reported to it.
+ */
 gboolean hzb_peers_any_lost_workers (HzbPeers *peers);
 
-/** hzb_peers_any_reaches_kv: the key-value store serves a reachable peer, so an outage would concern this controller only. */
+/**
+ * hzb_peers_any_reaches_kv: the key-value store serves a reachable peer, so an outage would concern this controller
+ * only.
+ */
 gboolean hzb_peers_any_reaches_kv (HzbPeers *peers);
 
 /** hzb_peers_unreachable: TRUE also if the settings name no such controller. */
 gboolean hzb_peers_unreachable (HzbPeers *peers, const char *node);
 
-/** hzb_peers_incarnation: Returns: (transfer none) (nullable): the process of the reachable controller; NULL if unknown */
+/**
+ * hzb_peers_incarnation:
+ * Returns: (transfer none) (nullable): the process of the reachable controller; NULL if unknown
+ */
 const char *hzb_peers_incarnation (HzbPeers *peers, const char *node);
 
 /**
@@ -93,9 +104,9 @@
 gboolean hzb_peers_any_older_schema (HzbPeers *peers);
 
 /**
- * hzb_peers_all_know_cancellations: every other controller has said that it knows all cancellations up to this revision. So
- * whatever any of them owns, it takes these cancellations into account. A process that replaces one of them reads the
- * records before it owns anything.
+ * hzb_peers_all_know_cancellations: every other controller has said that it knows all cancellations up to this
+ * revision. So whatever any of them owns, it takes these cancellations into account. A process that replaces one of
+ * them reads the records before it owns anything.
  */
 gboolean hzb_peers_all_know_cancellations (HzbPeers *peers, guint64 revision);
 
@@ -129,8 +140,8 @@
 void hzb_peers_task_counts (HzbPeers *peers, const char *uid, guint *done, guint *running);
 
 /**
- * hzb_peers_message: a new message that identifies this process and has the next number. The caller adds what the kind requires.
- * Returns: (transfer full)
+ * hzb_peers_message: a new message that identifies this process and has the next number. The caller adds what the kind
+ * requires. Returns: (transfer full)
  */
 cJSON *hzb_peers_message (HzbPeers *peers, HzbPeerKind kind);
 
--- a/src/cluster/task-count-table.c
+++ b/src/cluster/task-count-table.c
@@ -2,7 +2,8 @@
 
 /* Each job takes some 35 bytes of a heartbeat. */
 #define MAX_JOBS_PER_HEARTBEAT 1000u
-/* In a partial list the leader names each unfinished job within this time, unless there are more than 30,000 of them. */
+/* In a partial list the leader names each unfinished job within this time, unless there are more than 30,000 of them.
+ */
 #define COUNTS_KEPT_S 30.0
 
 typedef struct
@@ -38,8 +39,8 @@
   table->next_job += MAX_JOBS_PER_HEARTBEAT;
 }
 
-/* A receiver keeps what a partial list does not name. So a partial list also names jobs with no task done or running, to replace
- * their earlier counts. */
+/* A receiver keeps what a partial list does not name. So a partial list also names jobs with no task done or running,
+ * to replace their earlier counts. */
 void
 hzb_task_count_table_fill_heartbeat (const HzbTaskCountTable *table, const HzbJobs *jobs, HzbPeerHeartbeat *heartbeat)
 {
--- a/src/cluster/task-count-table.h
+++ b/src/cluster/task-count-table.h
@@ -1,9 +1,10 @@
 /**
  * @file
- * SECTION: task-count-table - how many tasks of each job are done and running, as the leader says. Private to this folder.
+ * SECTION: task-count-table - how many tasks of each job are done and running, as the leader says. Private to this
+ * folder.
  *
- * The leader adds the counts of its unfinished jobs to its heartbeats, so that every controller can show them to users. The counts are for
- * display only; no decision rests on them.
+ * The leader adds the counts of its unfinished jobs to its heartbeats, so that every controller can show them to users.
+ * The counts are for display only; no decision rests on them.
  */
 #pragma once
 #include "jobs.h"
@@ -18,7 +19,10 @@
 /** hzb_task_count_table_free: frees the table. */
 void hzb_task_count_table_free (HzbTaskCountTable *table);
 
-/** hzb_task_count_table_next_turn: once a second. If one heartbeat can't hold all jobs, the next heartbeats cover the next jobs. */
+/**
+ * hzb_task_count_table_next_turn: once a second. If one heartbeat can't hold all jobs, the next heartbeats cover the
+ * next jobs.
+ */
 void hzb_task_count_table_next_turn (HzbTaskCountTable *table);
 
 /** hzb_task_count_table_fill_heartbeat: on the leader: adds the counts of its unfinished jobs to a heartbeat. */
--- a/src/cluster/watermarks.c
+++ b/src/cluster/watermarks.c
@@ -29,8 +29,8 @@
   return first->revision >= second->revision && !hzb_time_before (second->since, first->since);
 }
 
-/* Watermarks of other controllers are added too: a controller that has just restarted continues from what the others have seen, so
- * that frequent changes of leader do not begin the wait anew. */
+/* Watermarks of other controllers are added too: a controller that has just restarted continues from what the others
+ * have seen, so that frequent changes of leader do not begin the wait anew. */
 void
 hzb_watermarks_add (HzbWatermarks *watermarks, struct timespec since, guint64 revision)
 {
--- a/src/cluster/watermarks.h
+++ b/src/cluster/watermarks.h
@@ -2,9 +2,10 @@
  * @file
  * SECTION: watermarks - up to which revision an unavailable controller must have stopped acting without cancellations.
  *
- * A watermark says that, from some time on, all controllers but one have known all cancellations up to a revision. Once the
- * watermark is old enough, the remaining controller has learned of them too or has fenced itself, which means that it answers no
- * worker any more. From then on these cancellations may be confirmed to users (docs/safety.md, "One controller is away").
+ * A watermark says that, from some time on, all controllers but one have known all cancellations up to a revision. Once
+ * the watermark is old enough, the remaining controller has learned of them too or has fenced itself, which means that
+ * it answers no worker any more. From then on these cancellations may be confirmed to users (docs/safety.md, "One
+ * controller is away").
  *
  * This module reads no clock and sends nothing: the caller passes the time.
  */
@@ -12,14 +13,15 @@
 #include "clock.h"
 
 /**
- * HZB_CANCELLATIONS_KNOWN_S: a controller answers workers only while it knows all cancellations that were recorded until this
- * many seconds ago.
+ * HZB_CANCELLATIONS_KNOWN_S: a controller answers workers only while it knows all cancellations that were recorded
+ * until this many seconds ago.
  */
 #define HZB_CANCELLATIONS_KNOWN_S 10.0
 
 /**
- * HZB_FENCED_AFTER_S: seconds after which a controller that learns of nothing can no longer get a command through to a worker:
- * its knowledge may be HZB_CANCELLATIONS_KNOWN_S old, workers drop answers after 4 s, and clocks drift apart by less than 1 s.
+ * HZB_FENCED_AFTER_S: seconds after which a controller that learns of nothing can no longer get a command through to a
+ * worker: its knowledge may be HZB_CANCELLATIONS_KNOWN_S old, workers drop answers after 4 s, and clocks drift apart by
+ * less than 1 s.
  */
 #define HZB_FENCED_AFTER_S (HZB_CANCELLATIONS_KNOWN_S + 4.0 + 1.0)
 
@@ -45,13 +47,15 @@
 void hzb_watermarks_clear (HzbWatermarks *watermarks);
 
 /**
- * hzb_watermarks_add: since the given time all controllers but one have known all cancellations up to the revision, as seen by
- * this or another controller. A watermark that another one implies is not kept.
+ * hzb_watermarks_add: since the given time all controllers but one have known all cancellations up to the revision, as
+ * seen by this or another controller. A watermark that another one implies is not kept.
  */
 void hzb_watermarks_add (HzbWatermarks *watermarks, struct timespec since, guint64 revision);
 
 /** hzb_watermarks_raise: another controller has seen a watermark of this revision grow old enough. */
 void hzb_watermarks_raise (HzbWatermarks *watermarks, guint64 revision);
 
-/** hzb_watermarks_advance: removes the watermarks that are old enough by now, and raises the fenced revision to theirs. */
+/**
+ * hzb_watermarks_advance: removes the watermarks that are old enough by now, and raises the fenced revision to theirs.
+ */
 void hzb_watermarks_advance (HzbWatermarks *watermarks, struct timespec now);
