--- a/src/cluster/cancellation-knowledge.c
+++ b/src/cluster/cancellation-knowledge.c
@@ -99,7 +99,7 @@
   const HzbCancellationsDependencies *uses = &cancellations->uses;
   struct timespec current_as_of;
 
-  /* A controller that has not heard any peer yet fences itself too: peers may rely on the promise of the process
+  /* A controller that has received no heartbeat yet fences itself too: peers may rely on the promise of the process
    * before. */
   if (!fences_itself (cancellations)
       && (!uses->node->settings->peers->len || hzb_peers_any_lists_no_cancellations (uses->peers)))
--- a/src/cluster/cancellation-log.h
+++ b/src/cluster/cancellation-log.h
@@ -33,7 +33,7 @@
  */
 HzbCancellationLog *hzb_cancellation_log_new (guint capacity);
 
-/** hzb_cancellation_log_free: (nullable) is not accepted. */
+/** hzb_cancellation_log_free: frees the log and its entries. */
 void hzb_cancellation_log_free (HzbCancellationLog *log);
 
 /**
--- a/src/cluster/cancellations.h
+++ b/src/cluster/cancellations.h
@@ -3,7 +3,7 @@
  * SECTION: cancellations - when a cancelled job may be confirmed to users as cancelled.
  *
  * A cancellation is confirmed only once no controller can act without it any more: none can start a task of the job, or
- * renew the lease of a worker without stopping what runs of the job there. cancellations.c tells the argument.
+ * renew the lease of a worker without stopping what runs of the job there. cancellations.c gives the argument.
  *
  * Four concerns, a source file each: the rules of acknowledgement (cancellations.c), requests to the leader
  * (cancellation-requests.c), what this controller knows and tells its peers (cancellation-knowledge.c), and the
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -27,7 +27,9 @@
 {
   if (!(legal_changes[election->state] & 1u << to))
     {
-      g_critical ("election: illegal change %s -> %s", state_names[election->state], state_names[to]);
+      g_critical (
+          "election: illegal change %s -> %s; it is ignored. This is a fault of the program: report it with this log",
+          state_names[election->state], state_names[to]);
       return;
     }
   if (to == HZB_ELECTION_LEADING || election->state == HZB_ELECTION_LEADING)
--- a/src/cluster/ownership.c
+++ b/src/cluster/ownership.c
@@ -77,7 +77,9 @@
 
   if (!(legal_changes[from] & 1u << to))
     {
-      g_critical ("ownership: illegal change %s -> %s", state_names[from], state_names[to]);
+      g_critical (
+          "ownership: illegal change %s -> %s; it is ignored. This is a fault of the program: report it with this log",
+          state_names[from], state_names[to]);
       return FALSE;
     }
   g_message ("ownership: %s -> %s: %s", state_names[from], state_names[to], why);
