--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -1,6 +1,7 @@
-/* Leadership: what an answer of an earlier leadership may change. */
+/* Elections: an answer to a request of an earlier leadership changes nothing, and the bytes of the records. */
 #include "support.h"
 
+#include "election-records.h"
 #include "election.h"
 #include "fake-transport.h"
 #include "kv-client.h"
@@ -75,7 +76,7 @@
   cJSON_Delete (item.value);
 }
 
-/* The lease has ended, the node leads again, and then comes the answer to a renewal of the lease before. */
+/* The lease has expired and the controller was elected again. Then the answer to a renewal of the old lease arrives. */
 static void
 test_late_renewal (void)
 {
@@ -102,18 +103,47 @@
       g_assert_nonnull (find_call (&fixture, "/leases/8/renew"));
       answer (&fixture, "/leases/7/renew", statuses[i], "{}");
       g_assert_true (hzb_election_leading (fixture.election));
-      /* The renewal of this lease gets no answer: the leadership is valid for as long as the lease was, and no longer. */
+      /* The renewal of the new lease gets no answer, so the leadership is valid as long as that lease. */
       hzb_clock_advance (fixture.clock, 3.05);
       g_assert_false (hzb_election_lease_valid (fixture.election));
       fixture_down (&fixture);
     }
 }
 
+static void
+check_bytes (cJSON *value, const char *expected)
+{
+  g_autofree char *text = cJSON_PrintUnformatted (value);
+  g_assert_cmpstr (text, ==, expected);
+  cJSON_Delete (value);
+}
+
+/* Records of earlier and later versions depend on these bytes. */
+static void
+test_records (void)
+{
+  const HzbLeaderRecord record = { .node = "n0", .incarnation = "n0-1", .lease = 4000000123, .term = 7 };
+  cJSON *placeholder = hzb_leader_record_encode_placeholder (7);
+  HzbLeaderRecord read = hzb_leader_record_decode (placeholder);
+
+  g_assert_true (hzb_leader_record_is_placeholder (&read));
+  g_assert_false (hzb_leader_record_is_placeholder (&record));
+  check_bytes (placeholder, "{\"node\":\"(none of version 1)\",\"term\":7}");
+  check_bytes (hzb_leader_record_encode (&record),
+               "{\"node\":\"n0\",\"incarnation\":\"n0-1\",\"lease\":4000000123,\"term\":7}");
+  check_bytes (hzb_term_record_encode (7, "n0"), "{\"term\":7,\"node\":\"n0\"}");
+  check_bytes (hzb_schema_version_record_encode (2), "{\"format\":2}");
+  read = hzb_leader_record_decode (NULL);
+  g_assert_null (read.node);
+  g_assert_cmpuint (read.term, ==, 0);
+}
+
 int
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
   g_test_add_func ("/election/late-renewal", test_late_renewal);
+  g_test_add_func ("/election/records", test_records);
   return g_test_run ();
 }
--- a/tests/test-peer-heartbeat.c
+++ b/tests/test-peer-heartbeat.c
@@ -1,4 +1,4 @@
-/* Heartbeats and the log of cancellations: against a plain model, and with messages that are not as they should be. */
+/* Heartbeats and the log of cancellations: compared with a plain model, and with malformed messages. */
 #include "json.h"
 #include "peer-heartbeat.h"
 
@@ -37,7 +37,7 @@
   g_assert_cmpuint (expected, ==, read->len);
 }
 
-/* Whatever the log says is all that was recorded in between, for any order of adding, restarting and reading. */
+/* What the log lists as complete is all that was recorded, for any order of adding, restarting and reading. */
 static void
 test_log (void)
 {
@@ -72,7 +72,7 @@
   g_assert_cmpuint (complete_reads, >, 1000);
 }
 
-/* What is before the restart, or was dropped for want of room, is not claimed. */
+/* The log does not claim to have what was recorded before its restart, or what it dropped because it was full. */
 static void
 test_log_is_not_complete_before (void)
 {
@@ -144,7 +144,7 @@
   return heartbeat;
 }
 
-/* Nothing is concluded from what can't be read, and a version that says nothing knows nothing. */
+/* Malformed fields have their defaults, as have the fields that an older version does not send. */
 static void
 test_malformed (void)
 {
