--- /dev/null
+++ b/tests/test-cancellations.c
@@ -0,0 +1,270 @@
+/* Cancellations without a controller: when the leader acknowledges one, and how other controllers ask for it. */
+#include "support.h"
+
+#include "cancellations.h"
+#include "fake-transport.h"
+#include "record-keys.h"
+
+#define REVISION 50u /* that the replica of the records has */
+#define MAX_REQUESTS_PER_POLL 64u
+
+/* One of three controllers, whose peers have not sent anything yet. */
+typedef struct
+{
+  Bench bench;
+  HzbPeer others[2];
+  HzbNode node;
+  FakeTransport transport;
+  HzbKvClient *kv;
+  HzbKvReplica *kv_replica;
+  HzbElection *election;
+  HzbOwnership *ownership;
+  HzbPeers *peers;
+  HzbCancellations *cancellations;
+
+  gboolean leaseholders_acknowledged; /* what the modules above say */
+  guint announced, polls_requested;
+} Fixture;
+
+static void
+announce (HzbJob *job, gpointer user)
+{
+  ((Fixture *) user)->announced++;
+}
+
+static gboolean
+all_leaseholders_acknowledged (const HzbJob *job, gpointer user)
+{
+  return ((Fixture *) user)->leaseholders_acknowledged;
+}
+
+static void
+poll_leader_soon (gpointer user)
+{
+  ((Fixture *) user)->polls_requested++;
+}
+
+static gboolean
+may_load (gpointer user)
+{
+  return TRUE;
+}
+
+static void
+ignore_load_begin (gpointer user)
+{
+}
+
+static void
+ignore_load_end (guint64 revision, gpointer user)
+{
+}
+
+/* The replica of the records reads a key-value store without records. */
+static void
+load_replica (Fixture *fixture)
+{
+  for (guint i = 0; i < 20 && hzb_kv_replica_revision (fixture->kv_replica) < REVISION; i++)
+    {
+      FakeCall *call;
+      hzb_clock_advance (fixture->bench.clock, 0.1);
+      hzb_kv_replica_tick (fixture->kv_replica);
+      hzb_kv_client_pump (fixture->kv);
+      call = g_queue_peek_head (&fixture->transport.calls);
+      if (call)
+        fake_answer (&fixture->transport, call, 200,
+                     g_str_has_prefix (call->path, "/follow") ? "{\"news\":[],\"epoch\":50}"
+                                                              : "{\"rows\":[],\"hasNext\":false,\"epoch\":50}");
+    }
+  g_assert_cmpuint (hzb_kv_replica_revision (fixture->kv_replica), ==, REVISION);
+}
+
+static void
+fixture_up (Fixture *fixture)
+{
+  static const HzbKvReplicaFuncs replica_funcs = { .may_load = may_load,
+                                                   .load_begin = ignore_load_begin,
+                                                   .load_end = ignore_load_end };
+  static const HzbPeersCallbacks no_callbacks = { 0 };
+  static const HzbCancellationsCallbacks callbacks = { announce, all_leaseholders_acknowledged, poll_leader_soon };
+  HzbSettings *settings;
+
+  *fixture = (Fixture){ .others = { { .node = (char *) "n1", .address = (char *) "10.0.0.2:1" },
+                                    { .node = (char *) "n2", .address = (char *) "10.0.0.3:1" } } };
+  bench_up (&fixture->bench, 1);
+  settings = fixture->bench.settings;
+  settings->size = 3;
+  g_ptr_array_unref (settings->peers);
+  settings->peers = g_ptr_array_new ();
+  for (guint i = 0; i < G_N_ELEMENTS (fixture->others); i++)
+    g_ptr_array_add (settings->peers, &fixture->others[i]);
+  fake_transport_init (&fixture->transport, fixture->bench.clock);
+  fixture->node = (HzbNode){ .settings = settings,
+                             .clock = fixture->bench.clock,
+                             .transport = &fixture->transport.parent,
+                             .schema_version = HZB_SCHEMA_VERSION };
+  fixture->kv = hzb_kv_client_new (fixture->node.transport, fixture->bench.clock, settings);
+  fixture->kv_replica =
+      hzb_kv_replica_new (fixture->kv, fixture->bench.clock, HZB_KEY_REPLICATED, 0.1, &replica_funcs, fixture);
+  fixture->election = hzb_election_new (fixture->kv, fixture->bench.clock, settings, fixture->bench.rand);
+  fixture->ownership = hzb_ownership_new (fixture->bench.clock);
+  fixture->peers = hzb_peers_new (&(HzbPeersDependencies){ &fixture->node, fixture->kv, fixture->kv_replica,
+                                                           fixture->election, fixture->ownership, fixture->bench.jobs },
+                                  &no_callbacks, fixture);
+  fixture->cancellations = hzb_cancellations_new (
+      &(HzbCancellationsDependencies){ &fixture->node, fixture->kv, fixture->kv_replica, fixture->election,
+                                       fixture->ownership, fixture->bench.jobs, fixture->peers },
+      &callbacks, fixture);
+  load_replica (fixture);
+}
+
+static void
+fixture_down (Fixture *fixture)
+{
+  fake_transport_end (&fixture->transport, fixture->kv);
+  hzb_cancellations_free (fixture->cancellations);
+  hzb_peers_free (fixture->peers);
+  hzb_ownership_free (fixture->ownership);
+  hzb_election_free (fixture->election);
+  hzb_kv_replica_free (fixture->kv_replica);
+  hzb_kv_client_free (fixture->kv);
+  bench_down (&fixture->bench);
+}
+
+/* The controller has loaded the records as leader. */
+static void
+own_as_leader (Fixture *fixture)
+{
+  hzb_ownership_begin_epoch (fixture->ownership);
+  g_assert_true (hzb_ownership_set_state (fixture->ownership, HZB_OWNERSHIP_LOADING, "test"));
+  g_assert_true (hzb_ownership_set_state (fixture->ownership, HZB_OWNERSHIP_RECOVERING, "test"));
+}
+
+static void
+check_answer (Fixture *fixture, const char *poll_text, const char *expected)
+{
+  cJSON *poll = cJSON_Parse (poll_text), *answer = cJSON_CreateObject ();
+  g_autofree char *text = NULL;
+
+  hzb_cancellations_answer_request (fixture->cancellations, poll, answer);
+  text = cJSON_PrintUnformatted (answer);
+  g_assert_cmpstr (text, ==, expected);
+  cJSON_Delete (poll);
+  cJSON_Delete (answer);
+}
+
+/* The leader takes the cancellation from the request, and acknowledges it once every leaseholder has. */
+static void
+test_leader_waits_for_leaseholders (void)
+{
+  static const char poll[] = "{\"cancelled\":{\"run-001000\":{\"version\":60,\"n\":3}}}";
+  Fixture fixture;
+  HzbJob *job;
+
+  fixture_up (&fixture);
+  job = bench_job (&fixture.bench, "red", HZB_PRIORITY_NORMAL, 3, 1, 10);
+  g_assert_cmpstr (job->uid, ==, "run-001000");
+  g_assert_nonnull (job->tasks);
+  check_answer (&fixture, poll, "{\"heard\":[]}"); /* this controller does not lead */
+  g_assert_cmpint (job->state, ==, HZB_JOB_CANCELLED);
+  own_as_leader (&fixture);
+  check_answer (&fixture, poll, "{\"heard\":[]}");
+  g_assert_cmpuint (fixture.announced, ==, 1);
+  fixture.leaseholders_acknowledged = TRUE;
+  job->unconfirmed = 1;
+  check_answer (&fixture, poll, "{\"heard\":[]}"); /* a task may be on a machine that has not answered this leader */
+  job->unconfirmed = 0;
+  check_answer (&fixture, poll, "{\"heard\":[\"run-001000\"]}");
+  check_answer (&fixture, "{}", "{}");
+  fixture_down (&fixture);
+}
+
+static HzbJob *
+cancelled_job (Fixture *fixture, guint number, guint64 revision)
+{
+  g_autofree char *uid = g_strdup_printf ("run-%06u", number);
+  cJSON *record = hzb_jobs_pack_final (HZB_JOB_CANCELLED, 1);
+  HzbJob *job = hzb_jobs_apply (fixture->bench.jobs, uid, record, revision);
+  cJSON_Delete (record);
+  return job;
+}
+
+static void
+respond (Fixture *fixture, guint64 term, const char *text)
+{
+  cJSON *answer = cJSON_Parse (text);
+  hzb_cancellations_handle_response (fixture->cancellations, term, answer);
+  cJSON_Delete (answer);
+}
+
+/* An acknowledgement does not count if it is of an earlier leader, or if the replica does not show the record yet. */
+static void
+test_response (void)
+{
+  HzbKvEntry term = { (char *) HZB_KEY_TERM, cJSON_Parse ("{\"term\":4,\"node\":\"n1\"}"), 40 };
+  HzbJob *replicated, *ahead;
+  Fixture fixture;
+
+  fixture_up (&fixture);
+  hzb_election_apply_record (fixture.election, &term);
+  replicated = cancelled_job (&fixture, 1, REVISION);
+  ahead = cancelled_job (&fixture, 2, REVISION + 1);
+  respond (&fixture, 3, "{\"heard\":[\"run-000001\",\"run-000002\"]}");
+  g_assert_false (hzb_cancellations_acknowledged (fixture.cancellations, replicated));
+  respond (&fixture, 4, "{\"heard\":[\"run-000001\",\"run-000002\",7]}");
+  g_assert_true (hzb_cancellations_acknowledged (fixture.cancellations, replicated));
+  g_assert_false (hzb_cancellations_acknowledged (fixture.cancellations, ahead));
+  cJSON_Delete (term.value);
+  fixture_down (&fixture);
+}
+
+static guint
+count_requested (Fixture *fixture, const char *uid, gboolean *found)
+{
+  cJSON *poll = cJSON_CreateObject (), *received;
+  g_autoptr (GArray) requested = NULL;
+  g_autofree char *text = NULL;
+  guint count;
+
+  hzb_cancellations_add_request (fixture->cancellations, poll);
+  text = cJSON_PrintUnformatted (poll);
+  received = cJSON_Parse (text);
+  requested = hzb_cancellation_request_decode (received);
+  count = requested ? requested->len : 0;
+  *found = FALSE;
+  for (guint i = 0; i < count; i++)
+    *found = *found || g_str_equal (g_array_index (requested, HzbCancellation, i).uid, uid);
+  cJSON_Delete (received);
+  cJSON_Delete (poll);
+  return count;
+}
+
+/* Requests that the leader does not acknowledge do not keep later ones from being sent, and they end after a while. */
+static void
+test_requests_take_turns (void)
+{
+  Fixture fixture;
+  gboolean found;
+
+  fixture_up (&fixture);
+  for (guint i = 0; i < MAX_REQUESTS_PER_POLL + 6; i++)
+    g_assert_false (hzb_cancellations_request (fixture.cancellations, cancelled_job (&fixture, i, REVISION)));
+  g_assert_cmpuint (fixture.polls_requested, ==, MAX_REQUESTS_PER_POLL + 6);
+  g_assert_cmpuint (count_requested (&fixture, "run-000000", &found), ==, MAX_REQUESTS_PER_POLL);
+  g_assert_false (found); /* the newest go first, since they were never sent */
+  g_assert_cmpuint (count_requested (&fixture, "run-000000", &found), ==, MAX_REQUESTS_PER_POLL);
+  g_assert_true (found);
+  hzb_clock_advance (fixture.bench.clock, 10.5);
+  g_assert_cmpuint (count_requested (&fixture, "run-000000", &found), ==, 0);
+  fixture_down (&fixture);
+}
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  g_test_add_func ("/cancellations/leader-waits-for-leaseholders", test_leader_waits_for_leaseholders);
+  g_test_add_func ("/cancellations/response", test_response);
+  g_test_add_func ("/cancellations/requests-take-turns", test_requests_take_turns);
+  return g_test_run ();
+}
