--- a/src/cluster/cancellation-messages.h
+++ b/src/cluster/cancellation-messages.h
@@ -30,6 +30,7 @@
 
 /**
  * hzb_cancellation_request_decode: the cancellations that a leaseholder's poll asks the leader to acknowledge.
+ *
  * Returns: (transfer full) (nullable) (element-type HzbCancellation): NULL if the poll has no such request
  */
 GArray *hzb_cancellation_request_decode (const cJSON *poll);
@@ -42,6 +43,7 @@
 
 /**
  * hzb_cancellation_response_decode: the uids of the jobs whose cancellation the leader's answer acknowledges.
+ *
  * Returns: (transfer full): a string array; empty if the answer acknowledges none. Free with g_strfreev().
  */
 char **hzb_cancellation_response_decode (const cJSON *answer);
--- a/src/cluster/cancellations-private.h
+++ b/src/cluster/cancellations-private.h
@@ -36,6 +36,7 @@
 
 /**
  * hzb_cancellations_apply: a cancellation that this controller's own replica of the records may not have shown yet.
+ *
  * Returns: (transfer none) (nullable): the job; NULL if it can't be
  */
 HzbJob *hzb_cancellations_apply (HzbCancellations *cancellations, const HzbCancellation *cancellation);
--- a/src/cluster/cancellations.h
+++ b/src/cluster/cancellations.h
@@ -47,7 +47,11 @@
   void (*poll_leader_soon) (gpointer user);
 } HzbCancellationsCallbacks;
 
-/** hzb_cancellations_new: copies both structures. `user` is passed to the callbacks. Returns: (transfer full) */
+/**
+ * hzb_cancellations_new: copies both structures. `user` is passed to the callbacks.
+ *
+ * Returns: (transfer full)
+ */
 HzbCancellations *hzb_cancellations_new (const HzbCancellationsDependencies *dependencies,
                                          const HzbCancellationsCallbacks *callbacks, gpointer user);
 
@@ -75,7 +79,9 @@
 
 /**
  * hzb_cancellations_request: asks the leader to acknowledge the cancellation of this job; the request is repeated for
- * 10 s. Returns: FALSE if there is no leader that can be asked just now
+ * 10 s.
+ *
+ * Returns: FALSE if there is no leader that can be asked just now
  */
 gboolean hzb_cancellations_request (HzbCancellations *cancellations, HzbJob *job);
 
--- a/src/cluster/election-records.h
+++ b/src/cluster/election-records.h
@@ -27,6 +27,7 @@
 /**
  * hzb_leader_record_encode_placeholder: a leader that does not exist. From schema version 2 on it occupies the key that
  * processes of version 1 campaign for, so that none of them is elected: it would misread what has been recorded since.
+ *
  * Returns: (transfer full)
  */
 cJSON *hzb_leader_record_encode_placeholder (guint64 term);
@@ -36,6 +37,7 @@
 
 /**
  * hzb_term_record_encode: the highest term so far, and the controller that was elected for it.
+ *
  * Returns: (transfer full)
  */
 cJSON *hzb_term_record_encode (guint64 term, const char *node);
@@ -43,11 +45,16 @@
 /** hzb_term_record_decode: Returns: the highest term so far; 0 if the value (nullable) states none */
 guint64 hzb_term_record_decode (const cJSON *value);
 
-/** hzb_schema_version_record_encode: every controller reads this version of records. Returns: (transfer full) */
+/**
+ * hzb_schema_version_record_encode: every controller reads this version of records.
+ *
+ * Returns: (transfer full)
+ */
 cJSON *hzb_schema_version_record_encode (guint schema_version);
 
 /**
  * hzb_schema_version_record_decode:
+ *
  * Returns: the version of records that every controller reads; 1 if the value states none
  */
 guint hzb_schema_version_record_decode (const cJSON *value);
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -22,6 +22,16 @@
   [HZB_ELECTION_LEADING] = 1 << HZB_ELECTION_FOLLOWING,
 };
 
+/* A lease is held from the campaign on, and is let go before the controller follows again. */
+static void
+assert_invariants (const HzbElection *election)
+{
+  gboolean needs_lease = election->state == HZB_ELECTION_CAMPAIGNING || election->state == HZB_ELECTION_LEADING;
+
+  g_assert (needs_lease == (election->lease != 0));
+  g_assert (!needs_lease || election->term > 0);
+}
+
 void
 hzb_election_set_state (HzbElection *election, HzbElectionState to, const char *why)
 {
@@ -38,6 +48,7 @@
   else
     g_debug ("election: %s -> %s: %s", state_names[election->state], state_names[to], why);
   election->state = to;
+  assert_invariants (election);
 }
 
 HzbElection *
--- a/src/cluster/election.h
+++ b/src/cluster/election.h
@@ -27,6 +27,7 @@
 
 /**
  * hzb_election_new: following, with no known leader. The arguments are not owned. Draws two numbers of `rand`.
+ *
  * Returns: (transfer full)
  */
 HzbElection *hzb_election_new (HzbKvClient *kv, HzbClock *clock, const HzbSettings *settings, GRand *rand);
@@ -78,6 +79,7 @@
 
 /**
  * hzb_election_leader:
+ *
  * Returns: (transfer none) (nullable): name of the leader, this controller included; NULL if none is known
  */
 const char *hzb_election_leader (HzbElection *election);
@@ -93,6 +95,7 @@
 
 /**
  * hzb_election_leader_term:
+ *
  * Returns: the highest term that the replica of the records shows; the own term while leading
  */
 guint64 hzb_election_leader_term (HzbElection *election);
--- a/src/cluster/ownership.h
+++ b/src/cluster/ownership.h
@@ -26,7 +26,11 @@
 /** HzbOwnership: opaque. */
 typedef struct _HzbOwnership HzbOwnership;
 
-/** hzb_ownership_new: owning nothing, in epoch 0. The clock is not owned. Returns: (transfer full) */
+/**
+ * hzb_ownership_new: owning nothing, in epoch 0. The clock is not owned.
+ *
+ * Returns: (transfer full)
+ */
 HzbOwnership *hzb_ownership_new (HzbClock *clock);
 
 /** hzb_ownership_free: no #HzbEpochCall of it may be in flight. */
@@ -46,6 +50,7 @@
 
 /**
  * hzb_ownership_since:
+ *
  * Returns: when this controller began to decide: as leaseholder, or once it had read the leader's records
  */
 struct timespec hzb_ownership_since (const HzbOwnership *ownership);
--- a/src/cluster/peer-heartbeat.h
+++ b/src/cluster/peer-heartbeat.h
@@ -98,6 +98,7 @@
 
 /**
  * hzb_peer_heartbeat_decode: reads a heartbeat. A field that is missing or malformed has its default.
+ *
  * Returns: (transfer full)
  */
 HzbPeerHeartbeat *hzb_peer_heartbeat_decode (const cJSON *message);
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -55,6 +55,7 @@
 /**
  * hzb_peers_new: copies both structures. `user` is passed to the callbacks, which are not called before the first
  * hzb_peers_tick() or hzb_peers_handle_request().
+ *
  * Returns: (transfer full)
  */
 HzbPeers *hzb_peers_new (const HzbPeersDependencies *dependencies, const HzbPeersCallbacks *callbacks, gpointer user);
@@ -87,6 +88,7 @@
 
 /**
  * hzb_peers_incarnation:
+ *
  * Returns: (transfer none) (nullable): the process of the reachable controller; NULL if unknown
  */
 const char *hzb_peers_incarnation (HzbPeers *peers, const char *node);
@@ -132,6 +134,7 @@
 
 /**
  * hzb_peers_last_kv_contact: when the key-value store last served the controller, as that one said. Stores it in `at`.
+ *
  * Returns: FALSE if that is unknown; `at` is unchanged then
  */
 gboolean hzb_peers_last_kv_contact (HzbPeers *peers, const char *node, struct timespec *at);
