--- a/src/cluster/ownership.c
+++ b/src/cluster/ownership.c
@@ -8,8 +8,9 @@
   struct timespec since;
 };
 
-/* As the administration API and the log show them. */
-static const char *const state_names[HZB_OWNERSHIP_N_STATES] = { "none", "lessee", "loading", "recovering", "ready" };
+/* In the log. */
+static const char *const state_names[HZB_OWNERSHIP_N_STATES] = { "none", "leaseholder", "loading", "recovering",
+                                                                 "ready" };
 
 static const guint legal_changes[HZB_OWNERSHIP_N_STATES] = {
   [HZB_OWNERSHIP_NONE] = 1 << HZB_OWNERSHIP_LOADING | 1 << HZB_OWNERSHIP_LEASEHOLDER,
@@ -76,7 +77,9 @@
 
   if (!(legal_changes[from] & 1u << to))
     {
-      g_critical ("ownership: illegal change %s -> %s", state_names[from], state_names[to]);
+      g_critical (
+          "ownership: illegal change %s -> %s; it is ignored. This is a fault of the program: report it with this log",
+          state_names[from], state_names[to]);
       return FALSE;
     }
   g_message ("ownership: %s -> %s: %s", state_names[from], state_names[to], why);
--- a/src/shards/leaseholder-answer.c
+++ b/src/shards/leaseholder-answer.c
@@ -206,7 +206,7 @@
 void
 hzb_leaseholder_apply_answer (HzbLeaseholder *leaseholder, const HzbShardAnswer *answer)
 {
-  hzb_cancellations_handle_response (leaseholder->modules.cancellations, answer->term, answer->cancellations_response);
+  hzb_cancellations_handle_response (leaseholder->modules.cancellations, answer->term, answer->acknowledged_uids);
   if (!answer_counts (leaseholder, answer))
     return;
   if (answer->end)
--- a/src/shards/leaseholder-poll.c
+++ b/src/shards/leaseholder-poll.c
@@ -88,7 +88,7 @@
 {
   HzbShardPoll *poll = hzb_shard_poll_new ();
 
-  poll->cancellations_request = hzb_cancellations_pack_request (leaseholder->modules.cancellations);
+  poll->cancellations = hzb_cancellations_next_requests (leaseholder->modules.cancellations);
   if (!hzb_ownership_is_leaseholder (leaseholder->modules.ownership))
     return poll;
   poll->fencing_token = leaseholder->fencing_token;
--- a/src/shards/shard-exchange.c
+++ b/src/shards/shard-exchange.c
@@ -1,5 +1,6 @@
 #include "shard-exchange.h"
 
+#include "cancellation-messages.h"
 #include "json.h"
 
 static const cJSON *
@@ -162,7 +163,7 @@
 {
   g_free (poll->node);
   g_free (poll->incarnation);
-  cJSON_Delete (poll->cancellations_request);
+  g_clear_pointer (&poll->cancellations, g_array_unref);
   g_clear_pointer (&poll->events, g_ptr_array_unref);
   g_array_unref (poll->leaving);
   g_array_unref (poll->running);
@@ -174,8 +175,8 @@
 {
   cJSON *events;
 
-  if (poll->cancellations_request)
-    cJSON_AddItemReferenceToObject (message, "cancelled", poll->cancellations_request);
+  if (poll->cancellations)
+    hzb_cancellation_request_encode (poll->cancellations, message);
   if (!poll->fencing_token)
     return;
   hzb_json_add_u64 (message, "token", poll->fencing_token);
@@ -194,11 +195,11 @@
 hzb_shard_poll_decode (const cJSON *message)
 {
   HzbShardPoll *poll = g_new0 (HzbShardPoll, 1);
-  const cJSON *event, *cancelled = member (message, "cancelled");
+  const cJSON *event;
 
   poll->node = g_strdup (hzb_json_text (message, "node"));
   poll->incarnation = g_strdup (hzb_json_text (message, "incarnation"));
-  poll->cancellations_request = cancelled ? cJSON_Duplicate (cancelled, TRUE) : NULL;
+  poll->cancellations = hzb_cancellation_request_decode (message);
   poll->fencing_token = hzb_json_u64 (message, "token");
   poll->have = hzb_json_u64 (message, "have");
   poll->events = g_ptr_array_new_with_free_func ((GDestroyNotify) hzb_shard_event_free);
@@ -216,7 +217,7 @@
 void
 hzb_shard_answer_clear (HzbShardAnswer *answer)
 {
-  g_clear_pointer (&answer->cancellations_response, cJSON_Delete);
+  g_clear_pointer (&answer->acknowledged_uids, g_strfreev);
   g_clear_pointer (&answer->batches, g_ptr_array_unref);
 }
 
@@ -226,8 +227,8 @@
 {
   cJSON *batches = answer->batches ? cJSON_CreateArray () : NULL;
 
-  if (answer->cancellations_response)
-    cJSON_AddItemReferenceToObject (message, "heard", answer->cancellations_response);
+  if (answer->acknowledged_uids)
+    hzb_cancellation_response_encode (answer->acknowledged_uids, message);
   for (guint i = 0; batches && i < answer->batches->len; i++)
     cJSON_AddItemToArray (batches, hzb_shard_batch_encode (answer->batches->pdata[i]));
   if (batches)
@@ -246,9 +247,9 @@
 void
 hzb_shard_answer_decode (const cJSON *message, HzbShardAnswer *answer)
 {
-  const cJSON *heard = member (message, "heard"), *batch;
+  const cJSON *batch;
 
-  answer->cancellations_response = heard ? cJSON_Duplicate (heard, TRUE) : NULL;
+  answer->acknowledged_uids = hzb_cancellation_response_decode (message);
   answer->batches = g_ptr_array_new_with_free_func ((GDestroyNotify) hzb_shard_batch_free);
   cJSON_ArrayForEach (batch, member (message, "batches"))
     g_ptr_array_add (answer->batches, hzb_shard_batch_decode (batch));
--- a/src/shards/shard-exchange.h
+++ b/src/shards/shard-exchange.h
@@ -87,16 +87,16 @@
  */
 typedef struct
 {
-  char *node;                   /**< (nullable): the sender; decoded only, see hzb_peers_message() */
-  char *incarnation;            /**< (nullable): the sender's process; decoded only */
-  cJSON *cancellations_request; /**< (nullable): the part of cancellations.h */
-  guint64 fencing_token;        /**< of the shard that the sender holds; 0: none */
-  guint64 have;                 /**< all batches up to this number have come */
-  GPtrArray *events;            /**< (nullable) (element-type HzbShardEvent) */
-  double room_cpus;             /**< CPUs' worth of tasks that the sender wants to be delegated */
-  GArray *leaving;              /**< (element-type HzbJobCount): tasks on machines that the leader asked back */
-  GArray *running;              /**< (element-type HzbJobCount): tasks that run in the shard */
-  gboolean partial_counts;      /**< jobs that are not named stay as they were; else none of theirs leaves or runs */
+  char *node;              /**< (nullable): the sender; decoded only, see hzb_peers_message() */
+  char *incarnation;       /**< (nullable): the sender's process; decoded only */
+  GArray *cancellations;   /**< (nullable) (element-type HzbCancellation): the leader is asked to acknowledge these */
+  guint64 fencing_token;   /**< of the shard that the sender holds; 0: none */
+  guint64 have;            /**< all batches up to this number have come */
+  GPtrArray *events;       /**< (nullable) (element-type HzbShardEvent) */
+  double room_cpus;        /**< CPUs' worth of tasks that the sender wants to be delegated */
+  GArray *leaving;         /**< (element-type HzbJobCount): tasks on machines that the leader asked back */
+  GArray *running;         /**< (element-type HzbJobCount): tasks that run in the shard */
+  gboolean partial_counts; /**< jobs that are not named stay as they were; else none of theirs leaves or runs */
 } HzbShardPoll;
 
 /** hzb_shard_poll_new: Returns: (transfer full): of a node that holds no shard */
@@ -115,13 +115,14 @@
 /** HzbShardAnswer: the leader's answer to a poll. */
 typedef struct
 {
-  cJSON *cancellations_response; /**< (nullable): the part of cancellations.h */
-  GPtrArray *batches;            /**< (nullable) (element-type HzbShardBatch) */
-  guint64 term;                  /**< of the leader */
-  gboolean end;                  /**< the shard was reclaimed; what is below is not sent then */
-  guint64 fencing_token;         /**< of the shard that the leader leases to the asker; 0: none */
-  guint64 have;                  /**< all events up to this number have come */
-  double lease_s;                /**< how long the lease lasts, in seconds from when the poll was sent */
+  char **
+      acknowledged_uids; /**< (nullable): jobs whose cancellation the leader acknowledges, NULL: it was not asked; an answer that was decoded has an array */
+  GPtrArray *batches;    /**< (nullable) (element-type HzbShardBatch) */
+  guint64 term;          /**< of the leader */
+  gboolean end;          /**< the shard was reclaimed; what is below is not sent then */
+  guint64 fencing_token; /**< of the shard that the leader leases to the asker; 0: none */
+  guint64 have;          /**< all events up to this number have come */
+  double lease_s;        /**< how long the lease lasts, in seconds from when the poll was sent */
 } HzbShardAnswer;
 
 /** hzb_shard_answer_clear: frees what the answer holds, but not the answer itself. */
--- a/src/shards/shard-requests.c
+++ b/src/shards/shard-requests.c
@@ -110,9 +110,8 @@
   const HzbShardLeasesDependencies *modules = &leaseholder->shard_leases->modules;
   g_auto (HzbShardAnswer) answer = { .term = hzb_election_term (modules->election), .lease_s = LEASE_S };
 
-  if (poll->cancellations_request)
-    answer.cancellations_response =
-        hzb_cancellations_handle_request (modules->cancellations, poll->cancellations_request);
+  if (poll->cancellations)
+    answer.acknowledged_uids = hzb_cancellations_acknowledge (modules->cancellations, poll->cancellations);
   answer.end = holds_reclaimed_shard (leaseholder, poll, answer.term);
   if (!answer.end)
     {
--- a/tests/test-peer-heartbeat.c
+++ b/tests/test-peer-heartbeat.c
@@ -1,4 +1,4 @@
-/* Heartbeats and the log of cancellations: against a plain model, and with messages that are not as they should be. */
+/* Heartbeats and the log of cancellations: compared with a plain model, and with malformed messages. */
 #include "json.h"
 #include "peer-heartbeat.h"
 
@@ -37,7 +37,7 @@
   g_assert_cmpuint (expected, ==, read->len);
 }
 
-/* Whatever the log says is all that was recorded in between, for any order of adding, restarting and reading. */
+/* What the log lists as complete is all that was recorded, for any order of adding, restarting and reading. */
 static void
 test_log (void)
 {
@@ -72,7 +72,7 @@
   g_assert_cmpuint (complete_reads, >, 1000);
 }
 
-/* What is before the restart, or was dropped for want of room, is not claimed. */
+/* The log does not claim to have what was recorded before its restart, or what it dropped because it was full. */
 static void
 test_log_is_not_complete_before (void)
 {
@@ -123,7 +123,7 @@
   hzb_peer_heartbeat_add_counts (heartbeat, "run-000009", 3, 4);
   received = sent_and_received (heartbeat);
   g_assert_true (received->leads && received->self_fenced && received->lost_workers && received->lists_cancellations);
-  g_assert_false (received->sends_workers);
+  g_assert_false (received->redirects_workers);
   g_assert_cmpuint (received->term, ==, 12);
   g_assert_cmpuint (received->schema_version, ==, 2);
   g_assert_cmpuint (received->replicated_revision, ==, 4000000120);
@@ -144,7 +144,7 @@
   return heartbeat;
 }
 
-/* Nothing is concluded from what can't be read, and a version that says nothing knows nothing. */
+/* Malformed fields have their defaults, as have the fields that an older version does not send. */
 static void
 test_malformed (void)
 {
@@ -156,7 +156,7 @@
       decoded ("{\"cancelledUpTo\":9,\"cancelled\":{\"../x\":{\"version\":3,\"n\":1}}}");
 
   g_assert_false (old->lists_cancellations || old->self_fenced);
-  g_assert_true (old->sends_workers);
+  g_assert_true (old->redirects_workers);
   g_assert_cmpuint (old->cancellations_known + old->replicated_revision + old->cancellations_up_to, ==, 0);
   g_assert_cmpuint (old->schema_version, ==, 1);
   g_assert_cmpuint (old->counts->len, ==, 1);
--- a/tests/test-shard-messages.c
+++ b/tests/test-shard-messages.c
@@ -165,7 +165,7 @@
   g_autoptr (HzbShardPoll) poll = hzb_shard_poll_decode (message);
   const HzbShardEvent *event = poll->events->pdata[0];
 
-  g_assert_true (!poll->node && !poll->incarnation && !poll->cancellations_request && !poll->partial_counts);
+  g_assert_true (!poll->node && !poll->incarnation && !poll->cancellations && !poll->partial_counts);
   g_assert_cmpuint (poll->events->len, ==, 2);
   g_assert_cmpuint (g_array_index (event->finished, HzbTaskGroup, 0).numbers->len, ==, 1);
   g_assert_cmpuint (poll->running->len, ==, 1);
