--- a/src/controller/controller-private.h
+++ b/src/controller/controller-private.h
@@ -46,6 +46,7 @@
   HzbDispatch *dispatch;
   HzbAutoscaler *autoscaler;
   HzbShard *shard;
+  HzbWorkerApi *worker_api;
   HzbUserApi *api;
   HzbCancellations *cancellations;
   HzbShardLeases *shard_leases;
--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -80,6 +80,26 @@
   return hzb_provisioning_new (controller);
 }
 
+static HzbWorkerApi *
+new_worker_api (HzbController *controller)
+{
+  const HzbWorkerApiDependencies dependencies = {
+    .node = controller->node,
+    .election = controller->election,
+    .ownership = controller->ownership,
+    .cancellations = controller->cancellations,
+    .jobs = controller->jobs,
+    .machines = controller->machines,
+    .dispatch = controller->dispatch,
+    .records = controller->records,
+    .reconciliation = controller->reconciliation,
+    .shard_leases = controller->shard_leases,
+    .leaseholder = controller->leaseholder,
+    .provisioning = controller->provisioning,
+  };
+  return hzb_worker_api_new (&dependencies);
+}
+
 static HzbUserApi *
 new_user_api (HzbController *controller)
 {
@@ -130,6 +150,7 @@
   controller->shard_leases = new_shard_leases (controller);
   controller->leaseholder = new_leaseholder (controller);
   controller->provisioning = new_provisioning (controller);
+  controller->worker_api = new_worker_api (controller);
   controller->api = new_user_api (controller);
   return controller;
 }
@@ -138,6 +159,7 @@
 hzb_controller_free (HzbController *controller)
 {
   hzb_user_api_free (controller->api);
+  hzb_worker_api_free (controller->worker_api);
   hzb_cancellations_free (controller->cancellations);
   hzb_shard_leases_free (controller->shard_leases);
   hzb_leaseholder_free (controller->leaseholder);
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -368,7 +368,7 @@
   if (g_str_equal (http_request->path, hzb_path_worker_heartbeat))
     {
       if (g_str_equal (http_request->method, "POST"))
-        hzb_worker_api_heartbeat (controller, http_request);
+        hzb_worker_api_heartbeat (controller->worker_api, http_request);
       else
         hzb_http_request_respond (http_request, 405, hzb_error_response_encode ("POST a report here"), 0);
     }
