--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -100,10 +100,33 @@
   return hzb_worker_api_new (&dependencies);
 }
 
+static gboolean
+user_api_is_ready (gpointer user)
+{
+  return hzb_controller_ready (user);
+}
+
+static void
+user_api_apply_record (const HzbKvEntry *entry, gpointer user)
+{
+  hzb_controller_apply_record (user, entry);
+}
+
 static HzbUserApi *
 new_user_api (HzbController *controller)
 {
-  return hzb_user_api_new (controller);
+  static const HzbUserApiCallbacks callbacks = { user_api_is_ready, user_api_apply_record };
+  const HzbUserApiDependencies dependencies = {
+    .node = controller->node,
+    .kv = controller->kv,
+    .kv_replica = controller->kv_replica,
+    .election = controller->election,
+    .peers = controller->peers,
+    .cancellations = controller->cancellations,
+    .jobs = controller->jobs,
+    .machines = controller->machines,
+  };
+  return hzb_user_api_new (&dependencies, &callbacks, controller);
 }
 
 /* Names this process: another one of the same node has another. */
