--- a/src/api/admin.c
+++ b/src/api/admin.c
@@ -1,405 +1,445 @@
-/* The operators' side, under one versioned prefix, in the look of the user API. What belongs to a tenant has the
- * tenant in its path; there is one so far. */
-#include "controller-private.h"
-#include "json.h"
-#include "kv-protocol.h"
-#include "reconciliation-admin.h"
+/* The operators' side: what they may look at and change. How an answer looks is the business of admin-codec.c and
+ * operator-settings.c. */
+#include "admin.h"
+
+#include "admin-codec.h"
+#include "operator-settings.h"
 #include "record-keys.h"
-#include "user-protocol.h"
+#include "worker-protocol.h"
 
-#include <math.h>
 #include <string.h>
 
 #define PREFIX "/admin/v1/"
 #define TENANT "tenants/main/"
+#define JOBS TENANT "jobs/"
+#define MACHINES "machines/"
+#define DRAIN "/drain"
 
-static void
-reply_json (HzbHttpRequest *http_request, guint status, cJSON *root)
+struct _HzbAdmin
+{
+  HzbAdminDependencies with;
+  HzbAdminCallbacks callbacks;
+  gpointer callbacks_user;
+  HzbHttpServer *api_server, *peer_server; /* NULL in tests */
+  guint64 settings_version;                /* of the operators' settings that apply; 0: none were recorded */
+};
+
+HzbAdmin *
+hzb_admin_new (const HzbAdminDependencies *dependencies, const HzbAdminCallbacks *callbacks, gpointer user)
+{
+  HzbAdmin *admin = g_new0 (HzbAdmin, 1);
+  admin->with = *dependencies;
+  admin->callbacks = *callbacks;
+  admin->callbacks_user = user;
+  return admin;
+}
+
+void
+hzb_admin_free (HzbAdmin *admin)
 {
-  char *text = cJSON_PrintUnformatted (root);
-  cJSON_Delete (root);
-  hzb_http_request_respond (http_request, status, text, 0);
+  g_free (admin);
 }
 
+void
+hzb_admin_set_http_servers (HzbAdmin *admin, HzbHttpServer *api_server, HzbHttpServer *peer_server)
+{
+  admin->api_server = api_server;
+  admin->peer_server = peer_server;
+}
+
+/* ---- answers ---- */
+
+/* @body: (transfer full) */
 static void
-refuse (HzbHttpRequest *http_request, guint status, const char *format, ...)
+reply (HzbHttpRequest *http_request, char *body)
+{
+  hzb_http_request_respond (http_request, 200, body, 0);
+}
+
+static G_GNUC_PRINTF (3, 4) void refuse (HzbHttpRequest *http_request, guint status, const char *format, ...)
 {
   va_list args;
   g_autofree char *text = NULL;
+
   va_start (args, format);
   text = g_strdup_vprintf (format, args);
   va_end (args);
   hzb_http_request_respond (http_request, status, hzb_error_response_encode (text), status == 503 ? 1 : 0);
 }
 
+static void
+refuse_with_error (HzbHttpRequest *http_request, const GError *error)
+{
+  static const guint statuses[] = {
+    [HZB_ADMIN_ERROR_MALFORMED] = 400,    [HZB_ADMIN_ERROR_UNKNOWN_SETTING] = 400,
+    [HZB_ADMIN_ERROR_OUT_OF_RANGE] = 400, [HZB_ADMIN_ERROR_STALE_VERSION] = 409,
+    [HZB_ADMIN_ERROR_CONFLICT] = 409,     [HZB_ADMIN_ERROR_UNDECIDED] = 503,
+    [HZB_ADMIN_ERROR_UNAVAILABLE] = 503,
+  };
+  g_assert (error->domain == HZB_ADMIN_ERROR);
+  refuse (http_request, statuses[error->code], "%s", error->message);
+}
+
+static void
+redirect_to_leader (HzbAdmin *admin, HzbHttpRequest *http_request)
+{
+  hzb_http_request_respond (http_request, 421, hzb_worker_redirect_encode (hzb_election_leader (admin->with.election)),
+                            0);
+}
+
+/* Only the leader knows all machines and tasks, once it has read its records. */
+static gboolean
+leads (HzbAdmin *admin)
+{
+  return hzb_ownership_leader_loaded (admin->with.ownership) && hzb_election_leading (admin->with.election);
+}
+
 /* ---- settings ---- */
 
-/* Operators' settings: kept in the key-value store, replicated by every node and applied there at once. */
-typedef struct
+static void
+apply_settings (HzbAdmin *admin, const HzbOperatorSettings *settings)
 {
-  const char *name, *meaning;
-  double least, most, usual;
-} Setting;
-
-static const Setting settings[] = {
-  { "dispatchH", "weight of h/v in the dispatch rule, 0 for waiting to 1 for sojourn", 0, 1, 0.5 },
-  { "dispatchSample", "machines looked at for one task when more is asked than can be done", 1, 1000, 8 },
-  { "dispatchListAheadS", "seconds of work that a machine's list is filled ahead", 1, 3600, 8 },
-  { "fleetIdleS", "seconds that a machine without work is kept", 0, 86400, 40 },
-  { "fleetPatience", "part of the time that aims leave in which waiting work should start", 0.05, 2, 0.6 },
-  { "leaseBlocks", "1: blocks are leased to the other controllers, 0: the leader keeps all", 0, 1, 1 },
-};
+  admin->with.dispatch->h = settings->dispatch_h;
+  admin->with.dispatch->sample = (guint) settings->dispatch_sample;
+  admin->with.dispatch->queue_ahead_s = settings->dispatch_queue_ahead_s;
+  admin->with.autoscaler->idle_s = settings->fleet_idle_s;
+  admin->with.autoscaler->patience = settings->fleet_patience;
+  *admin->with.lease_shards = settings->lease_shards >= 0.5;
+}
+
+static HzbOperatorSettings
+current_settings (HzbAdmin *admin)
+{
+  HzbOperatorSettings settings = {
+    .dispatch_h = admin->with.dispatch->h,
+    .dispatch_sample = admin->with.dispatch->sample,
+    .dispatch_queue_ahead_s = admin->with.dispatch->queue_ahead_s,
+    .fleet_idle_s = admin->with.autoscaler->idle_s,
+    .fleet_patience = admin->with.autoscaler->patience,
+    .lease_shards = *admin->with.lease_shards,
+  };
+  return settings;
+}
+
+static void
+log_settings_apply (guint64 version)
+{
+  g_message ("the operators' settings of revision %" G_GUINT64_FORMAT " apply", version);
+}
 
 void
-hzb_admin_apply_settings (HzbController *controller, const cJSON *value, guint64 version)
+hzb_admin_apply_settings (HzbAdmin *admin, const HzbKvEntry *entry)
 {
-  double v[G_N_ELEMENTS (settings)];
+  HzbOperatorSettings settings;
 
-  if (version <= controller->settings_version)
+  if (entry->version <= admin->settings_version)
     return;
-  controller->settings_version = version;
-  for (guint i = 0; i < G_N_ELEMENTS (settings); i++)
-    {
-      v[i] = hzb_json_number (value, settings[i].name, settings[i].usual);
-      /* A record of another version of this program may hold what this one does not know. */
-      if (!(v[i] >= settings[i].least && v[i] <= settings[i].most))
-        v[i] = settings[i].usual;
-    }
-  controller->dispatch->h = v[0];
-  controller->dispatch->sample = (guint) v[1];
-  controller->dispatch->queue_ahead_s = v[2];
-  controller->autoscaler->idle_s = v[3];
-  controller->autoscaler->patience = v[4];
-  controller->lease_shards = v[5] >= 0.5;
-  if (value)
-    g_message ("the operators' settings of revision %" G_GUINT64_FORMAT " apply", version);
-}
-
-static cJSON *
-pack_settings (HzbController *controller)
-{
-  const double v[G_N_ELEMENTS (settings)] = {
-    controller->dispatch->h,        controller->dispatch->sample,     controller->dispatch->queue_ahead_s,
-    controller->autoscaler->idle_s, controller->autoscaler->patience, controller->lease_shards
-  };
-  cJSON *root = cJSON_CreateObject (), *list;
-  hzb_json_add_u64 (root, "version", controller->settings_version);
-  list = cJSON_AddObjectToObject (root, "settings");
-  for (guint i = 0; i < G_N_ELEMENTS (settings); i++)
-    cJSON_AddNumberToObject (list, settings[i].name, v[i]);
-  list = cJSON_AddObjectToObject (root, "meaning");
-  for (guint i = 0; i < G_N_ELEMENTS (settings); i++)
-    {
-      g_autofree char *text = g_strdup_printf ("%s; %g to %g, usually %g", settings[i].meaning, settings[i].least,
-                                               settings[i].most, settings[i].usual);
-      cJSON_AddStringToObject (list, settings[i].name, text);
-    }
-  return root;
+  admin->settings_version = entry->version;
+  hzb_operator_settings_decode (entry->value, &settings);
+  apply_settings (admin, &settings);
+  if (entry->value)
+    log_settings_apply (entry->version);
 }
 
+static char *
+encode_settings (HzbAdmin *admin)
+{
+  HzbOperatorSettings settings = current_settings (admin);
+  return hzb_operator_settings_encode_answer (&settings, admin->settings_version);
+}
+
+/* A change of the settings on its way to the key-value store. */
 typedef struct
 {
-  HzbController *controller;
+  HzbAdmin *admin;
   HzbHttpRequest *http_request;
-  cJSON *value;
-} Change;
+  HzbOperatorSettings settings;
+} PendingChange;
+
+static void
+settings_recorded (PendingChange *change, guint64 revision)
+{
+  HzbAdmin *admin = change->admin;
+
+  /* The replica of the records may have shown this change, or a later one, before the answer came. */
+  if (revision <= admin->settings_version)
+    return;
+  admin->settings_version = revision;
+  hzb_operator_settings_sanitize (&change->settings);
+  apply_settings (admin, &change->settings);
+  log_settings_apply (revision);
+}
+
+static GError *
+error_of_transaction (HzbKvResult result)
+{
+  if (result == HZB_KV_CONFLICT)
+    return g_error_new_literal (HZB_ADMIN_ERROR, HZB_ADMIN_ERROR_CONFLICT,
+                                "the settings have been changed meanwhile: read them again");
+  if (result == HZB_KV_UNKNOWN)
+    return g_error_new_literal (HZB_ADMIN_ERROR, HZB_ADMIN_ERROR_UNDECIDED,
+                                "it is not known whether the change was made: read the settings");
+  return g_error_new_literal (HZB_ADMIN_ERROR, HZB_ADMIN_ERROR_UNAVAILABLE, "the state service can't be asked");
+}
 
 static void
-on_changed (HzbKvResult result, const char *body, gpointer user)
+on_settings_committed (HzbKvResult result, const char *body, gpointer user)
 {
-  g_autofree Change *change = user;
+  g_autofree PendingChange *change = user;
   guint64 revision = 0;
 
   if (result == HZB_KV_OK)
     {
       hzb_kv_commit_decode (body, &revision, NULL);
-      hzb_admin_apply_settings (change->controller, change->value, revision);
-      reply_json (change->http_request, 200, pack_settings (change->controller));
+      settings_recorded (change, revision);
+      reply (change->http_request, encode_settings (change->admin));
     }
-  else if (result == HZB_KV_CONFLICT)
-    refuse (change->http_request, 409, "the settings have been changed meanwhile: read them again");
   else
-    refuse (change->http_request, 503,
-            result == HZB_KV_UNKNOWN ? "it is not known whether the change was made: read the settings"
-                                     : "the state service can't be asked");
-  cJSON_Delete (change->value);
+    {
+      g_autoptr (GError) error = error_of_transaction (result);
+      refuse_with_error (change->http_request, error);
+    }
 }
 
 static void
-change_settings (HzbController *controller, HzbHttpRequest *http_request)
-{
-  cJSON *root = cJSON_ParseWithLength (http_request->body, http_request->length);
-  const cJSON *demanded_units = cJSON_GetObjectItemCaseSensitive (root, "settings"), *item;
-  const cJSON *version = cJSON_GetObjectItemCaseSensitive (root, "version");
-  cJSON *packed = pack_settings (controller), *value = cJSON_DetachItemFromObject (packed, "settings");
-  HzbKvTransaction *transaction;
-  g_autofree char *fault = NULL;
-  Change *change;
-
-  cJSON_Delete (packed);
-  if (!cJSON_IsObject (demanded_units) || !cJSON_IsNumber (version))
-    fault = g_strdup ("expected {\"version\": the one read, \"settings\": {…}}");
-  cJSON_ArrayForEach (item, demanded_units)
-    {
-      const Setting *known = NULL;
-      for (guint i = 0; i < G_N_ELEMENTS (settings); i++)
-        if (g_strcmp0 (settings[i].name, item->string) == 0)
-          known = &settings[i];
-      if (fault)
-        break;
-      if (!known)
-        fault = g_strdup_printf ("%s: no such setting", item->string);
-      else if (!cJSON_IsNumber (item) || !(item->valuedouble >= known->least && item->valuedouble <= known->most))
-        fault = g_strdup_printf ("%s: expected a number from %g to %g", known->name, known->least, known->most);
-      else
-        cJSON_ReplaceItemInObjectCaseSensitive (value, known->name, cJSON_CreateNumber (item->valuedouble));
-    }
-  if (!fault && hzb_json_u64 (root, "version") != controller->settings_version)
-    {
-      refuse (http_request, 409, "version: the settings are at %" G_GUINT64_FORMAT ": read them again",
-              controller->settings_version);
-      cJSON_Delete (value);
-    }
-  else if (fault)
-    {
-      refuse (http_request, 400, "%s", fault);
-      cJSON_Delete (value);
-    }
-  else
-    {
-      change = g_new0 (Change, 1);
-      change->controller = controller;
-      change->http_request = http_request;
-      change->value = value;
-      transaction = hzb_kv_transaction_new ();
-      hzb_kv_transaction_compare (transaction, HZB_KEY_SETTINGS, controller->settings_version);
-      hzb_kv_transaction_put (transaction, HZB_KEY_SETTINGS, cJSON_Duplicate (value, TRUE), 0);
-      hzb_kv_client_commit (controller->kv, HZB_KV_ACCEPT, transaction, on_changed, change);
-    }
-  cJSON_Delete (root);
+commit_settings (HzbAdmin *admin, HzbHttpRequest *http_request, const HzbOperatorSettings *settings)
+{
+  PendingChange *change = g_new0 (PendingChange, 1);
+  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
+
+  change->admin = admin;
+  change->http_request = http_request;
+  change->settings = *settings;
+  hzb_kv_transaction_compare (transaction, HZB_KEY_SETTINGS, admin->settings_version);
+  hzb_kv_transaction_put (transaction, HZB_KEY_SETTINGS, hzb_operator_settings_encode (settings), 0);
+  hzb_kv_client_commit (admin->with.kv, HZB_KV_ACCEPT, transaction, on_settings_committed, change);
 }
 
-/* ---- reading ---- */
+static gboolean
+check_version (const HzbAdmin *admin, const HzbSettingsChange *change, GError **error)
+{
+  if (change->version == admin->settings_version)
+    return TRUE;
+  g_set_error (error, HZB_ADMIN_ERROR, HZB_ADMIN_ERROR_STALE_VERSION,
+               "version: the settings are at %" G_GUINT64_FORMAT ": read them again", admin->settings_version);
+  return FALSE;
+}
 
-static cJSON *
-leadership (HzbController *controller)
+static void
+change_settings (HzbAdmin *admin, HzbHttpRequest *http_request)
 {
-  cJSON *root = cJSON_CreateObject (), *formats;
-  const char *leader = hzb_election_leader (controller->election);
-  cJSON_AddStringToObject (root, "node", controller->settings->node);
-  cJSON_AddBoolToObject (root, "leads", hzb_election_leading (controller->election));
-  if (leader)
-    cJSON_AddStringToObject (root, "leader", leader);
+  HzbOperatorSettings current = current_settings (admin);
+  HzbSettingsChange change;
+  g_autoptr (GError) error = NULL;
+
+  if (hzb_settings_change_decode (http_request->body, http_request->length, &current, &change, &error)
+      && check_version (admin, &change, &error))
+    commit_settings (admin, http_request, &change.settings);
   else
-    cJSON_AddNullToObject (root, "leader");
-  hzb_json_add_u64 (root, "term", hzb_election_leader_term (controller->election));
-  cJSON_AddNumberToObject (root, "stateServiceSilentS", MIN (hzb_kv_client_unresponsive_s (controller->kv), 1e6));
-  /* During an upgrade: 2 once every controller has said so, and what each says now. */
-  cJSON_AddNumberToObject (root, "format", hzb_election_schema_version (controller->election));
-  formats = cJSON_AddObjectToObject (root, "formats");
-  cJSON_AddNumberToObject (formats, controller->settings->node, controller->node->schema_version);
-  for (guint i = 0; i < controller->settings->peers->len; i++)
-    {
-      const char *node = ((HzbPeer *) controller->settings->peers->pdata[i])->node;
-      if (hzb_peers_unreachable (controller->peers, node))
-        cJSON_AddNullToObject (formats, node);
-      else
-        cJSON_AddNumberToObject (formats, node, hzb_peers_schema_version (controller->peers, node));
-    }
-  return root;
+    refuse_with_error (http_request, error);
 }
 
-static cJSON *
-machines (HzbController *controller)
+/* ---- views ---- */
+
+static GArray *
+stated_schema_versions (HzbAdmin *admin)
 {
-  cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "machines");
-  for (guint i = 0; i < controller->machines->all->len; i++)
+  const HzbSettings *settings = admin->with.node->settings;
+  GArray *controllers = g_array_new (FALSE, FALSE, sizeof (HzbAdminController));
+  HzbAdminController controller = { settings->node, admin->with.node->schema_version };
+
+  g_array_append_val (controllers, controller);
+  for (guint i = 0; i < settings->peers->len; i++)
     {
-      const HzbMachine *machine = controller->machines->all->pdata[i];
-      cJSON *item = cJSON_CreateObject ();
-      cJSON_AddStringToObject (item, "name", machine->name);
-      cJSON_AddStringToObject (item, "type", machine->type_name);
-      cJSON_AddStringToObject (item, "zone", machine->zone);
-      cJSON_AddBoolToObject (item, "spot", machine->spot);
-      cJSON_AddStringToObject (item, "state", hzb_machine_state_name (machine->state));
-      cJSON_AddNumberToObject (item, "tasks", machine->tasks->len);
-      cJSON_AddNumberToObject (item, "listed", hzb_machine_queued_tasks (machine));
-      cJSON_AddNumberToObject (item, "cpusUsed", machine->cpus);
-      cJSON_AddBoolToObject (item, "toBeReturned", machine->scale_in_requested);
-      cJSON_AddItemToArray (list, item);
+      controller.node = ((HzbPeer *) settings->peers->pdata[i])->node;
+      controller.schema_version = hzb_peers_unreachable (admin->with.peers, controller.node)
+                                      ? 0
+                                      : hzb_peers_schema_version (admin->with.peers, controller.node);
+      g_array_append_val (controllers, controller);
     }
-  return root;
+  return controllers;
 }
 
-/* null: the team has no limit. */
-static void
-add_limit (cJSON *item, const char *name, double limit)
+static char *
+encode_leadership (HzbAdmin *admin)
 {
-  if (limit < HZB_NO_LIMIT)
-    cJSON_AddNumberToObject (item, name, limit);
-  else
-    cJSON_AddNullToObject (item, name);
+  g_autoptr (GArray) controllers = stated_schema_versions (admin);
+  const HzbAdminLeadership leadership = {
+    .node = admin->with.node->settings->node,
+    .leads = hzb_election_leading (admin->with.election),
+    .leader = hzb_election_leader (admin->with.election),
+    .term = hzb_election_leader_term (admin->with.election),
+    .kv_unresponsive_s = hzb_kv_client_unresponsive_s (admin->with.kv),
+    .schema_version = hzb_election_schema_version (admin->with.election),
+    .controllers = controllers,
+  };
+  return hzb_admin_leadership_encode (&leadership);
 }
 
-static cJSON *
-teams (HzbController *controller)
+static char *
+encode_metrics (HzbAdmin *admin)
 {
-  cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "teams");
-  for (guint i = 0; i < controller->settings->teams->len; i++)
+  HzbAdminMetrics metrics = { .metrics = admin->with.metrics, .reconciliation = admin->with.reconciliation };
+
+  if (admin->api_server && admin->peer_server)
     {
-      const HzbTeam *team = controller->settings->teams->pdata[i];
-      cJSON *item = cJSON_CreateObject ();
-      cJSON_AddStringToObject (item, "name", team->name);
-      cJSON_AddNumberToObject (item, "cpusGuaranteed", team->cpus);
-      add_limit (item, "cpusMax", team->cpus_max);
-      cJSON_AddNumberToObject (item, "gpusGuaranteed", team->gpus);
-      add_limit (item, "gpusMax", team->gpus_max);
-      cJSON_AddNumberToObject (item, "cpusUsed", controller->shard->cpus[i]);
-      cJSON_AddNumberToObject (item, "gpusUsed", controller->shard->gpus[i]);
-      cJSON_AddItemToArray (list, item);
+      metrics.has_http_servers = TRUE;
+      metrics.connections = hzb_http_server_connections (admin->api_server);
+      metrics.bodies_too_large =
+          hzb_http_server_too_large (admin->api_server) + hzb_http_server_too_large (admin->peer_server);
     }
-  return root;
+  return hzb_admin_metrics_encode (&metrics);
 }
 
-static cJSON *
-pack_job (const HzbJob *job)
+static char *
+encode_machines (HzbAdmin *admin)
 {
-  cJSON *item = cJSON_CreateObject ();
-  cJSON_AddStringToObject (item, "id", job->uid);
-  cJSON_AddStringToObject (item, "status", hzb_job_status (job));
-  cJSON_AddNumberToObject (item, "tasks", job->n_tasks);
-  if (job->tasks)
-    {
-      cJSON_AddStringToObject (item, "class", job->spec->job_class);
-      cJSON_AddStringToObject (item, "team", job->spec->team);
-      cJSON_AddNumberToObject (item, "waiting", job->pending + job->queued);
-      cJSON_AddNumberToObject (item, "placed", job->placed);
-      cJSON_AddNumberToObject (item, "unknown", job->unconfirmed);
-      cJSON_AddNumberToObject (item, "finished", job->finished);
-      cJSON_AddNumberToObject (item, "done", job->done);
-      cJSON_AddNumberToObject (item, "servedAs", job->scheduling_class);
-      cJSON_AddNumberToObject (item, "failuresInARow", job->failures);
-    }
-  return item;
+  return hzb_admin_machines_encode (admin->with.machines);
 }
 
-static cJSON *
-jobs (HzbController *controller)
+static char *
+encode_shards (HzbAdmin *admin)
 {
-  cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "jobs");
-  guint n = MIN (controller->jobs->active->len, 100);
-  for (guint i = 0; i < n; i++)
-    cJSON_AddItemToArray (list, pack_job (controller->jobs->active->pdata[i]));
-  cJSON_AddNumberToObject (root, "unfinished", controller->jobs->active->len);
-  return root;
+  return hzb_admin_shards_encode (admin->with.shard_leases);
 }
 
-/* ---- requests ---- */
+static char *
+encode_teams (HzbAdmin *admin)
+{
+  return hzb_admin_teams_encode (admin->with.node->settings, admin->with.jobs->shard);
+}
 
-typedef cJSON *(*View) (HzbController *controller);
+static char *
+encode_jobs (HzbAdmin *admin)
+{
+  return hzb_admin_jobs_encode (admin->with.jobs);
+}
+
+typedef struct
+{
+  const char *path;
+  char *(*encode) (HzbAdmin *admin);
+  gboolean leader_only;
+  void (*change) (HzbAdmin *admin, HzbHttpRequest *http_request); /* (nullable): what PUT does */
+} View;
+
+static const View views[] = {
+  { "leadership", encode_leadership, FALSE, NULL },
+  { "metrics", encode_metrics, FALSE, NULL },
+  { "settings", encode_settings, FALSE, change_settings },
+  { "machines", encode_machines, TRUE, NULL },
+  { "blocks", encode_shards, TRUE, NULL },
+  { TENANT "teams", encode_teams, TRUE, NULL },
+  { TENANT "jobs", encode_jobs, TRUE, NULL },
+};
 
 static void
-drain (HzbController *controller, HzbHttpRequest *http_request, const char *name)
+handle_view (HzbAdmin *admin, HzbHttpRequest *http_request, const View *view)
+{
+  if (view->change && g_str_equal (http_request->method, "PUT"))
+    view->change (admin, http_request);
+  else if (!g_str_equal (http_request->method, "GET"))
+    refuse (http_request, 405, view->change ? "GET or PUT here" : "GET here");
+  else if (view->leader_only && !leads (admin))
+    redirect_to_leader (admin, http_request);
+  else
+    reply (http_request, view->encode (admin));
+}
+
+/* Returns: (nullable) */
+static const View *
+find_view (const char *path)
+{
+  for (guint i = 0; i < G_N_ELEMENTS (views); i++)
+    if (g_str_equal (path, views[i].path))
+      return &views[i];
+  return NULL;
+}
+
+/* ---- one job, one machine ---- */
+
+static void
+handle_job (HzbAdmin *admin, HzbHttpRequest *http_request, const char *uid)
+{
+  const HzbJob *job = hzb_jobs_find (admin->with.jobs, uid);
+
+  if (!g_str_equal (http_request->method, "GET"))
+    refuse (http_request, 405, "GET here");
+  else if (!job)
+    refuse (http_request, 404, "this node knows no such job");
+  else
+    reply (http_request, hzb_admin_job_encode (job));
+}
+
+/* The machine takes no new tasks and is returned to the cloud once it is empty. That is recorded, so that a new leader does
+ * the same. */
+static void
+drain (HzbAdmin *admin, HzbMachine *machine)
 {
-  HzbMachine *machine = hzb_machines_find (controller->machines, name);
-  cJSON *root;
-  if (!machine)
-    {
-      refuse (http_request, 404, "%s: no such machine", name);
-      return;
-    }
-  /* It takes no new tasks and goes back once it is empty; on record, so that a new leader does the same. */
   machine->scale_in_requested = machine->drain = TRUE;
   machine->recorded = machine->recording = FALSE;
-  hzb_records_flush_soon (controller->records);
-  g_message ("machine %s: an operator wants it drained", machine->name);
-  root = cJSON_CreateObject ();
-  cJSON_AddStringToObject (root, "name", machine->name);
-  cJSON_AddBoolToObject (root, "toBeReturned", TRUE);
-  reply_json (http_request, 200, root);
+  hzb_records_flush_soon (admin->with.records);
+  g_message (
+      "machine %s is being drained, as an operator asked: it takes no new tasks and is returned once it is empty",
+      machine->name);
 }
 
-static cJSON *
-metrics (HzbController *controller)
+static void
+handle_drain (HzbAdmin *admin, HzbHttpRequest *http_request, const char *name)
 {
-  cJSON *root = hzb_metrics_pack (controller->metrics);
-  if (controller->api_server && controller->peer_server)
+  HzbMachine *machine;
+
+  if (!g_str_equal (http_request->method, "POST"))
+    refuse (http_request, 405, "POST here");
+  else if (!leads (admin))
+    redirect_to_leader (admin, http_request);
+  else if (!(machine = hzb_machines_find (admin->with.machines, name)))
+    refuse (http_request, 404, "%s: no such machine", name);
+  else
     {
-      cJSON_AddNumberToObject (root, "connections", hzb_http_server_connections (controller->api_server));
-      hzb_json_add_u64 (root, "bodiesTooLarge",
-                        hzb_http_server_too_large (controller->api_server)
-                            + hzb_http_server_too_large (controller->peer_server));
+      drain (admin, machine);
+      reply (http_request, hzb_admin_drain_encode (machine));
     }
-  hzb_reconciliation_pack_metrics (controller->reconciliation, root);
-  return root;
 }
 
-static cJSON *
-shards (HzbController *controller)
+/* Returns: (transfer full) (nullable): the machine's name, if the path is that of its drain */
+static char *
+drained_machine (const char *path)
 {
-  return hzb_shard_leases_pack (controller->shard_leases);
+  if (!g_str_has_prefix (path, MACHINES) || !g_str_has_suffix (path, DRAIN))
+    return NULL;
+  return g_strndup (path + strlen (MACHINES), strlen (path) - strlen (MACHINES DRAIN));
 }
 
-gboolean
-hzb_admin_request (HzbController *controller, HzbHttpRequest *http_request)
-{
-  static const struct
-  {
-    const char *path;
-    View view;
-    gboolean holder; /* only the leader knows */
-  } views[] = {
-    { "leadership", leadership, FALSE }, { "metrics", metrics, FALSE }, { "settings", pack_settings, FALSE },
-    { "machines", machines, TRUE },      { "blocks", shards, TRUE },    { TENANT "teams", teams, TRUE },
-    { TENANT "jobs", jobs, TRUE },
-  };
-  const char *what = http_request->path + strlen (PREFIX);
-  gboolean get = g_str_equal (http_request->method, "GET");
-  gboolean holds = hzb_ownership_leader_loaded (controller->ownership) && hzb_election_leading (controller->election);
+/* A path that is neither a view's nor about reconciliations. */
+static void
+handle_path (HzbAdmin *admin, HzbHttpRequest *http_request, const char *path)
+{
+  g_autofree char *machine = drained_machine (path);
 
-  if (!g_str_has_prefix (http_request->path, PREFIX))
-    return FALSE;
-  for (guint i = 0; i < G_N_ELEMENTS (views); i++)
-    if (g_str_equal (what, views[i].path))
-      {
-        if (g_str_equal (http_request->method, "PUT") && views[i].view == pack_settings)
-          change_settings (controller, http_request);
-        else if (!get)
-          refuse (http_request, 405, views[i].view == pack_settings ? "GET or PUT here" : "GET here");
-        else if (views[i].holder && !holds)
-          hzb_http_request_respond (http_request, 421,
-                                    hzb_worker_redirect_encode (hzb_election_leader (controller->election)), 0);
-        else
-          reply_json (http_request, 200, views[i].view (controller));
-        return TRUE;
-      }
-  if (hzb_reconciliation_admin_request (controller, http_request, what))
-    return TRUE;
-  if (g_str_has_prefix (what, TENANT "jobs/"))
-    {
-      const HzbJob *job = hzb_jobs_find (controller->jobs, what + strlen (TENANT "jobs/"));
-      if (!get)
-        refuse (http_request, 405, "GET here");
-      else if (!job)
-        refuse (http_request, 404, "this node knows no such job");
-      else
-        reply_json (http_request, 200, pack_job (job));
-    }
-  else if (g_str_has_prefix (what, "machines/") && g_str_has_suffix (what, "/drain"))
-    {
-      g_autofree char *name = g_strndup (what + strlen ("machines/"), strlen (what) - strlen ("machines//drain"));
-      if (!g_str_equal (http_request->method, "POST"))
-        refuse (http_request, 405, "POST here");
-      else if (!holds)
-        hzb_http_request_respond (http_request, 421,
-                                  hzb_worker_redirect_encode (hzb_election_leader (controller->election)), 0);
-      else
-        drain (controller, http_request, name);
-    }
+  if (g_str_has_prefix (path, JOBS))
+    handle_job (admin, http_request, path + strlen (JOBS));
+  else if (machine)
+    handle_drain (admin, http_request, machine);
   else
     refuse (
         http_request, 404,
         "there are leadership, settings, metrics, machines, machines/NAME/drain, blocks, reconciliation, reconciliations, " TENANT
         "teams, " TENANT "jobs and " TENANT "jobs/ID here");
+}
+
+gboolean
+hzb_admin_request (HzbAdmin *admin, HzbHttpRequest *http_request)
+{
+  const char *path;
+  const View *view;
+
+  if (!g_str_has_prefix (http_request->path, PREFIX))
+    return FALSE;
+  path = http_request->path + strlen (PREFIX);
+  if ((view = find_view (path)))
+    handle_view (admin, http_request, view);
+  else if (!admin->callbacks.reconciliation_request (http_request, path, admin->callbacks_user))
+    handle_path (admin, http_request, path);
   return TRUE;
 }
--- a/src/api/submissions.c
+++ b/src/api/submissions.c
@@ -14,9 +14,10 @@
 #define ACCEPT_WITHIN_S 2.5   /* or the user is told to come back */
 #define RECORD_SLACK_BYTES 64 /* braces and names around the jobs in a record */
 #define JOB_SLACK_BYTES 8     /* and around each job */
-/* A transaction with more comparisons than that gains nothing. */
-#define MIN_COMPARISONS 3u
-#define MAX_COMPARISONS 256u
+/* The key-value store takes so many comparisons in a transaction for each change that it takes. */
+#define COMPARISONS_PER_CHANGE 4
+#define MIN_COMPARISONS 3u   /* for a record with one job */
+#define MAX_COMPARISONS 256u /* however many the key-value store takes */
 
 /* Submissions that one record accepts, on its way to the key-value store. */
 typedef struct
@@ -62,7 +63,8 @@
 static guint
 max_jobs_in_record (const HzbUserApi *api)
 {
-  guint comparisons = CLAMP (api->with.node->settings->kv_txn_ops * 4, MIN_COMPARISONS, MAX_COMPARISONS);
+  guint comparisons =
+      CLAMP (api->with.node->settings->kv_txn_ops * COMPARISONS_PER_CHANGE, MIN_COMPARISONS, MAX_COMPARISONS);
   return (comparisons - 1) / 2;
 }
 
--- a/src/controller/controller-private.h
+++ b/src/controller/controller-private.h
@@ -48,20 +48,18 @@
   HzbShard *shard;
   HzbWorkerApi *worker_api;
   HzbUserApi *api;
+  HzbAdmin *admin;
   HzbCancellations *cancellations;
   HzbShardLeases *shard_leases;
   HzbLeaseholder *leaseholder;
   HzbRecords *records;
   HzbCompletedJobArchive *completed_job_archive;
   HzbMetrics *metrics;
-  guint64 settings_version; /* of the operators' settings */
-  gboolean lease_shards;
+  gboolean lease_shards; /* an operators' setting, changed by the administration API */
   HzbPeers *peers;
   HzbProvisioning *provisioning;
   HzbReconciliation *reconciliation;
 
-  HzbHttpServer *api_server, *peer_server; /* NULL in tests: for what they count */
-
   HzbKvReplica *kv_replica;
   gboolean load_saw_leader; /* the reading of all records under way has shown who leads */
 
--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -1,5 +1,6 @@
 /* Builds the modules of a controller and gives each what it needs. */
 #include "controller-private.h"
+#include "reconciliation-admin.h"
 #include "record-keys.h"
 
 /* Guards against watches that use up the requests of the key-value store: each change ends the watch of every node, and
@@ -129,6 +130,35 @@
   return hzb_user_api_new (&dependencies, &callbacks, controller);
 }
 
+static gboolean
+admin_reconciliation_request (HzbHttpRequest *http_request, const char *path, gpointer user)
+{
+  return hzb_reconciliation_admin_request (user, http_request, path);
+}
+
+static HzbAdmin *
+new_admin (HzbController *controller)
+{
+  static const HzbAdminCallbacks callbacks = { admin_reconciliation_request };
+  const HzbAdminDependencies dependencies = {
+    .node = controller->node,
+    .kv = controller->kv,
+    .election = controller->election,
+    .ownership = controller->ownership,
+    .peers = controller->peers,
+    .jobs = controller->jobs,
+    .machines = controller->machines,
+    .shard_leases = controller->shard_leases,
+    .records = controller->records,
+    .reconciliation = controller->reconciliation,
+    .metrics = controller->metrics,
+    .dispatch = controller->dispatch,
+    .autoscaler = controller->autoscaler,
+    .lease_shards = &controller->lease_shards,
+  };
+  return hzb_admin_new (&dependencies, &callbacks, controller);
+}
+
 /* Names this process: another one of the same node has another. */
 static char *
 new_incarnation (GRand *rand)
@@ -175,12 +205,14 @@
   controller->provisioning = new_provisioning (controller);
   controller->worker_api = new_worker_api (controller);
   controller->api = new_user_api (controller);
+  controller->admin = new_admin (controller);
   return controller;
 }
 
 void
 hzb_controller_free (HzbController *controller)
 {
+  hzb_admin_free (controller->admin);
   hzb_user_api_free (controller->api);
   hzb_worker_api_free (controller->worker_api);
   hzb_cancellations_free (controller->cancellations);
@@ -214,6 +246,5 @@
 void
 hzb_controller_set_http_servers (HzbController *controller, HzbHttpServer *api_server, HzbHttpServer *peer_server)
 {
-  controller->api_server = api_server;
-  controller->peer_server = peer_server;
+  hzb_admin_set_http_servers (controller->admin, api_server, peer_server);
 }
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -32,7 +32,7 @@
       controller->dispatch->next_run = (struct timespec){ 0 };
     }
   else if (g_str_equal (item->key, HZB_KEY_SETTINGS))
-    hzb_admin_apply_settings (controller, item->value, item->version);
+    hzb_admin_apply_settings (controller->admin, item);
   else
     hzb_election_apply_record (controller->election, item);
 }
@@ -381,7 +381,7 @@
       else
         hzb_http_request_respond (http_request, 503, hzb_error_response_encode ("not ready"), 1);
     }
-  else if (!hzb_admin_request (controller, http_request))
+  else if (!hzb_admin_request (controller->admin, http_request))
     hzb_user_api_request (controller->api, http_request);
 }
 
