--- a/src/api/admin-codec.h
+++ b/src/api/admin-codec.h
@@ -2,7 +2,7 @@
  * SECTION: admin-codec
  * @short_description: the answers of the administration API
  *
- * The one place that knows the names that operators see, but for those of the settings (operator-settings.h) and of
+ * The one place that knows the names that operators see, but for those of the settings (operator-settings-codec.h) and of
  * reconciliations (reconciliation-admin.h). Every function returns the body of an answer.
  */
 #pragma once
@@ -53,7 +53,7 @@
 /** hzb_admin_shards_encode: Returns: (transfer full): the answer that lists the shards and their leaseholders */
 char *hzb_admin_shards_encode (HzbShardLeases *shard_leases);
 
-/** hzb_admin_teams_encode: @shard: the leader's. Returns: (transfer full): the answer that lists teams and what they use */
+/** hzb_admin_teams_encode: Returns: (transfer full): the answer that lists teams and what they use of the leader's shard */
 char *hzb_admin_teams_encode (const HzbSettings *settings, const HzbShard *shard);
 
 /** hzb_admin_job_encode: Returns: (transfer full): the answer about one job */
--- a/src/api/admin.c
+++ b/src/api/admin.c
@@ -1,10 +1,8 @@
-/* The operators' side: what they may look at and change. How an answer looks is the business of admin-codec.c and
- * operator-settings.c. */
-#include "admin.h"
+/* The operators' side: what they may look at, and the drain of a machine. How an answer looks is the business of
+ * admin-codec.c; changes of the settings are in admin-settings.c. */
+#include "admin-private.h"
 
 #include "admin-codec.h"
-#include "operator-settings.h"
-#include "record-keys.h"
 #include "worker-protocol.h"
 
 #include <string.h>
@@ -15,15 +13,6 @@
 #define MACHINES "machines/"
 #define DRAIN "/drain"
 
-struct _HzbAdmin
-{
-  HzbAdminDependencies with;
-  HzbAdminCallbacks callbacks;
-  gpointer callbacks_user;
-  HzbHttpServer *api_server, *peer_server; /* NULL in tests */
-  guint64 settings_version;                /* of the operators' settings that apply; 0: none were recorded */
-};
-
 HzbAdmin *
 hzb_admin_new (const HzbAdminDependencies *dependencies, const HzbAdminCallbacks *callbacks, gpointer user)
 {
@@ -49,14 +38,14 @@
 
 /* ---- answers ---- */
 
-/* @body: (transfer full) */
-static void
-reply (HzbHttpRequest *http_request, char *body)
+void
+hzb_admin_reply (HzbHttpRequest *http_request, char *body)
 {
   hzb_http_request_respond (http_request, 200, body, 0);
 }
 
-static G_GNUC_PRINTF (3, 4) void refuse (HzbHttpRequest *http_request, guint status, const char *format, ...)
+void
+hzb_admin_refuse (HzbHttpRequest *http_request, guint status, const char *format, ...)
 {
   va_list args;
   g_autofree char *text = NULL;
@@ -67,19 +56,6 @@
   hzb_http_request_respond (http_request, status, hzb_error_response_encode (text), status == 503 ? 1 : 0);
 }
 
-static void
-refuse_with_error (HzbHttpRequest *http_request, const GError *error)
-{
-  static const guint statuses[] = {
-    [HZB_ADMIN_ERROR_MALFORMED] = 400,    [HZB_ADMIN_ERROR_UNKNOWN_SETTING] = 400,
-    [HZB_ADMIN_ERROR_OUT_OF_RANGE] = 400, [HZB_ADMIN_ERROR_STALE_VERSION] = 409,
-    [HZB_ADMIN_ERROR_CONFLICT] = 409,     [HZB_ADMIN_ERROR_UNDECIDED] = 503,
-    [HZB_ADMIN_ERROR_UNAVAILABLE] = 503,
-  };
-  g_assert (error->domain == HZB_ADMIN_ERROR);
-  refuse (http_request, statuses[error->code], "%s", error->message);
-}
-
 static void
 redirect_to_leader (HzbAdmin *admin, HzbHttpRequest *http_request)
 {
@@ -94,151 +70,6 @@
   return hzb_ownership_leader_loaded (admin->with.ownership) && hzb_election_leading (admin->with.election);
 }
 
-/* ---- settings ---- */
-
-static void
-apply_settings (HzbAdmin *admin, const HzbOperatorSettings *settings)
-{
-  admin->with.dispatch->h = settings->dispatch_h;
-  admin->with.dispatch->sample = (guint) settings->dispatch_sample;
-  admin->with.dispatch->queue_ahead_s = settings->dispatch_queue_ahead_s;
-  admin->with.autoscaler->idle_s = settings->fleet_idle_s;
-  admin->with.autoscaler->patience = settings->fleet_patience;
-  *admin->with.lease_shards = settings->lease_shards >= 0.5;
-}
-
-static HzbOperatorSettings
-current_settings (HzbAdmin *admin)
-{
-  HzbOperatorSettings settings = {
-    .dispatch_h = admin->with.dispatch->h,
-    .dispatch_sample = admin->with.dispatch->sample,
-    .dispatch_queue_ahead_s = admin->with.dispatch->queue_ahead_s,
-    .fleet_idle_s = admin->with.autoscaler->idle_s,
-    .fleet_patience = admin->with.autoscaler->patience,
-    .lease_shards = *admin->with.lease_shards,
-  };
-  return settings;
-}
-
-static void
-log_settings_apply (guint64 version)
-{
-  g_message ("the operators' settings of revision %" G_GUINT64_FORMAT " apply", version);
-}
-
-void
-hzb_admin_apply_settings (HzbAdmin *admin, const HzbKvEntry *entry)
-{
-  HzbOperatorSettings settings;
-
-  if (entry->version <= admin->settings_version)
-    return;
-  admin->settings_version = entry->version;
-  hzb_operator_settings_decode (entry->value, &settings);
-  apply_settings (admin, &settings);
-  if (entry->value)
-    log_settings_apply (entry->version);
-}
-
-static char *
-encode_settings (HzbAdmin *admin)
-{
-  HzbOperatorSettings settings = current_settings (admin);
-  return hzb_operator_settings_encode_answer (&settings, admin->settings_version);
-}
-
-/* A change of the settings on its way to the key-value store. */
-typedef struct
-{
-  HzbAdmin *admin;
-  HzbHttpRequest *http_request;
-  HzbOperatorSettings settings;
-} PendingChange;
-
-static void
-settings_recorded (PendingChange *change, guint64 revision)
-{
-  HzbAdmin *admin = change->admin;
-
-  /* The replica of the records may have shown this change, or a later one, before the answer came. */
-  if (revision <= admin->settings_version)
-    return;
-  admin->settings_version = revision;
-  hzb_operator_settings_sanitize (&change->settings);
-  apply_settings (admin, &change->settings);
-  log_settings_apply (revision);
-}
-
-static GError *
-error_of_transaction (HzbKvResult result)
-{
-  if (result == HZB_KV_CONFLICT)
-    return g_error_new_literal (HZB_ADMIN_ERROR, HZB_ADMIN_ERROR_CONFLICT,
-                                "the settings have been changed meanwhile: read them again");
-  if (result == HZB_KV_UNKNOWN)
-    return g_error_new_literal (HZB_ADMIN_ERROR, HZB_ADMIN_ERROR_UNDECIDED,
-                                "it is not known whether the change was made: read the settings");
-  return g_error_new_literal (HZB_ADMIN_ERROR, HZB_ADMIN_ERROR_UNAVAILABLE, "the state service can't be asked");
-}
-
-static void
-on_settings_committed (HzbKvResult result, const char *body, gpointer user)
-{
-  g_autofree PendingChange *change = user;
-  guint64 revision = 0;
-
-  if (result == HZB_KV_OK)
-    {
-      hzb_kv_commit_decode (body, &revision, NULL);
-      settings_recorded (change, revision);
-      reply (change->http_request, encode_settings (change->admin));
-    }
-  else
-    {
-      g_autoptr (GError) error = error_of_transaction (result);
-      refuse_with_error (change->http_request, error);
-    }
-}
-
-static void
-commit_settings (HzbAdmin *admin, HzbHttpRequest *http_request, const HzbOperatorSettings *settings)
-{
-  PendingChange *change = g_new0 (PendingChange, 1);
-  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
-
-  change->admin = admin;
-  change->http_request = http_request;
-  change->settings = *settings;
-  hzb_kv_transaction_compare (transaction, HZB_KEY_SETTINGS, admin->settings_version);
-  hzb_kv_transaction_put (transaction, HZB_KEY_SETTINGS, hzb_operator_settings_encode (settings), 0);
-  hzb_kv_client_commit (admin->with.kv, HZB_KV_ACCEPT, transaction, on_settings_committed, change);
-}
-
-static gboolean
-check_version (const HzbAdmin *admin, const HzbSettingsChange *change, GError **error)
-{
-  if (change->version == admin->settings_version)
-    return TRUE;
-  g_set_error (error, HZB_ADMIN_ERROR, HZB_ADMIN_ERROR_STALE_VERSION,
-               "version: the settings are at %" G_GUINT64_FORMAT ": read them again", admin->settings_version);
-  return FALSE;
-}
-
-static void
-change_settings (HzbAdmin *admin, HzbHttpRequest *http_request)
-{
-  HzbOperatorSettings current = current_settings (admin);
-  HzbSettingsChange change;
-  g_autoptr (GError) error = NULL;
-
-  if (hzb_settings_change_decode (http_request->body, http_request->length, &current, &change, &error)
-      && check_version (admin, &change, &error))
-    commit_settings (admin, http_request, &change.settings);
-  else
-    refuse_with_error (http_request, error);
-}
-
 /* ---- views ---- */
 
 static GArray *
@@ -326,7 +157,7 @@
 static const View views[] = {
   { "leadership", encode_leadership, FALSE, NULL },
   { "metrics", encode_metrics, FALSE, NULL },
-  { "settings", encode_settings, FALSE, change_settings },
+  { "settings", hzb_admin_settings_encode, FALSE, hzb_admin_settings_change },
   { "machines", encode_machines, TRUE, NULL },
   { "blocks", encode_shards, TRUE, NULL },
   { TENANT "teams", encode_teams, TRUE, NULL },
@@ -339,11 +170,11 @@
   if (view->change && g_str_equal (http_request->method, "PUT"))
     view->change (admin, http_request);
   else if (!g_str_equal (http_request->method, "GET"))
-    refuse (http_request, 405, view->change ? "GET or PUT here" : "GET here");
+    hzb_admin_refuse (http_request, 405, view->change ? "GET or PUT here" : "GET here");
   else if (view->leader_only && !leads (admin))
     redirect_to_leader (admin, http_request);
   else
-    reply (http_request, view->encode (admin));
+    hzb_admin_reply (http_request, view->encode (admin));
 }
 
 /* Returns: (nullable) */
@@ -364,11 +195,11 @@
   const HzbJob *job = hzb_jobs_find (admin->with.jobs, uid);
 
   if (!g_str_equal (http_request->method, "GET"))
-    refuse (http_request, 405, "GET here");
+    hzb_admin_refuse (http_request, 405, "GET here");
   else if (!job)
-    refuse (http_request, 404, "this node knows no such job");
+    hzb_admin_refuse (http_request, 404, "this node knows no such job");
   else
-    reply (http_request, hzb_admin_job_encode (job));
+    hzb_admin_reply (http_request, hzb_admin_job_encode (job));
 }
 
 /* The machine takes no new tasks and is returned to the cloud once it is empty. That is recorded, so that a new leader does
@@ -390,15 +221,15 @@
   HzbMachine *machine;
 
   if (!g_str_equal (http_request->method, "POST"))
-    refuse (http_request, 405, "POST here");
+    hzb_admin_refuse (http_request, 405, "POST here");
   else if (!leads (admin))
     redirect_to_leader (admin, http_request);
   else if (!(machine = hzb_machines_find (admin->with.machines, name)))
-    refuse (http_request, 404, "%s: no such machine", name);
+    hzb_admin_refuse (http_request, 404, "%s: no such machine", name);
   else
     {
       drain (admin, machine);
-      reply (http_request, hzb_admin_drain_encode (machine));
+      hzb_admin_reply (http_request, hzb_admin_drain_encode (machine));
     }
 }
 
@@ -422,7 +253,7 @@
   else if (machine)
     handle_drain (admin, http_request, machine);
   else
-    refuse (
+    hzb_admin_refuse (
         http_request, 404,
         "there are leadership, settings, metrics, machines, machines/NAME/drain, blocks, reconciliation, reconciliations, " TENANT
         "teams, " TENANT "jobs and " TENANT "jobs/ID here");
--- a/src/api/admin.h
+++ b/src/api/admin.h
@@ -43,20 +43,17 @@
 /** HzbAdminCallbacks: what the administration API asks of the controller above it. */
 typedef struct
 {
-  /**
-   * Answers a request about reconciliations; @path: below the administration API's prefix.
-   * Returns: FALSE if the path is none of these
-   */
+  /** Answers a request about reconciliations, by its path below the API's prefix. FALSE if the path is none of these. */
   gboolean (*reconciliation_request) (HzbHttpRequest *http_request, const char *path, gpointer user);
 } HzbAdminCallbacks;
 
 /**
  * hzb_admin_new:
- * @dependencies: (transfer none): copied; the modules in it are not owned
- * @callbacks: (transfer none): copied
- * @user: (nullable): passed to the callbacks
+ * @param dependencies (transfer none) copied; the modules in it are not owned
+ * @param callbacks (transfer none) copied
+ * @param user (nullable) passed to the callbacks
  *
- * Returns: (transfer full): to be freed with hzb_admin_free()
+ * @return (transfer full): to be freed with hzb_admin_free()
  */
 HzbAdmin *hzb_admin_new (const HzbAdminDependencies *dependencies, const HzbAdminCallbacks *callbacks, gpointer user);
 
@@ -71,8 +68,9 @@
 
 /**
  * hzb_admin_request:
- * @http_request: (transfer full): answered now or later, unless the function returns FALSE
+ * @param admin the module
+ * @param http_request (transfer full): answered now or later, unless the function returns FALSE
  *
- * Returns: FALSE if the path is not one of the administration API's
+ * @return FALSE if the path is not one of the administration API's
  */
 gboolean hzb_admin_request (HzbAdmin *admin, HzbHttpRequest *http_request);
--- a/src/api/cancel-requests.c
+++ b/src/api/cancel-requests.c
@@ -4,8 +4,6 @@
  * no controller can act without the cancellation (cancellations.h); if that takes too long, the user is told to come back. */
 #include "user-api-private.h"
 
-#include "record-keys.h"
-
 /* How long a request may wait for the acknowledgement of its cancellation before its user gets 503 with Retry-After. */
 #define ACKNOWLEDGE_WITHIN_S 1.2
 /* Requests that may wait on any node, and as part of the connections that the node may have: each holds one. */
@@ -91,10 +89,8 @@
   if (result == HZB_KV_OK && job)
     {
       guint64 revision = 0;
-      cJSON *value = hzb_jobs_pack_final (HZB_JOB_CANCELLED, job->n_tasks);
       hzb_kv_commit_decode (body, &revision, NULL);
-      hzb_jobs_apply (jobs, check->uid, value, revision);
-      cJSON_Delete (value);
+      hzb_cancellation_record_apply (check->uid, job->n_tasks, revision, jobs);
       hzb_check_settle (check);
     }
   else if (result == HZB_KV_REFUSED)
@@ -108,7 +104,6 @@
 {
   HzbUserApi *api = check->api;
   HzbJob *job = hzb_jobs_find (api->with.jobs, check->uid);
-  g_autofree char *key = g_strconcat (HZB_KEY_JOBS, check->uid, NULL);
   HzbKvTransaction *transaction;
 
   if (!hzb_time_before (hzb_clock_now (api->with.node->clock), check->deadline))
@@ -118,6 +113,6 @@
     }
   transaction = hzb_kv_transaction_new ();
   hzb_jobs_compare_not_terminal (transaction, check->uid);
-  hzb_kv_transaction_put (transaction, key, hzb_jobs_pack_final (HZB_JOB_CANCELLED, job->n_tasks), 0);
+  hzb_cancellation_record_put (check->uid, job->n_tasks, transaction);
   hzb_kv_client_commit (api->with.kv, HZB_KV_ACCEPT, transaction, on_cancelled, check);
 }
--- a/src/api/operator-settings.c
+++ b/src/api/operator-settings-codec.c
@@ -1,4 +1,4 @@
-#include "operator-settings.h"
+#include "operator-settings-codec.h"
 
 #include "json.h"
 
--- a/src/api/operator-settings.h
+++ b/src/api/operator-settings-codec.h
@@ -1,5 +1,5 @@
 /**
- * SECTION: operator-settings
+ * SECTION: operator-settings-codec
  * @short_description: the operators' settings, in their stored form and in that of the administration API
  *
  * Kept in one record of the key-value store, replicated by every controller and applied there at once. The one place that knows
@@ -46,10 +46,13 @@
 
 /**
  * hzb_settings_change_decode:
- * @current: what applies now, for the settings that the change does not name
- * @change: (out): the change; undefined on errors
+ * @param body the request's body
+ * @param length its bytes
+ * @param current what applies now, for the settings that the change does not name
+ * @param change (out): the change; undefined on errors
+ * @param error (out)
  *
- * Returns: FALSE, with #HZB_ADMIN_ERROR, if the body is not a change of settings
+ * @return FALSE, with #HZB_ADMIN_ERROR, if the body is not a change of settings
  */
 gboolean hzb_settings_change_decode (const char *body, gsize length, const HzbOperatorSettings *current,
                                      HzbSettingsChange *change, GError **error);
@@ -57,7 +60,7 @@
 /** hzb_operator_settings_sanitize: gives what is out of its range its usual value. */
 void hzb_operator_settings_sanitize (HzbOperatorSettings *settings);
 
-/** hzb_operator_settings_decode: the stored form; @value: (nullable): no record: every setting has its usual value */
+/** hzb_operator_settings_decode: decodes the stored form; NULL, no record: every setting has its usual value */
 void hzb_operator_settings_decode (const cJSON *value, HzbOperatorSettings *settings);
 
 /** hzb_operator_settings_encode: Returns: (transfer full): the stored form */
--- a/src/api/user-api-private.h
+++ b/src/api/user-api-private.h
@@ -33,8 +33,8 @@
   HzbHttpRequest *http_request; /**< (not owned): to be answered once */
   char *uid;                    /**< the job */
   HzbQuestion question;         /**< what is asked */
-  GError *refusal; /**< (nullable): #HZB_ADMISSION_ERROR: why a submission is refused if its job is not known */
-  struct timespec deadline; /**< when the user is told to come back */
+  GError *refusal;              /**< (nullable): why a submission is refused if its job is not known */
+  struct timespec deadline;     /**< when the user is told to come back */
 } HzbCheck;
 
 /** HzbSubmission: a job that waits for its acceptance. */
@@ -63,13 +63,13 @@
 
 /* ---- user-api.c: answers ---- */
 
-/** hzb_user_api_reply_error: an error; @retry_after_s: seconds, 0: the answer names none. */
+/** hzb_user_api_reply_error: an error; retry_after_s is in seconds, 0: the answer names none. */
 void hzb_user_api_reply_error (HzbHttpRequest *http_request, guint status, const char *text, guint retry_after_s);
 
 /** hzb_user_api_reply_unavailable: 503 with Retry-After. */
 void hzb_user_api_reply_unavailable (HzbHttpRequest *http_request, const char *why);
 
-/** hzb_user_api_queue_limit: how many requests of a kind may wait, at least @least, else @part of the connections. */
+/** hzb_user_api_queue_limit: how many requests of a kind may wait: a part of the connections, but at least so many. */
 double hzb_user_api_queue_limit (const HzbUserApi *api, guint least, double part);
 
 /* ---- checks.c: answers that rest on an up-to-date replica of the records ---- */
@@ -80,25 +80,29 @@
 /** hzb_check_free: frees a check whose request has been answered. */
 void hzb_check_free (HzbCheck *check);
 
-/** hzb_check_give_up: answers with 503 and Retry-After. @check: (transfer full) */
+/** hzb_check_give_up: answers with 503 and Retry-After. Takes the check. */
 void hzb_check_give_up (HzbCheck *check, const char *why);
 
 /**
  * hzb_checks_add:
- * @refusal: (transfer full) (nullable): why a submission is refused, if its job is not known
- *
  * Queues a check for the request, or refuses the request at once if it could not be answered in time.
+ *
+ * @param api the module
+ * @param http_request (transfer full): to be answered
+ * @param uid the job
+ * @param question what is asked
+ * @param refusal (transfer full) (nullable): why a submission is refused, if its job is not known
  */
 void
 hzb_checks_add (HzbUserApi *api, HzbHttpRequest *http_request, const char *uid, HzbQuestion question, GError *refusal);
 
-/** hzb_check_queue: answers once the replica of the records is proven to be up to date. @check: (transfer full) */
+/** hzb_check_queue: answers once the replica of the records is proven to be up to date. Takes the check. */
 void hzb_check_queue (HzbCheck *check);
 
-/** hzb_check_read: answers from the record of the job's completion. @check: (transfer full) */
+/** hzb_check_read: answers from the record of the job's completion. Takes the check. */
 void hzb_check_read (HzbCheck *check);
 
-/** hzb_check_settle: answers by what the replica says; the replica must be up to date. @check: (transfer full) */
+/** hzb_check_settle: answers by what the replica says; the replica must be up to date. Takes the check. */
 void hzb_check_settle (HzbCheck *check);
 
 /** hzb_checks_flush: brings the replica of the records up to date for all checks that wait. */
@@ -106,12 +110,12 @@
 
 /* ---- cancel-requests.c ---- */
 
-/** hzb_cancel_request_send: records the cancellation of an accepted job. @check: (transfer full) */
+/** hzb_cancel_request_send: records the cancellation of an accepted job. Takes the check. */
 void hzb_cancel_request_send (HzbCheck *check);
 
 /**
  * hzb_check_reply_final: answers with the job's state, which is final or proven to be up to date; that of a cancelled job once
- * no controller can act without the cancellation. @check: (transfer full)
+ * no controller can act without the cancellation. Takes the check.
  */
 void hzb_check_reply_final (HzbCheck *check, HzbJob *job);
 
--- a/src/api/user-api.h
+++ b/src/api/user-api.h
@@ -43,11 +43,11 @@
 
 /**
  * hzb_user_api_new:
- * @dependencies: (transfer none): copied; the modules in it are not owned
- * @callbacks: (transfer none): copied
- * @user: (nullable): passed to the callbacks
+ * @param dependencies (transfer none) copied; the modules in it are not owned
+ * @param callbacks (transfer none) copied
+ * @param user (nullable) passed to the callbacks
  *
- * Returns: (transfer full): to be freed with hzb_user_api_free()
+ * @return (transfer full): to be freed with hzb_user_api_free()
  */
 HzbUserApi *
 hzb_user_api_new (const HzbUserApiDependencies *dependencies, const HzbUserApiCallbacks *callbacks, gpointer user);
@@ -60,8 +60,9 @@
 
 /**
  * hzb_user_api_request:
- * @http_request: (transfer full): answered now or later, never left without an answer
- *
  * Answers one request of a user.
+ *
+ * @param api the module
+ * @param http_request (transfer full): answered now or later, never left without an answer
  */
 void hzb_user_api_request (HzbUserApi *api, HzbHttpRequest *http_request);
--- a/src/api/user-records-codec.c
+++ b/src/api/user-records-codec.c
@@ -1,6 +1,7 @@
 #include "user-records-codec.h"
 
 #include "json.h"
+#include "record-keys.h"
 
 struct _HzbAcceptanceRecord
 {
@@ -78,3 +79,18 @@
 {
   return hzb_json_print (hzb_jobs_pack_accepted (spec, accepted));
 }
+
+void
+hzb_cancellation_record_put (const char *uid, guint n_tasks, HzbKvTransaction *transaction)
+{
+  g_autofree char *key = g_strconcat (HZB_KEY_JOBS, uid, NULL);
+  hzb_kv_transaction_put (transaction, key, hzb_jobs_pack_final (HZB_JOB_CANCELLED, n_tasks), 0);
+}
+
+void
+hzb_cancellation_record_apply (const char *uid, guint n_tasks, guint64 revision, HzbJobs *jobs)
+{
+  cJSON *value = hzb_jobs_pack_final (HZB_JOB_CANCELLED, n_tasks);
+  hzb_jobs_apply (jobs, uid, value, revision);
+  cJSON_Delete (value);
+}
--- a/src/api/user-records-codec.h
+++ b/src/api/user-records-codec.h
@@ -15,7 +15,7 @@
   guint done_tasks; /**< 0 unless the job is done */
 } HzbArchivedJob;
 
-/** hzb_archived_job_decode: Returns: (transfer full) (nullable): NULL if @body is not the answer to a read of one key */
+/** hzb_archived_job_decode: Returns: (transfer full) (nullable): NULL if the body is not the answer to a read of one key */
 HzbArchivedJob *hzb_archived_job_decode (const char *body);
 
 /** hzb_archived_job_free: frees it. */
@@ -34,7 +34,7 @@
 /** hzb_acceptance_record_contains: the record accepts this job already. */
 gboolean hzb_acceptance_record_contains (const HzbAcceptanceRecord *record, const char *uid);
 
-/** hzb_acceptance_record_add: @encoded: by hzb_accepted_job_encode() */
+/** hzb_acceptance_record_add: accepts one more job, as hzb_accepted_job_encode() has encoded it. */
 void hzb_acceptance_record_add (HzbAcceptanceRecord *record, const char *uid, const char *encoded);
 
 /** hzb_acceptance_record_put: adds the record to a transaction, on condition that its key does not exist. */
@@ -43,5 +43,11 @@
 /** hzb_acceptance_record_apply: the record is durable: the jobs in it are accepted. */
 void hzb_acceptance_record_apply (const HzbAcceptanceRecord *record, HzbJobs *jobs);
 
-/** hzb_accepted_job_encode: Returns: (transfer full): a job's part of the record; @accepted: time of day */
+/** hzb_accepted_job_encode: Returns: (transfer full): a job's part of the record; accepted is the time of day */
 char *hzb_accepted_job_encode (const HzbJobSpec *spec, struct timespec accepted);
+
+/** hzb_cancellation_record_put: adds the record that completes a job as cancelled to a transaction. */
+void hzb_cancellation_record_put (const char *uid, guint n_tasks, HzbKvTransaction *transaction);
+
+/** hzb_cancellation_record_apply: that record is durable since this revision: the job is cancelled. */
+void hzb_cancellation_record_apply (const char *uid, guint n_tasks, guint64 revision, HzbJobs *jobs);
--- a/src/api/worker-api-private.h
+++ b/src/api/worker-api-private.h
@@ -78,7 +78,7 @@
 
 /* ---- heartbeat-response.c: commands and answers ---- */
 
-/** hzb_heartbeat_add_stop: tells the worker to stop the task; @grace_s: seconds that the task has to save a checkpoint. */
+/** hzb_heartbeat_add_stop: tells the worker to stop the task, which has grace_s seconds to save a checkpoint. */
 void
 hzb_heartbeat_add_stop (HzbHeartbeatExchange *exchange, const char *uid, guint task, guint64 attempt, double grace_s);
 
@@ -91,8 +91,8 @@
 /** hzb_heartbeat_respond: 200 with the commands, under this fencing token. */
 void hzb_heartbeat_respond (HzbHeartbeatExchange *exchange, guint64 fencing_token);
 
-/** hzb_heartbeat_redirect: 421; @node: (nullable): the node that decides about the machine, if one is known. */
+/** hzb_heartbeat_redirect: 421 with the node (nullable) that decides about the machine, if one is known. */
 void hzb_heartbeat_redirect (HzbHeartbeatExchange *exchange, const char *node);
 
-/** hzb_heartbeat_refuse: an error; @retry_after_s: seconds, 0: the answer names none. */
+/** hzb_heartbeat_refuse: an error; retry_after_s is in seconds, 0: the answer names none. */
 void hzb_heartbeat_refuse (HzbHeartbeatExchange *exchange, guint status, const char *text, guint retry_after_s);
--- a/src/api/worker-api.h
+++ b/src/api/worker-api.h
@@ -41,9 +41,9 @@
 
 /**
  * hzb_worker_api_new:
- * @dependencies: (transfer none): copied; the modules in it are not owned
+ * @param dependencies (transfer none) copied; the modules in it are not owned
  *
- * Returns: (transfer full): to be freed with hzb_worker_api_free()
+ * @return (transfer full): to be freed with hzb_worker_api_free()
  */
 HzbWorkerApi *hzb_worker_api_new (const HzbWorkerApiDependencies *dependencies);
 
@@ -52,9 +52,10 @@
 
 /**
  * hzb_worker_api_heartbeat:
- * @http_request: (transfer full): answered before the function returns
- *
  * Answers one heartbeat: 200 with the machine's fencing token and commands; 421 with the name of the node that decides about
  * the machine; 400 if the body is malformed; 503 if this node must not answer now or the heartbeat is an old one.
+ *
+ * @param api the module
+ * @param http_request (transfer full): answered before the function returns
  */
 void hzb_worker_api_heartbeat (HzbWorkerApi *api, HzbHttpRequest *http_request);
