--- a/src/api/heartbeat-admission.c
+++ b/src/api/heartbeat-admission.c
@@ -148,7 +148,7 @@
       hzb_heartbeat_refuse (exchange, 503, "this machine was returned", 0);
       return NULL;
     }
-  /* The heartbeats of a leased machine go to its leaseholder, so here the sequence number proves nothing. */
+  /* The worker of a leased machine is redirected to the leaseholder, whichever of its heartbeats this is. */
   if (machine->state != HZB_MACHINE_LEASED && is_late (machine, heartbeat))
     {
       refuse_late (exchange);
