--- a/src/controller/controller-private.h
+++ b/src/controller/controller-private.h
@@ -1,6 +1,6 @@
 /**
- * SECTION: controller-private
- * @short_description: the modules of a controller
+ * @file
+ * SECTION: controller-private - the modules of a controller.
  *
  * Included by the files of this folder, and by tests that look at a module of a running controller. Other modules are given
  * what they need when they are built, see controller-wiring.c.
@@ -41,9 +41,6 @@
   GRand *rand;             /**< seeded, so that tests repeat */
   HzbMetrics *metrics;     /**< counts of requests and answers */
 
-  HzbHttpServer *api_server;  /**< not owned; NULL in tests. For its counts only */
-  HzbHttpServer *peer_server; /**< likewise */
-
   HzbKvClient *kv;          /**< the client of the key-value store */
   HzbKvReplica *kv_replica; /**< the records that every controller follows */
   HzbCloudClient *cloud;    /**< the client of the cloud */
@@ -54,20 +51,22 @@
   HzbAutoscaler *autoscaler; /**< how many machines there should be */
   HzbShard *shard;           /**< the shard owned here, NULL: none; the same as jobs->shard */
 
-  HzbOwnership *ownership; /**< whether this node owns a shard, and in which role */
-  HzbElection *election;
-  HzbPeers *peers;
-  HzbCancellations *cancellations;
-  HzbReconciliation *reconciliation;
-  HzbRecords *records;
-  HzbCompletedJobArchive *completed_job_archive;
-  HzbShardLeases *shard_leases; /**< the leader's side of leased shards */
-  HzbLeaseholder *leaseholder;  /**< the leaseholder's side */
-  HzbProvisioning *provisioning;
-  HzbUserApi *api;
-
-  guint64 settings_version; /**< version of the record of the operators' settings; 0: there is none */
-  gboolean lease_shards;    /**< operators' setting: FALSE keeps all machines with the leader */
+  HzbOwnership *ownership;                       /**< whether this node owns a shard, and in which role */
+  HzbElection *election;                         /**< who leads */
+  HzbPeers *peers;                               /**< what is known of the other controllers */
+  HzbCancellations *cancellations;               /**< when a cancellation may be confirmed */
+  HzbReconciliation *reconciliation;             /**< verdicts after a cold start */
+  HzbRecords *records;                           /**< what the leader keeps for the next one */
+  HzbCompletedJobArchive *completed_job_archive; /**< moves records of jobs that completed long ago */
+  HzbShardLeases *shard_leases;                  /**< the leader's side of leased shards */
+  HzbLeaseholder *leaseholder;                   /**< the leaseholder's side */
+  HzbProvisioning *provisioning;                 /**< scales the fleet out and in */
+
+  HzbWorkerApi *worker_api; /**< answers workers */
+  HzbUserApi *api;          /**< answers users */
+  HzbAdmin *admin;          /**< answers operators */
+
+  gboolean lease_shards; /**< operators' setting: FALSE keeps all machines with the leader */
 
   gboolean load_saw_leader;        /**< the reading of all records under way has shown who leads */
   char *owner_load_cursor;         /**< the last key read of the leader's records; NULL: none yet */
--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -1,5 +1,6 @@
 /* Builds the modules of a controller and gives each what it needs. */
 #include "controller-private.h"
+#include "reconciliation-admin.h"
 #include "record-keys.h"
 
 /* Guards against watches that use up the requests of the key-value store: each change ends the watch of every node, and
@@ -184,10 +185,82 @@
   return hzb_provisioning_new (controller);
 }
 
+static HzbWorkerApi *
+new_worker_api (HzbController *controller)
+{
+  const HzbWorkerApiDependencies dependencies = {
+    .node = controller->node,
+    .election = controller->election,
+    .ownership = controller->ownership,
+    .cancellations = controller->cancellations,
+    .jobs = controller->jobs,
+    .machines = controller->machines,
+    .dispatch = controller->dispatch,
+    .records = controller->records,
+    .reconciliation = controller->reconciliation,
+    .shard_leases = controller->shard_leases,
+    .leaseholder = controller->leaseholder,
+    .provisioning = controller->provisioning,
+  };
+  return hzb_worker_api_new (&dependencies);
+}
+
+static gboolean
+user_api_is_ready (gpointer user)
+{
+  return hzb_controller_ready (user);
+}
+
+static void
+user_api_apply_record (const HzbKvEntry *entry, gpointer user)
+{
+  hzb_controller_apply_record (user, entry);
+}
+
 static HzbUserApi *
 new_user_api (HzbController *controller)
 {
-  return hzb_user_api_new (controller);
+  static const HzbUserApiCallbacks callbacks = { user_api_is_ready, user_api_apply_record };
+  const HzbUserApiDependencies dependencies = {
+    .node = controller->node,
+    .kv = controller->kv,
+    .kv_replica = controller->kv_replica,
+    .election = controller->election,
+    .peers = controller->peers,
+    .cancellations = controller->cancellations,
+    .jobs = controller->jobs,
+    .machines = controller->machines,
+  };
+  return hzb_user_api_new (&dependencies, &callbacks, controller);
+}
+
+static gboolean
+admin_reconciliation_request (HzbHttpRequest *http_request, const char *path, gpointer user)
+{
+  return hzb_reconciliation_admin_request (user, http_request, path);
+}
+
+static HzbAdmin *
+new_admin (HzbController *controller)
+{
+  static const HzbAdminCallbacks callbacks = { admin_reconciliation_request };
+  const HzbAdminDependencies dependencies = {
+    .node = controller->node,
+    .kv = controller->kv,
+    .election = controller->election,
+    .ownership = controller->ownership,
+    .peers = controller->peers,
+    .jobs = controller->jobs,
+    .machines = controller->machines,
+    .shard_leases = controller->shard_leases,
+    .records = controller->records,
+    .reconciliation = controller->reconciliation,
+    .metrics = controller->metrics,
+    .dispatch = controller->dispatch,
+    .autoscaler = controller->autoscaler,
+    .lease_shards = &controller->lease_shards,
+  };
+  return hzb_admin_new (&dependencies, &callbacks, controller);
 }
 
 /* Names this process: another one of the same node has another. */
@@ -234,14 +307,18 @@
   controller->shard_leases = new_shard_leases (controller);
   controller->leaseholder = new_leaseholder (controller);
   controller->provisioning = new_provisioning (controller);
+  controller->worker_api = new_worker_api (controller);
   controller->api = new_user_api (controller);
+  controller->admin = new_admin (controller);
   return controller;
 }
 
 void
 hzb_controller_free (HzbController *controller)
 {
+  hzb_admin_free (controller->admin);
   hzb_user_api_free (controller->api);
+  hzb_worker_api_free (controller->worker_api);
   hzb_cancellations_free (controller->cancellations);
   hzb_shard_leases_free (controller->shard_leases);
   hzb_leaseholder_free (controller->leaseholder);
@@ -273,6 +350,5 @@
 void
 hzb_controller_set_http_servers (HzbController *controller, HzbHttpServer *api_server, HzbHttpServer *peer_server)
 {
-  controller->api_server = api_server;
-  controller->peer_server = peer_server;
+  hzb_admin_set_http_servers (controller->admin, api_server, peer_server);
 }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,6 +1,6 @@
 /**
- * SECTION: controller
- * @short_description: one controller of the cluster: all modules of a node, tied together
+ * @file
+ * SECTION: controller - one controller of the cluster: all modules of a node, tied together.
  *
  * hzb_controller_tick() has to be called every HZB_TICK_MS. Requests come by hzb_controller_request() (users, workers,
  * operators) and hzb_controller_peer_request() (other controllers).
--- a/src/controller/leader-maintenance.h
+++ b/src/controller/leader-maintenance.h
@@ -1,6 +1,6 @@
 /**
- * SECTION: leader-maintenance
- * @short_description: what the leader does over time with the jobs and machines that it owns
+ * @file
+ * SECTION: leader-maintenance - what the leader does over time with the jobs and machines that it owns.
  */
 #pragma once
 #include "clock.h"
--- a/src/controller/replica-records.c
+++ b/src/controller/replica-records.c
@@ -30,7 +30,7 @@
       controller->dispatch->next_run = (struct timespec){ 0 };
     }
   else if (g_str_equal (entry->key, HZB_KEY_SETTINGS))
-    hzb_admin_apply_settings (controller, entry->value, entry->version);
+    hzb_admin_apply_settings (controller->admin, entry);
   else
     hzb_election_apply_record (controller->election, entry);
 }
--- a/src/controller/request-routing.c
+++ b/src/controller/request-routing.c
@@ -27,7 +27,7 @@
 route_worker_heartbeat (HzbController *controller, HzbHttpRequest *http_request)
 {
   if (g_str_equal (http_request->method, "POST"))
-    hzb_worker_api_heartbeat (controller, http_request);
+    hzb_worker_api_heartbeat (controller->worker_api, http_request);
   else
     hzb_http_request_respond (http_request, 405, hzb_error_response_encode ("POST a report here"), 0);
 }
@@ -57,7 +57,7 @@
     route_worker_heartbeat (controller, http_request);
   else if (g_str_equal (http_request->path, hzb_path_ready))
     respond_ready (controller, http_request);
-  else if (!hzb_admin_request (controller, http_request))
+  else if (!hzb_admin_request (controller->admin, http_request))
     hzb_user_api_request (controller->api, http_request);
 }
 
