--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -77,7 +77,18 @@
 static HzbProvisioning *
 new_provisioning (HzbController *controller)
 {
-  return hzb_provisioning_new (controller);
+  HzbProvisioningDependencies dependencies = {
+    .node = controller->node,
+    .cloud = controller->cloud,
+    .election = controller->election,
+    .ownership = controller->ownership,
+    .jobs = controller->jobs,
+    .machines = controller->machines,
+    .autoscaler = controller->autoscaler,
+    .records = controller->records,
+    .reconciliation = controller->reconciliation,
+  };
+  return hzb_provisioning_new (&dependencies);
 }
 
 static HzbUserApi *
--- a/src/provisioning/cloud-client.c
+++ b/src/provisioning/cloud-client.c
@@ -1,14 +1,15 @@
 #include "cloud-client.h"
-#include "cloud-protocol.h"
 
-#include <string.h>
-
-#define CALL_MS 6000
+#define REQUEST_TIMEOUT_MS 6000
+#define INSTANCES_PER_PAGE 500
+#define PART_OF_RATE 0.9 /* leaves room for the requests of a leader that was just replaced */
 
+/* A request that waits for its turn. */
 typedef struct
 {
   const char *method;
-  char *path, *body;
+  char *path;
+  char *body; /* NULL if it has none */
   HzbReplyFunc done;
   gpointer user;
 } Request;
@@ -18,9 +19,9 @@
   HzbTransport *transport;
   HzbClock *clock;
   const HzbSettings *settings;
-  GQueue waiting[HZB_CLOUD_CLIENT_N_PRIORITIES];
-  double budget;
-  struct timespec filled;
+  GQueue waiting[HZB_CLOUD_N_PRIORITIES];
+  double tokens;             /* requests that may be sent now */
+  struct timespec filled_at; /* when tokens were last added */
 };
 
 static void
@@ -38,15 +39,15 @@
   cloud->transport = transport;
   cloud->clock = clock;
   cloud->settings = settings;
-  cloud->filled = hzb_clock_now (clock);
-  cloud->budget = settings->cloud_rps;
+  cloud->filled_at = hzb_clock_now (clock);
+  cloud->tokens = settings->cloud_rps;
   return cloud;
 }
 
 void
 hzb_cloud_client_free (HzbCloudClient *cloud)
 {
-  for (guint i = 0; i < HZB_CLOUD_CLIENT_N_PRIORITIES; i++)
+  for (guint i = 0; i < HZB_CLOUD_N_PRIORITIES; i++)
     g_queue_clear_full (&cloud->waiting[i], (GDestroyNotify) request_free);
   g_free (cloud);
 }
@@ -55,25 +56,24 @@
 hzb_cloud_client_pump (HzbCloudClient *cloud)
 {
   struct timespec now = hzb_clock_now (cloud->clock);
-  /* A leader that was just replaced may still be calling: nine tenths leave room for that. */
-  double rps = cloud->settings->cloud_rps * 0.9;
+  double rps = cloud->settings->cloud_rps * PART_OF_RATE;
 
-  cloud->budget = MIN (cloud->budget + hzb_time_between (cloud->filled, now) * rps, MAX (1, rps));
-  cloud->filled = now;
-  for (guint i = 0; i < HZB_CLOUD_CLIENT_N_PRIORITIES; i++)
-    while (cloud->budget >= 1 && cloud->waiting[i].length)
+  cloud->tokens = MIN (cloud->tokens + hzb_time_between (cloud->filled_at, now) * rps, MAX (1, rps));
+  cloud->filled_at = now;
+  for (guint i = 0; i < HZB_CLOUD_N_PRIORITIES; i++)
+    while (cloud->tokens >= 1 && cloud->waiting[i].length)
       {
         Request *request = g_queue_pop_head (&cloud->waiting[i]);
-        cloud->budget -= 1;
+        cloud->tokens -= 1;
         hzb_send (cloud->transport, request->method, cloud->settings->cloud_addr, request->path,
-                  g_steal_pointer (&request->body), CALL_MS, request->done, request->user);
+                  g_steal_pointer (&request->body), REQUEST_TIMEOUT_MS, request->done, request->user);
         request_free (request);
       }
 }
 
 static void
-add (HzbCloudClient *cloud, HzbCloudPriority priority, const char *method, char *path, char *body, HzbReplyFunc done,
-     gpointer user)
+enqueue (HzbCloudClient *cloud, HzbCloudPriority priority, const char *method, char *path, char *body,
+         HzbReplyFunc done, gpointer user)
 {
   Request *request = g_new0 (Request, 1);
   request->method = method;
@@ -86,27 +86,28 @@
 }
 
 void
-hzb_cloud_client_types (HzbCloudClient *cloud, HzbReplyFunc done, gpointer user)
+hzb_cloud_client_list_types (HzbCloudClient *cloud, HzbReplyFunc done, gpointer user)
 {
-  add (cloud, HZB_CLOUD_CLIENT_READ, "GET", g_strdup (hzb_path_types), NULL, done, user);
+  enqueue (cloud, HZB_CLOUD_PRIORITY_READ, "GET", g_strdup (hzb_path_types), NULL, done, user);
 }
 
 void
-hzb_cloud_client_list (HzbCloudClient *cloud, const char *after, HzbReplyFunc done, gpointer user)
+hzb_cloud_client_list_instances (HzbCloudClient *cloud, const char *after, HzbReplyFunc done, gpointer user)
 {
-  add (cloud, HZB_CLOUD_CLIENT_READ, "GET", hzb_cloud_list_path (after, 500), NULL, done, user);
+  enqueue (cloud, HZB_CLOUD_PRIORITY_READ, "GET", hzb_cloud_list_path (after, INSTANCES_PER_PAGE), NULL, done, user);
 }
 
 void
-hzb_cloud_client_rent (HzbCloudClient *cloud, const char *request, const char *type, const char *zone, gboolean spot,
-                       guint count, HzbReplyFunc done, gpointer user)
+hzb_cloud_client_scale_out (HzbCloudClient *cloud, const char *request, const char *type, const char *zone,
+                            gboolean spot, guint count, HzbReplyFunc done, gpointer user)
 {
-  add (cloud, HZB_CLOUD_CLIENT_RENT, "POST", g_strdup (hzb_path_rent),
-       hzb_cloud_rent_encode (request, type, zone, spot, count), done, user);
+  enqueue (cloud, HZB_CLOUD_PRIORITY_SCALE_OUT, "POST", g_strdup (hzb_path_rent),
+           hzb_cloud_rent_encode (request, type, zone, spot, count), done, user);
 }
 
 void
-hzb_cloud_client_return (HzbCloudClient *cloud, const GPtrArray *names, HzbReplyFunc done, gpointer user)
+hzb_cloud_client_scale_in (HzbCloudClient *cloud, const GPtrArray *names, HzbReplyFunc done, gpointer user)
 {
-  add (cloud, HZB_CLOUD_CLIENT_RETURN, "POST", g_strdup (hzb_path_return), hzb_cloud_return_encode (names), done, user);
+  enqueue (cloud, HZB_CLOUD_PRIORITY_SCALE_IN, "POST", g_strdup (hzb_path_return), hzb_cloud_return_encode (names),
+           done, user);
 }
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -540,7 +540,7 @@
 
 /* Guards against machines that are rented for work that the first reports show to be running. */
 gboolean
-hzb_reconciliation_may_rent (HzbReconciliation *reconciliation, struct timespec now)
+hzb_reconciliation_may_scale_out (HzbReconciliation *reconciliation, struct timespec now)
 {
   double heartbeat_interval_s = reconciliation->controller->settings->heartbeat_interval_s;
 
@@ -629,7 +629,7 @@
 }
 
 void
-hzb_reconciliation_note_rentals (HzbReconciliation *reconciliation, guint machines)
+hzb_reconciliation_note_scale_out (HzbReconciliation *reconciliation, guint machines)
 {
   guint *count = count_of_now (reconciliation, HZB_ARCHIVE_RENTALS);
   if (count)
--- a/src/reconciliation/reconciliation.h
+++ b/src/reconciliation/reconciliation.h
@@ -54,8 +54,8 @@
 /** hzb_reconciliation_may_resolve: the job's unconfirmed tasks may be taken for tasks that are nowhere. */
 gboolean hzb_reconciliation_may_resolve (const HzbReconciliation *reconciliation, const HzbJob *job);
 
-/** hzb_reconciliation_may_rent: machines may be rented now; counts the call. */
-gboolean hzb_reconciliation_may_rent (HzbReconciliation *reconciliation, struct timespec now);
+/** hzb_reconciliation_may_scale_out: machines may be rented now; counts the call. */
+gboolean hzb_reconciliation_may_scale_out (HzbReconciliation *reconciliation, struct timespec now);
 
 /**
  * hzb_reconciliation_judge_unrecorded: a report shows a task that no record here names.
@@ -77,8 +77,8 @@
 /** hzb_reconciliation_note_commands: these go to a worker. */
 void hzb_reconciliation_note_commands (HzbReconciliation *reconciliation, const GArray *commands);
 
-/** hzb_reconciliation_note_rentals: so many machines were asked for. */
-void hzb_reconciliation_note_rentals (HzbReconciliation *reconciliation, guint machines);
+/** hzb_reconciliation_note_scale_out: so many machines were asked for. */
+void hzb_reconciliation_note_scale_out (HzbReconciliation *reconciliation, guint machines);
 
 /* ---- the roster: which controllers are alive, kept beside the flush record ---- */
 
