--- a/src/provisioning/provisioning-private.h
+++ b/src/provisioning/provisioning-private.h
@@ -7,7 +7,19 @@
 #pragma once
 #include "provisioning.h"
 
-/** _HzbProvisioning: the state; each file owns the part under its name. */
+/** hzb_provisioning_scale_out: rents what the autoscaler asks for, unless earlier requests are in flight. */
+void hzb_provisioning_scale_out (HzbProvisioning *provisioning, struct timespec now);
+
+/** hzb_provisioning_scale_in: drains machines that are to go, and returns those that are empty. */
+void hzb_provisioning_scale_in (HzbProvisioning *provisioning, struct timespec now);
+
+/** hzb_provisioning_list_instances: asks for the next page of the cloud's inventory, if it is due. */
+void hzb_provisioning_list_instances (HzbProvisioning *provisioning, struct timespec now);
+
+/** hzb_provisioning_machine_gone: the cloud has confirmed that the machine is gone. Frees @machine; its tasks are lost. */
+void hzb_provisioning_machine_gone (HzbProvisioning *provisioning, HzbMachine *machine);
+
+/** HzbProvisioning: the state; each file owns the part under its name. */
 struct _HzbProvisioning
 {
   HzbProvisioningDependencies dependencies; /**< copied */
@@ -34,15 +46,3 @@
   struct timespec list_began; /**< when the first page was asked for */
   struct timespec next_list;  /**< when the next page is due */
 };
-
-/** hzb_provisioning_scale_out: rents what the autoscaler asks for, unless earlier requests are in flight. */
-void hzb_provisioning_scale_out (HzbProvisioning *provisioning, struct timespec now);
-
-/** hzb_provisioning_scale_in: drains machines that are to go, and returns those that are empty. */
-void hzb_provisioning_scale_in (HzbProvisioning *provisioning, struct timespec now);
-
-/** hzb_provisioning_list_instances: asks for the next page of the cloud's inventory, if it is due. */
-void hzb_provisioning_list_instances (HzbProvisioning *provisioning, struct timespec now);
-
-/** hzb_provisioning_machine_gone: the cloud has confirmed that the machine is gone. Frees @machine; its tasks are lost. */
-void hzb_provisioning_machine_gone (HzbProvisioning *provisioning, HzbMachine *machine);
