--- a/src/api/admin.c
+++ b/src/api/admin.c
@@ -373,7 +373,7 @@
           reply_json (http_request, 200, views[i].view (controller));
         return TRUE;
       }
-  if (hzb_reconciliation_admin_request (controller, http_request, what))
+  if (hzb_reconciliation_admin_request (controller->reconciliation, http_request, what))
     return TRUE;
   if (g_str_has_prefix (what, TENANT "jobs/"))
     {
--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -47,7 +47,18 @@
 static HzbReconciliation *
 new_reconciliation (HzbController *controller)
 {
-  return hzb_reconciliation_new (controller);
+  HzbReconciliationDependencies dependencies = {
+    .node = controller->node,
+    .kv = controller->kv,
+    .kv_replica = controller->kv_replica,
+    .election = controller->election,
+    .ownership = controller->ownership,
+    .peers = controller->peers,
+    .jobs = controller->jobs,
+    .machines = controller->machines,
+    .dispatch = controller->dispatch,
+  };
+  return hzb_reconciliation_new (&dependencies);
 }
 
 static HzbRecords *
--- a/src/reconciliation/archive-store.c
+++ b/src/reconciliation/archive-store.c
@@ -1,6 +1,5 @@
 #include "archive-store.h"
 
-#include "controller-private.h"
 #include "json.h"
 #include "kv-protocol.h"
 #include "user-protocol.h"
@@ -34,14 +33,14 @@
 
 struct _HzbArchiveStore
 {
-  HzbController *controller;
+  HzbArchiveStoreDependencies dependencies;
 };
 
 HzbArchiveStore *
-hzb_archive_store_new (HzbController *controller)
+hzb_archive_store_new (const HzbArchiveStoreDependencies *dependencies)
 {
   HzbArchiveStore *store = g_new0 (HzbArchiveStore, 1);
-  store->controller = controller;
+  store->dependencies = *dependencies;
   return store;
 }
 
@@ -149,13 +148,13 @@
 static void
 write_parts (HzbEpochCall *epoch_call)
 {
-  HzbController *controller = epoch_call->module;
+  const HzbArchiveStoreDependencies *uses = &((HzbArchiveStore *) epoch_call->module)->dependencies;
   WriteCall *call = epoch_call->data;
   HzbKvTransaction *transaction = hzb_kv_transaction_new ();
   gsize bytes = 0;
-  guint room = controller->settings->kv_txn_ops;
+  guint room = uses->node->settings->kv_txn_ops;
 
-  hzb_election_add_condition (controller->election, transaction);
+  hzb_election_add_condition (uses->election, transaction);
   for (; call->written < call->parts->len && room; call->written++, room--)
     {
       const char *text = call->parts->pdata[call->written];
@@ -169,15 +168,15 @@
       cJSON_AddNumberToObject (value, "of", call->parts->len);
       hzb_kv_transaction_put (transaction, key, value, 0);
     }
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_part_written, epoch_call);
+  hzb_kv_client_commit (uses->kv, HZB_KV_RECORD, transaction, on_part_written, epoch_call);
 }
 
 /* The oldest goes once there are too many; what doesn't fit this transaction goes with the next archive. */
 static void
 write_index (HzbEpochCall *epoch_call)
 {
-  HzbController *controller = epoch_call->module;
-  const HzbSettings *settings = controller->settings;
+  const HzbArchiveStoreDependencies *uses = &((HzbArchiveStore *) epoch_call->module)->dependencies;
+  const HzbSettings *settings = uses->node->settings;
   WriteCall *call = epoch_call->data;
   IndexEntry added = { call->id, call->parts->len };
   guint keep = (guint) MIN (settings->reconciliation.keep, settings->kv_value_kb * 1024 / INDEX_BYTES);
@@ -192,7 +191,7 @@
         g_array_remove_index (call->index, i);
       }
   g_array_append_val (call->index, added);
-  hzb_election_add_condition (controller->election, transaction);
+  hzb_election_add_condition (uses->election, transaction);
   hzb_kv_transaction_compare (transaction, KEY_INDEX, call->index_version);
   while (call->index->len > keep && room)
     {
@@ -207,19 +206,19 @@
       g_array_remove_index (call->index, 0);
     }
   hzb_kv_transaction_put (transaction, KEY_INDEX, index_encode (call->index), 0);
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_index_written, epoch_call);
+  hzb_kv_client_commit (uses->kv, HZB_KV_RECORD, transaction, on_index_written, epoch_call);
 }
 
 static void
 write_next (HzbEpochCall *epoch_call)
 {
-  HzbController *controller = epoch_call->module;
+  const HzbArchiveStoreDependencies *uses = &((HzbArchiveStore *) epoch_call->module)->dependencies;
   WriteCall *call = epoch_call->data;
 
   if (call->written < call->parts->len)
     write_parts (epoch_call);
   else if (!call->index_known)
-    hzb_kv_client_get (controller->kv, HZB_KV_RECORD, KEY_INDEX, on_index_read, epoch_call);
+    hzb_kv_client_get (uses->kv, HZB_KV_RECORD, KEY_INDEX, on_index_read, epoch_call);
   else
     write_index (epoch_call);
 }
@@ -227,9 +226,9 @@
 void
 hzb_archive_store_write (HzbArchiveStore *store, guint64 id, GBytes *bytes, HzbArchiveWritten written, gpointer user)
 {
-  HzbController *controller = store->controller;
+  const HzbArchiveStoreDependencies *uses = &store->dependencies;
   WriteCall *call = g_new0 (WriteCall, 1);
-  gsize length, part = (gsize) (controller->settings->kv_value_kb * 1024 * PART_OF_VALUE);
+  gsize length, part = (gsize) (uses->node->settings->kv_value_kb * 1024 * PART_OF_VALUE);
   const guchar *data = g_bytes_get_data (bytes, &length);
   g_autofree char *text = g_base64_encode (data, length);
 
@@ -239,7 +238,7 @@
   call->parts = g_ptr_array_new_with_free_func (g_free);
   for (gsize at = 0; at < strlen (text); at += part)
     g_ptr_array_add (call->parts, g_strndup (text + at, part));
-  write_next (hzb_epoch_call_new (controller->ownership, controller, call));
+  write_next (hzb_epoch_call_new (uses->ownership, store, call));
 }
 
 /* ---- reading ---- */
@@ -285,7 +284,7 @@
 read_part (ReadCall *call)
 {
   g_autofree char *key = part_key (call->id, call->parts);
-  hzb_kv_client_get (call->store->controller->kv, HZB_KV_READ, key, on_part_read, call);
+  hzb_kv_client_get (call->store->dependencies.kv, HZB_KV_READ, key, on_part_read, call);
 }
 
 static void
@@ -344,7 +343,8 @@
 void
 hzb_archive_store_list (HzbArchiveStore *store, HzbArchiveRead read, gpointer user)
 {
-  hzb_kv_client_get (store->controller->kv, HZB_KV_READ, KEY_INDEX, on_list_read, read_call_new (store, 0, read, user));
+  hzb_kv_client_get (store->dependencies.kv, HZB_KV_READ, KEY_INDEX, on_list_read,
+                     read_call_new (store, 0, read, user));
 }
 
 void
--- a/src/reconciliation/archive-store.h
+++ b/src/reconciliation/archive-store.h
@@ -7,9 +7,11 @@
  */
 #pragma once
 #include "archive.h"
+#include "election.h"
 #include "kv-client.h"
+#include "node.h"
+#include "ownership.h"
 
-typedef struct _HzbController HzbController;
 typedef struct _HzbArchiveStore HzbArchiveStore;
 
 /** HzbArchiveWritten: @done is FALSE if it could not be written for now; the caller tries again later. */
@@ -18,7 +20,17 @@
 /** HzbArchiveRead: @status is of the administration API (200, 404, 503). @body: (transfer full): its answer */
 typedef void (*HzbArchiveRead) (guint status, char *body, gpointer user);
 
-HzbArchiveStore *hzb_archive_store_new (HzbController *controller);
+/** HzbArchiveStoreDependencies: what the module works with. Nothing is owned; all have to outlive the module. */
+typedef struct
+{
+  HzbNode *node;           /**< settings */
+  HzbKvClient *kv;         /**< where archives are kept */
+  HzbElection *election;   /**< archives are written on condition of the leader's term */
+  HzbOwnership *ownership; /**< drops responses to requests of an earlier epoch */
+} HzbArchiveStoreDependencies;
+
+/** hzb_archive_store_new: @dependencies: copied. Returns: (transfer full) */
+HzbArchiveStore *hzb_archive_store_new (const HzbArchiveStoreDependencies *dependencies);
 void hzb_archive_store_free (HzbArchiveStore *store);
 
 /** hzb_archive_store_write: takes over the archive of one reconciliation. One at a time; writing it again is harmless. */
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -1,7 +1,6 @@
 #include "quarantine.h"
 
 #include "codec.h"
-#include "controller-private.h"
 #include "kv-protocol.h"
 #include "record-keys.h"
 #include "worker-protocol.h"
@@ -17,7 +16,7 @@
 
 struct _HzbQuarantine
 {
-  HzbController *controller;
+  HzbQuarantineDependencies dependencies;
   GHashTable *entries; /* name -> HzbQuarantined */
   GHashTable *kept;    /* "JOB/NUMBER" */
   guint64 kept_version;
@@ -63,10 +62,10 @@
 }
 
 HzbQuarantine *
-hzb_quarantine_new (HzbController *controller)
+hzb_quarantine_new (const HzbQuarantineDependencies *dependencies)
 {
   HzbQuarantine *quarantine = g_new0 (HzbQuarantine, 1);
-  quarantine->controller = controller;
+  quarantine->dependencies = *dependencies;
   quarantine->entries = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, entry_free);
   quarantine->kept = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return quarantine;
@@ -145,7 +144,7 @@
 static HzbTaskEvidence
 evidence_of (const HzbQuarantine *quarantine, const HzbQuarantined *entry, struct timespec now)
 {
-  const HzbReconciliationSettings *settings = &quarantine->controller->settings->reconciliation;
+  const HzbReconciliationSettings *settings = &quarantine->dependencies.node->settings->reconciliation;
   HzbTaskEvidence evidence = { .standing = HZB_STANDING_NOWHERE, .job_decided = TRUE };
 
   evidence.record = entry->proof == HZB_PROOF_ABSENT ? HZB_RECORD_ABSENT
@@ -190,8 +189,7 @@
 on_old_end_read (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->module;
-  HzbQuarantine *quarantine = hzb_reconciliation_quarantine (controller->reconciliation);
+  HzbQuarantine *quarantine = epoch_call->module;
   g_autofree char *name = epoch_call->data;
   HzbQuarantined *entry = NULL;
 
@@ -204,7 +202,7 @@
   if (!entry || entry->proof != HZB_PROOF_READING)
     return;
   /* It may have come while the old place was read; then it is ordinary work. */
-  if (hzb_jobs_find (controller->jobs, entry->uid))
+  if (hzb_jobs_find (quarantine->dependencies.jobs, entry->uid))
     set_proof (entry, HZB_PROOF_WAITING);
   else if (result == HZB_KV_NOT_FOUND)
     set_proof (entry, HZB_PROOF_ABSENT);
@@ -219,16 +217,15 @@
 
   set_proof (entry, HZB_PROOF_READING);
   quarantine->reading++;
-  hzb_kv_client_get (quarantine->controller->kv, HZB_KV_READ, key, on_old_end_read,
-                     hzb_epoch_call_new (quarantine->controller->ownership, quarantine->controller, g_strdup (name)));
+  hzb_kv_client_get (quarantine->dependencies.kv, HZB_KV_READ, key, on_old_end_read,
+                     hzb_epoch_call_new (quarantine->dependencies.ownership, quarantine, g_strdup (name)));
 }
 
 static void
 on_synced (gboolean fresh, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->module;
-  HzbQuarantine *quarantine = hzb_reconciliation_quarantine (controller->reconciliation);
+  HzbQuarantine *quarantine = epoch_call->module;
   gboolean current = hzb_epoch_call_is_current (epoch_call);
   GHashTableIter iter;
   gpointer name, value;
@@ -243,7 +240,7 @@
       HzbQuarantined *entry = value;
       if (entry->proof != HZB_PROOF_SYNCING)
         continue;
-      if (fresh && !hzb_jobs_find (controller->jobs, entry->uid) && quarantine->reading < MOST_READS)
+      if (fresh && !hzb_jobs_find (quarantine->dependencies.jobs, entry->uid) && quarantine->reading < MOST_READS)
         read_old_end (quarantine, name, entry);
       else
         set_proof (entry, HZB_PROOF_WAITING);
@@ -274,8 +271,8 @@
     return;
   quarantine->syncing = TRUE;
   quarantine->next_proof = hzb_time_plus (now, RETRY_S);
-  hzb_kv_replica_sync (quarantine->controller->kv_replica, on_synced,
-                       hzb_epoch_call_new (quarantine->controller->ownership, quarantine->controller, NULL));
+  hzb_kv_replica_sync (quarantine->dependencies.kv_replica, on_synced,
+                       hzb_epoch_call_new (quarantine->dependencies.ownership, quarantine, NULL));
 }
 
 /* Guards against a task that starts elsewhere although a machine has it: its job's acceptance was carried out late. It
@@ -283,10 +280,10 @@
 static gboolean
 adopt_if_recorded (gpointer name, gpointer value, gpointer user)
 {
-  HzbController *controller = ((HzbQuarantine *) user)->controller;
+  const HzbQuarantineDependencies *uses = &((HzbQuarantine *) user)->dependencies;
   const HzbQuarantined *entry = value;
-  HzbJob *job = hzb_jobs_find (controller->jobs, entry->uid);
-  HzbMachine *machine = hzb_machines_find (controller->machines, entry->machine);
+  HzbJob *job = hzb_jobs_find (uses->jobs, entry->uid);
+  HzbMachine *machine = hzb_machines_find (uses->machines, entry->machine);
   HzbTask *task;
 
   if (!job || job->state != HZB_JOB_ACCEPTED || !job->tasks || entry->task >= job->n_tasks)
@@ -298,10 +295,10 @@
       g_message ("reconciliation: the record of %s came late; task %u goes on on %s", entry->uid, entry->task,
                  entry->machine);
       if (task->state == HZB_TASK_QUEUED)
-        hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
+        hzb_task_set_state (uses->jobs, task, HZB_TASK_PENDING, NULL);
       task->attempt = entry->attempt;
       job->next_attempt = MAX (job->next_attempt, entry->attempt);
-      hzb_task_set_state (controller->jobs, task, HZB_TASK_RUNNING, machine);
+      hzb_task_set_state (uses->jobs, task, HZB_TASK_RUNNING, machine);
     }
   return TRUE;
 }
@@ -311,8 +308,8 @@
 {
   const HzbQuarantine *quarantine = user;
   const HzbQuarantined *entry = value;
-  const HzbSettings *settings = quarantine->controller->settings;
-  double silent = hzb_time_between (entry->last_seen, hzb_clock_now (quarantine->controller->clock));
+  const HzbSettings *settings = quarantine->dependencies.node->settings;
+  double silent = hzb_time_between (entry->last_seen, hzb_clock_now (quarantine->dependencies.node->clock));
 
   if (entry->proof == HZB_PROOF_SYNCING || entry->proof == HZB_PROOF_READING)
     return FALSE;
@@ -349,8 +346,7 @@
 on_kept (HzbKvResult result, const char *body, gpointer user)
 {
   HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->module;
-  HzbQuarantine *quarantine = hzb_reconciliation_quarantine (controller->reconciliation);
+  HzbQuarantine *quarantine = epoch_call->module;
   KeepCall *call = epoch_call->data;
   gboolean current = hzb_epoch_call_is_current (epoch_call);
   HzbKeepResult outcome = HZB_KEEP_UNAVAILABLE;
@@ -387,7 +383,7 @@
 static void
 write_kept (HzbQuarantine *quarantine, GHashTable *kept, HzbKeepFunc done, gpointer user)
 {
-  HzbController *controller = quarantine->controller;
+  const HzbQuarantineDependencies *uses = &quarantine->dependencies;
   KeepCall *call = g_new0 (KeepCall, 1);
   HzbKvTransaction *transaction = hzb_kv_transaction_new ();
 
@@ -395,11 +391,11 @@
   call->done = done;
   call->user = user;
   quarantine->writing = TRUE;
-  hzb_election_add_condition (controller->election, transaction);
+  hzb_election_add_condition (uses->election, transaction);
   hzb_kv_transaction_compare (transaction, HZB_KEY_RECONCILIATION_KEPT, quarantine->kept_version);
   hzb_kv_transaction_put (transaction, HZB_KEY_RECONCILIATION_KEPT, hzb_kept_encode (kept), 0);
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_kept,
-                        hzb_epoch_call_new (controller->ownership, controller, call));
+  hzb_kv_client_commit (uses->kv, HZB_KV_RECORD, transaction, on_kept,
+                        hzb_epoch_call_new (uses->ownership, quarantine, call));
 }
 
 /* All attempts of the task, on whatever machines. Returns: how many there are; *proven: no record names it, or will. */
--- a/src/reconciliation/quarantine.h
+++ b/src/reconciliation/quarantine.h
@@ -7,13 +7,16 @@
  * leadership while reconciliation is switched on, so that what an operator keeps stays kept after a change of leader.
  */
 #pragma once
+#include "election.h"
 #include "kv-client.h"
 #include "kv-protocol.h"
+#include "kv-replica.h"
 #include "machines.h"
+#include "node.h"
+#include "ownership.h"
 #include "verdicts.h"
 #include "worker-protocol.h"
 
-typedef struct _HzbController HzbController;
 typedef struct _HzbQuarantine HzbQuarantine;
 
 /** HzbQuarantineProof: how far it is proven that no record names a task. */
@@ -54,7 +57,20 @@
 
 typedef void (*HzbKeepFunc) (HzbKeepResult result, gpointer user);
 
-HzbQuarantine *hzb_quarantine_new (HzbController *controller);
+/** HzbQuarantineDependencies: what the module works with. Nothing is owned; all have to outlive the module. */
+typedef struct
+{
+  HzbNode *node;            /**< settings and clock */
+  HzbKvClient *kv;          /**< reads archived completions and writes the operators' decisions */
+  HzbKvReplica *kv_replica; /**< brought up to date for each proof */
+  HzbElection *election;    /**< decisions are written on condition of the leader's term */
+  HzbOwnership *ownership;  /**< drops responses to requests of an earlier epoch */
+  HzbJobs *jobs;            /**< the records that may name a task after all */
+  HzbMachines *machines;    /**< where such a task is */
+} HzbQuarantineDependencies;
+
+/** hzb_quarantine_new: @dependencies: copied. Returns: (transfer full) */
+HzbQuarantine *hzb_quarantine_new (const HzbQuarantineDependencies *dependencies);
 void hzb_quarantine_free (HzbQuarantine *quarantine);
 
 /** hzb_quarantine_reset: leadership begins or ends. */
--- a/src/reconciliation/reconciliation-admin.c
+++ b/src/reconciliation/reconciliation-admin.c
@@ -14,14 +14,14 @@
 static void
 pack_awaited (const HzbReconciliation *reconciliation, cJSON *root)
 {
-  HzbController *controller = reconciliation->controller;
-  struct timespec now = hzb_clock_now (controller->clock);
+  const HzbReconciliationDependencies *uses = &reconciliation->dependencies;
+  struct timespec now = hzb_clock_now (uses->node->clock);
   cJSON *list = cJSON_AddArrayToObject (root, "awaited");
 
   for (guint i = 0; i < reconciliation->machines->len; i++)
     {
       const HzbArchivedMachine *archived = &g_array_index (reconciliation->machines, HzbArchivedMachine, i);
-      const HzbMachine *machine = archived->at_s < 0 ? hzb_machines_find (controller->machines, archived->name) : NULL;
+      const HzbMachine *machine = archived->at_s < 0 ? hzb_machines_find (uses->machines, archived->name) : NULL;
       cJSON *item;
       if (!machine)
         continue;
@@ -30,7 +30,7 @@
       cJSON_AddStringToObject (item, "state", hzb_machine_state_name (machine->state));
       /* Then it is given back; until the cloud confirms that, its tasks may run. */
       cJSON_AddNumberToObject (item, "forS",
-                               MAX (0, controller->settings->lease_s + 2 - hzb_time_between (machine->since, now)));
+                               MAX (0, uses->node->settings->lease_s + 2 - hzb_time_between (machine->since, now)));
       cJSON_AddItemToArray (list, item);
     }
 }
@@ -99,7 +99,7 @@
 pack_state (HzbReconciliation *reconciliation)
 {
   cJSON *root = cJSON_CreateObject ();
-  cJSON_AddBoolToObject (root, "enabled", reconciliation->controller->settings->reconciliation.enabled);
+  cJSON_AddBoolToObject (root, "enabled", reconciliation->dependencies.node->settings->reconciliation.enabled);
   cJSON_AddStringToObject (root, "state", hzb_reconciliation_state_name (reconciliation->state));
   cJSON_AddStringToObject (root, "reason", hzb_start_reason_name (reconciliation->start_reason));
   hzb_json_add_u64 (root, "id", reconciliation->record.id);
@@ -120,7 +120,7 @@
   g_autoptr (GPtrArray) quarantined = hzb_quarantine_list (reconciliation->quarantine);
   cJSON *item;
 
-  if (!reconciliation->controller->settings->reconciliation.enabled)
+  if (!reconciliation->dependencies.node->settings->reconciliation.enabled)
     return;
   item = cJSON_AddObjectToObject (metrics, "reconciliation");
   cJSON_AddStringToObject (item, "state", hzb_reconciliation_state_name (reconciliation->state));
@@ -210,18 +210,18 @@
 }
 
 static void
-redirect (const HzbController *controller, HzbHttpRequest *http_request)
+redirect (const HzbReconciliation *reconciliation, HzbHttpRequest *http_request)
 {
-  hzb_http_request_respond (http_request, 421, hzb_worker_redirect_encode (hzb_election_leader (controller->election)),
-                            0);
+  hzb_http_request_respond (
+      http_request, 421, hzb_worker_redirect_encode (hzb_election_leader (reconciliation->dependencies.election)), 0);
 }
 
 gboolean
-hzb_reconciliation_admin_request (HzbController *controller, HzbHttpRequest *http_request, const char *path)
+hzb_reconciliation_admin_request (HzbReconciliation *reconciliation, HzbHttpRequest *http_request, const char *path)
 {
-  HzbReconciliation *reconciliation = controller->reconciliation;
+  const HzbReconciliationDependencies *uses = &reconciliation->dependencies;
   gboolean get = g_str_equal (http_request->method, "GET"), post = g_str_equal (http_request->method, "POST");
-  gboolean leads = hzb_ownership_leader_loaded (controller->ownership) && hzb_election_leading (controller->election);
+  gboolean leads = hzb_ownership_leader_loaded (uses->ownership) && hzb_election_leading (uses->election);
   gboolean state = g_str_equal (path, "reconciliation");
   gboolean quarantine = g_str_has_prefix (path, HZB_ADMIN_QUARANTINE);
 
@@ -230,7 +230,7 @@
   if (quarantine ? !post : !get)
     refuse (http_request, 405, quarantine ? "POST here" : "GET here");
   else if ((state || quarantine) && !leads)
-    redirect (controller, http_request);
+    redirect (reconciliation, http_request);
   else if (state)
     {
       cJSON *root = pack_state (reconciliation);
--- a/src/reconciliation/reconciliation-admin.h
+++ b/src/reconciliation/reconciliation-admin.h
@@ -7,7 +7,6 @@
 
 #include <cjson/cJSON.h>
 
-typedef struct _HzbController HzbController;
 typedef struct _HzbReconciliation HzbReconciliation;
 
 /** hzb_reconciliation_pack_metrics: adds what `GET metrics` says of it, while it is switched on. */
@@ -19,4 +18,5 @@
  *
  * Returns: FALSE if the path is none of these; else the exchange is answered now or later
  */
-gboolean hzb_reconciliation_admin_request (HzbController *controller, HzbHttpRequest *http_request, const char *path);
+gboolean
+hzb_reconciliation_admin_request (HzbReconciliation *reconciliation, HzbHttpRequest *http_request, const char *path);
--- a/src/reconciliation/reconciliation-private.h
+++ b/src/reconciliation/reconciliation-private.h
@@ -4,7 +4,6 @@
  */
 #pragma once
 #include "codec.h"
-#include "controller-private.h"
 #include "reconciliation.h"
 #include "roster.h"
 
@@ -36,7 +35,7 @@
 
 struct _HzbReconciliation
 {
-  HzbController *controller;
+  HzbReconciliationDependencies dependencies;
   HzbReconciliationState state; /* changed by hzb_reconciliation_set_state() only */
   HzbStartReason start_reason;
   HzbRoster roster;
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -97,13 +97,28 @@
 }
 
 HzbReconciliation *
-hzb_reconciliation_new (HzbController *controller)
+hzb_reconciliation_new (const HzbReconciliationDependencies *dependencies)
 {
   HzbReconciliation *reconciliation = g_new0 (HzbReconciliation, 1);
-  reconciliation->controller = controller;
-  hzb_roster_init (&reconciliation->roster, controller);
-  reconciliation->quarantine = hzb_quarantine_new (controller);
-  reconciliation->archives = hzb_archive_store_new (controller);
+  HzbQuarantineDependencies quarantine = {
+    .node = dependencies->node,
+    .kv = dependencies->kv,
+    .kv_replica = dependencies->kv_replica,
+    .election = dependencies->election,
+    .ownership = dependencies->ownership,
+    .jobs = dependencies->jobs,
+    .machines = dependencies->machines,
+  };
+  HzbArchiveStoreDependencies archives = {
+    .node = dependencies->node,
+    .kv = dependencies->kv,
+    .election = dependencies->election,
+    .ownership = dependencies->ownership,
+  };
+  reconciliation->dependencies = *dependencies;
+  hzb_roster_init (&reconciliation->roster, dependencies->node, dependencies->peers);
+  reconciliation->quarantine = hzb_quarantine_new (&quarantine);
+  reconciliation->archives = hzb_archive_store_new (&archives);
   reconciliation->page_keys = g_ptr_array_new_with_free_func (g_free);
   reconciliation->tracked = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, tracked_free);
   reconciliation->machines = g_array_new (FALSE, TRUE, sizeof (HzbArchivedMachine));
@@ -155,7 +170,7 @@
 static gboolean
 enabled (const HzbReconciliation *reconciliation)
 {
-  return reconciliation->controller->settings->reconciliation.enabled;
+  return reconciliation->dependencies.node->settings->reconciliation.enabled;
 }
 
 /* ---- jobs ---- */
@@ -183,7 +198,7 @@
 void
 hzb_reconciliation_set_phase (HzbReconciliation *reconciliation, HzbTrackedJob *tracked, HzbJobPhase to)
 {
-  HzbController *controller = reconciliation->controller;
+  const HzbReconciliationDependencies *uses = &reconciliation->dependencies;
   HzbJob *job;
 
   if (to <= tracked->phase)
@@ -196,11 +211,11 @@
   if (to != HZB_PHASE_RECORDED)
     return;
   reconciliation->unrecorded--;
-  tracked->at_s = hzb_time_between (reconciliation->began, hzb_clock_now (controller->clock));
-  job = hzb_jobs_find (controller->jobs, tracked->entry.uid);
+  tracked->at_s = hzb_time_between (reconciliation->began, hzb_clock_now (uses->node->clock));
+  job = hzb_jobs_find (uses->jobs, tracked->entry.uid);
   if (job)
     job->awaits_verdict = FALSE;
-  controller->machines->next_scan = controller->dispatch->next_run = (struct timespec){ 0 };
+  uses->machines->next_scan = uses->dispatch->next_run = (struct timespec){ 0 };
 }
 
 /* ---- reading ---- */
@@ -279,11 +294,11 @@
 void
 hzb_reconciliation_loaded (HzbReconciliation *reconciliation)
 {
-  HzbController *controller = reconciliation->controller;
+  const HzbReconciliationDependencies *uses = &reconciliation->dependencies;
 
   if (!enabled (reconciliation))
     return;
-  reconciliation->began = hzb_clock_now (controller->clock);
+  reconciliation->began = hzb_clock_now (uses->node->clock);
   reconciliation->next_scan = reconciliation->next_write = reconciliation->began;
   if (reconciliation->has_record && overtaken (reconciliation))
     {
@@ -294,9 +309,9 @@
   if (!reconciliation->has_record)
     forget_verdicts (reconciliation);
   hzb_reconciliation_set_state (reconciliation, HZB_RECONCILIATION_DETECTING, "the records have been read");
-  for (guint i = 0; i < controller->jobs->active->len; i++)
+  for (guint i = 0; i < uses->jobs->active->len; i++)
     {
-      HzbJob *job = controller->jobs->active->pdata[i];
+      HzbJob *job = uses->jobs->active->pdata[i];
       HzbTrackedJob *tracked = track (reconciliation, job->uid);
       tracked->tasks = job->n_tasks;
       tracked->released = job->released;
@@ -309,17 +324,17 @@
 static void
 release_all (HzbReconciliation *reconciliation)
 {
-  HzbController *controller = reconciliation->controller;
-  for (guint i = 0; i < controller->jobs->active->len; i++)
-    ((HzbJob *) controller->jobs->active->pdata[i])->awaits_verdict = FALSE;
+  const HzbReconciliationDependencies *uses = &reconciliation->dependencies;
+  for (guint i = 0; i < uses->jobs->active->len; i++)
+    ((HzbJob *) uses->jobs->active->pdata[i])->awaits_verdict = FALSE;
   forget_verdicts (reconciliation);
-  controller->machines->next_scan = controller->dispatch->next_run = (struct timespec){ 0 };
+  uses->machines->next_scan = uses->dispatch->next_run = (struct timespec){ 0 };
 }
 
 static void
 note_machines (HzbReconciliation *reconciliation)
 {
-  const GPtrArray *all = reconciliation->controller->machines->all;
+  const GPtrArray *all = reconciliation->dependencies.machines->all;
   for (guint i = 0; i < all->len; i++)
     {
       const HzbMachine *machine = all->pdata[i];
@@ -335,8 +350,8 @@
 static void
 begin_pacing (HzbReconciliation *reconciliation, struct timespec now)
 {
-  const HzbSettings *settings = reconciliation->controller->settings;
-  double machines = reconciliation->controller->machines->all->len;
+  const HzbSettings *settings = reconciliation->dependencies.node->settings;
+  double machines = reconciliation->dependencies.machines->all->len;
   HzbStartPacingLimits limits = {
     .per_s = settings->reconciliation.starts_per_s > 0
                  ? settings->reconciliation.starts_per_s
@@ -351,12 +366,12 @@
 static void
 begin_collecting (HzbReconciliation *reconciliation, struct timespec now)
 {
-  HzbController *controller = reconciliation->controller;
+  const HzbReconciliationDependencies *uses = &reconciliation->dependencies;
   HzbReconciliationRecord *record = &reconciliation->record;
-  guint64 term = hzb_election_term (controller->election);
+  guint64 term = hzb_election_term (uses->election);
 
   if (!reconciliation->has_record)
-    *record = (HzbReconciliationRecord){ .id = term, .began = (double) hzb_clock_wall (controller->clock).tv_sec };
+    *record = (HzbReconciliationRecord){ .id = term, .began = (double) hzb_clock_wall (uses->node->clock).tv_sec };
   record->term = term;
   record->starts++;
   reconciliation->has_record = TRUE;
@@ -405,7 +420,7 @@
 static void
 scan_machines (HzbReconciliation *reconciliation, struct timespec now)
 {
-  const HzbMachines *machines = reconciliation->controller->machines;
+  const HzbMachines *machines = reconciliation->dependencies.machines;
   for (guint i = 0; i < reconciliation->machines->len; i++)
     {
       HzbArchivedMachine *archived = &g_array_index (reconciliation->machines, HzbArchivedMachine, i);
@@ -435,14 +450,14 @@
     .results = job->finished + job->done,
     .unconfirmed = job->unconfirmed,
     .machines_awaited = job->unconfirmed && hzb_job_may_run_on_unverified (job, unverified),
-    .barrier = reconciliation->controller->settings->reconciliation.barrier && unverified->len,
+    .barrier = reconciliation->dependencies.node->settings->reconciliation.barrier && unverified->len,
   };
 }
 
 static void
 decide_job (HzbReconciliation *reconciliation, HzbTrackedJob *tracked, const GPtrArray *unverified)
 {
-  const HzbJob *job = hzb_jobs_find (reconciliation->controller->jobs, tracked->entry.uid);
+  const HzbJob *job = hzb_jobs_find (reconciliation->dependencies.jobs, tracked->entry.uid);
   HzbJobEvidence evidence = { .tasks = tracked->tasks, .results = tracked->tasks };
   HzbVerdictEntry *entry = &tracked->entry;
 
@@ -467,19 +482,19 @@
 static void
 survey (HzbReconciliation *reconciliation, struct timespec now)
 {
-  HzbController *controller = reconciliation->controller;
+  const HzbReconciliationDependencies *uses = &reconciliation->dependencies;
   g_autoptr (GPtrArray) of_shards = NULL;
   GHashTableIter iter;
   gpointer value;
 
   if (hzb_time_before (now, reconciliation->next_scan))
     return;
-  reconciliation->next_scan = hzb_time_plus (now, hzb_machines_scan_interval_s (controller->machines));
+  reconciliation->next_scan = hzb_time_plus (now, hzb_machines_scan_interval_s (uses->machines));
   scan_machines (reconciliation, now);
   /* Guards against decisions before it is durable that there is something to decide: the next leader goes by the record. */
   if (!reconciliation->open || !reconciliation->record_durable)
     return;
-  of_shards = hzb_machines_unverified_kinds (controller->machines, 1);
+  of_shards = hzb_machines_unverified_kinds (uses->machines, 1);
   g_hash_table_iter_init (&iter, reconciliation->tracked);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((HzbTrackedJob *) value)->phase == HZB_PHASE_OPEN)
@@ -504,7 +519,7 @@
   if (!enabled (reconciliation))
     return;
   hzb_quarantine_tick (reconciliation->quarantine, now);
-  hzb_start_pacing_tick (&reconciliation->pacing, reconciliation->controller->dispatch->lag_s, now);
+  hzb_start_pacing_tick (&reconciliation->pacing, reconciliation->dependencies.dispatch->lag_s, now);
   switch (reconciliation->state)
     {
     case HZB_RECONCILIATION_DETECTING:
@@ -542,7 +557,7 @@
 gboolean
 hzb_reconciliation_may_scale_out (HzbReconciliation *reconciliation, struct timespec now)
 {
-  double heartbeat_interval_s = reconciliation->controller->settings->heartbeat_interval_s;
+  double heartbeat_interval_s = reconciliation->dependencies.node->settings->heartbeat_interval_s;
 
   if (reconciliation->state == HZB_RECONCILIATION_DETECTING)
     return FALSE;
@@ -606,7 +621,7 @@
 static guint *
 count_of_now (HzbReconciliation *reconciliation, HzbArchiveKind kind)
 {
-  double at = hzb_time_between (reconciliation->began, hzb_clock_now (reconciliation->controller->clock));
+  double at = hzb_time_between (reconciliation->began, hzb_clock_now (reconciliation->dependencies.node->clock));
   gboolean counts = reconciliation->state >= HZB_RECONCILIATION_COLLECTING
                     && reconciliation->state < HZB_RECONCILIATION_COMPLETE && at >= 0 && at < HZB_ARCHIVE_SECONDS;
   return counts ? &reconciliation->commands[kind][(guint) at] : NULL;
--- a/src/reconciliation/reconciliation.h
+++ b/src/reconciliation/reconciliation.h
@@ -9,7 +9,9 @@
  */
 #pragma once
 #include "archive-store.h"
+#include "dispatch.h"
 #include "kv-protocol.h"
+#include "peers.h"
 #include "quarantine.h"
 #include "start-pacing.h"
 #include "worker-protocol.h"
@@ -28,7 +30,22 @@
   HZB_RECONCILIATION_N_STATES
 } HzbReconciliationState;
 
-HzbReconciliation *hzb_reconciliation_new (HzbController *controller);
+/** HzbReconciliationDependencies: what the module works with. Nothing is owned; all have to outlive the module. */
+typedef struct
+{
+  HzbNode *node;            /**< settings, clock and the name of this process */
+  HzbKvClient *kv;          /**< where verdicts are recorded */
+  HzbKvReplica *kv_replica; /**< for the quarantine's proofs */
+  HzbElection *election;    /**< verdicts are written on condition of the leader's term */
+  HzbOwnership *ownership;  /**< drops responses to requests of an earlier epoch */
+  HzbPeers *peers;          /**< which processes are alive */
+  HzbJobs *jobs;            /**< on which verdicts are made */
+  HzbMachines *machines;    /**< which may hold their tasks */
+  HzbDispatch *dispatch;    /**< is told when starts may go on */
+} HzbReconciliationDependencies;
+
+/** hzb_reconciliation_new: @dependencies: copied. Returns: (transfer full) */
+HzbReconciliation *hzb_reconciliation_new (const HzbReconciliationDependencies *dependencies);
 void hzb_reconciliation_free (HzbReconciliation *reconciliation);
 
 /** hzb_reconciliation_reset: leadership begins or ends. */
--- a/src/reconciliation/recorder.c
+++ b/src/reconciliation/recorder.c
@@ -29,7 +29,7 @@
 static void
 fill_pages (HzbReconciliation *reconciliation)
 {
-  const HzbSettings *settings = reconciliation->controller->settings;
+  const HzbSettings *settings = reconciliation->dependencies.node->settings;
   gsize page_bytes = (gsize) (PAGE_PART * settings->kv_value_kb * 1024), bytes = 0, total = 0;
   guint room = MAX (1, settings->kv_txn_ops - 1);
   HzbVerdictPage *page = NULL;
@@ -80,7 +80,7 @@
 try_again_later (HzbReconciliation *reconciliation)
 {
   reconciliation->sending = FALSE;
-  reconciliation->next_write = hzb_time_plus (hzb_clock_now (reconciliation->controller->clock), RETRY_S);
+  reconciliation->next_write = hzb_time_plus (hzb_clock_now (reconciliation->dependencies.node->clock), RETRY_S);
 }
 
 /* Both the record and pages name the term that wrote them. */
@@ -88,7 +88,7 @@
 on_written_read (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
-  HzbReconciliation *reconciliation = ((HzbController *) epoch_call->module)->reconciliation;
+  HzbReconciliation *reconciliation = epoch_call->module;
   HzbKvEntry item = { 0 };
   gboolean known;
 
@@ -109,8 +109,8 @@
 on_written (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->module;
-  HzbReconciliation *reconciliation = controller->reconciliation;
+  HzbReconciliation *reconciliation = epoch_call->module;
+  const HzbReconciliationDependencies *uses = &reconciliation->dependencies;
 
   if (!hzb_epoch_call_is_current (epoch_call))
     return;
@@ -123,8 +123,8 @@
   else if (result == HZB_KV_UNKNOWN || result == HZB_KV_CONFLICT)
     {
       const HzbVerdictPage *page = reconciliation->in_flight->len ? reconciliation->in_flight->pdata[0] : NULL;
-      hzb_kv_client_get (controller->kv, HZB_KV_RECORD, page ? page->key : HZB_KEY_RECONCILIATION_STATE,
-                         on_written_read, hzb_epoch_call_new (controller->ownership, controller, NULL));
+      hzb_kv_client_get (uses->kv, HZB_KV_RECORD, page ? page->key : HZB_KEY_RECONCILIATION_STATE, on_written_read,
+                         hzb_epoch_call_new (uses->ownership, reconciliation, NULL));
     }
   else
     try_again_later (reconciliation);
@@ -134,7 +134,7 @@
 void
 hzb_recorder_write_verdicts (HzbReconciliation *reconciliation, struct timespec now)
 {
-  HzbController *controller = reconciliation->controller;
+  const HzbReconciliationDependencies *uses = &reconciliation->dependencies;
   HzbKvTransaction *transaction;
 
   if (reconciliation->sending || hzb_time_before (now, reconciliation->next_write))
@@ -144,7 +144,7 @@
   if (!reconciliation->in_flight->len && reconciliation->record_durable)
     return;
   transaction = hzb_kv_transaction_new ();
-  hzb_election_add_condition (controller->election, transaction);
+  hzb_election_add_condition (uses->election, transaction);
   if (!reconciliation->record_durable)
     {
       hzb_kv_transaction_compare (transaction, HZB_KEY_RECONCILIATION_STATE, reconciliation->record_version);
@@ -159,8 +159,8 @@
     }
   reconciliation->sending = TRUE;
   reconciliation->next_write = hzb_time_plus (now, WRITE_EVERY_S);
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_written,
-                        hzb_epoch_call_new (controller->ownership, controller, NULL));
+  hzb_kv_client_commit (uses->kv, HZB_KV_RECORD, transaction, on_written,
+                        hzb_epoch_call_new (uses->ownership, reconciliation, NULL));
 }
 
 /* ---- the end ---- */
@@ -210,7 +210,8 @@
   if (done)
     g_clear_pointer (&reconciliation->archive, g_bytes_unref);
   else
-    reconciliation->next_write = hzb_time_plus (hzb_clock_now (reconciliation->controller->clock), ARCHIVE_RETRY_S);
+    reconciliation->next_write =
+        hzb_time_plus (hzb_clock_now (reconciliation->dependencies.node->clock), ARCHIVE_RETRY_S);
   reconciliation->cleaning = done;
 }
 
@@ -218,7 +219,7 @@
 on_cleaned (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
-  HzbReconciliation *reconciliation = ((HzbController *) epoch_call->module)->reconciliation;
+  HzbReconciliation *reconciliation = epoch_call->module;
   guint removed = GPOINTER_TO_UINT (epoch_call->data);
 
   if (!hzb_epoch_call_is_current (epoch_call))
@@ -242,22 +243,22 @@
 void
 hzb_recorder_clean_up (HzbReconciliation *reconciliation, struct timespec now)
 {
-  HzbController *controller = reconciliation->controller;
-  guint left = reconciliation->page_keys->len, removed = MIN (left, controller->settings->kv_txn_ops - 1);
+  const HzbReconciliationDependencies *uses = &reconciliation->dependencies;
+  guint left = reconciliation->page_keys->len, removed = MIN (left, uses->node->settings->kv_txn_ops - 1);
   HzbKvTransaction *transaction;
 
   if (reconciliation->sending || hzb_time_before (now, reconciliation->next_write))
     return;
   transaction = hzb_kv_transaction_new ();
-  hzb_election_add_condition (controller->election, transaction);
+  hzb_election_add_condition (uses->election, transaction);
   for (guint i = 0; i < removed; i++)
     hzb_kv_transaction_delete (transaction, reconciliation->page_keys->pdata[left - 1 - i]);
   if (removed == left)
     hzb_kv_transaction_delete (transaction, HZB_KEY_RECONCILIATION_STATE);
   reconciliation->sending = TRUE;
   reconciliation->next_write = hzb_time_plus (now, WRITE_EVERY_S);
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_cleaned,
-                        hzb_epoch_call_new (controller->ownership, controller, GUINT_TO_POINTER (removed)));
+  hzb_kv_client_commit (uses->kv, HZB_KV_RECORD, transaction, on_cleaned,
+                        hzb_epoch_call_new (uses->ownership, reconciliation, GUINT_TO_POINTER (removed)));
 }
 
 /* Commands are counted for a minute, and the archive has them. */
--- a/src/reconciliation/roster.c
+++ b/src/reconciliation/roster.c
@@ -1,15 +1,15 @@
 #include "roster.h"
 
-#include "controller-private.h"
 #include "json.h"
 
 #define NAME_CHARS 10  /* of a process: enough to tell processes apart */
 #define MOST_NAMES 90u /* so that the record fits the least value; one survivor among them is evidence enough */
 
 void
-hzb_roster_init (HzbRoster *roster, HzbController *controller)
+hzb_roster_init (HzbRoster *roster, const HzbNode *node, HzbPeers *peers)
 {
-  roster->controller = controller;
+  roster->node = node;
+  roster->peers = peers;
 }
 
 void
@@ -48,8 +48,8 @@
 static const char *
 peer_process (const HzbRoster *roster, guint at)
 {
-  const HzbPeer *peer = roster->controller->settings->peers->pdata[at];
-  return hzb_peers_incarnation (roster->controller->peers, peer->node);
+  const HzbPeer *peer = roster->node->settings->peers->pdata[at];
+  return hzb_peers_incarnation (roster->peers, peer->node);
 }
 
 gboolean
@@ -57,9 +57,9 @@
 {
   const GPtrArray *known = roster->sent ? roster->sent : roster->recorded;
 
-  if (!names (known, roster->controller->node->incarnation))
+  if (!names (known, roster->node->incarnation))
     return TRUE;
-  for (guint i = 0; i < roster->controller->settings->peers->len && i < MOST_NAMES - 1; i++)
+  for (guint i = 0; i < roster->node->settings->peers->len && i < MOST_NAMES - 1; i++)
     {
       const char *process = peer_process (roster, i);
       if (process && !names (known, process))
@@ -88,8 +88,8 @@
 {
   g_clear_pointer (&roster->sent, g_ptr_array_unref);
   roster->sent = g_ptr_array_new_with_free_func (g_free);
-  g_ptr_array_add (roster->sent, g_strndup (roster->controller->node->incarnation, NAME_CHARS));
-  for (guint i = 0; i < roster->controller->settings->peers->len && i < MOST_NAMES - 1; i++)
+  g_ptr_array_add (roster->sent, g_strndup (roster->node->incarnation, NAME_CHARS));
+  for (guint i = 0; i < roster->node->settings->peers->len && i < MOST_NAMES - 1; i++)
     if (peer_process (roster, i))
       g_ptr_array_add (roster->sent, g_strndup (peer_process (roster, i), NAME_CHARS));
   encode (roster->sent, flush_record);
@@ -111,9 +111,9 @@
 {
   evidence->has_flush_record = roster->has_flush_record;
   evidence->has_roster = roster->recorded != NULL;
-  evidence->self_on_roster = names (roster->recorded, roster->controller->node->incarnation);
+  evidence->self_on_roster = names (roster->recorded, roster->node->incarnation);
   evidence->all_peers_heard = TRUE;
-  for (guint i = 0; i < roster->controller->settings->peers->len; i++)
+  for (guint i = 0; i < roster->node->settings->peers->len; i++)
     {
       const char *process = peer_process (roster, i);
       evidence->all_peers_heard = evidence->all_peers_heard && process;
--- a/src/reconciliation/roster.h
+++ b/src/reconciliation/roster.h
@@ -6,22 +6,23 @@
  * costs a change of its own only when a process is alive that the recorded roster does not name.
  */
 #pragma once
+#include "node.h"
+#include "peers.h"
 #include "verdicts.h"
 
 #include <cjson/cJSON.h>
 
-typedef struct _HzbController HzbController;
-
 typedef struct
 {
-  HzbController *controller;
+  const HzbNode *node; /* (not owned) */
+  HzbPeers *peers;     /* (not owned) */
   GPtrArray *recorded; /* char*, processes as the key-value store has them; NULL: none is recorded */
   GPtrArray *sent;     /* the same, on its way */
   gboolean has_flush_record;
   guint64 flush_term; /* of the leader that wrote the flush record */
 } HzbRoster;
 
-void hzb_roster_init (HzbRoster *roster, HzbController *controller);
+void hzb_roster_init (HzbRoster *roster, const HzbNode *node, HzbPeers *peers);
 void hzb_roster_clear (HzbRoster *roster);
 
 /** hzb_roster_load: @flush_record: the value of the flush record */
