--- a/src/reconciliation/archive.c
+++ b/src/reconciliation/archive.c
@@ -45,14 +45,21 @@
   g_free (task->reason);
 }
 
+GArray *
+hzb_archived_machines_new (void)
+{
+  GArray *machines = g_array_new (FALSE, TRUE, sizeof (HzbArchivedMachine));
+  g_array_set_clear_func (machines, machine_clear);
+  return machines;
+}
+
 HzbArchive *
 hzb_archive_new (void)
 {
   HzbArchive *archive = g_new0 (HzbArchive, 1);
   archive->jobs = g_array_new (FALSE, TRUE, sizeof (HzbArchivedJob));
   g_array_set_clear_func (archive->jobs, job_clear);
-  archive->machines = g_array_new (FALSE, TRUE, sizeof (HzbArchivedMachine));
-  g_array_set_clear_func (archive->machines, machine_clear);
+  archive->machines = hzb_archived_machines_new ();
   archive->quarantine = g_array_new (FALSE, TRUE, sizeof (HzbArchivedTask));
   g_array_set_clear_func (archive->quarantine, task_clear);
   return archive;
--- a/src/reconciliation/archive.h
+++ b/src/reconciliation/archive.h
@@ -7,7 +7,7 @@
  * damaged, or of a later version, is an error for whoever wants to see it, and nothing else.
  */
 #pragma once
-#include "codec.h"
+#include "reconciliation-codec.h"
 
 /** HZB_ARCHIVE_SECONDS: commands are counted by second for so long. */
 #define HZB_ARCHIVE_SECONDS 60u
@@ -59,6 +59,9 @@
   guint commands[HZB_ARCHIVE_N_KINDS][HZB_ARCHIVE_SECONDS];
 } HzbArchive;
 
+/** hzb_archived_machines_new: Returns: (transfer full) (element-type HzbArchivedMachine): an empty list */
+GArray *hzb_archived_machines_new (void);
+
 HzbArchive *hzb_archive_new (void);
 void hzb_archive_free (HzbArchive *archive);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbArchive, hzb_archive_free)
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -1,7 +1,7 @@
 #include "quarantine.h"
 
-#include "codec.h"
 #include "kv-protocol.h"
+#include "reconciliation-codec.h"
 #include "record-keys.h"
 #include "worker-protocol.h"
 
--- a/src/reconciliation/codec.c
+++ b/src/reconciliation/reconciliation-codec.c
@@ -1,4 +1,4 @@
-#include "codec.h"
+#include "reconciliation-codec.h"
 
 #include "json.h"
 #include "user-protocol.h"
@@ -166,6 +166,36 @@
   return g_steal_pointer (&entries);
 }
 
+guint64
+hzb_reconciliation_value_term (const cJSON *value)
+{
+  return hzb_json_u64 (value, "term");
+}
+
+void
+hzb_roster_encode (const GPtrArray *processes, cJSON *flush_record)
+{
+  cJSON *list = cJSON_AddArrayToObject (flush_record, "roster");
+  for (guint i = 0; i < processes->len; i++)
+    cJSON_AddItemToArray (list, cJSON_CreateString (processes->pdata[i]));
+}
+
+GPtrArray *
+hzb_roster_decode (const cJSON *flush_record, guint64 *term)
+{
+  const cJSON *item, *list = cJSON_GetObjectItemCaseSensitive (flush_record, "roster");
+  GPtrArray *processes;
+
+  *term = hzb_json_u64 (flush_record, "term");
+  if (!cJSON_IsArray (list))
+    return NULL;
+  processes = g_ptr_array_new_with_free_func (g_free);
+  cJSON_ArrayForEach (item, list)
+    if (cJSON_IsString (item) && strlen (item->valuestring) == HZB_ROSTER_NAME_CHARS)
+      g_ptr_array_add (processes, g_strdup (item->valuestring));
+  return processes;
+}
+
 cJSON *
 hzb_kept_encode (GHashTable *kept)
 {
--- a/src/reconciliation/codec.h
+++ b/src/reconciliation/reconciliation-codec.h
@@ -63,6 +63,27 @@
  */
 GArray *hzb_verdict_page_decode (const cJSON *page, guint64 *id, GError **error);
 
+/** hzb_reconciliation_value_term: Returns: the term of the leader that wrote a record or a page; 0 if it states none */
+guint64 hzb_reconciliation_value_term (const cJSON *value);
+
+/** HZB_ROSTER_NAME_CHARS: how much of a process's incarnation the roster keeps: enough to tell processes apart. */
+#define HZB_ROSTER_NAME_CHARS 10
+
+/**
+ * hzb_roster_encode:
+ * @processes: (element-type utf8): names of HZB_ROSTER_NAME_CHARS characters
+ * @flush_record: gets the roster
+ */
+void hzb_roster_encode (const GPtrArray *processes, cJSON *flush_record);
+
+/**
+ * hzb_roster_decode:
+ * @term: (out): of the leader that wrote the flush record
+ *
+ * Returns: (transfer full) (nullable) (element-type utf8): the recorded roster; %NULL if the flush record has none
+ */
+GPtrArray *hzb_roster_decode (const cJSON *flush_record, guint64 *term);
+
 /** hzb_kept_encode: the tasks that an operator wants kept, as "JOB/NUMBER". Returns: (transfer full) */
 cJSON *hzb_kept_encode (GHashTable *kept);
 gboolean hzb_kept_decode (const cJSON *value, GHashTable *kept, GError **error);
--- /dev/null
+++ b/src/reconciliation/reconciliation-load.c
@@ -0,0 +1,131 @@
+/* Reading: what the leaders before have recorded, and which jobs wait for a verdict. */
+#include "kv-protocol.h"
+#include "reconciliation-private.h"
+#include "record-keys.h"
+
+#include <string.h>
+
+/* ---- records ---- */
+
+static void
+take_verdict (HzbReconciliation *reconciliation, const HzbVerdictEntry *entry)
+{
+  HzbTrackedJob *tracked = hzb_reconciliation_track (reconciliation, entry->uid);
+  char *uid = tracked->entry.uid;
+
+  if (tracked->phase == HZB_PHASE_RECORDED)
+    return; /* a durable verdict does not change: the first page that names the job counts */
+  tracked->entry = *entry;
+  tracked->entry.uid = uid;
+  hzb_reconciliation_set_phase (reconciliation, tracked, HZB_PHASE_RECORDED);
+}
+
+static void
+load_page (HzbReconciliation *reconciliation, const HzbKvEntry *item)
+{
+  guint number = (guint) g_ascii_strtoull (item->key + strlen (HZB_KEY_RECONCILIATION_VERDICTS), NULL, 10);
+  g_autoptr (GError) error = NULL;
+  g_autoptr (GArray) entries = NULL;
+  guint64 id = 0;
+
+  g_ptr_array_add (reconciliation->page_keys, g_strdup (item->key));
+  reconciliation->next_page = MAX (reconciliation->next_page, number + 1);
+  entries = hzb_verdict_page_decode (item->value, &id, &error);
+  if (!entries)
+    {
+      g_warning (
+          "reconciliation: %s can't be read; its verdicts count for nothing, and its jobs wait for their machines "
+          "and are decided anew: %s. Keep a copy of the record and report it",
+          item->key, error->message);
+      return;
+    }
+  /* The key-value store lists the record before its pages. Pages without a record, or of another reconciliation, are only removed. */
+  if (reconciliation->record_state == HZB_RECORD_STATE_NONE || id != reconciliation->record.id)
+    return;
+  for (guint i = 0; i < entries->len; i++)
+    take_verdict (reconciliation, &g_array_index (entries, HzbVerdictEntry, i));
+}
+
+static void
+load_record (HzbReconciliation *reconciliation, const HzbKvEntry *item)
+{
+  g_autoptr (GError) error = NULL;
+
+  reconciliation->record_version = item->version;
+  if (hzb_reconciliation_record_decode (item->value, &reconciliation->record, &error))
+    {
+      hzb_reconciliation_set_record_state (reconciliation, HZB_RECORD_STATE_FOUND);
+      return;
+    }
+  hzb_reconciliation_set_record_state (reconciliation, HZB_RECORD_STATE_NONE);
+  g_warning (
+      "reconciliation: %s can't be read; it and its verdicts count for nothing, and jobs are decided anew: %s. Keep a "
+      "copy of the record and report it",
+      item->key, error->message);
+}
+
+void
+hzb_reconciliation_load (HzbReconciliation *reconciliation, const HzbKvEntry *item)
+{
+  if (!hzb_reconciliation_enabled (reconciliation) || !item->value)
+    return;
+  if (g_str_equal (item->key, HZB_KEY_FLUSH))
+    hzb_roster_load (&reconciliation->roster, item->value);
+  else if (g_str_equal (item->key, HZB_KEY_RECONCILIATION_KEPT))
+    hzb_quarantine_load (reconciliation->quarantine, item);
+  else if (g_str_has_prefix (item->key, HZB_KEY_RECONCILIATION_VERDICTS))
+    load_page (reconciliation, item);
+  else if (g_str_equal (item->key, HZB_KEY_RECONCILIATION_STATE))
+    load_record (reconciliation, item);
+}
+
+/* ---- all records were read ---- */
+
+/* A leader without reconciliation (an earlier version, or switched off) writes flush records without a roster. If such a leader
+ * has led since, the recorded verdicts are about another state of the jobs. */
+static gboolean
+is_outdated (const HzbReconciliation *reconciliation)
+{
+  const HzbRoster *roster = &reconciliation->roster;
+  return !roster->recorded && roster->flush_term > reconciliation->record.term;
+}
+
+static void
+drop_outdated_record (HzbReconciliation *reconciliation)
+{
+  if (reconciliation->record_state == HZB_RECORD_STATE_FOUND && is_outdated (reconciliation))
+    {
+      g_message ("reconciliation %" G_GUINT64_FORMAT " is given up: a leader without it has led since",
+                 reconciliation->record.id);
+      hzb_reconciliation_set_record_state (reconciliation, HZB_RECORD_STATE_NONE);
+    }
+  if (reconciliation->record_state == HZB_RECORD_STATE_NONE)
+    hzb_reconciliation_forget_jobs (reconciliation);
+}
+
+static void
+track_active_jobs (HzbReconciliation *reconciliation)
+{
+  const GPtrArray *active = reconciliation->dependencies.jobs->active;
+
+  for (guint i = 0; i < active->len; i++)
+    {
+      HzbJob *job = active->pdata[i];
+      HzbTrackedJob *tracked = hzb_reconciliation_track (reconciliation, job->uid);
+      tracked->tasks = job->n_tasks;
+      tracked->released = job->released;
+      job->awaits_verdict = tracked->phase != HZB_PHASE_RECORDED;
+    }
+}
+
+void
+hzb_reconciliation_loaded (HzbReconciliation *reconciliation)
+{
+  if (!hzb_reconciliation_enabled (reconciliation))
+    return;
+  reconciliation->began = hzb_clock_now (reconciliation->dependencies.node->clock);
+  reconciliation->next_scan = reconciliation->next_write = reconciliation->began;
+  drop_outdated_record (reconciliation);
+  hzb_reconciliation_set_state (reconciliation, HZB_RECONCILIATION_DETECTING, "the records have been read");
+  track_active_jobs (reconciliation);
+}
--- a/src/reconciliation/roster.c
+++ b/src/reconciliation/roster.c
@@ -1,9 +1,9 @@
 #include "roster.h"
 
-#include "json.h"
+#include "reconciliation-codec.h"
 
-#define NAME_CHARS 10  /* of a process: enough to tell processes apart */
-#define MOST_NAMES 90u /* so that the record fits the least value; one survivor among them is evidence enough */
+/* So that the record fits the smallest value. Larger clusters lose nothing: one survivor among so many names is evidence enough. */
+#define MOST_NAMES 90u
 
 void
 hzb_roster_init (HzbRoster *roster, const HzbNode *node, HzbPeers *peers)
@@ -21,8 +21,9 @@
   roster->flush_term = 0;
 }
 
+/* Rosters name processes by the first characters of their incarnations. */
 static gboolean
-names (const GPtrArray *processes, const char *incarnation)
+has_process (const GPtrArray *processes, const char *incarnation)
 {
   for (guint i = 0; processes && incarnation && i < processes->len; i++)
     if (g_str_has_prefix (incarnation, processes->pdata[i]))
@@ -33,20 +34,25 @@
 void
 hzb_roster_load (HzbRoster *roster, const cJSON *flush_record)
 {
-  const cJSON *item, *list = cJSON_GetObjectItemCaseSensitive (flush_record, "roster");
+  GPtrArray *recorded = hzb_roster_decode (flush_record, &roster->flush_term);
 
   roster->has_flush_record = TRUE;
-  roster->flush_term = hzb_json_u64 (flush_record, "term");
-  if (!cJSON_IsArray (list))
+  if (!recorded)
     return;
-  roster->recorded = g_ptr_array_new_with_free_func (g_free);
-  cJSON_ArrayForEach (item, list)
-    if (cJSON_IsString (item) && strlen (item->valuestring) == NAME_CHARS)
-      g_ptr_array_add (roster->recorded, g_strdup (item->valuestring));
+  g_clear_pointer (&roster->recorded, g_ptr_array_unref);
+  roster->recorded = recorded;
 }
 
+/* How many peers the roster has room for, beside this process. */
+static guint
+n_peers (const HzbRoster *roster)
+{
+  return MIN (roster->node->settings->peers->len, MOST_NAMES - 1);
+}
+
+/* Returns: (nullable): NULL if the peer was not heard lately. */
 static const char *
-peer_process (const HzbRoster *roster, guint at)
+peer_incarnation (const HzbRoster *roster, guint at)
 {
   const HzbPeer *peer = roster->node->settings->peers->pdata[at];
   return hzb_peers_incarnation (roster->peers, peer->node);
@@ -57,30 +63,22 @@
 {
   const GPtrArray *known = roster->sent ? roster->sent : roster->recorded;
 
-  if (!names (known, roster->node->incarnation))
+  if (!has_process (known, roster->node->incarnation))
     return TRUE;
-  for (guint i = 0; i < roster->node->settings->peers->len && i < MOST_NAMES - 1; i++)
+  for (guint i = 0; i < n_peers (roster); i++)
     {
-      const char *process = peer_process (roster, i);
-      if (process && !names (known, process))
+      const char *incarnation = peer_incarnation (roster, i);
+      if (incarnation && !has_process (known, incarnation))
         return TRUE;
     }
   return FALSE;
 }
 
-static void
-encode (const GPtrArray *processes, cJSON *flush_record)
-{
-  cJSON *list = cJSON_AddArrayToObject (flush_record, "roster");
-  for (guint i = 0; i < processes->len; i++)
-    cJSON_AddItemToArray (list, cJSON_CreateString (processes->pdata[i]));
-}
-
 void
 hzb_roster_repeat (const HzbRoster *roster, cJSON *flush_record)
 {
   if (roster->recorded)
-    encode (roster->recorded, flush_record);
+    hzb_roster_encode (roster->recorded, flush_record);
 }
 
 void
@@ -88,11 +86,14 @@
 {
   g_clear_pointer (&roster->sent, g_ptr_array_unref);
   roster->sent = g_ptr_array_new_with_free_func (g_free);
-  g_ptr_array_add (roster->sent, g_strndup (roster->node->incarnation, NAME_CHARS));
-  for (guint i = 0; i < roster->node->settings->peers->len && i < MOST_NAMES - 1; i++)
-    if (peer_process (roster, i))
-      g_ptr_array_add (roster->sent, g_strndup (peer_process (roster, i), NAME_CHARS));
-  encode (roster->sent, flush_record);
+  g_ptr_array_add (roster->sent, g_strndup (roster->node->incarnation, HZB_ROSTER_NAME_CHARS));
+  for (guint i = 0; i < n_peers (roster); i++)
+    {
+      const char *incarnation = peer_incarnation (roster, i);
+      if (incarnation)
+        g_ptr_array_add (roster->sent, g_strndup (incarnation, HZB_ROSTER_NAME_CHARS));
+    }
+  hzb_roster_encode (roster->sent, flush_record);
 }
 
 void
@@ -111,12 +112,12 @@
 {
   evidence->has_flush_record = roster->has_flush_record;
   evidence->has_roster = roster->recorded != NULL;
-  evidence->self_on_roster = names (roster->recorded, roster->node->incarnation);
+  evidence->self_on_roster = has_process (roster->recorded, roster->node->incarnation);
   evidence->all_peers_heard = TRUE;
   for (guint i = 0; i < roster->node->settings->peers->len; i++)
     {
-      const char *process = peer_process (roster, i);
-      evidence->all_peers_heard = evidence->all_peers_heard && process;
-      evidence->peer_on_roster = evidence->peer_on_roster || names (roster->recorded, process);
+      const char *incarnation = peer_incarnation (roster, i);
+      evidence->all_peers_heard = evidence->all_peers_heard && incarnation;
+      evidence->peer_on_roster = evidence->peer_on_roster || has_process (roster->recorded, incarnation);
     }
 }
