--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -1,31 +1,15 @@
-#include "quarantine.h"
+/* Tasks that no record names: which there are, and the verdict on each. */
+#include "quarantine-private.h"
 
-#include "kv-protocol.h"
-#include "reconciliation-codec.h"
-#include "record-keys.h"
-#include "worker-protocol.h"
-
-/* A transaction without an answer may be carried out so long after it was sent, and clocks drift a little. */
-#define LATE_WRITE_S 12.0
-#define LATE_WRITE_SLACK_S 3.0
 #define MOST_ENTRIES 4096u
-#define MOST_READS 8u      /* of old ends, at a time */
-#define MOST_KEPT 64u      /* tasks: the record has to fit the least value */
-#define RETRY_S 2.0        /* after the key-value store could not be asked */
-#define FORGET_REPORTS 4.0 /* reports that do not come, in a row: the task is not there any more */
+#define FORGET_HEARTBEATS 4.0 /* missed in a row: then the task is not there any more */
 
-struct _HzbQuarantine
-{
-  HzbQuarantineDependencies dependencies;
-  GHashTable *entries; /* name -> HzbQuarantined */
-  GHashTable *kept;    /* "JOB/NUMBER" */
-  guint64 kept_version;
-  gboolean syncing, writing;
-  guint reading, overflow;
-  struct timespec next_proof;
-};
+/* ---- the state of a proof ---- */
 
-static const char *const proof_names[] = { "waiting", "syncing", "reading", "absent", "over" };
+static const char *const proof_names[HZB_PROOF_N_STATES] = {
+  [HZB_PROOF_WAITING] = "waiting", [HZB_PROOF_SYNCING] = "syncing", [HZB_PROOF_READING] = "reading",
+  [HZB_PROOF_ABSENT] = "absent",   [HZB_PROOF_OVER] = "over",
+};
 
 const char *
 hzb_quarantine_proof_name (HzbQuarantineProof proof)
@@ -33,11 +17,10 @@
   return proof_names[proof];
 }
 
-/* Allowed: waiting -> syncing -> reading -> absent or over; syncing and reading -> waiting where nothing was learnt. */
-static void
-set_proof (HzbQuarantined *entry, HzbQuarantineProof to)
+void
+hzb_quarantine_set_proof (HzbQuarantined *entry, HzbQuarantineProof to)
 {
-  static const guint legal[] = {
+  static const guint legal[HZB_PROOF_N_STATES] = {
     [HZB_PROOF_WAITING] = 1 << HZB_PROOF_SYNCING,
     [HZB_PROOF_SYNCING] = 1 << HZB_PROOF_READING | 1 << HZB_PROOF_WAITING,
     [HZB_PROOF_READING] = 1 << HZB_PROOF_ABSENT | 1 << HZB_PROOF_OVER | 1 << HZB_PROOF_WAITING,
@@ -46,14 +29,19 @@
   };
   if (!(legal[entry->proof] & 1u << to))
     {
-      g_critical ("quarantine: illegal change %s -> %s", proof_names[entry->proof], proof_names[to]);
+      g_critical (
+          "quarantine: illegal change %s -> %s for task %s/%u; the proof stays as it is. This is a fault of the "
+          "program: report it with this log",
+          proof_names[entry->proof], proof_names[to], entry->uid, entry->task);
       return;
     }
   entry->proof = to;
 }
 
+/* ---- life ---- */
+
 static void
-entry_free (gpointer data)
+quarantined_free (gpointer data)
 {
   HzbQuarantined *entry = data;
   g_free (entry->uid);
@@ -66,7 +54,7 @@
 {
   HzbQuarantine *quarantine = g_new0 (HzbQuarantine, 1);
   quarantine->dependencies = *dependencies;
-  quarantine->entries = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, entry_free);
+  quarantine->entries = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, quarantined_free);
   quarantine->kept = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return quarantine;
 }
@@ -89,37 +77,34 @@
   quarantine->reading = quarantine->overflow = 0;
 }
 
-void
-hzb_quarantine_load (HzbQuarantine *quarantine, const HzbKvEntry *item)
-{
-  g_autoptr (GError) error = NULL;
-
-  quarantine->kept_version = item->version;
-  if (!hzb_kept_decode (item->value, quarantine->kept, &error))
-    g_warning ("reconciliation: the record of kept tasks can't be read and counts for nothing: %s", error->message);
-}
+/* ---- entries ---- */
 
+/* Each attempt of a task on each machine is an entry of its own. */
 static char *
-kept_name (const char *uid, guint task)
+entry_name (const HzbMachine *machine, const HzbTaskStatus *task_status)
 {
-  return g_strdup_printf ("%s/%u", uid, task);
+  return g_strdup_printf ("%s/%u %" G_GUINT64_FORMAT " %s", task_status->uid, task_status->task, task_status->attempt,
+                          machine->name);
 }
 
-gboolean
-hzb_quarantine_is_kept (const HzbQuarantine *quarantine, const HzbQuarantined *entry)
+static HzbQuarantined *
+quarantined_new (const HzbMachine *machine, const HzbTaskStatus *task_status, struct timespec now)
 {
-  g_autofree char *name = kept_name (entry->uid, entry->task);
-  return g_hash_table_contains (quarantine->kept, name);
+  HzbQuarantined *entry = g_new0 (HzbQuarantined, 1);
+  entry->uid = g_strdup (task_status->uid);
+  entry->machine = g_strdup (machine->name);
+  entry->task = task_status->task;
+  entry->attempt = task_status->attempt;
+  entry->first_seen = now;
+  return entry;
 }
 
-/* ---- verdicts ---- */
-
+/* Returns: (nullable): NULL if there is no room; such a task is left alone. */
 static HzbQuarantined *
 find_or_add (HzbQuarantine *quarantine, const HzbMachine *machine, const HzbTaskStatus *task_status,
              struct timespec now)
 {
-  g_autofree char *name = g_strdup_printf ("%s/%u %" G_GUINT64_FORMAT " %s", task_status->uid, task_status->task,
-                                           task_status->attempt, machine->name);
+  g_autofree char *name = entry_name (machine, task_status);
   HzbQuarantined *entry = g_hash_table_lookup (quarantine->entries, name);
 
   if (entry)
@@ -129,33 +114,79 @@
       quarantine->overflow++;
       return NULL;
     }
-  entry = g_new0 (HzbQuarantined, 1);
-  entry->uid = g_strdup (task_status->uid);
-  entry->machine = g_strdup (machine->name);
-  entry->task = task_status->task;
-  entry->attempt = task_status->attempt;
-  entry->first_seen = now;
-  g_message ("reconciliation: %s reports task %s/%u, which no record names: it is left alone until that is proven",
-             machine->name, entry->uid, entry->task);
+  entry = quarantined_new (machine, task_status, now);
+  g_message (
+      "reconciliation: %s reports task %s/%u, which no record names: the task is left alone until that is proven",
+      machine->name, entry->uid, entry->task);
   g_hash_table_insert (quarantine->entries, g_steal_pointer (&name), entry);
   return entry;
 }
 
+static gint
+by_name (gconstpointer a, gconstpointer b)
+{
+  const HzbQuarantined *x = *(HzbQuarantined *const *) a, *y = *(HzbQuarantined *const *) b;
+  int order = g_strcmp0 (x->uid, y->uid);
+  return order ? order : (x->task > y->task) - (x->task < y->task);
+}
+
+GPtrArray *
+hzb_quarantine_list (HzbQuarantine *quarantine)
+{
+  GPtrArray *list = g_ptr_array_new ();
+  GHashTableIter iter;
+  gpointer value;
+
+  g_hash_table_iter_init (&iter, quarantine->entries);
+  while (g_hash_table_iter_next (&iter, NULL, &value))
+    g_ptr_array_add (list, value);
+  g_ptr_array_sort (list, by_name);
+  return list;
+}
+
+guint
+hzb_quarantine_overflow (const HzbQuarantine *quarantine)
+{
+  return quarantine->overflow;
+}
+
+/* ---- verdicts ---- */
+
+static HzbRecordEvidence
+record_evidence (HzbQuarantineProof proof)
+{
+  switch (proof)
+    {
+    case HZB_PROOF_ABSENT:
+      return HZB_RECORD_ABSENT;
+    case HZB_PROOF_OVER:
+      return HZB_RECORD_OVER;
+    default:
+      return HZB_RECORD_ABSENT_UNPROVEN;
+    }
+}
+
+static HzbOperatorDecision
+operator_decision (const HzbQuarantine *quarantine, const HzbQuarantined *entry)
+{
+  if (hzb_quarantine_is_kept (quarantine, entry))
+    return HZB_OPERATOR_KEEPS;
+  return entry->stop_requested ? HZB_OPERATOR_STOPS : HZB_OPERATOR_SILENT;
+}
+
 static HzbTaskEvidence
 evidence_of (const HzbQuarantine *quarantine, const HzbQuarantined *entry, struct timespec now)
 {
-  const HzbReconciliationSettings *settings = &quarantine->dependencies.node->settings->reconciliation;
-  HzbTaskEvidence evidence = { .standing = HZB_STANDING_NOWHERE, .job_decided = TRUE };
-
-  evidence.record = entry->proof == HZB_PROOF_ABSENT ? HZB_RECORD_ABSENT
-                    : entry->proof == HZB_PROOF_OVER ? HZB_RECORD_OVER
-                                                     : HZB_RECORD_ABSENT_UNPROVEN;
-  evidence.shown = entry->alive ? HZB_SHOWN_ALIVE : HZB_SHOWN_ENDED;
-  evidence.operator_decision = hzb_quarantine_is_kept (quarantine, entry) ? HZB_OPERATOR_KEEPS
-                               : entry->stop_requested                    ? HZB_OPERATOR_STOPS
-                                                                          : HZB_OPERATOR_SILENT;
-  evidence.operator_time_over = hzb_time_between (entry->first_seen, now) > settings->operator_s;
-  return evidence;
+  double operator_s = quarantine->dependencies.node->settings->reconciliation.operator_s;
+
+  return (HzbTaskEvidence){
+    .record = record_evidence (entry->proof),
+    .standing = HZB_STANDING_NOWHERE,
+    .shown = entry->alive ? HZB_SHOWN_ALIVE : HZB_SHOWN_ENDED,
+    .job_decided = TRUE,
+    .operator_decision = operator_decision (quarantine, entry),
+    .operator_time_over = hzb_time_between (entry->first_seen, now) > operator_s,
+  };
 }
 
 HzbTaskVerdict
@@ -183,107 +214,33 @@
   return entry->verdict;
 }
 
-/* ---- proofs ---- */
-
-static void
-on_old_end_read (HzbKvResult result, const char *body, gpointer user)
-{
-  HzbEpochCall *epoch_call = user;
-  HzbQuarantine *quarantine = epoch_call->module;
-  g_autofree char *name = epoch_call->data;
-  HzbQuarantined *entry = NULL;
-
-  if (hzb_epoch_call_is_current (epoch_call))
-    {
-      quarantine->reading--;
-      entry = g_hash_table_lookup (quarantine->entries, name);
-    }
-  g_free (epoch_call);
-  if (!entry || entry->proof != HZB_PROOF_READING)
-    return;
-  /* It may have come while the old place was read; then it is ordinary work. */
-  if (hzb_jobs_find (quarantine->dependencies.jobs, entry->uid))
-    set_proof (entry, HZB_PROOF_WAITING);
-  else if (result == HZB_KV_NOT_FOUND)
-    set_proof (entry, HZB_PROOF_ABSENT);
-  else
-    set_proof (entry, result == HZB_KV_OK ? HZB_PROOF_OVER : HZB_PROOF_WAITING);
-}
-
-static void
-read_old_end (HzbQuarantine *quarantine, const char *name, HzbQuarantined *entry)
-{
-  g_autofree char *key = g_strconcat (HZB_KEY_ARCHIVED, entry->uid, NULL);
-
-  set_proof (entry, HZB_PROOF_READING);
-  quarantine->reading++;
-  hzb_kv_client_get (quarantine->dependencies.kv, HZB_KV_READ, key, on_old_end_read,
-                     hzb_epoch_call_new (quarantine->dependencies.ownership, quarantine, g_strdup (name)));
-}
+/* ---- over time ---- */
 
+/* The task counts as running where it was seen, until the machine's next heartbeat shows what has become of it. */
 static void
-on_synced (gboolean fresh, gpointer user)
+adopt (HzbQuarantine *quarantine, const HzbQuarantined *entry, HzbTask *task, HzbMachine *machine)
 {
-  HzbEpochCall *epoch_call = user;
-  HzbQuarantine *quarantine = epoch_call->module;
-  gboolean current = hzb_epoch_call_is_current (epoch_call);
-  GHashTableIter iter;
-  gpointer name, value;
-
-  g_free (epoch_call);
-  if (!current)
-    return;
-  quarantine->syncing = FALSE;
-  g_hash_table_iter_init (&iter, quarantine->entries);
-  while (g_hash_table_iter_next (&iter, &name, &value))
-    {
-      HzbQuarantined *entry = value;
-      if (entry->proof != HZB_PROOF_SYNCING)
-        continue;
-      if (fresh && !hzb_jobs_find (quarantine->dependencies.jobs, entry->uid) && quarantine->reading < MOST_READS)
-        read_old_end (quarantine, name, entry);
-      else
-        set_proof (entry, HZB_PROOF_WAITING);
-    }
+  HzbJobs *jobs = quarantine->dependencies.jobs;
+  HzbJob *job = task->job;
+
+  g_message ("reconciliation: the record of %s came late; task %u goes on on %s", entry->uid, entry->task,
+             entry->machine);
+  if (task->state == HZB_TASK_QUEUED)
+    hzb_task_set_state (jobs, task, HZB_TASK_PENDING, NULL);
+  task->attempt = entry->attempt;
+  job->next_attempt = MAX (job->next_attempt, entry->attempt);
+  hzb_task_set_state (jobs, task, HZB_TASK_RUNNING, machine);
 }
 
-/* One request brings the replica of the records up to the moment for all that have waited long enough. */
-static void
-prove_some (HzbQuarantine *quarantine, struct timespec now)
-{
-  GHashTableIter iter;
-  gpointer value;
-  guint n = 0;
-
-  if (quarantine->syncing || quarantine->reading || hzb_time_before (now, quarantine->next_proof))
-    return;
-  g_hash_table_iter_init (&iter, quarantine->entries);
-  while (n < MOST_READS && g_hash_table_iter_next (&iter, NULL, &value))
-    {
-      HzbQuarantined *entry = value;
-      if (entry->proof != HZB_PROOF_WAITING
-          || hzb_time_between (entry->first_seen, now) < LATE_WRITE_S + LATE_WRITE_SLACK_S)
-        continue;
-      set_proof (entry, HZB_PROOF_SYNCING);
-      n++;
-    }
-  if (!n)
-    return;
-  quarantine->syncing = TRUE;
-  quarantine->next_proof = hzb_time_plus (now, RETRY_S);
-  hzb_kv_replica_sync (quarantine->dependencies.kv_replica, on_synced,
-                       hzb_epoch_call_new (quarantine->dependencies.ownership, quarantine, NULL));
-}
-
-/* Guards against a task that starts elsewhere although a machine has it: its job's acceptance was carried out late. It
- * counts as being there until the machine's next report, which is the next to show what has become of it. */
+/* A transaction that accepts a job may be carried out late. Without the adoption the job's tasks would start elsewhere although a
+ * machine already runs one of them. */
 static gboolean
 adopt_if_recorded (gpointer name, gpointer value, gpointer user)
 {
-  const HzbQuarantineDependencies *uses = &((HzbQuarantine *) user)->dependencies;
+  HzbQuarantine *quarantine = user;
   const HzbQuarantined *entry = value;
-  HzbJob *job = hzb_jobs_find (uses->jobs, entry->uid);
-  HzbMachine *machine = hzb_machines_find (uses->machines, entry->machine);
+  HzbJob *job = hzb_jobs_find (quarantine->dependencies.jobs, entry->uid);
+  HzbMachine *machine = hzb_machines_find (quarantine->dependencies.machines, entry->machine);
   HzbTask *task;
 
   if (!job || job->state != HZB_JOB_ACCEPTED || !job->tasks || entry->task >= job->n_tasks)
@@ -291,15 +248,7 @@
   task = &job->tasks[entry->task];
   if (machine && machine->state == HZB_MACHINE_ACTIVE
       && (task->state == HZB_TASK_PENDING || task->state == HZB_TASK_QUEUED))
-    {
-      g_message ("reconciliation: the record of %s came late; task %u goes on on %s", entry->uid, entry->task,
-                 entry->machine);
-      if (task->state == HZB_TASK_QUEUED)
-        hzb_task_set_state (uses->jobs, task, HZB_TASK_PENDING, NULL);
-      task->attempt = entry->attempt;
-      job->next_attempt = MAX (job->next_attempt, entry->attempt);
-      hzb_task_set_state (uses->jobs, task, HZB_TASK_RUNNING, machine);
-    }
+    adopt (quarantine, entry, task, machine);
   return TRUE;
 }
 
@@ -308,12 +257,12 @@
 {
   const HzbQuarantine *quarantine = user;
   const HzbQuarantined *entry = value;
-  const HzbSettings *settings = quarantine->dependencies.node->settings;
-  double silent = hzb_time_between (entry->last_seen, hzb_clock_now (quarantine->dependencies.node->clock));
+  const HzbNode *node = quarantine->dependencies.node;
+  double silent_s = hzb_time_between (entry->last_seen, hzb_clock_now (node->clock));
 
   if (entry->proof == HZB_PROOF_SYNCING || entry->proof == HZB_PROOF_READING)
     return FALSE;
-  return silent > MAX (settings->lease_s, FORGET_REPORTS * settings->heartbeat_interval_s);
+  return silent_s > MAX (node->settings->lease_s, FORGET_HEARTBEATS * node->settings->heartbeat_interval_s);
 }
 
 void
@@ -323,169 +272,5 @@
     return;
   g_hash_table_foreach_remove (quarantine->entries, adopt_if_recorded, quarantine);
   g_hash_table_foreach_remove (quarantine->entries, is_gone, quarantine);
-  prove_some (quarantine, now);
-}
-
-/* ---- operators ---- */
-
-typedef struct
-{
-  GHashTable *kept; /* as it is once this is durable */
-  HzbKeepFunc done;
-  gpointer user;
-} KeepCall;
-
-static void
-keep_call_free (KeepCall *call)
-{
-  g_hash_table_unref (call->kept);
-  g_free (call);
-}
-
-static void
-on_kept (HzbKvResult result, const char *body, gpointer user)
-{
-  HzbEpochCall *epoch_call = user;
-  HzbQuarantine *quarantine = epoch_call->module;
-  KeepCall *call = epoch_call->data;
-  gboolean current = hzb_epoch_call_is_current (epoch_call);
-  HzbKeepResult outcome = HZB_KEEP_UNAVAILABLE;
-
-  g_free (epoch_call);
-  if (current)
-    quarantine->writing = FALSE;
-  if (result == HZB_KV_OK)
-    outcome = HZB_KEEP_DONE;
-  else if (result == HZB_KV_CONFLICT)
-    outcome = HZB_KEEP_CONFLICT;
-  if (current && result == HZB_KV_OK)
-    {
-      hzb_kv_commit_decode (body, &quarantine->kept_version, NULL);
-      g_hash_table_unref (quarantine->kept);
-      quarantine->kept = g_hash_table_ref (call->kept);
-    }
-  call->done (outcome, call->user);
-  keep_call_free (call);
-}
-
-static GHashTable *
-copy_of_kept (const HzbQuarantine *quarantine)
-{
-  GHashTable *copy = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  GHashTableIter iter;
-  gpointer name;
-  g_hash_table_iter_init (&iter, quarantine->kept);
-  while (g_hash_table_iter_next (&iter, &name, NULL))
-    g_hash_table_add (copy, g_strdup (name));
-  return copy;
-}
-
-static void
-write_kept (HzbQuarantine *quarantine, GHashTable *kept, HzbKeepFunc done, gpointer user)
-{
-  const HzbQuarantineDependencies *uses = &quarantine->dependencies;
-  KeepCall *call = g_new0 (KeepCall, 1);
-  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
-
-  call->kept = kept;
-  call->done = done;
-  call->user = user;
-  quarantine->writing = TRUE;
-  hzb_election_add_condition (uses->election, transaction);
-  hzb_kv_transaction_compare (transaction, HZB_KEY_RECONCILIATION_KEPT, quarantine->kept_version);
-  hzb_kv_transaction_put (transaction, HZB_KEY_RECONCILIATION_KEPT, hzb_kept_encode (kept), 0);
-  hzb_kv_client_commit (uses->kv, HZB_KV_RECORD, transaction, on_kept,
-                        hzb_epoch_call_new (uses->ownership, quarantine, call));
-}
-
-/* All attempts of the task, on whatever machines. Returns: how many there are; *proven: no record names it, or will. */
-static guint
-mark_stop_requested (HzbQuarantine *quarantine, const char *uid, guint task, gboolean stop, gboolean *proven)
-{
-  GHashTableIter iter;
-  gpointer value;
-  guint n = 0;
-
-  *proven = TRUE;
-  g_hash_table_iter_init (&iter, quarantine->entries);
-  while (g_hash_table_iter_next (&iter, NULL, &value))
-    {
-      HzbQuarantined *entry = value;
-      if (!g_str_equal (entry->uid, uid) || entry->task != task)
-        continue;
-      *proven = *proven && entry->proof >= HZB_PROOF_ABSENT;
-      entry->stop_requested = stop;
-      n++;
-    }
-  return n;
-}
-
-void
-hzb_quarantine_decide (HzbQuarantine *quarantine, const char *uid, guint task, HzbOperatorDecision decision,
-                       HzbKeepFunc done, gpointer user)
-{
-  g_autofree char *name = kept_name (uid, task);
-  gboolean stop = decision == HZB_OPERATOR_STOPS, proven;
-  gboolean kept = g_hash_table_contains (quarantine->kept, name);
-  GHashTable *next;
-
-  if (quarantine->writing)
-    {
-      done (HZB_KEEP_BUSY, user);
-      return;
-    }
-  if (!mark_stop_requested (quarantine, uid, task, FALSE, &proven) && !kept)
-    {
-      done (HZB_KEEP_NOT_FOUND, user);
-      return;
-    }
-  if (stop && !proven)
-    {
-      done (HZB_KEEP_NOT_PROVEN, user);
-      return;
-    }
-  mark_stop_requested (quarantine, uid, task, stop, &proven);
-  if (kept != stop)
-    {
-      done (HZB_KEEP_DONE, user); /* nothing durable changes */
-      return;
-    }
-  if (!stop && g_hash_table_size (quarantine->kept) >= MOST_KEPT)
-    {
-      done (HZB_KEEP_TOO_MANY, user);
-      return;
-    }
-  next = copy_of_kept (quarantine);
-  if (stop)
-    g_hash_table_remove (next, name);
-  else
-    g_hash_table_add (next, g_steal_pointer (&name));
-  write_kept (quarantine, next, done, user);
-}
-
-static gint
-by_name (gconstpointer a, gconstpointer b)
-{
-  const HzbQuarantined *x = *(HzbQuarantined *const *) a, *y = *(HzbQuarantined *const *) b;
-  int order = g_strcmp0 (x->uid, y->uid);
-  return order ? order : (x->task > y->task) - (x->task < y->task);
-}
-
-GPtrArray *
-hzb_quarantine_list (HzbQuarantine *quarantine)
-{
-  GPtrArray *list = g_ptr_array_new ();
-  GHashTableIter iter;
-  gpointer value;
-  g_hash_table_iter_init (&iter, quarantine->entries);
-  while (g_hash_table_iter_next (&iter, NULL, &value))
-    g_ptr_array_add (list, value);
-  g_ptr_array_sort (list, by_name);
-  return list;
-}
-
-guint
-hzb_quarantine_overflow (const HzbQuarantine *quarantine)
-{
-  return quarantine->overflow;
+  hzb_quarantine_prove (quarantine, now);
 }
--- a/src/reconciliation/quarantine.h
+++ b/src/reconciliation/quarantine.h
@@ -26,7 +26,8 @@
   HZB_PROOF_SYNCING, /* the replica of the records is brought up to the moment */
   HZB_PROOF_READING, /* the place of old ends is read */
   HZB_PROOF_ABSENT,  /* no record names it */
-  HZB_PROOF_OVER     /* its job ended long ago */
+  HZB_PROOF_OVER,    /* its job ended long ago */
+  HZB_PROOF_N_STATES
 } HzbQuarantineProof;
 
 /** HzbQuarantined: one task on one machine. */
