--- a/src/reconciliation/archive-store.c
+++ b/src/reconciliation/archive-store.c
@@ -1,24 +1,18 @@
 #include "archive-store.h"
 
+#include "archive-codec.h"
 #include "json.h"
 #include "kv-protocol.h"
 #include "user-protocol.h"
 
 #define KEY_ARCHIVES "hzb/o/reconciliations/"
 #define KEY_INDEX KEY_ARCHIVES "index"
-#define PART_OF_VALUE 0.85 /* of what a value may have: the rest is JSON around it */
-#define TXN_BYTES 40000u
-#define INDEX_BYTES 64u /* of an entry */
-#define MOST_PARTS 9999
+#define PART_OF_VALUE 0.85 /* how much of the largest value a part may fill: the rest is the JSON around it */
+#define TRANSACTION_BYTES 40000u
+#define INDEX_ENTRY_BYTES 64u
 
-/* One archive that is kept. */
-typedef struct
-{
-  guint64 id;
-  guint parts;
-} IndexEntry;
-
-/* The writing of one archive: first its parts, then the index, with the removal of those that it does not name. */
+/* Writing one archive: first its parts, then the index, which is read before it is changed. The transaction that changes the index removes
+ * the parts of archives that are not kept any more. Writing the same archive again is harmless. */
 typedef struct
 {
   guint64 id;
@@ -26,7 +20,7 @@
   guint written;
   gboolean index_known;
   guint64 index_version;
-  GArray *index; /* IndexEntry, oldest first */
+  GArray *index; /* HzbArchiveIndexEntry, oldest first */
   HzbArchiveWritten done;
   gpointer user;
 } WriteCall;
@@ -56,42 +50,6 @@
   return g_strdup_printf (KEY_ARCHIVES "%020" G_GUINT64_FORMAT "/%04u", id, part);
 }
 
-/* ---- the index ---- */
-
-static GArray *
-index_decode (const cJSON *value)
-{
-  GArray *index = g_array_new (FALSE, TRUE, sizeof (IndexEntry));
-  const cJSON *item;
-
-  cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (value, "archives"))
-    {
-      IndexEntry entry = { hzb_json_u64 (item, "id"),
-                           (guint) CLAMP (hzb_json_number (item, "parts", 0), 0, MOST_PARTS) };
-      if (entry.id)
-        g_array_append_val (index, entry);
-    }
-  return index;
-}
-
-static cJSON *
-index_encode (const GArray *index)
-{
-  cJSON *value = cJSON_CreateObject (), *list;
-
-  cJSON_AddNumberToObject (value, "format", HZB_RECONCILIATION_FORMAT);
-  list = cJSON_AddArrayToObject (value, "archives");
-  for (guint i = 0; i < index->len; i++)
-    {
-      const IndexEntry *entry = &g_array_index (index, IndexEntry, i);
-      cJSON *item = cJSON_CreateObject ();
-      hzb_json_add_u64 (item, "id", entry->id);
-      cJSON_AddNumberToObject (item, "parts", entry->parts);
-      cJSON_AddItemToArray (list, item);
-    }
-  return value;
-}
-
 /* ---- writing ---- */
 
 static void
@@ -121,7 +79,7 @@
       write_call_finish (epoch_call, FALSE);
       return;
     }
-  call->index = index_decode (item.value);
+  call->index = hzb_archive_index_decode (item.value);
   call->index_version = item.version;
   call->index_known = TRUE;
   hzb_kv_entry_clear (&item);
@@ -159,43 +117,38 @@
     {
       const char *text = call->parts->pdata[call->written];
       g_autofree char *key = part_key (call->id, call->written);
-      cJSON *value;
-      if (bytes && bytes + strlen (text) > TXN_BYTES)
+      if (bytes && bytes + strlen (text) > TRANSACTION_BYTES)
         break;
       bytes += strlen (text);
-      value = cJSON_CreateObject ();
-      cJSON_AddStringToObject (value, "data", text);
-      cJSON_AddNumberToObject (value, "of", call->parts->len);
-      hzb_kv_transaction_put (transaction, key, value, 0);
+      hzb_kv_transaction_put (transaction, key, hzb_archive_part_encode (text, call->parts->len), 0);
     }
   hzb_kv_client_commit (uses->kv, HZB_KV_RECORD, transaction, on_part_written, epoch_call);
 }
 
-/* The oldest goes once there are too many; what doesn't fit this transaction goes with the next archive. */
+/* Puts the archive last. An earlier leader may have written more parts of it: then those are removed with it one day. */
 static void
-write_index (HzbEpochCall *epoch_call)
+add_to_index (WriteCall *call)
 {
-  const HzbArchiveStoreDependencies *uses = &((HzbArchiveStore *) epoch_call->module)->dependencies;
-  const HzbSettings *settings = uses->node->settings;
-  WriteCall *call = epoch_call->data;
-  IndexEntry added = { call->id, call->parts->len };
-  guint keep = (guint) MIN (settings->reconciliation.keep, settings->kv_value_kb * 1024 / INDEX_BYTES);
-  guint room = settings->kv_txn_ops - 1;
-  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
+  HzbArchiveIndexEntry added = { call->id, call->parts->len };
 
   for (guint i = call->index->len; i-- > 0;)
-    if (g_array_index (call->index, IndexEntry, i).id == call->id)
-      {
-        /* An earlier leader may have written more parts of it. */
-        added.parts = MAX (added.parts, g_array_index (call->index, IndexEntry, i).parts);
-        g_array_remove_index (call->index, i);
-      }
+    {
+      const HzbArchiveIndexEntry *entry = &g_array_index (call->index, HzbArchiveIndexEntry, i);
+      if (entry->id != call->id)
+        continue;
+      added.parts = MAX (added.parts, entry->parts);
+      g_array_remove_index (call->index, i);
+    }
   g_array_append_val (call->index, added);
-  hzb_election_add_condition (uses->election, transaction);
-  hzb_kv_transaction_compare (transaction, KEY_INDEX, call->index_version);
+}
+
+/* Removes the oldest archives while there are more than @keep. What does not fit into this transaction goes with the next archive. */
+static void
+drop_oldest (WriteCall *call, guint keep, guint room, HzbKvTransaction *transaction)
+{
   while (call->index->len > keep && room)
     {
-      IndexEntry *oldest = &g_array_index (call->index, IndexEntry, 0);
+      HzbArchiveIndexEntry *oldest = &g_array_index (call->index, HzbArchiveIndexEntry, 0);
       for (; oldest->parts && room; room--)
         {
           g_autofree char *key = part_key (oldest->id, --oldest->parts);
@@ -205,7 +158,22 @@
         break;
       g_array_remove_index (call->index, 0);
     }
-  hzb_kv_transaction_put (transaction, KEY_INDEX, index_encode (call->index), 0);
+}
+
+static void
+write_index (HzbEpochCall *epoch_call)
+{
+  const HzbArchiveStoreDependencies *uses = &((HzbArchiveStore *) epoch_call->module)->dependencies;
+  const HzbSettings *settings = uses->node->settings;
+  WriteCall *call = epoch_call->data;
+  guint keep = (guint) MIN (settings->reconciliation.keep, settings->kv_value_kb * 1024 / INDEX_ENTRY_BYTES);
+  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
+
+  add_to_index (call);
+  hzb_election_add_condition (uses->election, transaction);
+  hzb_kv_transaction_compare (transaction, KEY_INDEX, call->index_version);
+  drop_oldest (call, keep, settings->kv_txn_ops - 1, transaction);
+  hzb_kv_transaction_put (transaction, KEY_INDEX, hzb_archive_index_encode (call->index), 0);
   hzb_kv_client_commit (uses->kv, HZB_KV_RECORD, transaction, on_index_written, epoch_call);
 }
 
@@ -246,8 +214,9 @@
 typedef struct
 {
   HzbArchiveStore *store;
-  guint64 id;      /* 0: the list */
-  guint parts, of; /* read so far; that there are */
+  guint64 id;  /* 0: the list is read */
+  guint parts; /* read so far */
+  guint of;    /* how many there are, as the first part says */
   GString *text;
   HzbArchiveRead done;
   gpointer user;
@@ -261,23 +230,6 @@
   g_free (call);
 }
 
-static char *
-print_and_free (cJSON *root)
-{
-  char *text = cJSON_PrintUnformatted (root);
-  cJSON_Delete (root);
-  return text;
-}
-
-static void
-finish_archive (ReadCall *call)
-{
-  cJSON *root = cJSON_CreateObject ();
-  hzb_json_add_u64 (root, "id", call->id);
-  cJSON_AddStringToObject (root, "archive", call->text->str);
-  read_call_finish (call, 200, print_and_free (root));
-}
-
 static void on_part_read (HzbKvResult result, const char *body, gpointer user);
 
 static void
@@ -299,15 +251,15 @@
     read_call_finish (call, 503, hzb_error_response_encode ("the state service can't be asked"));
   else
     {
-      const char *data = hzb_json_text (item.value, "data");
-      g_string_append (call->text, data ? data : "");
+      guint of;
+      g_string_append (call->text, hzb_archive_part_decode (item.value, &of));
       if (!call->parts++)
-        call->of = (guint) CLAMP (hzb_json_number (item.value, "of", 1), 1, MOST_PARTS);
+        call->of = of;
       hzb_kv_entry_clear (&item);
       if (call->parts < call->of)
         read_part (call);
       else
-        finish_archive (call);
+        read_call_finish (call, 200, hzb_archive_response_encode (call->id, call->text->str));
     }
 }
 
@@ -323,9 +275,9 @@
       read_call_finish (call, 503, hzb_error_response_encode ("the state service can't be asked"));
       return;
     }
-  index = index_decode (item.value);
+  index = hzb_archive_index_decode (item.value);
   hzb_kv_entry_clear (&item);
-  read_call_finish (call, 200, print_and_free (index_encode (index)));
+  read_call_finish (call, 200, hzb_json_print (hzb_archive_index_encode (index)));
 }
 
 static ReadCall *
--- /dev/null
+++ b/src/reconciliation/reconciliation-admin-codec.c
@@ -0,0 +1,161 @@
+#include "reconciliation-admin-codec.h"
+
+#include "json.h"
+#include "reconciliation-private.h"
+
+/* ---- the state ---- */
+
+/* An awaited machine is returned once its lease and two seconds are over; its tasks may run until the cloud confirms the return. */
+static double
+until_return_s (const HzbReconciliation *reconciliation, const HzbMachine *machine)
+{
+  const HzbNode *node = reconciliation->dependencies.node;
+  double in_state_s = hzb_time_between (machine->since, hzb_clock_now (node->clock));
+  return MAX (0, node->settings->lease_s + 2 - in_state_s);
+}
+
+static void
+add_awaited_machines (const HzbReconciliation *reconciliation, cJSON *root)
+{
+  cJSON *list = cJSON_AddArrayToObject (root, "awaited");
+
+  for (guint i = 0; i < reconciliation->machines->len; i++)
+    {
+      const HzbArchivedMachine *archived = &g_array_index (reconciliation->machines, HzbArchivedMachine, i);
+      const HzbMachine *machine =
+          archived->at_s < 0 ? hzb_machines_find (reconciliation->dependencies.machines, archived->name) : NULL;
+      cJSON *item;
+      if (!machine)
+        continue;
+      item = cJSON_CreateObject ();
+      cJSON_AddStringToObject (item, "name", machine->name);
+      cJSON_AddStringToObject (item, "state", hzb_machine_state_name (machine->state));
+      cJSON_AddNumberToObject (item, "forS", until_return_s (reconciliation, machine));
+      cJSON_AddItemToArray (list, item);
+    }
+}
+
+/* One row for each verdict and reason that was given. */
+static void
+add_verdict_count (cJSON *list, const char *verdict, const char *reason, const char *unit, guint n)
+{
+  cJSON *item;
+
+  if (!n)
+    return;
+  item = cJSON_CreateObject ();
+  cJSON_AddStringToObject (item, "verdict", verdict);
+  cJSON_AddStringToObject (item, "reason", reason);
+  cJSON_AddNumberToObject (item, unit, n);
+  cJSON_AddItemToArray (list, item);
+}
+
+static void
+add_job_verdicts (const HzbReconciliation *reconciliation, cJSON *root)
+{
+  guint counts[HZB_JOB_N_VERDICTS][HZB_JOB_N_REASONS] = { { 0 } };
+  cJSON *list = cJSON_AddArrayToObject (root, "jobs");
+  GHashTableIter iter;
+  gpointer value;
+
+  g_hash_table_iter_init (&iter, reconciliation->tracked);
+  while (g_hash_table_iter_next (&iter, NULL, &value))
+    {
+      const HzbVerdictEntry *entry = &((const HzbTrackedJob *) value)->entry;
+      counts[entry->verdict][entry->reason]++;
+    }
+  for (guint verdict = 0; verdict < HZB_JOB_N_VERDICTS; verdict++)
+    for (guint reason = 0; reason < HZB_JOB_N_REASONS; reason++)
+      add_verdict_count (list, hzb_job_verdict_name ((HzbJobVerdict) verdict),
+                         hzb_job_reason_name ((HzbJobReason) reason), "jobs", counts[verdict][reason]);
+}
+
+static void
+add_task_verdicts (const HzbReconciliation *reconciliation, cJSON *root)
+{
+  cJSON *list = cJSON_AddArrayToObject (root, "tasks");
+
+  for (guint verdict = 0; verdict < HZB_TASK_N_VERDICTS; verdict++)
+    for (guint reason = 0; reason < HZB_TASK_N_REASONS; reason++)
+      add_verdict_count (list, hzb_task_verdict_name ((HzbTaskVerdict) verdict),
+                         hzb_task_reason_name ((HzbTaskReason) reason), "times",
+                         reconciliation->verdicts[verdict][reason]);
+}
+
+static void
+add_quarantine (const HzbReconciliation *reconciliation, cJSON *root)
+{
+  g_autoptr (GPtrArray) entries = hzb_quarantine_list (reconciliation->quarantine);
+  cJSON *list = cJSON_AddArrayToObject (root, "quarantine");
+
+  for (guint i = 0; i < entries->len; i++)
+    {
+      const HzbQuarantined *entry = entries->pdata[i];
+      cJSON *item = cJSON_CreateObject ();
+      cJSON_AddStringToObject (item, "job", entry->uid);
+      cJSON_AddNumberToObject (item, "task", entry->task);
+      cJSON_AddStringToObject (item, "machine", entry->machine);
+      cJSON_AddBoolToObject (item, "alive", entry->alive);
+      cJSON_AddStringToObject (item, "proof", hzb_quarantine_proof_name (entry->proof));
+      cJSON_AddStringToObject (item, "verdict", hzb_task_verdict_name (entry->verdict));
+      cJSON_AddStringToObject (item, "reason", hzb_task_reason_name (entry->reason));
+      cJSON_AddItemToArray (list, item);
+    }
+  cJSON_AddNumberToObject (root, "notTracked", hzb_quarantine_overflow (reconciliation->quarantine));
+}
+
+char *
+hzb_reconciliation_state_encode (HzbReconciliation *reconciliation)
+{
+  cJSON *root = cJSON_CreateObject ();
+  cJSON_AddBoolToObject (root, "enabled", hzb_reconciliation_enabled (reconciliation));
+  cJSON_AddStringToObject (root, "state", hzb_reconciliation_state_name (reconciliation->state));
+  cJSON_AddStringToObject (root, "reason", hzb_start_reason_name (reconciliation->start_reason));
+  hzb_json_add_u64 (root, "id", reconciliation->record.id);
+  cJSON_AddNumberToObject (root, "starts", reconciliation->record.starts);
+  cJSON_AddNumberToObject (root, "undecided", reconciliation->open);
+  cJSON_AddNumberToObject (root, "notDurable", reconciliation->unrecorded);
+  cJSON_AddBoolToObject (root, "paced", reconciliation->pacing.active);
+  add_job_verdicts (reconciliation, root);
+  add_task_verdicts (reconciliation, root);
+  add_awaited_machines (reconciliation, root);
+  add_quarantine (reconciliation, root);
+  return hzb_json_print (root);
+}
+
+void
+hzb_reconciliation_metrics_encode (HzbReconciliation *reconciliation, cJSON *metrics)
+{
+  g_autoptr (GPtrArray) quarantined = hzb_quarantine_list (reconciliation->quarantine);
+  cJSON *item = cJSON_AddObjectToObject (metrics, "reconciliation");
+
+  cJSON_AddStringToObject (item, "state", hzb_reconciliation_state_name (reconciliation->state));
+  cJSON_AddNumberToObject (item, "undecided", reconciliation->open);
+  cJSON_AddNumberToObject (item, "notDurable", reconciliation->unrecorded);
+  cJSON_AddNumberToObject (item, "quarantined", quarantined->len);
+}
+
+/* ---- decisions ---- */
+
+gboolean
+hzb_reconciliation_decision_decode (const char *body, gsize length, HzbOperatorDecision *decision)
+{
+  cJSON *root = cJSON_ParseWithLength (body, length);
+  const char *text = hzb_json_text (root, "decision");
+  gboolean known = TRUE;
+
+  if (g_strcmp0 (text, "keep") == 0)
+    *decision = HZB_OPERATOR_KEEPS;
+  else if (g_strcmp0 (text, "stop") == 0)
+    *decision = HZB_OPERATOR_STOPS;
+  else
+    known = FALSE;
+  cJSON_Delete (root);
+  return known;
+}
+
+char *
+hzb_reconciliation_decided_encode (void)
+{
+  return g_strdup ("{\"decided\":true}");
+}
