--- a/src/reconciliation/archive-store.c
+++ b/src/reconciliation/archive-store.c
@@ -17,10 +17,9 @@
 {
   guint64 id;
   GPtrArray *parts; /* char*, base 64 */
-  guint written;
-  gboolean index_known;
+  guint written;    /* parts that were sent */
   guint64 index_version;
-  GArray *index; /* HzbArchiveIndexEntry, oldest first */
+  GArray *index; /* (nullable) HzbArchiveIndexEntry, oldest first; NULL until it was read */
   HzbArchiveWritten done;
   gpointer user;
 } WriteCall;
@@ -81,7 +80,6 @@
     }
   call->index = hzb_archive_index_decode (item.value);
   call->index_version = item.version;
-  call->index_known = TRUE;
   hzb_kv_entry_clear (&item);
   write_next (epoch_call);
 }
@@ -185,7 +183,7 @@
 
   if (call->written < call->parts->len)
     write_parts (epoch_call);
-  else if (!call->index_known)
+  else if (!call->index)
     hzb_kv_client_get (uses->kv, HZB_KV_RECORD, KEY_INDEX, on_index_read, epoch_call);
   else
     write_index (epoch_call);
--- a/src/reconciliation/archive.h
+++ b/src/reconciliation/archive.h
@@ -2,9 +2,9 @@
  * SECTION: archive
  * @short_description: what a reconciliation found and decided, for operators
  *
- * An archive is a header of 8 bytes ("HZBREC" and the format as two decimal digits) and a zstd frame with a checksum, in
- * which is a JSON document; docs/operating-cold-start.md describes it. Nothing that decides reads archives: one that is
- * damaged, or of a later version, is an error for whoever wants to see it, and nothing else.
+ * A packed archive is a header of 8 bytes ("HZBREC" and the format as two decimal digits) and a zstd frame with a checksum, which
+ * holds a JSON document; docs/operating-cold-start.md describes it. No decision rests on an archive: a damaged one, or one of a
+ * later version, is an error for whoever wants to see it, and nothing else.
  */
 #pragma once
 #include "reconciliation-codec.h"
@@ -12,71 +12,95 @@
 /** HZB_ARCHIVE_SECONDS: commands are counted by second for so long. */
 #define HZB_ARCHIVE_SECONDS 60u
 
+/** HzbArchiveKind: what is counted in each second. */
 typedef enum
 {
-  HZB_ARCHIVE_STARTS,
-  HZB_ARCHIVE_STOPS,
-  HZB_ARCHIVE_REAPS,
-  HZB_ARCHIVE_RENTALS, /* machines */
-  HZB_ARCHIVE_N_KINDS
+  HZB_ARCHIVE_STARTS,  /**< commands to start a task */
+  HZB_ARCHIVE_STOPS,   /**< commands to stop a task */
+  HZB_ARCHIVE_REAPS,   /**< commands to forget an ended task */
+  HZB_ARCHIVE_RENTALS, /**< machines that were asked for */
+  HZB_ARCHIVE_N_KINDS  /**< how many kinds there are */
 } HzbArchiveKind;
 
+/** hzb_archive_kind_name: Returns: the kind's name in archives */
 const char *hzb_archive_kind_name (HzbArchiveKind kind);
 
-/** HzbArchivedJob: */
+/** HzbArchivedJob: the verdict on a job. */
 typedef struct
 {
-  HzbVerdictEntry entry;
-  guint tasks, released; /* as recorded when it began */
-  double at_s;           /* when its verdict was durable, since the beginning */
+  HzbVerdictEntry entry; /**< the verdict */
+  guint tasks;           /**< how many it has */
+  guint released;        /**< its mark when the reconciliation began */
+  double at_s;           /**< when the verdict was durable, in seconds since the beginning */
 } HzbArchivedJob;
 
-/** HzbArchivedMachine: one that may have held work. */
+/** HzbArchivedMachine: a machine that may have held work. */
 typedef struct
 {
-  char *name, *fate;
-  double at_s; /* when it was accounted for; below 0: it was not */
+  char *name;  /**< of the machine */
+  char *fate;  /**< "awaited", "answered", "lease over" or "gone" */
+  double at_s; /**< when it was accounted for, in seconds since the beginning; below 0: it was not */
 } HzbArchivedMachine;
 
-/** HzbArchivedTask: one that no record named. */
+/** HzbArchivedTask: a task that no record named. */
 typedef struct
 {
-  char *name, *machine, *verdict, *reason;
+  char *name;    /**< "JOB/NUMBER" */
+  char *machine; /**< that reported it */
+  char *verdict; /**< the last one, as text */
+  char *reason;  /**< of the verdict, as text */
 } HzbArchivedTask;
 
-/** HzbArchive: */
+/** HzbArchive: a reconciliation. */
 typedef struct
 {
-  guint64 id, term;
-  guint starts;
-  double began; /* seconds of the time of day */
-  char *reason; /* why it was taken for a cold start */
-  double complete_s;
-  guint omitted_jobs, omitted_machines; /* beyond what an archive holds */
-  GArray *jobs;                         /* HzbArchivedJob */
-  GArray *machines;                     /* HzbArchivedMachine */
-  GArray *quarantine;                   /* HzbArchivedTask */
-  guint commands[HZB_ARCHIVE_N_KINDS][HZB_ARCHIVE_SECONDS];
+  guint64 id;                                               /**< of the reconciliation: the term in which it began */
+  guint64 term;                                             /**< in which it was completed */
+  guint starts;                                             /**< how many cold starts it spans */
+  double began;                                             /**< seconds of the time of day */
+  char *reason;                                             /**< why it was taken for a cold start */
+  double complete_s;                                        /**< how long it took */
+  guint omitted_jobs;                                       /**< beyond what an archive holds */
+  guint omitted_machines;                                   /**< beyond what an archive holds */
+  GArray *jobs;                                             /**< (element-type HzbArchivedJob) */
+  GArray *machines;                                         /**< (element-type HzbArchivedMachine) */
+  GArray *quarantine;                                       /**< (element-type HzbArchivedTask) */
+  guint commands[HZB_ARCHIVE_N_KINDS][HZB_ARCHIVE_SECONDS]; /**< given in each of the first seconds */
 } HzbArchive;
 
 /** hzb_archived_machines_new: Returns: (transfer full) (element-type HzbArchivedMachine): an empty list */
 GArray *hzb_archived_machines_new (void);
 
+/** hzb_archive_new: Returns: (transfer full): an empty archive */
 HzbArchive *hzb_archive_new (void);
+
+/** hzb_archive_free: frees the archive and all that it holds. */
 void hzb_archive_free (HzbArchive *archive);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbArchive, hzb_archive_free)
 
-/** hzb_archive_add_job: takes a copy, unless the archive is full. */
+/** hzb_archive_add_job: takes a copy, or counts the job as omitted if the archive is full. */
 void hzb_archive_add_job (HzbArchive *archive, const HzbArchivedJob *job);
+
+/** hzb_archive_add_machine: adds the machine, or counts it as omitted if the archive is full. */
 void hzb_archive_add_machine (HzbArchive *archive, const char *name, const char *fate, double at_s);
+
+/** hzb_archive_add_task: adds a task that no record named. */
 void hzb_archive_add_task (HzbArchive *archive, const char *name, const char *machine, const char *verdict,
                            const char *reason);
 
 /** hzb_archive_pack: Returns: (transfer full): the compressed form */
 GBytes *hzb_archive_pack (const HzbArchive *archive);
 
-/** hzb_archive_unpack: Returns: (transfer full) (nullable): NULL, with an error, if it is damaged or of a later version */
+/**
+ * hzb_archive_unpack: Returns: (transfer full) (nullable): %NULL, with HZB_RECONCILIATION_ERROR_DAMAGED or
+ * HZB_RECONCILIATION_ERROR_FUTURE_FORMAT, if the archive can't be read
+ */
 HzbArchive *hzb_archive_unpack (GBytes *bytes, GError **error);
 
-/** hzb_archive_read_file: of a packed archive, or of an answer of the administration API that holds one. */
+/**
+ * hzb_archive_read_file:
+ * @path: of a packed archive, or of a response of the administration API that holds one
+ *
+ * Returns: (transfer full) (nullable): %NULL, with an error of the file system or as of hzb_archive_unpack()
+ */
 HzbArchive *hzb_archive_read_file (const char *path, GError **error);
--- a/src/reconciliation/quarantine.h
+++ b/src/reconciliation/quarantine.h
@@ -2,9 +2,10 @@
  * SECTION: quarantine
  * @short_description: tasks that workers report and no record names
  *
- * Such a task is left alone until it is proven that no record names it: the acceptance may be carried out late, and the
- * record of a job that ended long ago lies elsewhere. Then an operator has time to decide. Used by the leader, in every
- * leadership while reconciliation is switched on, so that what an operator keeps stays kept after a change of leader.
+ * Such a task is left alone until it is proven that no record names it: the transaction that accepts its job may be carried out
+ * late, and the record of a job that ended long ago lies elsewhere. Then an operator has time to decide. The leader uses
+ * the quarantine in every leadership while reconciliation is switched on, so that a task that an operator keeps stays kept after a
+ * change of leader.
  */
 #pragma once
 #include "election.h"
@@ -17,45 +18,53 @@
 #include "verdicts.h"
 #include "worker-protocol.h"
 
+/** HzbQuarantine: the tasks that no record names. */
 typedef struct _HzbQuarantine HzbQuarantine;
 
-/** HzbQuarantineProof: how far it is proven that no record names a task. */
+/**
+ * HzbQuarantineProof: how far it is proven that no record names a task.
+ *
+ * Allowed: waiting -> syncing -> reading -> absent or over; syncing and reading -> waiting where nothing was learnt.
+ */
 typedef enum
 {
-  HZB_PROOF_WAITING, /* a late acceptance could still be carried out */
-  HZB_PROOF_SYNCING, /* the replica of the records is brought up to the moment */
-  HZB_PROOF_READING, /* the place of old ends is read */
-  HZB_PROOF_ABSENT,  /* no record names it */
-  HZB_PROOF_OVER,    /* its job ended long ago */
-  HZB_PROOF_N_STATES
+  HZB_PROOF_WAITING, /**< a late acceptance could still be carried out */
+  HZB_PROOF_SYNCING, /**< the replica of the records is being brought up to date */
+  HZB_PROOF_READING, /**< the archived completion of the job is being read */
+  HZB_PROOF_ABSENT,  /**< no record names the task */
+  HZB_PROOF_OVER,    /**< the job ended long ago */
+  HZB_PROOF_N_STATES /**< how many states there are */
 } HzbQuarantineProof;
 
-/** HzbQuarantined: one task on one machine. */
+/** HzbQuarantined: one attempt of a task on one machine. */
 typedef struct
 {
-  char *uid, *machine;
-  guint task;
-  guint64 attempt;
-  gboolean alive;           /* as last reported */
-  HzbQuarantineProof proof; /* changed by set_proof() in quarantine.c only */
-  gboolean stop_requested;  /* by an operator */
-  struct timespec first_seen, last_seen;
-  HzbTaskVerdict verdict;
-  HzbTaskReason reason;
+  char *uid;                  /**< of the job */
+  char *machine;              /**< that reports the task */
+  guint task;                 /**< its number in the job */
+  guint64 attempt;            /**< the number of the attempt */
+  gboolean alive;             /**< as last reported */
+  HzbQuarantineProof proof;   /**< changed by hzb_quarantine_set_proof() only */
+  gboolean stop_requested;    /**< an operator wants the task stopped */
+  struct timespec first_seen; /**< when it was first reported */
+  struct timespec last_seen;  /**< when it was last reported */
+  HzbTaskVerdict verdict;     /**< the last one */
+  HzbTaskReason reason;       /**< of the last verdict */
 } HzbQuarantined;
 
 /** HzbKeepResult: what became of an operator's decision. */
 typedef enum
 {
-  HZB_KEEP_DONE,        /* it is durable, or needs not be */
-  HZB_KEEP_NOT_FOUND,   /* no such task is in quarantine */
-  HZB_KEEP_NOT_PROVEN,  /* a record may still come */
-  HZB_KEEP_TOO_MANY,    /* as many are kept as fit the record */
-  HZB_KEEP_CONFLICT,    /* the decisions were changed meanwhile, or another leads */
-  HZB_KEEP_UNAVAILABLE, /* the key-value store can't be asked, or the answer was lost */
-  HZB_KEEP_BUSY         /* another decision is on its way */
+  HZB_KEEP_DONE,        /**< the decision is durable, or needs not be */
+  HZB_KEEP_NOT_FOUND,   /**< no such task is in quarantine */
+  HZB_KEEP_NOT_PROVEN,  /**< a record may still come */
+  HZB_KEEP_TOO_MANY,    /**< as many tasks are kept as fit the record */
+  HZB_KEEP_CONFLICT,    /**< the decisions were changed meanwhile, or another node leads */
+  HZB_KEEP_UNAVAILABLE, /**< the key-value store can't be asked, or its response was lost */
+  HZB_KEEP_BUSY         /**< another decision is being recorded */
 } HzbKeepResult;
 
+/** HzbKeepFunc: told once what became of a decision. */
 typedef void (*HzbKeepFunc) (HzbKeepResult result, gpointer user);
 
 /** HzbQuarantineDependencies: what the module works with. Nothing is owned; all have to outlive the module. */
@@ -72,31 +81,45 @@
 
 /** hzb_quarantine_new: @dependencies: copied. Returns: (transfer full) */
 HzbQuarantine *hzb_quarantine_new (const HzbQuarantineDependencies *dependencies);
+
+/** hzb_quarantine_free: no response to a request of the module may come afterwards. */
 void hzb_quarantine_free (HzbQuarantine *quarantine);
 
-/** hzb_quarantine_reset: leadership begins or ends. */
+/** hzb_quarantine_reset: forgets all tasks and decisions; called when leadership begins or ends. */
 void hzb_quarantine_reset (HzbQuarantine *quarantine);
 
-/** hzb_quarantine_load: the operators' decisions, as recorded. */
+/** hzb_quarantine_load: @item: the record of the tasks that operators want kept. An unreadable one counts for nothing. */
 void hzb_quarantine_load (HzbQuarantine *quarantine, const HzbKvEntry *item);
 
-/** hzb_quarantine_judge: a report of the machine shows a task that no record here names. */
+/**
+ * hzb_quarantine_judge: a heartbeat of the machine shows a task that no record here names.
+ * @reason: (out): of the verdict
+ *
+ * Returns: what is to be done with the task
+ */
 HzbTaskVerdict hzb_quarantine_judge (HzbQuarantine *quarantine, const HzbMachine *machine,
                                      const HzbTaskStatus *task_status, struct timespec now, HzbTaskReason *reason);
 
-/** hzb_quarantine_tick: goes on with proofs, and forgets what is not reported any more. */
+/** hzb_quarantine_tick: goes on with proofs, and forgets tasks that are not reported any more. */
 void hzb_quarantine_tick (HzbQuarantine *quarantine, struct timespec now);
 
-/** hzb_quarantine_list: Returns: (transfer container) (element-type HzbQuarantined): in the order of names */
+/** hzb_quarantine_list: Returns: (transfer container) (element-type HzbQuarantined): in the order of jobs and tasks */
 GPtrArray *hzb_quarantine_list (HzbQuarantine *quarantine);
 
-/** hzb_quarantine_overflow: reports of tasks beyond what is kept track of; they are left alone. */
+/** hzb_quarantine_overflow: Returns: how many reports were of tasks beyond those that are tracked; such tasks are left alone */
 guint hzb_quarantine_overflow (const HzbQuarantine *quarantine);
 
-/** hzb_quarantine_decide: an operator wants the task kept, or stopped. @done is called once. */
+/**
+ * hzb_quarantine_decide: an operator wants the task kept, or stopped.
+ * @uid: of the job
+ * @decision: to keep or to stop
+ * @done: called once, perhaps before this function returns
+ */
 void hzb_quarantine_decide (HzbQuarantine *quarantine, const char *uid, guint task, HzbOperatorDecision decision,
                             HzbKeepFunc done, gpointer user);
 
-/** hzb_quarantine_is_kept: an operator wants it kept. */
+/** hzb_quarantine_is_kept: Returns: whether an operator wants the task kept */
 gboolean hzb_quarantine_is_kept (const HzbQuarantine *quarantine, const HzbQuarantined *entry);
+
+/** hzb_quarantine_proof_name: Returns: the name of the proof's state in the administration API */
 const char *hzb_quarantine_proof_name (HzbQuarantineProof proof);
--- a/src/reconciliation/reconciliation-codec.c
+++ b/src/reconciliation/reconciliation-codec.c
@@ -3,9 +3,9 @@
 #include "json.h"
 #include "user-protocol.h"
 
-#define ENTRY_BYTES 48u /* of a verdict, beside the job's id */
+#define ENTRY_BYTES 48u /* of a verdict on a page, beside the job's id */
 
-/* Positions in a verdict's row. */
+/* A verdict is an array on its page, so that more of them fit; these are the positions in it. */
 enum
 {
   ROW_VERDICT,
@@ -43,6 +43,14 @@
   return format == HZB_RECONCILIATION_FORMAT || malformed (error, "no format is stated");
 }
 
+guint64
+hzb_reconciliation_value_term (const cJSON *value)
+{
+  return hzb_json_u64 (value, "term");
+}
+
+/* ---- the record ---- */
+
 cJSON *
 hzb_reconciliation_record_encode (const HzbReconciliationRecord *record)
 {
@@ -69,6 +77,8 @@
   return TRUE;
 }
 
+/* ---- pages of verdicts ---- */
+
 static void
 entry_clear (gpointer data)
 {
@@ -89,21 +99,10 @@
   return strlen (entry->uid) + ENTRY_BYTES;
 }
 
-cJSON *
-hzb_verdict_page_new (guint64 id, guint64 term)
-{
-  cJSON *page = cJSON_CreateObject ();
-  cJSON_AddNumberToObject (page, "format", HZB_RECONCILIATION_FORMAT);
-  hzb_json_add_u64 (page, "id", id);
-  hzb_json_add_u64 (page, "term", term);
-  cJSON_AddObjectToObject (page, "jobs");
-  return page;
-}
-
-void
-hzb_verdict_page_add (cJSON *page, const HzbVerdictEntry *entry)
+static void
+add_row (cJSON *jobs, const HzbVerdictEntry *entry)
 {
-  cJSON *row = cJSON_AddArrayToObject (cJSON_GetObjectItemCaseSensitive (page, "jobs"), entry->uid);
+  cJSON *row = cJSON_AddArrayToObject (jobs, entry->uid);
   cJSON_AddItemToArray (row, cJSON_CreateString (hzb_job_verdict_name (entry->verdict)));
   cJSON_AddItemToArray (row, cJSON_CreateNumber (entry->reason));
   cJSON_AddItemToArray (row, cJSON_CreateNumber (entry->found));
@@ -111,6 +110,20 @@
   cJSON_AddItemToArray (row, cJSON_CreateNumber (entry->restarted));
 }
 
+cJSON *
+hzb_verdict_page_encode (guint64 id, guint64 term, const GPtrArray *entries)
+{
+  cJSON *page = cJSON_CreateObject (), *jobs;
+
+  cJSON_AddNumberToObject (page, "format", HZB_RECONCILIATION_FORMAT);
+  hzb_json_add_u64 (page, "id", id);
+  hzb_json_add_u64 (page, "term", term);
+  jobs = cJSON_AddObjectToObject (page, "jobs");
+  for (guint i = 0; i < entries->len; i++)
+    add_row (jobs, entries->pdata[i]);
+  return page;
+}
+
 static gboolean
 row_number (const cJSON *row, int at, double most, guint *number)
 {
@@ -166,11 +179,7 @@
   return g_steal_pointer (&entries);
 }
 
-guint64
-hzb_reconciliation_value_term (const cJSON *value)
-{
-  return hzb_json_u64 (value, "term");
-}
+/* ---- the roster ---- */
 
 void
 hzb_roster_encode (const GPtrArray *processes, cJSON *flush_record)
@@ -196,6 +205,8 @@
   return processes;
 }
 
+/* ---- kept tasks ---- */
+
 cJSON *
 hzb_kept_encode (GHashTable *kept)
 {
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -306,24 +306,12 @@
 
 /* ---- parts that others use ---- */
 
-HzbQuarantine *
-hzb_reconciliation_quarantine (HzbReconciliation *reconciliation)
-{
-  return reconciliation->quarantine;
-}
-
 HzbStartPacing *
 hzb_reconciliation_pacing (HzbReconciliation *reconciliation)
 {
   return &reconciliation->pacing;
 }
 
-HzbArchiveStore *
-hzb_reconciliation_archives (HzbReconciliation *reconciliation)
-{
-  return reconciliation->archives;
-}
-
 /* A leader puts itself on the roster only once it is durable that it began a cold start. If it ended before that, the
  * next leader would take it for a controller that survived, and would see a change of leader. */
 static gboolean
--- a/src/reconciliation/recorder.c
+++ b/src/reconciliation/recorder.c
@@ -47,11 +47,11 @@
 static cJSON *
 page_encode (const HzbReconciliation *reconciliation, const HzbVerdictPage *page)
 {
-  cJSON *value = hzb_verdict_page_new (reconciliation->record.id, reconciliation->record.term);
+  g_autoptr (GPtrArray) entries = g_ptr_array_new ();
 
   for (guint i = 0; i < page->jobs->len; i++)
-    hzb_verdict_page_add (value, &((const HzbTrackedJob *) page->jobs->pdata[i])->entry);
-  return value;
+    g_ptr_array_add (entries, &((HzbTrackedJob *) page->jobs->pdata[i])->entry);
+  return hzb_verdict_page_encode (reconciliation->record.id, reconciliation->record.term, entries);
 }
 
 /* Puts decided jobs on as many pages as one transaction takes. */
--- a/src/reconciliation/roster.c
+++ b/src/reconciliation/roster.c
@@ -2,9 +2,6 @@
 
 #include "reconciliation-codec.h"
 
-/* So that the record fits the smallest value. Larger clusters lose nothing: one survivor among so many names is evidence enough. */
-#define MOST_NAMES 90u
-
 void
 hzb_roster_init (HzbRoster *roster, const HzbNode *node, HzbPeers *peers)
 {
@@ -47,7 +44,7 @@
 static guint
 n_peers (const HzbRoster *roster)
 {
-  return MIN (roster->node->settings->peers->len, MOST_NAMES - 1);
+  return MIN (roster->node->settings->peers->len, HZB_ROSTER_MOST_PROCESSES - 1);
 }
 
 /* Returns: (nullable): NULL if the peer was not heard lately. */
--- a/tests/test-reconciliation.c
+++ b/tests/test-reconciliation.c
@@ -279,15 +279,16 @@
 {
   HzbReconciliationRecord record = { 7, 9, 2, 1.7e9 }, read = { 0 };
   HzbVerdictEntry entry = { (char *) "run-000001", HZB_JOB_VERDICT_RESUME, HZB_JOB_REASON_ACCOUNTED, 3, 2, 1 };
-  cJSON *value = stored (hzb_reconciliation_record_encode (&record)), *page = hzb_verdict_page_new (7, 9);
+  cJSON *value = stored (hzb_reconciliation_record_encode (&record)), *page;
+  g_autoptr (GPtrArray) written = g_ptr_array_new ();
   g_autoptr (GArray) entries = NULL;
   const HzbVerdictEntry *back;
   guint64 id = 0;
 
   g_assert_true (hzb_reconciliation_record_decode (value, &read, NULL));
   g_assert_true (read.id == 7 && read.term == 9 && read.starts == 2);
-  hzb_verdict_page_add (page, &entry);
-  page = stored (page);
+  g_ptr_array_add (written, &entry);
+  page = stored (hzb_verdict_page_encode (7, 9, written));
   entries = hzb_verdict_page_decode (page, &id, NULL);
   g_assert_cmpuint (id, ==, 7);
   back = &g_array_index (entries, HzbVerdictEntry, 0);
