--- a/src/reconciliation/archive.c
+++ b/src/reconciliation/archive.c
@@ -12,7 +12,12 @@
 #define MOST_UNPACKED_BYTES (16u * 1024 * 1024) /* no archive that this program wrote is larger */
 #define COMPRESSION_LEVEL 9
 
-static const char *const kind_names[HZB_ARCHIVE_N_KINDS] = { "starts", "stops", "reaps", "rentals" };
+static const char *const kind_names[HZB_ARCHIVE_N_KINDS] = {
+  [HZB_ARCHIVE_STARTS] = "starts",
+  [HZB_ARCHIVE_STOPS] = "stops",
+  [HZB_ARCHIVE_REAPS] = "reaps",
+  [HZB_ARCHIVE_SCALE_OUTS] = "rentals",
+};
 
 const char *
 hzb_archive_kind_name (HzbArchiveKind kind)
--- a/src/reconciliation/archive.h
+++ b/src/reconciliation/archive.h
@@ -15,11 +15,11 @@
 /** HzbArchiveKind: what is counted in each second. */
 typedef enum
 {
-  HZB_ARCHIVE_STARTS,  /**< commands to start a task */
-  HZB_ARCHIVE_STOPS,   /**< commands to stop a task */
-  HZB_ARCHIVE_REAPS,   /**< commands to forget an ended task */
-  HZB_ARCHIVE_RENTALS, /**< machines that were asked for */
-  HZB_ARCHIVE_N_KINDS  /**< how many kinds there are */
+  HZB_ARCHIVE_STARTS,     /**< commands to start a task */
+  HZB_ARCHIVE_STOPS,      /**< commands to stop a task */
+  HZB_ARCHIVE_REAPS,      /**< commands to forget an ended task */
+  HZB_ARCHIVE_SCALE_OUTS, /**< machines that were asked for */
+  HZB_ARCHIVE_N_KINDS     /**< how many kinds there are */
 } HzbArchiveKind;
 
 /** hzb_archive_kind_name: Returns: the kind's name in archives */
--- a/src/reconciliation/command-gate.c
+++ b/src/reconciliation/command-gate.c
@@ -127,5 +127,5 @@
 void
 hzb_reconciliation_note_scale_out (HzbReconciliation *reconciliation, guint machines)
 {
-  count (reconciliation, HZB_ARCHIVE_RENTALS, machines);
+  count (reconciliation, HZB_ARCHIVE_SCALE_OUTS, machines);
 }
--- a/src/reconciliation/recorder.c
+++ b/src/reconciliation/recorder.c
@@ -34,15 +34,6 @@
 
 /* ---- pages ---- */
 
-static HzbVerdictPage *
-page_new (HzbReconciliation *reconciliation)
-{
-  HzbVerdictPage *page = g_new0 (HzbVerdictPage, 1);
-  page->key = g_strdup_printf (HZB_KEY_RECONCILIATION_VERDICTS "%06u", reconciliation->next_page++);
-  page->jobs = g_ptr_array_new ();
-  return page;
-}
-
 /* The verdicts on a page do not change while their jobs are in the phase "sent", so each attempt writes the same bytes. */
 static cJSON *
 page_encode (const HzbReconciliation *reconciliation, const HzbVerdictPage *page)
@@ -54,13 +45,24 @@
   return hzb_verdict_page_encode (reconciliation->record.id, reconciliation->record.term, entries);
 }
 
+/* The number of a page is used once. */
+static HzbVerdictPage *
+add_page (HzbReconciliation *reconciliation)
+{
+  HzbVerdictPage *page = g_new0 (HzbVerdictPage, 1);
+  page->key = g_strdup_printf (HZB_KEY_RECONCILIATION_VERDICTS "%06u", reconciliation->next_page++);
+  page->jobs = g_ptr_array_new ();
+  g_ptr_array_add (reconciliation->in_flight, page);
+  return page;
+}
+
 /* Puts decided jobs on as many pages as one transaction takes. */
 static void
 fill_pages (HzbReconciliation *reconciliation)
 {
   const HzbSettings *settings = reconciliation->dependencies.node->settings;
-  gsize page_bytes = (gsize) (PART_OF_VALUE * settings->kv_value_kb * 1024), bytes = 0, total = 0;
-  guint room = MAX (1, settings->kv_txn_ops - 1);
+  gsize most_on_page = (gsize) (PART_OF_VALUE * settings->kv_value_kb * 1024), on_page = 0, in_transaction = 0;
+  guint most_pages = MAX (1, settings->kv_txn_ops - 1);
   HzbVerdictPage *page = NULL;
   GHashTableIter iter;
   gpointer value;
@@ -69,23 +71,20 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       HzbTrackedJob *tracked = value;
-      gsize entry_bytes = hzb_verdict_entry_bytes (&tracked->entry);
+      gsize bytes = hzb_verdict_entry_bytes (&tracked->entry);
       if (tracked->phase != HZB_PHASE_DECIDED)
         continue;
-      if (page && bytes + entry_bytes > page_bytes)
-        page = NULL;
-      if (!page && (reconciliation->in_flight->len >= room || total + entry_bytes > TRANSACTION_BYTES))
-        return;
-      if (!page)
+      if (!page || on_page + bytes > most_on_page)
         {
-          page = page_new (reconciliation);
-          g_ptr_array_add (reconciliation->in_flight, page);
-          bytes = 0;
+          if (reconciliation->in_flight->len >= most_pages || in_transaction + bytes > TRANSACTION_BYTES)
+            return;
+          page = add_page (reconciliation);
+          on_page = 0;
         }
       g_ptr_array_add (page->jobs, tracked);
       hzb_reconciliation_set_phase (reconciliation, tracked, HZB_PHASE_SENT);
-      bytes += entry_bytes;
-      total += entry_bytes;
+      on_page += bytes;
+      in_transaction += bytes;
     }
 }
 
--- a/src/reconciliation/report.c
+++ b/src/reconciliation/report.c
@@ -5,7 +5,7 @@
 #define PLOT_WIDTH 720
 #define PLOT_HEIGHT 140
 #define BAR_WIDTH (PLOT_WIDTH / (int) HZB_ARCHIVE_SECONDS)
-#define LONGEST_LIST 200u /* rows of a table; the archive has all */
+#define LONGEST_LIST 200u /* rows of a table; the archive has all jobs */
 
 /* ---- what both show ---- */
 
@@ -34,7 +34,7 @@
   return highest;
 }
 
-/* When the first and the last verdict were durable; below 0: there is none. */
+/* When the first and the last verdict became durable, in seconds after the beginning; below 0 if there is none. */
 static void
 verdict_times (const HzbArchive *archive, double *first_s, double *last_s)
 {
@@ -119,7 +119,7 @@
 
 /* ---- as a page ---- */
 
-/* Names come from users and machines. */
+/* Names of jobs and machines come from outside and may hold markup. */
 static void
 append_escaped (GString *out, const char *text)
 {
@@ -194,12 +194,12 @@
 static void
 append_text_lists (GString *out, const HzbArchive *archive)
 {
-  g_autoptr (GString) run_queues = g_string_new (NULL);
-  text_lists (run_queues, archive);
-  if (!run_queues->len)
+  g_autoptr (GString) lists = g_string_new (NULL);
+  text_lists (lists, archive);
+  if (!lists->len)
     return;
   g_string_append (out, "<h2>What is left to look at</h2>\n<pre>");
-  append_escaped (out, run_queues->str);
+  append_escaped (out, lists->str);
   g_string_append (out, "</pre>\n");
 }
 
--- a/src/reconciliation/verdicts.c
+++ b/src/reconciliation/verdicts.c
@@ -9,8 +9,9 @@
   return kind;
 }
 
-/* A roster that names a process which is alive proves that not all have ended. That none is alive is as certain as the
- * silence of peers allows; a wrong "cold" costs time, never safety, since a cold start only withholds commands. */
+/* A roster that names a process which is alive proves that not all controllers have ended. That all have ended can't be proven while a
+ * peer is unresponsive: the peer may be alive behind a partition. A change of leader that is taken for a cold start costs time and
+ * breaks no rule, since a cold start only withholds commands. */
 HzbStartKind
 hzb_start_decide (const HzbStartEvidence *evidence, HzbStartReason *reason)
 {
@@ -35,8 +36,14 @@
 hzb_start_reason_name (HzbStartReason reason)
 {
   static const char *const names[HZB_START_N_REASONS] = {
-    "peers-awaited", "no-earlier-leader", "no-roster",           "self-survived",
-    "peer-survived", "all-ended",         "all-reachable-ended", "unfinished",
+    [HZB_START_REASON_PEERS_AWAITED] = "peers-awaited",
+    [HZB_START_REASON_NO_EARLIER_LEADER] = "no-earlier-leader",
+    [HZB_START_REASON_NO_ROSTER] = "no-roster",
+    [HZB_START_REASON_SELF_SURVIVED] = "self-survived",
+    [HZB_START_REASON_PEER_SURVIVED] = "peer-survived",
+    [HZB_START_REASON_ALL_ENDED] = "all-ended",
+    [HZB_START_REASON_ALL_REACHABLE_ENDED] = "all-reachable-ended",
+    [HZB_START_REASON_UNFINISHED] = "unfinished",
   };
   return names[reason];
 }
@@ -68,14 +75,20 @@
   return job_verdict (reason, HZB_JOB_VERDICT_RESUME, HZB_JOB_REASON_ACCOUNTED);
 }
 
-/* That nothing was released, that a job was cancelled and that it is done are durable by themselves. */
+/* The released mark, a cancellation and the results are on record themselves. What machines have answered is not: the next leader could not
+ * decide the same from it. */
 gboolean
 hzb_job_reason_needs_record (HzbJobReason reason)
 {
   return reason == HZB_JOB_REASON_ALL_FOUND || reason == HZB_JOB_REASON_ACCOUNTED;
 }
 
-static const char *const job_verdict_names[HZB_JOB_N_VERDICTS] = { "hold", "resume", "finish", "cancel" };
+static const char *const job_verdict_names[HZB_JOB_N_VERDICTS] = {
+  [HZB_JOB_VERDICT_HOLD] = "hold",
+  [HZB_JOB_VERDICT_RESUME] = "resume",
+  [HZB_JOB_VERDICT_FINISH] = "finish",
+  [HZB_JOB_VERDICT_CANCEL] = "cancel",
+};
 
 const char *
 hzb_job_verdict_name (HzbJobVerdict verdict)
@@ -99,7 +112,13 @@
 hzb_job_reason_name (HzbJobReason reason)
 {
   static const char *const names[HZB_JOB_N_REASONS] = {
-    "machines-awaited", "barrier", "never-started", "all-found", "accounted", "all-results", "cancelled",
+    [HZB_JOB_REASON_MACHINES_AWAITED] = "machines-awaited",
+    [HZB_JOB_REASON_BARRIER] = "barrier",
+    [HZB_JOB_REASON_NEVER_STARTED] = "never-started",
+    [HZB_JOB_REASON_ALL_FOUND] = "all-found",
+    [HZB_JOB_REASON_ACCOUNTED] = "accounted",
+    [HZB_JOB_REASON_ALL_RESULTS] = "all-results",
+    [HZB_JOB_REASON_CANCELLED] = "cancelled",
   };
   return names[reason];
 }
@@ -113,15 +132,15 @@
   return verdict;
 }
 
-/* What runs is ended, what has ended is forgotten. */
+/* A running task is stopped, an ended one is forgotten. */
 static HzbTaskVerdict
 dispose (const HzbTaskEvidence *evidence, HzbTaskReason *reason, HzbTaskReason why)
 {
   return task_verdict (reason, evidence->shown == HZB_SHOWN_ALIVE ? HZB_TASK_VERDICT_STOP : HZB_TASK_VERDICT_REAP, why);
 }
 
-/* Guards against work that is ended because its record has not come yet: an acceptance may be carried out late, and a
- * job that ended long ago has its record elsewhere. */
+/* A task is not stopped only because this node knows no record of its job: the transaction that accepts the job may be carried out late,
+ * and the record of a job that ended long ago lies elsewhere. */
 static HzbTaskVerdict
 decide_unrecorded (const HzbTaskEvidence *evidence, HzbTaskReason *reason)
 {
@@ -148,7 +167,7 @@
   return task_verdict (reason, HZB_TASK_VERDICT_RESTART, HZB_TASK_REASON_NOWHERE);
 }
 
-/* A command that is not given now costs nothing: the worker shows the task again with its next report. */
+/* A command that is not given now costs nothing: the worker shows the task again with its next heartbeat. */
 static HzbTaskVerdict
 once_decided (const HzbTaskEvidence *evidence, HzbTaskReason *reason, HzbTaskReason why)
 {
@@ -164,7 +183,7 @@
     return decide_unrecorded (evidence, reason);
   if (evidence->shown == HZB_SHOWN_NOT)
     return decide_unshown (evidence, reason);
-  /* The record of the job's end is durable, and cancelled work has to stop in time. */
+  /* This does not wait for the job's verdict: its completion is durable, and cancelled work has to stop in time. */
   if (evidence->record == HZB_RECORD_OVER)
     return dispose (evidence, reason, HZB_TASK_REASON_JOB_OVER);
   if (evidence->standing == HZB_STANDING_DURABLE)
@@ -185,7 +204,11 @@
 const char *
 hzb_task_verdict_name (HzbTaskVerdict verdict)
 {
-  static const char *const names[HZB_TASK_N_VERDICTS] = { "adopt", "await", "restart", "reap", "stop", "quarantine" };
+  static const char *const names[HZB_TASK_N_VERDICTS] = {
+    [HZB_TASK_VERDICT_ADOPT] = "adopt",     [HZB_TASK_VERDICT_AWAIT] = "await",
+    [HZB_TASK_VERDICT_RESTART] = "restart", [HZB_TASK_VERDICT_REAP] = "reap",
+    [HZB_TASK_VERDICT_STOP] = "stop",       [HZB_TASK_VERDICT_QUARANTINE] = "quarantine",
+  };
   return names[verdict];
 }
 
@@ -193,9 +216,19 @@
 hzb_task_reason_name (HzbTaskReason reason)
 {
   static const char *const names[HZB_TASK_N_REASONS] = {
-    "found-running",        "result-found",     "result-durable", "machine-silent", "nowhere",
-    "ended-without-result", "superseded",       "job-over",       "job-undecided",  "record-may-come",
-    "operator-awaited",     "kept-by-operator", "no-record",
+    [HZB_TASK_REASON_FOUND_RUNNING] = "found-running",
+    [HZB_TASK_REASON_RESULT_FOUND] = "result-found",
+    [HZB_TASK_REASON_RESULT_DURABLE] = "result-durable",
+    [HZB_TASK_REASON_MACHINE_SILENT] = "machine-silent",
+    [HZB_TASK_REASON_NOWHERE] = "nowhere",
+    [HZB_TASK_REASON_ENDED_WITHOUT_RESULT] = "ended-without-result",
+    [HZB_TASK_REASON_SUPERSEDED] = "superseded",
+    [HZB_TASK_REASON_JOB_OVER] = "job-over",
+    [HZB_TASK_REASON_JOB_UNDECIDED] = "job-undecided",
+    [HZB_TASK_REASON_RECORD_MAY_COME] = "record-may-come",
+    [HZB_TASK_REASON_OPERATOR_AWAITED] = "operator-awaited",
+    [HZB_TASK_REASON_KEPT_BY_OPERATOR] = "kept-by-operator",
+    [HZB_TASK_REASON_NO_RECORD] = "no-record",
   };
   return names[reason];
 }
