--- a/src/provisioning/cloud-client.h
+++ b/src/provisioning/cloud-client.h
@@ -2,8 +2,8 @@
  * SECTION: cloud-client
  * @short_description: requests to the cloud, within its limit of requests and the most urgent first
  *
- * The client keeps to the request rate in the settings with a token bucket. What exceeds the rate waits in one queue for each
- * priority. Requests are not retried here: the caller sees each status and decides.
+ * The client keeps to the request rate in the settings with a token bucket. What exceeds the rate waits in one queue
+ * for each priority. Requests are not retried here: the caller sees each status and decides.
  */
 #pragma once
 #include "clock.h"
--- a/src/provisioning/cloud-inventory.c
+++ b/src/provisioning/cloud-inventory.c
@@ -1,5 +1,5 @@
-/* The cloud's inventory, read page by page. It shows machines that the leader does not know, machines that failed, and, by
- * what it lacks, machines that are gone. */
+/* The cloud's inventory, read page by page. It shows machines that the leader does not know, machines that failed,
+ * and, by what it lacks, machines that are gone. */
 #include "cloud-protocol.h"
 #include "provisioning-private.h"
 
--- a/src/provisioning/provisioning.h
+++ b/src/provisioning/provisioning.h
@@ -2,9 +2,9 @@
  * SECTION: provisioning
  * @short_description: carries out in the cloud what the autoscaler decides
  *
- * The leader's requests to the cloud: machine types, scale-out, scale-in and the inventory. The autoscaler decides what to rent and
- * which machines to take out of use; this module sends the requests, drains machines before they are returned, and compares
- * the machines that the leader knows with the cloud's inventory.
+ * The leader's requests to the cloud: machine types, scale-out, scale-in and the inventory. The autoscaler decides what
+ * to rent and which machines to take out of use; this module sends the requests, drains machines before they are
+ * returned, and compares the machines that the leader knows with the cloud's inventory.
  *
  * A machine and its tasks are taken for gone only once the cloud has confirmed it: either it answered the return, or a
  * complete inventory that was asked for late enough does not have the machine.
@@ -52,7 +52,7 @@
  * hzb_provisioning_was_scaled_in:
  * @machine: its name
  *
- * Returns: whether the cloud has confirmed in the last 15 minutes that the machine is gone. A heartbeat of such a machine is
- * a late copy.
+ * Returns: whether the cloud has confirmed in the last 15 minutes that the machine is gone. A heartbeat of such a
+ * machine is a late copy.
  */
 gboolean hzb_provisioning_was_scaled_in (HzbProvisioning *provisioning, const char *machine);
--- a/src/provisioning/scale-in.c
+++ b/src/provisioning/scale-in.c
@@ -1,5 +1,5 @@
-/* Scale-in: a machine that is to go takes no new task, is drained, and is then returned to the cloud. It is gone once the cloud has
- * answered the return with 200. */
+/* Scale-in: a machine that is to go takes no new task, is drained, and is then returned to the cloud. It is gone
+ * once the cloud has answered the return with 200. */
 #include "provisioning-private.h"
 
 #define EXPIRED_LEASE_S 12.0   /* a machine whose lease expired has so long to report again */
@@ -63,7 +63,8 @@
   return machine->state == HZB_MACHINE_UNVERIFIED && in_state_s > settings->lease_s + UNVERIFIED_SLACK_S;
 }
 
-/* A one-way partition that ends within the lease costs no machine. A machine that does not hear the leader for longer is useless. */
+/* A one-way partition that ends within the lease costs no machine. A machine that does not hear the leader for
+ * longer is useless. */
 static gboolean
 unreachable_for_too_long (const HzbMachine *machine, const HzbSettings *settings, struct timespec now)
 {
@@ -80,7 +81,8 @@
          || unreachable_for_too_long (machine, settings, now);
 }
 
-/* Replicas of services never end by themselves: they are stopped with the machine's next heartbeat, and start elsewhere. */
+/* Replicas of services never end by themselves: they are stopped with the machine's next heartbeat, and start
+ * elsewhere. */
 static void
 stop_service_replicas (HzbMachine *machine)
 {
--- a/src/provisioning/scale-out.c
+++ b/src/provisioning/scale-out.c
@@ -1,5 +1,6 @@
-/* Scale-out: machines are rented by idempotent requests. The name of a request consists of the leader's term and a number.
- * Terms are used once, so no two requests share a name, and a request without a response is repeated under its own. */
+/* Scale-out: machines are rented by idempotent requests. The name of a request consists of the leader's term and a
+ * number. Terms are used once, so no two requests share a name, and a request without a response is repeated under
+ * its own. */
 #include "cloud-protocol.h"
 #include "provisioning-private.h"
 
--- a/src/reconciliation/archive-codec.h
+++ b/src/reconciliation/archive-codec.h
@@ -1,6 +1,7 @@
 /**
  * SECTION: archive-codec
- * @short_description: the JSON of archives: the document in an archive, its parts in the key-value store, and responses with them
+ * @short_description: the JSON of archives: the document in an archive, its parts in the key-value store, and responses
+ * with them
  *
  * The one place that knows these names; docs/operating-cold-start.md describes the document.
  */
--- a/src/reconciliation/archive-store.c
+++ b/src/reconciliation/archive-store.c
@@ -11,8 +11,9 @@
 #define TRANSACTION_BYTES 40000u
 #define INDEX_ENTRY_BYTES 64u
 
-/* Writing one archive: first its parts, then the index, which is read before it is changed. The transaction that changes the index removes
- * the parts of archives that are not kept any more. Writing the same archive again is harmless. */
+/* Writing one archive: first its parts, then the index, which is read before it is changed. The transaction that
+ * changes the index removes the parts of archives that are not kept any more. Writing the same archive again is
+ * harmless. */
 typedef struct
 {
   guint64 id;
@@ -123,7 +124,8 @@
   hzb_kv_client_commit (uses->kv, HZB_KV_RECORD, transaction, on_part_written, epoch_call);
 }
 
-/* Puts the archive last. An earlier leader may have written more parts of it: then those are removed with it one day. */
+/* Puts the archive last. An earlier leader may have written more parts of it: then those are removed with it one
+ * day. */
 static void
 add_to_index (WriteCall *call)
 {
@@ -140,7 +142,8 @@
   g_array_append_val (call->index, added);
 }
 
-/* Removes the oldest archives while there are more than @keep. What does not fit into this transaction goes with the next archive. */
+/* Removes the oldest archives while there are more than @keep. What does not fit into this transaction goes with the
+ * next archive. */
 static void
 drop_oldest (WriteCall *call, guint keep, guint room, HzbKvTransaction *transaction)
 {
--- a/src/reconciliation/archive-store.h
+++ b/src/reconciliation/archive-store.h
@@ -2,8 +2,8 @@
  * SECTION: archive-store
  * @short_description: archives in the key-value store
  *
- * Archives lie outside of what controllers replicate and of what a new leader reads: an archive is written once, and read when an
- * operator asks for it. The newest archives are kept, as many as the settings say.
+ * Archives lie outside of what controllers replicate and of what a new leader reads: an archive is written once, and
+ * read when an operator asks for it. The newest archives are kept, as many as the settings say.
  */
 #pragma once
 #include "archive.h"
--- a/src/reconciliation/archive.h
+++ b/src/reconciliation/archive.h
@@ -2,9 +2,9 @@
  * SECTION: archive
  * @short_description: what a reconciliation found and decided, for operators
  *
- * A packed archive is a header of 8 bytes ("HZBREC" and the format as two decimal digits) and a zstd frame with a checksum, which
- * holds a JSON document; docs/operating-cold-start.md describes it. No decision rests on an archive: a damaged one, or one of a
- * later version, is an error for whoever wants to see it, and nothing else.
+ * A packed archive is a header of 8 bytes ("HZBREC" and the format as two decimal digits) and a zstd frame with a
+ * checksum, which holds a JSON document; docs/operating-cold-start.md describes it. No decision rests on an archive: a
+ * damaged one, or one of a later version, is an error for whoever wants to see it, and nothing else.
  */
 #pragma once
 #include "reconciliation-codec.h"
--- a/src/reconciliation/command-gate.c
+++ b/src/reconciliation/command-gate.c
@@ -1,5 +1,6 @@
-/* What other modules may do now: which commands go to workers, whether machines may be rented. Commands are only withheld: a
- * worker shows the task again with its next heartbeat, so a command that is not given now costs nothing but time. */
+/* What other modules may do now: which commands go to workers, whether machines may be rented. Commands are only
+ * withheld: a worker shows the task again with its next heartbeat, so a command that is not given now costs nothing
+ * but time. */
 #include "reconciliation-private.h"
 
 #define HEARTBEATS_BEFORE_SCALE_OUT 2
@@ -13,8 +14,8 @@
   return !job->awaits_verdict || job->state != HZB_JOB_ACCEPTED;
 }
 
-/* Before two heartbeats of each worker could have come, the leader does not know which work is running already, and would rent
- * machines for it. */
+/* Before two heartbeats of each worker could have come, the leader does not know which work is running already, and
+ * would rent machines for it. */
 gboolean
 hzb_reconciliation_may_scale_out (HzbReconciliation *reconciliation, struct timespec now)
 {
@@ -73,7 +74,8 @@
   return HZB_SHOWN_ENDED;
 }
 
-/* A task that goes on where it is was adopted, and counted, when it was first seen. A task that waits has no verdict yet. */
+/* A task that goes on where it is was adopted, and counted, when it was first seen. A task that waits has no verdict
+ * yet. */
 static gboolean
 is_counted (HzbTaskVerdict verdict, HzbTaskStanding standing)
 {
--- a/src/reconciliation/job-survey.c
+++ b/src/reconciliation/job-survey.c
@@ -112,7 +112,8 @@
     return;
   reconciliation->next_scan = hzb_time_plus (now, hzb_machines_scan_interval_s (reconciliation->dependencies.machines));
   hzb_reconciliation_survey_machines (reconciliation, now);
-  /* Nothing is decided before the record is durable: if this leader ended, the next one would not know of the cold start. */
+  /* Nothing is decided before the record is durable: if this leader ended, the next one would not know of the cold
+   * start. */
   if (reconciliation->open && reconciliation->record_state == HZB_RECORD_STATE_DURABLE)
     decide_jobs (reconciliation);
 }
--- a/src/reconciliation/operator-decisions.c
+++ b/src/reconciliation/operator-decisions.c
@@ -1,5 +1,5 @@
-/* What operators decide about quarantined tasks. A decision to keep a task is durable, so that a next leader keeps the task, too. A
- * decision to stop a task is not: the next leader proves anew that no record names it. */
+/* What operators decide about quarantined tasks. A decision to keep a task is durable, so that a next leader keeps
+ * the task, too. A decision to stop a task is not: the next leader proves anew that no record names it. */
 #include "quarantine-private.h"
 
 #include "reconciliation-codec.h"
@@ -142,7 +142,8 @@
     }
 }
 
-/* Returns: how many attempts of the task are quarantined. @proven: (out): whether it is proven of all that no record names them. */
+/* Returns: how many attempts of the task are quarantined. @proven: (out): whether it is proven of all that no record
+ * names them. */
 static guint
 find_attempts (const HzbQuarantine *quarantine, const char *uid, guint task, gboolean *proven)
 {
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -232,8 +232,8 @@
   hzb_task_set_state (jobs, task, HZB_TASK_RUNNING, machine);
 }
 
-/* A transaction that accepts a job may be carried out late. Without the adoption the job's tasks would start elsewhere although a
- * machine already runs one of them. */
+/* A transaction that accepts a job may be carried out late. Without the adoption the job's tasks would start
+ * elsewhere although a machine already runs one of them. */
 static gboolean
 adopt_if_recorded (gpointer name, gpointer value, gpointer user)
 {
--- a/src/reconciliation/quarantine.h
+++ b/src/reconciliation/quarantine.h
@@ -2,10 +2,10 @@
  * SECTION: quarantine
  * @short_description: tasks that workers report and no record names
  *
- * Such a task is left alone until it is proven that no record names it: the transaction that accepts its job may be carried out
- * late, and the record of a job that ended long ago lies elsewhere. Then an operator has time to decide. The leader uses
- * the quarantine in every leadership while reconciliation is switched on, so that a task that an operator keeps stays kept after a
- * change of leader.
+ * Such a task is left alone until it is proven that no record names it: the transaction that accepts its job may be
+ * carried out late, and the record of a job that ended long ago lies elsewhere. Then an operator has time to decide.
+ * The leader uses the quarantine in every leadership while reconciliation is switched on, so that a task that an
+ * operator keeps stays kept after a change of leader.
  */
 #pragma once
 #include "election.h"
@@ -88,7 +88,8 @@
 /** hzb_quarantine_reset: forgets all tasks and decisions; called when leadership begins or ends. */
 void hzb_quarantine_reset (HzbQuarantine *quarantine);
 
-/** hzb_quarantine_load: @item: the record of the tasks that operators want kept. An unreadable one counts for nothing. */
+/** hzb_quarantine_load: @item: the record of the tasks that operators want kept. An unreadable one counts for
+ * nothing. */
 void hzb_quarantine_load (HzbQuarantine *quarantine, const HzbKvEntry *item);
 
 /**
@@ -106,7 +107,8 @@
 /** hzb_quarantine_list: Returns: (transfer container) (element-type HzbQuarantined): in the order of jobs and tasks */
 GPtrArray *hzb_quarantine_list (HzbQuarantine *quarantine);
 
-/** hzb_quarantine_overflow: Returns: how many reports were of tasks beyond those that are tracked; such tasks are left alone */
+/** hzb_quarantine_overflow: Returns: how many reports were of tasks beyond those that are tracked; such tasks are
+ * left alone */
 guint hzb_quarantine_overflow (const HzbQuarantine *quarantine);
 
 /**
--- a/src/reconciliation/reconciliation-admin-codec.c
+++ b/src/reconciliation/reconciliation-admin-codec.c
@@ -5,7 +5,8 @@
 
 /* ---- the state ---- */
 
-/* An awaited machine is returned once its lease and two seconds are over; its tasks may run until the cloud confirms the return. */
+/* An awaited machine is returned once its lease and two seconds are over; its tasks may run until the cloud confirms
+ * the return. */
 static double
 until_return_s (const HzbReconciliation *reconciliation, const HzbMachine *machine)
 {
--- a/src/reconciliation/reconciliation-admin.h
+++ b/src/reconciliation/reconciliation-admin.h
@@ -2,8 +2,8 @@
  * SECTION: reconciliation-admin
  * @short_description: the operators' requests about reconciliations
  *
- * `GET reconciliation`, `POST reconciliation/quarantine/JOB/NUMBER`, `GET reconciliations` and `GET reconciliations/ID` of the
- * administration API; docs/operating-cold-start.md describes them.
+ * `GET reconciliation`, `POST reconciliation/quarantine/JOB/NUMBER`, `GET reconciliations` and `GET reconciliations/ID`
+ * of the administration API; docs/operating-cold-start.md describes them.
  */
 #pragma once
 #include "http.h"
--- a/src/reconciliation/reconciliation-codec.h
+++ b/src/reconciliation/reconciliation-codec.h
@@ -2,8 +2,8 @@
  * SECTION: reconciliation-codec
  * @short_description: the durable records of a reconciliation
  *
- * The one place that knows how they are written. All lie under the owner's prefix; versions without reconciliation pass over
- * them. A record that can't be read is an error, never a guess.
+ * The one place that knows how they are written. All lie under the owner's prefix; versions without reconciliation pass
+ * over them. A record that can't be read is an error, never a guess.
  */
 #pragma once
 #include "verdicts.h"
@@ -27,7 +27,8 @@
 /** hzb_reconciliation_error_quark: Returns: the domain of these errors */
 GQuark hzb_reconciliation_error_quark (void);
 
-/** hzb_reconciliation_check_format: Returns: %FALSE, with an error, unless the value states a format that this version reads */
+/** hzb_reconciliation_check_format: Returns: %FALSE, with an error, unless the value states a format that this
+ * version reads */
 gboolean hzb_reconciliation_check_format (const cJSON *value, GError **error);
 
 /** hzb_reconciliation_value_term: Returns: the term of the leader that wrote a record or a page; 0 if it states none */
@@ -63,7 +64,8 @@
   guint restarted;       /**< tasks that start again */
 } HzbVerdictEntry;
 
-/** hzb_verdict_entries_new: Returns: (transfer full) (element-type HzbVerdictEntry): an empty list, which frees its entries */
+/** hzb_verdict_entries_new: Returns: (transfer full) (element-type HzbVerdictEntry): an empty list, which frees its
+ * entries */
 GArray *hzb_verdict_entries_new (void);
 
 /** hzb_verdict_entry_bytes: Returns: how many bytes the verdict takes on a page, at most */
@@ -83,8 +85,8 @@
  * hzb_verdict_page_decode:
  * @id: (out): the reconciliation that it belongs to
  *
- * Returns: (transfer full) (nullable) (element-type HzbVerdictEntry): all verdicts of the page; %NULL, with an error, if any of it
- * can't be read
+ * Returns: (transfer full) (nullable) (element-type HzbVerdictEntry): all verdicts of the page; %NULL, with an error,
+ * if any of it can't be read
  */
 GArray *hzb_verdict_page_decode (const cJSON *page, guint64 *id, GError **error);
 
--- a/src/reconciliation/reconciliation-load.c
+++ b/src/reconciliation/reconciliation-load.c
@@ -39,7 +39,8 @@
           item->key, error->message);
       return;
     }
-  /* The key-value store lists the record before its pages. Pages without a record, or of another reconciliation, are only removed. */
+  /* The key-value store lists the record before its pages. Pages without a record, or of another reconciliation, are
+   * only removed. */
   if (reconciliation->record_state == HZB_RECORD_STATE_NONE || id != reconciliation->record.id)
     return;
   for (guint i = 0; i < entries->len; i++)
@@ -81,8 +82,8 @@
 
 /* ---- all records were read ---- */
 
-/* A leader without reconciliation (an earlier version, or switched off) writes flush records without a roster. If such a leader
- * has led since, the recorded verdicts are about another state of the jobs. */
+/* A leader without reconciliation (an earlier version, or switched off) writes flush records without a roster. If
+ * such a leader has led since, the recorded verdicts are about another state of the jobs. */
 static gboolean
 is_outdated (const HzbReconciliation *reconciliation)
 {
--- a/src/reconciliation/reconciliation-private.h
+++ b/src/reconciliation/reconciliation-private.h
@@ -2,9 +2,9 @@
  * SECTION: reconciliation-private
  * @short_description: the state that the source files of reconciliation share
  *
- * reconciliation.c owns the state machines and calls the other files when they are due: reconciliation-load.c reads records,
- * cold-start.c tells a cold start from a change of leader, job-survey.c decides, recorder.c makes the decisions durable,
- * command-gate.c withholds commands, reconciliation-admin.c shows the state to operators.
+ * reconciliation.c owns the state machines and calls the other files when they are due: reconciliation-load.c reads
+ * records, cold-start.c tells a cold start from a change of leader, job-survey.c decides, recorder.c makes the
+ * decisions durable, command-gate.c withholds commands, reconciliation-admin.c shows the state to operators.
  */
 #pragma once
 #include "reconciliation-codec.h"
@@ -14,8 +14,8 @@
 /**
  * HzbJobPhase: how far the verdict on a job is.
  *
- * Allowed: open -> decided -> sent -> recorded, and decided -> recorded and open -> recorded where the verdict rests on what is durable
- * anyway, or was read from a page.
+ * Allowed: open -> decided -> sent -> recorded, and decided -> recorded and open -> recorded where the verdict rests on
+ * what is durable anyway, or was read from a page.
  */
 typedef enum
 {
@@ -69,13 +69,15 @@
 /** hzb_reconciliation_set_state: the only place where the state changes; refuses what is not allowed. */
 void hzb_reconciliation_set_state (HzbReconciliation *reconciliation, HzbReconciliationState to, const char *why);
 
-/** hzb_reconciliation_set_record_state: the only place where the state of the record changes; refuses what is not allowed. */
+/** hzb_reconciliation_set_record_state: the only place where the state of the record changes; refuses what is not
+ * allowed. */
 void hzb_reconciliation_set_record_state (HzbReconciliation *reconciliation, HzbRecordState to);
 
 /** hzb_reconciliation_set_phase: the only place where a job's phase changes. Once recorded, commands may be given. */
 void hzb_reconciliation_set_phase (HzbReconciliation *reconciliation, HzbTrackedJob *tracked, HzbJobPhase to);
 
-/** hzb_reconciliation_track: Returns: (transfer none): the tracked job of this id, added with an open verdict if it is new */
+/** hzb_reconciliation_track: Returns: (transfer none): the tracked job of this id, added with an open verdict if it
+ * is new */
 HzbTrackedJob *hzb_reconciliation_track (HzbReconciliation *reconciliation, const char *uid);
 
 /** hzb_reconciliation_forget_jobs: tracks no job any more. */
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -1,5 +1,6 @@
-/* The state machines of a reconciliation. One reconciliation spans as many leaderships as it takes: its record and the pages of
- * verdicts lie under the owner's prefix, and the next leader goes on from them. A durable verdict is never made anew. */
+/* The state machines of a reconciliation. One reconciliation spans as many leaderships as it takes: its record and
+ * the pages of verdicts lie under the owner's prefix, and the next leader goes on from them. A durable verdict is
+ * never made anew. */
 #include "reconciliation-private.h"
 
 #include <string.h>
@@ -266,7 +267,8 @@
     hzb_reconciliation_set_state (reconciliation, HZB_RECONCILIATION_RECORDED, "every verdict is durable");
 }
 
-/* Records of an earlier reconciliation may be left although none is under way: one that was given up, or an unreadable one. */
+/* Records of an earlier reconciliation may be left although none is under way: one that was given up, or an
+ * unreadable one. */
 static void
 remove_leftovers (HzbReconciliation *reconciliation, struct timespec now)
 {
--- a/src/reconciliation/reconciliation.h
+++ b/src/reconciliation/reconciliation.h
@@ -2,10 +2,11 @@
  * SECTION: reconciliation
  * @short_description: after all controllers have ended, each job's fate is decided once, before any new command for it
  *
- * The public face of the folder, used by the leader. A leadership that begins after every controller of the last one has
- * ended is a cold start. Then no command is given for a job until it is decided, and durable, what becomes of the job; that is
- * known once every machine that may hold a task of the job has answered or is gone. Reconciliation only ever withholds commands:
- * which tasks may start elsewhere is decided by the rules of every change of leader (docs/cold-start.md).
+ * The public face of the folder, used by the leader. A leadership that begins after every controller of the last one
+ * has ended is a cold start. Then no command is given for a job until it is decided, and durable, what becomes of the
+ * job; that is known once every machine that may hold a task of the job has answered or is gone. Reconciliation only
+ * ever withholds commands: which tasks may start elsewhere is decided by the rules of every change of leader
+ * (docs/cold-start.md).
  */
 #pragma once
 #include "archive-store.h"
@@ -22,8 +23,8 @@
 /**
  * HzbReconciliationState: the course of a reconciliation.
  *
- * Allowed: none -> detecting -> collecting -> deciding -> recorded -> complete -> none; detecting -> none for a change of
- * leader; detecting to recorded -> abandoned -> none when the leadership is lost.
+ * Allowed: none -> detecting -> collecting -> deciding -> recorded -> complete -> none; detecting -> none for a change
+ * of leader; detecting to recorded -> abandoned -> none when the leadership is lost.
  */
 typedef enum
 {
@@ -80,7 +81,8 @@
 
 /* ---- what other modules may do now ---- */
 
-/** hzb_reconciliation_may_resolve: Returns: whether the job's unconfirmed tasks may be taken for tasks that are nowhere */
+/** hzb_reconciliation_may_resolve: Returns: whether the job's unconfirmed tasks may be taken for tasks that are
+ * nowhere */
 gboolean hzb_reconciliation_may_resolve (const HzbReconciliation *reconciliation, const HzbJob *job);
 
 /** hzb_reconciliation_may_scale_out: Returns: whether a request for machines may be sent now; if so, it is counted */
@@ -89,7 +91,8 @@
 /**
  * hzb_reconciliation_judge_unrecorded: a heartbeat shows a task that no record here names.
  *
- * Returns: %HZB_TASK_VERDICT_STOP or %HZB_TASK_VERDICT_REAP if the worker may be told so, else the task is to be left alone
+ * Returns: %HZB_TASK_VERDICT_STOP or %HZB_TASK_VERDICT_REAP if the worker may be told so, else the task is to be left
+ * alone
  */
 HzbTaskVerdict hzb_reconciliation_judge_unrecorded (HzbReconciliation *reconciliation, const HzbMachine *machine,
                                                     const HzbTaskStatus *task_status, struct timespec now);
@@ -103,7 +106,8 @@
 HzbTaskVerdict hzb_reconciliation_judge (HzbReconciliation *reconciliation, const HzbMachine *machine,
                                          const HzbJob *job, const HzbTask *task, const HzbTaskStatus *task_status);
 
-/** hzb_reconciliation_note_commands: @commands: (element-type HzbCommand): that go to a worker now; counted for the archive */
+/** hzb_reconciliation_note_commands: @commands: (element-type HzbCommand): that go to a worker now; counted for the
+ * archive */
 void hzb_reconciliation_note_commands (HzbReconciliation *reconciliation, const GArray *commands);
 
 /** hzb_reconciliation_note_scale_out: @machines: how many were asked for; counted for the archive */
--- a/src/reconciliation/recorder.c
+++ b/src/reconciliation/recorder.c
@@ -1,7 +1,7 @@
 /* Makes verdicts durable, and removes them once they are archived.
  *
- * Each page of verdicts is written once, under a number of its own, on condition of the leader's term and that the page is not there
- * yet. So a transaction that is carried out late, or twice, changes nothing. */
+ * Each page of verdicts is written once, under a number of its own, on condition of the leader's term and that the
+ * page is not there yet. So a transaction that is carried out late, or twice, changes nothing. */
 #include "kv-protocol.h"
 #include "reconciliation-private.h"
 #include "record-keys.h"
@@ -34,7 +34,8 @@
 
 /* ---- pages ---- */
 
-/* The verdicts on a page do not change while their jobs are in the phase "sent", so each attempt writes the same bytes. */
+/* The verdicts on a page do not change while their jobs are in the phase "sent", so each attempt writes the same
+ * bytes. */
 static cJSON *
 page_encode (const HzbReconciliation *reconciliation, const HzbVerdictPage *page)
 {
@@ -112,7 +113,8 @@
   reconciliation->next_write = hzb_time_plus (hzb_clock_now (reconciliation->dependencies.node->clock), RETRY_S);
 }
 
-/* The outcome of a transaction is read from the first thing that it wrote: the record and pages name the term that wrote them. */
+/* The outcome of a transaction is read from the first thing that it wrote: the record and pages name the term that
+ * wrote them. */
 static void
 on_written_read (HzbKvResult result, const char *body, gpointer user)
 {
@@ -124,7 +126,8 @@
   if (!hzb_epoch_call_is_current (epoch_call))
     return;
   known = result == HZB_KV_NOT_FOUND || (result == HZB_KV_OK && hzb_kv_entry_decode (body, &item));
-  /* While the record is not durable it is what was read: the next attempt is conditional on the version that is there now. */
+  /* While the record is not durable it is what was read: the next attempt is conditional on the version that is
+   * there now. */
   if (known && !record_is_durable (reconciliation))
     reconciliation->record_version = item.version;
   if (known && item.value && hzb_reconciliation_value_term (item.value) == reconciliation->record.term)
--- a/src/reconciliation/roster.h
+++ b/src/reconciliation/roster.h
@@ -2,8 +2,8 @@
  * SECTION: roster
  * @short_description: which controller processes are alive, as the leader last recorded it
  *
- * The durable evidence by which a cold start is told from a change of leader. The roster travels in the flush record, so that it
- * costs a change of its own only when a process is alive that the recorded roster does not name.
+ * The durable evidence by which a cold start is told from a change of leader. The roster travels in the flush record,
+ * so that it costs a change of its own only when a process is alive that the recorded roster does not name.
  */
 #pragma once
 #include "node.h"
@@ -13,8 +13,8 @@
 #include <cjson/cJSON.h>
 
 /**
- * HZB_ROSTER_MOST_PROCESSES: how many processes a roster names, so that the flush record fits the smallest value. Larger clusters
- * lose nothing: one survivor among so many names is evidence enough.
+ * HZB_ROSTER_MOST_PROCESSES: how many processes a roster names, so that the flush record fits the smallest value.
+ * Larger clusters lose nothing: one survivor among so many names is evidence enough.
  */
 #define HZB_ROSTER_MOST_PROCESSES 90u
 
--- a/src/reconciliation/verdicts.c
+++ b/src/reconciliation/verdicts.c
@@ -9,9 +9,9 @@
   return kind;
 }
 
-/* A roster that names a process which is alive proves that not all controllers have ended. That all have ended can't be proven while a
- * peer is unresponsive: the peer may be alive behind a partition. A change of leader that is taken for a cold start costs time and
- * breaks no rule, since a cold start only withholds commands. */
+/* A roster that names a process which is alive proves that not all controllers have ended. That all have ended can't
+ * be proven while a peer is unresponsive: the peer may be alive behind a partition. A change of leader that is taken
+ * for a cold start costs time and breaks no rule, since a cold start only withholds commands. */
 HzbStartKind
 hzb_start_decide (const HzbStartEvidence *evidence, HzbStartReason *reason)
 {
@@ -75,8 +75,8 @@
   return job_verdict (reason, HZB_JOB_VERDICT_RESUME, HZB_JOB_REASON_ACCOUNTED);
 }
 
-/* The released mark, a cancellation and the results are on record themselves. What machines have answered is not: the next leader could not
- * decide the same from it. */
+/* The released mark, a cancellation and the results are on record themselves. What machines have answered is not:
+ * the next leader could not decide the same from it. */
 gboolean
 hzb_job_reason_needs_record (HzbJobReason reason)
 {
@@ -139,8 +139,8 @@
   return task_verdict (reason, evidence->shown == HZB_SHOWN_ALIVE ? HZB_TASK_VERDICT_STOP : HZB_TASK_VERDICT_REAP, why);
 }
 
-/* A task is not stopped only because this node knows no record of its job: the transaction that accepts the job may be carried out late,
- * and the record of a job that ended long ago lies elsewhere. */
+/* A task is not stopped only because this node knows no record of its job: the transaction that accepts the job may
+ * be carried out late, and the record of a job that ended long ago lies elsewhere. */
 static HzbTaskVerdict
 decide_unrecorded (const HzbTaskEvidence *evidence, HzbTaskReason *reason)
 {
--- a/src/reconciliation/verdicts.h
+++ b/src/reconciliation/verdicts.h
@@ -117,7 +117,8 @@
 /** hzb_job_reason_name: Returns: the reason's name in logs and the administration API */
 const char *hzb_job_reason_name (HzbJobReason reason);
 
-/** hzb_job_reason_needs_record: Returns: whether the verdict rests on more than what is durable anyway, and has to be recorded */
+/** hzb_job_reason_needs_record: Returns: whether the verdict rests on more than what is durable anyway, and has to be
+ * recorded */
 gboolean hzb_job_reason_needs_record (HzbJobReason reason);
 
 /* ---- tasks ---- */
--- a/tests/test-quarantine.c
+++ b/tests/test-quarantine.c
@@ -1,4 +1,5 @@
-/* The quarantine by itself: what it tracks, and operators' decisions. Proofs are played in the simulated cluster (/cold-start/unrecorded). */
+/* The quarantine by itself: what it tracks, and operators' decisions. Proofs are played in the simulated cluster
+ * (/cold-start/unrecorded). */
 #include "support.h"
 
 #include "fake-transport.h"
