--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -117,7 +117,18 @@
 static HzbReconciliation *
 new_reconciliation (HzbController *controller)
 {
-  return hzb_reconciliation_new (controller);
+  HzbReconciliationDependencies dependencies = {
+    .node = controller->node,
+    .kv = controller->kv,
+    .kv_replica = controller->kv_replica,
+    .election = controller->election,
+    .ownership = controller->ownership,
+    .peers = controller->peers,
+    .jobs = controller->jobs,
+    .machines = controller->machines,
+    .dispatch = controller->dispatch,
+  };
+  return hzb_reconciliation_new (&dependencies);
 }
 
 static HzbRecords *
@@ -182,7 +193,18 @@
 static HzbProvisioning *
 new_provisioning (HzbController *controller)
 {
-  return hzb_provisioning_new (controller);
+  HzbProvisioningDependencies dependencies = {
+    .node = controller->node,
+    .cloud = controller->cloud,
+    .election = controller->election,
+    .ownership = controller->ownership,
+    .jobs = controller->jobs,
+    .machines = controller->machines,
+    .autoscaler = controller->autoscaler,
+    .records = controller->records,
+    .reconciliation = controller->reconciliation,
+  };
+  return hzb_provisioning_new (&dependencies);
 }
 
 static HzbWorkerApi *
@@ -237,7 +259,8 @@
 static gboolean
 admin_reconciliation_request (HzbHttpRequest *http_request, const char *path, gpointer user)
 {
-  return hzb_reconciliation_admin_request (user, http_request, path);
+  HzbController *controller = user;
+  return hzb_reconciliation_admin_request (controller->reconciliation, http_request, path);
 }
 
 static HzbAdmin *
--- a/src/reconciliation/archive-store.c
+++ b/src/reconciliation/archive-store.c
@@ -1,47 +1,40 @@
 #include "archive-store.h"
 
-#include "controller-private.h"
+#include "archive-codec.h"
 #include "json.h"
 #include "kv-protocol.h"
 #include "user-protocol.h"
 
 #define KEY_ARCHIVES "hzb/o/reconciliations/"
 #define KEY_INDEX KEY_ARCHIVES "index"
-#define PART_OF_VALUE 0.85 /* of what a value may have: the rest is JSON around it */
-#define TXN_BYTES 40000u
-#define INDEX_BYTES 64u /* of an entry */
-#define MOST_PARTS 9999
+#define PART_OF_VALUE 0.85 /* how much of the largest value a part may fill: the rest is the JSON around it */
+#define TRANSACTION_BYTES 40000u
+#define INDEX_ENTRY_BYTES 64u
 
-/* One archive that is kept. */
-typedef struct
-{
-  guint64 id;
-  guint parts;
-} IndexEntry;
-
-/* The writing of one archive: first its parts, then the index, with the removal of those that it does not name. */
+/* Writing one archive: first its parts, then the index, which is read before it is changed. The transaction that
+ * changes the index removes the parts of archives that are not kept any more. Writing the same archive again is
+ * harmless. */
 typedef struct
 {
   guint64 id;
   GPtrArray *parts; /* char*, base 64 */
-  guint written;
-  gboolean index_known;
+  guint written;    /* parts that were sent */
   guint64 index_version;
-  GArray *index; /* IndexEntry, oldest first */
+  GArray *index; /* (nullable) HzbArchiveIndexEntry, oldest first; NULL until it was read */
   HzbArchiveWritten done;
   gpointer user;
 } WriteCall;
 
 struct _HzbArchiveStore
 {
-  HzbController *controller;
+  HzbArchiveStoreDependencies dependencies;
 };
 
 HzbArchiveStore *
-hzb_archive_store_new (HzbController *controller)
+hzb_archive_store_new (const HzbArchiveStoreDependencies *dependencies)
 {
   HzbArchiveStore *store = g_new0 (HzbArchiveStore, 1);
-  store->controller = controller;
+  store->dependencies = *dependencies;
   return store;
 }
 
@@ -57,42 +50,6 @@
   return g_strdup_printf (KEY_ARCHIVES "%020" G_GUINT64_FORMAT "/%04u", id, part);
 }
 
-/* ---- the index ---- */
-
-static GArray *
-index_decode (const cJSON *value)
-{
-  GArray *index = g_array_new (FALSE, TRUE, sizeof (IndexEntry));
-  const cJSON *item;
-
-  cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (value, "archives"))
-    {
-      IndexEntry entry = { hzb_json_u64 (item, "id"),
-                           (guint) CLAMP (hzb_json_number (item, "parts", 0), 0, MOST_PARTS) };
-      if (entry.id)
-        g_array_append_val (index, entry);
-    }
-  return index;
-}
-
-static cJSON *
-index_encode (const GArray *index)
-{
-  cJSON *value = cJSON_CreateObject (), *list;
-
-  cJSON_AddNumberToObject (value, "format", HZB_RECONCILIATION_FORMAT);
-  list = cJSON_AddArrayToObject (value, "archives");
-  for (guint i = 0; i < index->len; i++)
-    {
-      const IndexEntry *entry = &g_array_index (index, IndexEntry, i);
-      cJSON *item = cJSON_CreateObject ();
-      hzb_json_add_u64 (item, "id", entry->id);
-      cJSON_AddNumberToObject (item, "parts", entry->parts);
-      cJSON_AddItemToArray (list, item);
-    }
-  return value;
-}
-
 /* ---- writing ---- */
 
 static void
@@ -122,9 +79,8 @@
       write_call_finish (epoch_call, FALSE);
       return;
     }
-  call->index = index_decode (item.value);
+  call->index = hzb_archive_index_decode (item.value);
   call->index_version = item.version;
-  call->index_known = TRUE;
   hzb_kv_entry_clear (&item);
   write_next (epoch_call);
 }
@@ -149,54 +105,51 @@
 static void
 write_parts (HzbEpochCall *epoch_call)
 {
-  HzbController *controller = epoch_call->module;
+  const HzbArchiveStoreDependencies *uses = &((HzbArchiveStore *) epoch_call->module)->dependencies;
   WriteCall *call = epoch_call->data;
   HzbKvTransaction *transaction = hzb_kv_transaction_new ();
   gsize bytes = 0;
-  guint room = controller->settings->kv_txn_ops;
+  guint room = uses->node->settings->kv_txn_ops;
 
-  hzb_election_add_condition (controller->election, transaction);
+  hzb_election_add_condition (uses->election, transaction);
   for (; call->written < call->parts->len && room; call->written++, room--)
     {
       const char *text = call->parts->pdata[call->written];
       g_autofree char *key = part_key (call->id, call->written);
-      cJSON *value;
-      if (bytes && bytes + strlen (text) > TXN_BYTES)
+      if (bytes && bytes + strlen (text) > TRANSACTION_BYTES)
         break;
       bytes += strlen (text);
-      value = cJSON_CreateObject ();
-      cJSON_AddStringToObject (value, "data", text);
-      cJSON_AddNumberToObject (value, "of", call->parts->len);
-      hzb_kv_transaction_put (transaction, key, value, 0);
+      hzb_kv_transaction_put (transaction, key, hzb_archive_part_encode (text, call->parts->len), 0);
     }
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_part_written, epoch_call);
+  hzb_kv_client_commit (uses->kv, HZB_KV_RECORD, transaction, on_part_written, epoch_call);
 }
 
-/* The oldest goes once there are too many; what doesn't fit this transaction goes with the next archive. */
+/* Puts the archive last. An earlier leader may have written more parts of it: then those are removed with it one
+ * day. */
 static void
-write_index (HzbEpochCall *epoch_call)
+add_to_index (WriteCall *call)
 {
-  HzbController *controller = epoch_call->module;
-  const HzbSettings *settings = controller->settings;
-  WriteCall *call = epoch_call->data;
-  IndexEntry added = { call->id, call->parts->len };
-  guint keep = (guint) MIN (settings->reconciliation.keep, settings->kv_value_kb * 1024 / INDEX_BYTES);
-  guint room = settings->kv_txn_ops - 1;
-  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
+  HzbArchiveIndexEntry added = { call->id, call->parts->len };
 
   for (guint i = call->index->len; i-- > 0;)
-    if (g_array_index (call->index, IndexEntry, i).id == call->id)
-      {
-        /* An earlier leader may have written more parts of it. */
-        added.parts = MAX (added.parts, g_array_index (call->index, IndexEntry, i).parts);
-        g_array_remove_index (call->index, i);
-      }
+    {
+      const HzbArchiveIndexEntry *entry = &g_array_index (call->index, HzbArchiveIndexEntry, i);
+      if (entry->id != call->id)
+        continue;
+      added.parts = MAX (added.parts, entry->parts);
+      g_array_remove_index (call->index, i);
+    }
   g_array_append_val (call->index, added);
-  hzb_election_add_condition (controller->election, transaction);
-  hzb_kv_transaction_compare (transaction, KEY_INDEX, call->index_version);
+}
+
+/* Removes the oldest archives while there are more than @keep. What does not fit into this transaction goes with the
+ * next archive. */
+static void
+drop_oldest (WriteCall *call, guint keep, guint room, HzbKvTransaction *transaction)
+{
   while (call->index->len > keep && room)
     {
-      IndexEntry *oldest = &g_array_index (call->index, IndexEntry, 0);
+      HzbArchiveIndexEntry *oldest = &g_array_index (call->index, HzbArchiveIndexEntry, 0);
       for (; oldest->parts && room; room--)
         {
           g_autofree char *key = part_key (oldest->id, --oldest->parts);
@@ -206,20 +159,35 @@
         break;
       g_array_remove_index (call->index, 0);
     }
-  hzb_kv_transaction_put (transaction, KEY_INDEX, index_encode (call->index), 0);
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_index_written, epoch_call);
+}
+
+static void
+write_index (HzbEpochCall *epoch_call)
+{
+  const HzbArchiveStoreDependencies *uses = &((HzbArchiveStore *) epoch_call->module)->dependencies;
+  const HzbSettings *settings = uses->node->settings;
+  WriteCall *call = epoch_call->data;
+  guint keep = (guint) MIN (settings->reconciliation.keep, settings->kv_value_kb * 1024 / INDEX_ENTRY_BYTES);
+  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
+
+  add_to_index (call);
+  hzb_election_add_condition (uses->election, transaction);
+  hzb_kv_transaction_compare (transaction, KEY_INDEX, call->index_version);
+  drop_oldest (call, keep, settings->kv_txn_ops - 1, transaction);
+  hzb_kv_transaction_put (transaction, KEY_INDEX, hzb_archive_index_encode (call->index), 0);
+  hzb_kv_client_commit (uses->kv, HZB_KV_RECORD, transaction, on_index_written, epoch_call);
 }
 
 static void
 write_next (HzbEpochCall *epoch_call)
 {
-  HzbController *controller = epoch_call->module;
+  const HzbArchiveStoreDependencies *uses = &((HzbArchiveStore *) epoch_call->module)->dependencies;
   WriteCall *call = epoch_call->data;
 
   if (call->written < call->parts->len)
     write_parts (epoch_call);
-  else if (!call->index_known)
-    hzb_kv_client_get (controller->kv, HZB_KV_RECORD, KEY_INDEX, on_index_read, epoch_call);
+  else if (!call->index)
+    hzb_kv_client_get (uses->kv, HZB_KV_RECORD, KEY_INDEX, on_index_read, epoch_call);
   else
     write_index (epoch_call);
 }
@@ -227,9 +195,9 @@
 void
 hzb_archive_store_write (HzbArchiveStore *store, guint64 id, GBytes *bytes, HzbArchiveWritten written, gpointer user)
 {
-  HzbController *controller = store->controller;
+  const HzbArchiveStoreDependencies *uses = &store->dependencies;
   WriteCall *call = g_new0 (WriteCall, 1);
-  gsize length, part = (gsize) (controller->settings->kv_value_kb * 1024 * PART_OF_VALUE);
+  gsize length, part = (gsize) (uses->node->settings->kv_value_kb * 1024 * PART_OF_VALUE);
   const guchar *data = g_bytes_get_data (bytes, &length);
   g_autofree char *text = g_base64_encode (data, length);
 
@@ -239,7 +207,7 @@
   call->parts = g_ptr_array_new_with_free_func (g_free);
   for (gsize at = 0; at < strlen (text); at += part)
     g_ptr_array_add (call->parts, g_strndup (text + at, part));
-  write_next (hzb_epoch_call_new (controller->ownership, controller, call));
+  write_next (hzb_epoch_call_new (uses->ownership, store, call));
 }
 
 /* ---- reading ---- */
@@ -247,8 +215,9 @@
 typedef struct
 {
   HzbArchiveStore *store;
-  guint64 id;      /* 0: the list */
-  guint parts, of; /* read so far; that there are */
+  guint64 id;  /* 0: the list is read */
+  guint parts; /* read so far */
+  guint of;    /* how many there are, as the first part says */
   GString *text;
   HzbArchiveRead done;
   gpointer user;
@@ -262,30 +231,13 @@
   g_free (call);
 }
 
-static char *
-print_and_free (cJSON *root)
-{
-  char *text = cJSON_PrintUnformatted (root);
-  cJSON_Delete (root);
-  return text;
-}
-
-static void
-finish_archive (ReadCall *call)
-{
-  cJSON *root = cJSON_CreateObject ();
-  hzb_json_add_u64 (root, "id", call->id);
-  cJSON_AddStringToObject (root, "archive", call->text->str);
-  read_call_finish (call, 200, print_and_free (root));
-}
-
 static void on_part_read (HzbKvResult result, const char *body, gpointer user);
 
 static void
 read_part (ReadCall *call)
 {
   g_autofree char *key = part_key (call->id, call->parts);
-  hzb_kv_client_get (call->store->controller->kv, HZB_KV_READ, key, on_part_read, call);
+  hzb_kv_client_get (call->store->dependencies.kv, HZB_KV_READ, key, on_part_read, call);
 }
 
 static void
@@ -300,15 +252,15 @@
     read_call_finish (call, 503, hzb_error_response_encode ("the state service can't be asked"));
   else
     {
-      const char *data = hzb_json_text (item.value, "data");
-      g_string_append (call->text, data ? data : "");
+      guint of;
+      g_string_append (call->text, hzb_archive_part_decode (item.value, &of));
       if (!call->parts++)
-        call->of = (guint) CLAMP (hzb_json_number (item.value, "of", 1), 1, MOST_PARTS);
+        call->of = of;
       hzb_kv_entry_clear (&item);
       if (call->parts < call->of)
         read_part (call);
       else
-        finish_archive (call);
+        read_call_finish (call, 200, hzb_archive_response_encode (call->id, call->text->str));
     }
 }
 
@@ -324,9 +276,9 @@
       read_call_finish (call, 503, hzb_error_response_encode ("the state service can't be asked"));
       return;
     }
-  index = index_decode (item.value);
+  index = hzb_archive_index_decode (item.value);
   hzb_kv_entry_clear (&item);
-  read_call_finish (call, 200, print_and_free (index_encode (index)));
+  read_call_finish (call, 200, hzb_json_print (hzb_archive_index_encode (index)));
 }
 
 static ReadCall *
@@ -344,7 +296,8 @@
 void
 hzb_archive_store_list (HzbArchiveStore *store, HzbArchiveRead read, gpointer user)
 {
-  hzb_kv_client_get (store->controller->kv, HZB_KV_READ, KEY_INDEX, on_list_read, read_call_new (store, 0, read, user));
+  hzb_kv_client_get (store->dependencies.kv, HZB_KV_READ, KEY_INDEX, on_list_read,
+                     read_call_new (store, 0, read, user));
 }
 
 void
