--- a/src/base/json.c
+++ b/src/base/json.c
@@ -16,6 +16,12 @@
   return cJSON_IsNumber (item) ? item->valuedouble : fallback;
 }
 
+gboolean
+hzb_json_flag (const cJSON *object, const char *name)
+{
+  return cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (object, name));
+}
+
 const char *
 hzb_json_text (const cJSON *object, const char *name)
 {
@@ -23,7 +29,7 @@
   return cJSON_IsString (item) ? item->valuestring : NULL;
 }
 
-/* Raw, since cJSON would write a large number with an exponent. */
+/* As raw text, since cJSON would print a large number with an exponent. */
 void
 hzb_json_add_u64 (cJSON *object, const char *name, guint64 value)
 {
--- a/src/base/json.h
+++ b/src/base/json.h
@@ -6,23 +6,68 @@
 #include <cjson/cJSON.h>
 #include <glib.h>
 
-/** hzb_json_u64: Returns: the number of that name; 0 if there is none, or if it is not a whole number from 0 on */
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (cJSON, cJSON_Delete)
+
+/**
+ * Reads a count, version, token or attempt.
+ * @param object (nullable) the object
+ * @param name of the member
+ * @return the number, cut to a whole one; 0 if there is none, or if it is negative or not below 2^64
+ */
 guint64 hzb_json_u64 (const cJSON *object, const char *name);
 
-/** hzb_json_number: Returns: the number of that name, or @fallback if there is none */
+/**
+ * Reads a number.
+ * @param object (nullable) the object
+ * @param name of the member
+ * @param fallback what is returned if there is no such number
+ * @return the number
+ */
 double hzb_json_number (const cJSON *object, const char *name, double fallback);
 
-/** hzb_json_text: Returns: (transfer none) (nullable): the string of that name */
+/**
+ * Reads a truth value.
+ * @param object (nullable) the object
+ * @param name of the member
+ * @return TRUE if it is true; FALSE if it is false, something else or absent
+ */
+gboolean hzb_json_flag (const cJSON *object, const char *name);
+
+/**
+ * Reads a string.
+ * @param object (nullable) the object, which keeps the string
+ * @param name of the member
+ * @return (transfer none) (nullable): the string; NULL if there is none
+ */
 const char *hzb_json_text (const cJSON *object, const char *name);
 
-/** hzb_json_add_u64: adds a number of up to 64 bits, in digits only. */
+/**
+ * Adds a number of up to 64 bits, in digits only.
+ * @param object the object
+ * @param name of the new member
+ * @param value the number
+ */
 void hzb_json_add_u64 (cJSON *object, const char *name, guint64 value);
 
-/** hzb_json_print: Takes @root. Returns: (transfer full): its text, without white space */
+/**
+ * Prints a value without white space.
+ * @param root (transfer full)
+ * @return (transfer full): its text
+ */
 char *hzb_json_print (cJSON *root);
 
-/** hzb_json_string_list: Returns: (transfer full): the strings of an array; what is not a string is left out */
+/**
+ * Copies the strings of an array. What is not a string is left out.
+ * @param array (nullable) the array
+ * @return (transfer full): the strings, ends with NULL
+ */
 char **hzb_json_string_list (const cJSON *array);
 
-/** hzb_json_index_of: Returns: the index of @text (nullable) among @n names; -1 if it is none of them */
+/**
+ * Looks up a name, such as that of an enum constant in the enum's table.
+ * @param text (nullable) the name
+ * @param names the table
+ * @param n length of the table
+ * @return the index of the name; -1 if it is not in the table
+ */
 int hzb_json_index_of (const char *text, const char *const *names, guint n);
--- a/src/protocol/cloud-protocol.c
+++ b/src/protocol/cloud-protocol.c
@@ -2,12 +2,47 @@
 
 #include "json.h"
 
-#include <string.h>
-
 const char hzb_path_types[] = "/machine_types";
 const char hzb_path_rent[] = "/hosts";
 const char hzb_path_return[] = "/hosts/return";
 
+/* The cloud's names. */
+#define NAME_TYPES "flavors"
+#define NAME_TYPE_NAME "sku"
+#define NAME_TYPE_CPUS "cpus"
+#define NAME_TYPE_GPUS "gpus"
+#define NAME_TYPE_MEMORY_GB "ramGb"
+#define NAME_TYPE_CACHE_GB "localGb"
+#define NAME_TYPE_FETCH_GB_PER_S "pullGbPerS"
+#define NAME_TYPE_PRICE "price"
+#define NAME_TYPE_SPOT_PRICE "lowPrice"
+#define NAME_TYPE_BOOT_S "readyS"
+#define NAME_TYPE_ZONES "yards"
+
+#define NAME_INSTANCES "hosts"
+#define NAME_INSTANCE_NAME "uid"
+#define NAME_INSTANCE_ADDR "addr"
+#define NAME_INSTANCE_STATE "status"
+#define NAME_INSTANCE_AGE_S "ageS"
+#define NAME_MORE "hasNext"
+
+/* Of an instance, and of a request to rent some. */
+#define NAME_TYPE "flavor"
+#define NAME_ZONE "yard"
+#define NAME_SPOT "loaners"
+#define NAME_REQUEST "hire"
+#define NAME_COUNT "count"
+
+static const char *const instance_state_names[] = {
+  [HZB_CLOUD_INSTANCE_STARTING] = "starting",
+  [HZB_CLOUD_INSTANCE_RUNNING] = "running",
+  [HZB_CLOUD_INSTANCE_FAILED] = "failed",
+};
+
+/* Of a type that does not say so. */
+#define DEFAULT_FETCH_GB_PER_S 1
+#define DEFAULT_BOOT_S 60
+
 void
 hzb_cloud_instance_free (HzbCloudInstance *instance)
 {
@@ -18,10 +53,34 @@
   g_free (instance);
 }
 
-static GPtrArray *
-unpack_types (const cJSON *value)
+/* Returns: (transfer full) (nullable): NULL if the type has no name */
+static HzbMachineType *
+decode_type (const cJSON *item)
+{
+  const char *name = hzb_json_text (item, NAME_TYPE_NAME);
+  HzbMachineType *type;
+
+  if (!name)
+    return NULL;
+  type = g_new0 (HzbMachineType, 1);
+  type->name = g_strdup (name);
+  type->cpus = hzb_json_number (item, NAME_TYPE_CPUS, 0);
+  type->gpus = hzb_json_number (item, NAME_TYPE_GPUS, 0);
+  type->memory_gb = hzb_json_number (item, NAME_TYPE_MEMORY_GB, 0);
+  type->cache_gb = hzb_json_number (item, NAME_TYPE_CACHE_GB, 0);
+  type->fetch_gb_per_s = hzb_json_number (item, NAME_TYPE_FETCH_GB_PER_S, DEFAULT_FETCH_GB_PER_S);
+  type->price = hzb_json_number (item, NAME_TYPE_PRICE, 0);
+  type->spot_price = hzb_json_number (item, NAME_TYPE_SPOT_PRICE, type->price);
+  type->boot_s = hzb_json_number (item, NAME_TYPE_BOOT_S, DEFAULT_BOOT_S);
+  type->zones = hzb_json_string_list (cJSON_GetObjectItemCaseSensitive (item, NAME_TYPE_ZONES));
+  return type;
+}
+
+GPtrArray *
+hzb_machine_types_decode (const char *body)
 {
-  const cJSON *item, *list = cJSON_GetObjectItemCaseSensitive (value, "flavors");
+  g_autoptr (cJSON) root = cJSON_Parse (body);
+  const cJSON *item, *list = cJSON_GetObjectItemCaseSensitive (root, NAME_TYPES);
   GPtrArray *types;
 
   if (!cJSON_IsArray (list))
@@ -29,68 +88,45 @@
   types = g_ptr_array_new_with_free_func ((GDestroyNotify) hzb_machine_type_free);
   cJSON_ArrayForEach (item, list)
     {
-      HzbMachineType *type;
-      if (!hzb_json_text (item, "sku"))
-        continue;
-      type = g_new0 (HzbMachineType, 1);
-      type->name = g_strdup (hzb_json_text (item, "sku"));
-      type->cpus = hzb_json_number (item, "cpus", 0);
-      type->gpus = hzb_json_number (item, "gpus", 0);
-      type->memory_gb = hzb_json_number (item, "ramGb", 0);
-      type->cache_gb = hzb_json_number (item, "localGb", 0);
-      type->fetch_gb_per_s = hzb_json_number (item, "pullGbPerS", 1);
-      type->price = hzb_json_number (item, "price", 0);
-      type->spot_price = hzb_json_number (item, "lowPrice", type->price);
-      type->boot_s = hzb_json_number (item, "readyS", 60);
-      type->zones = hzb_json_string_list (cJSON_GetObjectItemCaseSensitive (item, "yards"));
-      g_ptr_array_add (types, type);
+      HzbMachineType *type = decode_type (item);
+      if (type)
+        g_ptr_array_add (types, type);
     }
   return types;
 }
 
-GPtrArray *
-hzb_machine_types_decode (const char *body)
-{
-  cJSON *root = cJSON_Parse (body);
-  GPtrArray *types = unpack_types (root);
-  cJSON_Delete (root);
-  return types;
-}
-
 char *
 hzb_cloud_rent_encode (const char *request, const char *type, const char *zone, gboolean spot, guint count)
 {
   cJSON *root = cJSON_CreateObject ();
-  cJSON_AddStringToObject (root, "hire", request);
-  cJSON_AddStringToObject (root, "flavor", type);
-  cJSON_AddStringToObject (root, "yard", zone);
-  cJSON_AddBoolToObject (root, "loaners", spot);
-  cJSON_AddNumberToObject (root, "count", count);
+  cJSON_AddStringToObject (root, NAME_REQUEST, request);
+  cJSON_AddStringToObject (root, NAME_TYPE, type);
+  cJSON_AddStringToObject (root, NAME_ZONE, zone);
+  cJSON_AddBoolToObject (root, NAME_SPOT, spot);
+  cJSON_AddNumberToObject (root, NAME_COUNT, count);
   return hzb_json_print (root);
 }
 
 GPtrArray *
 hzb_cloud_names_decode (const char *body)
 {
-  cJSON *root = cJSON_Parse (body);
-  const cJSON *item, *list = cJSON_GetObjectItemCaseSensitive (root, "hosts");
-  GPtrArray *names = NULL;
+  g_autoptr (cJSON) root = cJSON_Parse (body);
+  const cJSON *item, *list = cJSON_GetObjectItemCaseSensitive (root, NAME_INSTANCES);
+  GPtrArray *names;
 
-  if (cJSON_IsArray (list))
-    {
-      names = g_ptr_array_new_with_free_func (g_free);
-      cJSON_ArrayForEach (item, list)
-        if (cJSON_IsString (item))
-          g_ptr_array_add (names, g_strdup (item->valuestring));
-    }
-  cJSON_Delete (root);
+  if (!cJSON_IsArray (list))
+    return NULL;
+  names = g_ptr_array_new_with_free_func (g_free);
+  cJSON_ArrayForEach (item, list)
+    if (cJSON_IsString (item))
+      g_ptr_array_add (names, g_strdup (item->valuestring));
   return names;
 }
 
 char *
 hzb_cloud_return_encode (const GPtrArray *names)
 {
-  cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "hosts");
+  cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, NAME_INSTANCES);
   for (guint i = 0; i < names->len; i++)
     cJSON_AddItemToArray (list, cJSON_CreateString (names->pdata[i]));
   return hzb_json_print (root);
@@ -104,36 +140,50 @@
                  : g_strdup_printf ("/hosts?page=%u", limit);
 }
 
+static HzbCloudInstanceState
+decode_instance_state (const cJSON *item)
+{
+  int state = hzb_json_index_of (hzb_json_text (item, NAME_INSTANCE_STATE), instance_state_names,
+                                 G_N_ELEMENTS (instance_state_names));
+  return state < 0 ? HZB_CLOUD_INSTANCE_STARTING : (HzbCloudInstanceState) state;
+}
+
+/* Returns: (transfer full) (nullable): NULL if the instance has no name */
+static HzbCloudInstance *
+decode_instance (const cJSON *item)
+{
+  const char *name = hzb_json_text (item, NAME_INSTANCE_NAME);
+  HzbCloudInstance *instance;
+
+  if (!name)
+    return NULL;
+  instance = g_new0 (HzbCloudInstance, 1);
+  instance->name = g_strdup (name);
+  instance->addr = g_strdup (hzb_json_text (item, NAME_INSTANCE_ADDR));
+  instance->type = g_strdup (hzb_json_text (item, NAME_TYPE));
+  instance->zone = g_strdup (hzb_json_text (item, NAME_ZONE));
+  instance->spot = hzb_json_flag (item, NAME_SPOT);
+  instance->state = decode_instance_state (item);
+  instance->age_s = hzb_json_number (item, NAME_INSTANCE_AGE_S, 0);
+  return instance;
+}
+
 GPtrArray *
 hzb_cloud_list_decode (const char *body, gboolean *more)
 {
-  cJSON *root = cJSON_Parse (body);
-  const cJSON *item, *list = cJSON_GetObjectItemCaseSensitive (root, "hosts");
-  GPtrArray *machines = NULL;
+  g_autoptr (cJSON) root = cJSON_Parse (body);
+  const cJSON *item, *list = cJSON_GetObjectItemCaseSensitive (root, NAME_INSTANCES);
+  GPtrArray *instances;
 
-  if (cJSON_IsArray (list))
+  if (!cJSON_IsArray (list))
+    return NULL;
+  instances = g_ptr_array_new_with_free_func ((GDestroyNotify) hzb_cloud_instance_free);
+  *more = hzb_json_flag (root, NAME_MORE);
+  cJSON_ArrayForEach (item, list)
     {
-      machines = g_ptr_array_new_with_free_func ((GDestroyNotify) hzb_cloud_instance_free);
-      *more = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "hasNext"));
-      cJSON_ArrayForEach (item, list)
-        {
-          HzbCloudInstance *instance;
-          const char *state = hzb_json_text (item, "status");
-          if (!hzb_json_text (item, "uid"))
-            continue;
-          instance = g_new0 (HzbCloudInstance, 1);
-          instance->name = g_strdup (hzb_json_text (item, "uid"));
-          instance->addr = g_strdup (hzb_json_text (item, "addr"));
-          instance->type = g_strdup (hzb_json_text (item, "flavor"));
-          instance->zone = g_strdup (hzb_json_text (item, "yard"));
-          instance->spot = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "loaners"));
-          instance->state = g_strcmp0 (state, "failed") == 0    ? HZB_CLOUD_INSTANCE_FAILED
-                            : g_strcmp0 (state, "running") == 0 ? HZB_CLOUD_INSTANCE_RUNNING
-                                                                : HZB_CLOUD_INSTANCE_STARTING;
-          instance->age_s = hzb_json_number (item, "ageS", 0);
-          g_ptr_array_add (machines, instance);
-        }
+      HzbCloudInstance *instance = decode_instance (item);
+      if (instance)
+        g_ptr_array_add (instances, instance);
     }
-  cJSON_Delete (root);
-  return machines;
+  return instances;
 }
--- a/src/protocol/kv-protocol.c
+++ b/src/protocol/kv-protocol.c
@@ -5,6 +5,23 @@
 const char hzb_path_transaction[] = "/multi";
 const char hzb_path_leases[] = "/leases";
 
+/* The store's names. */
+#define NAME_KEY "path"
+#define NAME_VALUE "value"
+#define NAME_VERSION "stamp"
+#define NAME_LEASE "permit"
+#define NAME_REVISION "epoch"
+
+#define NAME_COMPARISONS "when"
+#define NAME_CHANGES "then"
+#define NAME_PUT "put"
+#define NAME_DELETE "remove"
+#define NAME_FAILED "failed"
+
+#define NAME_ENTRIES "rows"
+#define NAME_MORE "hasNext"
+#define NAME_WATCHED "news"
+
 struct _HzbKvTransaction
 {
   cJSON *root;
@@ -23,8 +40,8 @@
 {
   HzbKvTransaction *transaction = g_new0 (HzbKvTransaction, 1);
   transaction->root = cJSON_CreateObject ();
-  transaction->comparisons = cJSON_AddArrayToObject (transaction->root, "when");
-  transaction->changes = cJSON_AddArrayToObject (transaction->root, "then");
+  transaction->comparisons = cJSON_AddArrayToObject (transaction->root, NAME_COMPARISONS);
+  transaction->changes = cJSON_AddArrayToObject (transaction->root, NAME_CHANGES);
   return transaction;
 }
 
@@ -41,8 +58,8 @@
 hzb_kv_transaction_compare (HzbKvTransaction *transaction, const char *key, guint64 version)
 {
   cJSON *comparison = cJSON_CreateObject ();
-  cJSON_AddStringToObject (comparison, "path", key);
-  hzb_json_add_u64 (comparison, "stamp", version);
+  cJSON_AddStringToObject (comparison, NAME_KEY, key);
+  hzb_json_add_u64 (comparison, NAME_VERSION, version);
   cJSON_AddItemToArray (transaction->comparisons, comparison);
 }
 
@@ -50,10 +67,10 @@
 hzb_kv_transaction_put (HzbKvTransaction *transaction, const char *key, cJSON *value, guint64 lease)
 {
   cJSON *change = cJSON_CreateObject ();
-  cJSON_AddStringToObject (change, "put", key);
-  cJSON_AddItemToObject (change, "value", value);
+  cJSON_AddStringToObject (change, NAME_PUT, key);
+  cJSON_AddItemToObject (change, NAME_VALUE, value);
   if (lease)
-    hzb_json_add_u64 (change, "permit", lease);
+    hzb_json_add_u64 (change, NAME_LEASE, lease);
   cJSON_AddItemToArray (transaction->changes, change);
 }
 
@@ -61,7 +78,7 @@
 hzb_kv_transaction_delete (HzbKvTransaction *transaction, const char *key)
 {
   cJSON *change = cJSON_CreateObject ();
-  cJSON_AddStringToObject (change, "remove", key);
+  cJSON_AddStringToObject (change, NAME_DELETE, key);
   cJSON_AddItemToArray (transaction->changes, change);
 }
 
@@ -80,21 +97,19 @@
 gboolean
 hzb_kv_commit_decode (const char *body, guint64 *revision, GPtrArray **failed)
 {
-  cJSON *root = cJSON_Parse (body);
+  g_autoptr (cJSON) root = cJSON_Parse (body);
   const cJSON *item;
-  gboolean ok = cJSON_IsObject (root);
 
   if (revision)
-    *revision = hzb_json_u64 (root, "epoch");
+    *revision = hzb_json_u64 (root, NAME_REVISION);
   if (failed)
     {
       *failed = g_ptr_array_new_with_free_func (g_free);
-      cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, "failed"))
+      cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (root, NAME_FAILED))
         if (cJSON_IsString (item))
           g_ptr_array_add (*failed, g_strdup (item->valuestring));
     }
-  cJSON_Delete (root);
-  return ok;
+  return cJSON_IsObject (root);
 }
 
 char *
@@ -104,24 +119,59 @@
 }
 
 static gboolean
-decode_entry (const cJSON *from, HzbKvEntry *item)
+decode_entry (const cJSON *from, HzbKvEntry *entry)
 {
-  const cJSON *value = cJSON_GetObjectItemCaseSensitive (from, "value");
-  if (!hzb_json_text (from, "path") || !value)
+  const char *key = hzb_json_text (from, NAME_KEY);
+  const cJSON *value = cJSON_GetObjectItemCaseSensitive (from, NAME_VALUE);
+
+  if (!key || !value)
     return FALSE;
-  item->key = g_strdup (hzb_json_text (from, "path"));
-  item->value = cJSON_Duplicate (value, TRUE);
-  item->version = hzb_json_u64 (from, "stamp");
+  entry->key = g_strdup (key);
+  entry->value = cJSON_Duplicate (value, TRUE);
+  entry->version = hzb_json_u64 (from, NAME_VERSION);
   return TRUE;
 }
 
+/* A change as a watch reports it. */
+static gboolean
+decode_watched (const cJSON *from, HzbKvEntry *entry)
+{
+  const char *put = hzb_json_text (from, NAME_PUT), *deleted = hzb_json_text (from, NAME_DELETE);
+
+  if (!put && !deleted)
+    return FALSE;
+  entry->key = g_strdup (put ? put : deleted);
+  entry->version = hzb_json_u64 (from, NAME_VERSION);
+  if (put)
+    entry->value = cJSON_Duplicate (cJSON_GetObjectItemCaseSensitive (from, NAME_VALUE), TRUE);
+  return TRUE;
+}
+
+/* Returns: (transfer full) (nullable): NULL if the list is none */
+static GArray *
+decode_entries (const cJSON *list, gboolean (*decode) (const cJSON *from, HzbKvEntry *entry))
+{
+  const cJSON *item;
+  GArray *entries;
+
+  if (!cJSON_IsArray (list))
+    return NULL;
+  entries = g_array_new (FALSE, TRUE, sizeof (HzbKvEntry));
+  g_array_set_clear_func (entries, (GDestroyNotify) hzb_kv_entry_clear);
+  cJSON_ArrayForEach (item, list)
+    {
+      HzbKvEntry entry = { 0 };
+      if (decode (item, &entry))
+        g_array_append_val (entries, entry);
+    }
+  return entries;
+}
+
 gboolean
-hzb_kv_entry_decode (const char *body, HzbKvEntry *item)
+hzb_kv_entry_decode (const char *body, HzbKvEntry *entry)
 {
-  cJSON *root = cJSON_Parse (body);
-  gboolean ok = decode_entry (root, item);
-  cJSON_Delete (root);
-  return ok;
+  g_autoptr (cJSON) root = cJSON_Parse (body);
+  return decode_entry (root, entry);
 }
 
 char *
@@ -131,35 +181,17 @@
                : g_strdup_printf ("/kv?starts=%s&page=%u", prefix, limit);
 }
 
-static GArray *
-entry_array (void)
-{
-  GArray *items = g_array_new (FALSE, TRUE, sizeof (HzbKvEntry));
-  g_array_set_clear_func (items, (GDestroyNotify) hzb_kv_entry_clear);
-  return items;
-}
-
 GArray *
 hzb_kv_range_decode (const char *body, gboolean *more, guint64 *revision)
 {
-  cJSON *root = cJSON_Parse (body);
-  const cJSON *entry, *list = cJSON_GetObjectItemCaseSensitive (root, "rows");
-  GArray *items = NULL;
+  g_autoptr (cJSON) root = cJSON_Parse (body);
+  GArray *entries = decode_entries (cJSON_GetObjectItemCaseSensitive (root, NAME_ENTRIES), decode_entry);
 
-  if (cJSON_IsArray (list))
-    {
-      items = entry_array ();
-      *more = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (root, "hasNext"));
-      *revision = hzb_json_u64 (root, "epoch");
-      cJSON_ArrayForEach (entry, list)
-        {
-          HzbKvEntry item = { 0 };
-          if (decode_entry (entry, &item))
-            g_array_append_val (items, item);
-        }
-    }
-  cJSON_Delete (root);
-  return items;
+  if (!entries)
+    return NULL;
+  *more = hzb_json_flag (root, NAME_MORE);
+  *revision = hzb_json_u64 (root, NAME_REVISION);
+  return entries;
 }
 
 char *
@@ -171,29 +203,13 @@
 GArray *
 hzb_kv_watch_decode (const char *body, guint64 *revision)
 {
-  cJSON *root = cJSON_Parse (body);
-  const cJSON *entry, *list = cJSON_GetObjectItemCaseSensitive (root, "news");
-  GArray *items = NULL;
+  g_autoptr (cJSON) root = cJSON_Parse (body);
+  GArray *entries = decode_entries (cJSON_GetObjectItemCaseSensitive (root, NAME_WATCHED), decode_watched);
 
-  if (cJSON_IsArray (list))
-    {
-      items = entry_array ();
-      *revision = hzb_json_u64 (root, "epoch");
-      cJSON_ArrayForEach (entry, list)
-        {
-          HzbKvEntry item = { 0 };
-          const char *put = hzb_json_text (entry, "put"), *removed = hzb_json_text (entry, "remove");
-          if (!put && !removed)
-            continue;
-          item.key = g_strdup (put ? put : removed);
-          item.version = hzb_json_u64 (entry, "stamp");
-          if (put)
-            item.value = cJSON_Duplicate (cJSON_GetObjectItemCaseSensitive (entry, "value"), TRUE);
-          g_array_append_val (items, item);
-        }
-    }
-  cJSON_Delete (root);
-  return items;
+  if (!entries)
+    return NULL;
+  *revision = hzb_json_u64 (root, NAME_REVISION);
+  return entries;
 }
 
 char *
@@ -205,20 +221,18 @@
 guint64
 hzb_kv_lease_decode (const char *body)
 {
-  cJSON *root = cJSON_Parse (body);
-  guint64 lease = hzb_json_u64 (root, "permit");
-  cJSON_Delete (root);
-  return lease;
+  g_autoptr (cJSON) root = cJSON_Parse (body);
+  return hzb_json_u64 (root, NAME_LEASE);
 }
 
 char *
 hzb_kv_lease_renew_path (guint64 lease)
 {
-  return g_strdup_printf ("/leases/%" G_GUINT64_FORMAT "/renew", lease);
+  return g_strdup_printf ("%s/%" G_GUINT64_FORMAT "/renew", hzb_path_leases, lease);
 }
 
 char *
 hzb_kv_lease_revoke_path (guint64 lease)
 {
-  return g_strdup_printf ("/leases/%" G_GUINT64_FORMAT, lease);
+  return g_strdup_printf ("%s/%" G_GUINT64_FORMAT, hzb_path_leases, lease);
 }
--- a/src/protocol/user-protocol.c
+++ b/src/protocol/user-protocol.c
@@ -9,8 +9,51 @@
 const char hzb_path_cancel[] = "/cancel";
 const char hzb_path_ready[] = "/ready";
 
-static const char *const kind_names[HZB_JOB_N_KINDS] = { "sweep", "ensemble", "standing" };
-static const char *const priority_names[] = { "idle", "normal", "urgent", "production" };
+/* The users' names. */
+#define NAME_UID "uid"
+#define NAME_JOB_CLASS "lane"
+#define NAME_TEAM "owner"
+#define NAME_KIND "shape"
+#define NAME_PRIORITY "urgency"
+#define NAME_TASKS "pieces"
+#define NAME_CPUS "cpus"
+#define NAME_GPUS "gpus"
+#define NAME_MEMORY_GB "ramGb"
+#define NAME_IMAGE "bundle"
+#define NAME_IMAGE_GB "sizeGb"
+#define NAME_TYPES "flavors"
+#define NAME_ZONE "yard"
+#define NAME_SAME_ZONE "samePlace"
+#define NAME_SPREAD "spread"
+#define NAME_SPOT "loaners"
+#define NAME_ESTIMATE_S "expectS"
+#define NAME_CHECKPOINT_INTERVAL_S "snapshotEveryS"
+#define NAME_CHECKPOINT_DURATION_S "snapshotS"
+#define NAME_DEADLINE_S "dueS"
+
+#define NAME_STATUS "status"
+#define NAME_DONE "done"
+#define NAME_RUNNING "running"
+#define NAME_ERROR "error"
+
+static const char *const kind_names[HZB_JOB_N_KINDS] = {
+  [HZB_JOB_ARRAY] = "sweep",
+  [HZB_JOB_GANG] = "ensemble",
+  [HZB_JOB_SERVICE] = "standing",
+};
+
+static const char *const priority_names[HZB_N_PRIORITIES] = {
+  [HZB_PRIORITY_IDLE] = "idle",
+  [HZB_PRIORITY_NORMAL] = "normal",
+  [HZB_PRIORITY_HIGH] = "urgent",
+  [HZB_PRIORITY_PRODUCTION] = "production",
+};
+
+#define UID_PREFIX "run-"
+#define LEAST_UID_DIGITS 6
+#define MOST_UID_DIGITS 12
+#define LONGEST_TEXT 200 /* bytes */
+#define GREATEST_AMOUNT 1e9
 
 GQuark
 hzb_protocol_error_quark (void)
@@ -36,121 +79,212 @@
 hzb_job_uid_is_valid (const char *uid)
 {
   gsize digits = 0;
-  if (!uid || !g_str_has_prefix (uid, "run-"))
+  if (!uid || !g_str_has_prefix (uid, UID_PREFIX))
     return FALSE;
-  for (uid += 4; g_ascii_isdigit (*uid); uid++)
+  for (uid += strlen (UID_PREFIX); g_ascii_isdigit (*uid); uid++)
     digits++;
-  return *uid == '\0' && digits >= 6 && digits <= 12;
+  return *uid == '\0' && digits >= LEAST_UID_DIGITS && digits <= MOST_UID_DIGITS;
 }
 
+/* ---- fields of a submission: each function sets the error and returns FALSE if the field is missing or invalid ---- */
+
 static gboolean
-bad (GError **error, const char *field, const char *expected)
+set_malformed (GError **error, const char *field, const char *expected)
 {
   g_set_error (error, HZB_PROTOCOL_ERROR, HZB_PROTOCOL_ERROR_MALFORMED, "%s: expected %s", field, expected);
   return FALSE;
 }
 
 static gboolean
-take_text (const cJSON *root, const char *field, char **out, GError **error)
+decode_text (const cJSON *root, const char *field, char **out, GError **error)
 {
   const char *text = hzb_json_text (root, field);
-  if (!text || !*text || strlen (text) > 200)
-    return bad (error, field, "a text of 1 to 200 bytes");
+  if (!text || !*text || strlen (text) > LONGEST_TEXT)
+    return set_malformed (error, field, "a text of 1 to 200 bytes");
   *out = g_strdup (text);
   return TRUE;
 }
 
 static gboolean
-take_number (const cJSON *root, const char *field, double least, gboolean above, double *out, GError **error)
+is_amount (const cJSON *item)
+{
+  return cJSON_IsNumber (item) && isfinite (item->valuedouble) && item->valuedouble >= 0
+         && item->valuedouble <= GREATEST_AMOUNT;
+}
+
+static gboolean
+decode_amount (const cJSON *root, const char *field, double *out, GError **error)
 {
   const cJSON *item = cJSON_GetObjectItemCaseSensitive (root, field);
-  if (!cJSON_IsNumber (item) || !isfinite (item->valuedouble) || item->valuedouble < least
-      || (above && item->valuedouble <= least) || item->valuedouble > 1e9)
-    return bad (error, field, above ? "a number above 0" : "a number of at least 0");
+  if (!is_amount (item))
+    return set_malformed (error, field, "a number of at least 0");
   *out = item->valuedouble;
   return TRUE;
 }
 
 static gboolean
-take_flag (const cJSON *root, const char *field, gboolean *out, GError **error)
+decode_positive (const cJSON *root, const char *field, double *out, GError **error)
+{
+  const cJSON *item = cJSON_GetObjectItemCaseSensitive (root, field);
+  if (!is_amount (item) || item->valuedouble <= 0)
+    return set_malformed (error, field, "a number above 0");
+  *out = item->valuedouble;
+  return TRUE;
+}
+
+static gboolean
+decode_flag (const cJSON *root, const char *field, gboolean *out, GError **error)
 {
   const cJSON *item = cJSON_GetObjectItemCaseSensitive (root, field);
   if (!cJSON_IsBool (item))
-    return bad (error, field, "true or false");
+    return set_malformed (error, field, "true or false");
   *out = cJSON_IsTrue (item);
   return TRUE;
 }
 
+/* A field that may be null may also be omitted. */
 static gboolean
-take_priority (const cJSON *root, HzbPriority *out, GError **error)
+is_given (const cJSON *root, const char *field)
 {
-  const char *text = hzb_json_text (root, "urgency");
-  for (guint i = 0; i < HZB_N_PRIORITIES; i++)
-    if (g_strcmp0 (text, priority_names[i]) == 0)
-      {
-        *out = (HzbPriority) i;
-        return TRUE;
-      }
-  return bad (error, "urgency", "production, urgent, normal or idle");
+  const cJSON *item = cJSON_GetObjectItemCaseSensitive (root, field);
+  return item && !cJSON_IsNull (item);
 }
 
+/* ---- steps of decoding a submission ---- */
+
 static gboolean
-fill_spec (HzbJobSpec *spec, const cJSON *root, GError **error)
+decode_uid (HzbJobSpec *spec, const cJSON *root, GError **error)
 {
-  const cJSON *item;
-  int kind;
-  g_autofree char *image = NULL;
-  double tasks = 0;
+  const char *uid = hzb_json_text (root, NAME_UID);
+  if (!hzb_job_uid_is_valid (uid))
+    return set_malformed (error, NAME_UID, "an id such as run-000412");
+  spec->uid = g_strdup (uid);
+  return TRUE;
+}
 
-  if (!hzb_job_uid_is_valid (hzb_json_text (root, "uid")))
-    return bad (error, "uid", "an id such as run-000412");
-  spec->uid = g_strdup (hzb_json_text (root, "uid"));
-  kind = hzb_json_index_of (hzb_json_text (root, "shape"), kind_names, HZB_JOB_N_KINDS);
+static gboolean
+decode_kind (HzbJobSpec *spec, const cJSON *root, GError **error)
+{
+  int kind = hzb_json_index_of (hzb_json_text (root, NAME_KIND), kind_names, HZB_JOB_N_KINDS);
   if (kind < 0)
-    return bad (error, "shape", "sweep, ensemble or standing");
+    return set_malformed (error, NAME_KIND, "sweep, ensemble or standing");
   spec->kind = (HzbJobKind) kind;
-  if (!take_text (root, "lane", &spec->job_class, error) || !take_text (root, "owner", &spec->team, error)
-      || !take_priority (root, &spec->priority, error) || !take_number (root, "pieces", 0, TRUE, &tasks, error)
-      || !take_number (root, "cpus", 0, FALSE, &spec->cpus, error)
-      || !take_number (root, "gpus", 0, FALSE, &spec->gpus, error)
-      || !take_number (root, "ramGb", 0, FALSE, &spec->memory_gb, error) || !take_text (root, "bundle", &image, error)
-      || !take_number (root, "sizeGb", 0, FALSE, &spec->image_gb, error)
-      || !take_flag (root, "samePlace", &spec->same_zone, error) || !take_flag (root, "spread", &spec->spread, error)
-      || !take_flag (root, "loaners", &spec->spot, error)
-      || !take_number (root, "expectS", 0, spec->kind != HZB_JOB_SERVICE, &spec->estimate_s, error)
-      || !take_number (root, "snapshotEveryS", 0, FALSE, &spec->checkpoint_interval_s, error)
-      || !take_number (root, "snapshotS", 0, FALSE, &spec->checkpoint_duration_s, error))
+  return TRUE;
+}
+
+static gboolean
+decode_priority (HzbJobSpec *spec, const cJSON *root, GError **error)
+{
+  int priority = hzb_json_index_of (hzb_json_text (root, NAME_PRIORITY), priority_names, HZB_N_PRIORITIES);
+  if (priority < 0)
+    return set_malformed (error, NAME_PRIORITY, "production, urgent, normal or idle");
+  spec->priority = (HzbPriority) priority;
+  return TRUE;
+}
+
+static gboolean
+decode_owner (HzbJobSpec *spec, const cJSON *root, GError **error)
+{
+  return decode_text (root, NAME_JOB_CLASS, &spec->job_class, error)
+         && decode_text (root, NAME_TEAM, &spec->team, error) && decode_priority (spec, root, error);
+}
+
+static gboolean
+decode_resources (HzbJobSpec *spec, const cJSON *root, GError **error)
+{
+  return decode_amount (root, NAME_CPUS, &spec->cpus, error) && decode_amount (root, NAME_GPUS, &spec->gpus, error)
+         && decode_amount (root, NAME_MEMORY_GB, &spec->memory_gb, error);
+}
+
+static gboolean
+decode_image (HzbJobSpec *spec, const cJSON *root, GError **error)
+{
+  g_autofree char *image = NULL;
+  if (!decode_text (root, NAME_IMAGE, &image, error) || !decode_amount (root, NAME_IMAGE_GB, &spec->image_gb, error))
     return FALSE;
+  spec->image = g_ref_string_new_intern (image);
+  return TRUE;
+}
+
+static gboolean
+decode_placement_flags (HzbJobSpec *spec, const cJSON *root, GError **error)
+{
+  return decode_flag (root, NAME_SAME_ZONE, &spec->same_zone, error)
+         && decode_flag (root, NAME_SPREAD, &spec->spread, error) && decode_flag (root, NAME_SPOT, &spec->spot, error);
+}
+
+static gboolean
+decode_durations (HzbJobSpec *spec, const cJSON *root, GError **error)
+{
+  /* A service runs until it is cancelled, so its estimate may be 0. */
+  gboolean (*decode_estimate) (const cJSON *, const char *, double *, GError **) =
+      spec->kind == HZB_JOB_SERVICE ? decode_amount : decode_positive;
+  return decode_estimate (root, NAME_ESTIMATE_S, &spec->estimate_s, error)
+         && decode_amount (root, NAME_CHECKPOINT_INTERVAL_S, &spec->checkpoint_interval_s, error)
+         && decode_amount (root, NAME_CHECKPOINT_DURATION_S, &spec->checkpoint_duration_s, error);
+}
+
+static gboolean
+set_tasks (HzbJobSpec *spec, double tasks, GError **error)
+{
   if (tasks != floor (tasks) || tasks > HZB_MAX_TASKS)
-    return bad (error, "pieces", "a whole number from 1 to 100000");
+    return set_malformed (error, NAME_TASKS, "a whole number from 1 to 100000");
   spec->tasks = (guint) tasks;
-  spec->image = g_ref_string_new_intern (image);
-  item = cJSON_GetObjectItemCaseSensitive (root, "flavors");
-  if (item && !cJSON_IsNull (item))
-    {
-      const cJSON *entry;
-      if (!cJSON_IsArray (item))
-        return bad (error, "flavors", "a list of machine types, or null");
-      cJSON_ArrayForEach (entry, item)
-        if (!cJSON_IsString (entry))
-          return bad (error, "flavors", "a list of machine types, or null");
-      spec->types = hzb_json_string_list (item);
-    }
-  item = cJSON_GetObjectItemCaseSensitive (root, "yard");
-  if (item && !cJSON_IsNull (item) && !take_text (root, "yard", &spec->zone, error))
-    return FALSE;
-  item = cJSON_GetObjectItemCaseSensitive (root, "dueS");
-  if (item && !cJSON_IsNull (item) && !take_number (root, "dueS", 0, TRUE, &spec->deadline_s, error))
-    return FALSE;
   return TRUE;
 }
 
+static gboolean
+decode_types (HzbJobSpec *spec, const cJSON *root, GError **error)
+{
+  static const char expected[] = "a list of machine types, or null";
+  const cJSON *entry, *list = cJSON_GetObjectItemCaseSensitive (root, NAME_TYPES);
+
+  if (!is_given (root, NAME_TYPES))
+    return TRUE;
+  if (!cJSON_IsArray (list))
+    return set_malformed (error, NAME_TYPES, expected);
+  cJSON_ArrayForEach (entry, list)
+    if (!cJSON_IsString (entry))
+      return set_malformed (error, NAME_TYPES, expected);
+  spec->types = hzb_json_string_list (list);
+  return TRUE;
+}
+
+static gboolean
+decode_zone (HzbJobSpec *spec, const cJSON *root, GError **error)
+{
+  return !is_given (root, NAME_ZONE) || decode_text (root, NAME_ZONE, &spec->zone, error);
+}
+
+static gboolean
+decode_deadline (HzbJobSpec *spec, const cJSON *root, GError **error)
+{
+  return !is_given (root, NAME_DEADLINE_S) || decode_positive (root, NAME_DEADLINE_S, &spec->deadline_s, error);
+}
+
+/* Users are told of the first field that is missing or invalid, in the order of these steps: they keep their places. */
+static gboolean
+decode_spec (HzbJobSpec *spec, const cJSON *root, GError **error)
+{
+  double tasks = 0;
+  return decode_uid (spec, root, error)                       /* which job */
+         && decode_kind (spec, root, error)                   /* its kind, on which later steps depend */
+         && decode_owner (spec, root, error)                  /* whose it is */
+         && decode_positive (root, NAME_TASKS, &tasks, error) /* how many tasks */
+         && decode_resources (spec, root, error)              /* what each takes of its machine */
+         && decode_image (spec, root, error)                  /* what it runs */
+         && decode_placement_flags (spec, root, error)        /* where it may run */
+         && decode_durations (spec, root, error)              /* for how long */
+         && set_tasks (spec, tasks, error)                    /* a whole number of them */
+         && decode_types (spec, root, error)                  /* fields that may be null */
+         && decode_zone (spec, root, error) && decode_deadline (spec, root, error);
+}
+
 HzbJobSpec *
 hzb_job_spec_parse (const char *body, gsize length, GError **error)
 {
   g_autoptr (HzbJobSpec) spec = g_new0 (HzbJobSpec, 1);
-  cJSON *root;
-  gboolean ok;
+  g_autoptr (cJSON) root = NULL;
 
   if (length > HZB_MAX_BODY)
     {
@@ -160,25 +294,22 @@
   root = body ? cJSON_ParseWithLength (body, length) : NULL;
   if (!cJSON_IsObject (root))
     {
-      cJSON_Delete (root);
       g_set_error (error, HZB_PROTOCOL_ERROR, HZB_PROTOCOL_ERROR_MALFORMED, "the body is not a JSON object");
       return NULL;
     }
-  ok = fill_spec (spec, root, error);
-  cJSON_Delete (root);
-  return ok ? g_steal_pointer (&spec) : NULL;
+  return decode_spec (spec, root, error) ? g_steal_pointer (&spec) : NULL;
 }
 
 char *
 hzb_job_status_encode (const char *uid, const char *status, gboolean counts, guint done, guint running)
 {
   cJSON *root = cJSON_CreateObject ();
-  cJSON_AddStringToObject (root, "uid", uid);
-  cJSON_AddStringToObject (root, "status", status);
+  cJSON_AddStringToObject (root, NAME_UID, uid);
+  cJSON_AddStringToObject (root, NAME_STATUS, status);
   if (counts)
     {
-      cJSON_AddNumberToObject (root, "done", done);
-      cJSON_AddNumberToObject (root, "running", running);
+      cJSON_AddNumberToObject (root, NAME_DONE, done);
+      cJSON_AddNumberToObject (root, NAME_RUNNING, running);
     }
   return hzb_json_print (root);
 }
@@ -187,40 +318,43 @@
 hzb_error_response_encode (const char *text)
 {
   cJSON *root = cJSON_CreateObject ();
-  cJSON_AddStringToObject (root, "error", text);
+  cJSON_AddStringToObject (root, NAME_ERROR, text);
   return hzb_json_print (root);
 }
 
-/* The durable form is the submission itself, so one reader checks both. */
+static cJSON *
+encode_types (const HzbJobSpec *spec)
+{
+  return cJSON_CreateStringArray ((const char *const *) spec->types, (int) g_strv_length (spec->types));
+}
+
 cJSON *
 hzb_job_spec_encode (const HzbJobSpec *spec)
 {
   cJSON *root = cJSON_CreateObject ();
-  cJSON_AddStringToObject (root, "uid", spec->uid);
-  cJSON_AddStringToObject (root, "lane", spec->job_class);
-  cJSON_AddStringToObject (root, "owner", spec->team);
-  cJSON_AddStringToObject (root, "shape", kind_names[spec->kind]);
-  cJSON_AddStringToObject (root, "urgency", priority_names[spec->priority]);
-  cJSON_AddNumberToObject (root, "pieces", spec->tasks);
-  cJSON_AddNumberToObject (root, "cpus", spec->cpus);
-  cJSON_AddNumberToObject (root, "gpus", spec->gpus);
-  cJSON_AddNumberToObject (root, "ramGb", spec->memory_gb);
-  cJSON_AddStringToObject (root, "bundle", spec->image);
-  cJSON_AddNumberToObject (root, "sizeGb", spec->image_gb);
+  cJSON_AddStringToObject (root, NAME_UID, spec->uid);
+  cJSON_AddStringToObject (root, NAME_JOB_CLASS, spec->job_class);
+  cJSON_AddStringToObject (root, NAME_TEAM, spec->team);
+  cJSON_AddStringToObject (root, NAME_KIND, kind_names[spec->kind]);
+  cJSON_AddStringToObject (root, NAME_PRIORITY, priority_names[spec->priority]);
+  cJSON_AddNumberToObject (root, NAME_TASKS, spec->tasks);
+  cJSON_AddNumberToObject (root, NAME_CPUS, spec->cpus);
+  cJSON_AddNumberToObject (root, NAME_GPUS, spec->gpus);
+  cJSON_AddNumberToObject (root, NAME_MEMORY_GB, spec->memory_gb);
+  cJSON_AddStringToObject (root, NAME_IMAGE, spec->image);
+  cJSON_AddNumberToObject (root, NAME_IMAGE_GB, spec->image_gb);
   if (spec->types)
-    cJSON_AddItemToObject (
-        root, "flavors",
-        cJSON_CreateStringArray ((const char *const *) spec->types, (int) g_strv_length (spec->types)));
+    cJSON_AddItemToObject (root, NAME_TYPES, encode_types (spec));
   if (spec->zone)
-    cJSON_AddStringToObject (root, "yard", spec->zone);
-  cJSON_AddBoolToObject (root, "samePlace", spec->same_zone);
-  cJSON_AddBoolToObject (root, "spread", spec->spread);
-  cJSON_AddBoolToObject (root, "loaners", spec->spot);
-  cJSON_AddNumberToObject (root, "expectS", spec->estimate_s);
-  cJSON_AddNumberToObject (root, "snapshotEveryS", spec->checkpoint_interval_s);
-  cJSON_AddNumberToObject (root, "snapshotS", spec->checkpoint_duration_s);
+    cJSON_AddStringToObject (root, NAME_ZONE, spec->zone);
+  cJSON_AddBoolToObject (root, NAME_SAME_ZONE, spec->same_zone);
+  cJSON_AddBoolToObject (root, NAME_SPREAD, spec->spread);
+  cJSON_AddBoolToObject (root, NAME_SPOT, spec->spot);
+  cJSON_AddNumberToObject (root, NAME_ESTIMATE_S, spec->estimate_s);
+  cJSON_AddNumberToObject (root, NAME_CHECKPOINT_INTERVAL_S, spec->checkpoint_interval_s);
+  cJSON_AddNumberToObject (root, NAME_CHECKPOINT_DURATION_S, spec->checkpoint_duration_s);
   if (spec->deadline_s > 0)
-    cJSON_AddNumberToObject (root, "dueS", spec->deadline_s);
+    cJSON_AddNumberToObject (root, NAME_DEADLINE_S, spec->deadline_s);
   return root;
 }
 
@@ -228,7 +362,7 @@
 hzb_job_spec_decode (const char *uid, const cJSON *value)
 {
   g_autoptr (HzbJobSpec) spec = g_new0 (HzbJobSpec, 1);
-  if (!fill_spec (spec, value, NULL) || !g_str_equal (spec->uid, uid))
+  if (!decode_spec (spec, value, NULL) || !g_str_equal (spec->uid, uid))
     return NULL;
   return g_steal_pointer (&spec);
 }
