--- /dev/null
+++ b/src/http/http-client.h
@@ -0,0 +1,18 @@
+/**
+ * SECTION: http-client
+ * @short_description: the transport that sends requests over HTTP
+ */
+#pragma once
+#include "transport.h"
+
+/**
+ * Makes a client. It keeps connections open for later requests.
+ * @return (transfer full): to be freed with hzb_http_client_free()
+ */
+HzbTransport *hzb_http_client_new (void);
+
+/**
+ * Frees a client. Requests that are under way end with it, with status 0.
+ * @param transport (transfer full) made by hzb_http_client_new()
+ */
+void hzb_http_client_free (HzbTransport *transport);
--- /dev/null
+++ b/src/http/http-request.c
@@ -0,0 +1,14 @@
+#include "http-request.h"
+
+void
+hzb_http_request_respond (HzbHttpRequest *http_request, guint status, char *body, guint retry_after_s)
+{
+  if (http_request->done)
+    http_request->done (http_request, status, http_request->done_user);
+  http_request->reply (http_request, status, body, retry_after_s);
+  g_free (body);
+  g_free (http_request->method);
+  g_free (http_request->path);
+  g_free (http_request->body);
+  g_free (http_request);
+}
--- a/src/protocol/kv-protocol.h
+++ b/src/protocol/kv-protocol.h
@@ -2,9 +2,9 @@
  * SECTION: kv-protocol
  * @short_description: requests to the key-value store and its responses
  *
- * The one place that knows the names that the key-value store uses. A transaction is a compare-and-swap: its changes are
- * made together, and only if every comparison holds. The store's revision counts all changes; the version of a key is the
- * revision of its last change.
+ * The one place that knows the names that the key-value store uses. A transaction is a compare-and-swap: its changes
+ * are made together, and only if every comparison holds. The store's revision counts all changes; the version of a key
+ * is the revision of its last change.
  */
 #pragma once
 #include <cjson/cJSON.h>
--- a/src/protocol/record-keys.h
+++ b/src/protocol/record-keys.h
@@ -9,8 +9,8 @@
 /** Prefix of the records that every controller follows in its replica. */
 #define HZB_KEY_REPLICATED "hzb/a/"
 /**
- * The record of leadership in schema version 1. From schema version 2 on it names a leader that does not exist, so that a
- * controller of version 1 which comes back never leads: it would misread what was recorded since.
+ * The record of leadership in schema version 1. From schema version 2 on it names a leader that does not exist, so
+ * that a controller of version 1 which comes back never leads: it would misread what was recorded since.
  */
 #define HZB_KEY_LEADER_SCHEMA_1 HZB_KEY_REPLICATED "leader"
 /** The highest term of a leader so far. */
--- a/src/protocol/user-protocol.c
+++ b/src/protocol/user-protocol.c
@@ -86,7 +86,7 @@
   return *uid == '\0' && digits >= LEAST_UID_DIGITS && digits <= MOST_UID_DIGITS;
 }
 
-/* ---- fields of a submission: each function sets the error and returns FALSE if the field is missing or invalid ---- */
+/* ---- fields of a submission: each function returns FALSE, with the error, if its field is missing or invalid ---- */
 
 static gboolean
 set_malformed (GError **error, const char *field, const char *expected)
--- a/src/protocol/user-protocol.h
+++ b/src/protocol/user-protocol.h
@@ -97,7 +97,8 @@
  * Decodes the body of a submission.
  * @param body (nullable) the request's body
  * @param length its bytes
- * @param error (out) (optional) #HZB_PROTOCOL_ERROR_MALFORMED; the message names the first field that is missing or invalid
+ * @param error (out) (optional) #HZB_PROTOCOL_ERROR_MALFORMED; the message names the first field that is missing or
+ * invalid
  * @return (transfer full) (nullable): NULL on an error
  */
 HzbJobSpec *hzb_job_spec_parse (const char *body, gsize length, GError **error);
