--- a/src/base/clock.c
+++ b/src/base/clock.c
@@ -2,10 +2,13 @@
 
 #include <math.h>
 
+#define NSEC_PER_SEC 1000000000L
+#define MANUAL_CLOCK_BEGIN_S 1000 /* not 0, which would stand for an instant that was never set */
+
 struct _HzbClock
 {
   gboolean manual;
-  struct timespec now;
+  struct timespec now; /* of a manual clock the time; otherwise the last instant that was read */
 };
 
 HzbClock *
@@ -19,7 +22,7 @@
 {
   HzbClock *clock = g_new0 (HzbClock, 1);
   clock->manual = TRUE;
-  clock->now.tv_sec = 1000;
+  clock->now.tv_sec = MANUAL_CLOCK_BEGIN_S;
   return clock;
 }
 
@@ -58,10 +61,10 @@
 {
   double whole = floor (seconds);
   at.tv_sec += (time_t) whole;
-  at.tv_nsec += (long) ((seconds - whole) * 1e9);
-  if (at.tv_nsec >= 1000000000L)
+  at.tv_nsec += (long) ((seconds - whole) * NSEC_PER_SEC);
+  if (at.tv_nsec >= NSEC_PER_SEC)
     {
-      at.tv_nsec -= 1000000000L;
+      at.tv_nsec -= NSEC_PER_SEC;
       at.tv_sec++;
     }
   return at;
@@ -70,7 +73,7 @@
 double
 hzb_time_between (struct timespec from, struct timespec to)
 {
-  return (double) (to.tv_sec - from.tv_sec) + (double) (to.tv_nsec - from.tv_nsec) / 1e9;
+  return (double) (to.tv_sec - from.tv_sec) + (double) (to.tv_nsec - from.tv_nsec) / NSEC_PER_SEC;
 }
 
 gboolean
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -2,14 +2,21 @@
 
 #include <gsl/gsl_histogram.h>
 
-static const char *const names[] = { "reports", "submissions", "statusRequests", "cancellations", "others" };
+static const char *const kind_names[] = {
+  [HZB_METRIC_HEARTBEAT] = "reports",    [HZB_METRIC_SUBMIT] = "submissions", [HZB_METRIC_STATUS] = "statusRequests",
+  [HZB_METRIC_CANCEL] = "cancellations", [HZB_METRIC_OTHER] = "others",
+};
 
-/* Upper edges of the buckets in seconds. */
+/* Edges of the histograms' buckets, in seconds. The last bucket has all that took longer. */
 static const double edges[] = { 0, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 1e9 };
+#define MOST_SECONDS 1e8 /* falls into the last bucket */
+
+#define FIRST_STATUS_CLASS 2u /* 2xx */
+#define STATUS_CLASSES 6u     /* up to 5xx */
 
 struct _HzbMetrics
 {
-  guint64 answers[HZB_METRIC_N_KINDS][6]; /* by the status's first digit */
+  guint64 responses[HZB_METRIC_N_KINDS][STATUS_CLASSES]; /* by the first digit of the status */
   gsl_histogram *seconds[HZB_METRIC_N_KINDS];
 };
 
@@ -36,8 +43,34 @@
 void
 hzb_metrics_answered (HzbMetrics *metrics, HzbMetricKind kind, guint status, double seconds)
 {
-  metrics->answers[kind][MIN (status / 100, 5)]++;
-  gsl_histogram_increment (metrics->seconds[kind], CLAMP (seconds, 0, 1e8));
+  metrics->responses[kind][MIN (status / 100, STATUS_CLASSES - 1)]++;
+  gsl_histogram_increment (metrics->seconds[kind], CLAMP (seconds, 0, MOST_SECONDS));
+}
+
+static void
+add_response_counts (cJSON *object, const guint64 *responses)
+{
+  for (guint digit = FIRST_STATUS_CLASS; digit < STATUS_CLASSES; digit++)
+    {
+      char name[8];
+      g_snprintf (name, sizeof name, "%uxx", digit);
+      cJSON_AddNumberToObject (object, name, (double) responses[digit]);
+    }
+}
+
+static cJSON *
+encode_bucket (const gsl_histogram *histogram, gsize index)
+{
+  cJSON *bucket = cJSON_CreateObject ();
+  double low, high;
+
+  gsl_histogram_get_range (histogram, index, &low, &high);
+  if (high < MOST_SECONDS)
+    cJSON_AddNumberToObject (bucket, "belowS", high);
+  else
+    cJSON_AddNullToObject (bucket, "belowS");
+  cJSON_AddNumberToObject (bucket, "count", gsl_histogram_get (histogram, index));
+  return bucket;
 }
 
 cJSON *
@@ -46,28 +79,13 @@
   cJSON *root = cJSON_CreateObject ();
   for (guint i = 0; i < HZB_METRIC_N_KINDS; i++)
     {
-      cJSON *kind = cJSON_AddObjectToObject (root, names[i]), *buckets;
-      double sum = gsl_histogram_sum (metrics->seconds[i]);
-      for (guint d = 2; d < 6; d++)
-        {
-          char name[8];
-          g_snprintf (name, sizeof name, "%uxx", d);
-          cJSON_AddNumberToObject (kind, name, (double) metrics->answers[i][d]);
-        }
-      cJSON_AddNumberToObject (kind, "count", sum);
+      const gsl_histogram *histogram = metrics->seconds[i];
+      cJSON *kind = cJSON_AddObjectToObject (root, kind_names[i]), *buckets;
+      add_response_counts (kind, metrics->responses[i]);
+      cJSON_AddNumberToObject (kind, "count", gsl_histogram_sum (histogram));
       buckets = cJSON_AddArrayToObject (kind, "latency");
-      for (gsize b = 0; b < gsl_histogram_bins (metrics->seconds[i]); b++)
-        {
-          double low, high;
-          cJSON *bucket = cJSON_CreateObject ();
-          gsl_histogram_get_range (metrics->seconds[i], b, &low, &high);
-          if (high < 1e8)
-            cJSON_AddNumberToObject (bucket, "belowS", high);
-          else
-            cJSON_AddNullToObject (bucket, "belowS");
-          cJSON_AddNumberToObject (bucket, "count", gsl_histogram_get (metrics->seconds[i], b));
-          cJSON_AddItemToArray (buckets, bucket);
-        }
+      for (gsize b = 0; b < gsl_histogram_bins (histogram); b++)
+        cJSON_AddItemToArray (buckets, encode_bucket (histogram, b));
     }
   return root;
 }
--- /dev/null
+++ b/src/base/settings-codec.c
@@ -0,0 +1,281 @@
+/* The platform's settings file. */
+#include "json.h"
+#include "settings-table-codec.h"
+
+#include <math.h>
+
+#define MOST_PEERS 250u   /* a controller is told apart by a byte */
+#define OTHER_SOCKETS 16u /* to the key-value store and the cloud, and from the load balancer */
+#define MOST_TXN_OPS 1e6  /* no transaction of this service comes near */
+#define DEFAULT_SOCKETS 1024
+#define REQUIRED NAN
+
+static void
+peer_free (gpointer data)
+{
+  HzbPeer *peer = data;
+  g_free (peer->node);
+  g_free (peer->zone);
+  g_free (peer->address);
+  g_free (peer);
+}
+
+static void
+team_free (gpointer data)
+{
+  HzbTeam *team = data;
+  g_free (team->name);
+  g_free (team);
+}
+
+static void
+objective_free (gpointer data)
+{
+  HzbObjective *objective = data;
+  g_free (objective->kind);
+  g_free (objective->job_class);
+  g_free (objective);
+}
+
+static HzbSettings *
+settings_new (void)
+{
+  HzbSettings *settings = g_new0 (HzbSettings, 1);
+  settings->peers = g_ptr_array_new_with_free_func (peer_free);
+  settings->zones = g_ptr_array_new_with_free_func (g_free);
+  settings->teams = g_ptr_array_new_with_free_func (team_free);
+  settings->objectives = g_ptr_array_new_with_free_func (objective_free);
+  return settings;
+}
+
+/* ---- lists: each function decodes one entry ---- */
+
+static gpointer
+decode_peer (const HzbSettingsTable *entry)
+{
+  HzbPeer *peer = g_new0 (HzbPeer, 1);
+  peer->node = hzb_settings_get_text (entry, "node");
+  peer->zone = hzb_settings_get_optional_text (entry, "site");
+  peer->address = hzb_settings_get_address (entry, "address");
+  return peer;
+}
+
+/* A team's limit; 0, or none named, means that the team has none. */
+static double
+decode_limit (const HzbSettingsTable *team, const char *key)
+{
+  double limit = hzb_settings_get_number (team, key, 0, 0);
+  return limit > 0 ? limit : HZB_NO_LIMIT;
+}
+
+static gpointer
+decode_team (const HzbSettingsTable *entry)
+{
+  HzbTeam *team = g_new0 (HzbTeam, 1);
+  team->name = hzb_settings_get_text (entry, "name");
+  team->cpus = hzb_settings_get_number (entry, "cpus", 0, 0);
+  team->gpus = hzb_settings_get_number (entry, "gpus", 0, 0);
+  team->cpus_max = decode_limit (entry, "cpus_max");
+  team->gpus_max = decode_limit (entry, "gpus_max");
+  return team;
+}
+
+static gpointer
+decode_objective (const HzbSettingsTable *entry)
+{
+  HzbObjective *objective = g_new0 (HzbObjective, 1);
+  objective->kind = hzb_settings_get_text (entry, "kind");
+  objective->job_class = hzb_settings_get_optional_text (entry, "class");
+  objective->within_s = hzb_settings_get_number (entry, "within_s", 0, 0);
+  objective->share = hzb_settings_get_number (entry, "share", 0, 0);
+  objective->times = hzb_settings_get_number (entry, "times", 0, 0);
+  return objective;
+}
+
+static void
+decode_list (GPtrArray *list, const HzbSettingsTable *parent, const char *key, const char *path,
+             gpointer (*decode) (const HzbSettingsTable *entry))
+{
+  const cJSON *item;
+  cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (parent->json, key))
+    {
+      HzbSettingsTable entry = { .json = item, .path = path, .faults = parent->faults };
+      g_ptr_array_add (list, decode (&entry));
+    }
+}
+
+static void
+decode_zones (GPtrArray *zones, const HzbSettingsTable *cluster)
+{
+  const cJSON *item;
+  cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (cluster->json, "zones"))
+    if (cJSON_IsString (item))
+      g_ptr_array_add (zones, g_strdup (item->valuestring));
+    else
+      hzb_settings_fault (cluster, "zones", "a list of texts");
+}
+
+/* ---- tables: each function decodes one table ---- */
+
+static void
+decode_workers (HzbSettings *settings, const HzbSettingsTable *workers)
+{
+  settings->heartbeat_interval_s = hzb_settings_get_number (workers, "report_s", 0.1, REQUIRED);
+  settings->lease_s = hzb_settings_get_number (workers, "lease_s", 1, REQUIRED);
+  settings->gang_wait_s = hzb_settings_get_number (workers, "gang_wait_s", 0, 30);
+  settings->gang_peer_s = hzb_settings_get_number (workers, "gang_peer_s", 0, 5);
+  settings->cancel_s = hzb_settings_get_number (workers, "cancel_s", 1, REQUIRED);
+}
+
+/* The key-value store's limits fall to these without notice, some time after the start: the service keeps to the lesser
+ * of both from the beginning. A key that is missing does not change.
+ * MIN evaluates its argument twice, so an invalid value is listed as two faults. */
+static void
+decode_announced_limits (HzbSettings *settings, const HzbSettingsTable *kv)
+{
+  HzbSettingsTable next;
+
+  if (!cJSON_GetObjectItemCaseSensitive (kv->json, "next")
+      || !hzb_settings_open_table (kv, "next", "cluster.state.next", &next))
+    return;
+  settings->kv_rps = MIN (settings->kv_rps, hzb_settings_get_number (&next, "rps", 1, settings->kv_rps));
+  settings->kv_write_rps =
+      MIN (settings->kv_write_rps, hzb_settings_get_number (&next, "write_rps", 1, settings->kv_write_rps));
+  settings->kv_value_kb =
+      MIN (settings->kv_value_kb, hzb_settings_get_number (&next, "value_kb", 1, settings->kv_value_kb));
+  settings->kv_txn_ops =
+      (guint) MIN (settings->kv_txn_ops, hzb_settings_get_number (&next, "txn_ops", 3, settings->kv_txn_ops));
+}
+
+static void
+decode_kv (HzbSettings *settings, const HzbSettingsTable *kv)
+{
+  settings->kv_rps = hzb_settings_get_number (kv, "rps", 1, REQUIRED);
+  settings->kv_write_rps = hzb_settings_get_number (kv, "write_rps", 1, REQUIRED);
+  settings->kv_value_kb = hzb_settings_get_number (kv, "value_kb", 1, REQUIRED);
+  settings->kv_txn_ops = (guint) MIN (hzb_settings_get_number (kv, "txn_ops", 3, REQUIRED), MOST_TXN_OPS);
+  decode_announced_limits (settings, kv);
+}
+
+static void
+decode_cloud (HzbSettings *settings, const HzbSettingsTable *cloud)
+{
+  settings->cloud_rps = hzb_settings_get_number (cloud, "rps", 0.1, REQUIRED);
+  settings->list_lag_s = hzb_settings_get_number (cloud, "list_lag_s", 0, 5);
+}
+
+/* The table may be missing. */
+static void
+decode_resources (HzbSettings *settings, const HzbSettingsTable *cluster)
+{
+  HzbSettingsTable resources = { .json = cJSON_GetObjectItemCaseSensitive (cluster->json, "resources"),
+                                 .path = "cluster.resources",
+                                 .faults = cluster->faults };
+  if (!resources.json)
+    return;
+  settings->cpu_share = hzb_settings_get_number (&resources, "cpu_share", 0, 1);
+  settings->mem_mb = hzb_settings_get_number (&resources, "mem_mb", 0, 0);
+  settings->sockets = (guint) MIN (hzb_settings_get_number (&resources, "sockets", 16, DEFAULT_SOCKETS), G_MAXINT32);
+}
+
+static void
+decode_cluster (HzbSettings *settings, const HzbSettingsTable *cluster)
+{
+  HzbSettingsTable table;
+
+  settings->size = (guint) MIN (hzb_settings_get_number (cluster, "size", 1, REQUIRED), G_MAXUINT16);
+  settings->skew_ms = hzb_settings_get_number (cluster, "skew_ms", 0, 0);
+  decode_zones (settings->zones, cluster);
+  decode_list (settings->teams, cluster, "teams", "cluster.teams", decode_team);
+  if (settings->teams->len == 0)
+    hzb_settings_fault (cluster, "teams", "at least one team");
+  decode_list (settings->objectives, cluster, "objectives", "cluster.objectives", decode_objective);
+  if (hzb_settings_open_table (cluster, "workers", "cluster.workers", &table))
+    decode_workers (settings, &table);
+  if (hzb_settings_open_table (cluster, "state", "cluster.state", &table))
+    decode_kv (settings, &table);
+  if (hzb_settings_open_table (cluster, "cloud", "cluster.cloud", &table))
+    decode_cloud (settings, &table);
+  decode_resources (settings, cluster);
+}
+
+static void
+decode_file (HzbSettings *settings, const HzbSettingsTable *file)
+{
+  HzbSettingsTable table;
+
+  settings->node = hzb_settings_get_text (file, "node");
+  settings->zone = hzb_settings_get_text (file, "site");
+  settings->api_addr = hzb_settings_get_address (file, "api_addr");
+  settings->peer_addr = hzb_settings_get_address (file, "cluster_listen");
+  decode_list (settings->peers, file, "peers", "peers", decode_peer);
+  if (hzb_settings_open_table (file, "external", "external", &table))
+    {
+      settings->cloud_addr = hzb_settings_get_address (&table, "cloud");
+      settings->kv_addr = hzb_settings_get_address (&table, "state");
+    }
+  if (hzb_settings_open_table (file, "cluster", "cluster", &table))
+    decode_cluster (settings, &table);
+}
+
+/* ---- checks across tables ---- */
+
+static void
+check_that_peer_is_unique (const HzbSettings *settings, guint index, const HzbSettingsTable *peers)
+{
+  const HzbPeer *peer = settings->peers->pdata[index];
+
+  if (g_strcmp0 (peer->node, settings->node) == 0)
+    hzb_settings_fault (peers, "node", "another name than this node's own");
+  for (guint i = 0; i < index; i++)
+    {
+      const HzbPeer *other = settings->peers->pdata[i];
+      if (g_strcmp0 (peer->node, other->node) == 0)
+        hzb_settings_fault (peers, "node", "a name that no other peer has");
+      if (g_strcmp0 (peer->address, other->address) == 0)
+        hzb_settings_fault (peers, "address", "an address that no other peer has");
+    }
+}
+
+/* This controller exchanges messages with every peer once, and not with itself. */
+static void
+check_peers (const HzbSettings *settings, const HzbSettingsTable *file)
+{
+  HzbSettingsTable peers = { .path = "peers", .faults = file->faults };
+
+  if (settings->peers->len > MOST_PEERS)
+    hzb_settings_fault (file, "peers", "at most 250 other controllers");
+  for (guint i = 0; i < settings->peers->len; i++)
+    check_that_peer_is_unique (settings, i, &peers);
+}
+
+/* Beside those of the workers there are connections to and from each other controller, to the key-value store and the
+ * cloud, and from the load balancer. */
+static void
+check_sockets (const HzbSettings *settings, const HzbSettingsTable *file)
+{
+  HzbSettingsTable resources = { .path = "cluster.resources", .faults = file->faults };
+  guint least = OTHER_SOCKETS + 2 * settings->peers->len;
+  char expected[96];
+
+  if (!settings->sockets || settings->sockets >= least)
+    return;
+  g_snprintf (expected, sizeof expected, "at least %u, and one more for each machine that reports here", least);
+  hzb_settings_fault (&resources, "sockets", expected);
+}
+
+HzbSettings *
+hzb_settings_parse (const char *text, const char *name, GError **error)
+{
+  g_autoptr (cJSON) root = hzb_settings_file_parse (text, name, error);
+  g_autoptr (HzbSettings) settings = settings_new ();
+  g_autoptr (GString) faults = g_string_new (NULL);
+  HzbSettingsTable file = { .json = root, .path = "", .faults = faults };
+
+  if (!root)
+    return NULL;
+  decode_file (settings, &file);
+  check_peers (settings, &file);
+  check_sockets (settings, &file);
+  return hzb_settings_file_check (faults, error) ? g_steal_pointer (&settings) : NULL;
+}
--- a/src/http/http-connections.c
+++ b/src/http/http-connections.c
@@ -1,6 +1,6 @@
 #include "http-connections.h"
 
-#include "settings.h"
+#include "address.h"
 
 #include <glib-unix.h>
 #include <netinet/in.h>
