--- a/src/main.c
+++ b/src/main.c
@@ -1,12 +1,18 @@
+/* The program: one controller, or an archive shown to an operator. */
 #include "controller.h"
+#include "http-client.h"
+#include "http-server.h"
 #include "report.h"
 
-#include <malloc.h>
-#include <stdlib.h>
-#include <string.h>
 #include <sys/resource.h>
 
-/* LOG_LEVEL is the platform's: error, info or debug. */
+/* Exit statuses. */
+#define FAILED 1
+#define WRONG_COMMAND_LINE 2
+
+#define OTHER_DESCRIPTORS 64u /* beside the connections to users, workers and controllers */
+
+/* Messages of a lower level than this are dropped. */
 static GLogLevelFlags log_limit = G_LOG_LEVEL_MESSAGE;
 
 static GLogWriterOutput
@@ -17,6 +23,7 @@
   return g_log_writer_standard_streams (level, fields, n_fields, user);
 }
 
+/* The platform sets LOG_LEVEL to error, info or debug. */
 static void
 set_up_logging (void)
 {
@@ -25,14 +32,12 @@
     log_limit = G_LOG_LEVEL_WARNING;
   else if (g_strcmp0 (level, "debug") == 0)
     log_limit = G_LOG_LEVEL_DEBUG;
-  /* Everything goes to standard error; GLib would hold back debug lines of its own accord. */
+  /* All goes to standard error. A writer of our own, since GLib's would drop debug messages. */
   g_log_writer_default_set_use_stderr (TRUE);
   g_log_set_writer_func (write_log, NULL, NULL);
 }
 
-#define OTHER_DESCRIPTORS 64u /* beyond connections of users, workers and controllers */
-
-/* Returns: FALSE, with a message, if the system does not let this process have as many connections as the settings say. */
+/* Returns: FALSE, with a message, if the system does not let this process have as many connections as the settings say */
 static gboolean
 raise_descriptor_limit (const HzbSettings *settings)
 {
@@ -51,18 +56,22 @@
     }
   limit.rlim_cur = need;
   if (setrlimit (RLIMIT_NOFILE, &limit) != 0)
-    g_warning ("the limit of descriptors could not be raised to %lu", (unsigned long) need);
+    g_warning (
+        "the limit of descriptors could not be raised to %lu: connections may be refused under load, raise the soft "
+        "limit (RLIMIT_NOFILE) of this process",
+        (unsigned long) need);
   return TRUE;
 }
 
-/* What the command line says. */
+/* What the command line says. All texts are owned. */
 typedef struct
 {
-  char *config, *features, *archive, *html;
+  char *config, *features; /* the settings file and the features file */
+  char *archive, *html;    /* the archive to show, and the file to write it to */
   gboolean version, check;
 } Options;
 
-/* An archive for an operator: text on standard output, or a page in a file. Returns: the exit status. */
+/* Shows an archive of a reconciliation: as text on standard output, or as a page in a file. Returns: the exit status */
 static int
 show_archive (const Options *options)
 {
@@ -73,7 +82,7 @@
   if (!archive)
     {
       g_printerr ("hazelbank: %s: %s\n", options->archive, error->message);
-      return 1;
+      return FAILED;
     }
   if (!options->html)
     {
@@ -85,7 +94,7 @@
   if (g_file_set_contents (options->html, text, -1, &error))
     return 0;
   g_printerr ("hazelbank: %s\n", error->message);
-  return 1;
+  return FAILED;
 }
 
 /* Returns: (transfer full) (nullable): the settings with the features that are on; NULL, with a message, if they are wrong */
@@ -109,72 +118,44 @@
 }
 
 static gboolean
-on_tick (gpointer controller)
-{
-  hzb_controller_tick (controller);
-  return G_SOURCE_CONTINUE;
-}
-
-int
-main (int argc, char **argv)
+parse_command_line (int *argc, char ***argv, Options *options, GError **error)
 {
-  Options options = { 0 };
   const GOptionEntry entries[] = {
-    { "config", 0, 0, G_OPTION_ARG_FILENAME, &options.config, "Settings file of the platform (TOML)", "FILE" },
-    { "features", 0, 0, G_OPTION_ARG_FILENAME, &options.features, "Which features are on (TOML), see deploy/", "FILE" },
-    { "check-config", 0, 0, G_OPTION_ARG_NONE, &options.check, "Check these files and exit", NULL },
-    { "show-reconciliation", 0, 0, G_OPTION_ARG_FILENAME, &options.archive, "Show an archive as text and exit",
+    { "config", 0, 0, G_OPTION_ARG_FILENAME, &options->config, "Settings file of the platform (TOML)", "FILE" },
+    { "features", 0, 0, G_OPTION_ARG_FILENAME, &options->features, "Which features are on (TOML), see deploy/",
+      "FILE" },
+    { "check-config", 0, 0, G_OPTION_ARG_NONE, &options->check, "Check these files and exit", NULL },
+    { "show-reconciliation", 0, 0, G_OPTION_ARG_FILENAME, &options->archive, "Show an archive as text and exit",
       "FILE" },
-    { "html", 0, 0, G_OPTION_ARG_FILENAME, &options.html, "Write the archive to this file, as a page with plots",
+    { "html", 0, 0, G_OPTION_ARG_FILENAME, &options->html, "Write the archive to this file, as a page with plots",
       "FILE" },
-    { "version", 0, 0, G_OPTION_ARG_NONE, &options.version, "Print the version and exit", NULL },
+    { "version", 0, 0, G_OPTION_ARG_NONE, &options->version, "Print the version and exit", NULL },
     { NULL, 0, 0, 0, NULL, NULL, NULL },
   };
   g_autoptr (GOptionContext) context = g_option_context_new ("- cluster scheduler");
-  g_autoptr (GError) error = NULL;
-  g_autoptr (HzbSettings) settings = NULL;
-  g_autoptr (HzbClock) clock = NULL;
-  g_autoptr (GMainLoop) loop = NULL;
-  HzbController *controller;
-  HzbHttpServer *api_server = NULL, *peer_server = NULL;
 
-  /* No GIO modules, no D-Bus: nothing here needs them and they cost start-up time. */
-  g_setenv ("GIO_USE_VFS", "local", TRUE);
-  g_setenv ("GIO_USE_PROXY_RESOLVER", "dummy", TRUE);
-  g_setenv ("GSETTINGS_BACKEND", "memory", TRUE);
-  set_up_logging ();
   g_option_context_set_summary (context, "Runs one controller node until it is killed.");
   g_option_context_add_main_entries (context, entries, NULL);
-  if (!g_option_context_parse (context, &argc, &argv, &error))
-    {
-      g_printerr ("hazelbank: %s\nSee hazelbank --help.\n", error->message);
-      return 2;
-    }
-  if (options.version)
-    {
-      g_print ("hazelbank %s\n", HZB_VERSION);
-      return 0;
-    }
-  if (options.archive && argc == 1)
-    return show_archive (&options);
-  if (!options.config || argc > 1)
-    {
-      g_printerr ("hazelbank: %s\nSee hazelbank --help.\n",
-                  options.config ? "there are words left over on the command line" : "--config FILE is needed");
-      return 2;
-    }
-  settings = load_settings (&options);
-  if (!settings)
-    return 1;
-  if (options.check)
-    {
-      g_print ("%s: the settings are in order\n", options.config);
-      return 0;
-    }
-  if (!raise_descriptor_limit (settings))
-    return 1;
-  clock = hzb_clock_new ();
-  controller = hzb_controller_new (settings, clock, hzb_http_client_new (), g_random_int ());
+  return g_option_context_parse (context, argc, argv, error);
+}
+
+static gboolean
+on_tick (gpointer controller)
+{
+  hzb_controller_tick (controller);
+  return G_SOURCE_CONTINUE;
+}
+
+/* Runs a controller until the process is killed. Returns: the exit status, if the controller can't listen */
+static int
+run_controller (HzbSettings *settings)
+{
+  g_autoptr (GError) error = NULL;
+  g_autoptr (HzbClock) clock = hzb_clock_new ();
+  g_autoptr (GMainLoop) loop = NULL;
+  HzbController *controller = hzb_controller_new (settings, clock, hzb_http_client_new (), g_random_int ());
+  HzbHttpServer *api_server, *peer_server = NULL;
+
   api_server = hzb_http_server_new (settings->api_addr, settings->sockets, hzb_controller_request, controller, &error);
   if (api_server)
     peer_server =
@@ -182,7 +163,7 @@
   if (!peer_server)
     {
       g_printerr ("hazelbank: can't listen: %s\n", error->message);
-      return 1;
+      return FAILED;
     }
   hzb_controller_set_http_servers (controller, api_server, peer_server);
   g_message ("hazelbank %s, node %s, users and workers at %s", HZB_VERSION, settings->node, settings->api_addr);
@@ -192,3 +173,59 @@
   g_main_loop_run (loop);
   return 0;
 }
+
+/* Checks the settings, and unless that is all that was asked for runs a controller with them. Returns: the exit status */
+static int
+run_with_settings (const Options *options)
+{
+  g_autoptr (HzbSettings) settings = load_settings (options);
+
+  if (!settings)
+    return FAILED;
+  if (options->check)
+    {
+      g_print ("%s: the settings are in order\n", options->config);
+      return 0;
+    }
+  return raise_descriptor_limit (settings) ? run_controller (settings) : FAILED;
+}
+
+static void
+set_up_environment (void)
+{
+  /* GIO must load no modules and not use D-Bus: nothing here needs them, and they would make the start slower. */
+  g_setenv ("GIO_USE_VFS", "local", TRUE);
+  g_setenv ("GIO_USE_PROXY_RESOLVER", "dummy", TRUE);
+  g_setenv ("GSETTINGS_BACKEND", "memory", TRUE);
+}
+
+static int
+refuse_command_line (const char *why)
+{
+  g_printerr ("hazelbank: %s\nSee hazelbank --help.\n", why);
+  return WRONG_COMMAND_LINE;
+}
+
+int
+main (int argc, char **argv)
+{
+  Options options = { 0 };
+  g_autoptr (GError) error = NULL;
+
+  set_up_environment ();
+  set_up_logging ();
+  if (!parse_command_line (&argc, &argv, &options, &error))
+    return refuse_command_line (error->message);
+  if (options.version)
+    {
+      g_print ("hazelbank %s\n", HZB_VERSION);
+      return 0;
+    }
+  if (options.archive && argc == 1)
+    return show_archive (&options);
+  if (!options.config)
+    return refuse_command_line ("--config FILE is needed");
+  if (argc > 1)
+    return refuse_command_line ("there are words left over on the command line");
+  return run_with_settings (&options);
+}
