--- a/src/api/admin.h
+++ b/src/api/admin.h
@@ -3,7 +3,7 @@
  * @short_description: the administration API and the operators' settings
  */
 #pragma once
-#include "http.h"
+#include "http-request.h"
 #include <cjson/cJSON.h>
 
 typedef struct _HzbController HzbController;
--- a/src/api/user-api.h
+++ b/src/api/user-api.h
@@ -3,7 +3,7 @@
  * @short_description: submissions, questions and cancellations of users, on every node
  */
 #pragma once
-#include "http.h"
+#include "http-request.h"
 
 typedef struct _HzbController HzbController;
 typedef struct _HzbUserApi HzbUserApi;
--- a/src/api/worker-api.h
+++ b/src/api/worker-api.h
@@ -3,7 +3,7 @@
  * @short_description: reports of workers in, commands out
  */
 #pragma once
-#include "http.h"
+#include "http-request.h"
 
 typedef struct _HzbController HzbController;
 
--- a/src/cluster/node.h
+++ b/src/cluster/node.h
@@ -6,8 +6,8 @@
  */
 #pragma once
 #include "clock.h"
-#include "http.h"
 #include "settings.h"
+#include "transport.h"
 
 /**
  * HZB_SCHEMA_VERSION: the version of records and messages that this program reads and writes.
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -6,7 +6,7 @@
  * a number, so that late copies are refused (peers.c).
  */
 #pragma once
-#include "http.h"
+#include "http-request.h"
 #include <cjson/cJSON.h>
 
 typedef struct _HzbController HzbController;
--- a/src/controller/controller-private.h
+++ b/src/controller/controller-private.h
@@ -14,7 +14,7 @@
 #include "controller.h"
 #include "dispatch.h"
 #include "election.h"
-#include "http.h"
+#include "http-server.h"
 #include "kv-client.h"
 #include "kv-protocol.h"
 #include "kv-replica.h"
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -7,8 +7,9 @@
  */
 #pragma once
 #include "clock.h"
-#include "http.h"
+#include "http-server.h"
 #include "settings.h"
+#include "transport.h"
 
 /** HZB_TICK_MS: how often hzb_controller_tick() is to be called. */
 #define HZB_TICK_MS 50
--- a/src/kv/kv-client.h
+++ b/src/kv/kv-client.h
@@ -7,9 +7,9 @@
  */
 #pragma once
 #include "clock.h"
-#include "http.h"
 #include "kv-protocol.h"
 #include "settings.h"
+#include "transport.h"
 
 typedef enum
 {
--- a/src/provisioning/cloud-client.h
+++ b/src/provisioning/cloud-client.h
@@ -2,8 +2,8 @@
 #pragma once
 #include "clock.h"
 #include "cloud-protocol.h"
-#include "http.h"
 #include "settings.h"
+#include "transport.h"
 
 typedef enum
 {
--- a/src/reconciliation/reconciliation-admin.h
+++ b/src/reconciliation/reconciliation-admin.h
@@ -3,7 +3,7 @@
  * @short_description: the operators' requests about reconciliations
  */
 #pragma once
-#include "http.h"
+#include "http-request.h"
 
 #include <cjson/cJSON.h>
 
--- a/src/shards/shard-leases.h
+++ b/src/shards/shard-leases.h
@@ -5,7 +5,7 @@
  * leaseholder.h is the other side. shard-leases.c explains the protocol.
  */
 #pragma once
-#include "http.h"
+#include "http-request.h"
 #include "machines.h"
 
 typedef struct _HzbController HzbController;
--- a/tests/fake-transport.h
+++ b/tests/fake-transport.h
@@ -1,8 +1,8 @@
 /* A transport that keeps what is sent until a test answers it. */
 #pragma once
 #include "clock.h"
-#include "http.h"
 #include "kv-client.h"
+#include "transport.h"
 
 #define LONGER_THAN_ANY_CALL_S 60.0
 
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -1,5 +1,6 @@
 /* The server on loopback: what idle connections cost, and that each can be used again and again. */
-#include "http.h"
+#include "http-client.h"
+#include "http-server.h"
 
 #include <gio/gio.h>
 #include <string.h>
--- a/tests/test-processes.c
+++ b/tests/test-processes.c
@@ -1,5 +1,6 @@
 /* Three real controllers on loopback are killed under load and started again: the fakes' rules hold, nothing is lost, and the
  * controllers say that they have reconciled. The time is the real one, so nothing here depends on how long a step takes. */
+#include "http-client.h"
 #include "real-processes.h"
 #include "sim-faults.h"
 
