--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -80,6 +80,62 @@
       g_error ("%s = %s should be %s", table[i].field, table[i].value, table[i].ok ? "taken" : "refused");
 }
 
+/* Users are told of the first fault; which one that is must not change. Fields are added one by one. */
+static void
+test_job_first_fault (void)
+{
+  static const char *const table[][2] = {
+    { "uid", "\"run-000412\"" },
+    { "shape", "\"sweep\"" },
+    { "lane", "\"train\"" },
+    { "owner", "\"red\"" },
+    { "urgency", "\"urgent\"" },
+    { "pieces", "2" },
+    { "cpus", "1" },
+    { "gpus", "0" },
+    { "ramGb", "1" },
+    { "bundle", "\"img\"" },
+    { "sizeGb", "1" },
+    { "samePlace", "false" },
+    { "spread", "false" },
+    { "loaners", "true" },
+    { "expectS", "5" },
+    { "snapshotEveryS", "0" },
+    { "snapshotS", "0" },
+    { "pieces", "2.5" },
+    { "flavors", "3" },
+    { "yard", "3" },
+    { "dueS", "0" },
+  };
+  const guint required = 17;
+  g_autoptr (GString) body = g_string_new ("{\"unknown\":1");
+
+  for (guint i = 0; i < G_N_ELEMENTS (table); i++)
+    {
+      g_autofree char *expected = g_strconcat (table[i][0], ": expected ", NULL), *whole = NULL;
+      g_autoptr (GError) error = NULL;
+      g_autoptr (HzbJobSpec) spec = NULL;
+      if (i < required)
+        {
+          /* All fields before this one. */
+          whole = g_strconcat (body->str, "}", NULL);
+          g_string_append_printf (body, ",\"%s\":%s", table[i][0], table[i][1]);
+        }
+      else
+        {
+          /* Of two fields with one name the first counts, so the invalid ones from this one on stand in front. */
+          g_autoptr (GString) front = g_string_new ("{");
+          for (guint k = i; k < G_N_ELEMENTS (table); k++)
+            g_string_append_printf (front, "\"%s\":%s,", table[k][0], table[k][1]);
+          whole = g_strconcat (front->str, body->str + 1, "}", NULL);
+        }
+      spec = hzb_job_spec_parse (whole, strlen (whole), &error);
+      g_assert_null (spec);
+      g_assert_error (error, HZB_PROTOCOL_ERROR, HZB_PROTOCOL_ERROR_MALFORMED);
+      g_assert_true (g_str_has_prefix (error->message, expected));
+    }
+}
+
 static void
 test_job_bodies (void)
 {
@@ -147,6 +203,30 @@
   g_assert_cmpstr (text, ==, "{\"baton\":18446744073709551615,\"orders\":[]}");
 }
 
+/* Callers tell a file that is not TOML from one with invalid values, and from one that can't be read. */
+static void
+test_settings_error_codes (void)
+{
+  g_autoptr (GError) error = NULL;
+  g_autoptr (HzbSettings) settings = test_settings ();
+
+  g_assert_null (hzb_settings_parse ("node = ", "x.toml", &error));
+  g_assert_error (error, HZB_SETTINGS_ERROR, HZB_SETTINGS_ERROR_SYNTAX);
+  g_clear_error (&error);
+  g_assert_null (hzb_settings_parse ("node = \"a\"\n", "x.toml", &error));
+  g_assert_error (error, HZB_SETTINGS_ERROR, HZB_SETTINGS_ERROR_INVALID);
+  g_clear_error (&error);
+  g_assert_null (hzb_settings_load ("/nonexistent/x.toml", &error));
+  g_assert_error (error, G_FILE_ERROR, G_FILE_ERROR_NOENT);
+  g_clear_error (&error);
+  g_assert_false (hzb_settings_parse_features (settings, "[reconciliation", "x.toml", &error));
+  g_assert_error (error, HZB_SETTINGS_ERROR, HZB_SETTINGS_ERROR_SYNTAX);
+  g_clear_error (&error);
+  g_assert_false (hzb_settings_parse_features (settings, "[reconciliation]\nmisspelt = 1\n", "x.toml", &error));
+  g_assert_error (error, HZB_SETTINGS_ERROR, HZB_SETTINGS_ERROR_INVALID);
+  g_assert_cmpstr (error->message, ==, "reconciliation.misspelt: expected no such key\n");
+}
+
 static void
 test_settings_faults (void)
 {
@@ -280,10 +360,12 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/wire/job-table", test_job_table);
+  g_test_add_func ("/wire/job-first-fault", test_job_first_fault);
   g_test_add_func ("/wire/job-bodies", test_job_bodies);
   g_test_add_func ("/wire/durable-form", test_durable_form);
   g_test_add_func ("/wire/report", test_report);
   g_test_add_func ("/wire/large-numbers", test_large_numbers);
+  g_test_add_func ("/settings/error-codes", test_settings_error_codes);
   g_test_add_func ("/settings/faults", test_settings_faults);
   g_test_add_func ("/settings/cluster-faults", test_cluster_faults);
   g_test_add_func ("/settings/team-without-limit", test_team_without_limit);
