--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -112,7 +112,7 @@
 /**
  * Reads the settings file.
  * @param path of the file
- * @param error (out) (optional) #HZB_SETTINGS_ERROR, or #G_FILE_ERROR if the file can't be read
+ * @param error (out) (optional) #HZB_SETTINGS_ERROR, or G_FILE_ERROR if the file can't be read
  * @return (transfer full) (nullable): NULL on an error
  */
 HzbSettings *hzb_settings_load (const char *path, GError **error);
@@ -137,7 +137,7 @@
  * Reads a features file, such as those under deploy/: which features are on.
  * @param settings get the features
  * @param path of the file
- * @param error (out) (optional) #HZB_SETTINGS_ERROR, or #G_FILE_ERROR if the file can't be read
+ * @param error (out) (optional) #HZB_SETTINGS_ERROR, or G_FILE_ERROR if the file can't be read
  * @return FALSE on an error
  */
 gboolean hzb_settings_load_features (HzbSettings *settings, const char *path, GError **error);
