--- a/src/http/http-server.h
+++ b/src/http/http-server.h
@@ -12,7 +12,8 @@
  * Makes a server that listens.
  * @param addr IPv4 address and port, such as 10.0.0.1:8080
  * @param sockets connections that the process may have open; from half as many on, idle ones are closed sooner
- * @param handler gets the requests whose body has at most HZB_MAX_BODY bytes (user-protocol.h); others are refused with status 413
+ * @param handler gets the requests whose body has at most HZB_MAX_BODY bytes (user-protocol.h); the server refuses
+ *   others with status 413
  * @param user for the handler
  * @param error (out) (optional) of GIO: the address can't be listened at
  * @return (transfer full) (nullable): NULL on an error
