--- a/src/api/user-api.h
+++ b/src/api/user-api.h
@@ -8,7 +8,7 @@
 #pragma once
 #include "cancellations.h"
 #include "election.h"
-#include "http.h"
+#include "http-request.h"
 #include "jobs.h"
 #include "kv-client.h"
 #include "kv-replica.h"
--- a/src/api/worker-api.h
+++ b/src/api/worker-api.h
@@ -10,7 +10,7 @@
 #include "cancellations.h"
 #include "dispatch.h"
 #include "election.h"
-#include "http.h"
+#include "http-request.h"
 #include "leaseholder.h"
 #include "node.h"
 #include "ownership.h"
--- a/src/cluster/node.h
+++ b/src/cluster/node.h
@@ -6,8 +6,8 @@
  */
 #pragma once
 #include "clock.h"
-#include "http.h"
 #include "settings.h"
+#include "transport.h"
 
 /** HZB_SCHEMA_VERSION_1: the first version of records and messages. Its processes state no version. */
 #define HZB_SCHEMA_VERSION_1 1
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -11,7 +11,7 @@
  */
 #pragma once
 #include "election.h"
-#include "http.h"
+#include "http-request.h"
 #include "jobs.h"
 #include "kv-replica.h"
 #include "node.h"
--- a/src/provisioning/cloud-client.h
+++ b/src/provisioning/cloud-client.h
@@ -8,8 +8,8 @@
 #pragma once
 #include "clock.h"
 #include "cloud-protocol.h"
-#include "http.h"
 #include "settings.h"
+#include "transport.h"
 
 /** HzbCloudPriority: in this order waiting requests are sent. */
 typedef enum
--- a/src/reconciliation/reconciliation-admin.h
+++ b/src/reconciliation/reconciliation-admin.h
@@ -6,7 +6,7 @@
  * of the administration API; docs/operating-cold-start.md describes them.
  */
 #pragma once
-#include "http.h"
+#include "http-request.h"
 #include "reconciliation.h"
 
 #include <cjson/cJSON.h>
--- a/src/shards/shard-leases.h
+++ b/src/shards/shard-leases.h
@@ -9,7 +9,7 @@
 #include "cancellations.h"
 #include "dispatch.h"
 #include "election.h"
-#include "http.h"
+#include "http-request.h"
 #include "machines.h"
 #include "node.h"
 #include "ownership.h"
--- a/tests/test-processes.c
+++ b/tests/test-processes.c
@@ -1,6 +1,7 @@
 /* Three real controller processes on loopback are killed under load and started again: the rules that the fakes check
  * hold, no task is lost, and the controllers log that they have reconciled. Time is real here, so no assertion depends
  * on how long a step takes. */
+#include "http-client.h"
 #include "real-processes.h"
 #include "sim-faults.h"
 
