--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -50,16 +50,44 @@
   return hzb_reconciliation_new (controller);
 }
 
-static HzbRecords *
-new_records (HzbController *controller)
+static HzbCompletedJobArchive *
+new_completed_job_archive (HzbController *controller)
 {
-  return hzb_records_new (controller);
+  const HzbCompletedJobArchiveDependencies dependencies = {
+    .node = controller->node,
+    .kv = controller->kv,
+    .jobs = controller->jobs,
+    .election = controller->election,
+    .ownership = controller->ownership,
+  };
+  return hzb_completed_job_archive_new (&dependencies);
 }
 
-static HzbCompletedJobArchive *
-new_completed_job_archive (HzbController *controller)
+/* The shard leases are built after the records, and exist by the time of the first flush. */
+static void
+announce_durable_task (HzbTask *task, gpointer user)
 {
-  return hzb_completed_job_archive_new (controller);
+  const HzbController *controller = user;
+  hzb_shard_leases_announce_durable (controller->shard_leases, task);
+}
+
+static HzbRecords *
+new_records (HzbController *controller)
+{
+  const HzbRecordsDependencies dependencies = {
+    .node = controller->node,
+    .kv = controller->kv,
+    .jobs = controller->jobs,
+    .machines = controller->machines,
+    .dispatch = controller->dispatch,
+    .election = controller->election,
+    .ownership = controller->ownership,
+    .cancellations = controller->cancellations,
+    .reconciliation = controller->reconciliation,
+    .job_archive = controller->completed_job_archive,
+  };
+  const HzbRecordsCallbacks callbacks = { .task_durable = announce_durable_task };
+  return hzb_records_new (&dependencies, &callbacks, controller);
 }
 
 static HzbShardLeases *
@@ -125,8 +153,8 @@
 
   controller->reconciliation = new_reconciliation (controller);
   controller->dispatch->pacing = hzb_reconciliation_pacing (controller->reconciliation);
-  controller->records = new_records (controller);
   controller->completed_job_archive = new_completed_job_archive (controller);
+  controller->records = new_records (controller);
   controller->shard_leases = new_shard_leases (controller);
   controller->leaseholder = new_leaseholder (controller);
   controller->provisioning = new_provisioning (controller);
--- a/src/records/completed-job-archive.c
+++ b/src/records/completed-job-archive.c
@@ -1,96 +1,113 @@
+/* A job's record is in one of the two places at any time: it moves in one transaction, conditional on its version. */
 #include "completed-job-archive.h"
-
-#include "controller-private.h"
 #include "kv-protocol.h"
 #include "record-keys.h"
 
-#define MOVE_EVERY_S 1.0
-#define MOVE_PART 0.15 /* of the changes that the key-value store takes */
-#define CHANGES_PER_JOB 2u
+#define MIN_INTERVAL_S 1.0 /* between transactions, and longer after one with many jobs: */
+#define WRITES_PART 0.15   /* of the changes that the key-value store takes, for archiving */
+#define CHANGES_PER_JOB 2u /* its record is put at the new place, and deleted at the old one */
 
 struct _HzbCompletedJobArchive
 {
-  HzbController *controller;
-  gboolean archiving; /* a transaction is on its way */
-  struct timespec next_archiving;
+  HzbCompletedJobArchiveDependencies modules;
+  gboolean in_flight; /* a transaction is on its way */
+  struct timespec next;
 };
 
 HzbCompletedJobArchive *
-hzb_completed_job_archive_new (HzbController *controller)
+hzb_completed_job_archive_new (const HzbCompletedJobArchiveDependencies *dependencies)
 {
-  HzbCompletedJobArchive *completed_job_archive = g_new0 (HzbCompletedJobArchive, 1);
-  completed_job_archive->controller = controller;
-  return completed_job_archive;
+  HzbCompletedJobArchive *archive = g_new0 (HzbCompletedJobArchive, 1);
+  archive->modules = *dependencies;
+  return archive;
 }
 
 void
-hzb_completed_job_archive_free (HzbCompletedJobArchive *completed_job_archive)
+hzb_completed_job_archive_free (HzbCompletedJobArchive *archive)
 {
-  g_free (completed_job_archive);
+  g_free (archive);
 }
 
 void
-hzb_completed_job_archive_reset (HzbCompletedJobArchive *completed_job_archive)
+hzb_completed_job_archive_reset (HzbCompletedJobArchive *archive)
 {
-  completed_job_archive->archiving = FALSE;
+  archive->in_flight = FALSE;
+}
+
+static gboolean
+names_record_of (const GPtrArray *keys, const HzbJob *job)
+{
+  for (guint i = 0; keys && i < keys->len; i++)
+    if (g_str_has_suffix (keys->pdata[i], job->uid))
+      return TRUE;
+  return FALSE;
 }
 
 static void
 on_moved (HzbKvResult result, const char *body, gpointer user)
 {
-  HzbEpochCall *epoch_call = user;
-  HzbController *controller = epoch_call->module;
-  g_autoptr (GPtrArray) uids = epoch_call->data;
-  g_autoptr (GPtrArray) failed = NULL;
+  g_autofree HzbEpochCall *call = user;
+  g_autoptr (GPtrArray) uids = call->data;
+  g_autoptr (GPtrArray) failed_keys = NULL;
+  HzbCompletedJobArchive *archive = call->module;
 
+  if (!hzb_epoch_call_is_current (call))
+    return;
+  archive->in_flight = FALSE;
   if (result == HZB_KV_CONFLICT)
-    hzb_kv_commit_decode (body, NULL, &failed);
-  for (guint i = 0; i < uids->len && hzb_epoch_call_is_current (epoch_call); i++)
+    hzb_kv_commit_decode (body, NULL, &failed_keys);
+  for (guint i = 0; i < uids->len; i++)
     {
-      HzbJob *job = hzb_jobs_find (controller->jobs, uids->pdata[i]);
-      if (!job)
-        continue;
-      /* One that changed under us (moved by an earlier leader, which the replica of the records will show) is left alone. */
-      job->archiving = FALSE;
-      for (guint k = 0; failed && k < failed->len; k++)
-        job->archiving = job->archiving || g_str_has_suffix (failed->pdata[k], job->uid);
+      HzbJob *job = hzb_jobs_find (archive->modules.jobs, uids->pdata[i]);
+      /* A job whose record has changed was moved by an earlier leader, as the replica of the records will show. It stays
+       * marked, so that it is not tried again. */
+      if (job)
+        job->archiving = names_record_of (failed_keys, job);
     }
-  if (hzb_epoch_call_is_current (epoch_call))
-    controller->completed_job_archive->archiving = FALSE;
-  g_free (epoch_call);
 }
 
-/* Each is in one of the two places at any time: it moves in one transaction. */
-void
-hzb_completed_job_archive_tick (HzbCompletedJobArchive *completed_job_archive, struct timespec now)
+static void
+add_move (HzbKvTransaction *transaction, const HzbJob *job)
 {
-  HzbController *controller = completed_job_archive->controller;
-  g_autoptr (GPtrArray) old = NULL;
-  GPtrArray *uids;
-  HzbKvTransaction *transaction;
+  g_autofree char *from = g_strconcat (HZB_KEY_JOBS, job->uid, NULL);
+  g_autofree char *to = g_strconcat (HZB_KEY_ARCHIVED, job->uid, NULL);
 
-  if (completed_job_archive->archiving || hzb_time_before (now, completed_job_archive->next_archiving))
-    return;
-  old = hzb_jobs_archivable (controller->jobs, MAX (1, controller->settings->kv_txn_ops / CHANGES_PER_JOB));
-  completed_job_archive->next_archiving = hzb_time_plus (
-      now, MAX (MOVE_EVERY_S, old->len * CHANGES_PER_JOB / (MOVE_PART * controller->settings->kv_write_rps)));
-  if (!old->len)
-    return;
-  uids = g_ptr_array_new_with_free_func (g_free);
-  transaction = hzb_kv_transaction_new ();
-  hzb_election_add_condition (controller->election, transaction);
-  for (guint i = 0; i < old->len; i++)
+  hzb_kv_transaction_compare (transaction, from, job->version);
+  hzb_kv_transaction_put (transaction, to, hzb_jobs_pack_final (job->state, job->n_tasks), 0);
+  hzb_kv_transaction_delete (transaction, from);
+}
+
+static void
+move (HzbCompletedJobArchive *archive, const GPtrArray *jobs)
+{
+  const HzbCompletedJobArchiveDependencies *modules = &archive->modules;
+  GPtrArray *uids = g_ptr_array_new_with_free_func (g_free);
+  HzbKvTransaction *transaction = hzb_kv_transaction_new ();
+
+  hzb_election_add_condition (modules->election, transaction);
+  for (guint i = 0; i < jobs->len; i++)
     {
-      HzbJob *job = old->pdata[i];
-      g_autofree char *from = g_strconcat (HZB_KEY_JOBS, job->uid, NULL),
-                      *to = g_strconcat (HZB_KEY_ARCHIVED, job->uid, NULL);
-      hzb_kv_transaction_compare (transaction, from, job->version);
-      hzb_kv_transaction_put (transaction, to, hzb_jobs_pack_final (job->state, job->n_tasks), 0);
-      hzb_kv_transaction_delete (transaction, from);
+      HzbJob *job = jobs->pdata[i];
+      add_move (transaction, job);
       job->archiving = TRUE;
       g_ptr_array_add (uids, g_strdup (job->uid));
     }
-  completed_job_archive->archiving = TRUE;
-  hzb_kv_client_commit (controller->kv, HZB_KV_RECORD, transaction, on_moved,
-                        hzb_epoch_call_new (controller->ownership, controller, uids));
+  archive->in_flight = TRUE;
+  hzb_kv_client_commit (modules->kv, HZB_KV_RECORD, transaction, on_moved,
+                        hzb_epoch_call_new (modules->ownership, archive, uids));
+}
+
+void
+hzb_completed_job_archive_tick (HzbCompletedJobArchive *archive, struct timespec now)
+{
+  const HzbSettings *settings = archive->modules.node->settings;
+  g_autoptr (GPtrArray) jobs = NULL;
+
+  if (archive->in_flight || hzb_time_before (now, archive->next))
+    return;
+  jobs = hzb_jobs_archivable (archive->modules.jobs, MAX (1, settings->kv_txn_ops / CHANGES_PER_JOB));
+  archive->next =
+      hzb_time_plus (now, MAX (MIN_INTERVAL_S, jobs->len * CHANGES_PER_JOB / (WRITES_PART * settings->kv_write_rps)));
+  if (jobs->len)
+    move (archive, jobs);
 }
--- /dev/null
+++ b/src/records/record-flush-outcome.c
@@ -0,0 +1,199 @@
+/* What became of a flush.
+ *
+ * If the key-value store has carried it out, what it wrote is durable and is applied. If the store has refused it, all of it is
+ * written again. If there is no answer, or the answer is a conflict (an earlier flush, or this one if it was sent twice, has
+ * raised the flush record meanwhile), the flush record is read: it has the flush's number if and only if the flush was carried
+ * out. If it was not, the next flush raises the record, and this one can't be carried out late. */
+#include "record-keys.h"
+#include "records-codec.h"
+#include "records-private.h"
+
+#define REFUSED_PAUSE_S 0.5 /* before the next attempt: an outage may last for minutes */
+
+/* ---- applying ---- */
+
+static void
+apply_part (HzbRecords *records, const HzbFlushedPart *part)
+{
+  HzbJobs *jobs = records->modules.jobs;
+  HzbJob *job = hzb_jobs_find (jobs, part->uid);
+
+  if (!job || !job->tasks)
+    return;
+  job->released = MAX (job->released, part->releasing);
+  for (guint i = 0; i < part->finished->len; i++)
+    {
+      HzbTask *task = &job->tasks[g_array_index (part->finished, guint, i)];
+      if (task->state != HZB_TASK_FINISHED)
+        continue;
+      hzb_task_set_state (jobs, task, HZB_TASK_DONE, NULL);
+      records->callbacks.task_durable (task, records->user);
+    }
+}
+
+static void
+apply_flush (HzbRecords *records, const HzbFlush *flush)
+{
+  const HzbRecordsDependencies *modules = &records->modules;
+
+  hzb_reconciliation_roster_written (modules->reconciliation, TRUE);
+  for (guint i = 0; i < flush->parts->len; i++)
+    apply_part (records, flush->parts->pdata[i]);
+  for (guint i = 0; i < flush->machines->len; i++)
+    {
+      HzbMachine *machine = hzb_machines_find (modules->machines, flush->machines->pdata[i]);
+      if (machine)
+        machine->recorded = TRUE;
+    }
+  for (guint i = 0; i < flush->acceptances->len; i++)
+    hzb_jobs_apply_acceptance (modules->jobs, flush->acceptances->pdata[i], NULL);
+}
+
+/* ---- writing again ---- */
+
+/* The flush does not know which pages it wrote, so all pages are taken for such that have to be written again. */
+static void
+mark_all_pages_stale (HzbRecords *records)
+{
+  for (guint i = 0; i < records->pages.all->len; i++)
+    {
+      HzbPage *page = records->pages.all->pdata[i];
+      page->stale = TRUE;
+      page->replaces_retired = records->retiring_pages && !page->retiring;
+    }
+  records->replacements_pending = records->retiring_pages > 0;
+}
+
+/* The flush was not carried out and never will be. */
+static void
+revert_flush (HzbRecords *records, const HzbFlush *flush)
+{
+  const HzbRecordsDependencies *modules = &records->modules;
+
+  hzb_reconciliation_roster_written (modules->reconciliation, FALSE);
+  for (guint i = 0; i < flush->parts->len; i++)
+    {
+      HzbJob *job = hzb_jobs_find (modules->jobs, ((const HzbFlushedPart *) flush->parts->pdata[i])->uid);
+      if (job)
+        job->dirty = TRUE;
+    }
+  for (guint i = 0; i < flush->machines->len; i++)
+    {
+      HzbMachine *machine = hzb_machines_find (modules->machines, flush->machines->pdata[i]);
+      if (machine)
+        machine->recording = FALSE;
+    }
+  for (guint i = 0; i < flush->acceptances->len; i++)
+    {
+      HzbAcceptance *acceptance = g_hash_table_lookup (modules->jobs->acceptances, flush->acceptances->pdata[i]);
+      if (acceptance)
+        acceptance->removing = FALSE;
+    }
+  mark_all_pages_stale (records);
+}
+
+/* ---- the outcome ---- */
+
+/* Takes @call, with its flush. */
+static void
+drop_call (HzbEpochCall *call)
+{
+  hzb_flush_free (call->data);
+  g_free (call);
+}
+
+/* Takes @call, with its flush. */
+static void
+end_flush (HzbRecords *records, HzbEpochCall *call, gboolean carried_out)
+{
+  if (carried_out)
+    apply_flush (records, call->data);
+  else
+    revert_flush (records, call->data);
+  drop_call (call);
+  hzb_records_set_flush_state (records, HZB_FLUSH_IDLE);
+}
+
+static void
+pause_flushes (HzbRecords *records)
+{
+  records->next_flush = hzb_time_plus (hzb_clock_now (records->modules.node->clock), REFUSED_PAUSE_S);
+}
+
+void
+hzb_records_drop_unresolved (HzbRecords *records)
+{
+  g_clear_pointer (&records->unresolved, drop_call);
+}
+
+/* Returns: FALSE if the flush record could not be read. */
+static gboolean
+take_flush_record (HzbRecords *records, HzbKvResult result, const char *body, HzbFlushRecord *record)
+{
+  HzbKvEntry entry = { 0 };
+
+  if (result != HZB_KV_NOT_FOUND && !(result == HZB_KV_OK && hzb_kv_entry_decode (body, &entry)))
+    return FALSE;
+  records->flush_version = entry.version;
+  hzb_flush_record_decode (entry.value, record);
+  hzb_kv_entry_clear (&entry);
+  return TRUE;
+}
+
+static void
+on_flush_record_read (HzbKvResult result, const char *body, gpointer user)
+{
+  HzbEpochCall *call = user;
+  HzbRecords *records = call->module;
+  const HzbFlush *flush = call->data;
+  HzbFlushRecord record;
+
+  if (!hzb_epoch_call_is_current (call))
+    drop_call (call);
+  else if (take_flush_record (records, result, body, &record))
+    end_flush (records, call, record.number == flush->number);
+  else
+    {
+      records->unresolved = call;
+      hzb_records_set_flush_state (records, HZB_FLUSH_UNRESOLVED);
+      pause_flushes (records);
+    }
+}
+
+/* Takes @call, with its flush. */
+static void
+read_flush_record (HzbRecords *records, HzbEpochCall *call)
+{
+  hzb_records_set_flush_state (records, HZB_FLUSH_RESOLVING);
+  hzb_kv_client_get (records->modules.kv, HZB_KV_RECORD, HZB_KEY_FLUSH, on_flush_record_read, call);
+}
+
+void
+hzb_records_resolve_flush (HzbRecords *records)
+{
+  read_flush_record (records, g_steal_pointer (&records->unresolved));
+}
+
+void
+hzb_records_on_flush_answered (HzbKvResult result, const char *body, gpointer user)
+{
+  HzbEpochCall *call = user;
+  HzbRecords *records = call->module;
+
+  if (!hzb_epoch_call_is_current (call))
+    drop_call (call);
+  else if (result == HZB_KV_UNKNOWN || result == HZB_KV_CONFLICT)
+    read_flush_record (records, call);
+  else if (result == HZB_KV_OK)
+    {
+      hzb_kv_commit_decode (body, &records->flush_version, NULL);
+      end_flush (records, call, TRUE);
+      /* What was released, and the machines that were recorded, can be used at once. */
+      records->modules.dispatch->next_run = (struct timespec){ 0 };
+    }
+  else
+    {
+      end_flush (records, call, FALSE);
+      pause_flushes (records);
+    }
+}
--- a/src/records/record-pages.c
+++ b/src/records/record-pages.c
@@ -3,12 +3,12 @@
 
 #include <string.h>
 
-#define PAGE_BYTES 12000u /* and less where values have to be smaller */
-#define PAGE_VALUE_PART 0.9
-/* Without their texts: */
+#define PAGE_BYTES 12000u   /* a page is written as a whole: a larger one costs too much for one job's news */
+#define PAGE_VALUE_PART 0.9 /* of the largest value that the key-value store takes, since sizes are estimated */
+/* What an entry takes besides its names (uid and team; name, type and zone): */
 #define PART_BYTES 120u
 #define MACHINE_BYTES 85u
-#define TASKS_PER_BYTE 6u /* of the bits of finished tasks, in base 64 */
+#define TASKS_PER_BYTE 6u /* base 64 keeps the bits of six tasks in a character */
 
 static void
 page_free (gpointer data)
@@ -19,14 +19,21 @@
   g_free (page);
 }
 
+void
+hzb_page_make_empty (HzbPage *page)
+{
+  page->parts = g_array_new (FALSE, FALSE, sizeof (HzbPagePart));
+  page->machines = g_ptr_array_new ();
+  page->bytes = 0;
+}
+
 HzbPage *
 hzb_page_new (HzbPages *pages, guint number, gboolean of_machines)
 {
   HzbPage *page = g_new0 (HzbPage, 1);
   page->number = number;
   page->of_machines = of_machines;
-  page->parts = g_array_new (FALSE, FALSE, sizeof (HzbPagePart));
-  page->machines = g_ptr_array_new ();
+  hzb_page_make_empty (page);
   pages->numbers = MAX (pages->numbers, number);
   g_ptr_array_add (pages->all, page);
   return page;
@@ -51,7 +58,7 @@
 }
 
 static gsize
-most_bytes (const HzbPages *pages)
+max_page_bytes (const HzbPages *pages)
 {
   return MIN (PAGE_BYTES, (gsize) (pages->settings->kv_value_kb * 1024 * PAGE_VALUE_PART));
 }
@@ -59,11 +66,12 @@
 HzbPage *
 hzb_pages_with_room (HzbPages *pages, gboolean of_machines, gsize bytes)
 {
-  gsize most = most_bytes (pages);
+  gsize max_bytes = max_page_bytes (pages);
+
   for (guint i = 0; i < pages->all->len; i++)
     {
       HzbPage *page = pages->all->pdata[i];
-      if (page->of_machines == of_machines && !page->retiring && page->bytes + bytes <= most)
+      if (page->of_machines == of_machines && !page->retiring && page->bytes + bytes <= max_bytes)
         return page;
     }
   return hzb_page_new (pages, pages->numbers + 1, of_machines);
@@ -73,7 +81,7 @@
 hzb_pages_part_bytes (const HzbPages *pages, const HzbJob *job, guint chunk)
 {
   guint tasks = MIN (pages->jobs->chunk, job->n_tasks - chunk * pages->jobs->chunk);
-  /* A service's tasks are never done. */
+  /* No task of a service is ever done, so there are no bits to keep. */
   return PART_BYTES + strlen (job->uid) + strlen (job->spec->team)
          + (job->spec->kind == HZB_JOB_SERVICE ? 0 : tasks / TASKS_PER_BYTE);
 }
@@ -100,20 +108,25 @@
   machine->page = page->number;
 }
 
+static void
+drop_parts_of (HzbPage *page, const HzbJob *job)
+{
+  for (guint i = page->parts->len; i-- > 0;)
+    {
+      const HzbPagePart *part = &g_array_index (page->parts, HzbPagePart, i);
+      if (part->job != job)
+        continue;
+      page->bytes -= part->bytes;
+      page->stale = TRUE;
+      g_array_remove_index_fast (page->parts, i);
+    }
+}
+
 void
 hzb_pages_drop_job (HzbPages *pages, HzbJob *job)
 {
   for (guint i = 0; job->on_pages && i < pages->all->len; i++)
-    {
-      HzbPage *page = pages->all->pdata[i];
-      for (guint k = page->parts->len; k-- > 0;)
-        if (g_array_index (page->parts, HzbPagePart, k).job == job)
-          {
-            page->bytes -= g_array_index (page->parts, HzbPagePart, k).bytes;
-            page->stale = TRUE;
-            g_array_remove_index_fast (page->parts, k);
-          }
-    }
+    drop_parts_of (pages->all->pdata[i], job);
   job->on_pages = FALSE;
 }
 
--- a/src/records/records.c
+++ b/src/records/records.c
@@ -1,40 +1,35 @@
-/* What the owner keeps in the key-value store for the next one: how far jobs have come, and which machines there are, on
- * pages (record-pages.h).
+/* Life of the records, and their reading when this node becomes the leader.
  *
- * A page of version 1 may be larger than a value will be allowed to be. What it names is put on pages of our size; once
- * all of these are written the large one goes. Until then both are read, and that is safe: a task done on either is
- * done, the mark of what may have been started is the highest of any, and a machine on either is on record. A job whose
- * parts only version 1 writes stays where it is, unchanged, and starts nothing more, while a version 1 may be about. */
+ * A page of schema version 1 may be larger than a value will be allowed to be. The leader puts what such a page names on pages
+ * of its own size, and removes the large page once all of these are durable. Until then both are read, and that is safe: a task
+ * that is done on either is done, the released mark is the highest of any, and a machine on either is on record. A job whose
+ * parts only schema version 1 writes stays where it is, unchanged, and starts nothing beyond its released mark while a
+ * controller of version 1 may be running. */
+#include "records.h"
 #include "job-progress.h"
-#include "json.h"
-#include "kv-protocol.h"
 #include "record-keys.h"
+#include "records-codec.h"
 #include "records-private.h"
 
 #include <string.h>
 
+#define CLOCK_SKEW_S 1.0 /* by which the times of day of two nodes may differ */
+
 HzbRecords *
-hzb_records_new (HzbController *controller)
+hzb_records_new (const HzbRecordsDependencies *dependencies, const HzbRecordsCallbacks *callbacks, gpointer user)
 {
   HzbRecords *records = g_new0 (HzbRecords, 1);
-  records->controller = controller;
-  hzb_pages_init (&records->pages, controller->jobs, controller->settings);
+  records->modules = *dependencies;
+  records->callbacks = *callbacks;
+  records->user = user;
+  hzb_pages_init (&records->pages, dependencies->jobs, dependencies->node->settings);
   return records;
 }
 
-static void
-drop_unresolved (HzbRecords *records)
-{
-  if (!records->unresolved)
-    return;
-  hzb_flush_free (records->unresolved->data);
-  g_clear_pointer (&records->unresolved, g_free);
-}
-
 void
 hzb_records_free (HzbRecords *records)
 {
-  drop_unresolved (records);
+  hzb_records_drop_unresolved (records);
   hzb_pages_free_all (&records->pages);
   g_free (records);
 }
@@ -42,11 +37,12 @@
 void
 hzb_records_reset (HzbRecords *records)
 {
-  drop_unresolved (records);
+  hzb_records_drop_unresolved (records);
+  hzb_records_set_flush_state (records, HZB_FLUSH_IDLE);
   hzb_pages_clear (&records->pages);
-  records->version = records->flushes = 0;
-  records->flushing = records->any_replacement = FALSE;
-  records->retiring = 0;
+  records->flush_version = records->flush_number = 0;
+  records->replacements_pending = FALSE;
+  records->retiring_pages = 0;
 }
 
 void
@@ -63,30 +59,27 @@
 
 /* ---- reading ---- */
 
-/* What a cancelled job's own record no longer says is beside its progress. */
+/* A cancelled job's own record no longer says what its tasks use; the record of its progress does. */
 static HzbJobSpec *
-spec_of_remains (const char *uid, const cJSON *value, guint n)
+spec_of_cancelled (const char *uid, const HzbProgressRecord *progress, guint n_tasks)
 {
   HzbJobSpec *spec = g_new0 (HzbJobSpec, 1);
   spec->uid = g_strdup (uid);
   spec->job_class = g_strdup ("");
   spec->image = g_ref_string_new_intern ("");
-  spec->team = g_strdup (hzb_json_text (value, "team"));
-  spec->cpus = hzb_json_number (value, "cpus", 0);
-  spec->gpus = hzb_json_number (value, "gpus", 0);
-  spec->tasks = n;
+  spec->team = g_strdup (progress->team);
+  spec->cpus = progress->cpus;
+  spec->gpus = progress->gpus;
+  spec->tasks = n_tasks;
   spec->estimate_s = 1;
   return spec;
 }
 
 static void
-load_progress (HzbRecords *records, HzbPage *page, const cJSON *value)
+load_progress (HzbRecords *records, HzbPage *page, const HzbProgressPart *part)
 {
-  HzbController *controller = records->controller;
-  const char *slash = strrchr (value->string, '/');
-  g_autofree char *uid = slash ? g_strndup (value->string, (gsize) (slash - value->string)) : NULL;
-  HzbJob *job = uid ? hzb_jobs_find (controller->jobs, uid) : NULL;
-  guint chunk = slash ? (guint) g_ascii_strtoull (slash + 1, NULL, 10) : 0;
+  HzbJobs *jobs = records->modules.jobs;
+  HzbJob *job = part->uid ? hzb_jobs_find (jobs, part->uid) : NULL;
   gboolean ours = TRUE;
 
   if (!job || job->state == HZB_JOB_DONE)
@@ -94,19 +87,19 @@
       page->stale = TRUE;
       return;
     }
-  if (job->state == HZB_JOB_CANCELLED && !job->spec && hzb_json_text (value, "team"))
+  if (job->state == HZB_JOB_CANCELLED && !job->spec && part->progress.team)
     {
-      job->spec = spec_of_remains (uid, value, job->n_tasks);
-      job->team = hzb_settings_team (controller->settings, job->spec->team);
+      job->spec = spec_of_cancelled (part->uid, &part->progress, job->n_tasks);
+      job->team = hzb_settings_team (records->modules.node->settings, job->spec->team);
     }
-  hzb_jobs_activate (controller->jobs, job);
+  hzb_jobs_activate (jobs, job);
   if (!job->tasks)
     return;
-  if (!hzb_job_read_progress (controller->jobs, job, chunk, value, &ours))
+  if (!hzb_job_read_progress (jobs, job, part->chunk, &part->progress, &ours))
     page->stale = TRUE;
   else if (ours && !job->unsplit)
     {
-      hzb_pages_add_part (&records->pages, page, job, chunk);
+      hzb_pages_add_part (&records->pages, page, job, part->chunk);
       job->on_pages = TRUE;
     }
   else
@@ -117,83 +110,104 @@
 }
 
 static void
-load_machine (HzbRecords *records, HzbPage *page, const cJSON *value)
+load_machine (HzbRecords *records, HzbPage *page, const HzbMachineRecord *record)
 {
-  HzbController *controller = records->controller;
-  const char *type = hzb_json_text (value, "type"), *zone = hzb_json_text (value, "zone");
-  double age = (double) hzb_clock_wall (controller->clock).tv_sec - hzb_json_number (value, "at", 1e15);
+  HzbMachines *machines = records->modules.machines;
+  double age_s = (double) hzb_clock_wall (records->modules.node->clock).tv_sec - record->recorded_at; /* or NAN */
   HzbMachine *machine;
 
-  if (hzb_machines_find (controller->machines, value->string) || !type || !zone)
+  if (hzb_machines_find (machines, record->name) || !record->type || !record->zone)
     return;
-  machine = hzb_machines_add (controller->machines, value->string, hzb_json_text (value, "addr"), type, zone,
-                              cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (value, "spot")), HZB_MACHINE_UNVERIFIED);
+  machine = hzb_machines_add (machines, record->name, record->address, record->type, record->zone, record->spot,
+                              HZB_MACHINE_UNVERIFIED);
   machine->recorded = machine->known_to_cloud = TRUE;
-  machine->drain = machine->scale_in_requested = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (value, "drain"));
-  if (age > 1)
-    machine->rented = hzb_time_plus (machine->rented, -(age - 1)); /* times of day differ a little */
+  machine->drain = machine->scale_in_requested = record->drain;
+  if (age_s > CLOCK_SKEW_S)
+    machine->rented = hzb_time_plus (machine->rented, -(age_s - CLOCK_SKEW_S));
   hzb_page_add_machine (page, machine);
 }
 
+static void
+load_page (HzbRecords *records, const HzbKvEntry *item, gboolean of_machines)
+{
+  guint number = (guint) g_ascii_strtoull (strrchr (item->key, '/') + 1, NULL, 10);
+  HzbPage *page = hzb_page_new (&records->pages, number, of_machines);
+  g_autoptr (GArray) entries =
+      of_machines ? hzb_machine_page_decode (item->value) : hzb_progress_page_decode (item->value);
+
+  page->exists = TRUE;
+  page->retiring = (double) hzb_record_bytes (item->value) > records->modules.node->settings->kv_value_kb * 1024;
+  for (guint i = 0; i < entries->len; i++)
+    if (of_machines)
+      load_machine (records, page, &g_array_index (entries, HzbMachineRecord, i));
+    else
+      load_progress (records, page, &g_array_index (entries, HzbProgressPart, i));
+}
+
 void
 hzb_records_load (HzbRecords *records, const HzbKvEntry *item)
 {
-  gboolean of_machines = g_str_has_prefix (item->key, HZB_KEY_MACHINES);
-  const cJSON *entry;
-  char *text;
-  HzbPage *page;
-
   if (g_str_equal (item->key, HZB_KEY_FLUSH))
     {
-      records->version = item->version;
-      records->flushes = hzb_json_u64 (item->value, "n");
-      return;
+      HzbFlushRecord flush_record;
+      hzb_flush_record_decode (item->value, &flush_record);
+      records->flush_version = item->version;
+      records->flush_number = flush_record.number;
+    }
+  else if (g_str_has_prefix (item->key, HZB_KEY_MACHINES))
+    load_page (records, item, TRUE);
+  else if (g_str_has_prefix (item->key, HZB_KEY_PROGRESS))
+    load_page (records, item, FALSE);
+}
+
+/* ---- pages of an earlier layout ---- */
+
+static void
+mark_replacement (HzbRecords *records, HzbPage *page)
+{
+  page->replaces_retired = records->replacements_pending = TRUE;
+}
+
+/* Puts what stands on a page that is to go on others. */
+static void
+move_to_other_pages (HzbRecords *records, HzbPage *retiring)
+{
+  HzbPages *pages = &records->pages;
+  g_autoptr (GArray) parts = g_steal_pointer (&retiring->parts);
+  g_autoptr (GPtrArray) machines = g_steal_pointer (&retiring->machines);
+
+  hzb_page_make_empty (retiring);
+  for (guint i = 0; i < parts->len; i++)
+    {
+      const HzbPagePart *part = &g_array_index (parts, HzbPagePart, i);
+      HzbPage *to = hzb_pages_with_room (pages, FALSE, part->bytes);
+      hzb_pages_add_part (pages, to, part->job, part->chunk);
+      mark_replacement (records, to);
+    }
+  for (guint i = 0; i < machines->len; i++)
+    {
+      HzbPage *to = hzb_pages_with_room (pages, TRUE, hzb_page_machine_bytes (machines->pdata[i]));
+      hzb_page_add_machine (to, machines->pdata[i]);
+      mark_replacement (records, to);
     }
-  if (!of_machines && !g_str_has_prefix (item->key, HZB_KEY_PROGRESS))
-    return;
-  page = hzb_page_new (&records->pages, (guint) g_ascii_strtoull (strrchr (item->key, '/') + 1, NULL, 10), of_machines);
-  page->exists = TRUE;
-  text = cJSON_PrintUnformatted (item->value);
-  page->retiring = (double) strlen (text) > records->controller->settings->kv_value_kb * 1024;
-  cJSON_free (text);
-  cJSON_ArrayForEach (entry, item->value)
-    if (of_machines)
-      load_machine (records, page, entry);
-    else
-      load_progress (records, page, entry);
 }
 
-/* All has been read: what stands on pages that are to go is put on others. */
 void
 hzb_records_load_finished (HzbRecords *records)
 {
-  guint read = records->pages.all->len;
+  guint n_read = records->pages.all->len; /* moving adds pages */
 
-  for (guint i = 0; i < read; i++)
+  for (guint i = 0; i < n_read; i++)
     {
       HzbPage *page = records->pages.all->pdata[i];
-      g_autoptr (GArray) parts = page->retiring ? page->parts : NULL;
-      g_autoptr (GPtrArray) machines = page->retiring ? page->machines : NULL;
       if (!page->retiring)
         continue;
-      records->retiring++;
-      page->parts = g_array_new (FALSE, FALSE, sizeof (HzbPagePart));
-      page->machines = g_ptr_array_new ();
-      page->bytes = 0;
-      for (guint k = 0; k < parts->len; k++)
-        {
-          const HzbPagePart *part = &g_array_index (parts, HzbPagePart, k);
-          HzbPage *to = hzb_pages_with_room (&records->pages, FALSE, part->bytes);
-          hzb_pages_add_part (&records->pages, to, part->job, part->chunk);
-          to->replaces_retired = records->any_replacement = TRUE;
-        }
-      for (guint k = 0; k < machines->len; k++)
-        {
-          HzbPage *to = hzb_pages_with_room (&records->pages, TRUE, hzb_page_machine_bytes (machines->pdata[k]));
-          hzb_page_add_machine (to, machines->pdata[k]);
-          to->replaces_retired = records->any_replacement = TRUE;
-        }
+      records->retiring_pages++;
+      move_to_other_pages (records, page);
     }
-  if (records->retiring)
-    g_message ("records: %u pages are to be written anew", records->retiring);
+  if (records->retiring_pages)
+    g_message (
+        "records: %u pages have an earlier layout or are too large; their contents are being written to new pages, "
+        "and nothing needs to be done",
+        records->retiring_pages);
 }
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -148,6 +148,23 @@
     }
 }
 
+/* From a job to the stored form of a part of its progress, and back. */
+static cJSON *
+pack_progress (const HzbJobs *jobs, const HzbJob *job, guint chunk)
+{
+  g_auto (HzbProgressRecord) record = { 0 };
+  hzb_job_pack_progress (jobs, job, chunk, &record);
+  return hzb_progress_record_encode (&record);
+}
+
+static gboolean
+read_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const cJSON *value, gboolean *ours)
+{
+  g_auto (HzbProgressRecord) record = { 0 };
+  hzb_progress_record_decode (value, &record);
+  return hzb_job_read_progress (jobs, job, chunk, &record, ours);
+}
+
 /* Parts of 32768 tasks, as version 1 has them: read, told apart from ours, and what is written instead says the same, also
  * read beside the old one. */
 static void
@@ -163,10 +180,10 @@
   bench_up (&after, 1);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 50000, 1, 10);
   job->released = job->releasing = 0;
-  g_assert_true (hzb_job_read_progress (b.jobs, job, 0, old, &ours));
+  g_assert_true (read_progress (b.jobs, job, 0, old, &ours));
   g_assert_false (ours);
-  g_assert_true (hzb_job_read_progress (b.jobs, job, 1, second, &ours));
-  g_assert_false (hzb_job_read_progress (b.jobs, job, 2, second, &ours)); /* there is no such part */
+  g_assert_true (read_progress (b.jobs, job, 1, second, &ours));
+  g_assert_false (read_progress (b.jobs, job, 2, second, &ours)); /* there is no such part */
   g_assert_cmpuint (job->done, ==, 3);
   g_assert_cmpint (job->tasks[32769].state, ==, HZB_TASK_DONE);
   g_assert_cmpuint (job->released, ==, 40000);
@@ -175,12 +192,12 @@
   again->released = again->releasing = 0;
   for (guint k = 0; k < hzb_job_chunks (b.jobs, job); k++)
     {
-      cJSON *value = hzb_job_pack_progress (b.jobs, job, k);
-      g_assert_true (hzb_job_read_progress (after.jobs, again, k, value, &ours));
+      cJSON *value = pack_progress (b.jobs, job, k);
+      g_assert_true (read_progress (after.jobs, again, k, value, &ours));
       g_assert_true (ours);
       cJSON_Delete (value);
       if (k == 2)
-        hzb_job_read_progress (after.jobs, again, 0, old, &ours);
+        read_progress (after.jobs, again, 0, old, &ours);
     }
   g_assert_cmpuint (again->done, ==, 3);
   g_assert_cmpuint (again->released, ==, 40000);
@@ -188,7 +205,7 @@
     g_assert_cmpint (again->tasks[i].state, ==, job->tasks[i].state);
   /* A job that fits one part of either size is written alike by both. */
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 8000, 1, 10);
-  second = (cJSON_Delete (second), hzb_job_pack_progress (b.jobs, job, 0));
+  second = (cJSON_Delete (second), pack_progress (b.jobs, job, 0));
   g_assert_false (cJSON_HasObjectItem (second, "of"));
   cJSON_Delete (second);
   cJSON_Delete (old);
@@ -212,10 +229,10 @@
       hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_UNCONFIRMED, NULL);
       hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_FINISHED, NULL);
     }
-  value = hzb_job_pack_progress (b.jobs, job, 0);
+  value = pack_progress (b.jobs, job, 0);
   again = bench_job (&after, "red", HZB_PRIORITY_NORMAL, 50, 1, 10);
   again->released = again->releasing = 0;
-  g_assert_true (hzb_job_read_progress (after.jobs, again, 0, value, &ours));
+  g_assert_true (read_progress (after.jobs, again, 0, value, &ours));
   g_assert_true (ours);
   g_assert_cmpuint (again->done, ==, 8);
   /* What may have been started counts against the team until it is found or ruled out. */
@@ -247,7 +264,7 @@
   g_assert_cmpuint (hzb_job_chunks (b.jobs, job), ==, 13);
   for (guint k = 0; k < 13; k++)
     {
-      cJSON *value = hzb_job_pack_progress (b.jobs, job, k);
+      cJSON *value = pack_progress (b.jobs, job, k);
       g_autofree char *text = cJSON_PrintUnformatted (value);
       g_assert_cmpuint (strlen (text), <, 2 * 1024 * 0.9);
       cJSON_Delete (value);
