--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -1,29 +1,42 @@
+/* Requests wait in a queue for each priority until the budgets allow them, see hzb_kv_client_pump(). */
 #include "kv-client.h"
 #include "kv-protocol.h"
 
 #include <string.h>
 
-#define CALL_MS 2500
-#define READ_CALL_MS 1700 /* a user waits for it, and not for longer than two seconds */
-#define LEASE_CALL_MS 1500
-#define RANGE_CALL_MS 4000
+/* How long a caller waits, in its queue and for the answer together. The key-value store usually answers in under 10 ms, and
+ * now and then in a few hundred, so an answer that takes longer than these is lost or the store is out. */
+#define CALL_TIMEOUT_MS 2500       /* a transaction or a read that no user waits for */
+#define READ_CALL_TIMEOUT_MS 1700  /* a user waits for it, and for two seconds at most */
+#define LEASE_CALL_TIMEOUT_MS 1500 /* a lost renewal has to leave time for another one before the lease expires */
+#define RANGE_CALL_TIMEOUT_MS 4000 /* a page of records is large, and to read it again costs as much */
+#define WATCH_SLACK_MS 2000        /* beyond the time that a watch waits, for its answer to come through */
+
+/* The key-value store allows 1,000 rows and 512 KiB in an answer; this stays well below, since a lost page is read again whole. */
 #define RANGE_ROWS 500u
-#define WATCH_SLACK_MS 2000 /* beyond the time that a watch waits */
-#define RATE_PAUSE_S 0.2    /* after an answer that says that the shared rate is used up */
-/* The service counts all nodes together; half of each budget a node leaves the owner room. */
+
+/* The store counts the requests and changes of all controllers together (state.rps and state.write_rps in the settings) and
+ * answers 429 beyond that. A controller takes only a part, so that followers leave room for the leader, which writes most. */
 #define REQUESTS_PART 0.5
 #define WRITES_PART 0.6
-#define READ_OVERDUE_S 0.4 /* a read that has waited so long goes before acceptances, every other time */
-#define EXPIRE_EVERY_S 0.05
+#define BUDGET_BURST_S 1.0       /* the store allows bursts of one second's worth */
+#define RATE_LIMITED_PAUSE_S 0.2 /* after a 429, for the store's count to go down */
+
+#define READ_OVERDUE_S 0.4     /* a read that has waited so long goes before acceptances, every other time */
+#define EXPIRE_INTERVAL_S 0.05 /* how often the queues are searched for expired requests, which costs a look at each */
+#define NEVER_SERVED_S 1e9     /* stands for a time without an answer since the start */
 
+/* A request, in its queue or sent. */
 typedef struct
 {
   HzbKvClient *client;
   HzbKvPriority priority;
   const char *method;
   char *path, *body;
-  guint writes, timeout_ms;
-  struct timespec queued, deadline;
+  guint writes; /* keys that it changes */
+  guint timeout_ms;
+  struct timespec queued;
+  struct timespec deadline; /* by which it is given up in the queue, and not sent again after a 429 */
   HzbKvFunc done;
   gpointer user;
 } Request;
@@ -33,10 +46,14 @@
   HzbTransport *transport;
   HzbClock *clock;
   const HzbSettings *settings;
-  GQueue waiting[HZB_KV_N_PRIORITIES];
-  double requests, writes; /* what the budget holds now */
-  struct timespec filled, served, not_before, next_expiry;
-  gboolean ever_served, logged_malformed;
+  GQueue waiting[HZB_KV_N_PRIORITIES]; /* Request */
+  double request_budget, write_budget; /* how many may be sent now; leases may overdraw the first */
+  struct timespec budgets_filled;
+  struct timespec last_served; /* unset: never */
+  struct timespec not_before;  /* no request that counts goes before it, after a 429 */
+  struct timespec next_expiry;
+  gboolean ever_served;
+  gboolean logged_malformed;
 };
 
 HzbKvClient *
@@ -46,7 +63,7 @@
   client->transport = transport;
   client->clock = clock;
   client->settings = settings;
-  client->filled = hzb_clock_now (clock);
+  client->budgets_filled = hzb_clock_now (clock);
   return client;
 }
 
@@ -69,7 +86,50 @@
 double
 hzb_kv_client_unresponsive_s (HzbKvClient *client)
 {
-  return client->ever_served ? hzb_time_between (client->served, hzb_clock_now (client->clock)) : 1e9;
+  return client->ever_served ? hzb_time_between (client->last_served, hzb_clock_now (client->clock)) : NEVER_SERVED_S;
+}
+
+/* ---- answers ---- */
+
+static HzbKvResult
+result_of_status (guint status)
+{
+  switch (status)
+    {
+    case 200:
+      return HZB_KV_OK;
+    case 409:
+      return HZB_KV_CONFLICT;
+    case 404:
+    case 410:
+      return HZB_KV_NOT_FOUND;
+    case 503:
+      return HZB_KV_REFUSED; /* the one server error that says that nothing was done */
+    default:
+      return status == 0 || status >= 500 ? HZB_KV_UNKNOWN : HZB_KV_REFUSED;
+    }
+}
+
+/* Guards against a log full of one message: whoever sent a malformed request sends it again after a pause. */
+static void
+warn_malformed_once (HzbKvClient *client, const Request *request, const char *body)
+{
+  if (client->logged_malformed)
+    return;
+  client->logged_malformed = TRUE;
+  g_warning (
+      "the key-value store refuses %s %s with %u changes and %u bytes as malformed: %s. Nothing was written, and "
+      "the request is repeated. Compare its size with the limits in the settings (state.txn_ops, state.value_kb). "
+      "Further refusals are not logged.",
+      request->method, request->path, request->writes, (guint) (request->body ? strlen (request->body) : 0), body);
+}
+
+/* Over the shared rate: nothing was done, so the request goes to the head of its queue again. */
+static void
+requeue_rate_limited (HzbKvClient *client, Request *request, struct timespec now)
+{
+  client->not_before = hzb_time_plus (now, RATE_LIMITED_PAUSE_S);
+  g_queue_push_head (&client->waiting[request->priority], request);
 }
 
 static void
@@ -78,41 +138,32 @@
   Request *request = user;
   HzbKvClient *client = request->client;
   struct timespec now = hzb_clock_now (client->clock);
-  HzbKvResult result;
+  HzbKvResult result = result_of_status (status);
 
   if (status == 429 && hzb_time_before (now, request->deadline))
     {
-      /* Over the shared rate: nothing was done, so it goes to the head of its queue. */
-      client->not_before = hzb_time_plus (now, RATE_PAUSE_S);
-      g_queue_push_head (&client->waiting[request->priority], request);
+      requeue_rate_limited (client, request, now);
       return;
     }
-  if (status == 200 || status == 404 || status == 409 || status == 410)
+  if (result == HZB_KV_OK || result == HZB_KV_CONFLICT || result == HZB_KV_NOT_FOUND)
     {
-      client->served = now;
+      client->last_served = now;
       client->ever_served = TRUE;
     }
-  result = status == 200                    ? HZB_KV_OK
-           : status == 409                  ? HZB_KV_CONFLICT
-           : status == 404 || status == 410 ? HZB_KV_NOT_FOUND
-           : status == 0 || status >= 500   ? (status == 503 ? HZB_KV_REFUSED : HZB_KV_UNKNOWN)
-                                            : HZB_KV_REFUSED;
-  /* Once: whoever sent it will try again, and a log full of it helps nobody. */
-  if (status == 400 && !client->logged_malformed)
-    g_warning ("store: %s %s with %u changes and %u bytes is refused: %s (more of these are not logged)",
-               request->method, request->path, request->writes, (guint) (request->body ? strlen (request->body) : 0),
-               body);
-  client->logged_malformed = client->logged_malformed || status == 400;
+  if (status == 400)
+    warn_malformed_once (client, request, body);
   request->done (result, body, request->user);
   request_free (request);
 }
 
+/* ---- sending ---- */
+
 static void
 send_now (HzbKvClient *client, Request *request)
 {
-  client->requests -= 1;
-  client->writes -= request->writes;
-  /* The body stays with the request: one that is answered 429 is sent once more. */
+  client->request_budget -= 1;
+  client->write_budget -= request->writes;
+  /* The body stays with the request, which is sent again if it is answered 429. */
   hzb_send (client->transport, request->method, client->settings->kv_addr, request->path, g_strdup (request->body),
             request->timeout_ms, on_reply, request);
 }
@@ -120,17 +171,34 @@
 static void
 refill_budgets (HzbKvClient *client, struct timespec now)
 {
-  double gap = hzb_time_between (client->filled, now);
+  double gap_s = hzb_time_between (client->budgets_filled, now);
   double rps = client->settings->kv_rps * REQUESTS_PART;
   double write_rps = client->settings->kv_write_rps * WRITES_PART;
+  /* The largest transaction has to fit, else it would wait for ever. */
+  double max_writes = MAX (write_rps * BUDGET_BURST_S, client->settings->kv_txn_ops);
 
-  client->filled = now;
-  client->requests = MIN (client->requests + gap * rps, rps);
-  client->writes = MIN (client->writes + gap * write_rps, MAX (write_rps, client->settings->kv_txn_ops));
+  client->budgets_filled = now;
+  client->request_budget = MIN (client->request_budget + gap_s * rps, rps * BUDGET_BURST_S);
+  client->write_budget = MIN (client->write_budget + gap_s * write_rps, max_writes);
 }
 
-/* Guards against requests that wait behind others for longer than their callers do, of whatever priority these are: a
- * caller that is told nothing waits for ever, and with it all that waits its turn there. */
+static void
+take_expired (GQueue *waiting, GQueue *expired, struct timespec now)
+{
+  for (GList *l = waiting->head, *next; l; l = next)
+    {
+      Request *request = l->data;
+      next = l->next;
+      if (!hzb_time_before (request->deadline, now))
+        continue;
+      g_queue_delete_link (waiting, l);
+      g_queue_push_tail (expired, request);
+    }
+}
+
+/* Guards against requests that wait behind others for longer than their callers do, whatever the priority of these. A caller
+ * that is told nothing waits for ever, and so does all that waits for its turn there. The callers are told only once all queues
+ * have been searched, since they may add requests. */
 static void
 give_up_expired (HzbKvClient *client, struct timespec now)
 {
@@ -139,17 +207,9 @@
 
   if (hzb_time_before (now, client->next_expiry))
     return;
-  client->next_expiry = hzb_time_plus (now, EXPIRE_EVERY_S);
+  client->next_expiry = hzb_time_plus (now, EXPIRE_INTERVAL_S);
   for (guint i = 0; i < HZB_KV_N_PRIORITIES; i++)
-    for (GList *l = client->waiting[i].head, *next; l; l = next)
-      {
-        next = l->next;
-        request = l->data;
-        if (!hzb_time_before (request->deadline, now))
-          continue;
-        g_queue_delete_link (&client->waiting[i], l);
-        g_queue_push_tail (&expired, request);
-      }
+    take_expired (&client->waiting[i], &expired, now);
   while ((request = g_queue_pop_head (&expired)))
     {
       request->done (HZB_KV_REFUSED, "", request->user);
@@ -160,11 +220,11 @@
 static gboolean
 may_send_request (const HzbKvClient *client, struct timespec now)
 {
-  return client->requests >= 1 && !hzb_time_before (now, client->not_before);
+  return client->request_budget >= 1 && !hzb_time_before (now, client->not_before);
 }
 
-/* Guards against a service that takes few requests, all of which would go to acceptances: one at a time, so that neither
- * keeps the other waiting. */
+/* Guards against a key-value store that takes few requests, all of which would go to acceptances. Only one read goes before them
+ * at a time, so that neither keeps the other waiting. */
 static void
 send_overdue_read (HzbKvClient *client, struct timespec now)
 {
@@ -174,8 +234,27 @@
     send_now (client, g_queue_pop_head (&client->waiting[HZB_KV_READ]));
 }
 
-/* A lower priority never overtakes in what both need. What changes nothing does not wait for the budget of changes: more
- * acceptances, ends or cancellations than that allows would keep every question of a user waiting. */
+/* Sends from one queue what the budgets allow. @writes_wait: (inout): a request of a higher priority waits for the budget of
+ * changes, which must not be used up before it. */
+static void
+send_from (HzbKvClient *client, GQueue *waiting, gboolean *writes_wait, struct timespec now)
+{
+  const Request *request;
+
+  while ((request = g_queue_peek_head (waiting)) && may_send_request (client, now))
+    {
+      if (request->writes && (*writes_wait || client->write_budget < request->writes))
+        {
+          *writes_wait = TRUE;
+          return;
+        }
+      send_now (client, g_queue_pop_head (waiting));
+    }
+}
+
+/* A lower priority never overtakes a higher one in a budget that both need. A request that changes nothing does not wait for the
+ * budget of changes: else more acceptances, completions or cancellations than that allows would keep every user's question
+ * waiting. Requests for leases and watches wait for no budget, though they use it up: leadership depends on them. */
 void
 hzb_kv_client_pump (HzbKvClient *client)
 {
@@ -189,17 +268,10 @@
     send_now (client, request);
   send_overdue_read (client, now);
   for (guint i = HZB_KV_LEASE + 1; i < HZB_KV_N_PRIORITIES; i++)
-    while ((request = g_queue_peek_head (&client->waiting[i])) && may_send_request (client, now))
-      {
-        if (request->writes && (writes_wait || client->writes < request->writes))
-          {
-            writes_wait = TRUE;
-            break;
-          }
-        send_now (client, g_queue_pop_head (&client->waiting[i]));
-      }
+    send_from (client, &client->waiting[i], &writes_wait, now);
 }
 
+/* Takes @path and @body. */
 static void
 add (HzbKvClient *client, HzbKvPriority priority, const char *method, char *path, char *body, guint writes,
      guint timeout_ms, HzbKvFunc done, gpointer user)
@@ -223,14 +295,15 @@
 void
 hzb_kv_client_get (HzbKvClient *client, HzbKvPriority priority, const char *key, HzbKvFunc done, gpointer user)
 {
-  add (client, priority, "GET", hzb_kv_get_path (key), NULL, 0, priority == HZB_KV_READ ? READ_CALL_MS : CALL_MS, done,
-       user);
+  add (client, priority, "GET", hzb_kv_get_path (key), NULL, 0,
+       priority == HZB_KV_READ ? READ_CALL_TIMEOUT_MS : CALL_TIMEOUT_MS, done, user);
 }
 
 void
 hzb_kv_client_range (HzbKvClient *client, const char *prefix, const char *after, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_READ, "GET", hzb_kv_range_path (prefix, after, RANGE_ROWS), NULL, 0, RANGE_CALL_MS, done, user);
+  add (client, HZB_KV_READ, "GET", hzb_kv_range_path (prefix, after, RANGE_ROWS), NULL, 0, RANGE_CALL_TIMEOUT_MS, done,
+       user);
 }
 
 void
@@ -241,7 +314,7 @@
   char *body = hzb_kv_transaction_encode (transaction);
   hzb_kv_transaction_free (transaction);
   add (client, priority, "POST", g_strdup (hzb_path_transaction), body, writes,
-       priority == HZB_KV_READ ? READ_CALL_MS : CALL_MS, done, user);
+       priority == HZB_KV_READ ? READ_CALL_TIMEOUT_MS : CALL_TIMEOUT_MS, done, user);
 }
 
 void
@@ -255,24 +328,24 @@
 void
 hzb_kv_client_changes (HzbKvClient *client, const char *prefix, guint64 after, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_READ, "GET", hzb_kv_watch_path (prefix, after, 0), NULL, 0, READ_CALL_MS, done, user);
+  add (client, HZB_KV_READ, "GET", hzb_kv_watch_path (prefix, after, 0), NULL, 0, READ_CALL_TIMEOUT_MS, done, user);
 }
 
 void
 hzb_kv_client_grant_lease (HzbKvClient *client, guint ttl_ms, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_LEASE, "POST", g_strdup (hzb_path_leases), hzb_kv_lease_encode (ttl_ms), 0, LEASE_CALL_MS, done,
-       user);
+  add (client, HZB_KV_LEASE, "POST", g_strdup (hzb_path_leases), hzb_kv_lease_encode (ttl_ms), 0, LEASE_CALL_TIMEOUT_MS,
+       done, user);
 }
 
 void
 hzb_kv_client_renew_lease (HzbKvClient *client, guint64 lease, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_LEASE, "POST", hzb_kv_lease_renew_path (lease), NULL, 0, LEASE_CALL_MS, done, user);
+  add (client, HZB_KV_LEASE, "POST", hzb_kv_lease_renew_path (lease), NULL, 0, LEASE_CALL_TIMEOUT_MS, done, user);
 }
 
 void
 hzb_kv_client_revoke_lease (HzbKvClient *client, guint64 lease, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_LEASE, "DELETE", hzb_kv_lease_revoke_path (lease), NULL, 0, LEASE_CALL_MS, done, user);
+  add (client, HZB_KV_LEASE, "DELETE", hzb_kv_lease_revoke_path (lease), NULL, 0, LEASE_CALL_TIMEOUT_MS, done, user);
 }
--- a/src/kv/kv-replica.c
+++ b/src/kv/kv-replica.c
@@ -1,21 +1,27 @@
+/* The reading and the watch of one prefix.
+ *
+ * A reading goes page by page. A page that did not come is asked for again, and what has been read stays. Between two pages come the
+ * changes since the one before, so that it does not matter how long a reading takes: the key-value store keeps only its last 10,000
+ * changes. After the last page come the changes once more, and then all is as of one revision. */
 #include "kv-replica.h"
 #include "kv-protocol.h"
 
-#define FRESH_SLACK_S 2.0   /* beyond the time that a watch takes */
-#define RELOAD_PAUSE_S 0.4  /* after a page that did not come */
+#define FRESH_SLACK_S 2.0 /* beyond the time that a watch waits: for its answer, and for the interval between watches */
+#define RELOAD_PAUSE_S 0.4  /* after a page that did not come: an outage may last for minutes */
 #define REWATCH_PAUSE_S 0.3 /* after a watch that failed */
-/* Guards against news that never come in time, being too many: after so many watches without an answer, though the
- * service answers other calls, all is read anew in pages. */
+/* Guards against changes that never come in time because there are too many of them: after so many watches without an answer,
+ * though the store answers other requests, all records are read anew in pages. */
 #define MAX_LOST_WATCHES 5u
-#define SERVED_LATELY_S 2.0
-#define STORE_UNRESPONSIVE_S (HZB_KV_REPLICA_WATCH_MS / 1000.0 + 1) /* longer than a watch takes */
+#define SERVED_LATELY_S 2.0 /* the store has answered some request since: it is reachable */
+#define STORE_UNRESPONSIVE_S                                                                                           \
+  (HZB_KV_REPLICA_WATCH_MS / 1000.0 + 1) /* a store that answers ends each watch within that time */
 
 /* What the reading of all records does next. */
 typedef enum
 {
   LOAD_PAGE,        /* the keys after the last one read */
   LOAD_CHANGES,     /* what has changed meanwhile */
-  LOAD_LAST_CHANGES /* the same, after the last page: then all is as of one revision */
+  LOAD_LAST_CHANGES /* the same, after the last page: the last step */
 } LoadStep;
 
 struct _HzbKvReplica
@@ -26,29 +32,33 @@
   HzbKvReplicaFuncs funcs;
   gpointer user;
 
-  HzbKvReplicaState state; /* changed by set_state() only */
-  guint64 generation;      /* raised when all is read anew: what was asked before that is not taken any more */
-  guint64 revision;
-  gboolean watching;
+  HzbKvReplicaState state;       /* changed by set_state() only */
+  guint64 generation;            /* raised when all is read anew: answers to earlier requests are not taken any more */
+  guint64 revision;              /* see hzb_kv_replica_revision() */
+  struct timespec current_as_of; /* see hzb_kv_replica_current_as_of() */
+  struct timespec next_step;     /* no reading and no watch goes on before it: a pause after a failure */
+
+  /* The watch. */
+  gboolean watching;  /* one is open */
   guint lost_watches; /* in a row */
   double watch_interval_s;
   struct timespec next_watch;
-  struct timespec current_as_of; /* see hzb_kv_replica_current_as_of() */
-  struct timespec last_watch, next_step;
-  /* of the reading under way: */
+  struct timespec last_watch; /* when the last one was answered, or the reading ended */
+
+  /* The reading under way. */
   LoadStep load_step;
-  gboolean load_asked;
+  gboolean load_asked;   /* the request of this step is on its way */
   guint64 load_revision; /* of its first page, or of the changes that were read since; 0: there was no page yet */
-  char *load_cursor;     /* the last key read */
+  char *load_cursor;     /* (nullable): the last key read */
 };
 
-/* A request, and what it was asked for. */
+/* A request on its way, and what it was made for. */
 typedef struct
 {
   HzbKvReplica *kv_replica;
   guint64 generation;
   struct timespec sent;
-  HzbSyncFunc done; /* of a sync */
+  HzbKvReplicaSyncFunc done; /* of a sync, as is the next */
   gpointer user;
 } Call;
 
@@ -65,14 +75,14 @@
   return call;
 }
 
-/* Guards against replies that outlive what they were asked for: of an earlier reading, or of before everything was lost. */
+/* Guards against answers that outlive what they were asked for: those of an earlier reading, or from before a reset. */
 static gboolean
 is_current (const Call *call)
 {
   return call->generation == call->kv_replica->generation;
 }
 
-/* Allowed: empty -> loading -> following, and back to empty from both. */
+/* The one place where the state changes: empty -> loading -> following, and back to empty from each. */
 static void
 set_state (HzbKvReplica *kv_replica, HzbKvReplicaState to)
 {
@@ -99,8 +109,8 @@
     kv_replica->funcs.apply (&g_array_index (items, HzbKvEntry, i), kv_replica->user);
 }
 
-/* Each change once, in their order: what a watch has brought, a sync that was sent before it may bring again.
- * Returns: up to where they go. */
+/* Each change is applied once, and in order: a sync that was sent before a watch may bring again what the watch has brought.
+ * Returns: the revision up to which all is applied now. */
 static guint64
 apply_changes (HzbKvReplica *kv_replica, const GArray *items, guint64 applied, guint64 revision)
 {
@@ -113,7 +123,7 @@
   return MAX (applied, revision);
 }
 
-/* Answers may come in another order than the requests went out. */
+/* Answers may come in another order than their requests were sent in. */
 static void
 note_current (HzbKvReplica *kv_replica, struct timespec as_of)
 {
@@ -137,10 +147,23 @@
   note_current (kv_replica, as_of);
   kv_replica->last_watch = hzb_clock_now (kv_replica->clock);
   kv_replica->funcs.load_end (kv_replica->revision, kv_replica->user);
-  g_message ("the mirror has been read, at revision %" G_GUINT64_FORMAT, kv_replica->revision);
+  g_message ("the replica of the records is complete, at revision %" G_GUINT64_FORMAT, kv_replica->revision);
   step (kv_replica);
 }
 
+/* A page was applied: @more tells whether there are pages after it. */
+static void
+advance_load (HzbKvReplica *kv_replica, const GArray *items, gboolean more)
+{
+  if (more)
+    {
+      g_free (kv_replica->load_cursor);
+      kv_replica->load_cursor = g_strdup (g_array_index (items, HzbKvEntry, items->len - 1).key);
+    }
+  kv_replica->load_step = more ? LOAD_CHANGES : LOAD_LAST_CHANGES;
+  ask_for_load (kv_replica);
+}
+
 static void
 on_page (HzbKvResult result, const char *body, gpointer user)
 {
@@ -164,17 +187,9 @@
   apply_page (kv_replica, items);
   more = more && items->len;
   if (!more && kv_replica->load_revision == revision)
-    {
-      finish_load (kv_replica, call->sent);
-      return;
-    }
-  if (more)
-    {
-      g_free (kv_replica->load_cursor);
-      kv_replica->load_cursor = g_strdup (g_array_index (items, HzbKvEntry, items->len - 1).key);
-    }
-  kv_replica->load_step = more ? LOAD_CHANGES : LOAD_LAST_CHANGES;
-  ask_for_load (kv_replica);
+    finish_load (kv_replica, call->sent); /* nothing has changed since the first page */
+  else
+    advance_load (kv_replica, items, more);
 }
 
 static void
@@ -190,7 +205,9 @@
   kv_replica->load_asked = FALSE;
   if (result == HZB_KV_NOT_FOUND)
     {
-      g_message ("the changes since a page are not kept any more: all records are read anew");
+      g_message (
+          "the key-value store does not keep the changes since the last page any more; all records are read anew, and "
+          "nothing needs to be done");
       set_state (kv_replica, HZB_KV_REPLICA_EMPTY);
       ask_again_later (kv_replica);
       return;
@@ -211,8 +228,6 @@
   ask_for_load (kv_replica);
 }
 
-/* Page by page. What did not come is asked for again, and what has been read stays. Between two pages come the changes
- * since the one before, so that it does not matter how long reading all takes: the service keeps only so many. */
 static void
 ask_for_load (HzbKvReplica *kv_replica)
 {
@@ -251,7 +266,7 @@
   if (result != HZB_KV_UNKNOWN)
     return;
   if (hzb_kv_client_unresponsive_s (kv_replica->kv) > SERVED_LATELY_S)
-    kv_replica->lost_watches = 0; /* nothing comes through */
+    kv_replica->lost_watches = 0; /* the store answers nothing at all, so the number of changes is not the cause */
   else if (++kv_replica->lost_watches >= MAX_LOST_WATCHES)
     hzb_kv_replica_reset (kv_replica);
 }
@@ -302,13 +317,12 @@
       note_current (kv_replica, call->sent);
     }
   else if (result == HZB_KV_NOT_FOUND)
-    hzb_kv_replica_reset (kv_replica); /* the watch would find the same a moment later */
+    hzb_kv_replica_reset (kv_replica); /* else the watch would get the same answer a moment later */
   call->done (items != NULL, call->user);
 }
 
-/* A watch that does not wait brings all that has changed up to now. */
 void
-hzb_kv_replica_sync (HzbKvReplica *kv_replica, HzbSyncFunc done, gpointer user)
+hzb_kv_replica_sync (HzbKvReplica *kv_replica, HzbKvReplicaSyncFunc done, gpointer user)
 {
   Call *call;
   if (kv_replica->state != HZB_KV_REPLICA_FOLLOWING)
