--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-/* How long a caller waits, in its queue and for the answer together. The key-value store usually answers in under 10 ms, and
- * now and then in a few hundred, so an answer that takes longer than these is lost or the store is out. */
+/* How long a request waits in its queue, and then as long again for its answer. The key-value store usually answers in under 10 ms,
+ * and now and then in a few hundred, so an answer that takes longer than these is lost, or the store is out. */
 #define CALL_TIMEOUT_MS 2500       /* a transaction or a read that no user waits for */
 #define READ_CALL_TIMEOUT_MS 1700  /* a user waits for it, and for two seconds at most */
 #define LEASE_CALL_TIMEOUT_MS 1500 /* a lost renewal has to leave time for another one before the lease expires */
--- /dev/null
+++ b/src/kv/kv-replica-load.c
@@ -0,0 +1,134 @@
+/* The reading of all records.
+ *
+ * A reading goes page by page. A page that did not come is asked for again, and what has been read stays. Between two pages come the
+ * changes since the one before, so that it does not matter how long a reading takes: the key-value store keeps only its last 10,000
+ * changes. After the last page come the changes once more, and then all is as of one revision. */
+#include "kv-protocol.h"
+#include "kv-replica-private.h"
+
+#define RELOAD_PAUSE_S 0.4 /* after a page that did not come: an outage may last for minutes */
+
+static void
+apply_page (HzbKvReplica *kv_replica, const GArray *items)
+{
+  for (guint i = 0; i < items->len; i++)
+    kv_replica->funcs.apply (&g_array_index (items, HzbKvEntry, i), kv_replica->user);
+}
+
+static void
+ask_again_later (HzbKvReplica *kv_replica)
+{
+  kv_replica->next_step = hzb_time_plus (hzb_clock_now (kv_replica->clock), RELOAD_PAUSE_S);
+}
+
+static void
+finish_load (HzbKvReplica *kv_replica, struct timespec as_of)
+{
+  kv_replica->revision = MAX (kv_replica->revision, kv_replica->load_revision);
+  hzb_kv_replica_set_state (kv_replica, HZB_KV_REPLICA_FOLLOWING);
+  hzb_kv_replica_note_current (kv_replica, as_of);
+  kv_replica->last_watch = hzb_clock_now (kv_replica->clock);
+  kv_replica->funcs.load_end (kv_replica->revision, kv_replica->user);
+  g_message ("the replica of the records is complete, at revision %" G_GUINT64_FORMAT, kv_replica->revision);
+  hzb_kv_replica_tick (kv_replica);
+}
+
+/* A page was applied: @more tells whether there are pages after it. */
+static void
+advance_load (HzbKvReplica *kv_replica, const GArray *items, gboolean more)
+{
+  if (more)
+    {
+      g_free (kv_replica->load_cursor);
+      kv_replica->load_cursor = g_strdup (g_array_index (items, HzbKvEntry, items->len - 1).key);
+    }
+  kv_replica->load_step = more ? HZB_KV_LOAD_CHANGES : HZB_KV_LOAD_LAST_CHANGES;
+  hzb_kv_replica_continue_load (kv_replica);
+}
+
+static void
+on_page (HzbKvResult result, const char *body, gpointer user)
+{
+  g_autofree HzbKvReplicaCall *call = user;
+  HzbKvReplica *kv_replica = call->kv_replica;
+  gboolean more = FALSE;
+  guint64 revision = 0;
+  g_autoptr (GArray) items = NULL;
+
+  if (!hzb_kv_replica_is_current (call))
+    return;
+  kv_replica->load_asked = FALSE;
+  items = result == HZB_KV_OK ? hzb_kv_range_decode (body, &more, &revision) : NULL;
+  if (!items)
+    {
+      ask_again_later (kv_replica);
+      return;
+    }
+  if (!kv_replica->load_revision)
+    kv_replica->load_revision = revision;
+  apply_page (kv_replica, items);
+  more = more && items->len;
+  if (!more && kv_replica->load_revision == revision)
+    finish_load (kv_replica, call->sent); /* nothing has changed since the first page */
+  else
+    advance_load (kv_replica, items, more);
+}
+
+static void
+on_load_changes (HzbKvResult result, const char *body, gpointer user)
+{
+  g_autofree HzbKvReplicaCall *call = user;
+  HzbKvReplica *kv_replica = call->kv_replica;
+  guint64 revision = 0;
+  g_autoptr (GArray) items = NULL;
+
+  if (!hzb_kv_replica_is_current (call))
+    return;
+  kv_replica->load_asked = FALSE;
+  if (result == HZB_KV_NOT_FOUND)
+    {
+      g_message (
+          "the key-value store does not keep the changes since the last page any more; all records are read anew, and "
+          "nothing needs to be done");
+      hzb_kv_replica_set_state (kv_replica, HZB_KV_REPLICA_EMPTY);
+      ask_again_later (kv_replica);
+      return;
+    }
+  items = result == HZB_KV_OK ? hzb_kv_watch_decode (body, &revision) : NULL;
+  if (!items)
+    {
+      ask_again_later (kv_replica);
+      return;
+    }
+  kv_replica->load_revision = hzb_kv_replica_apply_changes (kv_replica, items, kv_replica->load_revision, revision);
+  if (kv_replica->load_step == HZB_KV_LOAD_LAST_CHANGES)
+    {
+      finish_load (kv_replica, call->sent);
+      return;
+    }
+  kv_replica->load_step = HZB_KV_LOAD_PAGE;
+  hzb_kv_replica_continue_load (kv_replica);
+}
+
+void
+hzb_kv_replica_continue_load (HzbKvReplica *kv_replica)
+{
+  kv_replica->load_asked = TRUE;
+  if (kv_replica->load_step == HZB_KV_LOAD_PAGE)
+    hzb_kv_client_range (kv_replica->kv, kv_replica->prefix, kv_replica->load_cursor, on_page,
+                         hzb_kv_replica_call_new (kv_replica));
+  else
+    hzb_kv_client_changes (kv_replica->kv, kv_replica->prefix, kv_replica->load_revision, on_load_changes,
+                           hzb_kv_replica_call_new (kv_replica));
+}
+
+void
+hzb_kv_replica_begin_load (HzbKvReplica *kv_replica)
+{
+  hzb_kv_replica_set_state (kv_replica, HZB_KV_REPLICA_LOADING);
+  kv_replica->funcs.load_begin (kv_replica->user);
+  g_clear_pointer (&kv_replica->load_cursor, g_free);
+  kv_replica->load_revision = 0;
+  kv_replica->load_step = HZB_KV_LOAD_PAGE;
+  hzb_kv_replica_continue_load (kv_replica);
+}
--- a/src/kv/kv-replica.h
+++ b/src/kv/kv-replica.h
@@ -1,6 +1,6 @@
 /**
- * SECTION: kv-replica
- * @short_description: this controller's replica of the records that every controller follows
+ * @file
+ * SECTION: kv-replica - this controller's replica of the records that every controller follows.
  *
  * Reads all records under one prefix, in pages, and then follows their changes with a watch. It keeps none of them: each record is
  * handed, in the order of changes, to the module that made the replica (#HzbKvReplicaFuncs), which knows what they mean.
--- a/src/records/job-progress.h
+++ b/src/records/job-progress.h
@@ -1,6 +1,6 @@
 /**
- * SECTION: job-progress
- * @short_description: how far a job has come, between the job in memory and its durable form
+ * @file
+ * SECTION: job-progress - how far a job has come, between the job in memory and its durable form.
  *
  * A job's progress is recorded in parts (chunks), each of which fits a value of the key-value store: which tasks have finished,
  * and up to which number tasks may have been started (the released mark). The stored form is the business of records-codec.h.
--- a/src/records/records-codec.h
+++ b/src/records/records-codec.h
@@ -1,6 +1,6 @@
 /**
- * SECTION: records-codec
- * @short_description: the stored form of the leader's records: pages of progress, pages of machines, the flush record
+ * @file
+ * SECTION: records-codec - the stored form of the leader's records: pages of progress, pages of machines, the flush record.
  *
  * The one place that knows the names and the layout of these records. The stored bytes outlive the process that wrote them, and
  * during a rollout processes of schema versions 1 and 2 read and write them side by side: a field may be added, but the order,
@@ -37,10 +37,10 @@
   guint released;       /**< tasks of the job, from the first on, that may have been started */
   guint chunk_tasks;    /**< tasks in a part; 0 when encoding: not stated, since the job has one part only */
   char *team;           /**< (nullable): the job's team, beside the first part and with cancelled jobs */
-  double cpus;          /**< of one task, in processors; stated with @team */
-  double gpus;          /**< of one task; stated with @team */
+  double cpus;          /**< of one task, in processors; stated with the team */
+  double gpus;          /**< of one task; stated with the team */
   guchar *finished;     /**< (nullable): one bit for each task of the part that has finished, the lowest bit first */
-  gsize finished_bytes; /**< size of @finished; tasks beyond it have not finished */
+  gsize finished_bytes; /**< size of the bits; tasks beyond it have not finished */
 } HzbProgressRecord;
 
 /** hzb_progress_record_clear: frees what @record points to, and not @record itself. */
--- a/src/records/records-private.h
+++ b/src/records/records-private.h
@@ -1,6 +1,6 @@
 /**
- * SECTION: records-private
- * @short_description: what the files of HzbRecords share
+ * @file
+ * SECTION: records-private - what the files of HzbRecords share.
  *
  * records.c reads, record-page-selection.c chooses what to write, record-flush.c writes it, record-flush-outcome.c applies what
  * became durable, and job-completion.c records that a job is done.
@@ -19,13 +19,14 @@
   HZB_FLUSH_N_STATES    /**< how many states there are */
 } HzbFlushState;
 
+/** _HzbRecords: the pages of the leader, and the flush that is under way. */
 struct _HzbRecords
 {
-  HzbRecordsDependencies modules;
-  HzbRecordsCallbacks callbacks;
-  gpointer user;
+  HzbRecordsDependencies modules; /**< what the records work with */
+  HzbRecordsCallbacks callbacks;  /**< what they tell the modules above */
+  gpointer user;                  /**< (nullable) (not owned): handed to the callbacks */
 
-  HzbPages pages;
+  HzbPages pages;                /**< all pages, as they are or will be in the key-value store */
   guint retiring_pages;          /**< pages of an earlier layout that are still to be removed */
   gboolean replacements_pending; /**< some page that takes over from a retiring one is not durable yet */
 
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -1,6 +1,6 @@
 /**
- * SECTION: records
- * @short_description: the leader's durable records of progress and machines
+ * @file
+ * SECTION: records - the leader's durable records of progress and machines.
  *
  * What the leader keeps in the key-value store for the leader after it: how far jobs have come, and which machines there are. Used
  * only while this node leads. Jobs and machines share records (pages, see record-pages.h); a flush writes those that have news
@@ -40,7 +40,7 @@
 /** HzbRecordsCallbacks: what the records tell the modules above. */
 typedef struct
 {
-  /** The result of @task is durable: the leaseholder that reported it may let its worker forget the task. */
+  /** The result of the task is durable: the leaseholder that reported it may let its worker forget the task. */
   void (*task_durable) (HzbTask *task, gpointer user);
 } HzbRecordsCallbacks;
 
