--- a/src/kv/kv-replica-private.h
+++ b/src/kv/kv-replica-private.h
@@ -63,16 +63,16 @@
 
 /**
  * hzb_kv_replica_apply_changes: hands over each change once, and in order.
- * @changes: (element-type HzbKvEntry): as a watch or a sync brought them
- * @applied: up to this revision they were handed over before
- * @revision: of the answer that brought them
+ * - `changes`: (element-type HzbKvEntry): as a watch or a sync brought them
+ * - `applied`: up to this revision they were handed over before
+ * - `revision`: of the answer that brought them
  *
  * Returns: the revision up to which all is applied now
  */
 guint64
 hzb_kv_replica_apply_changes (HzbKvReplica *kv_replica, const GArray *changes, guint64 applied, guint64 revision);
 
-/** hzb_kv_replica_note_current: everything that was recorded by @as_of has been applied. */
+/** hzb_kv_replica_note_current: everything that was recorded by `as_of` has been applied. */
 void hzb_kv_replica_note_current (HzbKvReplica *kv_replica, struct timespec as_of);
 
 /** hzb_kv_replica_begin_load: reads all records anew; the replica is empty. */
--- a/src/kv/kv-replica.c
+++ b/src/kv/kv-replica.c
@@ -76,13 +76,13 @@
 /* Each change is applied once, and in order: a sync that was sent before a watch may bring again what the watch has brought.
  * Returns: the revision up to which all is applied now. */
 guint64
-hzb_kv_replica_apply_changes (HzbKvReplica *kv_replica, const GArray *items, guint64 applied, guint64 revision)
+hzb_kv_replica_apply_changes (HzbKvReplica *kv_replica, const GArray *changes, guint64 applied, guint64 revision)
 {
-  for (guint i = 0; i < items->len; i++)
+  for (guint i = 0; i < changes->len; i++)
     {
-      const HzbKvEntry *item = &g_array_index (items, HzbKvEntry, i);
-      if (item->version > applied)
-        kv_replica->funcs.apply (item, kv_replica->user);
+      const HzbKvEntry *change = &g_array_index (changes, HzbKvEntry, i);
+      if (change->version > applied)
+        kv_replica->funcs.apply (change, kv_replica->user);
     }
   return MAX (applied, revision);
 }
--- a/src/kv/kv-replica.h
+++ b/src/kv/kv-replica.h
@@ -23,7 +23,7 @@
 /** HzbKvReplica: the reading or the watch of one prefix. */
 typedef struct _HzbKvReplica HzbKvReplica;
 
-/** HzbKvReplicaFuncs: what the module that made the replica does. Each gets its @user. */
+/** HzbKvReplicaFuncs: what the module that made the replica does. Each gets its `user`. */
 typedef struct
 {
   /** Whether a reading may begin now; if not, hzb_kv_replica_tick() asks again. */
@@ -41,18 +41,18 @@
 
 /**
  * HzbKvReplicaSyncFunc: the end of a hzb_kv_replica_sync().
- * @fresh: everything that was recorded before the call was handed over; FALSE: that could not be achieved, and nothing is known
- * @user: as given with the call
+ * - `fresh`: everything that was recorded before the call was handed over; FALSE: that could not be achieved, and nothing is known
+ * - `user`: as given with the call
  */
 typedef void (*HzbKvReplicaSyncFunc) (gboolean fresh, gpointer user);
 
 /**
  * hzb_kv_replica_new:
- * @kv: (transfer none): outlives the replica, as do the clock and what @user is
- * @prefix: of the keys
- * @watch_interval_s: in seconds; watches are opened no more often than this, and what changes meanwhile comes with the next one
- * @funcs: copied
- * @user: (nullable): handed to @funcs
+ * - `kv`: (transfer none): outlives the replica, as do the clock and what `user` is
+ * - `prefix`: of the keys
+ * - `watch_interval_s`: in seconds; watches are opened no more often than this, and what changes meanwhile comes with the next one
+ * - `funcs`: copied
+ * - `user`: (nullable): handed to `funcs`
  *
  * Returns: (transfer full): empty; the first hzb_kv_replica_tick() begins the reading
  */
@@ -72,7 +72,7 @@
 guint64 hzb_kv_replica_revision (const HzbKvReplica *kv_replica);
 
 /**
- * hzb_kv_replica_covers: Returns: whatever has changed up to @revision was applied, or a page of the reading under way will show what
+ * hzb_kv_replica_covers: Returns: whatever has changed up to `revision` was applied, or a page of the reading under way will show what
  * is left of it
  */
 gboolean hzb_kv_replica_covers (const HzbKvReplica *kv_replica, guint64 revision);
@@ -88,8 +88,8 @@
 
 /**
  * hzb_kv_replica_sync: brings the replica up to this moment.
- * @done: called once: at once, with FALSE, unless the replica follows; else within 3.4 s (see hzb_kv_client_changes())
- * @user: (nullable): handed to @done
+ * - `done`: called once: at once, with FALSE, unless the replica follows; else within 3.4 s (see hzb_kv_client_changes())
+ * - `user`: (nullable): handed to `done`
  */
 void hzb_kv_replica_sync (HzbKvReplica *kv_replica, HzbKvReplicaSyncFunc done, gpointer user);
 
--- a/src/records/completed-job-archive.h
+++ b/src/records/completed-job-archive.h
@@ -25,7 +25,7 @@
   HzbOwnership *ownership; /**< whose epochs tell late answers */
 } HzbCompletedJobArchiveDependencies;
 
-/** hzb_completed_job_archive_new: @dependencies: copied. Returns: (transfer full) */
+/** hzb_completed_job_archive_new: `dependencies`: copied. Returns: (transfer full) */
 HzbCompletedJobArchive *hzb_completed_job_archive_new (const HzbCompletedJobArchiveDependencies *dependencies);
 
 /** hzb_completed_job_archive_free: no answer to a transaction may come after it. */
--- a/src/records/job-progress.h
+++ b/src/records/job-progress.h
@@ -14,18 +14,18 @@
 
 /**
  * hzb_job_pack_progress: the durable form of one part.
- * @job: with tasks and a specification, owned by this controller
- * @chunk: below hzb_job_chunks()
- * @record: (out caller-allocates): to be cleared by the caller
+ * - `job`: with tasks and a specification, owned by this controller
+ * - `chunk`: below hzb_job_chunks()
+ * - `record`: (out caller-allocates): to be cleared by the caller
  */
 void hzb_job_pack_progress (const HzbJobs *jobs, const HzbJob *job, guint chunk, HzbProgressRecord *record);
 
 /**
  * hzb_job_read_progress: takes over what a part says: a task that the part shows as finished is done, and the other tasks below its
  * released mark become unconfirmed.
- * @job: with tasks
- * @chunk: the part's number, at the part size that @record states
- * @ours: (out): the part is one of those that this version would write
+ * - `job`: with tasks
+ * - `chunk`: the part's number, at the part size that `record` states
+ * - `ours`: (out): the part is one of those that this version would write
  *
  * Returns: FALSE, with nothing changed, if the job has no such part
  */
--- a/src/records/record-page-selection.c
+++ b/src/records/record-page-selection.c
@@ -8,7 +8,7 @@
   1.0                     /* of a page with progress that no start waits for, and longer where many pages have some: */
 #define PROGRESS_PART 0.4 /* of the changes that the key-value store takes, for such pages */
 #define CLEAN_DELAY_S 3.0 /* of a page that only names what is gone */
-#define NEVER_S -1.0
+#define NEVER_S (-1.0)
 
 gboolean
 hzb_records_wants_release (const HzbJob *job)
--- a/src/records/record-pages.h
+++ b/src/records/record-pages.h
@@ -51,10 +51,10 @@
 /** hzb_pages_clear: drops all pages; new ones are numbered from 1 on. Jobs and machines are not told. */
 void hzb_pages_clear (HzbPages *pages);
 
-/** hzb_pages_free_all: at the end of @pages' life. */
+/** hzb_pages_free_all: at the end of `pages`' life. */
 void hzb_pages_free_all (HzbPages *pages);
 
-/** hzb_page_new: Returns: (transfer none): an empty page of that number, owned by @pages */
+/** hzb_page_new: Returns: (transfer none): an empty page of that number, owned by `pages` */
 HzbPage *hzb_page_new (HzbPages *pages, guint number, gboolean of_machines);
 
 /** hzb_page_make_empty: gives the page new, empty lists. The caller has taken the lists that it had. */
@@ -69,13 +69,13 @@
 /** hzb_pages_part_bytes: Returns: about how many bytes a part of a job's progress takes */
 gsize hzb_pages_part_bytes (const HzbPages *pages, const HzbJob *job, guint chunk);
 
-/** hzb_pages_add_part: puts a part of the job's progress on @page. The caller sets the job's on_pages. */
+/** hzb_pages_add_part: puts a part of the job's progress on `page`. The caller sets the job's on_pages. */
 void hzb_pages_add_part (HzbPages *pages, HzbPage *page, HzbJob *job, guint chunk);
 
 /** hzb_page_machine_bytes: Returns: about how many bytes a machine's entry takes */
 gsize hzb_page_machine_bytes (const HzbMachine *machine);
 
-/** hzb_page_add_machine: puts the machine on @page, and notes that in the machine. */
+/** hzb_page_add_machine: puts the machine on `page`, and notes that in the machine. */
 void hzb_page_add_machine (HzbPage *page, HzbMachine *machine);
 
 /** hzb_pages_drop_job: takes the job off its pages, which are to be written without it. */
--- a/src/records/records-codec.h
+++ b/src/records/records-codec.h
@@ -28,7 +28,7 @@
 /** hzb_flush_record_encode: Returns: (transfer full): the record; the caller may add the roster of controllers to it */
 cJSON *hzb_flush_record_encode (const HzbFlushRecord *record);
 
-/** hzb_flush_record_decode: @value: (nullable): NULL if there is no such record, which is read as all zeros */
+/** hzb_flush_record_decode: `value`: (nullable): NULL if there is no such record, which is read as all zeros */
 void hzb_flush_record_decode (const cJSON *value, HzbFlushRecord *record);
 
 /** HzbProgressRecord: how far one part (chunk) of a job has come. */
@@ -43,7 +43,7 @@
   gsize finished_bytes; /**< size of the bits; tasks beyond it have not finished */
 } HzbProgressRecord;
 
-/** hzb_progress_record_clear: frees what @record points to, and not @record itself. */
+/** hzb_progress_record_clear: frees what `record` points to, and not `record` itself. */
 void hzb_progress_record_clear (HzbProgressRecord *record);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HzbProgressRecord, hzb_progress_record_clear)
 
@@ -52,7 +52,7 @@
 
 /**
  * hzb_progress_record_decode:
- * @record: (out caller-allocates): to be cleared by the caller. Its @chunk_tasks is at least 1: a part that does not state
+ * - `record`: (out caller-allocates): to be cleared by the caller. Its `chunk_tasks` is at least 1: a part that does not state
  *   it has the size that schema version 1 uses.
  */
 void hzb_progress_record_decode (const cJSON *value, HzbProgressRecord *record);
@@ -68,7 +68,7 @@
 /** hzb_progress_parts_new: Returns: (transfer full) (element-type HzbProgressPart): empty; it frees what its parts point to */
 GArray *hzb_progress_parts_new (void);
 
-/** hzb_progress_page_encode: @parts: (element-type HzbProgressPart). Returns: (transfer full) */
+/** hzb_progress_page_encode: `parts`: (element-type HzbProgressPart). Returns: (transfer full) */
 cJSON *hzb_progress_page_encode (const GArray *parts);
 
 /** hzb_progress_page_decode: Returns: (transfer full) (element-type HzbProgressPart): in the order of the page */
@@ -89,7 +89,7 @@
 /** hzb_machine_records_new: Returns: (transfer full) (element-type HzbMachineRecord): empty; it frees what its records point to */
 GArray *hzb_machine_records_new (void);
 
-/** hzb_machine_page_encode: @machines: (element-type HzbMachineRecord). Returns: (transfer full) */
+/** hzb_machine_page_encode: `machines`: (element-type HzbMachineRecord). Returns: (transfer full) */
 cJSON *hzb_machine_page_encode (const GArray *machines);
 
 /** hzb_machine_page_decode: Returns: (transfer full) (element-type HzbMachineRecord): in the order of the page */
--- a/src/records/records-private.h
+++ b/src/records/records-private.h
@@ -78,7 +78,7 @@
 /** hzb_records_wants_release: a machine could take tasks of the job beyond its released mark, and none was asked for since. */
 gboolean hzb_records_wants_release (const HzbJob *job);
 
-/** hzb_records_on_flush_answered: the answer to a transaction of pages. @user: an HzbEpochCall of the records with the HzbFlush */
+/** hzb_records_on_flush_answered: the answer to a transaction of pages. `user`: an HzbEpochCall of the records with the HzbFlush */
 void hzb_records_on_flush_answered (HzbKvResult result, const char *body, gpointer user);
 
 /** hzb_records_resolve_flush: reads the flush record, which tells what became of the unresolved flush. */
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -46,9 +46,9 @@
 
 /**
  * hzb_records_new:
- * @dependencies: copied
- * @callbacks: copied
- * @user: (transfer none) (nullable): handed to @callbacks
+ * - `dependencies`: copied
+ * - `callbacks`: copied
+ * - `user`: (transfer none) (nullable): handed to `callbacks`
  *
  * Returns: (transfer full): without pages
  */
@@ -63,7 +63,7 @@
 
 /**
  * hzb_records_load: takes one record as the key-value store has it, while the leader reads the records of the leader before.
- * @item: a record below %HZB_KEY_OWNER; records of other modules are ignored
+ * - `item`: a record below %HZB_KEY_OWNER; records of other modules are ignored
  */
 void hzb_records_load (HzbRecords *records, const HzbKvEntry *item);
 
