--- a/tests/test-kv-client.c
+++ b/tests/test-kv-client.c
@@ -1,4 +1,4 @@
-/* The client of the key-value store: no caller waits for ever, and none behind what it does not need. */
+/* The client of the key-value store: no caller waits for ever, and none waits for a budget that its request does not use. */
 #include "support.h"
 
 #include "fake-transport.h"
@@ -89,7 +89,7 @@
     fake_answer (&fixture->transport, call, 200, "{\"epoch\":5,\"news\":[]}");
 }
 
-/* Twice as many changes are wanted as the budget allows, all the time: questions are answered as if there were none. */
+/* Twice as many changes are requested as the budget allows, all the time: reads are answered as if there were none. */
 static void
 test_reads_beside_changes (void)
 {
@@ -121,13 +121,13 @@
       const Caller *caller = writes->pdata[i];
       changed += caller->told && caller->result == HZB_KV_OK;
     }
-  /* And the changes have their budget: 30 s of 0.6 times 10, and what was saved up at the start. */
+  /* The changes use their whole budget: 0.6 of 10 a second for 30 s, and a full budget at the start. */
   g_assert_cmpuint (changed, >=, 170);
   g_assert_cmpuint (changed, <=, 180 + 24);
   fixture_down (&fixture);
 }
 
-/* The service takes fewer requests than there are acceptances: a question has its turn, and so has an acceptance. */
+/* The store takes fewer requests than there are acceptances: reads have their turn, and so have acceptances. */
 static void
 test_few_requests (void)
 {
@@ -175,7 +175,7 @@
     }
 }
 
-/* Some calls are answered, in any order; what is not by its deadline ends without an answer. */
+/* Some requests are answered, in any order; one that is not answered by its deadline ends without an answer. */
 static void
 random_answers (Fixture *fixture)
 {
@@ -200,7 +200,7 @@
     }
 }
 
-/* Whatever is asked, at whatever rates, and whatever becomes of it: each caller is told once, in twice its time. */
+/* Whatever is requested, at whatever rates, and whatever becomes of it: each callback is called once, within twice the request's time. */
 static void
 test_each_caller_is_told (void)
 {
--- a/tests/test-kv-replica.c
+++ b/tests/test-kv-replica.c
@@ -1,4 +1,4 @@
-/* The replica of the records against a plain model of the key-value store, whose replies come late, in any order, or not at all. */
+/* The replica of the records against a plain model of the key-value store, whose answers come late, in any order, or not at all. */
 #include "support.h"
 
 #include "fake-transport.h"
@@ -24,7 +24,7 @@
   guint64 revision;
   guint64 versions[KEYS]; /* 0: the key does not exist */
   GArray *changes;        /* Change */
-  guint kept;             /* changes */
+  guint kept;             /* so many of the last changes can still be asked for */
 } Model;
 
 static void
@@ -65,7 +65,7 @@
   return g_string_free (text, FALSE);
 }
 
-/* NULL: the changes since are not kept. */
+/* Returns: NULL if the changes after that revision are not kept any more. */
 static char *
 model_changes (const Model *model, const char *path)
 {
@@ -87,9 +87,9 @@
   return g_string_free (text, FALSE);
 }
 
-/* ---- the replica of the records, and who follows it ---- */
+/* ---- the replica of the records, and the module that made it ---- */
 
-/* A call that the service has carried out, and whose reply is on its way. */
+/* A request that the key-value store has carried out, and whose answer is on its way. */
 typedef struct
 {
   FakeCall *call;
@@ -107,7 +107,7 @@
   Model model;
   GRand *rand;
   GPtrArray *replies;
-  guint64 versions[KEYS]; /* as the replica of the records has shown them, applied as they come */
+  guint64 versions[KEYS]; /* as the replica of the records has handed them over */
   guint loads[KEYS], load, pages, lost;
 } Fixture;
 
@@ -138,7 +138,7 @@
   Fixture *fixture = user;
   for (guint key = 0; key < KEYS; key++)
     if (fixture->loads[key] != fixture->load)
-      fixture->versions[key] = 0; /* not shown any more */
+      fixture->versions[key] = 0; /* the reading did not show it */
 }
 
 static void
@@ -207,7 +207,7 @@
   return FALSE;
 }
 
-/* The service takes the call as it stands now; the reply is delivered by and by. A watch is answered at once. */
+/* The store carries the request out now, and its answer is delivered later. A watch is answered without waiting for a change. */
 static void
 carry_out (Fixture *fixture, FakeCall *call)
 {
@@ -228,7 +228,7 @@
   reply_free (reply);
 }
 
-/* The reply never comes, whether the call was carried out or not. */
+/* The answer never comes, whether the request was carried out or not. */
 static void
 lose (Fixture *fixture, FakeCall *call, guint status)
 {
@@ -279,7 +279,7 @@
 
 #define SOON_TURNS 200u /* 10 s */
 
-/* Once every call is answered at once, the replica of the records shows what there is. */
+/* Once every request is answered at once, the replica of the records shows what the store has. */
 static void
 expect_same_soon (Fixture *fixture, guint32 seed)
 {
@@ -298,10 +298,10 @@
 {
   Fixture *fixture;
   guint32 seed;
-  guint64 asked; /* the model's revision then */
+  guint64 asked; /* the model's revision as the sync was asked for */
 } Question;
 
-/* The key's last change up to that revision; NULL: it had none. */
+/* Returns: the key's last change up to that revision; NULL if it had none. */
 static const Change *
 last_change (const Model *model, guint key, guint64 revision)
 {
@@ -320,7 +320,8 @@
   return FALSE;
 }
 
-/* What is proven fresh has all changes of before the question, and nothing that was gone by then. */
+/* After a sync that reports a fresh replica, the replica has all changes from before the sync was asked for, and no key that had been
+ * deleted by then. */
 static void
 on_synced (gboolean fresh, gpointer user)
 {
@@ -403,7 +404,7 @@
     }
 }
 
-/* ---- one by one ---- */
+/* ---- one fault at a time ---- */
 
 static FakeCall *
 only_call (Fixture *fixture)
@@ -412,7 +413,7 @@
   return g_queue_peek_head (&fixture->transport.calls);
 }
 
-/* Everything is lost while a page is on its way: it does not count for the reading that follows. */
+/* The replica is reset while a page is on its way: that page does not count for the reading that follows. */
 static void
 test_page_of_before_reset (void)
 {
@@ -435,7 +436,7 @@
   fixture_down (&fixture);
 }
 
-/* A page in two does not come: what has been read stays. */
+/* Every second page does not come: what has been read stays, and the reading ends. */
 static void
 test_pages_that_do_not_come (void)
 {
@@ -460,7 +461,7 @@
   fixture_down (&fixture);
 }
 
-/* More changes than the service keeps come while all is read, though not between two pages. */
+/* During a reading more changes are made than the store keeps, though not between two pages. */
 static void
 test_more_changes_than_are_kept (void)
 {
@@ -483,7 +484,8 @@
   fixture_down (&fixture);
 }
 
-/* A question finds before the watch does that the changes since are not kept: it is not answered, and all is read. */
+/* A sync finds out before the watch does that changes are not kept any more: it reports that the replica is not fresh, and all records
+ * are read anew. */
 static void
 test_question_after_too_much (void)
 {
@@ -515,7 +517,8 @@
 {
 }
 
-/* The news never come in time, being too many, though the service answers all else: all is read in pages. */
+/* The answers to watches never come in time, since there are too many changes, though the store answers all else: all records are
+ * read anew in pages. */
 static void
 test_news_too_large (void)
 {
