--- a/src/records/job-progress.c
+++ b/src/records/job-progress.c
@@ -1,4 +1,5 @@
 #include "job-progress.h"
+#include "task.h"
 
 guint
 hzb_job_chunks (const HzbJobs *jobs, const HzbJob *job)
