--- a/src/records/job-progress.c
+++ b/src/records/job-progress.c
@@ -1,5 +1,6 @@
 #include "job-progress.h"
 #include "json.h"
+#include "task.h"
 
 #include <string.h>
 
--- a/src/scheduling/dispatch.c
+++ b/src/scheduling/dispatch.c
@@ -71,18 +71,6 @@
   dispatch->lagging = lagging;
 }
 
-double
-hzb_job_mean_s (const HzbJob *job)
-{
-  return MAX (job->mean_s > 0 ? job->mean_s : job->spec->estimate_s, 0.1);
-}
-
-double
-hzb_job_spec_grace_s (const HzbJobSpec *spec)
-{
-  return spec->checkpoint_interval_s > 0 ? spec->checkpoint_duration_s + 1 : 0;
-}
-
 void
 hzb_dispatch_reset_estimates (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now)
 {
--- a/src/scheduling/dispatch.h
+++ b/src/scheduling/dispatch.h
@@ -43,10 +43,8 @@
 void hzb_dispatch_start_tasks (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands);
 /* A timer fired this much late: what the processor's share does not cover shows there first. */
 void hzb_dispatch_note_lag (HzbDispatch *dispatch, double late_s);
-double hzb_job_mean_s (const HzbJob *job);
 /* Tasks that can save leave machines that are to go back and are half empty, where others have room for them. */
 void hzb_dispatch_consolidate (HzbDispatch *dispatch, struct timespec now);
-double hzb_job_spec_grace_s (const HzbJobSpec *spec); /* with which a task that can save is stopped */
 /* One more task of the job may be started: its team's limit allows it, besides what goes first. */
 gboolean hzb_dispatch_team_may_use (HzbDispatch *dispatch, const HzbJob *job);
 void hzb_dispatch_note_started (HzbDispatch *dispatch, const HzbJob *job); /* one more was */
--- a/src/scheduling/gang.c
+++ b/src/scheduling/gang.c
@@ -1,7 +1,5 @@
 #include "gang.h"
 
-#include "search.h"
-
 #include <math.h>
 #include <string.h>
 
--- /dev/null
+++ b/src/scheduling/job.c
@@ -0,0 +1,119 @@
+#include "job.h"
+
+/* Part of the mean run time that a running task is taken to have left at least, however long it has run. */
+#define LEAST_REMAINING_PART 0.15
+
+#define LEAST_MEAN_S 0.1
+
+/* Texts in logs, which the unit tests compare. */
+static const char *const state_names[HZB_TASK_N_STATES] = {
+  [HZB_TASK_PENDING] = "pending",
+  [HZB_TASK_QUEUED] = "listed",
+  [HZB_TASK_UNCONFIRMED] = "unknown",
+  [HZB_TASK_OTHER_OWNER] = "other-owner",
+  [HZB_TASK_DELEGATED] = "delegated",
+  [HZB_TASK_RESERVED] = "booked",
+  [HZB_TASK_STARTING] = "starting",
+  [HZB_TASK_FETCHING] = "fetching",
+  [HZB_TASK_WAITING] = "waiting",
+  [HZB_TASK_RUNNING] = "running",
+  [HZB_TASK_CHECKPOINTING] = "saving",
+  [HZB_TASK_FINISHED] = "finished",
+  [HZB_TASK_DONE] = "done",
+};
+
+void
+hzb_job_clear_owner_state (HzbJob *job)
+{
+  g_clear_pointer (&job->tasks, g_free);
+  g_queue_clear (&job->retry);
+  job->other_owner = job->delegated_running = job->delegated_leaving = 0;
+  job->cursor = job->pending = job->queued = job->unconfirmed = job->placed = job->running = 0;
+  job->finished = job->done = job->released = job->releasing = 0;
+  job->dirty = job->completing = job->on_pages = job->unsplit = job->release_requested = FALSE;
+  job->announced_to_leaseholders = FALSE;
+  job->failures = job->begun = 0;
+  job->failed_on_several = job->did_well = job->awaits_verdict = FALSE;
+  g_clear_pointer (&job->failed_on, g_free);
+  job->waits_since = (struct timespec){ 0 };
+}
+
+const char *
+hzb_task_state_name (HzbTaskState state)
+{
+  return state_names[state];
+}
+
+gboolean
+hzb_task_on_machine (const HzbTask *task)
+{
+  return task->state >= HZB_TASK_RESERVED && task->state <= HZB_TASK_CHECKPOINTING;
+}
+
+double
+hzb_task_remaining_s (const HzbTask *task, struct timespec now)
+{
+  double mean = hzb_job_mean_s (task->job);
+
+  if (task->job->spec->kind == HZB_JOB_SERVICE)
+    return 0;
+  if (task->state == HZB_TASK_RUNNING)
+    return MAX (mean - hzb_time_between (task->since, now), LEAST_REMAINING_PART * mean);
+  return mean;
+}
+
+const char *
+hzb_job_status (const HzbJob *job)
+{
+  switch (job->state)
+    {
+    case HZB_JOB_DONE:
+      return "done";
+    case HZB_JOB_CANCELLED:
+      return "cancelled";
+    default:
+      return job->running + job->delegated_running > 0 ? "running" : "queued";
+    }
+}
+
+double
+hzb_job_mean_s (const HzbJob *job)
+{
+  return MAX (job->mean_s > 0 ? job->mean_s : job->spec->estimate_s, LEAST_MEAN_S);
+}
+
+/* A task that is pending again after it was placed, and whose back-off is over. Each task is looked at once. */
+static HzbTask *
+next_retry (HzbJob *job, struct timespec now)
+{
+  for (guint n = job->retry.length; n > 0; n--)
+    {
+      HzbTask *task = g_queue_pop_head (&job->retry);
+      if (task->state != HZB_TASK_PENDING)
+        continue; /* It was placed in the meantime without being taken off this queue. */
+      if (!hzb_time_before (now, task->not_before))
+        return task;
+      g_queue_push_tail (&job->retry, task);
+    }
+  return NULL;
+}
+
+HzbTask *
+hzb_job_next_pending (HzbJob *job, struct timespec now)
+{
+  HzbTask *task = next_retry (job, now);
+
+  if (task)
+    return task;
+  for (; job->cursor < job->released; job->cursor++)
+    if (job->tasks[job->cursor].state == HZB_TASK_PENDING)
+      return &job->tasks[job->cursor++];
+  job->release_requested = job->released < job->n_tasks;
+  return NULL;
+}
+
+double
+hzb_job_spec_grace_s (const HzbJobSpec *spec)
+{
+  return spec->checkpoint_interval_s > 0 ? spec->checkpoint_duration_s + 1 : 0;
+}
--- a/src/scheduling/jobs.h
+++ b/src/scheduling/jobs.h
@@ -1,123 +1,137 @@
-/* Jobs and tasks. Every node keeps the durable state of jobs, from the replica of the records; the owner also keeps
- * where each task is. */
+/**
+ * SECTION: jobs
+ * @short_description: the registry of jobs
+ *
+ * Each controller keeps what the replicated records say of jobs (jobs.c). The controller that owns tasks also keeps where they are, from
+ * hzb_jobs_begin_ownership() to hzb_jobs_end_ownership() (owned-jobs.c).
+ */
 #pragma once
+#include "job-codec.h"
 #include "kv-protocol.h"
 #include "shard.h"
-#include "task.h"
-#include "user-protocol.h"
 
-/* Progress is kept in parts of so many tasks: a part has to fit a value. A part of another size says so. */
-#define HZB_CHUNK_TASKS_SCHEMA_1 32768u /* of version 1, which says none */
+/** HZB_CHUNK_TASKS_SCHEMA_1: tasks in a part of a job's progress as schema version 1 records it, which does not state the size. */
+#define HZB_CHUNK_TASKS_SCHEMA_1 32768u
 
-typedef enum
-{
-  HZB_JOB_ACCEPTED,
-  HZB_JOB_CANCELLED,
-  HZB_JOB_DONE
-} HzbJobState;
-
-/* A record of jobs that were accepted together. */
+/** HzbAcceptance: a record of jobs that were accepted together. It can be deleted once all of them are terminal. */
 typedef struct
 {
-  char *key;
-  guint open; /* jobs in it that are not over */
-  gboolean removing;
-  gboolean gone;   /* the record is removed, before the end of all its jobs has come here */
-  GPtrArray *jobs; /* all that it names */
-  guint load;
+  char *key;         /**< Its key in the key-value store. */
+  GPtrArray *jobs;   /**< (element-type HzbJob) All jobs that it names; not owned. */
+  guint open;        /**< Of these, how many are not terminal. */
+  gboolean removing; /**< The transaction that deletes the record is under way, or has succeeded. */
+  gboolean gone;     /**< The record is deleted, but the end of some of its jobs has not been read here yet. */
+  guint load;        /**< HzbJobs.load of the last full reading that showed it. */
 } HzbAcceptance;
 
-struct _HzbJob
-{
-  char *uid;
-  HzbJobState state;
-  guint64 version;              /* of the record of its end; 0: there is none */
-  GSList *acceptances;          /* while it is not over: all that name it */
-  guint named;                  /* records of acceptance that name it, over or not */
-  guint load;                   /* the last reading of all records that showed it */
-  gboolean cancel_acknowledged; /* cancelled, and no owner can act without that */
-  gboolean archiving;           /* its record is on the way to where old ones are */
-  guint n_tasks;
-  struct timespec accepted; /* time of day */
-  HzbJobSpec *spec;         /* NULL once over, unless tasks may still be about */
-  int team;
-
-  /* the owner's part */
-  HzbTask *tasks;
-  guint cursor; /* tasks from here on have never been placed */
-  GQueue retry; /* HzbTask, pending again */
-  guint other_owner, delegated_running;
-  guint delegated_leaving; /* of those, on machines that the leader asked back */
-  guint pending;           /* state PENDING, below the released mark or not */
-  guint queued, unconfirmed, placed, running, finished, done;
-  guint released, releasing;  /* tasks below may have been started: durable, and asked for */
-  gboolean dirty, completing; /* progress to be written; end being written */
-  gboolean on_pages;          /* of the owner's records */
-  gboolean unsplit;           /* in parts that only a version 1 writes; they can't be changed while one is about */
-  gboolean release_requested; /* a machine could take more of it than is released */
-  gboolean guaranteed, announced_to_leaseholders;
-  gboolean
-      awaits_verdict; /* after a cold start: no command is given for it until its fate is durable, see reconciliation.h */
-  gboolean start_overdue;  /* nothing of it has started for long: its first task goes before others */
-  guint8 scheduling_class; /* of waiting work, see hzb_scheduling_classes_update() */
-  guint64 next_attempt;
-  guint failures;             /* in a row, without a task of the job doing well */
-  char *failed_on;            /* the first machine on which a task failed */
-  gboolean failed_on_several; /* machines */
-  gboolean did_well;          /* a task has ended well, or ran for a while */
-  struct timespec not_before, since;
-  guint begun; /* tasks, when it was last looked at: nothing more of it has begun since: */
-  struct timespec waits_since;
-  double mean_s; /* the best guess of a task's run time, kept by hzb_scheduling_classes_update(); 0: the owner's */
-};
-
+/** HzbJobs: the registry. */
+typedef struct _HzbJobs HzbJobs;
 struct _HzbJobs
 {
-  GHashTable *by_uid;             /* uid -> HzbJob */
-  GHashTable *acceptances;        /* key -> HzbAcceptance */
-  GQueue completed;               /* HzbJob, over, about in the order of their ends */
-  guint max_replicated_completed; /* so many ended jobs stay replicated */
-  guint load;                     /* counts readings of all records */
-  GPtrArray *active;              /* the owner's: jobs with a part of it, by age */
-  HzbClock *clock;
-  const HzbSettings *settings;
-  HzbShard *shard;             /* NULL: not an owner */
-  GHashTable *estimate_biases; /* class name -> double*, see hzb_jobs_record_run_time() */
-  guint chunk;                 /* tasks of a part */
-  gboolean leaseholder;        /* of the jobs only what was delegated is in the shard */
+  /** @name Replicated state, on every controller
+   * @{ */
+  GHashTable *by_uid;             /**< Name -> HzbJob. */
+  GHashTable *acceptances;        /**< Key -> HzbAcceptance. */
+  GQueue completed;               /**< (element-type HzbJob) Terminal jobs, roughly in the order of their ends. */
+  guint max_replicated_completed; /**< So many terminal jobs stay replicated; older ones move to the archive. */
+  guint load;                     /**< Counts full readings of all records. */
+  /** @} */
+
+  /** @name State of the owner
+   * @{ */
+  HzbShard *shard;      /**< (nullable) NULL: this controller owns no tasks. Not owned. */
+  gboolean leaseholder; /**< The shard is leased: of each job only the tasks that were delegated are in it. */
+  GPtrArray *active;    /**< (element-type HzbJob) Jobs with tasks here, the oldest first. */
+  guint chunk; /**< Tasks in a part of a job's progress: a part has to fit into one value of the key-value store. */
+  GHashTable *estimate_biases; /**< Job class -> double, see hzb_jobs_record_run_time(). */
+  /** @} */
+
+  HzbClock *clock;             /**< Not owned. */
+  const HzbSettings *settings; /**< Not owned. */
 };
 
+/**
+ * hzb_jobs_new:
+ * @clock: (transfer none): outlives the registry
+ * @settings: (transfer none): outlives the registry
+ *
+ * Returns: (transfer full): an empty registry
+ */
 HzbJobs *hzb_jobs_new (HzbClock *clock, const HzbSettings *settings);
+
+/** hzb_jobs_free: @jobs: (transfer full) */
 void hzb_jobs_free (HzbJobs *jobs);
+
+/** hzb_jobs_find: Returns: (transfer none) (nullable): the job of that name */
 HzbJob *hzb_jobs_find (HzbJobs *jobs, const char *uid);
-/* A record as the key-value store has it; NULL if it makes no sense. Of a job that is over nothing changes any more. */
+
+/**
+ * hzb_jobs_apply: takes in what a record says of a job. Nothing changes any more for a job whose end is known.
+ * @value: the entry of a record of acceptance, or the record of an end
+ * @version: revision of the record of an end
+ *
+ * Returns: (transfer none) (nullable): the job; NULL if the record cannot be read, which is logged
+ */
 HzbJob *hzb_jobs_apply (HzbJobs *jobs, const char *uid, const cJSON *value, guint64 version);
-void hzb_jobs_apply_acceptance (HzbJobs *jobs, const char *key, const cJSON *value); /* NULL: it is removed */
-HzbAcceptance *hzb_jobs_completed_acceptance (HzbJobs *jobs); /* one whose jobs are all over; NULL: none */
-/* Of the oldest that are over, beyond those that stay replicated: up to so many whose record may move away. */
+
+/** hzb_jobs_apply_acceptance: takes in a record of acceptance. @value: (nullable): NULL: the record was deleted */
+void hzb_jobs_apply_acceptance (HzbJobs *jobs, const char *key, const cJSON *value);
+
+/** hzb_jobs_completed_acceptance: Returns: (transfer none) (nullable): a record that can be deleted, since all of its jobs are terminal */
+HzbAcceptance *hzb_jobs_completed_acceptance (HzbJobs *jobs);
+
+/**
+ * hzb_jobs_archivable: the oldest terminal jobs, beyond those that stay replicated, whose records may move to the archive.
+ * @most: at most so many
+ *
+ * Returns: (transfer full) (element-type HzbJob)
+ */
 GPtrArray *hzb_jobs_archivable (HzbJobs *jobs, guint most);
-gboolean hzb_jobs_forget (HzbJobs *jobs, const char *uid); /* its record has moved away; FALSE: it is kept */
-/* All records are read anew: what they do not show any more is dropped at the end. */
+
+/**
+ * hzb_jobs_forget: the record of the job's end has moved to the archive.
+ *
+ * Returns: FALSE if the job is kept, since a record of acceptance still names it or tasks of it are here
+ */
+gboolean hzb_jobs_forget (HzbJobs *jobs, const char *uid);
+
+/** hzb_jobs_load_begin: all records are about to be read anew. */
 void hzb_jobs_load_begin (HzbJobs *jobs);
+
+/** hzb_jobs_load_end: all records have been read: what this reading did not show is dropped. */
 void hzb_jobs_load_end (HzbJobs *jobs);
-/* On condition that no record says that the job is over, recent or old. */
+
+/** hzb_jobs_compare_not_terminal: makes the transaction conditional on no record, replicated or archived, saying that the job has ended. */
 void hzb_jobs_compare_not_terminal (HzbKvTransaction *transaction, const char *uid);
-cJSON *hzb_jobs_pack_accepted (const HzbJobSpec *spec, struct timespec wall);
-cJSON *hzb_jobs_pack_final (HzbJobState state, guint n_tasks);
-const char *hzb_job_status (const HzbJob *job);
 
-/* Of the owner. */
+/**
+ * hzb_jobs_begin_ownership: this controller owns tasks from now on.
+ * @shard: (transfer none): valid until hzb_jobs_end_ownership()
+ *
+ * The leader activates all jobs at once. A leaseholder sets HzbJobs.leaseholder before the call and activates those that are delegated to it.
+ */
 void hzb_jobs_begin_ownership (HzbJobs *jobs, HzbShard *shard);
+
+/** hzb_jobs_end_ownership: forgets where the tasks of all jobs are. */
 void hzb_jobs_end_ownership (HzbJobs *jobs);
+
+/** hzb_jobs_activate: keeps track of the job's tasks from now on. Does nothing for a job that is active or whose team the settings do not name. */
 void hzb_jobs_activate (HzbJobs *jobs, HzbJob *job);
-void hzb_jobs_retire (HzbJobs *jobs, HzbJob *job); /* nothing of it is anywhere any more */
-/* Every machine that might hold them has answered or is gone: a job's unconfirmed tasks of a leader before us (0), or of the
- * shard of a leaseholder that was taken back (1 and up), wait again. */
-void hzb_job_resolve_unconfirmed (HzbJobs *jobs, HzbJob *job, guint leaseholder);
+
+/** hzb_jobs_retire: forgets where the job's tasks are, once none of them is on any machine. */
+void hzb_jobs_retire (HzbJobs *jobs, HzbJob *job);
+
+/** hzb_jobs_any_unconfirmed: whether any active job has an unconfirmed task. */
 gboolean hzb_jobs_any_unconfirmed (HzbJobs *jobs);
 
-/* A task ran for so long. Owners' estimates of a class may all lean one way, which the paper's known distribution
- * leaves no room for: the mean run time of a job is its owner's estimate, corrected by how its class has been
- * leaning. What a job's own tasks took is not used: the short ones end first. */
+/**
+ * hzb_jobs_record_run_time: a task of the job ran for so many seconds.
+ *
+ * Users' estimates of a job class may all be too high or too low, which the known distribution of the paper leaves no room for. So the
+ * mean run time of a job is its user's estimate, corrected by how much the estimates of its class have been off. What the job's own tasks
+ * took is not used by itself, since the short ones end first.
+ */
 void hzb_jobs_record_run_time (HzbJobs *jobs, HzbJob *job, double seconds);
+
+/** hzb_jobs_mean_s: the expected run time of one task of the job in seconds, corrected as above. */
 double hzb_jobs_mean_s (const HzbJobs *jobs, const HzbJob *job);
--- /dev/null
+++ b/src/scheduling/machine-codec.h
@@ -0,0 +1,18 @@
+/**
+ * SECTION: machine-codec
+ * @short_description: the record of a machine in the key-value store
+ */
+#pragma once
+#include "machine.h"
+
+#include <cjson/cJSON.h>
+
+/**
+ * hzb_machine_pack: the entry of a machine on the leader's page of machines.
+ * @wall: now, time of day
+ *
+ * Its address is not recorded: the worker states it in every heartbeat.
+ *
+ * Returns: (transfer full)
+ */
+cJSON *hzb_machine_pack (const HzbMachine *machine, struct timespec wall);
--- /dev/null
+++ b/src/scheduling/machine.c
@@ -0,0 +1,284 @@
+#include "machine.h"
+
+#include <math.h>
+
+/* Sums of CPUs, GPUs and GB are compared with this tolerance: adding and subtracting them leaves rounding errors. */
+#define ROUNDING 1e-6
+#define QUOTIENT_ROUNDING 1e-9
+
+/* How much more the fetch of an image counts than other seconds: it holds the place of a task all the while. */
+#define FETCH_WEIGHT 2.0
+#define FETCH_UNDER_WAY_PART 0.5
+
+/* A machine avoids the job that failed there last for this long only: a job that has failed once on every machine must
+ * be able to start somewhere, also if no other work does well there in the meantime. */
+#define AVOID_S 30.0
+
+static const char *const state_names[HZB_MACHINE_N_STATES] = {
+  [HZB_MACHINE_BOOTING] = "booting",
+  [HZB_MACHINE_UNVERIFIED] = "unverified",
+  [HZB_MACHINE_ACTIVE] = "active",
+  [HZB_MACHINE_LEASED] = "leased",
+  [HZB_MACHINE_LEASE_EXPIRED] = "lease-expired",
+  [HZB_MACHINE_DRAINING] = "draining",
+  [HZB_MACHINE_RETURNING] = "returning",
+  [HZB_MACHINE_GONE] = "gone",
+};
+
+const char *
+hzb_machine_state_name (HzbMachineState state)
+{
+  return state_names[state];
+}
+
+const char *
+hzb_machine_name (const HzbMachine *machine)
+{
+  return machine->name;
+}
+
+void
+hzb_machine_set_fencing_token (HzbMachine *machine, guint64 fencing_token)
+{
+  machine->fencing_token = machine->first_exclusive_fencing_token = fencing_token;
+  machine->verified = machine->unreachable = FALSE;
+  machine->ignored_answers = 0;
+}
+
+void
+hzb_machine_mark_unreachable (HzbMachine *machine, guint64 fencing_token, struct timespec now)
+{
+  g_message (
+      "machine %s: its heartbeats arrive, but the answers do not seem to reach it; it gets no work until a heartbeat "
+      "shows a new fencing token. If this stays, check the network from the controllers to this machine",
+      machine->name);
+  machine->fencing_token = fencing_token;
+  machine->unreachable = TRUE;
+  machine->unreachable_since = now;
+}
+
+/* ---- tasks and room ---- */
+
+void
+hzb_machine_enqueue (HzbMachine *machine, HzbTask *task)
+{
+  const HzbJobSpec *spec = task->job->spec;
+
+  if (spec->kind == HZB_JOB_SERVICE)
+    {
+      machine->queued_service_cpus += spec->cpus;
+      machine->queued_service_memory += spec->memory_gb;
+    }
+  g_queue_push_tail (&machine->run_queues[task->job->scheduling_class], task);
+}
+
+void
+hzb_machine_dequeue (HzbMachine *machine, HzbTask *task)
+{
+  const HzbJobSpec *spec = task->job->spec;
+
+  /* The job's scheduling class may have changed since the task was queued, so every run queue is searched. */
+  for (guint i = 0; i < HZB_N_SCHEDULING_CLASSES; i++)
+    if (g_queue_remove (&machine->run_queues[i], task))
+      {
+        if (spec->kind == HZB_JOB_SERVICE)
+          {
+            machine->queued_service_cpus -= spec->cpus;
+            machine->queued_service_memory -= spec->memory_gb;
+          }
+        return;
+      }
+}
+
+void
+hzb_machine_add (HzbMachine *machine, HzbTask *task)
+{
+  const HzbJobSpec *spec = task->job->spec;
+
+  machine->cpus += spec->cpus;
+  machine->gpus += spec->gpus;
+  machine->memory += spec->memory_gb;
+  if (spec->kind == HZB_JOB_SERVICE)
+    {
+      machine->service_cpus += spec->cpus;
+      machine->service_memory += spec->memory_gb;
+    }
+  g_ptr_array_add (machine->tasks, task);
+}
+
+void
+hzb_machine_remove (HzbMachine *machine, HzbTask *task)
+{
+  const HzbJobSpec *spec = task->job->spec;
+
+  if (!g_ptr_array_remove_fast (machine->tasks, task))
+    return;
+  machine->cpus -= spec->cpus;
+  machine->gpus -= spec->gpus;
+  machine->memory -= spec->memory_gb;
+  if (spec->kind == HZB_JOB_SERVICE)
+    {
+      machine->service_cpus -= spec->cpus;
+      machine->service_memory -= spec->memory_gb;
+    }
+}
+
+guint
+hzb_machine_queued_tasks (const HzbMachine *machine)
+{
+  guint n = 0;
+  for (guint i = 0; i < HZB_N_SCHEDULING_CLASSES; i++)
+    n += machine->run_queues[i].length;
+  return n;
+}
+
+gboolean
+hzb_machine_has_room_for (const HzbMachine *machine, const HzbJobSpec *spec, guint n_tasks)
+{
+  return machine->cpus + spec->cpus * n_tasks <= machine->type->cpus + ROUNDING
+         && machine->gpus + spec->gpus * n_tasks <= machine->type->gpus + ROUNDING
+         && machine->memory + spec->memory_gb * n_tasks <= machine->type->memory_gb + ROUNDING;
+}
+
+gboolean
+hzb_machine_has_room (const HzbMachine *machine, const HzbJobSpec *spec)
+{
+  return hzb_machine_has_room_for (machine, spec, 1);
+}
+
+gboolean
+hzb_machine_takes_replica (const HzbMachine *machine, const HzbJobSpec *spec)
+{
+  return machine->service_cpus + machine->queued_service_cpus + spec->cpus <= machine->type->cpus + ROUNDING
+         && machine->service_memory + machine->queued_service_memory + spec->memory_gb
+                <= machine->type->memory_gb + ROUNDING;
+}
+
+/* ---- what may run there, and how well ---- */
+
+gboolean
+hzb_machine_usable (const HzbMachine *machine)
+{
+  return machine->state == HZB_MACHINE_ACTIVE && machine->recorded && machine->known_to_cloud && machine->type
+         && !machine->scale_in_requested && !machine->scale_in_candidate && !machine->unreachable;
+}
+
+gboolean
+hzb_type_holds (const HzbMachineType *type, const HzbJobSpec *spec)
+{
+  return type->cpus + QUOTIENT_ROUNDING >= spec->cpus && type->gpus + QUOTIENT_ROUNDING >= spec->gpus
+         && type->memory_gb + QUOTIENT_ROUNDING >= spec->memory_gb
+         && (!spec->types || g_strv_contains ((const char *const *) spec->types, type->name));
+}
+
+/* The lesser of @n_tasks and of how many tasks that need @each fit into @room. */
+static double
+limited_by (double n_tasks, double room, double each)
+{
+  return MIN (n_tasks, floor (room / each + QUOTIENT_ROUNDING));
+}
+
+guint
+hzb_type_speed (const HzbMachineType *type, const HzbJobSpec *spec)
+{
+  double v = 1e6;
+
+  if (!hzb_type_holds (type, spec))
+    return 0;
+  if (spec->cpus > 0)
+    v = limited_by (v, type->cpus, spec->cpus);
+  if (spec->gpus > 0)
+    v = limited_by (v, type->gpus, spec->gpus);
+  if (spec->memory_gb > 0)
+    v = limited_by (v, type->memory_gb, spec->memory_gb);
+  return (guint) v;
+}
+
+guint
+hzb_machine_speed (const HzbMachine *machine, const HzbJobSpec *spec)
+{
+  double v = hzb_type_speed (machine->type, spec);
+
+  if (machine->service_cpus > ROUNDING && spec->cpus > 0)
+    v = limited_by (v, machine->type->cpus - machine->service_cpus, spec->cpus);
+  if (machine->service_memory > ROUNDING && spec->memory_gb > 0)
+    v = limited_by (v, machine->type->memory_gb - machine->service_memory, spec->memory_gb);
+  return (guint) MAX (v, 0);
+}
+
+gboolean
+hzb_machine_is_of_allowed_kind (const HzbMachine *machine, const HzbJobSpec *spec)
+{
+  return machine->type && hzb_type_holds (machine->type, spec) && (spec->spot || !machine->spot)
+         && (!spec->zone || g_str_equal (spec->zone, machine->zone));
+}
+
+gboolean
+hzb_machine_allowed (const HzbMachine *machine, const HzbJobSpec *spec)
+{
+  return hzb_machine_is_of_allowed_kind (machine, spec)
+         && (spec->kind == HZB_JOB_SERVICE || !machine->reserved_for_services);
+}
+
+gboolean
+hzb_zone_allowed (const HzbJob *job, const HzbMachine *machine)
+{
+  guint here = 0;
+
+  if (!job->spec->same_zone && !job->spec->spread)
+    return TRUE;
+  if (job->unconfirmed && job->spec->same_zone)
+    return FALSE;
+  here = job->unconfirmed; /* Each unconfirmed task may be in this zone. */
+  for (guint i = 0; i < job->n_tasks; i++)
+    {
+      const HzbTask *task = &job->tasks[i];
+      if (!hzb_task_on_machine (task))
+        continue;
+      if (g_str_equal (task->machine->zone, machine->zone))
+        here++;
+      else if (job->spec->same_zone)
+        return FALSE;
+    }
+  return !job->spec->spread || here + 1 <= (job->n_tasks + 1) / 2;
+}
+
+double
+hzb_fetch_s (const HzbMachine *machine, const HzbJobSpec *spec)
+{
+  double alone = spec->image_gb / MAX (machine->type->fetch_gb_per_s, 1e-3);
+
+  if (g_hash_table_contains (machine->images, spec->image))
+    return 0;
+  if (g_hash_table_contains (machine->expected, spec->image))
+    return FETCH_UNDER_WAY_PART * alone;
+  /* Fetches share the machine's rate, so each one that is expected slows this one down. */
+  return FETCH_WEIGHT * alone * (1 + g_hash_table_size (machine->expected));
+}
+
+/* ---- failures there ---- */
+
+void
+hzb_machine_note_failure (HzbMachine *machine, const HzbJob *job, struct timespec now)
+{
+  guint failures = GPOINTER_TO_UINT (g_hash_table_lookup (machine->failed_jobs, job->uid));
+
+  g_hash_table_insert (machine->failed_jobs, g_strdup (job->uid), GUINT_TO_POINTER (failures + 1));
+  machine->last_failure = now;
+  g_free (machine->last_failed_job);
+  machine->last_failed_job = g_strdup (job->uid);
+}
+
+void
+hzb_machine_note_success (HzbMachine *machine)
+{
+  g_hash_table_remove_all (machine->failed_jobs);
+  g_clear_pointer (&machine->last_failed_job, g_free);
+}
+
+gboolean
+hzb_machine_avoids (const HzbMachine *machine, const HzbJob *job, struct timespec now)
+{
+  return machine->last_failed_job && g_str_equal (machine->last_failed_job, job->uid)
+         && hzb_time_between (machine->last_failure, now) < AVOID_S;
+}
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -5,41 +5,6 @@
 
 #define NEARLY_DONE_S 5.0
 
-double
-hzb_task_remaining_s (const HzbTask *task, struct timespec now)
-{
-  double mean = hzb_job_mean_s (task->job);
-  if (task->job->spec->kind == HZB_JOB_SERVICE)
-    return 0; /* it takes room, for good, and leaves no work to wait for */
-  if (task->state == HZB_TASK_RUNNING)
-    return MAX (mean - hzb_time_between (task->since, now), 0.15 * mean);
-  return mean;
-}
-
-/* samePlace and spread, given the job's tasks that are, or may be, on machines. */
-gboolean
-hzb_zone_allowed (const HzbJob *job, const HzbMachine *machine)
-{
-  guint here = 0;
-
-  if (!job->spec->same_zone && !job->spec->spread)
-    return TRUE;
-  if (job->unconfirmed && job->spec->same_zone)
-    return FALSE;
-  here = job->unconfirmed; /* any of these may be in this zone */
-  for (guint i = 0; i < job->n_tasks; i++)
-    {
-      const HzbTask *task = &job->tasks[i];
-      if (!hzb_task_on_machine (task))
-        continue;
-      if (g_str_equal (task->machine->zone, machine->zone))
-        here++;
-      else if (job->spec->same_zone)
-        return FALSE;
-    }
-  return !job->spec->spread || here + 1 <= (job->n_tasks + 1) / 2;
-}
-
 static gboolean
 may_preempt (HzbDispatch *dispatch, const HzbJob *preemptor, const HzbTask *victim)
 {
--- a/src/scheduling/preemption.h
+++ b/src/scheduling/preemption.h
@@ -5,8 +5,6 @@
 #pragma once
 #include "dispatch.h"
 
-double hzb_task_remaining_s (const HzbTask *task, struct timespec now);
-gboolean hzb_zone_allowed (const HzbJob *job, const HzbMachine *machine); /* samePlace and spread */
 /* Lower work of the team is stopped for a job that the team's limit keeps waiting. */
 void hzb_preempt_within_team (HzbDispatch *dispatch, const HzbJob *preemptor, struct timespec now);
 /* Stops lower work for tasks of this machine's list that have waited long enough. */
--- a/src/scheduling/scheduling-class.c
+++ b/src/scheduling/scheduling-class.c
@@ -1,6 +1,6 @@
 #include "scheduling-class.h"
 
-#include "dispatch.h"
+#include "task.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/scheduling/scheduling-class.h
+++ b/src/scheduling/scheduling-class.h
@@ -7,6 +7,7 @@
  */
 #pragma once
 #include "jobs.h"
+#include "machine.h"
 
 /** hzb_scheduling_classes_update: sets the scheduling class of every job of the owner, and its expected run time. */
 void hzb_scheduling_classes_update (HzbJobs *jobs, const HzbSettings *settings, struct timespec now);
--- a/src/scheduling/search.c
+++ b/src/scheduling/search.c
@@ -1,20 +1,5 @@
 #include "search.h"
 
-#define FETCH_WEIGHT 2.0
-
-double
-hzb_fetch_s (const HzbMachine *machine, const HzbJobSpec *spec)
-{
-  double alone = spec->image_gb / MAX (machine->type->fetch_gb_per_s, 1e-3);
-  if (g_hash_table_contains (machine->images, spec->image))
-    return 0;
-  if (g_hash_table_contains (machine->expected, spec->image))
-    return 0.5 * alone;
-  /* A machine fetches once for all tasks of the image, and fetches share the rate: images that are kept
-   * together cost less than the wait of the one task says. */
-  return FETCH_WEIGHT * alone * (1 + g_hash_table_size (machine->expected));
-}
-
 typedef struct
 {
   double cost;
--- a/src/scheduling/search.h
+++ b/src/scheduling/search.h
@@ -21,4 +21,3 @@
 void hzb_search_look (HzbSearch *search, guint examined); /* at so many usable machines, or at all (0) */
 HzbMachine *hzb_search_best (const HzbSearch *search);    /* NULL: no machine may hold it */
 void hzb_search_sent (HzbSearch *search);                 /* a task was sent to the best */
-double hzb_fetch_s (const HzbMachine *machine, const HzbJobSpec *spec);
--- a/src/scheduling/task.c
+++ b/src/scheduling/task.c
@@ -1,120 +1,131 @@
 #include "task.h"
 
-#include "jobs.h"
-#include "machines.h"
+#define STATE(name) (1u << HZB_TASK_##name)
 
-static const char *const state_names[] = { "pending", "listed",   "unknown",  "other-owner", "delegated",
-                                           "booked",  "starting", "fetching", "waiting",     "running",
-                                           "saving",  "finished", "done" };
+/* The states that a heartbeat can show. */
+#define REPORTED (STATE (FETCHING) | STATE (WAITING) | STATE (RUNNING) | STATE (CHECKPOINTING))
 
-const char *
-hzb_task_state_name (HzbTaskState state)
-{
-  return state_names[state];
-}
-
-gboolean
-hzb_task_on_machine (const HzbTask *task)
-{
-  return task->state >= HZB_TASK_RESERVED && task->state <= HZB_TASK_CHECKPOINTING;
-}
+/* From a machine, a task can also be handed to another owner together with the machine. */
+#define FROM_MACHINE (STATE (PENDING) | REPORTED | STATE (FINISHED) | STATE (OTHER_OWNER) | STATE (DELEGATED))
 
-#define B(s) (1u << HZB_TASK_##s)
-#define SEEN (B (FETCHING) | B (WAITING) | B (RUNNING) | B (CHECKPOINTING))
-
-static const guint legal[HZB_TASK_N_STATES] = {
-  [HZB_TASK_OTHER_OWNER] = B (PENDING),
-  [HZB_TASK_DELEGATED] = B (PENDING) | B (UNCONFIRMED) | B (STARTING) | B (FINISHED),
-  [HZB_TASK_PENDING] =
-      B (OTHER_OWNER) | B (DELEGATED) | B (QUEUED) | B (RESERVED) | B (UNCONFIRMED) | B (DONE) | SEEN | B (FINISHED),
-  [HZB_TASK_QUEUED] = B (PENDING) | B (RESERVED) | B (STARTING),
-  [HZB_TASK_UNCONFIRMED] = B (PENDING) | SEEN | B (FINISHED) | B (DONE),
-  [HZB_TASK_RESERVED] = B (PENDING) | B (STARTING),
-  [HZB_TASK_STARTING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
-  [HZB_TASK_FETCHING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
-  [HZB_TASK_WAITING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
-  [HZB_TASK_RUNNING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
-  [HZB_TASK_CHECKPOINTING] = B (PENDING) | SEEN | B (FINISHED) | B (OTHER_OWNER) | B (DELEGATED),
-  [HZB_TASK_FINISHED] = B (DONE),
+/* For each state, the set of states that may follow. */
+static const guint allowed_next[HZB_TASK_N_STATES] = {
+  [HZB_TASK_OTHER_OWNER] = STATE (PENDING),
+  [HZB_TASK_DELEGATED] = STATE (PENDING) | STATE (UNCONFIRMED) | STATE (STARTING) | STATE (FINISHED),
+  [HZB_TASK_PENDING] = STATE (OTHER_OWNER) | STATE (DELEGATED) | STATE (QUEUED) | STATE (RESERVED) | STATE (UNCONFIRMED)
+                       | STATE (DONE) | REPORTED | STATE (FINISHED),
+  [HZB_TASK_QUEUED] = STATE (PENDING) | STATE (RESERVED) | STATE (STARTING),
+  [HZB_TASK_UNCONFIRMED] = STATE (PENDING) | REPORTED | STATE (FINISHED) | STATE (DONE),
+  [HZB_TASK_RESERVED] = STATE (PENDING) | STATE (STARTING),
+  [HZB_TASK_STARTING] = FROM_MACHINE,
+  [HZB_TASK_FETCHING] = FROM_MACHINE,
+  [HZB_TASK_WAITING] = FROM_MACHINE,
+  [HZB_TASK_RUNNING] = FROM_MACHINE,
+  [HZB_TASK_CHECKPOINTING] = FROM_MACHINE,
+  [HZB_TASK_FINISHED] = STATE (DONE),
   [HZB_TASK_DONE] = 0,
 };
 
-static void
-count (HzbJob *job, HzbTaskState state, int sign)
+/* The job's counter of tasks in this state. Every state without a counter of its own counts as placed. */
+static guint *
+counter_of (HzbJob *job, HzbTaskState state)
 {
-  guint by = (guint) sign;
   switch (state)
     {
     case HZB_TASK_PENDING:
-      job->pending += by;
-      break;
+      return &job->pending;
     case HZB_TASK_QUEUED:
-      job->queued += by;
-      break;
+      return &job->queued;
     case HZB_TASK_UNCONFIRMED:
-      job->unconfirmed += by;
-      break;
+      return &job->unconfirmed;
     case HZB_TASK_OTHER_OWNER:
-      job->other_owner += by;
-      break;
+      return &job->other_owner;
     case HZB_TASK_FINISHED:
-      job->finished += by;
-      break;
+      return &job->finished;
     case HZB_TASK_DONE:
-      job->done += by;
-      break;
+      return &job->done;
     default:
-      job->placed += by;
-      if (state == HZB_TASK_RUNNING || state == HZB_TASK_CHECKPOINTING)
-        job->running += by;
-      break;
+      return &job->placed;
     }
 }
 
-/* It counts against its team: it runs, or nobody can be sure that it does not. */
 static gboolean
-holds_room (const HzbTask *task)
+counts_as_running (HzbTaskState state)
+{
+  return state == HZB_TASK_RUNNING || state == HZB_TASK_CHECKPOINTING;
+}
+
+static void
+move_between_counters (HzbJob *job, HzbTaskState from, HzbTaskState to)
+{
+  (*counter_of (job, from))--;
+  job->running -= counts_as_running (from);
+  (*counter_of (job, to))++;
+  job->running += counts_as_running (to);
+}
+
+/* The task counts against its team's limit: it runs, or the controller cannot be sure that it does not. */
+static gboolean
+counts_against_team (const HzbTask *task)
 {
   return hzb_task_on_machine (task) || task->state == HZB_TASK_UNCONFIRMED || task->state == HZB_TASK_DELEGATED;
 }
 
-/* The only place where a task changes its state, its machine, and what its team has in use. */
+static void
+leave_machine (HzbTask *task)
+{
+  if (task->state == HZB_TASK_QUEUED)
+    hzb_machine_dequeue (task->machine, task);
+  if (hzb_task_on_machine (task) && task->machine)
+    hzb_machine_remove (task->machine, task);
+}
+
+static void
+enter_machine (HzbTask *task)
+{
+  if (task->state == HZB_TASK_QUEUED)
+    hzb_machine_enqueue (task->machine, task);
+  if (hzb_task_on_machine (task) && task->machine)
+    hzb_machine_add (task->machine, task);
+}
+
+static void
+update_team_use (HzbShard *shard, const HzbTask *task, gboolean counted_before)
+{
+  const HzbJob *job = task->job;
+  gboolean counted = counts_against_team (task);
+
+  if (counted && !counted_before)
+    hzb_shard_reserve (shard, job->team, job->spec->cpus, job->spec->gpus);
+  else if (counted_before && !counted)
+    hzb_shard_release (shard, job->team, job->spec->cpus, job->spec->gpus);
+}
+
 gboolean
 hzb_task_set_state (HzbJobs *jobs, HzbTask *task, HzbTaskState to, HzbMachine *machine)
 {
   HzbJob *job = task->job;
-  const HzbJobSpec *spec = job->spec;
-  gboolean held = holds_room (task), holds;
+  gboolean counted_before = counts_against_team (task);
 
   if (task->state == to && task->machine == machine)
     return TRUE;
-  if (!(legal[task->state] & 1u << to))
+  if (!(allowed_next[task->state] & 1u << to))
     {
-      g_critical ("task %s/%u: illegal change %s -> %s", job->uid, task->index, state_names[task->state],
-                  state_names[to]);
+      g_critical (
+          "task %s/%u: illegal change %s -> %s; the change is refused: please report this with the log before it",
+          job->uid, task->index, hzb_task_state_name (task->state), hzb_task_state_name (to));
       return FALSE;
     }
-  g_debug ("task %s/%u: %s -> %s%s%s", job->uid, task->index, state_names[task->state], state_names[to],
-           machine ? " on " : "", machine ? hzb_machine_name (machine) : "");
-  if (task->state == HZB_TASK_QUEUED)
-    hzb_machine_dequeue (task->machine, task);
-  if (hzb_task_on_machine (task) && task->machine)
-    hzb_machine_remove (task->machine, task);
-  count (job, task->state, -1);
-  count (job, to, 1);
+  g_debug ("task %s/%u: %s -> %s%s%s", job->uid, task->index, hzb_task_state_name (task->state),
+           hzb_task_state_name (to), machine ? " on " : "", machine ? hzb_machine_name (machine) : "");
+  leave_machine (task);
+  move_between_counters (job, task->state, to);
   if (task->state != to)
     task->since = hzb_clock_now (jobs->clock);
   task->state = (guint8) to;
   task->machine = machine;
-  holds = holds_room (task);
-  if (to == HZB_TASK_QUEUED)
-    hzb_machine_enqueue (machine, task);
-  if (hzb_task_on_machine (task) && machine)
-    hzb_machine_add (machine, task);
-  if (holds && !held)
-    hzb_shard_reserve (jobs->shard, job->team, spec->cpus, spec->gpus);
-  else if (held && !holds)
-    hzb_shard_release (jobs->shard, job->team, spec->cpus, spec->gpus);
+  enter_machine (task);
+  update_team_use (jobs->shard, task, counted_before);
   if (to == HZB_TASK_PENDING)
     {
       task->stopping = FALSE;
@@ -123,24 +134,36 @@
   return TRUE;
 }
 
-HzbTask *
-hzb_job_next_pending (HzbJob *job, struct timespec now)
+void
+hzb_job_resolve_unconfirmed (HzbJobs *jobs, HzbJob *job, guint leaseholder)
 {
-  for (guint n = job->retry.length; n > 0; n--)
+  for (guint k = 0; job->unconfirmed && k < job->n_tasks; k++)
+    if (job->tasks[k].state == HZB_TASK_UNCONFIRMED && job->tasks[k].leaseholder == leaseholder)
+      {
+        hzb_task_set_state (jobs, &job->tasks[k], HZB_TASK_PENDING, NULL);
+        job->tasks[k].leaseholder = 0;
+      }
+}
+
+void
+hzb_machine_lose_tasks (HzbJobs *jobs, HzbMachine *machine)
+{
+  while (machine->tasks->len)
     {
-      HzbTask *task = g_queue_pop_head (&job->retry);
-      if (task->state != HZB_TASK_PENDING)
-        continue; /* placed meanwhile by other means */
-      if (hzb_time_before (now, task->not_before))
-        {
-          g_queue_push_tail (&job->retry, task);
-          continue;
-        }
-      return task;
+      guint before = machine->tasks->len;
+      hzb_task_set_state (jobs, machine->tasks->pdata[before - 1], HZB_TASK_PENDING, NULL);
+      g_return_if_fail (machine->tasks->len < before);
     }
-  for (; job->cursor < job->released; job->cursor++)
-    if (job->tasks[job->cursor].state == HZB_TASK_PENDING)
-      return &job->tasks[job->cursor++];
-  job->release_requested = job->released < job->n_tasks;
-  return NULL;
+  /* What rounding has left over in the sums goes, too. */
+  machine->cpus = machine->gpus = machine->memory = machine->service_cpus = machine->service_memory = 0;
+  hzb_machine_clear_run_queues (jobs, machine);
+}
+
+void
+hzb_machine_clear_run_queues (HzbJobs *jobs, HzbMachine *machine)
+{
+  for (guint i = 0; i < HZB_N_SCHEDULING_CLASSES; i++)
+    while (machine->run_queues[i].length)
+      hzb_task_set_state (jobs, g_queue_peek_head (&machine->run_queues[i]), HZB_TASK_PENDING, NULL);
+  machine->estimate_stale = TRUE;
 }
--- a/src/scheduling/task.h
+++ b/src/scheduling/task.h
@@ -1,62 +1,40 @@
 /**
  * SECTION: task
- * @short_description: one task of a job, on the controller that owns it
+ * @short_description: the one place where a task changes its state, its machine, and what its team uses
+ *
+ * hzb_task_set_state() keeps these books in step: the job's counters, the machine's tasks, run queues and room, and the team's use in
+ * the shard. Everything else in this header goes through it.
  */
 #pragma once
-#include "clock.h"
-
-#include <glib.h>
-
-typedef struct _HzbMachine HzbMachine;
-typedef struct _HzbJob HzbJob;
-typedef struct _HzbJobs HzbJobs;
-
-typedef enum
-{
-  HZB_TASK_PENDING,     /* on no machine, in no run queue */
-  HZB_TASK_QUEUED,      /* in a machine's run queue */
-  HZB_TASK_UNCONFIRMED, /* may run on a machine that has not answered under our fencing token */
-  HZB_TASK_OTHER_OWNER, /* in another shard (on a leaseholder only) */
-  HZB_TASK_DELEGATED,   /* in a shard that is leased to another controller, which may run it (on the leader only) */
-  HZB_TASK_RESERVED,    /* a place is held for it; the start order has not been sent */
-  HZB_TASK_STARTING,    /* a start order was sent; no newer report yet */
-  HZB_TASK_FETCHING,
-  HZB_TASK_WAITING,
-  HZB_TASK_RUNNING,
-  HZB_TASK_CHECKPOINTING,
-  HZB_TASK_FINISHED, /* its result is known, not yet durable */
-  HZB_TASK_DONE,     /* durable */
-  HZB_TASK_N_STATES
-} HzbTaskState;
-
-typedef struct
-{
-  HzbJob *job;
-  HzbMachine *machine;
-  guint index;
-  guint8 state; /* HzbTaskState, changed by hzb_task_set_state() only */
-  guint8 tries;
-  guint8 leaseholder; /* 1 and up: whom it was delegated to */
-  gboolean stopping : 1;
-  guint seen; /* the machine's last round of reports that named it */
-  guint64 attempt;
-  struct timespec since;      /* in this state */
-  struct timespec not_before; /* after a failure */
-} HzbTask;
+#include "jobs.h"
+#include "machine.h"
 
 /**
- * hzb_task_set_state:
- * @machine: (nullable): where it is from now on
- *
- * The only place where a task changes its state, its machine, and what its team has in use.
+ * hzb_task_set_state: moves a task to another state, another machine, or both.
+ * @jobs: the registry of the task's job, whose shard counts the use of teams
+ * @task: the task
+ * @to: its new state
+ * @machine: (nullable): where it is from now on, or in whose run queue
  *
- * Returns: FALSE if the change is not allowed; it is logged, and nothing changes.
+ * Returns: FALSE if the state machine does not allow the change; the refusal is logged, and nothing changes
  */
 gboolean hzb_task_set_state (HzbJobs *jobs, HzbTask *task, HzbTaskState to, HzbMachine *machine);
 
-/** hzb_task_on_machine: it takes room on its machine. */
-gboolean hzb_task_on_machine (const HzbTask *task);
-const char *hzb_task_state_name (HzbTaskState state);
+/**
+ * hzb_job_resolve_unconfirmed: unconfirmed tasks of a job become pending.
+ * @leaseholder: 0: the tasks that an earlier leader may have started; 1 and up: those in the reclaimed shard of that leaseholder
+ *
+ * The caller guarantees that every machine that might hold one of them has sent a heartbeat under the current fencing token, or is gone:
+ * otherwise a task could run twice.
+ */
+void hzb_job_resolve_unconfirmed (HzbJobs *jobs, HzbJob *job, guint leaseholder);
+
+/**
+ * hzb_machine_lose_tasks: all tasks on the machine become pending, and its run queues are emptied.
+ *
+ * The caller guarantees that the tasks are gone for certain.
+ */
+void hzb_machine_lose_tasks (HzbJobs *jobs, HzbMachine *machine);
 
-/** hzb_job_next_pending: takes off a task that may start now. Returns: (nullable) */
-HzbTask *hzb_job_next_pending (HzbJob *job, struct timespec now);
+/** hzb_machine_clear_run_queues: the tasks in the machine's run queues, none of which was started, become pending. */
+void hzb_machine_clear_run_queues (HzbJobs *jobs, HzbMachine *machine);
