--- a/src/scheduling/gang.c
+++ b/src/scheduling/gang.c
@@ -3,88 +3,146 @@
 #include <math.h>
 #include <string.h>
 
-/* A gang starts when there is room for all of it at once. */
-gboolean
-hzb_gang_place (HzbDispatch *dispatch, HzbJob *job, struct timespec now)
+/* A gang must have waited this long before it holds up other work. */
+#define BLOCKS_AFTER_S 5
+
+/* A placement that is being tried. */
+typedef struct
 {
-  const HzbJobSpec *spec = job->spec;
-  GPtrArray *all = dispatch->machines->all;
-  g_autofree guint *taken = g_new0 (guint, all->len);
-  g_autoptr (GPtrArray) zones = g_ptr_array_new ();
-  const HzbShard *shard = dispatch->jobs->shard;
-  guint n = job->n_tasks, half = (n + 1) / 2;
+  HzbDispatch *dispatch;
+  HzbJob *job;
+  struct timespec now;
+  const char *zone;      /* (nullable): the only one that counts */
+  guint *n_tasks;        /* by index of machine: tasks of the gang on it */
+  GHashTable *n_by_zone; /* zone -> tasks of the gang there */
+} Placement;
 
-  if (job->pending != n || job->released < n || hzb_time_before (now, job->not_before))
-    return FALSE;
-  if (!hzb_shard_fits (shard, job->team, spec->cpus * n, spec->gpus * n))
-    return FALSE;
-  for (guint i = 0; i < all->len; i++)
+/* Returns: (transfer container) (element-type utf8): the zones that have machines */
+static GPtrArray *
+zones_of (const HzbMachines *machines)
+{
+  GPtrArray *zones = g_ptr_array_new ();
+
+  for (guint i = 0; i < machines->all->len; i++)
     {
-      HzbMachine *machine = all->pdata[i];
-      gboolean known = FALSE;
-      for (guint z = 0; z < zones->len; z++)
-        known = known || g_str_equal (zones->pdata[z], machine->zone);
-      if (!known)
+      const HzbMachine *machine = machines->all->pdata[i];
+      if (!g_ptr_array_find_with_equal_func (zones, machine->zone, g_str_equal, NULL))
         g_ptr_array_add (zones, machine->zone);
     }
-  /* samePlace: each zone by itself; otherwise all zones together. */
-  for (guint z = 0; z < (spec->same_zone ? zones->len : 1); z++)
+  return zones;
+}
+
+static guint
+tasks_in_zone (const Placement *placement, const char *zone)
+{
+  return GPOINTER_TO_UINT (g_hash_table_lookup (placement->n_by_zone, zone));
+}
+
+static gboolean
+takes_one_more (const Placement *placement, const HzbMachine *machine, guint n_there)
+{
+  const HzbJobSpec *spec = placement->job->spec;
+  guint half = (placement->job->n_tasks + 1) / 2;
+
+  return hzb_machine_usable (machine) && hzb_machine_allowed (machine, spec)
+         && (!placement->zone || g_str_equal (placement->zone, machine->zone))
+         && (!spec->spread || tasks_in_zone (placement, machine->zone) < half)
+         && hzb_machine_has_room_for (machine, spec, n_there + 1);
+}
+
+/* Expected seconds until a task that is sent to the machine could start. */
+static double
+start_delay_s (const Placement *placement, HzbMachine *machine)
+{
+  HzbEstimate *estimate = &machine->estimates[placement->job->scheduling_class];
+
+  hzb_estimate_shift (estimate, placement->now);
+  return hzb_estimate_mean (estimate) + hzb_fetch_s (machine, placement->job->spec);
+}
+
+/* Adds one task where it can start soonest. Returns: FALSE if no machine takes it */
+static gboolean
+add_one (Placement *placement)
+{
+  GPtrArray *all = placement->dispatch->machines->all;
+  HzbMachine *best = NULL;
+  guint best_at = 0;
+  double least = INFINITY;
+
+  for (guint i = 0; i < all->len; i++)
     {
-      guint left = n;
-      g_autoptr (GHashTable) in_zone = g_hash_table_new (g_str_hash, g_str_equal);
-      memset (taken, 0, all->len * sizeof *taken);
-      while (left)
-        {
-          HzbMachine *best = NULL;
-          guint at = 0;
-          double least = INFINITY;
-          for (guint i = 0; i < all->len; i++)
-            {
-              HzbMachine *machine = all->pdata[i];
-              guint here = GPOINTER_TO_UINT (g_hash_table_lookup (in_zone, machine->zone));
-              double cost;
-              if (!hzb_machine_usable (machine) || !hzb_machine_allowed (machine, spec)
-                  || (spec->same_zone && !g_str_equal (zones->pdata[z], machine->zone))
-                  || (spec->spread && here >= half)
-                  || machine->cpus + spec->cpus * (taken[i] + 1) > machine->type->cpus + 1e-6
-                  || machine->gpus + spec->gpus * (taken[i] + 1) > machine->type->gpus + 1e-6
-                  || machine->memory + spec->memory_gb * (taken[i] + 1) > machine->type->memory_gb + 1e-6)
-                continue;
-              hzb_estimate_shift (&machine->estimates[job->scheduling_class], now);
-              cost = hzb_estimate_mean (&machine->estimates[job->scheduling_class]) + hzb_fetch_s (machine, spec);
-              if (cost < least)
-                {
-                  least = cost;
-                  best = machine;
-                  at = i;
-                }
-            }
-          if (!best)
-            break;
-          taken[at]++;
-          left--;
-          g_hash_table_insert (in_zone, best->zone,
-                               GUINT_TO_POINTER (GPOINTER_TO_UINT (g_hash_table_lookup (in_zone, best->zone)) + 1));
-        }
-      if (!left)
+      double delay;
+      if (!takes_one_more (placement, all->pdata[i], placement->n_tasks[i]))
+        continue;
+      delay = start_delay_s (placement, all->pdata[i]);
+      if (delay < least)
         {
-          guint next = 0;
-          job->next_attempt++;
-          for (guint i = 0; i < all->len; i++)
-            for (guint k = 0; k < taken[i]; k++)
-              {
-                HzbTask *task = &job->tasks[next++];
-                task->attempt = job->next_attempt;
-                hzb_task_set_state (dispatch->jobs, task, HZB_TASK_RESERVED, all->pdata[i]);
-              }
-          job->cursor = n;
-          return TRUE;
+          least = delay;
+          best = all->pdata[i];
+          best_at = i;
         }
     }
+  if (!best)
+    return FALSE;
+  placement->n_tasks[best_at]++;
+  g_hash_table_insert (placement->n_by_zone, best->zone, GUINT_TO_POINTER (tasks_in_zone (placement, best->zone) + 1));
+  return TRUE;
+}
+
+/* Returns: whether there is room for all tasks; @n_tasks then says where */
+static gboolean
+try_place (HzbDispatch *dispatch, HzbJob *job, const char *zone, guint *n_tasks, struct timespec now)
+{
+  g_autoptr (GHashTable) n_by_zone = g_hash_table_new (g_str_hash, g_str_equal);
+  Placement placement = { dispatch, job, now, zone, n_tasks, n_by_zone };
+
+  memset (n_tasks, 0, dispatch->machines->all->len * sizeof *n_tasks);
+  for (guint left = job->n_tasks; left; left--)
+    if (!add_one (&placement))
+      return FALSE;
+  return TRUE;
+}
+
+/* All tasks of a gang start under one attempt number, by which workers know that they belong together. */
+static void
+reserve (HzbDispatch *dispatch, HzbJob *job, const guint *n_tasks)
+{
+  GPtrArray *all = dispatch->machines->all;
+  guint next = 0;
+
+  job->next_attempt++;
+  for (guint i = 0; i < all->len; i++)
+    for (guint k = 0; k < n_tasks[i]; k++)
+      {
+        HzbTask *task = &job->tasks[next++];
+        task->attempt = job->next_attempt;
+        hzb_task_set_state (dispatch->jobs, task, HZB_TASK_RESERVED, all->pdata[i]);
+      }
+  job->cursor = job->n_tasks;
+}
+
+gboolean
+hzb_gang_place (HzbDispatch *dispatch, HzbJob *job, struct timespec now)
+{
+  const HzbJobSpec *spec = job->spec;
+  guint n = job->n_tasks;
+  g_autofree guint *n_tasks = g_new0 (guint, dispatch->machines->all->len);
+  g_autoptr (GPtrArray) zones = NULL;
+
+  if (job->pending != n || job->released < n || hzb_time_before (now, job->not_before)
+      || !hzb_shard_fits (dispatch->jobs->shard, job->team, spec->cpus * n, spec->gpus * n))
+    return FALSE;
+  zones = zones_of (dispatch->machines);
+  /* With `samePlace` each zone is tried by itself, otherwise all zones together. */
+  for (guint z = 0; z < (spec->same_zone ? zones->len : 1); z++)
+    if (try_place (dispatch, job, spec->same_zone ? zones->pdata[z] : NULL, n_tasks, now))
+      {
+        reserve (dispatch, job, n_tasks);
+        return TRUE;
+      }
   return FALSE;
 }
 
-/* A gang that waits halts list starts of lower classes on machines it could use. */
 gboolean
 hzb_gang_blocks_machine (HzbDispatch *dispatch, const HzbMachine *machine, guint scheduling_class, struct timespec now)
 {
@@ -93,7 +151,7 @@
       const HzbJob *job = dispatch->jobs->active->pdata[i];
       if (job->spec->kind == HZB_JOB_GANG && job->state == HZB_JOB_ACCEPTED && job->pending == job->n_tasks
           && job->scheduling_class >= scheduling_class && !hzb_time_before (now, job->not_before)
-          && hzb_machine_allowed (machine, job->spec) && hzb_time_between (job->since, now) > 5)
+          && hzb_machine_allowed (machine, job->spec) && hzb_time_between (job->since, now) > BLOCKS_AFTER_S)
         return TRUE;
     }
   return FALSE;
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -1,12 +1,31 @@
 #include "preemption.h"
+
 #include "worker-protocol.h"
 
 #include <math.h>
 
+#define ROUNDING 1e-6
+
+/* A task that is expected to end sooner is left to end. */
 #define NEARLY_DONE_S 5.0
 
+/* Seconds that a job waits before it preempts. Where a service-level objective allows less, it is this part of what the
+ * objective allows. */
+#define PREEMPT_AFTER_S 10
+#define PREEMPT_AFTER_PART 0.45
+
+/* The lowest priority is stopped first: between two priorities lies more than any cost of stopping a task. */
+#define COST_OF_PRIORITY 1e4
+
+#define LEAST_CPUS 1e-3 /* guards a division */
+
+/* Tasks in a machine's run queues that are examined for one heartbeat. */
+#define MOST_PREEMPTORS 32u
+
+/* ---- who may be stopped for whom ---- */
+
 static gboolean
-may_preempt (HzbDispatch *dispatch, const HzbJob *preemptor, const HzbTask *victim)
+may_preempt (const HzbDispatch *dispatch, const HzbJob *preemptor, const HzbTask *victim)
 {
   const HzbShard *shard = dispatch->jobs->shard;
   const HzbJob *other = victim->job;
@@ -16,32 +35,49 @@
     return TRUE;
   if (!preemptor->guaranteed || other->team == preemptor->team || other->guaranteed)
     return FALSE;
+  /* The other team has at least what it is guaranteed also without the victim. */
   team = dispatch->settings->teams->pdata[other->team];
-  return shard->cpus[other->team] - other->spec->cpus >= team->cpus - 1e-6
-         && shard->gpus[other->team] - other->spec->gpus >= team->gpus - 1e-6;
+  return shard->cpus[other->team] - other->spec->cpus >= team->cpus - ROUNDING
+         && shard->gpus[other->team] - other->spec->gpus >= team->gpus - ROUNDING;
+}
+
+/* The objective says how soon such a job should start. */
+static gboolean
+limits_wait_of (const HzbObjective *objective, const HzbJob *job)
+{
+  if (g_strcmp0 (objective->kind, "wait") == 0)
+    return g_strcmp0 (objective->job_class, job->spec->job_class) == 0;
+  return g_strcmp0 (objective->kind, "guarantee") == 0 && job->guaranteed;
 }
 
 static double
-preempt_after_s (HzbDispatch *dispatch, const HzbJob *job)
+preempt_after_s (const HzbDispatch *dispatch, const HzbJob *job)
 {
-  double after = 10;
+  double after = PREEMPT_AFTER_S;
+
   if (job->spec->kind == HZB_JOB_SERVICE)
-    return 0; /* every second that a replica is not there counts */
+    return 0; /* A missing replica counts from the first second. */
   for (guint i = 0; i < dispatch->settings->objectives->len; i++)
     {
       const HzbObjective *objective = dispatch->settings->objectives->pdata[i];
-      if ((g_strcmp0 (objective->kind, "wait") == 0 && g_strcmp0 (objective->job_class, job->spec->job_class) == 0)
-          || (g_strcmp0 (objective->kind, "guarantee") == 0 && job->guaranteed))
-        after = MIN (after, objective->within_s * 0.45);
+      if (limits_wait_of (objective, job))
+        after = MIN (after, objective->within_s * PREEMPT_AFTER_PART);
     }
   return after;
 }
 
-/* What stopping the task would cost, in seconds of its work; above 1e9: it is not to be stopped. */
+static gboolean
+has_waited_long_enough (const HzbDispatch *dispatch, const HzbJob *job, struct timespec now)
+{
+  return hzb_time_between (job->since, now) >= preempt_after_s (dispatch, job);
+}
+
+/* The work that is lost if the task is stopped, in CPU-seconds; INFINITY: it must not be stopped. */
 static double
 stop_cost (const HzbTask *task, struct timespec now)
 {
   const HzbJobSpec *spec = task->job->spec;
+
   if (task->stopping || task->job->awaits_verdict || spec->kind == HZB_JOB_GANG || spec->kind == HZB_JOB_SERVICE
       || (task->state != HZB_TASK_RUNNING && task->state != HZB_TASK_FETCHING))
     return INFINITY;
@@ -53,6 +89,8 @@
          * spec->cpus;
 }
 
+/* ---- within a team's limit ---- */
+
 typedef struct
 {
   double cost;
@@ -66,45 +104,68 @@
   return x->cost < y->cost ? -1 : x->cost > y->cost;
 }
 
-/* Urgent tasks that their own team's limit keeps waiting: lower work of the team is stopped. Its stop is sent
- * with the answer to its machine's next report. */
-void
-hzb_preempt_within_team (HzbDispatch *dispatch, const HzbJob *preemptor, struct timespec now)
+/* CPUs by which the team exceeds its limit with the preemptor's waiting tasks, without what is already being stopped. */
+static double
+cpus_lacking (const HzbDispatch *dispatch, const HzbJob *preemptor)
 {
   const HzbShard *shard = dispatch->jobs->shard;
   int team = preemptor->team;
-  double lack, limit = shard->cpus_allowed[team];
-  g_autoptr (GArray) victims = g_array_new (FALSE, FALSE, sizeof (Victim));
+  double limit = shard->cpus_allowed[team];
+  double lack =
+      shard->cpus[team] + MIN ((preemptor->pending + preemptor->queued) * preemptor->spec->cpus, limit) - limit;
 
-  if (preemptor->spec->kind == HZB_JOB_GANG
-      || hzb_time_between (preemptor->since, now) < preempt_after_s (dispatch, preemptor))
-    return;
-  lack = shard->cpus[team] + MIN ((preemptor->pending + preemptor->queued) * preemptor->spec->cpus, limit) - limit;
-  for (guint i = 0; i < dispatch->jobs->active->len && lack > 1e-6; i++)
+  for (guint i = 0; i < dispatch->jobs->active->len && lack > ROUNDING; i++)
     {
       const HzbJob *job = dispatch->jobs->active->pdata[i];
       for (guint k = 0; job->team == team && job->placed && k < job->n_tasks; k++)
         if (job->tasks[k].stopping)
           lack -= job->spec->cpus;
     }
-  if (lack <= 1e-6)
-    return;
+  return lack;
+}
+
+static void
+add_victims_of_job (GArray *victims, const HzbJob *job, struct timespec now)
+{
+  for (guint k = 0; job->placed && k < job->n_tasks; k++)
+    {
+      Victim victim = { stop_cost (&job->tasks[k], now), &job->tasks[k] };
+      if (!isfinite (victim.cost))
+        continue;
+      victim.cost = victim.cost / MAX (job->spec->cpus, LEAST_CPUS) + job->spec->priority * COST_OF_PRIORITY;
+      g_array_append_val (victims, victim);
+    }
+}
+
+/* Returns: (transfer full) (element-type Victim): lower work of the preemptor's team, the cheapest to stop first */
+static GArray *
+victims_within_team (const HzbDispatch *dispatch, const HzbJob *preemptor, struct timespec now)
+{
+  GArray *victims = g_array_new (FALSE, FALSE, sizeof (Victim));
+
   for (guint i = 0; i < dispatch->jobs->active->len; i++)
     {
       const HzbJob *job = dispatch->jobs->active->pdata[i];
-      if (job->team != team || job->spec->priority >= preemptor->spec->priority)
-        continue;
-      for (guint k = 0; job->placed && k < job->n_tasks; k++)
-        {
-          Victim victim = { stop_cost (&job->tasks[k], now), &job->tasks[k] };
-          if (!isfinite (victim.cost))
-            continue;
-          victim.cost = victim.cost / MAX (job->spec->cpus, 1e-3) + job->spec->priority * 1e4;
-          g_array_append_val (victims, victim);
-        }
+      if (job->team == preemptor->team && job->spec->priority < preemptor->spec->priority)
+        add_victims_of_job (victims, job, now);
     }
   g_array_sort (victims, cheapest_first);
-  for (guint i = 0; i < victims->len && lack > 1e-6; i++)
+  return victims;
+}
+
+void
+hzb_preempt_within_team (HzbDispatch *dispatch, const HzbJob *preemptor, struct timespec now)
+{
+  double lack;
+  g_autoptr (GArray) victims = NULL;
+
+  if (preemptor->spec->kind == HZB_JOB_GANG || !has_waited_long_enough (dispatch, preemptor, now))
+    return;
+  lack = cpus_lacking (dispatch, preemptor);
+  if (lack <= ROUNDING)
+    return;
+  victims = victims_within_team (dispatch, preemptor, now);
+  for (guint i = 0; i < victims->len && lack > ROUNDING; i++)
     {
       HzbTask *task = g_array_index (victims, Victim, i).task;
       task->stopping = TRUE;
@@ -112,131 +173,132 @@
     }
 }
 
-void
-hzb_preempt_on_machine (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands)
+/* ---- on one machine ---- */
+
+/* Room on a machine once all tasks that are being stopped there have ended. */
+typedef struct
 {
-  double cpus = machine->type->cpus - machine->cpus, gpus = machine->type->gpus - machine->gpus,
-         memory = machine->type->memory_gb - machine->memory;
-  guint examined = 0;
+  double cpus, gpus, memory_gb;
+} Room;
+
+static void
+add_room_of (Room *room, const HzbJobSpec *spec)
+{
+  room->cpus += spec->cpus;
+  room->gpus += spec->gpus;
+  room->memory_gb += spec->memory_gb;
+}
+
+static void
+take_room_for (Room *room, const HzbJobSpec *spec)
+{
+  room->cpus -= spec->cpus;
+  room->gpus -= spec->gpus;
+  room->memory_gb -= spec->memory_gb;
+}
+
+static gboolean
+room_lacks (const Room *room, const HzbJobSpec *spec)
+{
+  return room->cpus + ROUNDING < spec->cpus || room->gpus + ROUNDING < spec->gpus
+         || room->memory_gb + ROUNDING < spec->memory_gb;
+}
+
+static Room
+room_on (const HzbMachine *machine)
+{
+  Room room = { machine->type->cpus - machine->cpus, machine->type->gpus - machine->gpus,
+                machine->type->memory_gb - machine->memory };
 
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       const HzbTask *task = machine->tasks->pdata[i];
       if (task->stopping)
+        add_room_of (&room, task->job->spec);
+    }
+  return room;
+}
+
+/* Returns: (transfer none) (nullable): the task whose stop costs least */
+static HzbTask *
+cheapest_victim (const HzbDispatch *dispatch, const HzbMachine *machine, const HzbJob *preemptor,
+                 gboolean own_team_only, struct timespec now)
+{
+  HzbTask *victim = NULL;
+  double least = INFINITY;
+
+  for (guint i = 0; i < machine->tasks->len; i++)
+    {
+      HzbTask *task = machine->tasks->pdata[i];
+      double cost = stop_cost (task, now);
+      if (!isfinite (cost) || (own_team_only && task->job->team != preemptor->team)
+          || !may_preempt (dispatch, preemptor, task))
+        continue;
+      cost += task->job->spec->priority * COST_OF_PRIORITY;
+      if (cost < least)
         {
-          cpus += task->job->spec->cpus;
-          gpus += task->job->spec->gpus;
-          memory += task->job->spec->memory_gb;
+          least = cost;
+          victim = task;
         }
     }
-  for (guint scheduling_class = HZB_N_SCHEDULING_CLASSES - 1; scheduling_class > HZB_SCHEDULING_CLASS_OBJECTIVE_AT_RISK;
-       scheduling_class--)
-    for (GList *l = machine->run_queues[scheduling_class].head; l && examined < 32; l = l->next, examined++)
-      {
-        HzbTask *preemptor = l->data;
-        const HzbJobSpec *spec = preemptor->job->spec;
-        /* Over the team's limit only the team's own lower work can make room. */
-        gboolean own = !hzb_shard_fits (dispatch->jobs->shard, preemptor->job->team, spec->cpus, spec->gpus);
-        if (preemptor->job->state != HZB_JOB_ACCEPTED || !hzb_zone_allowed (preemptor->job, machine)
-            || hzb_time_between (preemptor->job->since, now) < preempt_after_s (dispatch, preemptor->job))
-          continue;
-        if (own && cpus + 1e-6 >= spec->cpus)
-          continue;
-        while (cpus + 1e-6 < spec->cpus || gpus + 1e-6 < spec->gpus || memory + 1e-6 < spec->memory_gb)
-          {
-            HzbTask *victim = NULL;
-            double least = INFINITY;
-            HzbCommand command = { HZB_COMMAND_STOP, NULL, 0, 0, 0 };
-            for (guint i = 0; i < machine->tasks->len; i++)
-              {
-                HzbTask *task = machine->tasks->pdata[i];
-                double cost = stop_cost (task, now);
-                if (!isfinite (cost) || (own && task->job->team != preemptor->job->team)
-                    || !may_preempt (dispatch, preemptor->job, task))
-                  continue;
-                cost += task->job->spec->priority * 1e4;
-                if (cost < least)
-                  {
-                    least = cost;
-                    victim = task;
-                  }
-              }
-            if (!victim)
-              return;
-            victim->stopping = TRUE;
-            command.uid = victim->job->uid;
-            command.task = victim->index;
-            command.attempt = victim->attempt;
-            command.grace_s = hzb_job_spec_grace_s (victim->job->spec);
-            g_array_append_val (commands, command);
-            cpus += victim->job->spec->cpus;
-            gpus += victim->job->spec->gpus;
-            memory += victim->job->spec->memory_gb;
-          }
-        cpus -= spec->cpus;
-        gpus -= spec->gpus;
-        memory -= spec->memory_gb;
-      }
+  return victim;
 }
 
-/* ---- emptying machines ---- */
+static void
+stop (HzbTask *task, GArray *commands)
+{
+  HzbCommand command = { HZB_COMMAND_STOP, task->job->uid, task->index, task->attempt,
+                         hzb_job_spec_grace_s (task->job->spec) };
 
-#define MOVE_LEFT_S 20.0 /* what should be over sooner ends where it is */
-#define MOVE_PART 0.6    /* of a machine: what is fuller is worth its price */
+  task->stopping = TRUE;
+  g_array_append_val (commands, command);
+}
 
-/* Room for the tasks that would have to go for the machine to be empty soon; below 0: it can't be. */
-static double
-would_move (const HzbMachine *machine, struct timespec now)
+/* Makes room for one task. Returns: FALSE if too little may be stopped */
+static gboolean
+make_room (const HzbDispatch *dispatch, HzbMachine *machine, const HzbJob *preemptor, gboolean own_team_only,
+           Room *room, struct timespec now, GArray *commands)
 {
-  double cpus = 0;
-  for (guint i = 0; i < machine->tasks->len; i++)
+  while (room_lacks (room, preemptor->spec))
     {
-      const HzbTask *task = machine->tasks->pdata[i];
-      if (task->job->spec->kind == HZB_JOB_SERVICE)
-        return -1; /* a move costs it more than the machine does */
-      if (hzb_task_remaining_s (task, now) < MOVE_LEFT_S || task->stopping || task->job->awaits_verdict)
-        continue;
-      if (task->job->spec->checkpoint_interval_s <= 0 || task->job->spec->kind == HZB_JOB_GANG
-          || task->state != HZB_TASK_RUNNING || hzb_time_between (task->since, now) < MOVE_LEFT_S)
-        return -1;
-      cpus += task->job->spec->cpus;
+      HzbTask *victim = cheapest_victim (dispatch, machine, preemptor, own_team_only, now);
+      if (!victim)
+        return FALSE;
+      stop (victim, commands);
+      add_room_of (room, victim->job->spec);
     }
-  return cpus;
+  take_room_for (room, preemptor->spec);
+  return TRUE;
+}
+
+/* Returns: FALSE if too little on the machine may be stopped, so that the search for room there ends */
+static gboolean
+preempt_for (const HzbDispatch *dispatch, HzbMachine *machine, const HzbJob *preemptor, Room *room, struct timespec now,
+             GArray *commands)
+{
+  const HzbJobSpec *spec = preemptor->spec;
+  /* Beyond the team's limit only lower work of the team itself can make room. */
+  gboolean own_team_only = !hzb_shard_fits (dispatch->jobs->shard, preemptor->team, spec->cpus, spec->gpus);
+
+  if (preemptor->state != HZB_JOB_ACCEPTED || !hzb_zone_allowed (preemptor, machine)
+      || !has_waited_long_enough (dispatch, preemptor, now) || (own_team_only && room->cpus + ROUNDING >= spec->cpus))
+    return TRUE;
+  return make_room (dispatch, machine, preemptor, own_team_only, room, now, commands);
 }
 
 void
-hzb_dispatch_consolidate (HzbDispatch *dispatch, struct timespec now)
+hzb_preempt_on_machine (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands)
 {
-  double free = 0;
+  Room room = room_on (machine);
+  guint examined = 0;
 
-  for (guint i = 0; i < dispatch->machines->all->len; i++)
-    {
-      const HzbMachine *machine = dispatch->machines->all->pdata[i];
-      if (hzb_machine_usable (machine))
-        free += machine->type->cpus - machine->cpus;
-    }
-  for (guint i = 0; i < dispatch->jobs->active->len; i++)
-    {
-      const HzbJob *job = dispatch->jobs->active->pdata[i];
-      if (job->state == HZB_JOB_ACCEPTED)
-        free -= (job->pending + job->queued) * job->spec->cpus;
-    }
-  for (guint i = 0; i < dispatch->machines->all->len && free > 0; i++)
-    {
-      HzbMachine *machine = dispatch->machines->all->pdata[i];
-      double cpus;
-      if (machine->state != HZB_MACHINE_ACTIVE || !machine->scale_in_candidate || !machine->type
-          || machine->cpus > MOVE_PART * machine->type->cpus)
-        continue;
-      cpus = would_move (machine, now);
-      if (cpus <= 0 || cpus > free)
-        continue;
-      free -= cpus;
-      for (guint k = 0; k < machine->tasks->len; k++)
-        {
-          HzbTask *task = machine->tasks->pdata[k];
-          if (hzb_task_remaining_s (task, now) >= MOVE_LEFT_S)
-            task->stopping = TRUE; /* it is told with the answer to the next report */
-        }
-    }
+  for (guint scheduling_class = HZB_N_SCHEDULING_CLASSES - 1; scheduling_class > HZB_SCHEDULING_CLASS_OBJECTIVE_AT_RISK;
+       scheduling_class--)
+    for (GList *l = machine->run_queues[scheduling_class].head; l && examined < MOST_PREEMPTORS;
+         l = l->next, examined++)
+      {
+        const HzbTask *task = l->data;
+        if (!preempt_for (dispatch, machine, task->job, &room, now, commands))
+          return;
+      }
 }
