--- a/src/scheduling/shard.c
+++ b/src/scheduling/shard.c
@@ -1,5 +1,6 @@
 #include "shard.h"
 
+/* Sums of CPUs and GPUs are compared with this tolerance: adding and subtracting them leaves rounding errors. */
 #define ROUNDING 1e-6
 
 HzbShard *
@@ -26,7 +27,7 @@
 {
   HzbShard *shard = hzb_shard_new (settings, fencing_token);
   for (guint i = 0; i < shard->n_teams; i++)
-    shard->cpus_allowed[i] = shard->gpus_allowed[i] = 1e12;
+    shard->cpus_allowed[i] = shard->gpus_allowed[i] = HZB_NO_LIMIT;
   return shard;
 }
 
--- a/src/scheduling/shard.h
+++ b/src/scheduling/shard.h
@@ -1,34 +1,62 @@
-/* A shard: a set of machines under one owner and term, and what each team may use on them.
- * Every machine and every unfinished task is in one shard. So far the leader holds the only one. */
+/**
+ * SECTION: shard
+ * @short_description: a set of machines under one owner, and what each team uses on them
+ *
+ * Every machine and every task that has not ended is in one shard. The leader owns all that it has not leased to a leaseholder.
+ */
 #pragma once
 #include "settings.h"
 
+/** HzbShard: a shard, as its owner keeps it. Arrays are indexed by team. */
 typedef struct
 {
-  guint64 fencing_token; /* the term that is sent with each start; see hzb_fencing_token() */
-  guint n_teams;
-  double *cpus, *gpus;                 /* in use, or possibly in use */
-  double *cpus_allowed, *gpus_allowed; /* over all shards they sum to at most the team's limit */
+  guint64 fencing_token; /**< Sent with each command, see hzb_fencing_token(). */
+  guint n_teams;         /**< Number of teams in the settings. */
+  double *cpus;          /**< CPUs in use, or possibly in use. */
+  double *gpus;          /**< GPUs in use, or possibly in use. */
+  double *cpus_allowed;  /**< CPUs that the team may use here. */
+  double *gpus_allowed;  /**< GPUs that the team may use here. */
 } HzbShard;
 
-/* Terms of shards: the leader's term, and within it a number that is never used twice. A later leader's exceed
- * all of an earlier one's, and a shard that passes on gets a higher one. */
+/**
+ * hzb_fencing_token: the fencing token of a shard.
+ * @leader_term: the term of the leader
+ * @number: used once in the term, below 2^20
+ *
+ * Workers obey no token below one that they have seen. A later leader's tokens exceed all of an earlier one's, and a shard that passes to
+ * another owner gets a higher one.
+ */
 static inline guint64
 hzb_fencing_token (guint64 leader_term, guint number)
 {
   return leader_term << 20 | number;
 }
 
+/** hzb_fencing_token_term: the term of the leader that made the fencing token. */
 static inline guint64
 hzb_fencing_token_term (guint64 fencing_token)
 {
   return fencing_token >> 20;
 }
 
+/** hzb_shard_new: Returns: (transfer full): a shard without use, in which each team may use up to its limit */
 HzbShard *hzb_shard_new (const HzbSettings *settings, guint64 fencing_token);
-/* A leaseholder's shard: what its teams may use is what was delegated, and is counted by the leader. */
+
+/**
+ * hzb_shard_new_leased: the shard of a leaseholder. It sets teams no limit: the leader counts a task against the limit before it delegates it.
+ *
+ * Returns: (transfer full)
+ */
 HzbShard *hzb_shard_new_leased (const HzbSettings *settings, guint64 fencing_token);
+
+/** hzb_shard_free: @shard: (transfer full) (nullable) */
 void hzb_shard_free (HzbShard *shard);
+
+/** hzb_shard_fits: whether the team may use so many CPUs and GPUs more. */
 gboolean hzb_shard_fits (const HzbShard *shard, int team, double cpus, double gpus);
+
+/** hzb_shard_reserve: the team uses so many CPUs and GPUs more. */
 void hzb_shard_reserve (HzbShard *shard, int team, double cpus, double gpus);
+
+/** hzb_shard_release: the team uses so many CPUs and GPUs less. */
 void hzb_shard_release (HzbShard *shard, int team, double cpus, double gpus);
--- a/src/scheduling/start-pacing.c
+++ b/src/scheduling/start-pacing.c
@@ -1,10 +1,14 @@
 #include "start-pacing.h"
 
-#define BURST_S 1.0           /* the bucket holds what is allowed in so long */
-#define LATE_S 0.25           /* timers this late: the processor's share is used up */
-#define LATE_PART 0.5         /* of the rate, then */
-#define GUARANTEED_LEAVES 0.2 /* of the bucket, to urgent work */
-#define OTHER_LEAVES 0.5      /* to urgent and guaranteed work */
+#define BURST_S 1.0 /* the bucket holds the commands of this many seconds */
+
+/* When timers fire this late the processor's share is used up, and commands are given at this part of the rate. */
+#define LAGGING_ABOVE_S 0.25
+#define LAGGING_PART 0.5
+
+/* Parts of the bucket that are left to higher classes. */
+#define GUARANTEED_LEAVES 0.2
+#define OTHER_LEAVES 0.5
 
 void
 hzb_start_pacing_begin (HzbStartPacing *pacing, const HzbStartPacingLimits *limits, struct timespec now)
@@ -28,7 +32,7 @@
 void
 hzb_start_pacing_tick (HzbStartPacing *pacing, double lag_s, struct timespec now)
 {
-  double seconds, part = lag_s > LATE_S ? LATE_PART : 1;
+  double seconds, part = lag_s > LAGGING_ABOVE_S ? LAGGING_PART : 1;
 
   if (!pacing->active)
     return;
@@ -59,7 +63,9 @@
 gboolean
 hzb_start_pacing_allows (const HzbStartPacing *pacing, HzbStartPacingClass class)
 {
-  static const double leaves[HZB_START_PACING_N_CLASSES] = { OTHER_LEAVES, GUARANTEED_LEAVES, 0 };
+  static const double leaves[HZB_START_PACING_N_CLASSES] = { [HZB_START_PACING_OTHER] = OTHER_LEAVES,
+                                                             [HZB_START_PACING_GUARANTEED] = GUARANTEED_LEAVES,
+                                                             [HZB_START_PACING_URGENT] = 0 };
   double bucket = pacing->limits.per_s * BURST_S;
 
   if (!pacing->active)
