--- a/src/scheduling/autoscaler.h
+++ b/src/scheduling/autoscaler.h
@@ -1,12 +1,14 @@
 /**
+ * @file
  * SECTION: autoscaler
- * @short_description: how many machines of which kinds there should be
  *
- * Decides only: provisioning asks the cloud. demand.h counts what is needed and what there is, scale-out.c rents for what is lacking, and
- * scale-in.c gives up what is too much.
+ * How many machines of which kinds there should be.
+ *
+ * Decides only: provisioning asks the cloud. demand.h counts what is needed and what there is, scale-out.c rents for
+ * what is lacking, and scale-in.c gives up what is too much.
  */
 #pragma once
-#include "dispatch-state.h"
+#include "machines.h"
 
 /** HzbScaleOutRequest: machines of one kind to be rented by one call. */
 typedef struct
@@ -36,7 +38,7 @@
  */
 HzbAutoscaler *hzb_autoscaler_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings);
 
-/** hzb_autoscaler_free: @autoscaler: (transfer full) */
+/** hzb_autoscaler_free: `autoscaler`: (transfer full) */
 void hzb_autoscaler_free (HzbAutoscaler *autoscaler);
 
 /**
@@ -63,7 +65,7 @@
 /** hzb_autoscaler_note_granted: the cloud has rented such machines out. */
 void hzb_autoscaler_note_granted (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *rental);
 
-/** hzb_autoscaler_is_refused: whether the kind is not to be asked for now. @kind_name: from hzb_machine_kind_name() */
+/** hzb_autoscaler_is_refused: whether the kind is not to be asked for now. `kind_name`: from hzb_machine_kind_name() */
 gboolean hzb_autoscaler_is_refused (const HzbAutoscaler *autoscaler, const char *kind_name, struct timespec now);
 
 /** hzb_machine_kind_name: names a kind of machines in tables. Returns: (transfer full) */
--- a/src/scheduling/consolidation.c
+++ b/src/scheduling/consolidation.c
@@ -36,8 +36,8 @@
          && hzb_time_between (task->since, now) >= WORTH_MOVING_S;
 }
 
-/* CPUs that the tasks need elsewhere which have to be moved for the machine to be empty soon; below 0: one of them cannot be
- * moved, or is a replica, to which a move costs more than the machine does. */
+/* CPUs that the tasks need elsewhere which have to be moved for the machine to be empty soon; below 0: one of them
+ * cannot be moved, or is a replica, to which a move costs more than the machine does. */
 static double
 cpus_to_move (const HzbMachine *machine, struct timespec now)
 {
--- a/src/scheduling/demand.c
+++ b/src/scheduling/demand.c
@@ -1,13 +1,12 @@
 #include "demand.h"
 
 #include "headroom.h"
+#include "rounding.h"
 #include "scheduling-class.h"
 
 #include <math.h>
 #include <string.h>
 
-#define QUOTIENT_ROUNDING 1e-9
-
 /* Bounds of the time within which all tasks of a job should have started. */
 #define LEAST_START_WITHIN_S 10
 #define MOST_START_WITHIN_S 150
@@ -104,8 +103,8 @@
   return cpus;
 }
 
-/* Returns: (nullable): the only zone for the job's tasks. With `samePlace` it is the one that has the most machines for them, or else
- * the first that could have any. */
+/* Returns: (nullable): the only zone for the job's tasks. With `samePlace` it is the one that has the most machines for
+ * them, or else the first that could have any. */
 static const char *
 zone_for (const HzbMachines *machines, const HzbJobSpec *spec)
 {
@@ -177,14 +176,14 @@
   const HzbJobSpec *spec = job->spec;
 
   if (spec->cpus > 0)
-    tasks = MIN (tasks, floor (collection->cpus_left[job->team] / spec->cpus + QUOTIENT_ROUNDING));
+    tasks = MIN (tasks, floor (collection->cpus_left[job->team] / spec->cpus + HZB_QUOTIENT_ROUNDING));
   if (spec->gpus > 0)
-    tasks = MIN (tasks, floor (collection->gpus_left[job->team] / spec->gpus + QUOTIENT_ROUNDING));
+    tasks = MIN (tasks, floor (collection->gpus_left[job->team] / spec->gpus + HZB_QUOTIENT_ROUNDING));
   return tasks;
 }
 
-/* Returns: (transfer none): the demand for the kinds of machines that hold a task of the job. The kinds count, not what the job says of
- * them: a large task is not served by small machines. */
+/* Returns: (transfer none): the demand for the kinds of machines that hold a task of the job. The kinds count, not what
+ * the job says of them: a large task is not served by small machines. */
 static HzbDemand *
 demand_for (Collection *collection, const HzbJobSpec *spec)
 {
@@ -268,7 +267,8 @@
     }
 }
 
-/* The demand with the longest name first. The name lists the types that hold a task, and what limits the choice among them. */
+/* The demand with the longest name first. The name lists the types that hold a task, and what limits the choice among
+ * them. */
 static gint
 longest_name_first (gconstpointer a, gconstpointer b)
 {
--- a/src/scheduling/demand.h
+++ b/src/scheduling/demand.h
@@ -1,8 +1,11 @@
 /**
+ * @file
  * SECTION: demand
- * @short_description: what machines are needed for, and what there is for it
  *
- * Jobs that the same kinds of machines can run form one demand. It is counted in units: GPUs where the jobs use any, and CPUs otherwise.
+ * What machines are needed for, and what there is for it.
+ *
+ * Jobs that the same kinds of machines can run form one demand. It is counted in units: GPUs where the jobs use any,
+ * and CPUs otherwise.
  */
 #pragma once
 #include "autoscaler.h"
@@ -36,10 +39,12 @@
   double memory_per_cpu;  /**< GB for each CPU that the most demanding job needs. */
 } HzbDemand;
 
-/** hzb_demand_collect: Returns: (transfer full) (element-type HzbDemand): all demands, in the order in which they are to be met */
+/** hzb_demand_collect: Returns: (transfer full) (element-type HzbDemand): all demands, in the order in which they are
+ * to be met */
 GPtrArray *hzb_demand_collect (const HzbAutoscaler *autoscaler, struct timespec now);
 
-/** hzb_machine_kinds: Returns: (transfer full) (element-type HzbMachineKind): all kinds; valid until the types change */
+/** hzb_machine_kinds: Returns: (transfer full) (element-type HzbMachineKind): all kinds; valid until the types change
+ */
 GArray *hzb_machine_kinds (const HzbMachines *machines);
 
 /** hzb_demand_kind_fits: whether machines of this kind can run the work. */
@@ -49,7 +54,7 @@
 gboolean hzb_demand_machine_fits (const HzbDemand *demand, const HzbMachine *machine);
 
 /**
- * hzb_demand_units: units that are worth having at a price of @dearness times the lowest one.
+ * hzb_demand_units: units that are worth having at a price of `dearness` times the lowest one.
  *
  * Dearer machines are wanted only for work that the cheap ones would leave waiting for longer.
  */
@@ -61,11 +66,13 @@
 /** hzb_demand_unit_price: price of one useful unit; INFINITY: the type has none. */
 double hzb_demand_unit_price (const HzbDemand *demand, const HzbMachineType *type, gboolean spot);
 
-/** hzb_demand_price_with_boot: a price that includes the time a machine takes to boot, which is paid and brings nothing. */
+/** hzb_demand_price_with_boot: a price that includes the time a machine takes to boot, which is paid and brings
+ * nothing. */
 double hzb_demand_price_with_boot (const HzbMachineType *type, double price);
 
-/** hzb_demand_lowest_price: the lowest price of a unit on any kind. @with_boot: including the time to boot */
+/** hzb_demand_lowest_price: the lowest price of a unit on any kind. `with_boot`: including the time to boot */
 double hzb_demand_lowest_price (const HzbAutoscaler *autoscaler, const HzbDemand *demand, gboolean with_boot);
 
-/** hzb_demand_supply: units that there are for this work, or will be once machines have booted. Scale-in candidates do not count. */
+/** hzb_demand_supply: units that there are for this work, or will be once machines have booted. Scale-in candidates do
+ * not count. */
 double hzb_demand_supply (const HzbAutoscaler *autoscaler, const HzbDemand *demand, struct timespec now);
--- a/src/scheduling/dispatch-start.c
+++ b/src/scheduling/dispatch-start.c
@@ -2,11 +2,10 @@
 
 #include "gang.h"
 #include "preemption.h"
+#include "rounding.h"
 #include "scheduling-class.h"
 #include "worker-protocol.h"
 
-#define ROUNDING 1e-6
-
 /* Bounds of one search for a task to move: machines sampled, and tasks examined in the run queue of each. */
 #define MOVE_SAMPLE 32u
 #define MOVE_TASKS_PER_QUEUE 8u
@@ -32,7 +31,7 @@
 static gboolean
 has_some_room (const Answer *answer)
 {
-  return answer->machine->cpus + answer->dispatch->least_cpus <= answer->machine->type->cpus + ROUNDING;
+  return answer->machine->cpus + answer->dispatch->least_cpus <= answer->machine->type->cpus + HZB_ROUNDING;
 }
 
 static gboolean
@@ -99,7 +98,8 @@
 
 /* ---- the machine's own run queue ---- */
 
-/* Returns: FALSE if a task does not fit yet. First come, first served: no task of this class or a lower one passes it. */
+/* Returns: FALSE if a task does not fit yet. First come, first served: no task of this class or a lower one passes it.
+ */
 static gboolean
 start_from_run_queue (const Answer *answer, guint scheduling_class)
 {
@@ -152,7 +152,8 @@
   return NULL;
 }
 
-/* The task that the machine should take over from another's run queue: of a sample of machines, from the most loaded. */
+/* The task that the machine should take over from another's run queue: of a sample of machines, from the most loaded.
+ */
 static HzbTask *
 find_task_to_move (const Answer *answer, guint scheduling_class, ImagePass pass)
 {
--- a/src/scheduling/dispatch-state.c
+++ b/src/scheduling/dispatch-state.c
@@ -170,8 +170,8 @@
 
 /* ---- what a team may use, and how fast ---- */
 
-/* A team's limit must not be filled, as it frees up, by whichever machine sends a heartbeat first: what the team's higher
- * classes wait for is kept for them. */
+/* A team's limit must not be filled, as it frees up, by whichever machine sends a heartbeat first: what the team's
+ * higher classes wait for is kept for them. */
 gboolean
 hzb_dispatch_team_may_use (HzbDispatch *dispatch, const HzbJob *job)
 {
--- a/src/scheduling/dispatch.c
+++ b/src/scheduling/dispatch.c
@@ -8,8 +8,8 @@
 #include <math.h>
 #include <string.h>
 
-/* Bounds of one run, so that it does not hold up the main loop. What more there is to place goes into the next run, or is
- * placed by samples of machines instead of full searches. */
+/* Bounds of one run, so that it does not hold up the main loop. What more there is to place goes into the next run, or
+ * is placed by samples of machines instead of full searches. */
 #define TASKS_PER_RUN 400u
 #define TASKS_PER_RUN_LAGGING 50u
 #define CANDIDATES_PER_RUN 20000u
@@ -97,9 +97,9 @@
     g_ptr_array_set_size (dispatch->waiting[class_index], 0);
 }
 
-/* Keeps the team's limit for the job's waiting tasks, see hzb_dispatch_team_may_use(). A job that cannot start now keeps
- * nothing: the team's other work would wait for it, and the job perhaps for a machine that is rented only once that work
- * is over. */
+/* Keeps the team's limit for the job's waiting tasks, see hzb_dispatch_team_may_use(). A job that cannot start now
+ * keeps nothing: the team's other work would wait for it, and the job perhaps for a machine that is rented only once
+ * that work is over. */
 static void
 keep_limit_for (HzbDispatch *dispatch, const HzbJob *job, struct timespec now)
 {
@@ -149,9 +149,9 @@
                          run->gpus[job->team] + job->spec->gpus);
 }
 
-/* Takes one of the job's tasks and puts it into the run queue of the best machine that the search has found. A task that no
- * machine could start for a while stays where it is, so that more pressing work which comes later can still go first, and
- * so that no more tasks are released than machines could take. Returns: FALSE if no task was placed */
+/* Takes one of the job's tasks and puts it into the run queue of the best machine that the search has found. A task
+ * that no machine could start for a while stays where it is, so that more pressing work which comes later can still go
+ * first, and so that no more tasks are released than machines could take. Returns: FALSE if no task was placed */
 static gboolean
 queue_one (const Run *run, HzbJob *job, HzbSearch *search)
 {
--- a/src/scheduling/gang.h
+++ b/src/scheduling/gang.h
@@ -1,6 +1,8 @@
 /**
+ * @file
  * SECTION: gang
- * @short_description: room for gangs, whose tasks all start together
+ *
+ * Room for gangs, whose tasks all start together.
  */
 #pragma once
 #include "dispatch-state.h"
@@ -13,8 +15,8 @@
 gboolean hzb_gang_place (HzbDispatch *dispatch, HzbJob *job, struct timespec now);
 
 /**
- * hzb_gang_blocks_machine: whether a gang waits for room that this machine may have to offer. Work of @scheduling_class or below then
- * must not start there, or there would never be room for all of the gang.
+ * hzb_gang_blocks_machine: whether a gang waits for room that this machine may have to offer. Work of
+ * `scheduling_class` or below then must not start there, or there would never be room for all of the gang.
  */
 gboolean
 hzb_gang_blocks_machine (HzbDispatch *dispatch, const HzbMachine *machine, guint scheduling_class, struct timespec now);
--- a/src/scheduling/headroom.c
+++ b/src/scheduling/headroom.c
@@ -17,8 +17,8 @@
 
 /* ---- which zones ---- */
 
-/* Zones with replicas or reserved machines go first, or room would be kept in ever other zones; then those with the most
- * machines to choose from. */
+/* Zones with replicas or reserved machines go first, or room would be kept in ever other zones; then those with the
+ * most machines to choose from. */
 static double
 zone_rank (const HzbMachines *machines, const HzbJobSpec *spec, const char *zone)
 {
@@ -149,7 +149,8 @@
   return machine->type->cpus - machine->service_cpus - machine->queued_service_cpus;
 }
 
-/* Keeps HzbJob.begun and HzbJob.waits_since. Returns: whether the job has waited long although its team's limit allows more */
+/* Keeps HzbJob.begun and HzbJob.waits_since. Returns: whether the job has waited long although its team's limit allows
+ * more */
 static gboolean
 waits_in_vain (HzbJobs *jobs, HzbJob *job, struct timespec now)
 {
@@ -165,8 +166,8 @@
   return in_vain;
 }
 
-/* Room must not stay empty for good while other work waits: a replica that needs it later can preempt that work. Examines every
- * job, also after one was found, since each is kept track of. */
+/* Room must not stay empty for good while other work waits: a replica that needs it later can preempt that work.
+ * Examines every job, also after one was found, since each is kept track of. */
 static gboolean
 any_other_job_waits_in_vain (HzbJobs *jobs)
 {
@@ -183,7 +184,8 @@
   return any;
 }
 
-/* Lower is better: machines of this controller's own first, with replicas already, and with the least other work to wait for. */
+/* Lower is better: machines of this controller's own first, with replicas already, and with the least other work to
+ * wait for. */
 static double
 reserve_cost (const HzbMachine *machine)
 {
@@ -196,8 +198,8 @@
   return cost + machine->cpus - COST_PER_SERVICE_CPU * machine->service_cpus;
 }
 
-/* Returns: (transfer none) (nullable): the machine that can serve soonest. Machines that still boot count, too: they would be
- * leased to another controller as soon as they are up. */
+/* Returns: (transfer none) (nullable): the machine that can serve soonest. Machines that still boot count, too: they
+ * would be leased to another controller as soon as they are up. */
 static HzbMachine *
 next_to_reserve (const HzbHeadroom *headroom, HzbMachines *machines, const char *zone)
 {
--- a/src/scheduling/headroom.h
+++ b/src/scheduling/headroom.h
@@ -1,10 +1,13 @@
 /**
+ * @file
  * SECTION: headroom
- * @short_description: room that is kept free for services
  *
- * A replica that waits for a machine to boot, or for other work to be stopped, is missed from the first second. So, while there is a
- * service, some ordinary machines in two zones take replicas only, and in each zone as much stays free there as the largest service takes,
- * and one more replica. The room is given up while another job waits for long although its team's limit allows it.
+ * Room that is kept free for services.
+ *
+ * A replica that waits for a machine to boot, or for other work to be stopped, is missed from the first second. So,
+ * while there is a service, some ordinary machines in two zones take replicas only, and in each zone as much stays free
+ * there as the largest service takes, and one more replica. The room is given up while another job waits for long
+ * although its team's limit allows it.
  */
 #pragma once
 #include "machines.h"
@@ -26,7 +29,7 @@
 {
   const HzbJobSpec
       *spec;     /**< (nullable) Of the service with the largest replicas; NULL: there is no service. Not owned. */
-  guint n_zones; /**< How many of #zones hold. */
+  guint n_zones; /**< How many of zones hold. */
   HzbHeadroomZone zones[HZB_HEADROOM_ZONES]; /**< The zones. */
 } HzbHeadroom;
 
--- a/src/scheduling/job-codec.h
+++ b/src/scheduling/job-codec.h
@@ -1,9 +1,12 @@
 /**
+ * @file
  * SECTION: job-codec
- * @short_description: the replicated records of jobs in the key-value store
  *
- * There are two kinds. A record of acceptance names all jobs that a controller accepted together; its value maps the name of each job to an
- * entry with the submission. The record of an end says how one job ended. The stored form never changes.
+ * The replicated records of jobs in the key-value store.
+ *
+ * There are two kinds. A record of acceptance names all jobs that a controller accepted together; its value maps the
+ * name of each job to an entry with the submission. The record of an end says how one job ended. The stored form never
+ * changes.
  */
 #pragma once
 #include "job.h"
@@ -13,7 +16,7 @@
 /** HzbJobRecord: what a record says of one job. */
 typedef struct
 {
-  HzbJobState state;        /**< #HZB_JOB_ACCEPTED: from a record of acceptance; otherwise the record of its end. */
+  HzbJobState state;        /**< HZB_JOB_ACCEPTED: from a record of acceptance; otherwise the record of its end. */
   struct timespec accepted; /**< Of an acceptance: when, time of day. */
   HzbJobSpec *spec;         /**< Of an acceptance: (transfer full): the submission; otherwise NULL. */
   guint n_tasks;            /**< Number of tasks. */
@@ -35,25 +38,25 @@
 
 /**
  * hzb_job_record_decode:
- * @uid: name of the job
- * @value: the entry of a record of acceptance, or the record of an end
- * @known_tasks: the number of tasks, if the record of an end does not say it
- * @record: (out): freed with hzb_job_record_clear()
+ * `uid`: name of the job
+ * `value`: the entry of a record of acceptance, or the record of an end
+ * `known_tasks`: the number of tasks, if the record of an end does not say it
+ * `record`: (out): freed with hzb_job_record_clear()
  *
- * Returns: FALSE if @value is neither
+ * Returns: FALSE if `value` is neither
  */
 gboolean hzb_job_record_decode (const char *uid, const cJSON *value, guint known_tasks, HzbJobRecord *record);
 
 /**
  * hzb_acceptance_decode: the jobs that a record of acceptance names, in its order.
  *
- * Returns: (transfer full) (element-type HzbAcceptedJob): valid for as long as @value is
+ * Returns: (transfer full) (element-type HzbAcceptedJob): valid for as long as `value` is
  */
 GArray *hzb_acceptance_decode (const cJSON *value);
 
 /**
  * hzb_jobs_pack_accepted: a job's entry in a record of acceptance.
- * @wall: when the job was accepted, time of day; recorded in whole milliseconds
+ * `wall`: when the job was accepted, time of day; recorded in whole milliseconds
  *
  * Returns: (transfer full)
  */
@@ -61,7 +64,7 @@
 
 /**
  * hzb_jobs_pack_final: the record of a job's end.
- * @state: #HZB_JOB_DONE or #HZB_JOB_CANCELLED
+ * `state`: HZB_JOB_DONE or HZB_JOB_CANCELLED
  *
  * Returns: (transfer full)
  */
--- a/src/scheduling/job.h
+++ b/src/scheduling/job.h
@@ -1,10 +1,12 @@
 /**
+ * @file
  * SECTION: job
- * @short_description: a job and its tasks, as data
  *
- * Each controller holds an #HzbJob for each job that it has read from the replicated records. The controller that owns tasks of the job
- * (the leader, or a leaseholder) also keeps where each task is. jobs.h is the registry of jobs; task.h has the one function that changes
- * the state of a task.
+ * A job and its tasks, as data.
+ *
+ * Each controller holds an HzbJob for each job that it has read from the replicated records. The controller that owns
+ * tasks of the job (the leader, or a leaseholder) also keeps where each task is. jobs.h is the registry of jobs; task.h
+ * has the one function that changes the state of a task.
  */
 #pragma once
 #include "clock.h"
@@ -24,8 +26,8 @@
 /**
  * HzbTaskState: where a task is, as far as this controller knows.
  *
- * The order matters: the states from #HZB_TASK_RESERVED to #HZB_TASK_CHECKPOINTING are those in which a task takes room on a machine,
- * see hzb_task_on_machine().
+ * The order matters: the states from HZB_TASK_RESERVED to HZB_TASK_CHECKPOINTING are those in which a task takes room
+ * on a machine, see hzb_task_on_machine().
  */
 typedef enum
 {
@@ -37,7 +39,7 @@
   HZB_TASK_RESERVED,      /**< Room on a machine is reserved for it; the start command has not been sent. */
   HZB_TASK_STARTING,      /**< The start command was sent; no newer heartbeat has come yet. */
   HZB_TASK_FETCHING,      /**< Its machine fetches the image. */
-  HZB_TASK_WAITING,       /**< Its machine holds it until its start, for instance until all of a gang are there. */
+  HZB_TASK_WAITING,       /**< Of a gang: it is on its machine and waits for the other tasks. */
   HZB_TASK_RUNNING,       /**< It runs. */
   HZB_TASK_CHECKPOINTING, /**< It was told to stop and saves its progress. */
   HZB_TASK_FINISHED,      /**< Its result is known but not yet durable. */
@@ -51,7 +53,7 @@
   HzbJob *job;                /**< The job it belongs to; not owned. */
   HzbMachine *machine;        /**< (nullable) Where it is, or in whose run queue; not owned. */
   guint index;                /**< Its number in the job, from 0. */
-  guint8 state;               /**< An #HzbTaskState, changed by hzb_task_set_state() only. */
+  guint8 state;               /**< An HzbTaskState, changed by hzb_task_set_state() only. */
   guint8 tries;               /**< Failed attempts in a row, which the back-off is computed from. */
   guint8 leaseholder;         /**< The leaseholder (1 and up) that it was delegated to; 0: none. */
   gboolean stopping : 1;      /**< It is to be stopped, or a stop command was sent. */
@@ -90,37 +92,37 @@
   HzbTask *tasks;          /**< (nullable) One for each task; NULL: this controller owns none of them. */
   guint cursor;            /**< Tasks from here on have never been placed. */
   GQueue retry;            /**< (element-type HzbTask) Tasks that are pending again after they were elsewhere. */
-  guint pending;           /**< Tasks in #HZB_TASK_PENDING, released or not. */
-  guint queued;            /**< Tasks in #HZB_TASK_QUEUED. */
-  guint unconfirmed;       /**< Tasks in #HZB_TASK_UNCONFIRMED. */
-  guint other_owner;       /**< Tasks in #HZB_TASK_OTHER_OWNER. */
+  guint pending;           /**< Tasks in HZB_TASK_PENDING, released or not. */
+  guint queued;            /**< Tasks in HZB_TASK_QUEUED. */
+  guint unconfirmed;       /**< Tasks in HZB_TASK_UNCONFIRMED. */
+  guint other_owner;       /**< Tasks in HZB_TASK_OTHER_OWNER. */
   guint placed;            /**< Tasks on a machine, or delegated to a leaseholder. */
   guint running;           /**< Of these, running or checkpointing on machines of this controller's own. */
   guint delegated_running; /**< Running on machines of leaseholders, as these say. */
   guint delegated_leaving; /**< Of the delegated tasks, those on machines that the leader has recalled. */
-  guint finished;          /**< Tasks in #HZB_TASK_FINISHED. */
-  guint done;              /**< Tasks in #HZB_TASK_DONE. */
+  guint finished;          /**< Tasks in HZB_TASK_FINISHED. */
+  guint done;              /**< Tasks in HZB_TASK_DONE. */
   guint64 next_attempt;    /**< The last attempt number given out. */
-  gboolean
-      awaits_verdict; /**< After a cold start: no command is given for it until its verdict is durable, see reconciliation.h. */
+  gboolean awaits_verdict; /**< After a cold start: no command is given for it until its verdict is durable, see
+                              reconciliation.h. */
   gboolean announced_to_leaseholders; /**< Leaseholders have been told of its cancellation. */
   /** @} */
 
   /** @name What of it is recorded, on the leader only; kept by src/records
    * @{ */
   guint released;             /**< Tasks below this number may have been started: this mark is durable. */
-  guint releasing;            /**< The mark that is being written; at least #released. */
+  guint releasing;            /**< The mark that is being written; at least released. */
   gboolean release_requested; /**< A machine could take more tasks than are released. */
   gboolean dirty;             /**< Its progress changed since it was written last. */
   gboolean completing;        /**< The record of its end is being written. */
   gboolean on_pages;          /**< Its progress is on the leader's pages. */
-  gboolean
-      unsplit; /**< Its progress is in the large parts of schema version 1, which stay while a controller of that version runs. */
+  gboolean unsplit; /**< Its progress is in the large parts of schema version 1, which stay while a controller of that
+                       version runs. */
   /** @} */
 
   /** @name Its place in the order of service, kept by hzb_scheduling_classes_update()
    * @{ */
-  guint8 scheduling_class; /**< An #HzbSchedulingClass (machine.h). */
+  guint8 scheduling_class; /**< An HzbSchedulingClass (machine.h). */
   gboolean guaranteed;     /**< It fits its team's guarantee, together with the team's older jobs. */
   gboolean start_overdue;  /**< No task has started for long: its first task goes before other work. */
   double mean_s;           /**< Best guess of a task's run time in seconds; 0: the user's estimate holds. */
@@ -138,9 +140,9 @@
 
   /** @name Whether it waits in vain, kept by hzb_headroom_reserve()
    * @{ */
-  guint begun; /**< Tasks that had begun when that function last examined the job. */
-  struct timespec
-      waits_since; /**< No more tasks have begun since then, although the team's limit allows it; unset: not examined. */
+  guint begun;                 /**< Tasks that had begun when that function last examined the job. */
+  struct timespec waits_since; /**< No more tasks have begun since then, although the team's limit allows it; unset: not
+                                  examined. */
   /** @} */
 };
 
@@ -158,7 +160,8 @@
 gboolean hzb_task_on_machine (const HzbTask *task);
 
 /**
- * hzb_task_remaining_s: how many seconds the task is expected to run from @now on, if it runs on this controller's machine.
+ * hzb_task_remaining_s: how many seconds the task is expected to run from `now` on, if it runs on this controller's
+ * machine.
  *
  * Returns: 0 for a replica of a service: it takes its room for good and leaves no work that others would wait for
  */
@@ -183,5 +186,6 @@
  */
 HzbTask *hzb_job_next_pending (HzbJob *job, struct timespec now);
 
-/** hzb_job_spec_grace_s: seconds that a task of this job is given to save a checkpoint when it is stopped; 0: it has no checkpoints. */
+/** hzb_job_spec_grace_s: seconds that a task of this job is given to save a checkpoint when it is stopped; 0: it has no
+ * checkpoints. */
 double hzb_job_spec_grace_s (const HzbJobSpec *spec);
--- a/src/scheduling/jobs.c
+++ b/src/scheduling/jobs.c
@@ -115,8 +115,8 @@
 {
   HzbAcceptance *acceptance = g_hash_table_lookup (jobs->acceptances, key);
 
-  /* The leader records the ends of all jobs before it deletes the record of their acceptance, but this controller may read
-   * the deletion first. */
+  /* The leader records the ends of all jobs before it deletes the record of their acceptance, but this controller may
+   * read the deletion first. */
   if (acceptance && acceptance->open)
     acceptance->removing = acceptance->gone = TRUE;
   else if (acceptance)
@@ -140,8 +140,8 @@
 {
   job->named++;
   g_ptr_array_add (acceptance->jobs, job);
-  /* Two controllers may have accepted the same job, and controllers may read the two records in different order. So each
-   * record stays until the job is terminal. */
+  /* Two controllers may have accepted the same job, and controllers may read the two records in different order. So
+   * each record stays until the job is terminal. */
   if (!job->version)
     {
       job->acceptances = g_slist_prepend (job->acceptances, acceptance);
@@ -241,10 +241,9 @@
     return job;
   if (!hzb_job_record_decode (uid, value, job ? job->n_tasks : 0, &record))
     {
-      g_critical (
-          "job %s: its record in the key-value store cannot be read, so it is left out here; look at the record, and at "
-          "which version wrote it",
-          uid);
+      g_critical ("job %s: its record in the key-value store cannot be read, so the job is left out here. Check which "
+                  "version wrote the record",
+                  uid);
       return NULL;
     }
   if (!job)
@@ -290,16 +289,18 @@
   for (GList *l = jobs->completed.head; l && beyond && old->len < most; l = l->next, beyond--)
     {
       HzbJob *job = l->data;
-      /* While a record of acceptance names the job, a controller that starts must find the end among the replicated records. */
+      /* While a record of acceptance names the job, a controller that starts must find the end among the replicated
+       * records. */
       if (!job->named && !job->tasks && !job->archiving)
         g_ptr_array_add (old, job);
     }
   return old;
 }
 
-/* A controller that reads all records in pages may have read that a job was accepted, while its end moved to the archive before
- * the page of ends was read: without this the job would be called queued here for ever. An end moves only once no record of
- * acceptance names the job, so this controller has already read the deletion of each record of acceptance that it knows. */
+/* A controller that reads all records in pages may have read that a job was accepted, while its end moved to the
+ * archive before the page of ends was read: without this the job would be called queued here for ever. An end moves
+ * only once no record of acceptance names the job, so this controller has already read the deletion of each record of
+ * acceptance that it knows. */
 gboolean
 hzb_jobs_forget (HzbJobs *jobs, const char *uid)
 {
@@ -342,8 +343,8 @@
   return gone;
 }
 
-/* This controller missed so many changes that it had to read everything anew. A job that ended in the meantime, and whose
- * records are deleted, would otherwise be called accepted here for ever. */
+/* This controller missed so many changes that it had to read everything anew. A job that ended in the meantime, and
+ * whose records are deleted, would otherwise be called accepted here for ever. */
 void
 hzb_jobs_load_end (HzbJobs *jobs)
 {
--- a/src/scheduling/jobs.h
+++ b/src/scheduling/jobs.h
@@ -1,16 +1,19 @@
 /**
+ * @file
  * SECTION: jobs
- * @short_description: the registry of jobs
  *
- * Each controller keeps what the replicated records say of jobs (jobs.c). The controller that owns tasks also keeps where they are, from
- * hzb_jobs_begin_ownership() to hzb_jobs_end_ownership() (owned-jobs.c).
+ * The registry of jobs.
+ *
+ * Each controller keeps what the replicated records say of jobs (jobs.c). The controller that owns tasks also keeps
+ * where they are, from hzb_jobs_begin_ownership() to hzb_jobs_end_ownership() (owned-jobs.c).
  */
 #pragma once
 #include "job-codec.h"
 #include "kv-protocol.h"
 #include "shard.h"
 
-/** HZB_CHUNK_TASKS_SCHEMA_1: tasks in a part of a job's progress as schema version 1 records it, which does not state the size. */
+/** HZB_CHUNK_TASKS_SCHEMA_1: tasks in a part of a job's progress as schema version 1 records it, which does not state
+ * the size. */
 #define HZB_CHUNK_TASKS_SCHEMA_1 32768u
 
 /** HzbAcceptance: a record of jobs that were accepted together. It can be deleted once all of them are terminal. */
@@ -25,8 +28,7 @@
 } HzbAcceptance;
 
 /** HzbJobs: the registry. */
-typedef struct _HzbJobs HzbJobs;
-struct _HzbJobs
+typedef struct
 {
   /** @name Replicated state, on every controller
    * @{ */
@@ -48,18 +50,18 @@
 
   HzbClock *clock;             /**< Not owned. */
   const HzbSettings *settings; /**< Not owned. */
-};
+} HzbJobs;
 
 /**
  * hzb_jobs_new:
- * @clock: (transfer none): outlives the registry
- * @settings: (transfer none): outlives the registry
+ * `clock`: (transfer none): outlives the registry
+ * `settings`: (transfer none): outlives the registry
  *
  * Returns: (transfer full): an empty registry
  */
 HzbJobs *hzb_jobs_new (HzbClock *clock, const HzbSettings *settings);
 
-/** hzb_jobs_free: @jobs: (transfer full) */
+/** hzb_jobs_free: `jobs`: (transfer full) */
 void hzb_jobs_free (HzbJobs *jobs);
 
 /** hzb_jobs_find: Returns: (transfer none) (nullable): the job of that name */
@@ -67,22 +69,24 @@
 
 /**
  * hzb_jobs_apply: takes in what a record says of a job. Nothing changes any more for a job whose end is known.
- * @value: the entry of a record of acceptance, or the record of an end
- * @version: revision of the record of an end
+ * `value`: the entry of a record of acceptance, or the record of an end
+ * `version`: revision of the record of an end
  *
  * Returns: (transfer none) (nullable): the job; NULL if the record cannot be read, which is logged
  */
 HzbJob *hzb_jobs_apply (HzbJobs *jobs, const char *uid, const cJSON *value, guint64 version);
 
-/** hzb_jobs_apply_acceptance: takes in a record of acceptance. @value: (nullable): NULL: the record was deleted */
+/** hzb_jobs_apply_acceptance: takes in a record of acceptance. `value`: (nullable): NULL: the record was deleted */
 void hzb_jobs_apply_acceptance (HzbJobs *jobs, const char *key, const cJSON *value);
 
-/** hzb_jobs_completed_acceptance: Returns: (transfer none) (nullable): a record that can be deleted, since all of its jobs are terminal */
+/** hzb_jobs_completed_acceptance: Returns: (transfer none) (nullable): a record that can be deleted, since all of its
+ * jobs are terminal */
 HzbAcceptance *hzb_jobs_completed_acceptance (HzbJobs *jobs);
 
 /**
- * hzb_jobs_archivable: the oldest terminal jobs, beyond those that stay replicated, whose records may move to the archive.
- * @most: at most so many
+ * hzb_jobs_archivable: the oldest terminal jobs, beyond those that stay replicated, whose records may move to the
+ * archive.
+ * `most`: at most so many
  *
  * Returns: (transfer full) (element-type HzbJob)
  */
@@ -101,21 +105,24 @@
 /** hzb_jobs_load_end: all records have been read: what this reading did not show is dropped. */
 void hzb_jobs_load_end (HzbJobs *jobs);
 
-/** hzb_jobs_compare_not_terminal: makes the transaction conditional on no record, replicated or archived, saying that the job has ended. */
+/** hzb_jobs_compare_not_terminal: makes the transaction conditional on no record, replicated or archived, saying that
+ * the job has ended. */
 void hzb_jobs_compare_not_terminal (HzbKvTransaction *transaction, const char *uid);
 
 /**
  * hzb_jobs_begin_ownership: this controller owns tasks from now on.
- * @shard: (transfer none): valid until hzb_jobs_end_ownership()
+ * `shard`: (transfer none): valid until hzb_jobs_end_ownership()
  *
- * The leader activates all jobs at once. A leaseholder sets HzbJobs.leaseholder before the call and activates those that are delegated to it.
+ * The leader activates all jobs at once. A leaseholder sets HzbJobs.leaseholder before the call and activates those
+ * that are delegated to it.
  */
 void hzb_jobs_begin_ownership (HzbJobs *jobs, HzbShard *shard);
 
 /** hzb_jobs_end_ownership: forgets where the tasks of all jobs are. */
 void hzb_jobs_end_ownership (HzbJobs *jobs);
 
-/** hzb_jobs_activate: keeps track of the job's tasks from now on. Does nothing for a job that is active or whose team the settings do not name. */
+/** hzb_jobs_activate: keeps track of the job's tasks from now on. Does nothing for a job that is active or whose team
+ * the settings do not name. */
 void hzb_jobs_activate (HzbJobs *jobs, HzbJob *job);
 
 /** hzb_jobs_retire: forgets where the job's tasks are, once none of them is on any machine. */
@@ -127,9 +134,9 @@
 /**
  * hzb_jobs_record_run_time: a task of the job ran for so many seconds.
  *
- * Users' estimates of a job class may all be too high or too low, which the known distribution of the paper leaves no room for. So the
- * mean run time of a job is its user's estimate, corrected by how much the estimates of its class have been off. What the job's own tasks
- * took is not used by itself, since the short ones end first.
+ * Users' estimates of a job class may all be too high or too low, which the known distribution of the paper leaves no
+ * room for. So the mean run time of a job is its user's estimate, corrected by how much the estimates of its class have
+ * been off. What the job's own tasks took is not used by itself, since the short ones end first.
  */
 void hzb_jobs_record_run_time (HzbJobs *jobs, HzbJob *job, double seconds);
 
--- a/src/scheduling/machine-codec.h
+++ b/src/scheduling/machine-codec.h
@@ -1,6 +1,8 @@
 /**
+ * @file
  * SECTION: machine-codec
- * @short_description: the record of a machine in the key-value store
+ *
+ * The record of a machine in the key-value store.
  */
 #pragma once
 #include "machine.h"
@@ -9,7 +11,7 @@
 
 /**
  * hzb_machine_pack: the entry of a machine on the leader's page of machines.
- * @wall: now, time of day
+ * `wall`: now, time of day
  *
  * Its address is not recorded: the worker states it in every heartbeat.
  *
--- a/src/scheduling/machine.c
+++ b/src/scheduling/machine.c
@@ -1,10 +1,8 @@
 #include "machine.h"
 
-#include <math.h>
+#include "rounding.h"
 
-/* Sums of CPUs, GPUs and GB are compared with this tolerance: adding and subtracting them leaves rounding errors. */
-#define ROUNDING 1e-6
-#define QUOTIENT_ROUNDING 1e-9
+#include <math.h>
 
 /* How much more the fetch of an image counts than other seconds: it holds the place of a task all the while. */
 #define FETCH_WEIGHT 2.0
@@ -135,9 +133,9 @@
 gboolean
 hzb_machine_has_room_for (const HzbMachine *machine, const HzbJobSpec *spec, guint n_tasks)
 {
-  return machine->cpus + spec->cpus * n_tasks <= machine->type->cpus + ROUNDING
-         && machine->gpus + spec->gpus * n_tasks <= machine->type->gpus + ROUNDING
-         && machine->memory + spec->memory_gb * n_tasks <= machine->type->memory_gb + ROUNDING;
+  return machine->cpus + spec->cpus * n_tasks <= machine->type->cpus + HZB_ROUNDING
+         && machine->gpus + spec->gpus * n_tasks <= machine->type->gpus + HZB_ROUNDING
+         && machine->memory + spec->memory_gb * n_tasks <= machine->type->memory_gb + HZB_ROUNDING;
 }
 
 gboolean
@@ -149,9 +147,9 @@
 gboolean
 hzb_machine_takes_replica (const HzbMachine *machine, const HzbJobSpec *spec)
 {
-  return machine->service_cpus + machine->queued_service_cpus + spec->cpus <= machine->type->cpus + ROUNDING
+  return machine->service_cpus + machine->queued_service_cpus + spec->cpus <= machine->type->cpus + HZB_ROUNDING
          && machine->service_memory + machine->queued_service_memory + spec->memory_gb
-                <= machine->type->memory_gb + ROUNDING;
+                <= machine->type->memory_gb + HZB_ROUNDING;
 }
 
 /* ---- what may run there, and how well ---- */
@@ -166,8 +164,8 @@
 gboolean
 hzb_type_holds (const HzbMachineType *type, const HzbJobSpec *spec)
 {
-  return type->cpus + QUOTIENT_ROUNDING >= spec->cpus && type->gpus + QUOTIENT_ROUNDING >= spec->gpus
-         && type->memory_gb + QUOTIENT_ROUNDING >= spec->memory_gb
+  return type->cpus + HZB_QUOTIENT_ROUNDING >= spec->cpus && type->gpus + HZB_QUOTIENT_ROUNDING >= spec->gpus
+         && type->memory_gb + HZB_QUOTIENT_ROUNDING >= spec->memory_gb
          && (!spec->types || g_strv_contains ((const char *const *) spec->types, type->name));
 }
 
@@ -175,7 +173,7 @@
 static double
 limited_by (double n_tasks, double room, double each)
 {
-  return MIN (n_tasks, floor (room / each + QUOTIENT_ROUNDING));
+  return MIN (n_tasks, floor (room / each + HZB_QUOTIENT_ROUNDING));
 }
 
 guint
@@ -199,9 +197,9 @@
 {
   double v = hzb_type_speed (machine->type, spec);
 
-  if (machine->service_cpus > ROUNDING && spec->cpus > 0)
+  if (machine->service_cpus > HZB_ROUNDING && spec->cpus > 0)
     v = limited_by (v, machine->type->cpus - machine->service_cpus, spec->cpus);
-  if (machine->service_memory > ROUNDING && spec->memory_gb > 0)
+  if (machine->service_memory > HZB_ROUNDING && spec->memory_gb > 0)
     v = limited_by (v, machine->type->memory_gb - machine->service_memory, spec->memory_gb);
   return (guint) MAX (v, 0);
 }
--- a/src/scheduling/machines.c
+++ b/src/scheduling/machines.c
@@ -179,7 +179,8 @@
   while (g_hash_table_iter_next (&iter, &uid, &count))
     {
       const HzbJob *job = hzb_jobs_find (jobs, uid);
-      /* A job that fails wherever it runs says nothing about the machine: it would have one machine after another returned. */
+      /* A job that fails wherever it runs says nothing about the machine: it would have one machine after another
+       * returned. */
       if (!job || (job->failed_on_several && !job->did_well))
         continue;
       failures += GPOINTER_TO_UINT (count);
--- a/src/scheduling/owned-jobs.c
+++ b/src/scheduling/owned-jobs.c
@@ -3,8 +3,9 @@
 #include <math.h>
 #include <string.h>
 
-/* How estimates of run times are corrected, see hzb_jobs_record_run_time(). The estimate of one job is wrong in one way for
- * all its tasks, so a job counts as one observation. A smaller bias than the threshold cannot be told from chance. */
+/* How estimates of run times are corrected, see hzb_jobs_record_run_time(). The estimate of one job is wrong in one way
+ * for all its tasks, so a job counts as one observation. A smaller bias than the threshold cannot be told from chance.
+ */
 #define BIAS_SMOOTHING 0.08
 #define BIAS_THRESHOLD 0.35 /* of the logarithm of the ratio: a factor of 1.4 */
 #define MAX_BIAS 2.0        /* of one observation */
@@ -64,7 +65,8 @@
   return strcmp (x->uid, y->uid);
 }
 
-/* On the leader all tasks of a job begin as pending; on a leaseholder they are another owner's until they are delegated. */
+/* On the leader all tasks of a job begin as pending; on a leaseholder they are another owner's until they are
+ * delegated. */
 static void
 create_tasks (HzbJobs *jobs, HzbJob *job, struct timespec now)
 {
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -1,11 +1,10 @@
 #include "preemption.h"
 
+#include "rounding.h"
 #include "worker-protocol.h"
 
 #include <math.h>
 
-#define ROUNDING 1e-6
-
 /* A task that is expected to end sooner is left to end. */
 #define NEARLY_DONE_S 5.0
 
@@ -37,8 +36,8 @@
     return FALSE;
   /* The other team has at least what it is guaranteed also without the victim. */
   team = dispatch->settings->teams->pdata[other->team];
-  return shard->cpus[other->team] - other->spec->cpus >= team->cpus - ROUNDING
-         && shard->gpus[other->team] - other->spec->gpus >= team->gpus - ROUNDING;
+  return shard->cpus[other->team] - other->spec->cpus >= team->cpus - HZB_ROUNDING
+         && shard->gpus[other->team] - other->spec->gpus >= team->gpus - HZB_ROUNDING;
 }
 
 /* The objective says how soon such a job should start. */
@@ -104,7 +103,8 @@
   return x->cost < y->cost ? -1 : x->cost > y->cost;
 }
 
-/* CPUs by which the team exceeds its limit with the preemptor's waiting tasks, without what is already being stopped. */
+/* CPUs by which the team exceeds its limit with the preemptor's waiting tasks, without what is already being stopped.
+ */
 static double
 cpus_lacking (const HzbDispatch *dispatch, const HzbJob *preemptor)
 {
@@ -114,7 +114,7 @@
   double lack =
       shard->cpus[team] + MIN ((preemptor->pending + preemptor->queued) * preemptor->spec->cpus, limit) - limit;
 
-  for (guint i = 0; i < dispatch->jobs->active->len && lack > ROUNDING; i++)
+  for (guint i = 0; i < dispatch->jobs->active->len && lack > HZB_ROUNDING; i++)
     {
       const HzbJob *job = dispatch->jobs->active->pdata[i];
       for (guint k = 0; job->team == team && job->placed && k < job->n_tasks; k++)
@@ -162,10 +162,10 @@
   if (preemptor->spec->kind == HZB_JOB_GANG || !has_waited_long_enough (dispatch, preemptor, now))
     return;
   lack = cpus_lacking (dispatch, preemptor);
-  if (lack <= ROUNDING)
+  if (lack <= HZB_ROUNDING)
     return;
   victims = victims_within_team (dispatch, preemptor, now);
-  for (guint i = 0; i < victims->len && lack > ROUNDING; i++)
+  for (guint i = 0; i < victims->len && lack > HZB_ROUNDING; i++)
     {
       HzbTask *task = g_array_index (victims, Victim, i).task;
       task->stopping = TRUE;
@@ -200,8 +200,8 @@
 static gboolean
 room_lacks (const Room *room, const HzbJobSpec *spec)
 {
-  return room->cpus + ROUNDING < spec->cpus || room->gpus + ROUNDING < spec->gpus
-         || room->memory_gb + ROUNDING < spec->memory_gb;
+  return room->cpus + HZB_ROUNDING < spec->cpus || room->gpus + HZB_ROUNDING < spec->gpus
+         || room->memory_gb + HZB_ROUNDING < spec->memory_gb;
 }
 
 static Room
@@ -281,7 +281,8 @@
   gboolean own_team_only = !hzb_shard_fits (dispatch->jobs->shard, preemptor->team, spec->cpus, spec->gpus);
 
   if (preemptor->state != HZB_JOB_ACCEPTED || !hzb_zone_allowed (preemptor, machine)
-      || !has_waited_long_enough (dispatch, preemptor, now) || (own_team_only && room->cpus + ROUNDING >= spec->cpus))
+      || !has_waited_long_enough (dispatch, preemptor, now)
+      || (own_team_only && room->cpus + HZB_ROUNDING >= spec->cpus))
     return TRUE;
   return make_room (dispatch, machine, preemptor, own_team_only, room, now, commands);
 }
--- a/src/scheduling/scale-in.c
+++ b/src/scheduling/scale-in.c
@@ -140,8 +140,8 @@
       balance->have[i] -= hzb_demand_useful_units (balance->demands->pdata[i], machine->type);
 }
 
-/* Machines beyond what is wanted take no new tasks, the dearest first; once empty they are returned. The rule of dispatch spreads
- * work evenly, so otherwise each machine would stay half full for as long as there is any work. */
+/* Machines beyond what is wanted take no new tasks, the dearest first; once empty they are returned. The rule of
+ * dispatch spreads work evenly, so otherwise each machine would stay half full for as long as there is any work. */
 static void
 mark_scale_in_candidates (HzbAutoscaler *autoscaler, struct timespec now)
 {
--- a/src/scheduling/scale-out.c
+++ b/src/scheduling/scale-out.c
@@ -1,12 +1,12 @@
 #include "demand.h"
 
+#include "rounding.h"
+
 #include <math.h>
 
 #define MOST_PER_REQUEST 50u /* machines by one call, as the cloud takes */
 #define MOST_REQUESTS 8u     /* calls of one plan; the next plan waits for their answers */
 
-#define ROUNDING 1e-6
-
 /* A lack below this part of a machine, or below one unit, is not worth a machine where there are others already. */
 #define WORTH_PART 0.25
 #define WORTH_UNITS 1
@@ -39,7 +39,7 @@
 static gboolean
 is_wanted_at (const Plan *plan, double dearness)
 {
-  return plan->have + ROUNDING < hzb_demand_units (plan->demand, dearness);
+  return plan->have + HZB_ROUNDING < hzb_demand_units (plan->demand, dearness);
 }
 
 static gboolean
@@ -69,7 +69,8 @@
     }
 }
 
-/* Finds the cheapest kind that was neither requested in this round (@tried) nor refused lately. Returns: FALSE if there is none */
+/* Finds the cheapest kind that was neither requested in this round (@tried) nor refused lately. Returns: FALSE if there
+ * is none */
 static gboolean
 cheapest_kind (const Plan *plan, GHashTable *tried, HzbMachineKind *best, double *least)
 {
@@ -100,7 +101,7 @@
   double lack = hzb_demand_units (plan->demand, price / plan->lowest_price) - plan->have;
   HzbScaleOutRequest request = { kind->type, kind->zone, kind->spot, 0 };
 
-  if (lack < (plan->have > 0 ? MIN (WORTH_UNITS, units * WORTH_PART) : ROUNDING))
+  if (lack < (plan->have > 0 ? MIN (WORTH_UNITS, units * WORTH_PART) : HZB_ROUNDING))
     return 0;
   request.count = (guint) CLAMP (ceil (lack / units - WORTH_PART), 1, MOST_PER_REQUEST);
   g_array_append_val (plan->requests, request);
@@ -108,9 +109,9 @@
   return request.count;
 }
 
-/* Requests kinds from the cheapest on, until no more is wanted. If a request was as large as a call may be, a second round follows
- * once each kind was requested: otherwise a fleet with few kinds would grow by one call a second. It does not begin earlier, since the
- * cheapest kind may be the one that boots longest. */
+/* Requests kinds from the cheapest on, until no more is wanted. If a request was as large as a call may be, a second
+ * round follows once each kind was requested: otherwise a fleet with few kinds would grow by one call a second. It does
+ * not begin earlier, since the cheapest kind may be the one that boots longest. */
 static void
 request_machines (Plan *plan)
 {
--- a/src/scheduling/scheduling-class.c
+++ b/src/scheduling/scheduling-class.c
@@ -1,14 +1,14 @@
 #include "scheduling-class.h"
 
+#include "rounding.h"
 #include "task.h"
 
 #include <math.h>
 #include <string.h>
 
-#define ROUNDING 1e-6
-
-/* Where the job with the least work goes first, the largest job would wait for as long as smaller ones keep coming. Users want
- * the largest to begin within four minutes: after half of that the first task of any job goes before all but urgent work. */
+/* Where the job with the least work goes first, the largest job would wait for as long as smaller ones keep coming.
+ * Users want the largest to begin within four minutes: after half of that the first task of any job goes before all but
+ * urgent work. */
 #define OVERDUE_AFTER_S 120.0
 #define OVERDUE_CLASS HZB_SCHEDULING_CLASS_URGENT
 
@@ -56,8 +56,8 @@
   return FALSE;
 }
 
-/* A job without an objective asks for more machines the longer it waits: otherwise the fleet would stay as small as for a job
- * that just came. A job that has missed all its objectives is in no such hurry. */
+/* A job without an objective asks for more machines the longer it waits: otherwise the fleet would stay as small as for
+ * a job that just came. A job that has missed all its objectives is in no such hurry. */
 static double
 slack_without_objective_s (const HzbSettings *settings, const HzbJob *job, double age)
 {
@@ -121,8 +121,8 @@
          && hzb_time_between (job->since, now) > OVERDUE_AFTER_S;
 }
 
-/* High priorities come first, then work within guarantees, then work whose objective is at risk, then the rest by priority,
- * and last the work of teams without a guarantee where others have one (@best_effort). */
+/* High priorities come first, then work within guarantees, then work whose objective is at risk, then the rest by
+ * priority, and last the work of teams without a guarantee where others have one (@best_effort). */
 static HzbSchedulingClass
 class_without_overdue (const HzbSettings *settings, const HzbJob *job, gboolean best_effort, struct timespec now)
 {
@@ -172,10 +172,10 @@
       job->mean_s = hzb_jobs_mean_s (jobs, job);
       cpus[job->team] += job->spec->cpus * job->n_tasks;
       gpus[job->team] += job->spec->gpus * job->n_tasks;
-      job->guaranteed = cpus[job->team] <= team->cpus + ROUNDING && gpus[job->team] <= team->gpus + ROUNDING;
+      job->guaranteed = cpus[job->team] <= team->cpus + HZB_ROUNDING && gpus[job->team] <= team->gpus + HZB_ROUNDING;
       scheduling_class = class_without_overdue (settings, job, best_effort, now);
-      /* Of a team without a guarantee only one overdue job of each class at a time goes first, or a swarm of its small jobs
-       * would go before all other work. */
+      /* Of a team without a guarantee only one overdue job of each class at a time goes first, or a swarm of its small
+       * jobs would go before all other work. */
       job->start_overdue =
           is_start_overdue (job, now) && (!best_effort || g_hash_table_add (overdue_best_effort, job->spec->job_class));
       if (job->start_overdue)
@@ -200,8 +200,8 @@
          * MAX (job->spec->cpus, LEAST_CPUS);
 }
 
-/* First come, first served, except in the classes where many jobs wait: there the job with the least work left goes first,
- * since objectives count the jobs that end in time. A job that gets late moves to a higher class. */
+/* First come, first served, except in the classes where many jobs wait: there the job with the least work left goes
+ * first, since objectives count the jobs that end in time. A job that gets late moves to a higher class. */
 gint
 hzb_scheduling_classes_compare (gconstpointer a, gconstpointer b)
 {
--- a/src/scheduling/scheduling-class.h
+++ b/src/scheduling/scheduling-class.h
@@ -1,9 +1,12 @@
 /**
+ * @file
  * SECTION: scheduling-class
- * @short_description: the order in which waiting work is served
  *
- * Each job has a scheduling class (#HzbSchedulingClass), from its priority, its team's guarantee, and how soon its service-level objective
- * would be missed. Higher classes are served first; within a class hzb_scheduling_classes_compare() decides.
+ * The order in which waiting work is served.
+ *
+ * Each job has a scheduling class (HzbSchedulingClass), from its priority, its team's guarantee, and how soon its
+ * service-level objective would be missed. Higher classes are served first; within a class
+ * hzb_scheduling_classes_compare() decides.
  */
 #pragma once
 #include "jobs.h"
@@ -12,12 +15,13 @@
 /** hzb_scheduling_classes_update: sets the scheduling class of every active job, and its expected run time. */
 void hzb_scheduling_classes_update (HzbJobs *jobs, const HzbSettings *settings, struct timespec now);
 
-/** hzb_scheduling_classes_compare: sorts an array of pointers to #HzbJob in the order of service. */
+/** hzb_scheduling_classes_compare: sorts an array of pointers to HzbJob in the order of service. */
 gint hzb_scheduling_classes_compare (gconstpointer a, gconstpointer b);
 
 /**
  * hzb_job_slack_s:
- * @aim: (out) (nullable): the seconds that the nearest objective which is not yet missed allows in all, from acceptance to start
+ * `aim`: (out) (nullable): the seconds that the nearest objective which is not yet missed allows in all, from
+ * acceptance to start
  *
  * A job whose class has no objective is treated as if it had one of two minutes.
  *
--- a/src/scheduling/search.c
+++ b/src/scheduling/search.c
@@ -1,6 +1,6 @@
 #include "search.h"
 
-#define ROUNDING 1e-6
+#include "rounding.h"
 
 /* Seconds that a replica waits longer where lower work has to be stopped for it first. */
 #define NO_ROOM_S 3.0
@@ -18,8 +18,9 @@
 static gboolean
 replica_has_room (const HzbMachine *machine, const HzbJobSpec *spec)
 {
-  return machine->cpus + machine->queued_service_cpus + spec->cpus <= machine->type->cpus + ROUNDING
-         && machine->memory + machine->queued_service_memory + spec->memory_gb <= machine->type->memory_gb + ROUNDING;
+  return machine->cpus + machine->queued_service_cpus + spec->cpus <= machine->type->cpus + HZB_ROUNDING
+         && machine->memory + machine->queued_service_memory + spec->memory_gb
+                <= machine->type->memory_gb + HZB_ROUNDING;
 }
 
 /* A replica never ends, so how long it would run does not count, only how soon it can be there. */
@@ -64,7 +65,8 @@
          && (!job->spec->spread || here + 1 <= (job->n_tasks + 1) / 2);
 }
 
-/* The machine has room for such a task beside replicas of services, which take theirs for good, and is not reserved for these. */
+/* The machine has room for such a task beside replicas of services, which take theirs for good, and is not reserved for
+ * these. */
 static gboolean
 services_leave_room (const HzbMachine *machine, const HzbJobSpec *spec)
 {
--- a/src/scheduling/shard.c
+++ b/src/scheduling/shard.c
@@ -1,7 +1,6 @@
 #include "shard.h"
 
-/* Sums of CPUs and GPUs are compared with this tolerance: adding and subtracting them leaves rounding errors. */
-#define ROUNDING 1e-6
+#include "rounding.h"
 
 HzbShard *
 hzb_shard_new (const HzbSettings *settings, guint64 fencing_token)
@@ -46,8 +45,8 @@
 gboolean
 hzb_shard_fits (const HzbShard *shard, int team, double cpus, double gpus)
 {
-  return shard->cpus[team] + cpus <= shard->cpus_allowed[team] + ROUNDING
-         && shard->gpus[team] + gpus <= shard->gpus_allowed[team] + ROUNDING;
+  return shard->cpus[team] + cpus <= shard->cpus_allowed[team] + HZB_ROUNDING
+         && shard->gpus[team] + gpus <= shard->gpus_allowed[team] + HZB_ROUNDING;
 }
 
 void
--- a/src/scheduling/shard.h
+++ b/src/scheduling/shard.h
@@ -1,8 +1,11 @@
 /**
+ * @file
  * SECTION: shard
- * @short_description: a set of machines under one owner, and what each team uses on them
  *
- * Every machine and every task that has not ended is in one shard. The leader owns all that it has not leased to a leaseholder.
+ * A set of machines under one owner, and what each team uses on them.
+ *
+ * Every machine and every task that has not ended is in one shard. The leader owns all that it has not leased to a
+ * leaseholder.
  */
 #pragma once
 #include "settings.h"
@@ -20,11 +23,11 @@
 
 /**
  * hzb_fencing_token: the fencing token of a shard.
- * @leader_term: the term of the leader
- * @number: used once in the term, below 2^20
+ * `leader_term`: the term of the leader
+ * `number`: used once in the term, below 2^20
  *
- * Workers obey no token below one that they have seen. A later leader's tokens exceed all of an earlier one's, and a shard that passes to
- * another owner gets a higher one.
+ * Workers obey no token below one that they have seen. A later leader's tokens exceed all of an earlier one's, and a
+ * shard that passes to another owner gets a higher one.
  */
 static inline guint64
 hzb_fencing_token (guint64 leader_term, guint number)
@@ -43,13 +46,14 @@
 HzbShard *hzb_shard_new (const HzbSettings *settings, guint64 fencing_token);
 
 /**
- * hzb_shard_new_leased: the shard of a leaseholder. It sets teams no limit: the leader counts a task against the limit before it delegates it.
+ * hzb_shard_new_leased: the shard of a leaseholder. It sets teams no limit: the leader counts a task against the limit
+ * before it delegates it.
  *
  * Returns: (transfer full)
  */
 HzbShard *hzb_shard_new_leased (const HzbSettings *settings, guint64 fencing_token);
 
-/** hzb_shard_free: @shard: (transfer full) (nullable) */
+/** hzb_shard_free: `shard`: (transfer full) (nullable) */
 void hzb_shard_free (HzbShard *shard);
 
 /** hzb_shard_fits: whether the team may use so many CPUs and GPUs more. */
--- a/src/scheduling/start-pacing.h
+++ b/src/scheduling/start-pacing.h
@@ -1,10 +1,12 @@
 /**
+ * @file
  * SECTION: start-pacing
- * @short_description: how fast commands may be given after a cold start
  *
- * A token bucket with a reserve for higher scheduling classes: the less is left in it, the more urgent a task has to be. It reads no clock
- * and does no I/O. The dispatcher asks it before each start and before each task that it delegates, the quarantine before each stop. (These
- * tokens have nothing to do with fencing tokens.)
+ * How fast commands may be given after a cold start.
+ *
+ * A token bucket with a reserve for higher scheduling classes: the less is left in it, the more urgent a task has to
+ * be. It reads no clock and does no I/O. The dispatcher asks it before each start and before each task that it
+ * delegates, the quarantine before each stop. (These tokens have nothing to do with fencing tokens.)
  */
 #pragma once
 #include "clock.h"
@@ -30,7 +32,7 @@
 /** HzbStartPacing: the state of the buckets. A zeroed one limits nothing. */
 typedef struct
 {
-  HzbStartPacingLimits limits; /**< While #active. */
+  HzbStartPacingLimits limits; /**< While active. */
   gboolean active;             /**< FALSE: nothing is limited. */
   struct timespec began;       /**< When the limits began. */
   struct timespec filled;      /**< When the buckets were last filled. */
@@ -40,13 +42,14 @@
   guint in_answer;             /**< Starts in the present answer. */
 } HzbStartPacing;
 
-/** hzb_start_pacing_begin: commands are limited from now on. @limits: copied */
+/** hzb_start_pacing_begin: commands are limited from now on. `limits`: copied */
 void hzb_start_pacing_begin (HzbStartPacing *pacing, const HzbStartPacingLimits *limits, struct timespec now);
 
 /** hzb_start_pacing_end: nothing is limited from now on. */
 void hzb_start_pacing_end (HzbStartPacing *pacing);
 
-/** hzb_start_pacing_tick: fills the buckets, and ends the limits once their time is over. @lag_s: how many seconds late timers fire */
+/** hzb_start_pacing_tick: fills the buckets, and ends the limits once their time is over. `lag_s`: how many seconds
+ * late timers fire */
 void hzb_start_pacing_tick (HzbStartPacing *pacing, double lag_s, struct timespec now);
 
 /** hzb_start_pacing_begin_answer: an answer to one worker begins. */
@@ -61,5 +64,6 @@
 /** hzb_start_pacing_take: a command was given. */
 void hzb_start_pacing_take (HzbStartPacing *pacing);
 
-/** hzb_start_pacing_take_rental: Returns: FALSE if the cloud should not be asked now; otherwise the request is counted */
+/** hzb_start_pacing_take_rental: Returns: FALSE if the cloud should not be asked now; otherwise the request is counted
+ */
 gboolean hzb_start_pacing_take_rental (HzbStartPacing *pacing);
--- a/src/scheduling/task.h
+++ b/src/scheduling/task.h
@@ -1,9 +1,11 @@
 /**
+ * @file
  * SECTION: task
- * @short_description: the one place where a task changes its state, its machine, and what its team uses
  *
- * hzb_task_set_state() keeps these books in step: the job's counters, the machine's tasks, run queues and room, and the team's use in
- * the shard. Everything else in this header goes through it.
+ * The one place where a task changes its state, its machine, and what its team uses.
+ *
+ * hzb_task_set_state() keeps these books in step: the job's counters, the machine's tasks, run queues and room, and the
+ * team's use in the shard. Everything else in this header goes through it.
  */
 #pragma once
 #include "jobs.h"
@@ -11,10 +13,10 @@
 
 /**
  * hzb_task_set_state: moves a task to another state, another machine, or both.
- * @jobs: the registry of the task's job, whose shard counts the use of teams
- * @task: the task
- * @to: its new state
- * @machine: (nullable): where it is from now on, or in whose run queue
+ * `jobs`: the registry of the task's job, whose shard counts the use of teams
+ * `task`: the task
+ * `to`: its new state
+ * `machine`: (nullable): where it is from now on, or in whose run queue
  *
  * Returns: FALSE if the state machine does not allow the change; the refusal is logged, and nothing changes
  */
@@ -22,10 +24,11 @@
 
 /**
  * hzb_job_resolve_unconfirmed: unconfirmed tasks of a job become pending.
- * @leaseholder: 0: the tasks that an earlier leader may have started; 1 and up: those in the reclaimed shard of that leaseholder
+ * `leaseholder`: 0: the tasks that an earlier leader may have started; 1 and up: those in the reclaimed shard of that
+ * leaseholder
  *
- * The caller guarantees that every machine that might hold one of them has sent a heartbeat under the current fencing token, or is gone:
- * otherwise a task could run twice.
+ * The caller guarantees that every machine that might hold one of them has sent a heartbeat under the current fencing
+ * token, or is gone: otherwise a task could run twice.
  */
 void hzb_job_resolve_unconfirmed (HzbJobs *jobs, HzbJob *job, guint leaseholder);
 
