--- a/src/scheduling/demand.c
+++ b/src/scheduling/demand.c
@@ -11,7 +11,7 @@
 #define LEAST_START_WITHIN_S 10
 #define MOST_START_WITHIN_S 150
 
-/* Part of a running task's work that counts as left: on the whole, a task that runs is half over. */
+/* Part of a placed task's work that counts as done: on the whole, a task that runs is half over. */
 #define RUNNING_PART_DONE 0.5
 
 /* A machine that boots counts until it has taken this many times as long as its type needs. */
--- a/src/scheduling/dispatch-start.c
+++ b/src/scheduling/dispatch-start.c
@@ -98,8 +98,7 @@
 
 /* ---- the machine's own run queue ---- */
 
-/* Returns: FALSE if a task does not fit yet. First come, first served: no task of this class or a lower one passes it.
- */
+/* Returns: FALSE if a task does not fit yet. First come, first served: no task of this class or below passes it. */
 static gboolean
 start_from_run_queue (const Answer *answer, guint scheduling_class)
 {
@@ -152,8 +151,7 @@
   return NULL;
 }
 
-/* The task that the machine should take over from another's run queue: of a sample of machines, from the most loaded.
- */
+/* The task that the machine should take over from another's run queue: of a sample, that of the most loaded. */
 static HzbTask *
 find_task_to_move (const Answer *answer, guint scheduling_class, ImagePass pass)
 {
--- a/src/scheduling/owned-jobs.c
+++ b/src/scheduling/owned-jobs.c
@@ -4,8 +4,7 @@
 #include <string.h>
 
 /* How estimates of run times are corrected, see hzb_jobs_record_run_time(). The estimate of one job is wrong in one way
- * for all its tasks, so a job counts as one observation. A smaller bias than the threshold cannot be told from chance.
- */
+ * for all its tasks, so a job counts as one observation. A smaller bias than the threshold may be chance. */
 #define BIAS_SMOOTHING 0.08
 #define BIAS_THRESHOLD 0.35 /* of the logarithm of the ratio: a factor of 1.4 */
 #define MAX_BIAS 2.0        /* of one observation */
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -103,8 +103,7 @@
   return x->cost < y->cost ? -1 : x->cost > y->cost;
 }
 
-/* CPUs by which the team exceeds its limit with the preemptor's waiting tasks, without what is already being stopped.
- */
+/* CPUs by which the team exceeds its limit with the preemptor's waiting tasks, without those already being stopped. */
 static double
 cpus_lacking (const HzbDispatch *dispatch, const HzbJob *preemptor)
 {
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -4,7 +4,7 @@
 
 #include <math.h>
 
-/* The rule, plainly: every machine, nothing remembered. */
+/* A plain model of the rule: examines every machine and remembers nothing. */
 static HzbMachine *
 plain_choose (Bench *b, HzbJob *job, double *least)
 {
@@ -59,7 +59,7 @@
           g_assert_true ((machine == NULL) == (plain == NULL));
           if (machine)
             {
-              /* Rounding may tell equals apart: what counts is that no machine is better. */
+              /* Rounding may make a difference between equal offers: what counts is that no machine is better. */
               double v = hzb_type_speed (machine->type, job->spec);
               g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&machine->estimates[job->scheduling_class])
                                                   + b.dispatch->h * job->spec->estimate_s / v,
@@ -75,7 +75,7 @@
     }
 }
 
-/* When more is asked than can be done, only a sample is looked at, and it still finds a machine. */
+/* While the controller is lagging only a sample of machines is examined, and a machine is still found. */
 static void
 test_sampling (void)
 {
@@ -93,7 +93,7 @@
   bench_down (&b);
 }
 
-/* Most machines are leased: a sample is of the others, or little would be found. */
+/* Where most machines are leased, samples are taken of the others: otherwise few would find a machine. */
 static void
 test_sample_of_usable (void)
 {
@@ -113,7 +113,7 @@
   bench_down (&b);
 }
 
-/* Sampling goes on after a second or so of late timers, not at one, and off once they are on time again. */
+/* Sampling begins after a second or so of late timers, not at the first one, and ends once they are on time again. */
 static void
 test_lag (void)
 {
@@ -142,7 +142,7 @@
   return n;
 }
 
-/* While small jobs keep coming to full machines, the largest begins within four minutes all the same. */
+/* The largest job begins within four minutes, also while small jobs keep coming to full machines. */
 static void
 test_largest_begins (void)
 {
@@ -180,15 +180,15 @@
       if (large->placed)
         began = second;
     }
-  g_assert_cmpuint (began, >, 100); /* so it did wait for smaller ones */
+  g_assert_cmpuint (began, >, 100); /* so the largest job did wait for smaller ones */
   g_assert_cmpuint (began, <, 240);
   g_assert_cmpuint (large->placed, ==, 1);
   g_assert_cmpuint (small, >, 50);
   bench_down (&b);
 }
 
-/* A pressing job that no machine could take keeps none of its team's limit from others: they would wait for it for ever,
- * and it for a machine that is rented only for what the limit leaves room for. */
+/* A job of a high class that no machine could take keeps none of its team's limit from the team's other jobs. Otherwise
+ * these would wait for it for ever, and the job for a machine that is rented only within what the limit leaves. */
 static void
 test_unplaceable_keeps_nothing (void)
 {
@@ -211,8 +211,8 @@
   bench_down (&b);
 }
 
-/* A half-empty machine that is to go back is emptied of what can save, where there is room; what can't save, or is
- * nearly over, stays, and nothing moves where others already wait for the room. */
+/* A half-empty scale-in candidate is emptied of tasks that can save a checkpoint, where other machines have room. Tasks
+ * that cannot, or that are nearly done, stay, and none moves where other tasks already wait for the room. */
 static void
 test_consolidate (void)
 {
@@ -236,16 +236,16 @@
   now = hzb_clock_now (b.clock);
   hzb_dispatch_consolidate (b.dispatch, now);
   g_assert_true (saves->tasks[0].stopping);
-  g_assert_false (saves->tasks[1].stopping); /* its machine would not be empty for it */
+  g_assert_false (saves->tasks[1].stopping); /* stopping it would not empty its machine */
   g_assert_false (saves->tasks[2].stopping);
   saves->tasks[0].stopping = FALSE;
-  bench_job (&b, "blue", HZB_PRIORITY_NORMAL, 2, 2, 30); /* waits for the same room */
+  bench_job (&b, "blue", HZB_PRIORITY_NORMAL, 2, 2, 30); /* this job waits for the same room */
   hzb_dispatch_consolidate (b.dispatch, now);
   g_assert_false (saves->tasks[0].stopping);
   bench_down (&b);
 }
 
-/* No order of reports starts more than the team's limit allows. */
+/* In no order of heartbeats do more tasks start than the team's limit allows. */
 static void
 test_limit (void)
 {
@@ -265,7 +265,7 @@
           started += count_orders (commands, HZB_COMMAND_START);
         }
     }
-  g_assert_cmpuint (started, ==, 20); /* 40 CPUs at most */
+  g_assert_cmpuint (started, ==, 20); /* the limit is 40 CPUs */
   g_assert_cmpfloat (b.shard->cpus[0], ==, 40);
   bench_down (&b);
 }
@@ -281,22 +281,23 @@
   first = bench_machine (&b, "small", "za", FALSE);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 8, 2, 10);
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
-  /* Lists are filled a little ahead only; the rest waits where it can still be overtaken. */
+  /* Run queues are filled only a little ahead: more pressing work can still overtake the other tasks. */
   g_assert_cmpuint (hzb_machine_queued_tasks (first), ==, 2);
   second = bench_machine (&b, "small", "zb", FALSE);
   hzb_dispatch_start_tasks (b.dispatch, second, hzb_clock_now (b.clock), commands);
   g_assert_cmpuint (commands->len, ==, 2);
   g_assert_cmpuint (second->tasks->len, ==, 2);
-  g_assert_cmpuint (hzb_machine_queued_tasks (first), ==, 0); /* moved, before what waits for a list */
+  g_assert_cmpuint (hzb_machine_queued_tasks (first), ==, 0); /* it moved, before tasks that wait for a run queue */
   g_assert_cmpuint (job->pending, ==, 6);
-  /* What was sent stays where it is until a report shows it gone. */
+  /* A task whose start was sent stays where it is until a heartbeat shows that it is gone. */
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
   g_assert_cmpint (job->tasks[0].state, ==, HZB_TASK_STARTING);
   bench_down (&b);
 }
 
-/* A listed replica is not moved to a machine that reports first and would have to fetch its image; an array's task is. And a
- * replica is listed only where it fits beside other replicas, at most half of a spread service in one zone. */
+/* A queued replica is not moved to a machine that sends its heartbeat first but would have to fetch the image; a task
+ * of an array is. A replica is queued only where it fits beside other replicas, and at most half of a service that is
+ * to be spread in one zone. */
 static void
 test_replica_stays (void)
 {
@@ -320,7 +321,7 @@
       hzb_dispatch_run (b.dispatch, now);
       hzb_dispatch_start_tasks (b.dispatch, without, now, commands);
       g_assert_cmpuint (commands->len, ==, service ? 0 : 1);
-      hzb_clock_advance (b.clock, 5); /* it does not wait there for ever */
+      hzb_clock_advance (b.clock, 5); /* a replica does not wait for its image for ever */
       hzb_dispatch_start_tasks (b.dispatch, without, hzb_clock_now (b.clock), commands);
       g_assert_cmpuint (commands->len, ==, 1);
       bench_down (&b);
@@ -344,14 +345,14 @@
           in_za += g_str_equal (job->tasks[i].machine->zone, "za");
         }
     g_assert_cmpuint (in_za, ==, 4);
-    g_assert_cmpuint (queued, ==, 6); /* two fit in zb */
+    g_assert_cmpuint (queued, ==, 6); /* two tasks fit in zb */
     for (guint i = 0; i < 4; i++)
       g_assert_cmpfloat (machine[i]->queued_service_cpus, <=, 4);
     bench_down (&b);
   }
 }
 
-/* An urgent task has lower work stopped; work of its own priority is left alone. */
+/* An urgent task preempts work of lower priority, but none of its own priority. */
 static void
 test_preemption (void)
 {
@@ -392,7 +393,7 @@
   job->spec->kind = HZB_JOB_GANG;
   job->spec->same_zone = TRUE;
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
-  g_assert_cmpuint (job->placed, ==, 0); /* room for four, but not in one zone */
+  g_assert_cmpuint (job->placed, ==, 0); /* there is room for four tasks, but not in one zone */
   bench_machine (&b, "small", "zb", FALSE);
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
   g_assert_cmpuint (job->placed, ==, 4);
@@ -405,7 +406,7 @@
   bench_down (&b);
 }
 
-/* A gang has its places and is cancelled before its machines report: none of it starts. */
+/* A gang that has reservations is cancelled before its machines send a heartbeat: none of its tasks starts. */
 static void
 test_cancelled_gang (void)
 {
@@ -449,15 +450,15 @@
       hzb_autoscaler_note_refused (fleet, r, hzb_clock_now (b.clock));
     }
   again = hzb_autoscaler_scale_out (fleet, hzb_clock_now (b.clock));
-  for (guint i = 0; i < again->len; i++) /* a refusal is not asked again at once */
+  for (guint i = 0; i < again->len; i++) /* a kind that was refused is not requested again at once */
     g_assert_true (g_array_index (again, HzbScaleOutRequest, i).type
                    != g_array_index (rentals, HzbScaleOutRequest, 0).type);
   hzb_autoscaler_free (fleet);
   bench_down (&b);
 }
 
-/* Guards against two ways in which work once waited for ever: so little of it that the part of a machine it
- * was worth came to nothing, and a large task counted as served by machines too small for it. */
+/* Two faults once made work wait for ever: so little work that it counted as worth no part of a machine, and a large
+ * task that counted as served by machines which are too small for it. */
 static void
 test_rentals_for_little (void)
 {
@@ -481,9 +482,9 @@
   bench_down (&b);
 }
 
-/* Twenty machines half full and nothing that waits: once a machine takes no more, the tasks that end on it need no room
- * elsewhere. (With them counted, twelve stayed until the last task was over.) New work takes machines back before
- * any is rented. */
+/* Twenty machines are half full and no task waits: once a machine takes no new tasks, the tasks that end on it need no
+ * room elsewhere. (When these were counted, twelve machines stayed until the last task was done.) For new work,
+ * machines stop being scale-in candidates before any is rented. */
 static void
 test_leaving (void)
 {
@@ -507,7 +508,7 @@
   for (guint t = 0; t < 90; t++)
     {
       g_autoptr (GPtrArray) back = hzb_autoscaler_scale_in (fleet, hzb_clock_now (b.clock));
-      g_assert_cmpuint (back->len, ==, 0); /* not while tasks are on them */
+      g_assert_cmpuint (back->len, ==, 0); /* no machine is returned while tasks are on it */
       hzb_clock_advance (b.clock, 1);
     }
   for (guint i = 0; i < b.machines->all->len; i++)
--- a/tests/test-estimate.c
+++ b/tests/test-estimate.c
@@ -1,4 +1,4 @@
-/* The estimate against a slow, plain model: whole distributions in long double, no caching, no early ends. */
+/* The estimate equals a slow, plain model: whole distributions in long double, without caching or early ends. */
 #include "estimate.h"
 
 #include <math.h>
@@ -83,7 +83,7 @@
         {
           if (g_rand_boolean (rand))
             {
-              /* eighths of a second are exact in both */
+              /* eighths of a second are exact in both models */
               double gap = g_rand_int_range (rand, 0, 60) / 8.0;
               hzb_clock_advance (clock, gap);
               hzb_estimate_shift (&e, hzb_clock_now (clock));
@@ -109,7 +109,7 @@
   HzbEstimate e = { 0 };
   hzb_estimate_reset (&e, hzb_clock_now (clock), 7.25);
   g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&e), 7.25, 1e-5);
-  e.mean = -1; /* counted from the distribution, not remembered */
+  e.mean = -1; /* the mean is computed from the distribution, not remembered */
   g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&e), 7.25, 1e-5);
   hzb_estimate_clear (&e);
 }
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -4,7 +4,7 @@
 
 #include <math.h>
 
-/* A change that is not foreseen is refused, changes nothing, and is logged. */
+/* A change of state that the tables do not allow is refused, changes nothing, and is logged. */
 static void
 test_illegal (void)
 {
@@ -40,7 +40,8 @@
   bench_down (&b);
 }
 
-/* Counters, a machine's room and a team's use against a plain count, over seeded legal walks. */
+/* The counters of a job, the room of a machine and the use of a team equal a plain count, over seeded walks of allowed
+ * changes. */
 static void
 test_books (void)
 {
@@ -61,7 +62,7 @@
           guint counts[HZB_TASK_N_STATES] = { 0 };
           double used = 0, room[3] = { 0 };
           if (to == HZB_TASK_FINISHED && step % 8)
-            continue; /* seldom, or all would be over soon */
+            continue; /* seldom, or all tasks would soon be done */
           g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
           hzb_task_set_state (b.jobs, task, to,
                               placed ? (task->machine && to != HZB_TASK_QUEUED ? task->machine : machine[step % 3])
@@ -92,8 +93,8 @@
     }
 }
 
-/* Room that replicas take, beside what else runs, against a plain count over seeded walks of two services and an array;
- * and v, which is what fits into the rest. */
+/* The room that replicas of services take on a machine equals a plain count, over seeded walks of two services and an
+ * array; and v is how many tasks fit into the rest. */
 static void
 test_replica_books (void)
 {
@@ -148,17 +149,17 @@
     }
 }
 
-/* Parts of 32768 tasks, as version 1 has them: read, told apart from ours, and what is written instead says the same, also
- * read beside the old one. */
+/* Parts of 32768 tasks, as schema version 1 has them, are read and told apart from ours. What is written instead says
+ * the same, also if it is read beside the old parts. */
 static void
 test_parts_of_version_1 (void)
 {
   Bench b, after;
   HzbJob *job, *again;
   gboolean ours = TRUE;
-  cJSON *old =
-      cJSON_Parse ("{\"released\":40000,\"team\":\"red\",\"cpus\":1,\"gpus\":0,\"done\":\"AQAAgA==\"}"); /* 0 and 31 */
-  cJSON *second = cJSON_Parse ("{\"released\":64,\"done\":\"Ag==\"}");                                   /* 32768 + 1 */
+  cJSON *old = cJSON_Parse (
+      "{\"released\":40000,\"team\":\"red\",\"cpus\":1,\"gpus\":0,\"done\":\"AQAAgA==\"}"); /* tasks 0 and 31 */
+  cJSON *second = cJSON_Parse ("{\"released\":64,\"done\":\"Ag==\"}");                      /* task 32768 + 1 */
   bench_up (&b, 1);
   bench_up (&after, 1);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 50000, 1, 10);
@@ -166,7 +167,7 @@
   g_assert_true (hzb_job_read_progress (b.jobs, job, 0, old, &ours));
   g_assert_false (ours);
   g_assert_true (hzb_job_read_progress (b.jobs, job, 1, second, &ours));
-  g_assert_false (hzb_job_read_progress (b.jobs, job, 2, second, &ours)); /* there is no such part */
+  g_assert_false (hzb_job_read_progress (b.jobs, job, 2, second, &ours)); /* the job has no such part */
   g_assert_cmpuint (job->done, ==, 3);
   g_assert_cmpint (job->tasks[32769].state, ==, HZB_TASK_DONE);
   g_assert_cmpuint (job->released, ==, 40000);
@@ -186,7 +187,7 @@
   g_assert_cmpuint (again->released, ==, 40000);
   for (guint i = 0; i < 50000; i++)
     g_assert_cmpint (again->tasks[i].state, ==, job->tasks[i].state);
-  /* A job that fits one part of either size is written alike by both. */
+  /* A job that fits one part of either size is written alike by both schema versions. */
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 8000, 1, 10);
   second = (cJSON_Delete (second), hzb_job_pack_progress (b.jobs, job, 0));
   g_assert_false (cJSON_HasObjectItem (second, "of"));
@@ -218,7 +219,7 @@
   g_assert_true (hzb_job_read_progress (after.jobs, again, 0, value, &ours));
   g_assert_true (ours);
   g_assert_cmpuint (again->done, ==, 8);
-  /* What may have been started counts against the team until it is found or ruled out. */
+  /* Tasks that may have been started count against the team until they are found or ruled out. */
   g_assert_cmpuint (again->unconfirmed, ==, 34);
   g_assert_cmpuint (again->pending, ==, 8);
   g_assert_cmpfloat (after.shard->cpus[0], ==, 34);
@@ -231,7 +232,7 @@
   bench_down (&after);
 }
 
-/* The largest job's progress fits the smallest value size of the settings, chunk by chunk. */
+/* Each part of the largest job's progress fits the smallest value that the settings allow. */
 static void
 test_large_job (void)
 {
@@ -255,7 +256,7 @@
   bench_down (&b);
 }
 
-/* A job that is over stays so, whatever record comes late: the record of its acceptance, or of another end. */
+/* A terminal job stays terminal, whichever record is read late: that of its acceptance, or of another end. */
 static void
 test_old_record (void)
 {
@@ -267,11 +268,11 @@
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 3, 1, 10);
   cJSON_AddItemToObject (record, job->uid, hzb_jobs_pack_accepted (job->spec, job->accepted));
   hzb_jobs_apply_acceptance (b.jobs, "a", record);
-  hzb_jobs_apply_acceptance (b.jobs, "b", record); /* by two nodes: neither record may go yet */
+  hzb_jobs_apply_acceptance (b.jobs, "b", record); /* accepted by two controllers: neither record may be deleted yet */
   g_assert_null (hzb_jobs_completed_acceptance (b.jobs));
   hzb_jobs_apply (b.jobs, job->uid, cancelled, 70);
   g_assert_cmpint (job->state, ==, HZB_JOB_CANCELLED);
-  g_assert_nonnull (hzb_jobs_completed_acceptance (b.jobs)); /* the record of its acceptance may go */
+  g_assert_nonnull (hzb_jobs_completed_acceptance (b.jobs)); /* the record of its acceptance may be deleted */
   hzb_jobs_apply (b.jobs, job->uid, done, 71);
   g_assert_cmpint (job->state, ==, HZB_JOB_CANCELLED);
   hzb_jobs_apply_acceptance (b.jobs, "a", NULL);
@@ -285,7 +286,7 @@
   bench_down (&b);
 }
 
-/* A class whose owners all say half of what its tasks take is corrected, others are left alone. */
+/* The estimates of a class whose users all state half of what its tasks take are corrected; those of others are not. */
 static void
 test_leaning (void)
 {
@@ -298,7 +299,7 @@
   g_assert_cmpfloat (hzb_jobs_mean_s (b.jobs, job), ==, 10); /* one job proves nothing */
   for (guint i = 0; i < 200 * 80; i++)
     hzb_jobs_record_run_time (b.jobs, job, 20);
-  hzb_jobs_record_run_time (b.jobs, job, -1); /* a clock's or a peer's nonsense */
+  hzb_jobs_record_run_time (b.jobs, job, -1); /* a negative time, from a clock or a peer, is ignored */
   next = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 5, 1, 40);
   other = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 5, 1, 40);
   g_free (other->spec->job_class);
@@ -308,13 +309,13 @@
   bench_down (&b);
 }
 
-/* ---- records that move while a node reads them ---- */
+/* ---- records that move while a controller reads them ---- */
 
 #define RECORDED_JOBS 12u
 
 typedef struct
 {
-  guint acceptance; /* the record that names it; 0: it was never submitted */
+  guint acceptance; /* the record of acceptance that names it; 0: the job was never submitted */
   gboolean over, moved;
 } RecordedJob;
 
@@ -323,7 +324,7 @@
   gboolean exists;
 } RecordedAcceptance;
 
-/* The records as the key-value store has them, and what has changed since the reader looked last. */
+/* The records as the key-value store has them, and what has changed since the reader was last told. */
 typedef struct
 {
   RecordedJob jobs[RECORDED_JOBS];
@@ -341,7 +342,8 @@
   return TRUE;
 }
 
-/* As leaders and nodes do it: accept, end, remove a record whose jobs are all over, move an end that nothing names. */
+/* What leaders and other controllers do: a job is accepted; a job ends; a record of acceptance is deleted once all its
+ * jobs have ended; the record of an end moves to the archive once no record of acceptance names the job. */
 static void
 change_records (Recorded *recorded, GRand *rand)
 {
@@ -396,7 +398,7 @@
   cJSON_Delete (value);
 }
 
-/* What has changed since: as a watch brings it. */
+/* Brings the reader what has changed, as a watch would. */
 static void
 show_changes (Bench *b, Recorded *recorded)
 {
@@ -426,7 +428,7 @@
       const HzbJob *job = hzb_jobs_find (b->jobs, uid);
       const RecordedJob *is = &recorded->jobs[i];
       gboolean open = is->acceptance && !is->over, known_final = job && job->state == HZB_JOB_DONE;
-      /* What is over and has moved is asked for where it is, unless its final state is known here still. */
+      /* A job whose end has moved to the archive is looked up there, unless its final state is still known here. */
       if (open              ? !job || job->state != HZB_JOB_ACCEPTED
           : !is->acceptance ? job != NULL
           : is->moved       ? job && !known_final
@@ -442,8 +444,8 @@
     }
 }
 
-/* A node reads all in pages, acceptances first and then ends, with the changes since between any two, while jobs are
- * accepted, end, and their records go. Then it follows, and may read all anew. */
+/* A controller reads all records in pages, first acceptances and then ends, and between two pages the changes since,
+ * while jobs are accepted and end and their records move. Then it follows the changes, and may read everything anew. */
 static void
 test_read_while_records_move (void)
 {
@@ -458,9 +460,9 @@
         change_records (&recorded, b.rand);
       for (guint reading = 0; reading < 2; reading++)
         {
-          g_ptr_array_set_size (recorded.changes, 0); /* so much was missed */
+          g_ptr_array_set_size (recorded.changes, 0); /* the reader missed these */
           hzb_jobs_load_begin (b.jobs);
-          for (guint page = 0; page < 2 * RECORDED_JOBS; page++) /* a key each */
+          for (guint page = 0; page < 2 * RECORDED_JOBS; page++) /* one key on each page */
             {
               if (page < RECORDED_JOBS && recorded.acceptances[page + 1].exists)
                 show_acceptance (&b, &recorded, page + 1);
@@ -479,7 +481,7 @@
           show_changes (&b, &recorded);
           expect_as_recorded (&b, &recorded, seed);
           for (gint32 i = g_rand_int_range (b.rand, 0, 30); i > 0; i--)
-            change_records (&recorded, b.rand); /* missed before the next reading */
+            change_records (&recorded, b.rand); /* the reader misses these before the next reading */
         }
       g_ptr_array_unref (recorded.changes);
       bench_down (&b);
--- /dev/null
+++ b/tests/test-scheduling-records.c
@@ -0,0 +1,132 @@
+/* The stored records of jobs and machines, byte for byte: other versions read them. */
+#include "job-codec.h"
+#include "json.h"
+#include "support.h"
+
+static void
+assert_stored (cJSON *value, const char *expected)
+{
+  g_autofree char *text = hzb_json_print (value); /* takes the value */
+  g_assert_cmpstr (text, ==, expected);
+}
+
+/* The submission is in the record as the protocol codec encodes it; the time has whole milliseconds. */
+static void
+test_acceptance (void)
+{
+  Bench b;
+  g_autoptr (HzbJobSpec) spec = NULL;
+  g_autofree char *submission = NULL, *expected = NULL;
+  bench_up (&b, 1);
+  spec = g_new0 (HzbJobSpec, 1);
+  spec->uid = g_strdup ("run-000412");
+  spec->job_class = g_strdup ("lane");
+  spec->team = g_strdup ("red");
+  spec->priority = HZB_PRIORITY_NORMAL;
+  spec->tasks = 3;
+  spec->cpus = 2;
+  spec->memory_gb = 1;
+  spec->image = g_ref_string_new_intern ("img");
+  spec->estimate_s = 10;
+  submission = hzb_json_print (hzb_job_spec_encode (spec));
+  expected = g_strdup_printf ("{\"state\":\"accepted\",\"at\":1700000000.123,\"spec\":%s}", submission);
+  assert_stored (hzb_jobs_pack_accepted (spec, (struct timespec){ 1700000000, 123999999 }), expected);
+  bench_down (&b);
+}
+
+static void
+test_end (void)
+{
+  assert_stored (hzb_jobs_pack_final (HZB_JOB_DONE, 3), "{\"state\":\"done\",\"n\":3}");
+  assert_stored (hzb_jobs_pack_final (HZB_JOB_CANCELLED, 100000), "{\"state\":\"cancelled\",\"n\":100000}");
+}
+
+static void
+test_machine (void)
+{
+  Bench b;
+  HzbMachine *machine;
+  struct timespec wall = { 1700000000, 999999999 };
+  bench_up (&b, 1);
+  machine = bench_machine (&b, "big", "za", TRUE);
+  assert_stored (hzb_machine_pack (machine, wall),
+                 "{\"type\":\"big\",\"zone\":\"za\",\"spot\":true,\"at\":1700000000}");
+  machine->drain = TRUE;
+  assert_stored (hzb_machine_pack (machine, wall),
+                 "{\"type\":\"big\",\"zone\":\"za\",\"spot\":true,\"at\":1700000000,\"drain\":true}");
+  bench_down (&b);
+}
+
+static gboolean
+decode (const char *text, guint known_tasks, HzbJobRecord *record)
+{
+  cJSON *value = cJSON_Parse (text);
+  gboolean decoded = hzb_job_record_decode ("run-000412", value, known_tasks, record);
+  cJSON_Delete (value);
+  return decoded;
+}
+
+/* The record of an end says how many tasks there were; where it does not, the number that is known holds. */
+static void
+test_decode_end (void)
+{
+  g_auto (HzbJobRecord) record = { 0 };
+  g_assert_true (decode ("{\"state\":\"done\",\"n\":7}", 3, &record));
+  g_assert_cmpint (record.state, ==, HZB_JOB_DONE);
+  g_assert_cmpuint (record.n_tasks, ==, 7);
+  g_assert_true (decode ("{\"state\":\"cancelled\"}", 3, &record));
+  g_assert_cmpint (record.state, ==, HZB_JOB_CANCELLED);
+  g_assert_cmpuint (record.n_tasks, ==, 3);
+  g_assert_null (record.spec);
+}
+
+static void
+test_decode_nonsense (void)
+{
+  g_auto (HzbJobRecord) record = { 0 };
+  g_assert_false (decode ("{\"state\":\"running\",\"n\":7}", 3, &record));
+  g_assert_false (decode ("{\"n\":7}", 3, &record));
+  g_assert_false (decode ("[]", 3, &record));
+  g_assert_false (decode ("{\"state\":\"accepted\",\"at\":1}", 3, &record));
+  g_assert_false (decode ("{\"state\":\"accepted\",\"at\":1,\"spec\":{}}", 3, &record));
+}
+
+/* An entry that was encoded says the same when it is decoded, and a record of acceptance keeps its order. */
+static void
+test_round_trip (void)
+{
+  Bench b;
+  cJSON *record = cJSON_CreateObject ();
+  g_autoptr (GArray) accepted = NULL;
+  bench_up (&b, 1);
+  cJSON_AddItemToObject (record, "run-000007", bench_record (&b, "run-000007", "red", HZB_PRIORITY_HIGH, 5, 2, 30));
+  cJSON_AddItemToObject (record, "run-000003", bench_record (&b, "run-000003", "blue", HZB_PRIORITY_IDLE, 1, 1, 20));
+  accepted = hzb_acceptance_decode (record);
+  g_assert_cmpuint (accepted->len, ==, 2);
+  for (guint i = 0; i < accepted->len; i++)
+    {
+      const HzbAcceptedJob *job = &g_array_index (accepted, HzbAcceptedJob, i);
+      g_auto (HzbJobRecord) read = { 0 };
+      g_assert_cmpstr (job->uid, ==, i ? "run-000003" : "run-000007");
+      g_assert_true (hzb_job_record_is_acceptance (job->entry));
+      g_assert_true (hzb_job_record_decode (job->uid, job->entry, 0, &read));
+      g_assert_cmpint (read.state, ==, HZB_JOB_ACCEPTED);
+      g_assert_cmpuint (read.n_tasks, ==, i ? 1 : 5);
+      g_assert_cmpstr (read.spec->team, ==, i ? "blue" : "red");
+    }
+  cJSON_Delete (record);
+  bench_down (&b);
+}
+
+int
+main (int argc, char **argv)
+{
+  g_test_init (&argc, &argv, NULL);
+  g_test_add_func ("/scheduling-records/acceptance", test_acceptance);
+  g_test_add_func ("/scheduling-records/end", test_end);
+  g_test_add_func ("/scheduling-records/machine", test_machine);
+  g_test_add_func ("/scheduling-records/decode-end", test_decode_end);
+  g_test_add_func ("/scheduling-records/decode-nonsense", test_decode_nonsense);
+  g_test_add_func ("/scheduling-records/round-trip", test_round_trip);
+  return g_test_run ();
+}
