--- a/src/scheduling/job.h
+++ b/src/scheduling/job.h
@@ -68,9 +68,8 @@
 {
   /** @name Identity, fixed once the record of acceptance was read
    * @{ */
-  char *uid; /**< Its name. */
-  HzbJobSpec
-      *spec; /**< (nullable) What the user asked for; NULL once terminal, unless this controller holds tasks of it. */
+  char *uid;                /**< Its name. */
+  HzbJobSpec *spec;         /**< (nullable) What the user asked for; NULL: terminal, and no tasks of it are here. */
   guint n_tasks;            /**< Number of tasks. */
   int team;                 /**< Index into the settings' teams; -1: the settings do not name its team. */
   struct timespec accepted; /**< When it was accepted, time of day. */
--- a/src/scheduling/machine.h
+++ b/src/scheduling/machine.h
@@ -16,16 +16,14 @@
 typedef enum
 {
   HZB_MACHINE_BOOTING,    /**< Rented; its worker has not sent a heartbeat. */
-  HZB_MACHINE_UNVERIFIED, /**< An earlier owner may have started tasks on it, and it has not answered under our fencing
-                             token. */
+  HZB_MACHINE_UNVERIFIED, /**< An earlier owner may have started tasks on it; no heartbeat under our token has come. */
   HZB_MACHINE_ACTIVE,     /**< Its last heartbeat was sent under our fencing token, so what it listed was complete. */
   HZB_MACHINE_LEASED,     /**< In a shard that is leased to another controller. */
   HZB_MACHINE_LEASE_EXPIRED, /**< Its worker's lease has expired: it has no tasks. */
   HZB_MACHINE_DRAINING,      /**< It takes no more tasks. */
-  HZB_MACHINE_RETURNING, /**< The cloud was asked to take it back; until the cloud confirms, the machine may still run.
-                          */
-  HZB_MACHINE_GONE,      /**< The cloud has confirmed that it is gone. */
-  HZB_MACHINE_N_STATES   /**< Number of states. */
+  HZB_MACHINE_RETURNING,     /**< The cloud was asked to take it back; until it confirms, the machine may run. */
+  HZB_MACHINE_GONE,          /**< The cloud has confirmed that it is gone. */
+  HZB_MACHINE_N_STATES       /**< Number of states. */
 } HzbMachineState;
 
 /** HzbSchedulingClass: the class of waiting work. Higher classes are served first, see scheduling-class.h. */
--- a/src/scheduling/machines.h
+++ b/src/scheduling/machines.h
@@ -16,11 +16,9 @@
 {
   GHashTable *by_name; /**< Name -> HzbMachine. */
   GPtrArray *all;      /**< (element-type HzbMachine) Owned, in the order in which they became known. */
-  GPtrArray *types; /**< (element-type HzbMachineType) (nullable) Owned; NULL until the cloud has said which types there
-                       are. */
-  guint generation; /**< Counts removals. Whoever keeps pointers to machines must look them up anew when it has changed.
-                     */
-  HzbClock *clock;  /**< Not owned. */
+  GPtrArray *types;    /**< (element-type HzbMachineType) (nullable) Owned; NULL until the cloud has named its types. */
+  guint generation;    /**< Counts removals. When it has changed, pointers that were kept are looked up anew. */
+  HzbClock *clock;     /**< Not owned. */
   const HzbSettings *settings; /**< Not owned. */
   struct timespec next_scan;   /**< When the leader examines every machine again; unset: at once. */
 } HzbMachines;
