--- a/src/scheduling/shard.c
+++ b/src/scheduling/shard.c
@@ -1,6 +1,6 @@
 #include "shard.h"
 
-#define ROUNDING 1e-6
+#include "rounding.h"
 
 HzbShard *
 hzb_shard_new (const HzbSettings *settings, guint64 fencing_token)
@@ -26,7 +26,7 @@
 {
   HzbShard *shard = hzb_shard_new (settings, fencing_token);
   for (guint i = 0; i < shard->n_teams; i++)
-    shard->cpus_allowed[i] = shard->gpus_allowed[i] = 1e12;
+    shard->cpus_allowed[i] = shard->gpus_allowed[i] = HZB_NO_LIMIT;
   return shard;
 }
 
@@ -45,8 +45,8 @@
 gboolean
 hzb_shard_fits (const HzbShard *shard, int team, double cpus, double gpus)
 {
-  return shard->cpus[team] + cpus <= shard->cpus_allowed[team] + ROUNDING
-         && shard->gpus[team] + gpus <= shard->gpus_allowed[team] + ROUNDING;
+  return shard->cpus[team] + cpus <= shard->cpus_allowed[team] + HZB_ROUNDING
+         && shard->gpus[team] + gpus <= shard->gpus_allowed[team] + HZB_ROUNDING;
 }
 
 void
