--- a/src/api/admin-codec.c
+++ b/src/api/admin-codec.c
@@ -85,7 +85,7 @@
 char *
 hzb_admin_shards_encode (HzbShardLeases *shard_leases)
 {
-  return hzb_json_print (hzb_shard_leases_pack (shard_leases));
+  return hzb_json_print (hzb_shard_leases_encode_status (shard_leases));
 }
 
 /* null: the team has no limit. */
--- a/src/api/job-admission.c
+++ b/src/api/job-admission.c
@@ -37,7 +37,7 @@
   for (guint i = 0; i < machines->types->len; i++)
     {
       const HzbMachineType *type = machines->types->pdata[i];
-      if (hzb_type_holds (type, spec)
+      if (hzb_machine_type_holds (type, spec)
           && (!spec->zone || g_strv_contains ((const char *const *) type->zones, spec->zone)))
         return TRUE;
     }
--- a/src/api/task-exit.c
+++ b/src/api/task-exit.c
@@ -29,7 +29,7 @@
 {
   if (!job->failed_on)
     job->failed_on = g_strdup (machine->name);
-  job->failed_on_several = job->failed_on_several || !g_str_equal (job->failed_on, machine->name);
+  job->failed_on_several_machines = job->failed_on_several_machines || !g_str_equal (job->failed_on, machine->name);
 }
 
 static void
--- a/src/api/user-records-codec.c
+++ b/src/api/user-records-codec.c
@@ -77,20 +77,20 @@
 char *
 hzb_accepted_job_encode (const HzbJobSpec *spec, struct timespec accepted)
 {
-  return hzb_json_print (hzb_jobs_pack_accepted (spec, accepted));
+  return hzb_json_print (hzb_job_acceptance_encode (spec, accepted));
 }
 
 void
 hzb_cancellation_record_put (const char *uid, guint n_tasks, HzbKvTransaction *transaction)
 {
   g_autofree char *key = g_strconcat (HZB_KEY_JOBS, uid, NULL);
-  hzb_kv_transaction_put (transaction, key, hzb_jobs_pack_final (HZB_JOB_CANCELLED, n_tasks), 0);
+  hzb_kv_transaction_put (transaction, key, hzb_job_end_encode (HZB_JOB_CANCELLED, n_tasks), 0);
 }
 
 void
 hzb_cancellation_record_apply (const char *uid, guint n_tasks, guint64 revision, HzbJobs *jobs)
 {
-  cJSON *value = hzb_jobs_pack_final (HZB_JOB_CANCELLED, n_tasks);
+  cJSON *value = hzb_job_end_encode (HZB_JOB_CANCELLED, n_tasks);
   hzb_jobs_apply (jobs, uid, value, revision);
   cJSON_Delete (value);
 }
--- a/src/cluster/cancellation-knowledge.c
+++ b/src/cluster/cancellation-knowledge.c
@@ -12,7 +12,7 @@
 }
 
 void
-hzb_cancellations_note_reading (HzbCancellations *cancellations, guint64 revision)
+hzb_cancellations_note_load (HzbCancellations *cancellations, guint64 revision)
 {
   hzb_cancellation_log_restart (cancellations->log, revision);
 }
@@ -105,5 +105,5 @@
       && (!uses->node->settings->peers->len || hzb_peers_any_lists_no_cancellations (uses->peers)))
     return TRUE;
   current_as_of = later_of (hzb_kv_replica_current_as_of (uses->kv_replica), hzb_peers_current_as_of (uses->peers));
-  return hzb_time_between (current_as_of, hzb_clock_now (uses->node->clock)) < HZB_CANCELLATIONS_KNOWN_S;
+  return hzb_time_between (current_as_of, hzb_clock_now (uses->node->clock)) < HZB_CANCELLATIONS_MAX_AGE_S;
 }
--- a/src/cluster/cancellation-log.h
+++ b/src/cluster/cancellation-log.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: cancellation-log - the latest recorded cancellations, by revision.
+ * SECTION: cancellation-log
+ * @short_description: the latest recorded cancellations, by revision
  *
  * A controller that the key-value store refuses learns of cancellations from its peers: each controller keeps the
  * latest ones that its replica of the records has shown, and lists to a peer those after a revision. The log knows from
--- a/src/cluster/cancellation-messages.h
+++ b/src/cluster/cancellation-messages.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: cancellation-messages - encoding of what controllers tell each other about cancellations.
+ * SECTION: cancellation-messages
+ * @short_description: encoding of what controllers tell each other about cancellations
  *
  * The one place that knows how a list of cancellations is written in a message: in the reply to a heartbeat, and in the
  * request for acknowledgements that a leaseholder sends with its poll of the leader. Also decodes the part of the
--- a/src/cluster/cancellations-private.h
+++ b/src/cluster/cancellations-private.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: cancellations-private - the state that the source files of cancellations.h share.
+ * SECTION: cancellations-private
+ * @short_description: the state that the source files of cancellations.h share
  */
 #pragma once
 #include "cancellations.h"
--- a/src/cluster/cancellations.c
+++ b/src/cluster/cancellations.c
@@ -54,7 +54,7 @@
 HzbJob *
 hzb_cancellations_apply (HzbCancellations *cancellations, const HzbCancellation *cancellation)
 {
-  cJSON *record = hzb_jobs_pack_final (HZB_JOB_CANCELLED, cancellation->n_tasks);
+  cJSON *record = hzb_job_end_encode (HZB_JOB_CANCELLED, cancellation->n_tasks);
   HzbJob *job = hzb_jobs_apply (cancellations->uses.jobs, cancellation->uid, record, cancellation->revision);
   cJSON_Delete (record);
   return job;
--- a/src/cluster/cancellations.h
+++ b/src/cluster/cancellations.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: cancellations - when a cancelled job may be confirmed to users as cancelled.
+ * SECTION: cancellations
+ * @short_description: when a cancelled job may be confirmed to users as cancelled
  *
  * A cancellation is confirmed only once no controller can act without it any more: none can start a task of the job, or
  * renew the lease of a worker without stopping what runs of the job there. cancellations.c gives the argument.
@@ -101,7 +101,7 @@
 char **hzb_cancellations_acknowledge (HzbCancellations *cancellations, const GArray *requested);
 
 /**
- * hzb_cancellations_handle_response: takes the acknowledgements in an answer of the leader of this term; @acknowledged_uids is
+ * hzb_cancellations_handle_response: takes the acknowledgements in an answer of the leader of this term; `acknowledged_uids` is
  * a string array.
  */
 void hzb_cancellations_handle_response (HzbCancellations *cancellations, guint64 term, char *const *acknowledged_uids);
@@ -113,8 +113,8 @@
  */
 void hzb_cancellations_note_record (HzbCancellations *cancellations, const HzbJob *job, guint64 revision);
 
-/** hzb_cancellations_note_reading: the replica of the records has read all records anew, as of this revision. */
-void hzb_cancellations_note_reading (HzbCancellations *cancellations, guint64 revision);
+/** hzb_cancellations_note_load: the replica of the records has read all records anew, as of this revision. */
+void hzb_cancellations_note_load (HzbCancellations *cancellations, guint64 revision);
 
 /** hzb_cancellations_fill_heartbeat: see #HzbPeersCallbacks. */
 void hzb_cancellations_fill_heartbeat (HzbCancellations *cancellations, HzbPeerHeartbeat *heartbeat);
--- a/src/cluster/election-private.h
+++ b/src/cluster/election-private.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: election-private - the state that the source files of election.h share.
+ * SECTION: election-private
+ * @short_description: the state that the source files of election.h share
  */
 #pragma once
 #include "election.h"
--- a/src/cluster/election-records.h
+++ b/src/cluster/election-records.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: election-records - encoding of the records that elections write. Private to this folder.
+ * SECTION: election-records
+ * @short_description: encoding of the records that elections write. Private to this folder
  *
  * The one place that knows how the records of leadership, of the term and of the schema version are written.
  * record-keys.h names their keys.
--- a/src/cluster/election.h
+++ b/src/cluster/election.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: election - leadership by a lease of the key-value store.
+ * SECTION: election
+ * @short_description: leadership by a lease of the key-value store
  *
  * A controller leads while the record of leadership names it. That record is attached to a lease that the leader
  * renews. The transaction that takes the leadership requires that no such record exists, and raises the one counter of
--- a/src/cluster/node.h
+++ b/src/cluster/node.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: node - this controller's process: its settings, its means, and what it says of itself.
+ * SECTION: node
+ * @short_description: this controller's process: its settings, its means, and what it says of itself
  *
  * Shared by the modules of a controller; it has no logic of its own.
  */
@@ -21,7 +21,7 @@
 /** HZB_SCHEMA_VERSION: the version of records and messages that this program reads and writes. */
 #define HZB_SCHEMA_VERSION HZB_SCHEMA_VERSION_2
 
-/** HzbNode: this controller's process. Nothing is owned but @ref incarnation. */
+/** HzbNode: this controller's process. Nothing is owned but `ref` incarnation. */
 typedef struct
 {
   HzbSettings *settings;   /**< name of the node, its peers, limits */
--- a/src/cluster/ownership.h
+++ b/src/cluster/ownership.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: ownership - whether this controller owns a shard, as leader or as leaseholder.
+ * SECTION: ownership
+ * @short_description: whether this controller owns a shard, as leader or as leaseholder
  *
  * The state machine of a controller's ownership. hzb_ownership_set_state() is the one function that changes the state;
  * only the controller calls it. Each ownership has an epoch of its own, so that an answer to a request of an earlier
--- a/src/cluster/peer-heartbeat.h
+++ b/src/cluster/peer-heartbeat.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: peer-heartbeat - what two controllers tell each other once a second, and its encoding.
+ * SECTION: peer-heartbeat
+ * @short_description: what two controllers tell each other once a second, and its encoding
  *
  * The one place that knows how a heartbeat is written. A receiver ignores fields that its version does not know. For a
  * field that a sender of an older version does not send, the receiver assumes the default that is named at the member.
@@ -57,11 +57,11 @@
   guint64 replicated_revision;
   /** The sender knows all cancellations up to this revision, by its replica of the records or by peers. Default 0. */
   guint64 cancellations_known;
-  /** The sender's replies list what the receiver lacks. FALSE for versions that state no @ref cancellations_known. */
+  /** The sender's replies list what the receiver lacks. FALSE for versions that state no `ref` cancellations_known. */
   gboolean lists_cancellations;
   /** The sender answers no worker once it could have missed a cancellation. Default FALSE. */
   gboolean self_fenced;
-  /** @ref counts covers some of the jobs only; other heartbeats cover the others. */
+  /** `ref` counts covers some of the jobs only; other heartbeats cover the others. */
   gboolean partial_counts;
   /** HzbTaskCounts of the leader's unfinished jobs; may be empty. */
   GArray *counts;
@@ -75,7 +75,7 @@
 
   /** In replies: HzbCancellation of what was recorded after the revision that the request stated. */
   GArray *cancellations;
-  /** In replies: @ref cancellations is complete up to this revision; 0: the reply says nothing. */
+  /** In replies: `ref` cancellations is complete up to this revision; 0: the reply says nothing. */
   guint64 cancellations_up_to;
 } HzbPeerHeartbeat;
 
--- a/src/cluster/peer-knowledge.h
+++ b/src/cluster/peer-knowledge.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: peer-knowledge - which cancellations the controllers of the cluster know. Private to this folder.
+ * SECTION: peer-knowledge
+ * @short_description: which cancellations the controllers of the cluster know. Private to this folder
  *
  * A cancellation may be confirmed to users once every controller knows it, or all but one that must have fenced itself
  * since (docs/safety.md, "One controller is away"). What a controller has said of itself remains true, whoever repeats
--- a/src/cluster/peer-messages.h
+++ b/src/cluster/peer-messages.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: peer-messages - the fields with which every message between controllers identifies its sender.
+ * SECTION: peer-messages
+ * @short_description: the fields with which every message between controllers identifies its sender
  *
  * A copy of an old message may arrive late, also from a process that has ended since. So each message names the sending
  * process, when that process started, and a number that grows; peer-senders.h decides which messages are accepted.
@@ -9,13 +9,13 @@
 #include <cjson/cJSON.h>
 #include <glib.h>
 
-/** HzbPeerKind: messages are numbered in one sequence, and of each kind only one newer than the last is accepted. */
+/** HzbPeerMessageKind: messages are numbered in one sequence, and of each kind only one newer than the last is accepted. */
 typedef enum
 {
   HZB_PEER_HEARTBEAT,  /**< the heartbeat that controllers exchange */
   HZB_PEER_SHARD_POLL, /**< a leaseholder polls the leader */
   HZB_PEER_N_KINDS     /**< how many kinds there are */
-} HzbPeerKind;
+} HzbPeerMessageKind;
 
 /**
  * HzbPeerEnvelope: identifies the process that sent a message. The strings belong to whoever filled in the structure.
--- a/src/cluster/peer-queries.c
+++ b/src/cluster/peer-queries.c
@@ -46,7 +46,7 @@
 }
 
 gboolean
-hzb_peers_any_sends_workers (HzbPeers *peers)
+hzb_peers_any_redirects_workers (HzbPeers *peers)
 {
   for (guint i = 0; i < peers->table.n_entries; i++)
     {
--- a/src/cluster/peer-senders.c
+++ b/src/cluster/peer-senders.c
@@ -57,8 +57,8 @@
 }
 
 HzbPeerEntry *
-hzb_peer_senders_admit (HzbPeerSenders *senders, HzbPeerTable *table, const HzbPeerEnvelope *envelope, HzbPeerKind kind,
-                        guint lowest_schema_version)
+hzb_peer_senders_admit (HzbPeerSenders *senders, HzbPeerTable *table, const HzbPeerEnvelope *envelope,
+                        HzbPeerMessageKind kind, guint lowest_schema_version)
 {
   HzbPeerEntry *entry = hzb_peer_table_find (table, envelope->node);
 
--- a/src/cluster/peer-senders.h
+++ b/src/cluster/peer-senders.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: peer-senders - which requests of peers are accepted. Private to this folder.
+ * SECTION: peer-senders
+ * @short_description: which requests of peers are accepted. Private to this folder
  *
  * Copies of old messages may arrive late, also from a process that has ended since. A request is accepted only if it
  * comes from the newest process of a known peer, and if its number exceeds those of all earlier requests of its kind
@@ -30,4 +30,4 @@
  * Returns: (transfer none) (nullable): the sender's entry; NULL if the request is refused
  */
 HzbPeerEntry *hzb_peer_senders_admit (HzbPeerSenders *senders, HzbPeerTable *table, const HzbPeerEnvelope *envelope,
-                                      HzbPeerKind kind, guint lowest_schema_version);
+                                      HzbPeerMessageKind kind, guint lowest_schema_version);
--- a/src/cluster/peer-table.h
+++ b/src/cluster/peer-table.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: peer-table - what this controller knows of each other controller. Private to this folder.
+ * SECTION: peer-table
+ * @short_description: what this controller knows of each other controller. Private to this folder
  *
  * One entry for each peer that the settings name. An entry holds what the peer's heartbeats and replies said last, what
  * third controllers have relayed of the peer, which process of the peer sends, and the state of the heartbeat that was
@@ -25,8 +25,8 @@
   gboolean self_fenced;         /**< see #HzbPeerHeartbeat */
 
   guint64 relayed_started_ms;     /**< start of the process that the relayed state is of; 0: nothing was relayed */
-  guint64 relayed_known_revision; /**< as @ref known_revision, said by third controllers */
-  gboolean relayed_self_fenced;   /**< as @ref self_fenced, said by third controllers */
+  guint64 relayed_known_revision; /**< as `ref` known_revision, said by third controllers */
+  gboolean relayed_self_fenced;   /**< as `ref` self_fenced, said by third controllers */
 
   char *incarnation;  /**< (nullable) (owned): the process that sent the last accepted request; NULL: none */
   guint64 started_ms; /**< when that process started, in milliseconds of the time of day */
--- a/src/cluster/peers-private.h
+++ b/src/cluster/peers-private.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: peers-private - the state that the source files of peers.h share.
+ * SECTION: peers-private
+ * @short_description: the state that the source files of peers.h share
  */
 #pragma once
 #include "peer-knowledge.h"
--- a/src/cluster/peers.c
+++ b/src/cluster/peers.c
@@ -54,7 +54,7 @@
 /* ---- heartbeats ---- */
 
 cJSON *
-hzb_peers_message (HzbPeers *peers, HzbPeerKind kind)
+hzb_peers_message (HzbPeers *peers, HzbPeerMessageKind kind)
 {
   const HzbNode *node = peers->uses.node;
   const HzbPeerEnvelope envelope = { .node = node->settings->node,
@@ -213,7 +213,8 @@
 void
 hzb_peers_handle_request (HzbPeers *peers, HzbHttpRequest *http_request)
 {
-  HzbPeerKind kind = g_str_equal (http_request->path, SHARD_POLL_PATH) ? HZB_PEER_SHARD_POLL : HZB_PEER_HEARTBEAT;
+  HzbPeerMessageKind kind =
+      g_str_equal (http_request->path, SHARD_POLL_PATH) ? HZB_PEER_SHARD_POLL : HZB_PEER_HEARTBEAT;
   cJSON *message = cJSON_ParseWithLength (http_request->body, http_request->length);
   HzbPeerEnvelope envelope = hzb_peer_envelope_decode (message);
   guint lowest_schema_version = MIN (hzb_election_schema_version (peers->uses.election), HZB_SCHEMA_VERSION_2);
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: peers - messages between controllers.
+ * SECTION: peers
+ * @short_description: messages between controllers
  *
  * Once a second each controller exchanges a heartbeat with every other one, and answers what others ask of it. This
  * module sends and receives heartbeats, and answers from what they said: which controllers are reachable, which
@@ -69,8 +69,8 @@
 /** hzb_peers_any_reachable: a peer sent a heartbeat in the last 5 s, or there are no peers. */
 gboolean hzb_peers_any_reachable (HzbPeers *peers);
 
-/** hzb_peers_any_sends_workers: a reachable peer has lately redirected workers to the leader. */
-gboolean hzb_peers_any_sends_workers (HzbPeers *peers);
+/** hzb_peers_any_redirects_workers: a reachable peer has lately redirected workers to the leader. */
+gboolean hzb_peers_any_redirects_workers (HzbPeers *peers);
 
 /**
  * hzb_peers_any_lost_workers: a controller, this one included, lately stepped down because no worker reported to it.
@@ -146,7 +146,7 @@
  * hzb_peers_message: a new message that identifies this process and has the next number. The caller adds what the kind
  * requires. Returns: (transfer full)
  */
-cJSON *hzb_peers_message (HzbPeers *peers, HzbPeerKind kind);
+cJSON *hzb_peers_message (HzbPeers *peers, HzbPeerMessageKind kind);
 
 /** hzb_peers_handle_request: answers a request of another controller, of whatever kind. */
 void hzb_peers_handle_request (HzbPeers *peers, HzbHttpRequest *http_request);
--- a/src/cluster/task-count-table.h
+++ b/src/cluster/task-count-table.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: task-count-table - how many tasks of each job are done and running, as the leader says. Private to this
+ * SECTION: task-count-table
+ * @short_description: how many tasks of each job are done and running, as the leader says. Private to this
  * folder.
  *
  * The leader adds the counts of its unfinished jobs to its heartbeats, so that every controller can show them to users.
--- a/src/cluster/watermarks.h
+++ b/src/cluster/watermarks.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: watermarks - up to which revision an unavailable controller must have stopped acting without cancellations.
+ * SECTION: watermarks
+ * @short_description: up to which revision an unavailable controller must have stopped acting without cancellations
  *
  * A watermark says that, from some time on, all controllers but one have known all cancellations up to a revision. Once
  * the watermark is old enough, the remaining controller has learned of them too or has fenced itself, which means that
@@ -13,17 +13,17 @@
 #include "clock.h"
 
 /**
- * HZB_CANCELLATIONS_KNOWN_S: a controller answers workers only while it knows all cancellations that were recorded
+ * HZB_CANCELLATIONS_MAX_AGE_S: a controller answers workers only while it knows all cancellations that were recorded
  * until this many seconds ago.
  */
-#define HZB_CANCELLATIONS_KNOWN_S 10.0
+#define HZB_CANCELLATIONS_MAX_AGE_S 10.0
 
 /**
  * HZB_FENCED_AFTER_S: seconds after which a controller that learns of nothing can no longer get a command through to a
- * worker: its knowledge may be HZB_CANCELLATIONS_KNOWN_S old, workers drop answers after 4 s, and clocks drift apart by
+ * worker: its knowledge may be HZB_CANCELLATIONS_MAX_AGE_S old, workers drop answers after 4 s, and clocks drift apart by
  * less than 1 s.
  */
-#define HZB_FENCED_AFTER_S (HZB_CANCELLATIONS_KNOWN_S + 4.0 + 1.0)
+#define HZB_FENCED_AFTER_S (HZB_CANCELLATIONS_MAX_AGE_S + 4.0 + 1.0)
 
 /** HzbWatermark: all controllers but one have known all cancellations up to a revision since a point in time. */
 typedef struct
@@ -36,7 +36,7 @@
 typedef struct
 {
   GQueue marks;            /**< HzbWatermark, by rising revision */
-  double after_s;          /**< age in seconds at which a watermark raises @ref fenced_revision */
+  double after_s;          /**< age in seconds at which a watermark raises `ref` fenced_revision */
   guint64 fenced_revision; /**< highest revision of a watermark that grew old enough; never falls */
 } HzbWatermarks;
 
--- a/src/controller/connectivity.c
+++ b/src/controller/connectivity.c
@@ -41,7 +41,7 @@
       unresponsive += machine->verified;
     }
   return unresponsive >= LEAST_UNRESPONSIVE_MACHINES
-         && (!hzb_peers_any_lost_workers (controller->peers) || hzb_peers_any_sends_workers (controller->peers));
+         && (!hzb_peers_any_lost_workers (controller->peers) || hzb_peers_any_redirects_workers (controller->peers));
 }
 
 static void
--- a/src/controller/controller-private.h
+++ b/src/controller/controller-private.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: controller-private - the modules of a controller.
+ * SECTION: controller-private
+ * @short_description: the modules of a controller
  *
  * Included by the files of this folder, and by tests that look at a module of a running controller. Other modules are given
  * what they need when they are built, see controller-wiring.c.
@@ -79,7 +79,7 @@
 };
 
 /** The functions by which the replica of the records hands over what it shows; user data: the controller. */
-extern const HzbKvReplicaFuncs hzb_controller_replica_funcs;
+extern const HzbKvReplicaCallbacks hzb_controller_replica_callbacks;
 
 /** hzb_controller_apply_record: takes a record that is replicated, as the key-value store has it. */
 void hzb_controller_apply_record (HzbController *controller, const HzbKvEntry *entry);
--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -30,7 +30,7 @@
 new_kv_replica (HzbController *controller)
 {
   return hzb_kv_replica_new (controller->kv, controller->clock, HZB_KEY_REPLICATED,
-                             watch_interval_s (controller->settings), &hzb_controller_replica_funcs, controller);
+                             watch_interval_s (controller->settings), &hzb_controller_replica_callbacks, controller);
 }
 
 static void
@@ -58,7 +58,7 @@
 handle_shard_poll (HzbHttpRequest *http_request, const cJSON *message, gpointer user)
 {
   HzbController *controller = user;
-  hzb_shard_leases_request (controller->shard_leases, http_request, message);
+  hzb_shard_leases_handle_poll (controller->shard_leases, http_request, message);
 }
 
 static HzbPeers *
--- a/src/controller/fleet-summary.h
+++ b/src/controller/fleet-summary.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: fleet-summary - one line in the log that tells an operator how the fleet stands.
+ * SECTION: fleet-summary
+ * @short_description: one line in the log that tells an operator how the fleet stands
  */
 #pragma once
 #include "dispatch.h"
--- a/src/controller/replica-records.c
+++ b/src/controller/replica-records.c
@@ -93,7 +93,7 @@
     }
   hzb_dispatch_clear_indexes (controller->dispatch);
   hzb_jobs_load_end (controller->jobs);
-  hzb_cancellations_note_reading (controller->cancellations, revision);
+  hzb_cancellations_note_load (controller->cancellations, revision);
 }
 
 /* A node that has missed too many changes can't tell which of the jobs that it owns have completed. */
@@ -107,4 +107,5 @@
   hzb_controller_end_leased (controller, why);
 }
 
-const HzbKvReplicaFuncs hzb_controller_replica_funcs = { may_load, begin_load, apply_entry, end_load, lost_changes };
+const HzbKvReplicaCallbacks hzb_controller_replica_callbacks = { may_load, begin_load, apply_entry, end_load,
+                                                                 lost_changes };
--- a/src/kv/kv-client.h
+++ b/src/kv/kv-client.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: kv-client - client of the consensus-backed key-value store.
+ * SECTION: kv-client
+ * @short_description: client of the consensus-backed key-value store
  *
  * Requests and changes have a budget each, shared out by priority. A request that waits longer than its time for its
  * turn is given up unsent. Whatever becomes of a request, its callback is called exactly once, with a result that says
--- a/src/kv/kv-replica-private.h
+++ b/src/kv/kv-replica-private.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: kv-replica-private - what kv-replica.c (state, watch, sync) and kv-replica-load.c (the reading of all
+ * SECTION: kv-replica-private
+ * @short_description: what kv-replica.c (state, watch, sync) and kv-replica-load.c (the reading of all
  * records) share.
  */
 #pragma once
@@ -17,11 +17,11 @@
 /** _HzbKvReplica: the state of the replica, of its watch, and of the reading of all records. */
 struct _HzbKvReplica
 {
-  HzbKvClient *kv;         /**< (not owned) */
-  HzbClock *clock;         /**< (not owned) */
-  char *prefix;            /**< of the keys */
-  HzbKvReplicaFuncs funcs; /**< of the module that made the replica */
-  gpointer user;           /**< (nullable) (not owned): handed to them */
+  HzbKvClient *kv;             /**< (not owned) */
+  HzbClock *clock;             /**< (not owned) */
+  char *prefix;                /**< of the keys */
+  HzbKvReplicaCallbacks funcs; /**< of the module that made the replica */
+  gpointer user;               /**< (nullable) (not owned): handed to them */
 
   HzbKvReplicaState state; /**< changed by hzb_kv_replica_set_state() only */
   guint64 generation;      /**< raised when all is read anew: answers to earlier requests are not taken any more */
--- a/src/kv/kv-replica.c
+++ b/src/kv/kv-replica.c
@@ -14,7 +14,7 @@
 
 HzbKvReplica *
 hzb_kv_replica_new (HzbKvClient *kv, HzbClock *clock, const char *prefix, double watch_interval_s,
-                    const HzbKvReplicaFuncs *funcs, gpointer user)
+                    const HzbKvReplicaCallbacks *funcs, gpointer user)
 {
   HzbKvReplica *kv_replica = g_new0 (HzbKvReplica, 1);
   kv_replica->kv = kv;
--- a/src/kv/kv-replica.h
+++ b/src/kv/kv-replica.h
@@ -1,9 +1,9 @@
 /**
- * @file
- * SECTION: kv-replica - this controller's replica of the records that every controller follows.
+ * SECTION: kv-replica
+ * @short_description: this controller's replica of the records that every controller follows
  *
  * Reads all records under one prefix, in pages, and then follows their changes with a watch. It keeps none of them:
- * each record is handed, in the order of changes, to the module that made the replica (#HzbKvReplicaFuncs), which knows
+ * each record is handed, in the order of changes, to the module that made the replica (#HzbKvReplicaCallbacks), which knows
  * what they mean.
  *
  * Two promises: while the replica follows, each change is handed over once and in order; and everything up to
@@ -24,7 +24,7 @@
 /** HzbKvReplica: the reading or the watch of one prefix. */
 typedef struct _HzbKvReplica HzbKvReplica;
 
-/** HzbKvReplicaFuncs: what the module that made the replica does. Each gets its `user`. */
+/** HzbKvReplicaCallbacks: what the module that made the replica does. Each gets its `user`. */
 typedef struct
 {
   /** Whether a reading may begin now; if not, hzb_kv_replica_tick() asks again. */
@@ -38,7 +38,7 @@
   void (*load_end) (guint64 revision, gpointer user);
   /** Too much was missed: all records will be read anew. What is known stays, and may be out of date. */
   void (*lost) (gpointer user);
-} HzbKvReplicaFuncs;
+} HzbKvReplicaCallbacks;
 
 /**
  * HzbKvReplicaSyncFunc: the end of a hzb_kv_replica_sync().
@@ -60,7 +60,7 @@
  * Returns: (transfer full): empty; the first hzb_kv_replica_tick() begins the reading
  */
 HzbKvReplica *hzb_kv_replica_new (HzbKvClient *kv, HzbClock *clock, const char *prefix, double watch_interval_s,
-                                  const HzbKvReplicaFuncs *funcs, gpointer user);
+                                  const HzbKvReplicaCallbacks *funcs, gpointer user);
 
 /** hzb_kv_replica_free: no answer to a request of the replica may come after it. */
 void hzb_kv_replica_free (HzbKvReplica *kv_replica);
--- a/src/main.c
+++ b/src/main.c
@@ -86,11 +86,11 @@
     }
   if (!options->html)
     {
-      text = hzb_report_text (archive);
+      text = hzb_archive_report_text (archive);
       g_print ("%s", text);
       return 0;
     }
-  text = hzb_report_html (archive);
+  text = hzb_archive_report_html (archive);
   if (g_file_set_contents (options->html, text, -1, &error))
     return 0;
   g_printerr ("hazelbank: %s\n", error->message);
--- a/src/provisioning/cloud-client.h
+++ b/src/provisioning/cloud-client.h
@@ -25,7 +25,7 @@
 
 /**
  * hzb_cloud_client_new:
- * @transport: (transfer none): has to outlive the client, as do the clock and the settings
+ * `transport`: (transfer none): has to outlive the client, as do the clock and the settings
  *
  * Returns: (transfer full): a client without waiting requests
  */
@@ -37,31 +37,31 @@
 /** hzb_cloud_client_pump: sends as many waiting requests as the rate allows; called with each tick of the controller. */
 void hzb_cloud_client_pump (HzbCloudClient *cloud);
 
-/** hzb_cloud_client_list_types: asks for the machine types. @done is called once with the response. */
+/** hzb_cloud_client_list_types: asks for the machine types. `done` is called once with the response. */
 void hzb_cloud_client_list_types (HzbCloudClient *cloud, HzbReplyFunc done, gpointer user);
 
 /**
  * hzb_cloud_client_list_instances:
- * @after: (nullable): the name of the last instance of the page before; %NULL asks for the first page
+ * `after`: (nullable): the name of the last instance of the page before; %NULL asks for the first page
  *
- * Asks for a page of the cloud's inventory. @done is called once with the response.
+ * Asks for a page of the cloud's inventory. `done` is called once with the response.
  */
 void hzb_cloud_client_list_instances (HzbCloudClient *cloud, const char *after, HzbReplyFunc done, gpointer user);
 
 /**
  * hzb_cloud_client_scale_out:
- * @request: makes the request idempotent: the cloud answers a repetition under the same name without renting again
- * @count: how many machines
+ * `request`: makes the request idempotent: the cloud answers a repetition under the same name without renting again
+ * `count`: how many machines
  *
- * Rents machines. @done is called once with the response.
+ * Rents machines. `done` is called once with the response.
  */
 void hzb_cloud_client_scale_out (HzbCloudClient *cloud, const char *request, const char *type, const char *zone,
                                  gboolean spot, guint count, HzbReplyFunc done, gpointer user);
 
 /**
  * hzb_cloud_client_scale_in:
- * @names: (transfer none) (element-type utf8): of the machines
+ * `names`: (transfer none) (element-type utf8): of the machines
  *
- * Returns machines to the cloud. @done is called once with the response.
+ * Returns machines to the cloud. `done` is called once with the response.
  */
 void hzb_cloud_client_scale_in (HzbCloudClient *cloud, const GPtrArray *names, HzbReplyFunc done, gpointer user);
--- a/src/provisioning/provisioning-private.h
+++ b/src/provisioning/provisioning-private.h
@@ -16,7 +16,7 @@
 /** hzb_provisioning_list_instances: asks for the next page of the cloud's inventory, if it is due. */
 void hzb_provisioning_list_instances (HzbProvisioning *provisioning, struct timespec now);
 
-/** hzb_provisioning_machine_gone: the cloud has confirmed that the machine is gone. Frees @machine; its tasks are
+/** hzb_provisioning_machine_gone: the cloud has confirmed that the machine is gone. Frees `machine`; its tasks are
  * lost. */
 void hzb_provisioning_machine_gone (HzbProvisioning *provisioning, HzbMachine *machine);
 
--- a/src/provisioning/provisioning.h
+++ b/src/provisioning/provisioning.h
@@ -36,7 +36,7 @@
   HzbReconciliation *reconciliation; /**< holds scale-out back after a cold start */
 } HzbProvisioningDependencies;
 
-/** hzb_provisioning_new: @dependencies: copied. Returns: (transfer full) */
+/** hzb_provisioning_new: `dependencies`: copied. Returns: (transfer full) */
 HzbProvisioning *hzb_provisioning_new (const HzbProvisioningDependencies *dependencies);
 
 /** hzb_provisioning_free: no response to a request of the module may come afterwards. */
@@ -50,7 +50,7 @@
 
 /**
  * hzb_provisioning_was_scaled_in:
- * @machine: its name
+ * `machine`: its name
  *
  * Returns: whether the cloud has confirmed in the last 15 minutes that the machine is gone. A heartbeat of such a
  * machine is a late copy.
--- a/src/reconciliation/archive-codec.h
+++ b/src/reconciliation/archive-codec.h
@@ -29,25 +29,25 @@
 /** hzb_archive_decode: Returns: (transfer full) (nullable): %NULL, with an error, if the text is not such a document */
 HzbArchive *hzb_archive_decode (const char *text, GError **error);
 
-/** hzb_archive_index_encode: @index: (element-type HzbArchiveIndexEntry). Returns: (transfer full) */
+/** hzb_archive_index_encode: `index`: (element-type HzbArchiveIndexEntry). Returns: (transfer full) */
 cJSON *hzb_archive_index_encode (const GArray *index);
 
-/** hzb_archive_index_decode: @value: (nullable). Returns: (transfer full) (element-type HzbArchiveIndexEntry) */
+/** hzb_archive_index_decode: `value`: (nullable). Returns: (transfer full) (element-type HzbArchiveIndexEntry) */
 GArray *hzb_archive_index_decode (const cJSON *value);
 
-/** hzb_archive_part_encode: @text: of this part; @of: how many parts there are. Returns: (transfer full) */
+/** hzb_archive_part_encode: `text`: of this part; `of`: how many parts there are. Returns: (transfer full) */
 cJSON *hzb_archive_part_encode (const char *text, guint of);
 
-/** hzb_archive_part_decode: @of: (out): how many parts there are. Returns: (transfer none): the text of this part */
+/** hzb_archive_part_decode: `of`: (out): how many parts there are. Returns: (transfer none): the text of this part */
 const char *hzb_archive_part_decode (const cJSON *value, guint *of);
 
-/** hzb_archive_response_encode: @text: the packed archive in base 64. Returns: (transfer full): the response with it */
+/** hzb_archive_response_encode: `text`: the packed archive in base 64. Returns: (transfer full): the response with it */
 char *hzb_archive_response_encode (guint64 id, const char *text);
 
 /**
  * hzb_archive_response_decode:
- * @packed_length: (out): in bytes
+ * `packed_length`: (out): in bytes
  *
- * Returns: (transfer full) (nullable): the packed archive; %NULL if @text is not such a response
+ * Returns: (transfer full) (nullable): the packed archive; %NULL if `text` is not such a response
  */
 char *hzb_archive_response_decode (const char *text, gsize length, gsize *packed_length);
--- a/src/reconciliation/archive.h
+++ b/src/reconciliation/archive.h
@@ -99,7 +99,7 @@
 
 /**
  * hzb_archive_read_file:
- * @path: of a packed archive, or of a response of the administration API that holds one
+ * `path`: of a packed archive, or of a response of the administration API that holds one
  *
  * Returns: (transfer full) (nullable): %NULL, with an error of the file system or as of hzb_archive_unpack()
  */
--- a/src/reconciliation/quarantine.h
+++ b/src/reconciliation/quarantine.h
@@ -79,7 +79,7 @@
   HzbMachines *machines;    /**< where such a task is */
 } HzbQuarantineDependencies;
 
-/** hzb_quarantine_new: @dependencies: copied. Returns: (transfer full) */
+/** hzb_quarantine_new: `dependencies`: copied. Returns: (transfer full) */
 HzbQuarantine *hzb_quarantine_new (const HzbQuarantineDependencies *dependencies);
 
 /** hzb_quarantine_free: no response to a request of the module may come afterwards. */
@@ -88,13 +88,13 @@
 /** hzb_quarantine_reset: forgets all tasks and decisions; called when leadership begins or ends. */
 void hzb_quarantine_reset (HzbQuarantine *quarantine);
 
-/** hzb_quarantine_load: @item: the record of the tasks that operators want kept. An unreadable one counts for
+/** hzb_quarantine_load: `item`: the record of the tasks that operators want kept. An unreadable one counts for
  * nothing. */
 void hzb_quarantine_load (HzbQuarantine *quarantine, const HzbKvEntry *item);
 
 /**
  * hzb_quarantine_judge: a heartbeat of the machine shows a task that no record here names.
- * @reason: (out): of the verdict
+ * `reason`: (out): of the verdict
  *
  * Returns: what is to be done with the task
  */
@@ -113,9 +113,9 @@
 
 /**
  * hzb_quarantine_decide: an operator wants the task kept, or stopped.
- * @uid: of the job
- * @decision: to keep or to stop
- * @done: called once, perhaps before this function returns
+ * `uid`: of the job
+ * `decision`: to keep or to stop
+ * `done`: called once, perhaps before this function returns
  */
 void hzb_quarantine_decide (HzbQuarantine *quarantine, const char *uid, guint task, HzbOperatorDecision decision,
                             HzbKeepFunc done, gpointer user);
--- a/src/reconciliation/reconciliation-admin-codec.h
+++ b/src/reconciliation/reconciliation-admin-codec.h
@@ -17,8 +17,8 @@
 
 /**
  * hzb_reconciliation_decision_decode:
- * @body: of `POST reconciliation/quarantine/JOB/NUMBER`
- * @decision: (out): to keep or to stop the task
+ * `body`: of `POST reconciliation/quarantine/JOB/NUMBER`
+ * `decision`: (out): to keep or to stop the task
  *
  * Returns: whether the body is a decision
  */
--- a/src/reconciliation/reconciliation-admin.h
+++ b/src/reconciliation/reconciliation-admin.h
@@ -16,7 +16,7 @@
 
 /**
  * hzb_reconciliation_admin_request:
- * @path: below the administration API's prefix
+ * `path`: below the administration API's prefix
  *
  * Returns: %FALSE if the path is none of these; else the request is answered, now or later
  */
--- a/src/reconciliation/reconciliation-codec.h
+++ b/src/reconciliation/reconciliation-codec.h
@@ -73,9 +73,9 @@
 
 /**
  * hzb_verdict_page_encode:
- * @id: of the reconciliation
- * @term: of the leader
- * @entries: (element-type HzbVerdictEntry): in the order in which they are written
+ * `id`: of the reconciliation
+ * `term`: of the leader
+ * `entries`: (element-type HzbVerdictEntry): in the order in which they are written
  *
  * Returns: (transfer full): the value of a page
  */
@@ -83,7 +83,7 @@
 
 /**
  * hzb_verdict_page_decode:
- * @id: (out): the reconciliation that it belongs to
+ * `id`: (out): the reconciliation that it belongs to
  *
  * Returns: (transfer full) (nullable) (element-type HzbVerdictEntry): all verdicts of the page; %NULL, with an error,
  * if any of it can't be read
@@ -97,14 +97,14 @@
 
 /**
  * hzb_roster_encode:
- * @processes: (element-type utf8): names of HZB_ROSTER_NAME_CHARS characters
- * @flush_record: gets the roster
+ * `processes`: (element-type utf8): names of HZB_ROSTER_NAME_CHARS characters
+ * `flush_record`: gets the roster
  */
 void hzb_roster_encode (const GPtrArray *processes, cJSON *flush_record);
 
 /**
  * hzb_roster_decode:
- * @term: (out): of the leader that wrote the flush record
+ * `term`: (out): of the leader that wrote the flush record
  *
  * Returns: (transfer full) (nullable) (element-type utf8): the recorded roster; %NULL if the flush record has none
  */
@@ -112,8 +112,8 @@
 
 /* ---- tasks that operators want kept ---- */
 
-/** hzb_kept_encode: @kept: a set of "JOB/NUMBER". Returns: (transfer full): the value of their record */
+/** hzb_kept_encode: `kept`: a set of "JOB/NUMBER". Returns: (transfer full): the value of their record */
 cJSON *hzb_kept_encode (GHashTable *kept);
 
-/** hzb_kept_decode: @kept: gets the tasks. Returns: %FALSE, with an error, if the record can't be read */
+/** hzb_kept_decode: `kept`: gets the tasks. Returns: %FALSE, with an error, if the record can't be read */
 gboolean hzb_kept_decode (const cJSON *value, GHashTable *kept, GError **error);
--- a/src/reconciliation/reconciliation.h
+++ b/src/reconciliation/reconciliation.h
@@ -52,7 +52,7 @@
   HzbDispatch *dispatch;    /**< is told when starts may go on */
 } HzbReconciliationDependencies;
 
-/** hzb_reconciliation_new: @dependencies: copied. Returns: (transfer full) */
+/** hzb_reconciliation_new: `dependencies`: copied. Returns: (transfer full) */
 HzbReconciliation *hzb_reconciliation_new (const HzbReconciliationDependencies *dependencies);
 
 /** hzb_reconciliation_free: no response to a request of the module may come afterwards. */
@@ -99,18 +99,18 @@
 
 /**
  * hzb_reconciliation_judge: a heartbeat shows a task of a job that is known.
- * @task: (nullable): %NULL if the job is terminal and no task of it is kept
+ * `task`: (nullable): %NULL if the job is terminal and no task of it is kept
  *
  * Returns: what is to be done with the task
  */
 HzbTaskVerdict hzb_reconciliation_judge (HzbReconciliation *reconciliation, const HzbMachine *machine,
                                          const HzbJob *job, const HzbTask *task, const HzbTaskStatus *task_status);
 
-/** hzb_reconciliation_note_commands: @commands: (element-type HzbCommand): that go to a worker now; counted for the
+/** hzb_reconciliation_note_commands: `commands`: (element-type HzbCommand): that go to a worker now; counted for the
  * archive */
 void hzb_reconciliation_note_commands (HzbReconciliation *reconciliation, const GArray *commands);
 
-/** hzb_reconciliation_note_scale_out: @machines: how many were asked for; counted for the archive */
+/** hzb_reconciliation_note_scale_out: `machines`: how many were asked for; counted for the archive */
 void hzb_reconciliation_note_scale_out (HzbReconciliation *reconciliation, guint machines);
 
 /* ---- the roster: which controllers are alive, kept in the flush record ---- */
@@ -121,5 +121,5 @@
 /** hzb_reconciliation_add_roster: puts the roster into the value of the flush record that is about to be written. */
 void hzb_reconciliation_add_roster (HzbReconciliation *reconciliation, cJSON *flush_record);
 
-/** hzb_reconciliation_roster_written: @applied: whether that flush record is durable */
+/** hzb_reconciliation_roster_written: `applied`: whether that flush record is durable */
 void hzb_reconciliation_roster_written (HzbReconciliation *reconciliation, gboolean applied);
--- a/src/reconciliation/report.c
+++ b/src/reconciliation/report.c
@@ -94,7 +94,7 @@
 }
 
 char *
-hzb_report_text (const HzbArchive *archive)
+hzb_archive_report_text (const HzbArchive *archive)
 {
   GString *out = g_string_new (NULL);
   g_autofree char *began = began_text (archive);
@@ -204,7 +204,7 @@
 }
 
 char *
-hzb_report_html (const HzbArchive *archive)
+hzb_archive_report_html (const HzbArchive *archive)
 {
   GString *out = g_string_new ("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">"
                                "<title>Reconciliation</title><style>body{font-family:sans-serif;margin:2em}"
--- a/src/reconciliation/report.h
+++ b/src/reconciliation/report.h
@@ -5,8 +5,8 @@
 #pragma once
 #include "archive.h"
 
-/** hzb_report_text: Returns: (transfer full): a summary of some lines */
-char *hzb_report_text (const HzbArchive *archive);
+/** hzb_archive_report_text: Returns: (transfer full): a summary of some lines */
+char *hzb_archive_report_text (const HzbArchive *archive);
 
-/** hzb_report_html: Returns: (transfer full): a page that refers to no other file */
-char *hzb_report_html (const HzbArchive *archive);
+/** hzb_archive_report_html: Returns: (transfer full): a page that refers to no other file */
+char *hzb_archive_report_html (const HzbArchive *archive);
--- a/src/reconciliation/roster.h
+++ b/src/reconciliation/roster.h
@@ -30,13 +30,13 @@
   guint64 flush_term;        /**< of the leader that wrote the flush record */
 } HzbRoster;
 
-/** hzb_roster_init: an empty roster. @node and @peers have to outlive it. */
+/** hzb_roster_init: an empty roster. `node` and `peers` have to outlive it. */
 void hzb_roster_init (HzbRoster *roster, const HzbNode *node, HzbPeers *peers);
 
 /** hzb_roster_clear: forgets what is recorded and in flight, and frees it. */
 void hzb_roster_clear (HzbRoster *roster);
 
-/** hzb_roster_load: @flush_record: the value of the flush record */
+/** hzb_roster_load: `flush_record`: the value of the flush record */
 void hzb_roster_load (HzbRoster *roster, const cJSON *flush_record);
 
 /** hzb_roster_due: Returns: whether this process, or a peer that was heard, is missing from the recorded roster */
@@ -48,7 +48,7 @@
 /** hzb_roster_repeat: puts the recorded roster, if there is one, into a flush record that is about to be written. */
 void hzb_roster_repeat (const HzbRoster *roster, cJSON *flush_record);
 
-/** hzb_roster_written: @applied: whether the flush record in flight is durable */
+/** hzb_roster_written: `applied`: whether the flush record in flight is durable */
 void hzb_roster_written (HzbRoster *roster, gboolean applied);
 
 /** hzb_roster_collect: fills in what the roster says of the processes that are alive. */
--- a/src/reconciliation/verdicts.h
+++ b/src/reconciliation/verdicts.h
@@ -47,7 +47,7 @@
 
 /**
  * hzb_start_decide: tells a cold start from a change of leader.
- * @reason: (out): the evidence that decided
+ * `reason`: (out): the evidence that decided
  *
  * Returns: the kind of start; undecided until more peers are heard or patience is over
  */
@@ -96,7 +96,7 @@
 
 /**
  * hzb_job_verdict_decide:
- * @reason: (out): the evidence that decided
+ * `reason`: (out): the evidence that decided
  *
  * Returns: the fate of the job
  */
@@ -107,8 +107,8 @@
 
 /**
  * hzb_job_verdict_from_name:
- * @name: (nullable)
- * @verdict: (out)
+ * `name`: (nullable)
+ * `verdict`: (out)
  *
  * Returns: %FALSE if there is no such verdict
  */
@@ -204,7 +204,7 @@
 
 /**
  * hzb_task_verdict_decide:
- * @reason: (out): the evidence that decided
+ * `reason`: (out): the evidence that decided
  *
  * Returns: the fate of the task
  */
--- a/src/records/completed-job-archive.c
+++ b/src/records/completed-job-archive.c
@@ -73,7 +73,7 @@
   g_autofree char *to = g_strconcat (HZB_KEY_ARCHIVED, job->uid, NULL);
 
   hzb_kv_transaction_compare (transaction, from, job->version);
-  hzb_kv_transaction_put (transaction, to, hzb_jobs_pack_final (job->state, job->n_tasks), 0);
+  hzb_kv_transaction_put (transaction, to, hzb_job_end_encode (job->state, job->n_tasks), 0);
   hzb_kv_transaction_delete (transaction, from);
 }
 
--- a/src/records/completed-job-archive.h
+++ b/src/records/completed-job-archive.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: completed-job-archive - moves the records of jobs that completed long ago to the archive, which no
+ * SECTION: completed-job-archive
+ * @short_description: moves the records of jobs that completed long ago to the archive, which no
  * controller replicates.
  *
  * The leader's part. A month of completed jobs would not fit the memory of a controller. A question about an archived
--- a/src/records/job-completion.c
+++ b/src/records/job-completion.c
@@ -7,7 +7,7 @@
 static void
 apply_done (HzbJobs *jobs, const HzbJob *job, const char *body)
 {
-  cJSON *value = hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks);
+  cJSON *value = hzb_job_end_encode (HZB_JOB_DONE, job->n_tasks);
   guint64 revision = 0;
 
   hzb_kv_commit_decode (body, &revision, NULL);
@@ -53,7 +53,7 @@
   transaction = hzb_kv_transaction_new ();
   hzb_election_add_condition (modules->election, transaction);
   hzb_jobs_compare_not_terminal (transaction, job->uid); /* the job has not been cancelled */
-  hzb_kv_transaction_put (transaction, key, hzb_jobs_pack_final (HZB_JOB_DONE, job->n_tasks), 0);
+  hzb_kv_transaction_put (transaction, key, hzb_job_end_encode (HZB_JOB_DONE, job->n_tasks), 0);
   hzb_kv_client_commit (modules->kv, HZB_KV_ACCEPT, transaction, on_completed,
                         hzb_epoch_call_new (modules->ownership, records, g_strdup (job->uid)));
 }
--- a/src/records/job-progress.c
+++ b/src/records/job-progress.c
@@ -67,7 +67,7 @@
 }
 
 gboolean
-hzb_job_read_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const HzbProgressRecord *record, gboolean *ours)
+hzb_job_apply_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const HzbProgressRecord *record, gboolean *ours)
 {
   guint size = record->chunk_tasks;
 
--- a/src/records/job-progress.h
+++ b/src/records/job-progress.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: job-progress - how far a job has come, between the job in memory and its durable form.
+ * SECTION: job-progress
+ * @short_description: how far a job has come, between the job in memory and its durable form
  *
  * A job's progress is recorded in parts (chunks), each of which fits a value of the key-value store: which tasks have
  * finished, and up to which number tasks may have been started (the released mark). The stored form is the business of
@@ -22,7 +22,7 @@
 void hzb_job_pack_progress (const HzbJobs *jobs, const HzbJob *job, guint chunk, HzbProgressRecord *record);
 
 /**
- * hzb_job_read_progress: takes over what a part says: a task that the part shows as finished is done, and the other
+ * hzb_job_apply_progress: takes over what a part says: a task that the part shows as finished is done, and the other
  * tasks below its released mark become unconfirmed.
  * - `job`: with tasks
  * - `chunk`: the part's number, at the part size that `record` states
@@ -31,4 +31,4 @@
  * Returns: FALSE, with nothing changed, if the job has no such part
  */
 gboolean
-hzb_job_read_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const HzbProgressRecord *record, gboolean *ours);
+hzb_job_apply_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const HzbProgressRecord *record, gboolean *ours);
--- a/src/records/record-flush.c
+++ b/src/records/record-flush.c
@@ -186,7 +186,7 @@
 static gboolean
 acceptances_due (const HzbRecords *records, struct timespec now)
 {
-  return !hzb_time_before (now, records->next_clean) && hzb_jobs_completed_acceptance (records->modules.jobs);
+  return !hzb_time_before (now, records->next_clean) && hzb_jobs_deletable_acceptance (records->modules.jobs);
 }
 
 static void
@@ -194,7 +194,7 @@
 {
   HzbAcceptance *completed;
 
-  for (; room && (completed = hzb_jobs_completed_acceptance (records->modules.jobs)); room--)
+  for (; room && (completed = hzb_jobs_deletable_acceptance (records->modules.jobs)); room--)
     {
       completed->removing = TRUE;
       hzb_kv_transaction_delete (transaction, completed->key);
--- a/src/records/record-page-selection.c
+++ b/src/records/record-page-selection.c
@@ -34,11 +34,11 @@
     {
       HzbPage *page = hzb_pages_with_room (pages, FALSE, hzb_pages_part_bytes (pages, job, chunk));
       hzb_pages_add_part (pages, page, job, chunk);
-      page->replaces_retired = page->replaces_retired || job->unsplit;
-      records->replacements_pending = records->replacements_pending || job->unsplit;
+      page->replaces_retired = page->replaces_retired || job->has_schema_1_parts;
+      records->replacements_pending = records->replacements_pending || job->has_schema_1_parts;
     }
   job->on_pages = TRUE;
-  job->unsplit = FALSE;
+  job->has_schema_1_parts = FALSE;
 }
 
 static void
@@ -49,7 +49,7 @@
   for (guint i = 0; i < active->len; i++)
     {
       HzbJob *job = active->pdata[i];
-      gboolean has_news = job->dirty || hzb_records_wants_release (job) || job->unsplit;
+      gboolean has_news = job->dirty || hzb_records_wants_release (job) || job->has_schema_1_parts;
       if (!job->on_pages && has_news && is_writable (records, job))
         place_job (records, job);
     }
@@ -112,7 +112,7 @@
   if (records->replacements_pending)
     return FALSE;
   for (guint i = 0; i < active->len; i++)
-    if (((const HzbJob *) active->pdata[i])->unsplit)
+    if (((const HzbJob *) active->pdata[i])->has_schema_1_parts)
       return FALSE;
   return TRUE;
 }
--- a/src/records/record-pages.h
+++ b/src/records/record-pages.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: record-pages - which jobs and machines share a value of the key-value store.
+ * SECTION: record-pages
+ * @short_description: which jobs and machines share a value of the key-value store
  *
  * Changes are the scarcest thing in the key-value store, and hundreds of jobs and machines change at once, so many of
  * them share one value: a page. A job or machine stays on the page it was first put on until it is gone, and a page is
--- a/src/records/records-codec.c
+++ b/src/records/records-codec.c
@@ -59,7 +59,7 @@
 void
 hzb_progress_record_decode (const cJSON *value, HzbProgressRecord *record)
 {
-  double chunk_tasks = hzb_json_number (value, "of", HZB_CHUNK_TASKS_SCHEMA_1);
+  double chunk_tasks = hzb_json_number (value, "of", HZB_PROGRESS_PART_TASKS_SCHEMA_1);
   const char *finished = hzb_json_text (value, "done");
 
   *record = (HzbProgressRecord){ 0 };
--- a/src/records/records-codec.h
+++ b/src/records/records-codec.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: records-codec - the stored form of the leader's records: pages of progress, pages of machines, the flush
+ * SECTION: records-codec
+ * @short_description: the stored form of the leader's records: pages of progress, pages of machines, the flush
  * record.
  *
  * The one place that knows the names and the layout of these records. The stored bytes outlive the process that wrote
--- a/src/records/records-private.h
+++ b/src/records/records-private.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: records-private - what the files of HzbRecords share.
+ * SECTION: records-private
+ * @short_description: what the files of HzbRecords share
  *
  * records.c reads, record-page-selection.c chooses what to write, record-flush.c writes it, record-flush-outcome.c
  * applies what became durable, and job-completion.c records that a job is done.
--- a/src/records/records.c
+++ b/src/records/records.c
@@ -95,9 +95,9 @@
   hzb_jobs_activate (jobs, job);
   if (!job->tasks)
     return;
-  if (!hzb_job_read_progress (jobs, job, part->chunk, &part->progress, &ours))
+  if (!hzb_job_apply_progress (jobs, job, part->chunk, &part->progress, &ours))
     page->stale = TRUE;
-  else if (ours && !job->unsplit)
+  else if (ours && !job->has_schema_1_parts)
     {
       hzb_pages_add_part (&records->pages, page, job, part->chunk);
       job->on_pages = TRUE;
@@ -105,7 +105,7 @@
   else
     {
       hzb_pages_drop_job (&records->pages, job); /* of several parts some may be ours already */
-      job->unsplit = page->retiring = TRUE;
+      job->has_schema_1_parts = page->retiring = TRUE;
     }
 }
 
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -1,6 +1,6 @@
 /**
- * @file
- * SECTION: records - the leader's durable records of progress and machines.
+ * SECTION: records
+ * @short_description: the leader's durable records of progress and machines
  *
  * What the leader keeps in the key-value store for the leader after it: how far jobs have come, and which machines
  * there are. Used only while this node leads. Jobs and machines share records (pages, see record-pages.h); a flush
--- a/src/scheduling/demand.c
+++ b/src/scheduling/demand.c
@@ -81,7 +81,7 @@
   for (guint t = 0; machines->types && t < machines->types->len; t++)
     {
       const HzbMachineType *type = machines->types->pdata[t];
-      if (hzb_type_holds (type, spec))
+      if (hzb_machine_type_holds (type, spec))
         g_string_append_printf (names, "%s,", type->name);
     }
   return g_string_free (names, FALSE);
@@ -97,7 +97,7 @@
     {
       const HzbMachine *machine = machines->all->pdata[i];
       if (machine->type && !machine->scale_in_requested && g_str_equal (machine->zone, zone)
-          && hzb_type_holds (machine->type, spec))
+          && hzb_machine_type_holds (machine->type, spec))
         cpus += machine->type->cpus;
     }
   return cpus;
@@ -116,7 +116,7 @@
   for (guint t = 0; machines->types && t < machines->types->len; t++)
     {
       const HzbMachineType *type = machines->types->pdata[t];
-      for (guint z = 0; hzb_type_holds (type, spec) && type->zones[z]; z++)
+      for (guint z = 0; hzb_machine_type_holds (type, spec) && type->zones[z]; z++)
         {
           double cpus = cpus_in_zone (machines, spec, type->zones[z]);
           if (cpus > most)
@@ -132,7 +132,7 @@
 gboolean
 hzb_demand_kind_fits (const HzbDemand *demand, const HzbMachineKind *kind)
 {
-  return hzb_type_holds (kind->type, demand->spec) && ((demand->spec->spot && !demand->services) || !kind->spot)
+  return hzb_machine_type_holds (kind->type, demand->spec) && ((demand->spec->spot && !demand->services) || !kind->spot)
          && (!demand->zone || g_str_equal (demand->zone, kind->zone));
 }
 
@@ -162,7 +162,7 @@
 static guint
 tasks_on_leaving_machines (const HzbJob *job)
 {
-  guint n = MIN (job->delegated_leaving, job->placed);
+  guint n = MIN (job->delegated_on_recalled_machines, job->placed);
 
   for (guint k = 0; job->placed && k < job->n_tasks; k++)
     n += hzb_task_on_machine (&job->tasks[k]) && job->tasks[k].machine->scale_in_candidate;
--- a/src/scheduling/dispatch-start.c
+++ b/src/scheduling/dispatch-start.c
@@ -215,7 +215,7 @@
   HzbTask *task;
 
   while (!hzb_job_overdue_start_placed (job) && hzb_machine_has_room (answer->machine, job->spec)
-         && (task = hzb_job_next_pending (job, answer->now)))
+         && (task = hzb_job_take_pending (job, answer->now)))
     {
       if (!may_start (answer, task))
         {
--- a/src/scheduling/dispatch-state.c
+++ b/src/scheduling/dispatch-state.c
@@ -147,7 +147,7 @@
     for (GList *l = machine->run_queues[scheduling_class].head; l; l = l->next)
       {
         const HzbTask *task = l->data;
-        double work = hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (machine->type, task->job->spec));
+        double work = hzb_job_mean_s (task->job) / MAX (1, hzb_machine_type_speed (machine->type, task->job->spec));
         for (guint class_index = 0; class_index <= scheduling_class; class_index++)
           work_s[class_index] += work;
       }
--- a/src/scheduling/dispatch-state.h
+++ b/src/scheduling/dispatch-state.h
@@ -14,7 +14,7 @@
 /** HzbDispatch: the dispatcher of the owner of a shard. */
 typedef struct
 {
-  /** @name Collaborators, not owned
+  /** `name` Collaborators, not owned
    * @{ */
   HzbJobs *jobs;               /**< The jobs to place. */
   HzbMachines *machines;       /**< The machines to place them on. */
@@ -23,14 +23,14 @@
   HzbStartPacing *pacing;      /**< (nullable) How fast tasks may be started after a cold start. */
   /** @} */
 
-  /** @name Parameters, which the admin API can change
+  /** `name` Parameters, which the admin API can change
    * @{ */
   double h;             /**< Weight of a task's own run time in the rule U + h/v, see search.h. */
   double queue_ahead_s; /**< Run queues are filled this many seconds ahead. */
   guint sample;         /**< Machines examined for one task while lagging; 0: all. */
   /** @} */
 
-  /** @name Load of this controller
+  /** `name` Load of this controller
    * @{ */
   gboolean lagging;         /**< The processor's share is used up: samples of machines replace full searches. */
   double lag_s;             /**< How late timers fire, smoothed. */
@@ -38,7 +38,7 @@
   struct timespec next_run; /**< When the caller of hzb_dispatch_run() calls it next; unset: at once. */
   /** @} */
 
-  /** @name As of the last run, so that a heartbeat costs no scan of all machines or jobs
+  /** `name` As of the last run, so that a heartbeat costs no scan of all machines or jobs
    * @{ */
   GPtrArray *waiting[HZB_N_SCHEDULING_CLASSES]; /**< (element-type HzbJob) Jobs that wait, gangs excepted, in the order
                                                    of service. */
--- a/src/scheduling/dispatch.c
+++ b/src/scheduling/dispatch.c
@@ -48,7 +48,7 @@
     for (GList *l = machine->run_queues[class_index].head; l; l = l->next)
       {
         const HzbTask *task = l->data;
-        work += hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (machine->type, task->job->spec));
+        work += hzb_job_mean_s (task->job) / MAX (1, hzb_machine_type_speed (machine->type, task->job->spec));
       }
   return work;
 }
@@ -57,7 +57,7 @@
 put_into_run_queue (HzbDispatch *dispatch, HzbTask *task, HzbMachine *machine, struct timespec now)
 {
   guint scheduling_class = task->job->scheduling_class;
-  double mean = hzb_job_mean_s (task->job) / MAX (1, hzb_type_speed (machine->type, task->job->spec));
+  double mean = hzb_job_mean_s (task->job) / MAX (1, hzb_machine_type_speed (machine->type, task->job->spec));
 
   hzb_task_set_state (dispatch->jobs, task, HZB_TASK_QUEUED, machine);
   if (!g_hash_table_contains (machine->images, task->job->spec->image))
@@ -160,7 +160,7 @@
 
   if (!machine || queued_s (machine, job->scheduling_class) > run->dispatch->queue_ahead_s)
     return FALSE;
-  task = hzb_job_next_pending (job, run->now);
+  task = hzb_job_take_pending (job, run->now);
   if (!task)
     return FALSE;
   put_into_run_queue (run->dispatch, task, machine, run->now);
--- a/src/scheduling/headroom.c
+++ b/src/scheduling/headroom.c
@@ -27,8 +27,9 @@
   for (guint i = 0; i < machines->all->len; i++)
     {
       const HzbMachine *machine = machines->all->pdata[i];
-      if (!machine->type || machine->spot || !g_str_equal (machine->zone, zone) || !hzb_type_holds (machine->type, spec)
-          || machine->state == HZB_MACHINE_RETURNING || machine->state == HZB_MACHINE_LEASE_EXPIRED)
+      if (!machine->type || machine->spot || !g_str_equal (machine->zone, zone)
+          || !hzb_machine_type_holds (machine->type, spec) || machine->state == HZB_MACHINE_RETURNING
+          || machine->state == HZB_MACHINE_LEASE_EXPIRED)
         continue;
       rank += machine->type->cpus + RANK_PER_SERVICE_CPU * machine->service_cpus
               + (machine->reserved_for_services ? RANK_PER_RESERVED_CPU * machine->type->cpus : 0);
@@ -73,7 +74,7 @@
   for (guint t = 0; t < machines->types->len; t++)
     {
       const HzbMachineType *type = machines->types->pdata[t];
-      for (guint z = 0; hzb_type_holds (type, headroom->spec) && type->zones[z]; z++)
+      for (guint z = 0; hzb_machine_type_holds (type, headroom->spec) && type->zones[z]; z++)
         if (!has_zone (headroom, type->zones[z]))
           offer_zone (headroom, ranks, type->zones[z], zone_rank (machines, headroom->spec, type->zones[z]));
     }
@@ -132,7 +133,7 @@
 suits (const HzbMachine *machine, const HzbJobSpec *spec)
 {
   return machine->type && !machine->spot && !machine->scale_in_requested && !machine->unreachable
-         && hzb_type_holds (machine->type, spec)
+         && hzb_machine_type_holds (machine->type, spec)
          && (machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_LEASED
              || machine->state == HZB_MACHINE_BOOTING || machine->state == HZB_MACHINE_UNVERIFIED);
 }
--- a/src/scheduling/job-codec.c
+++ b/src/scheduling/job-codec.c
@@ -71,7 +71,7 @@
 }
 
 cJSON *
-hzb_jobs_pack_accepted (const HzbJobSpec *spec, struct timespec wall)
+hzb_job_acceptance_encode (const HzbJobSpec *spec, struct timespec wall)
 {
   cJSON *value = cJSON_CreateObject ();
 
@@ -82,7 +82,7 @@
 }
 
 cJSON *
-hzb_jobs_pack_final (HzbJobState state, guint n_tasks)
+hzb_job_end_encode (HzbJobState state, guint n_tasks)
 {
   cJSON *value = cJSON_CreateObject ();
 
--- a/src/scheduling/job-codec.h
+++ b/src/scheduling/job-codec.h
@@ -55,17 +55,17 @@
 GArray *hzb_acceptance_decode (const cJSON *value);
 
 /**
- * hzb_jobs_pack_accepted: a job's entry in a record of acceptance.
+ * hzb_job_acceptance_encode: a job's entry in a record of acceptance.
  * `wall`: when the job was accepted, time of day; recorded in whole milliseconds
  *
  * Returns: (transfer full)
  */
-cJSON *hzb_jobs_pack_accepted (const HzbJobSpec *spec, struct timespec wall);
+cJSON *hzb_job_acceptance_encode (const HzbJobSpec *spec, struct timespec wall);
 
 /**
- * hzb_jobs_pack_final: the record of a job's end.
+ * hzb_job_end_encode: the record of a job's end.
  * `state`: HZB_JOB_DONE or HZB_JOB_CANCELLED
  *
  * Returns: (transfer full)
  */
-cJSON *hzb_jobs_pack_final (HzbJobState state, guint n_tasks);
+cJSON *hzb_job_end_encode (HzbJobState state, guint n_tasks);
--- a/src/scheduling/job.c
+++ b/src/scheduling/job.c
@@ -27,13 +27,13 @@
 {
   g_clear_pointer (&job->tasks, g_free);
   g_queue_clear (&job->retry);
-  job->other_owner = job->delegated_running = job->delegated_leaving = 0;
+  job->other_owner = job->delegated_running = job->delegated_on_recalled_machines = 0;
   job->cursor = job->pending = job->queued = job->unconfirmed = job->placed = job->running = 0;
   job->finished = job->done = job->released = job->releasing = 0;
-  job->dirty = job->completing = job->on_pages = job->unsplit = job->release_requested = FALSE;
+  job->dirty = job->completing = job->on_pages = job->has_schema_1_parts = job->release_requested = FALSE;
   job->announced_to_leaseholders = FALSE;
   job->failures = job->begun = 0;
-  job->failed_on_several = job->did_well = job->awaits_verdict = FALSE;
+  job->failed_on_several_machines = job->did_well = job->awaits_verdict = FALSE;
   g_clear_pointer (&job->failed_on, g_free);
   job->waits_since = (struct timespec){ 0 };
 }
@@ -99,7 +99,7 @@
 }
 
 HzbTask *
-hzb_job_next_pending (HzbJob *job, struct timespec now)
+hzb_job_take_pending (HzbJob *job, struct timespec now)
 {
   HzbTask *task = next_retry (job, now);
 
--- a/src/scheduling/job.h
+++ b/src/scheduling/job.h
@@ -66,7 +66,7 @@
 /** HzbJob: a job. The fields are grouped by who keeps them. */
 struct _HzbJob
 {
-  /** @name Identity, fixed once the record of acceptance was read
+  /** `name` Identity, fixed once the record of acceptance was read
    * @{ */
   char *uid;                /**< Its name. */
   HzbJobSpec *spec;         /**< (nullable) What the user asked for; NULL: terminal, and no tasks of it are here. */
@@ -75,7 +75,7 @@
   struct timespec accepted; /**< When it was accepted, time of day. */
   /** @} */
 
-  /** @name What the replicated records say of it, kept by jobs.c on every controller
+  /** `name` What the replicated records say of it, kept by jobs.c on every controller
    * @{ */
   HzbJobState state;   /**< Accepted, or how it ended. */
   guint64 version;     /**< Revision of the record of its end; 0: there is none. */
@@ -86,7 +86,7 @@
   gboolean archiving;           /**< Its record is being moved to the archive of completed jobs. */
   /** @} */
 
-  /** @name Where its tasks are, on their owner only; counted by hzb_task_set_state()
+  /** `name` Where its tasks are, on their owner only; counted by hzb_task_set_state()
    * @{ */
   HzbTask *tasks;          /**< (nullable) One for each task; NULL: this controller owns none of them. */
   guint cursor;            /**< Tasks from here on have never been placed. */
@@ -98,16 +98,16 @@
   guint placed;            /**< Tasks on a machine, or delegated to a leaseholder. */
   guint running;           /**< Of these, running or checkpointing on machines of this controller's own. */
   guint delegated_running; /**< Running on machines of leaseholders, as these say. */
-  guint delegated_leaving; /**< Of the delegated tasks, those on machines that the leader has recalled. */
-  guint finished;          /**< Tasks in HZB_TASK_FINISHED. */
-  guint done;              /**< Tasks in HZB_TASK_DONE. */
-  guint64 next_attempt;    /**< The last attempt number given out. */
+  guint delegated_on_recalled_machines; /**< Of the delegated tasks, those on machines that the leader has recalled. */
+  guint finished;                       /**< Tasks in HZB_TASK_FINISHED. */
+  guint done;                           /**< Tasks in HZB_TASK_DONE. */
+  guint64 next_attempt;                 /**< The last attempt number given out. */
   gboolean awaits_verdict; /**< After a cold start: no command is given for it until its verdict is durable, see
                               reconciliation.h. */
   gboolean announced_to_leaseholders; /**< Leaseholders have been told of its cancellation. */
   /** @} */
 
-  /** @name What of it is recorded, on the leader only; kept by src/records
+  /** `name` What of it is recorded, on the leader only; kept by src/records
    * @{ */
   guint released;             /**< Tasks below this number may have been started: this mark is durable. */
   guint releasing;            /**< The mark that is being written; at least released. */
@@ -115,11 +115,12 @@
   gboolean dirty;             /**< Its progress changed since it was written last. */
   gboolean completing;        /**< The record of its end is being written. */
   gboolean on_pages;          /**< Its progress is on the leader's pages. */
-  gboolean unsplit; /**< Its progress is in the large parts of schema version 1, which stay while a controller of that
+  gboolean
+      has_schema_1_parts; /**< Its progress is in the large parts of schema version 1, which stay while a controller of that
                        version runs. */
   /** @} */
 
-  /** @name Its place in the order of service, kept by hzb_scheduling_classes_update()
+  /** `name` Its place in the order of service, kept by hzb_scheduling_classes_update()
    * @{ */
   guint8 scheduling_class; /**< An HzbSchedulingClass (machine.h). */
   gboolean guaranteed;     /**< It fits its team's guarantee, together with the team's older jobs. */
@@ -128,16 +129,16 @@
   struct timespec since;   /**< When it was accepted, on the steady clock. */
   /** @} */
 
-  /** @name How it has fared, which decides where and how fast its tasks are tried
+  /** `name` How it has fared, which decides where and how fast its tasks are tried
    * @{ */
-  guint failures;             /**< Failures in a row, without a task doing well in between. */
-  char *failed_on;            /**< (nullable) Name of the first machine on which a task failed. */
-  gboolean failed_on_several; /**< Tasks have failed on more than one machine. */
-  gboolean did_well;          /**< A task has ended well, or has run for a while. */
-  struct timespec not_before; /**< Back-off after failures: nothing of it starts earlier. */
+  guint failures;                      /**< Failures in a row, without a task doing well in between. */
+  char *failed_on;                     /**< (nullable) Name of the first machine on which a task failed. */
+  gboolean failed_on_several_machines; /**< Tasks have failed on more than one machine. */
+  gboolean did_well;                   /**< A task has ended well, or has run for a while. */
+  struct timespec not_before;          /**< Back-off after failures: nothing of it starts earlier. */
   /** @} */
 
-  /** @name Whether it waits in vain, kept by hzb_headroom_reserve()
+  /** `name` Whether it waits in vain, kept by hzb_headroom_reserve()
    * @{ */
   guint begun;                 /**< Tasks that had begun when that function last examined the job. */
   struct timespec waits_since; /**< No more tasks have begun since then, although the team's limit allows it; unset: not
@@ -177,13 +178,13 @@
 double hzb_job_mean_s (const HzbJob *job);
 
 /**
- * hzb_job_next_pending: takes a task that may start now off the job's waiting tasks, those that waited again first.
+ * hzb_job_take_pending: takes a task that may start now off the job's waiting tasks, those that waited again first.
  *
  * If only the released mark is in the way, HzbJob.release_requested is set.
  *
  * Returns: (transfer none) (nullable): NULL if no task may start now
  */
-HzbTask *hzb_job_next_pending (HzbJob *job, struct timespec now);
+HzbTask *hzb_job_take_pending (HzbJob *job, struct timespec now);
 
 /** hzb_job_spec_grace_s: seconds that a task of this job is given to save a checkpoint when it is stopped; 0: it has no
  * checkpoints. */
--- a/src/scheduling/jobs.c
+++ b/src/scheduling/jobs.c
@@ -177,7 +177,7 @@
 }
 
 HzbAcceptance *
-hzb_jobs_completed_acceptance (HzbJobs *jobs)
+hzb_jobs_deletable_acceptance (HzbJobs *jobs)
 {
   GHashTableIter iter;
   gpointer value;
--- a/src/scheduling/jobs.h
+++ b/src/scheduling/jobs.h
@@ -12,9 +12,9 @@
 #include "kv-protocol.h"
 #include "shard.h"
 
-/** HZB_CHUNK_TASKS_SCHEMA_1: tasks in a part of a job's progress as schema version 1 records it, which does not state
+/** HZB_PROGRESS_PART_TASKS_SCHEMA_1: tasks in a part of a job's progress as schema version 1 records it, which does not state
  * the size. */
-#define HZB_CHUNK_TASKS_SCHEMA_1 32768u
+#define HZB_PROGRESS_PART_TASKS_SCHEMA_1 32768u
 
 /** HzbAcceptance: a record of jobs that were accepted together. It can be deleted once all of them are terminal. */
 typedef struct
@@ -30,7 +30,7 @@
 /** HzbJobs: the registry. */
 typedef struct
 {
-  /** @name Replicated state, on every controller
+  /** `name` Replicated state, on every controller
    * @{ */
   GHashTable *by_uid;             /**< Name -> HzbJob. */
   GHashTable *acceptances;        /**< Key -> HzbAcceptance. */
@@ -39,7 +39,7 @@
   guint load;                     /**< Counts full readings of all records. */
   /** @} */
 
-  /** @name State of the owner
+  /** `name` State of the owner
    * @{ */
   HzbShard *shard;      /**< (nullable) NULL: this controller owns no tasks. Not owned. */
   gboolean leaseholder; /**< The shard is leased: of each job only the tasks that were delegated are in it. */
@@ -79,9 +79,9 @@
 /** hzb_jobs_apply_acceptance: takes in a record of acceptance. `value`: (nullable): NULL: the record was deleted */
 void hzb_jobs_apply_acceptance (HzbJobs *jobs, const char *key, const cJSON *value);
 
-/** hzb_jobs_completed_acceptance: Returns: (transfer none) (nullable): a record that can be deleted, since all of its
+/** hzb_jobs_deletable_acceptance: Returns: (transfer none) (nullable): a record that can be deleted, since all of its
  * jobs are terminal */
-HzbAcceptance *hzb_jobs_completed_acceptance (HzbJobs *jobs);
+HzbAcceptance *hzb_jobs_deletable_acceptance (HzbJobs *jobs);
 
 /**
  * hzb_jobs_archivable: the oldest terminal jobs, beyond those that stay replicated, whose records may move to the
--- a/src/scheduling/machine-codec.c
+++ b/src/scheduling/machine-codec.c
@@ -1,7 +1,7 @@
 #include "machine-codec.h"
 
 cJSON *
-hzb_machine_pack (const HzbMachine *machine, struct timespec wall)
+hzb_machine_record_encode (const HzbMachine *machine, struct timespec wall)
 {
   cJSON *value = cJSON_CreateObject ();
 
--- a/src/scheduling/machine-codec.h
+++ b/src/scheduling/machine-codec.h
@@ -10,11 +10,11 @@
 #include <cjson/cJSON.h>
 
 /**
- * hzb_machine_pack: the entry of a machine on the leader's page of machines.
+ * hzb_machine_record_encode: the entry of a machine on the leader's page of machines.
  * `wall`: now, time of day
  *
  * Its address is not recorded: the worker states it in every heartbeat.
  *
  * Returns: (transfer full)
  */
-cJSON *hzb_machine_pack (const HzbMachine *machine, struct timespec wall);
+cJSON *hzb_machine_record_encode (const HzbMachine *machine, struct timespec wall);
--- a/src/scheduling/machine.c
+++ b/src/scheduling/machine.c
@@ -65,7 +65,7 @@
   if (spec->kind == HZB_JOB_SERVICE)
     {
       machine->queued_service_cpus += spec->cpus;
-      machine->queued_service_memory += spec->memory_gb;
+      machine->queued_service_memory_gb += spec->memory_gb;
     }
   g_queue_push_tail (&machine->run_queues[task->job->scheduling_class], task);
 }
@@ -82,7 +82,7 @@
         if (spec->kind == HZB_JOB_SERVICE)
           {
             machine->queued_service_cpus -= spec->cpus;
-            machine->queued_service_memory -= spec->memory_gb;
+            machine->queued_service_memory_gb -= spec->memory_gb;
           }
         return;
       }
@@ -99,7 +99,7 @@
   if (spec->kind == HZB_JOB_SERVICE)
     {
       machine->service_cpus += spec->cpus;
-      machine->service_memory += spec->memory_gb;
+      machine->service_memory_gb += spec->memory_gb;
     }
   g_ptr_array_add (machine->tasks, task);
 }
@@ -117,7 +117,7 @@
   if (spec->kind == HZB_JOB_SERVICE)
     {
       machine->service_cpus -= spec->cpus;
-      machine->service_memory -= spec->memory_gb;
+      machine->service_memory_gb -= spec->memory_gb;
     }
 }
 
@@ -148,7 +148,7 @@
 hzb_machine_takes_replica (const HzbMachine *machine, const HzbJobSpec *spec)
 {
   return machine->service_cpus + machine->queued_service_cpus + spec->cpus <= machine->type->cpus + HZB_ROUNDING
-         && machine->service_memory + machine->queued_service_memory + spec->memory_gb
+         && machine->service_memory_gb + machine->queued_service_memory_gb + spec->memory_gb
                 <= machine->type->memory_gb + HZB_ROUNDING;
 }
 
@@ -162,7 +162,7 @@
 }
 
 gboolean
-hzb_type_holds (const HzbMachineType *type, const HzbJobSpec *spec)
+hzb_machine_type_holds (const HzbMachineType *type, const HzbJobSpec *spec)
 {
   return type->cpus + HZB_QUOTIENT_ROUNDING >= spec->cpus && type->gpus + HZB_QUOTIENT_ROUNDING >= spec->gpus
          && type->memory_gb + HZB_QUOTIENT_ROUNDING >= spec->memory_gb
@@ -177,11 +177,11 @@
 }
 
 guint
-hzb_type_speed (const HzbMachineType *type, const HzbJobSpec *spec)
+hzb_machine_type_speed (const HzbMachineType *type, const HzbJobSpec *spec)
 {
   double v = 1e6;
 
-  if (!hzb_type_holds (type, spec))
+  if (!hzb_machine_type_holds (type, spec))
     return 0;
   if (spec->cpus > 0)
     v = limited_by (v, type->cpus, spec->cpus);
@@ -195,19 +195,19 @@
 guint
 hzb_machine_speed (const HzbMachine *machine, const HzbJobSpec *spec)
 {
-  double v = hzb_type_speed (machine->type, spec);
+  double v = hzb_machine_type_speed (machine->type, spec);
 
   if (machine->service_cpus > HZB_ROUNDING && spec->cpus > 0)
     v = limited_by (v, machine->type->cpus - machine->service_cpus, spec->cpus);
-  if (machine->service_memory > HZB_ROUNDING && spec->memory_gb > 0)
-    v = limited_by (v, machine->type->memory_gb - machine->service_memory, spec->memory_gb);
+  if (machine->service_memory_gb > HZB_ROUNDING && spec->memory_gb > 0)
+    v = limited_by (v, machine->type->memory_gb - machine->service_memory_gb, spec->memory_gb);
   return (guint) MAX (v, 0);
 }
 
 gboolean
 hzb_machine_is_of_allowed_kind (const HzbMachine *machine, const HzbJobSpec *spec)
 {
-  return machine->type && hzb_type_holds (machine->type, spec) && (spec->spot || !machine->spot)
+  return machine->type && hzb_machine_type_holds (machine->type, spec) && (spec->spot || !machine->spot)
          && (!spec->zone || g_str_equal (spec->zone, machine->zone));
 }
 
--- a/src/scheduling/machine.h
+++ b/src/scheduling/machine.h
@@ -52,7 +52,7 @@
 /** HzbMachine: a machine. The fields are grouped by what they are about. */
 struct _HzbMachine
 {
-  /** @name Identity
+  /** `name` Identity
    * @{ */
   char *name;                 /**< Its name in the cloud. */
   char *addr;                 /**< (nullable) Address of its worker, host:port. */
@@ -62,7 +62,7 @@
   gboolean spot;              /**< A spot instance: cheaper, and the cloud may take it back. */
   /** @} */
 
-  /** @name Life cycle
+  /** `name` Life cycle
    * @{ */
   HzbMachineState state;      /**< Changed by hzb_machine_set_state() only. */
   struct timespec since;      /**< When it entered its state. */
@@ -81,7 +81,7 @@
   gboolean reserved_for_services; /**< It takes only replicas of services, which so find room at once. */
   /** @} */
 
-  /** @name Its worker's heartbeats, and whether they can be relied on
+  /** `name` Its worker's heartbeats, and whether they can be relied on
    * @{ */
   guint64 agent_epoch;         /**< Epoch of the worker's agent; a new one has none of the tasks of the one before. */
   guint64 sequence;            /**< Number of its last heartbeat within the epoch. */
@@ -103,7 +103,7 @@
   guint quarantined;                 /**< Tasks in its last heartbeat that no record names, and which are left alone. */
   /** @} */
 
-  /** @name Leasing it to another controller
+  /** `name` Leasing it to another controller
    * @{ */
   guint8 leaseholder;        /**< The leaseholder (1 and up) that has it; 0: none. */
   gboolean lease_sent;       /**< The leaseholder was sent the machine. */
@@ -112,7 +112,7 @@
   gboolean recall_at_once;   /**< The return is to include all tasks that are on it. */
   /** @} */
 
-  /** @name Tasks and room
+  /** `name` Tasks and room
    * @{ */
   GPtrArray *tasks; /**< (element-type HzbTask) The tasks on it, or that may be on it; not owned. */
   GQueue run_queues[HZB_N_SCHEDULING_CLASSES]; /**< (element-type HzbTask) Tasks that wait for it, first come, first
@@ -120,13 +120,13 @@
   double cpus;                                 /**< CPUs that tasks take. */
   double gpus;                                 /**< GPUs that tasks take. */
   double memory;                               /**< GB of memory that tasks take. */
-  double service_cpus;          /**< Of cpus, those of replicas of services, which do not end by themselves. */
-  double service_memory;        /**< Of memory, that of replicas. */
-  double queued_service_cpus;   /**< CPUs of the replicas in its run queues. */
-  double queued_service_memory; /**< GB of memory of the replicas in its run queues. */
+  double service_cpus;             /**< Of cpus, those of replicas of services, which do not end by themselves. */
+  double service_memory_gb;        /**< Of memory, that of replicas. */
+  double queued_service_cpus;      /**< CPUs of the replicas in its run queues. */
+  double queued_service_memory_gb; /**< GB of memory of the replicas in its run queues. */
   /** @} */
 
-  /** @name What placing a task there costs
+  /** `name` What placing a task there costs
    * @{ */
   HzbEstimate estimates[HZB_N_SCHEDULING_CLASSES]; /**< For each class, the work that a new task of the class would wait
                                                       behind. */
@@ -136,7 +136,7 @@
       *expected; /**< Set of image names (GRefString) that its tasks and queues will bring, as of the last heartbeat. */
   /** @} */
 
-  /** @name Failures of tasks there
+  /** `name` Failures of tasks there
    * @{ */
   GHashTable *failed_jobs;      /**< Name of job -> number of failures, since a task last did well there. */
   char *last_failed_job;        /**< (nullable) The job whose task failed there last. */
@@ -186,15 +186,15 @@
 /** hzb_machine_usable: whether this controller may start new tasks on the machine at all. */
 gboolean hzb_machine_usable (const HzbMachine *machine);
 
-/** hzb_type_holds: whether an empty machine of this type could hold a task of the job, and the job's list of types has
+/** hzb_machine_type_holds: whether an empty machine of this type could hold a task of the job, and the job's list of types has
  * it. */
-gboolean hzb_type_holds (const HzbMachineType *type, const HzbJobSpec *spec);
+gboolean hzb_machine_type_holds (const HzbMachineType *type, const HzbJobSpec *spec);
 
-/** hzb_type_speed: v of the rule U + h/v (search.h): how many tasks of the job an empty machine of this type holds at
+/** hzb_machine_type_speed: v of the rule U + h/v (search.h): how many tasks of the job an empty machine of this type holds at
  * the same time. */
-guint hzb_type_speed (const HzbMachineType *type, const HzbJobSpec *spec);
+guint hzb_machine_type_speed (const HzbMachineType *type, const HzbJobSpec *spec);
 
-/** hzb_machine_speed: v for this machine: as hzb_type_speed(), without the room that replicas of services take for
+/** hzb_machine_speed: v for this machine: as hzb_machine_type_speed(), without the room that replicas of services take for
  * good. */
 guint hzb_machine_speed (const HzbMachine *machine, const HzbJobSpec *spec);
 
--- a/src/scheduling/machines.c
+++ b/src/scheduling/machines.c
@@ -181,7 +181,7 @@
       const HzbJob *job = hzb_jobs_find (jobs, uid);
       /* A job that fails wherever it runs says nothing about the machine: it would have one machine after another
        * returned. */
-      if (!job || (job->failed_on_several && !job->did_well))
+      if (!job || (job->failed_on_several_machines && !job->did_well))
         continue;
       failures += GPOINTER_TO_UINT (count);
       any_sound = any_sound || job->did_well;
--- a/src/scheduling/search.c
+++ b/src/scheduling/search.c
@@ -19,7 +19,7 @@
 replica_has_room (const HzbMachine *machine, const HzbJobSpec *spec)
 {
   return machine->cpus + machine->queued_service_cpus + spec->cpus <= machine->type->cpus + HZB_ROUNDING
-         && machine->memory + machine->queued_service_memory + spec->memory_gb
+         && machine->memory + machine->queued_service_memory_gb + spec->memory_gb
                 <= machine->type->memory_gb + HZB_ROUNDING;
 }
 
@@ -146,7 +146,7 @@
   search->heap = g_array_new (FALSE, FALSE, sizeof (Offer));
   search->speeds = g_new0 (double, types ? types->len + 1 : 1);
   for (guint i = 0; types && i < types->len; i++)
-    search->speeds[i] = hzb_type_speed (types->pdata[i], job->spec);
+    search->speeds[i] = hzb_machine_type_speed (types->pdata[i], job->spec);
   if (!job->spec->spread && !job->spec->same_zone)
     return;
   search->in_zone = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
--- a/src/scheduling/task.c
+++ b/src/scheduling/task.c
@@ -155,7 +155,7 @@
       g_return_if_fail (machine->tasks->len < before);
     }
   /* What rounding has left over in the sums goes, too. */
-  machine->cpus = machine->gpus = machine->memory = machine->service_cpus = machine->service_memory = 0;
+  machine->cpus = machine->gpus = machine->memory = machine->service_cpus = machine->service_memory_gb = 0;
   hzb_machine_clear_run_queues (jobs, machine);
 }
 
--- a/src/shards/shard-delegation.c
+++ b/src/shards/shard-delegation.c
@@ -43,7 +43,7 @@
 static HzbTask *
 next_to_delegate (HzbJobs *jobs, HzbJob *job, guint *at, struct timespec now)
 {
-  HzbTask *task = job->pending ? hzb_job_next_pending (job, now) : NULL;
+  HzbTask *task = job->pending ? hzb_job_take_pending (job, now) : NULL;
   for (; !task && job->queued && *at < job->n_tasks; (*at)++)
     if (job->tasks[*at].state == HZB_TASK_QUEUED && !hzb_time_before (now, job->tasks[*at].not_before))
       {
--- a/src/shards/shard-events.c
+++ b/src/shards/shard-events.c
@@ -166,7 +166,7 @@
   HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
   apply_counts (jobs, leaseholder->running, G_STRUCT_OFFSET (HzbJob, delegated_running), poll->running,
                 poll->partial_counts);
-  apply_counts (jobs, leaseholder->leaving, G_STRUCT_OFFSET (HzbJob, delegated_leaving), poll->leaving,
+  apply_counts (jobs, leaseholder->leaving, G_STRUCT_OFFSET (HzbJob, delegated_on_recalled_machines), poll->leaving,
                 poll->partial_counts);
 }
 
@@ -175,5 +175,5 @@
 {
   HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
   clear_counts (jobs, leaseholder->running, G_STRUCT_OFFSET (HzbJob, delegated_running));
-  clear_counts (jobs, leaseholder->leaving, G_STRUCT_OFFSET (HzbJob, delegated_leaving));
+  clear_counts (jobs, leaseholder->leaving, G_STRUCT_OFFSET (HzbJob, delegated_on_recalled_machines));
 }
--- a/src/shards/shard-leases.h
+++ b/src/shards/shard-leases.h
@@ -46,10 +46,10 @@
 void hzb_shard_leases_tick (HzbShardLeases *shard_leases, struct timespec now);
 
 /**
- * hzb_shard_leases_request: answers the poll root of a leaseholder. The answer has status 503 while this node does not lead or
+ * hzb_shard_leases_handle_poll: answers the poll root of a leaseholder. The answer has status 503 while this node does not lead or
  * has not read its records, and if the poll names no known node or no process.
  */
-void hzb_shard_leases_request (HzbShardLeases *shard_leases, HzbHttpRequest *http_request, const cJSON *root);
+void hzb_shard_leases_handle_poll (HzbShardLeases *shard_leases, HzbHttpRequest *http_request, const cJSON *root);
 
 /**
  * hzb_shard_leases_lease_idle: a machine without tasks has sent a heartbeat: leases it if a shard is smaller than the leader's.
@@ -86,5 +86,5 @@
  */
 gboolean hzb_shard_leases_all_acknowledged (HzbShardLeases *shard_leases, const HzbJob *job);
 
-/** hzb_shard_leases_pack: Returns: (transfer full): all shards, the leader's own first, as the administration API shows them */
-cJSON *hzb_shard_leases_pack (HzbShardLeases *shard_leases);
+/** hzb_shard_leases_encode_status: Returns: (transfer full): all shards, the leader's own first, as the administration API shows them */
+cJSON *hzb_shard_leases_encode_status (HzbShardLeases *shard_leases);
--- a/src/shards/shard-requests.c
+++ b/src/shards/shard-requests.c
@@ -125,7 +125,7 @@
 }
 
 void
-hzb_shard_leases_request (HzbShardLeases *shard_leases, HzbHttpRequest *http_request, const cJSON *root)
+hzb_shard_leases_handle_poll (HzbShardLeases *shard_leases, HzbHttpRequest *http_request, const cJSON *root)
 {
   const HzbShardLeasesDependencies *modules = &shard_leases->modules;
   g_autoptr (HzbShardPoll) poll = hzb_shard_poll_decode (root);
--- a/src/shards/shard-status.c
+++ b/src/shards/shard-status.c
@@ -53,7 +53,7 @@
 }
 
 cJSON *
-hzb_shard_leases_pack (HzbShardLeases *shard_leases)
+hzb_shard_leases_encode_status (HzbShardLeases *shard_leases)
 {
   g_autoptr (GArray) statuses = g_array_new (FALSE, FALSE, sizeof (HzbShardStatus));
   HzbShardStatus status = status_of_own_shard (shard_leases);
--- a/tests/support.h
+++ b/tests/support.h
@@ -98,7 +98,7 @@
   spec->image_gb = 0;
   spec->spot = TRUE;
   spec->estimate_s = estimate;
-  return hzb_jobs_pack_accepted (spec, hzb_clock_now (b->clock));
+  return hzb_job_acceptance_encode (spec, hzb_clock_now (b->clock));
 }
 
 static inline HzbJob *
--- a/tests/test-cancellations.c
+++ b/tests/test-cancellations.c
@@ -83,9 +83,9 @@
 static void
 fixture_up (Fixture *fixture)
 {
-  static const HzbKvReplicaFuncs replica_funcs = { .may_load = may_load,
-                                                   .load_begin = ignore_load_begin,
-                                                   .load_end = ignore_load_end };
+  static const HzbKvReplicaCallbacks replica_funcs = { .may_load = may_load,
+                                                       .load_begin = ignore_load_begin,
+                                                       .load_end = ignore_load_end };
   static const HzbPeersCallbacks no_callbacks = { 0 };
   static const HzbCancellationsCallbacks callbacks = { announce, all_leaseholders_acknowledged, poll_leader_soon };
   HzbSettings *settings;
@@ -189,7 +189,7 @@
 cancelled_job (Fixture *fixture, guint number, guint64 revision)
 {
   g_autofree char *uid = g_strdup_printf ("run-%06u", number);
-  cJSON *record = hzb_jobs_pack_final (HZB_JOB_CANCELLED, 1);
+  cJSON *record = hzb_job_end_encode (HZB_JOB_CANCELLED, 1);
   HzbJob *job = hzb_jobs_apply (fixture->bench.jobs, uid, record, revision);
   cJSON_Delete (record);
   return job;
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -536,7 +536,7 @@
   cJSON *value = cJSON_CreateObject ();
   char *text;
   g_assert_no_error (error);
-  cJSON_AddItemToObject (value, job->uid, hzb_jobs_pack_accepted (spec, hzb_clock_wall (sim->clock)));
+  cJSON_AddItemToObject (value, job->uid, hzb_job_acceptance_encode (spec, hzb_clock_wall (sim->clock)));
   text = cJSON_PrintUnformatted (value);
   sim_put_record (sim, "hzb/a/accepted/main/late-1", text);
   cJSON_free (text);
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -60,11 +60,11 @@
           if (machine)
             {
               /* Rounding may make a difference between equal offers: what counts is that no machine is better. */
-              double v = hzb_type_speed (machine->type, job->spec);
+              double v = hzb_machine_type_speed (machine->type, job->spec);
               g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&machine->estimates[job->scheduling_class])
                                                   + b.dispatch->h * job->spec->estimate_s / v,
                                               least, 1e-3);
-              hzb_task_set_state (b.jobs, hzb_job_next_pending (job, hzb_clock_now (b.clock)), HZB_TASK_QUEUED,
+              hzb_task_set_state (b.jobs, hzb_job_take_pending (job, hzb_clock_now (b.clock)), HZB_TASK_QUEUED,
                                   machine);
               for (guint c = 0; c <= job->scheduling_class; c++)
                 hzb_estimate_send (&machine->estimates[c], job->spec->estimate_s / v);
@@ -500,7 +500,7 @@
   for (guint i = 0; i < 40; i++)
     {
       HzbMachine *machine = i % 2 ? b.machines->all->pdata[i / 2] : bench_machine (&b, "small", "za", TRUE);
-      HzbTask *task = hzb_job_next_pending (job, hzb_clock_now (b.clock));
+      HzbTask *task = hzb_job_take_pending (job, hzb_clock_now (b.clock));
       hzb_task_set_state (b.jobs, task, HZB_TASK_QUEUED, machine);
       hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, machine);
       hzb_task_set_state (b.jobs, task, HZB_TASK_RUNNING, machine);
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -15,7 +15,7 @@
   bench_up (&b, 1);
   machine = bench_machine (&b, "big", "za", FALSE);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 3, 2, 10);
-  task = hzb_job_next_pending (job, hzb_clock_now (b.clock));
+  task = hzb_job_take_pending (job, hzb_clock_now (b.clock));
   g_test_expect_message ("hazelbank", G_LOG_LEVEL_CRITICAL, "*illegal change pending -> starting*");
   g_assert_false (hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, machine));
   g_test_assert_expected_messages ();
@@ -139,7 +139,7 @@
           for (guint k = 0; k < 3; k++)
             {
               g_assert_cmpfloat_with_epsilon (machine[k]->service_cpus, cpus[k], 1e-9);
-              g_assert_cmpfloat_with_epsilon (machine[k]->service_memory, memory[k], 1e-9);
+              g_assert_cmpfloat_with_epsilon (machine[k]->service_memory_gb, memory[k], 1e-9);
               g_assert_cmpfloat_with_epsilon (machine[k]->queued_service_cpus, queued[k], 1e-9);
               g_assert_cmpuint (hzb_machine_speed (machine[k], jobs[2]->spec), ==,
                                 (guint) MAX (0, floor ((16 - cpus[k]) / 3 + 1e-9)));
@@ -163,7 +163,7 @@
 {
   g_auto (HzbProgressRecord) record = { 0 };
   hzb_progress_record_decode (value, &record);
-  return hzb_job_read_progress (jobs, job, chunk, &record, ours);
+  return hzb_job_apply_progress (jobs, job, chunk, &record, ours);
 }
 
 /* Parts of 32768 tasks, as schema version 1 has them, are read and told apart from ours. What is written instead says
@@ -279,22 +279,22 @@
 {
   Bench b;
   HzbJob *job;
-  cJSON *cancelled = hzb_jobs_pack_final (HZB_JOB_CANCELLED, 3), *done = hzb_jobs_pack_final (HZB_JOB_DONE, 3);
+  cJSON *cancelled = hzb_job_end_encode (HZB_JOB_CANCELLED, 3), *done = hzb_job_end_encode (HZB_JOB_DONE, 3);
   cJSON *record = cJSON_CreateObject ();
   bench_up (&b, 1);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 3, 1, 10);
-  cJSON_AddItemToObject (record, job->uid, hzb_jobs_pack_accepted (job->spec, job->accepted));
+  cJSON_AddItemToObject (record, job->uid, hzb_job_acceptance_encode (job->spec, job->accepted));
   hzb_jobs_apply_acceptance (b.jobs, "a", record);
   hzb_jobs_apply_acceptance (b.jobs, "b", record); /* accepted by two controllers: neither record may be deleted yet */
-  g_assert_null (hzb_jobs_completed_acceptance (b.jobs));
+  g_assert_null (hzb_jobs_deletable_acceptance (b.jobs));
   hzb_jobs_apply (b.jobs, job->uid, cancelled, 70);
   g_assert_cmpint (job->state, ==, HZB_JOB_CANCELLED);
-  g_assert_nonnull (hzb_jobs_completed_acceptance (b.jobs)); /* the record of its acceptance may be deleted */
+  g_assert_nonnull (hzb_jobs_deletable_acceptance (b.jobs)); /* the record of its acceptance may be deleted */
   hzb_jobs_apply (b.jobs, job->uid, done, 71);
   g_assert_cmpint (job->state, ==, HZB_JOB_CANCELLED);
   hzb_jobs_apply_acceptance (b.jobs, "a", NULL);
   hzb_jobs_apply_acceptance (b.jobs, "b", NULL);
-  g_assert_null (hzb_jobs_completed_acceptance (b.jobs));
+  g_assert_null (hzb_jobs_deletable_acceptance (b.jobs));
   hzb_jobs_apply_acceptance (b.jobs, "a", record); /* read late */
   g_assert_cmpint (job->state, ==, HZB_JOB_CANCELLED);
   cJSON_Delete (cancelled);
@@ -410,7 +410,7 @@
 show_end (Bench *b, guint job)
 {
   g_autofree char *uid = g_strdup_printf ("run-%06u", job);
-  cJSON *value = hzb_jobs_pack_final (HZB_JOB_DONE, 1);
+  cJSON *value = hzb_job_end_encode (HZB_JOB_DONE, 1);
   hzb_jobs_apply (b->jobs, uid, value, 100 + job);
   cJSON_Delete (value);
 }
--- a/tests/test-kv-replica.c
+++ b/tests/test-kv-replica.c
@@ -148,7 +148,7 @@
   ((Fixture *) user)->lost++;
 }
 
-static const HzbKvReplicaFuncs funcs = { may_load, load_begin, apply, load_end, lost };
+static const HzbKvReplicaCallbacks funcs = { may_load, load_begin, apply, load_end, lost };
 
 static void
 fixture_up (Fixture *fixture, guint32 seed, guint kept)
--- a/tests/test-peers.c
+++ b/tests/test-peers.c
@@ -68,7 +68,7 @@
 fixture_up (Fixture *fixture, HzbClock *clock, const char *name, const char *peer, const char *incarnation)
 {
   static const HzbPeersCallbacks callbacks = { fill_heartbeat, fill_reply, apply_reply, handle_shard_poll };
-  static const HzbKvReplicaFuncs replica_funcs = { .lost = ignore };
+  static const HzbKvReplicaCallbacks replica_funcs = { .lost = ignore };
 
   *fixture = (Fixture){ .node = { .settings = test_settings (),
                                   .clock = clock,
--- a/tests/test-reconciliation.c
+++ b/tests/test-reconciliation.c
@@ -344,10 +344,10 @@
   g_assert_cmpuint (read->jobs->len, ==, 50);
   g_assert_cmpstr (g_array_index (read->jobs, HzbArchivedJob, 49).entry.uid, ==, "run-<1>");
   g_assert_cmpuint (read->commands[HZB_ARCHIVE_STARTS][3], ==, 17);
-  text = hzb_report_text (read);
+  text = hzb_archive_report_text (read);
   g_assert_nonnull (strstr (text, "i-2"));
   g_assert_nonnull (strstr (text, "run-000009/0"));
-  html = hzb_report_html (read);
+  html = hzb_archive_report_html (read);
   g_assert_nonnull (strstr (html, "run-&lt;1&gt;"));
   g_assert_null (strstr (html, "run-<1>"));
   g_assert_nonnull (strstr (html, "second 3: 17"));
--- a/tests/test-scheduling-class.c
+++ b/tests/test-scheduling-class.c
@@ -56,7 +56,7 @@
   hzb_scheduling_classes_update (b.jobs, b.settings, hzb_clock_now (b.clock));
   g_assert_cmpint (job->scheduling_class, ==, HZB_SCHEDULING_CLASS_URGENT);
   g_assert_false (hzb_job_overdue_start_placed (job));
-  hzb_task_set_state (b.jobs, hzb_job_next_pending (job, hzb_clock_now (b.clock)), HZB_TASK_QUEUED,
+  hzb_task_set_state (b.jobs, hzb_job_take_pending (job, hzb_clock_now (b.clock)), HZB_TASK_QUEUED,
                       bench_machine (&b, "big", "za", FALSE));
   g_assert_true (hzb_job_overdue_start_placed (job));
   bench_down (&b);
--- a/tests/test-scheduling-records.c
+++ b/tests/test-scheduling-records.c
@@ -30,15 +30,15 @@
   spec->estimate_s = 10;
   submission = hzb_json_print (hzb_job_spec_encode (spec));
   expected = g_strdup_printf ("{\"state\":\"accepted\",\"at\":1700000000.123,\"spec\":%s}", submission);
-  assert_stored (hzb_jobs_pack_accepted (spec, (struct timespec){ 1700000000, 123999999 }), expected);
+  assert_stored (hzb_job_acceptance_encode (spec, (struct timespec){ 1700000000, 123999999 }), expected);
   bench_down (&b);
 }
 
 static void
 test_end (void)
 {
-  assert_stored (hzb_jobs_pack_final (HZB_JOB_DONE, 3), "{\"state\":\"done\",\"n\":3}");
-  assert_stored (hzb_jobs_pack_final (HZB_JOB_CANCELLED, 100000), "{\"state\":\"cancelled\",\"n\":100000}");
+  assert_stored (hzb_job_end_encode (HZB_JOB_DONE, 3), "{\"state\":\"done\",\"n\":3}");
+  assert_stored (hzb_job_end_encode (HZB_JOB_CANCELLED, 100000), "{\"state\":\"cancelled\",\"n\":100000}");
 }
 
 static void
@@ -49,10 +49,10 @@
   struct timespec wall = { 1700000000, 999999999 };
   bench_up (&b, 1);
   machine = bench_machine (&b, "big", "za", TRUE);
-  assert_stored (hzb_machine_pack (machine, wall),
+  assert_stored (hzb_machine_record_encode (machine, wall),
                  "{\"type\":\"big\",\"zone\":\"za\",\"spot\":true,\"at\":1700000000}");
   machine->drain = TRUE;
-  assert_stored (hzb_machine_pack (machine, wall),
+  assert_stored (hzb_machine_record_encode (machine, wall),
                  "{\"type\":\"big\",\"zone\":\"za\",\"spot\":true,\"at\":1700000000,\"drain\":true}");
   bench_down (&b);
 }
--- a/tests/test-unavailable-controller.c
+++ b/tests/test-unavailable-controller.c
@@ -138,7 +138,7 @@
       g_assert_cmpuint (heartbeat_to (sim, leader, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 200);
       machine->partitioned = TRUE; /* no other controller renews its lease */
       sim->nodes[leader].paused = TRUE;
-      sim_run (sim, sim->now + HZB_CANCELLATIONS_KNOWN_S + 1);
+      sim_run (sim, sim->now + HZB_CANCELLATIONS_MAX_AGE_S + 1);
       g_assert_true (hzb_election_leading (sim->nodes[leader].controller->election));
       machine->sequence += 2;
       g_assert_cmpuint (heartbeat_to (sim, leader, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 503);
--- a/tests/test-worker-heartbeat.c
+++ b/tests/test-worker-heartbeat.c
@@ -77,7 +77,7 @@
 running_task (Play *play, double estimate_s, double checkpoint_interval_s)
 {
   HzbJob *job = bench_job (&play->bench, "red", HZB_PRIORITY_NORMAL, 1, 1, estimate_s);
-  HzbTask *task = hzb_job_next_pending (job, play->exchange.now);
+  HzbTask *task = hzb_job_take_pending (job, play->exchange.now);
 
   job->spec->checkpoint_interval_s = checkpoint_interval_s;
   job->spec->checkpoint_duration_s = 2;
