--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -23,21 +23,33 @@
   return state_names[state];
 }
 
-/* What holds in each state; checked after each change of it. */
-static void
-check_invariants (const HzbReconciliation *reconciliation)
+static gboolean
+counts_are_consistent (const HzbReconciliation *reconciliation)
+{
+  return reconciliation->open <= reconciliation->unrecorded
+         && reconciliation->unrecorded <= g_hash_table_size (reconciliation->tracked);
+}
+
+/* From deciding on the record of the cold start is durable and every job is decided; after that every verdict is durable. */
+static gboolean
+is_as_far_as_its_state_says (const HzbReconciliation *reconciliation)
 {
   HzbReconciliationState state = reconciliation->state;
-  gboolean cold = state >= HZB_RECONCILIATION_COLLECTING && state <= HZB_RECONCILIATION_COMPLETE;
 
-  g_return_if_fail (reconciliation->open <= reconciliation->unrecorded);
-  g_return_if_fail (reconciliation->unrecorded <= g_hash_table_size (reconciliation->tracked));
-  g_return_if_fail (!cold || reconciliation->record_state >= HZB_RECORD_STATE_UNWRITTEN);
-  if (!cold || state == HZB_RECONCILIATION_COLLECTING)
-    return;
-  g_return_if_fail (reconciliation->record_state == HZB_RECORD_STATE_DURABLE);
-  g_return_if_fail (!reconciliation->open);
-  g_return_if_fail (state == HZB_RECONCILIATION_DECIDING || !reconciliation->unrecorded);
+  if (state < HZB_RECONCILIATION_COLLECTING || state > HZB_RECONCILIATION_COMPLETE)
+    return TRUE; /* not of a cold start */
+  if (state == HZB_RECONCILIATION_COLLECTING)
+    return reconciliation->record_state >= HZB_RECORD_STATE_UNWRITTEN;
+  return reconciliation->record_state == HZB_RECORD_STATE_DURABLE && !reconciliation->open
+         && (state == HZB_RECONCILIATION_DECIDING || !reconciliation->unrecorded);
+}
+
+/* Called after each change of the state. */
+static void
+check_invariants (const HzbReconciliation *reconciliation)
+{
+  g_return_if_fail (counts_are_consistent (reconciliation));
+  g_return_if_fail (is_as_far_as_its_state_says (reconciliation));
 }
 
 #define TO(state) (1u << HZB_RECONCILIATION_##state)
