--- a/src/api/reclaim-notice.c
+++ b/src/api/reclaim-notice.c
@@ -12,12 +12,11 @@
 #define CHECKPOINT_SLACK_S 1
 
 static void
-drain (HzbWorkerApi *api, HzbMachine *machine, double notice_s, struct timespec now)
+drain (HzbWorkerApi *api, HzbMachine *machine)
 {
   if (machine->state != HZB_MACHINE_ACTIVE)
     return;
   hzb_machine_set_state (api->with.machines, machine, HZB_MACHINE_DRAINING, "the cloud takes it back");
-  machine->notice_at = hzb_time_plus (now, notice_s);
   hzb_machine_clear_run_queues (api->with.jobs, machine);
 }
 
@@ -67,7 +66,7 @@
   HzbMachine *machine = exchange->machine;
   double notice_s = exchange->heartbeat->notice_s;
 
-  drain (api, machine, notice_s, exchange->now);
+  drain (api, machine);
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       HzbTask *task = machine->tasks->pdata[i];
--- a/src/cluster/election-campaign.c
+++ b/src/cluster/election-campaign.c
@@ -1,6 +1,6 @@
 /* How this controller becomes the leader, and remains it: campaigns, and renewals of the lease. */
+#include "election-codec.h"
 #include "election-private.h"
-#include "election-records.h"
 #include "node.h"
 #include "record-keys.h"
 
--- a/src/cluster/election-records.c
+++ b/src/cluster/election-codec.c
@@ -1,4 +1,4 @@
-#include "election-records.h"
+#include "election-codec.h"
 
 #include "json.h"
 
--- a/src/cluster/election-records.h
+++ b/src/cluster/election-codec.h
@@ -1,5 +1,5 @@
 /**
- * SECTION: election-records
+ * SECTION: election-codec
  * @short_description: encoding of the records that elections write. Private to this folder
  *
  * The one place that knows how the records of leadership, of the term and of the schema version are written.
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -1,7 +1,7 @@
 /* Who leads: what the replica of the records shows, and the state of this controller. */
 #include "election-private.h"
 
-#include "election-records.h"
+#include "election-codec.h"
 #include "node.h"
 #include "record-keys.h"
 
--- a/src/scheduling/machine.h
+++ b/src/scheduling/machine.h
@@ -68,7 +68,6 @@
   struct timespec since;      /**< When it entered its state. */
   struct timespec rented;     /**< When it was rented; of a machine found in the records, when it was first known. */
   struct timespec idle_since; /**< When it last had no tasks. */
-  struct timespec notice_at;  /**< When the cloud takes the machine back, as announced; unset: nothing was announced. */
   gboolean known_to_cloud;    /**< It was rented by this leader, is on record, or is in the cloud's inventory. A machine
                                  known only by a heartbeat may be long gone: that heartbeat may be a delayed copy. */
   gboolean recorded;          /**< It is on record durably, as every machine must be before its first start command. */
--- a/src/scheduling/machines.h
+++ b/src/scheduling/machines.h
@@ -7,7 +7,6 @@
  * The leader has every machine in it; a leaseholder has those of its shard.
  */
 #pragma once
-#include "machine-codec.h"
 #include "machine.h"
 #include "task.h"
 
--- a/src/shards/leaseholder-private.h
+++ b/src/shards/leaseholder-private.h
@@ -8,7 +8,7 @@
  */
 #pragma once
 #include "leaseholder.h"
-#include "shard-exchange.h"
+#include "shard-poll-messages.h"
 
 /** _HzbLeaseholder: the module's state. */
 struct _HzbLeaseholder
--- a/src/shards/shard-leases-private.h
+++ b/src/shards/shard-leases-private.h
@@ -8,8 +8,8 @@
  */
 #pragma once
 #include "settings.h"
-#include "shard-exchange.h"
 #include "shard-leases.h"
+#include "shard-poll-messages.h"
 
 /**
  * HZB_SHARDS_MISSED_POLLS_S: the leader reclaims a shard when its leaseholder has not polled for so many seconds. The node then has
--- a/src/shards/shard-messages.h
+++ b/src/shards/shard-messages.h
@@ -3,7 +3,7 @@
  * SECTION: shard-messages
  * What the leader and its leaseholders tell each other of machines, and its encoding.
  *
- * The only place that knows how these messages are written. shard-exchange.h puts them into polls and answers.
+ * The only place that knows how these messages are written. shard-poll-messages.h puts them into polls and answers.
  */
 #pragma once
 #include "machines.h"
--- a/src/shards/shard-exchange.c
+++ b/src/shards/shard-poll-messages.c
@@ -1,4 +1,4 @@
-#include "shard-exchange.h"
+#include "shard-poll-messages.h"
 
 #include "cancellation-messages.h"
 #include "json.h"
--- a/src/shards/shard-exchange.h
+++ b/src/shards/shard-poll-messages.h
@@ -1,16 +1,16 @@
 /**
  * @file
- * SECTION: shard-exchange
+ * SECTION: shard-poll-messages
  * The poll of a leaseholder and the leader's answer, and their encoding.
  *
  * A leaseholder polls the leader about twice a second. The poll carries numbered events, the answer numbered batches; each side
  * repeats them until the other has acknowledged them (outbox.h). shard-messages.h encodes what they say of machines,
- * task-groups.h how they name tasks. What cancellations have to say rides along in both, encoded by their own module.
+ * task-group-messages.h how they name tasks. What cancellations have to say rides along in both, encoded by their own module.
  */
 #pragma once
 #include "outbox.h"
 #include "shard-messages.h"
-#include "task-groups.h"
+#include "task-group-messages.h"
 
 /**
  * HzbShardBatch: something that the leader tells a leaseholder.
--- a/src/shards/shard-status.c
+++ b/src/shards/shard-status-codec.c
@@ -1,5 +1,5 @@
 /* The leader's view of all shards, for the administration API. */
-#include "shard-status.h"
+#include "shard-status-codec.h"
 
 #include "json.h"
 #include "shard-leases-private.h"
--- a/src/shards/shard-status.h
+++ b/src/shards/shard-status-codec.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * SECTION: shard-status
+ * SECTION: shard-status-codec
  * What the administration API shows of a shard, and its encoding.
  */
 #pragma once
--- a/src/shards/task-groups.c
+++ b/src/shards/task-group-messages.c
@@ -1,4 +1,4 @@
-#include "task-groups.h"
+#include "task-group-messages.h"
 
 static void
 group_clear (gpointer data)
--- a/src/shards/task-groups.h
+++ b/src/shards/task-group-messages.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * SECTION: task-groups
+ * SECTION: task-group-messages
  * Tasks named by job in the messages about shards, and their encoding.
  *
  * On the wire: an object with an array of task numbers for each job's uid.
--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -1,7 +1,7 @@
 /* Elections: an answer to a request of an earlier leadership changes nothing, and the bytes of the records. */
 #include "support.h"
 
-#include "election-records.h"
+#include "election-codec.h"
 #include "election.h"
 #include "fake-transport.h"
 #include "kv-client.h"
--- a/tests/test-kv-client.c
+++ b/tests/test-kv-client.c
@@ -237,8 +237,8 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/store/reads-beside-changes", test_reads_beside_changes);
-  g_test_add_func ("/store/few-requests", test_few_requests);
-  g_test_add_func ("/store/each-caller-is-told", test_each_caller_is_told);
+  g_test_add_func ("/kv-client/reads-beside-changes", test_reads_beside_changes);
+  g_test_add_func ("/kv-client/few-requests", test_few_requests);
+  g_test_add_func ("/kv-client/each-caller-is-called-back", test_each_caller_is_told);
   return g_test_run ();
 }
--- a/tests/test-kv-replica.c
+++ b/tests/test-kv-replica.c
@@ -550,11 +550,11 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/mirror/page-of-before-reset", test_page_of_before_reset);
-  g_test_add_func ("/mirror/pages-that-do-not-come", test_pages_that_do_not_come);
-  g_test_add_func ("/mirror/more-changes-than-are-kept", test_more_changes_than_are_kept);
-  g_test_add_func ("/mirror/question-after-too-much", test_question_after_too_much);
-  g_test_add_func ("/mirror/news-too-large", test_news_too_large);
-  g_test_add_func ("/mirror/random", test_random);
+  g_test_add_func ("/kv-replica/page-from-before-reset", test_page_of_before_reset);
+  g_test_add_func ("/kv-replica/pages-that-do-not-come", test_pages_that_do_not_come);
+  g_test_add_func ("/kv-replica/more-changes-than-are-kept", test_more_changes_than_are_kept);
+  g_test_add_func ("/kv-replica/sync-after-too-many-changes", test_question_after_too_much);
+  g_test_add_func ("/kv-replica/changes-too-large", test_news_too_large);
+  g_test_add_func ("/kv-replica/random", test_random);
   return g_test_run ();
 }
--- a/tests/test-peer-heartbeat.c
+++ b/tests/test-peer-heartbeat.c
@@ -171,9 +171,9 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/heartbeat/cancellation-log", test_log);
-  g_test_add_func ("/heartbeat/log-is-not-complete-before", test_log_is_not_complete_before);
-  g_test_add_func ("/heartbeat/round-trip", test_round_trip);
-  g_test_add_func ("/heartbeat/malformed", test_malformed);
+  g_test_add_func ("/peer-heartbeat/cancellation-log", test_log);
+  g_test_add_func ("/peer-heartbeat/log-is-not-complete-before", test_log_is_not_complete_before);
+  g_test_add_func ("/peer-heartbeat/round-trip", test_round_trip);
+  g_test_add_func ("/peer-heartbeat/malformed", test_malformed);
   return g_test_run ();
 }
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -359,12 +359,12 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/wire/job-table", test_job_table);
-  g_test_add_func ("/wire/job-first-fault", test_job_first_fault);
-  g_test_add_func ("/wire/job-bodies", test_job_bodies);
-  g_test_add_func ("/wire/durable-form", test_durable_form);
-  g_test_add_func ("/wire/report", test_report);
-  g_test_add_func ("/wire/large-numbers", test_large_numbers);
+  g_test_add_func ("/protocol/job-table", test_job_table);
+  g_test_add_func ("/protocol/job-first-fault", test_job_first_fault);
+  g_test_add_func ("/protocol/job-bodies", test_job_bodies);
+  g_test_add_func ("/protocol/durable-form", test_durable_form);
+  g_test_add_func ("/protocol/worker-heartbeat", test_report);
+  g_test_add_func ("/protocol/large-numbers", test_large_numbers);
   g_test_add_func ("/settings/error-codes", test_settings_error_codes);
   g_test_add_func ("/settings/faults", test_settings_faults);
   g_test_add_func ("/settings/cluster-faults", test_cluster_faults);
--- a/tests/test-scheduling-records.c
+++ b/tests/test-scheduling-records.c
@@ -41,22 +41,6 @@
   assert_stored (hzb_job_end_encode (HZB_JOB_CANCELLED, 100000), "{\"state\":\"cancelled\",\"n\":100000}");
 }
 
-static void
-test_machine (void)
-{
-  Bench b;
-  HzbMachine *machine;
-  struct timespec wall = { 1700000000, 999999999 };
-  bench_up (&b, 1);
-  machine = bench_machine (&b, "big", "za", TRUE);
-  assert_stored (hzb_machine_record_encode (machine, wall),
-                 "{\"type\":\"big\",\"zone\":\"za\",\"spot\":true,\"at\":1700000000}");
-  machine->drain = TRUE;
-  assert_stored (hzb_machine_record_encode (machine, wall),
-                 "{\"type\":\"big\",\"zone\":\"za\",\"spot\":true,\"at\":1700000000,\"drain\":true}");
-  bench_down (&b);
-}
-
 static gboolean
 decode (const char *text, guint known_tasks, HzbJobRecord *record)
 {
@@ -124,7 +108,6 @@
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/scheduling-records/acceptance", test_acceptance);
   g_test_add_func ("/scheduling-records/end", test_end);
-  g_test_add_func ("/scheduling-records/machine", test_machine);
   g_test_add_func ("/scheduling-records/decode-end", test_decode_end);
   g_test_add_func ("/scheduling-records/decode-nonsense", test_decode_nonsense);
   g_test_add_func ("/scheduling-records/round-trip", test_round_trip);
--- a/tests/test-shard-messages.c
+++ b/tests/test-shard-messages.c
@@ -1,8 +1,8 @@
 /* Messages between the leader and its leaseholders: as the versions before wrote them, and back. */
 #include "json.h"
-#include "shard-exchange.h"
 #include "shard-messages.h"
-#include "shard-status.h"
+#include "shard-poll-messages.h"
+#include "shard-status-codec.h"
 
 #include <string.h>
 
@@ -261,14 +261,14 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/block-messages/leases", test_leases);
-  g_test_add_func ("/block-messages/returns", test_returns);
-  g_test_add_func ("/block-messages/recalls-and-answers", test_recalls_and_answers);
-  g_test_add_func ("/block-messages/polls", test_polls);
-  g_test_add_func ("/block-messages/polls-without-shard", test_polls_without_shard);
-  g_test_add_func ("/block-messages/malformed-polls", test_malformed_polls);
-  g_test_add_func ("/block-messages/answers", test_answers);
-  g_test_add_func ("/block-messages/status", test_status);
-  g_test_add_func ("/block-messages/outbox", test_outbox);
+  g_test_add_func ("/shard-messages/leases", test_leases);
+  g_test_add_func ("/shard-messages/returns", test_returns);
+  g_test_add_func ("/shard-messages/recalls-and-answers", test_recalls_and_answers);
+  g_test_add_func ("/shard-messages/polls", test_polls);
+  g_test_add_func ("/shard-messages/polls-without-shard", test_polls_without_shard);
+  g_test_add_func ("/shard-messages/malformed-polls", test_malformed_polls);
+  g_test_add_func ("/shard-messages/answers", test_answers);
+  g_test_add_func ("/shard-messages/status", test_status);
+  g_test_add_func ("/shard-messages/outbox", test_outbox);
   return g_test_run ();
 }
