--- a/src/api/cancel-requests.c
+++ b/src/api/cancel-requests.c
@@ -90,7 +90,7 @@
     {
       guint64 revision = 0;
       hzb_kv_commit_decode (body, &revision, NULL);
-      hzb_cancellation_record_apply (check->uid, job->n_tasks, revision, jobs);
+      hzb_jobs_apply_end (jobs, check->uid, HZB_JOB_CANCELLED, job->n_tasks, revision);
       hzb_check_settle (check);
     }
   else if (result == HZB_KV_REFUSED)
--- a/src/api/user-records-codec.c
+++ b/src/api/user-records-codec.c
@@ -86,11 +86,3 @@
   g_autofree char *key = g_strconcat (HZB_KEY_JOBS, uid, NULL);
   hzb_kv_transaction_put (transaction, key, hzb_job_end_encode (HZB_JOB_CANCELLED, n_tasks), 0);
 }
-
-void
-hzb_cancellation_record_apply (const char *uid, guint n_tasks, guint64 revision, HzbJobs *jobs)
-{
-  cJSON *value = hzb_job_end_encode (HZB_JOB_CANCELLED, n_tasks);
-  hzb_jobs_apply (jobs, uid, value, revision);
-  cJSON_Delete (value);
-}
--- a/src/api/user-records-codec.h
+++ b/src/api/user-records-codec.h
@@ -48,6 +48,3 @@
 
 /** hzb_cancellation_record_put: adds the record that completes a job as cancelled to a transaction. */
 void hzb_cancellation_record_put (const char *uid, guint n_tasks, HzbKvTransaction *transaction);
-
-/** hzb_cancellation_record_apply: that record is durable since this revision: the job is cancelled. */
-void hzb_cancellation_record_apply (const char *uid, guint n_tasks, guint64 revision, HzbJobs *jobs);
--- a/src/cluster/cancellations.c
+++ b/src/cluster/cancellations.c
@@ -54,10 +54,8 @@
 HzbJob *
 hzb_cancellations_apply (HzbCancellations *cancellations, const HzbCancellation *cancellation)
 {
-  cJSON *record = hzb_job_end_encode (HZB_JOB_CANCELLED, cancellation->n_tasks);
-  HzbJob *job = hzb_jobs_apply (cancellations->uses.jobs, cancellation->uid, record, cancellation->revision);
-  cJSON_Delete (record);
-  return job;
+  return hzb_jobs_apply_end (cancellations->uses.jobs, cancellation->uid, HZB_JOB_CANCELLED, cancellation->n_tasks,
+                             cancellation->revision);
 }
 
 /* Without this rule, a cancellation could remain unconfirmed for as long as leaders change: each new leader waits anew
--- a/src/controller/controller-private.h
+++ b/src/controller/controller-private.h
@@ -18,7 +18,6 @@
 #include "kv-client.h"
 #include "kv-protocol.h"
 #include "kv-replica.h"
-#include "leader-maintenance.h"
 #include "leaseholder.h"
 #include "metrics.h"
 #include "node.h"
@@ -104,3 +103,6 @@
 
 /** hzb_controller_recovered: every machine on record has answered the new leader, or is gone. */
 void hzb_controller_recovered (HzbController *controller);
+
+/** hzb_leader_maintenance_tick: expires workers' leases, resolves unconfirmed tasks, ends jobs, places tasks and writes records. */
+void hzb_leader_maintenance_tick (HzbController *controller, struct timespec now);
--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -1,4 +1,6 @@
-/* Builds the modules of a controller and gives each what it needs. */
+/* Gives each module of a controller what it needs: the modules below it, and callbacks for the modules above it. */
+#include "controller-wiring.h"
+
 #include "controller-private.h"
 #include "reconciliation-admin.h"
 #include "record-keys.h"
@@ -13,10 +15,8 @@
   return settings->size / (WATCH_PART * settings->kv_rps);
 }
 
-/* ---- the modules, from the ground up: each is given what it needs by the function of its name ---- */
-
-static HzbNode *
-new_node (HzbController *controller)
+HzbNode *
+hzb_controller_new_node (HzbController *controller)
 {
   HzbNode *node = g_new0 (HzbNode, 1);
   node->settings = controller->settings;
@@ -26,8 +26,8 @@
   return node;
 }
 
-static HzbKvReplica *
-new_kv_replica (HzbController *controller)
+HzbKvReplica *
+hzb_controller_new_kv_replica (HzbController *controller)
 {
   return hzb_kv_replica_new (controller->kv, controller->clock, HZB_KEY_REPLICATED,
                              watch_interval_s (controller->settings), &hzb_controller_replica_callbacks, controller);
@@ -61,8 +61,8 @@
   hzb_shard_leases_handle_poll (controller->shard_leases, http_request, message);
 }
 
-static HzbPeers *
-new_peers (HzbController *controller)
+HzbPeers *
+hzb_controller_new_peers (HzbController *controller)
 {
   static const HzbPeersCallbacks callbacks = { .fill_heartbeat = fill_heartbeat,
                                                .fill_reply = fill_heartbeat_reply,
@@ -98,8 +98,8 @@
   hzb_leaseholder_poll_soon (controller->leaseholder);
 }
 
-static HzbCancellations *
-new_cancellations (HzbController *controller)
+HzbCancellations *
+hzb_controller_new_cancellations (HzbController *controller)
 {
   static const HzbCancellationsCallbacks callbacks = { .announce = announce_cancellation,
                                                        .all_leaseholders_acknowledged = all_leaseholders_acknowledged,
@@ -114,8 +114,8 @@
   return hzb_cancellations_new (&dependencies, &callbacks, controller);
 }
 
-static HzbReconciliation *
-new_reconciliation (HzbController *controller)
+HzbReconciliation *
+hzb_controller_new_reconciliation (HzbController *controller)
 {
   HzbReconciliationDependencies dependencies = {
     .node = controller->node,
@@ -131,8 +131,8 @@
   return hzb_reconciliation_new (&dependencies);
 }
 
-static HzbCompletedJobArchive *
-new_completed_job_archive (HzbController *controller)
+HzbCompletedJobArchive *
+hzb_controller_new_completed_job_archive (HzbController *controller)
 {
   const HzbCompletedJobArchiveDependencies dependencies = {
     .node = controller->node,
@@ -152,8 +152,8 @@
   hzb_shard_leases_announce_durable (controller->shard_leases, task);
 }
 
-static HzbRecords *
-new_records (HzbController *controller)
+HzbRecords *
+hzb_controller_new_records (HzbController *controller)
 {
   const HzbRecordsDependencies dependencies = {
     .node = controller->node,
@@ -171,8 +171,8 @@
   return hzb_records_new (&dependencies, &callbacks, controller);
 }
 
-static HzbShardLeases *
-new_shard_leases (HzbController *controller)
+HzbShardLeases *
+hzb_controller_new_shard_leases (HzbController *controller)
 {
   HzbShardLeasesDependencies dependencies = {
     .node = controller->node,
@@ -200,8 +200,8 @@
   hzb_controller_end_leased (controller, why);
 }
 
-static HzbLeaseholder *
-new_leaseholder (HzbController *controller)
+HzbLeaseholder *
+hzb_controller_new_leaseholder (HzbController *controller)
 {
   HzbLeaseholderDependencies dependencies = {
     .node = controller->node,
@@ -218,8 +218,8 @@
   return hzb_leaseholder_new (&dependencies, &callbacks);
 }
 
-static HzbProvisioning *
-new_provisioning (HzbController *controller)
+HzbProvisioning *
+hzb_controller_new_provisioning (HzbController *controller)
 {
   HzbProvisioningDependencies dependencies = {
     .node = controller->node,
@@ -235,8 +235,8 @@
   return hzb_provisioning_new (&dependencies);
 }
 
-static HzbWorkerApi *
-new_worker_api (HzbController *controller)
+HzbWorkerApi *
+hzb_controller_new_worker_api (HzbController *controller)
 {
   const HzbWorkerApiDependencies dependencies = {
     .node = controller->node,
@@ -267,8 +267,8 @@
   hzb_controller_apply_record (user, entry);
 }
 
-static HzbUserApi *
-new_user_api (HzbController *controller)
+HzbUserApi *
+hzb_controller_new_user_api (HzbController *controller)
 {
   static const HzbUserApiCallbacks callbacks = { user_api_is_ready, user_api_apply_record };
   const HzbUserApiDependencies dependencies = {
@@ -291,8 +291,8 @@
   return hzb_reconciliation_admin_request (controller->reconciliation, http_request, path);
 }
 
-static HzbAdmin *
-new_admin (HzbController *controller)
+HzbAdmin *
+hzb_controller_new_admin (HzbController *controller)
 {
   static const HzbAdminCallbacks callbacks = { admin_reconciliation_request };
   const HzbAdminDependencies dependencies = {
@@ -313,93 +313,3 @@
   };
   return hzb_admin_new (&dependencies, &callbacks, controller);
 }
-
-/* Names this process: another one of the same node has another. */
-static char *
-new_incarnation (GRand *rand)
-{
-  guint32 low = g_rand_int (rand);
-  guint32 high = g_rand_int (rand);
-  return g_strdup_printf ("%08x%08x", high, low);
-}
-
-HzbController *
-hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed)
-{
-  HzbController *controller = g_new0 (HzbController, 1);
-
-  controller->settings = settings;
-  controller->clock = clock;
-  controller->transport = transport;
-  controller->rand = g_rand_new_with_seed (seed);
-  controller->lease_shards = TRUE;
-  controller->metrics = hzb_metrics_new ();
-  controller->node = new_node (controller);
-
-  controller->kv = hzb_kv_client_new (transport, clock, settings);
-  controller->kv_replica = new_kv_replica (controller);
-  controller->cloud = hzb_cloud_client_new (transport, clock, settings);
-
-  controller->jobs = hzb_jobs_new (clock, settings);
-  controller->machines = hzb_machines_new (clock, settings);
-  controller->dispatch = hzb_dispatch_new (controller->jobs, controller->machines, settings, controller->rand);
-  controller->autoscaler = hzb_autoscaler_new (controller->jobs, controller->machines, settings);
-
-  controller->ownership = hzb_ownership_new (clock);
-  controller->election = hzb_election_new (controller->kv, clock, settings, controller->rand);
-  controller->node->incarnation = new_incarnation (controller->rand);
-  controller->peers = new_peers (controller);
-  controller->cancellations = new_cancellations (controller);
-
-  controller->reconciliation = new_reconciliation (controller);
-  controller->dispatch->pacing = hzb_reconciliation_pacing (controller->reconciliation);
-  controller->completed_job_archive = new_completed_job_archive (controller);
-  controller->records = new_records (controller);
-  controller->shard_leases = new_shard_leases (controller);
-  controller->leaseholder = new_leaseholder (controller);
-  controller->provisioning = new_provisioning (controller);
-  controller->worker_api = new_worker_api (controller);
-  controller->api = new_user_api (controller);
-  controller->admin = new_admin (controller);
-  return controller;
-}
-
-void
-hzb_controller_free (HzbController *controller)
-{
-  hzb_admin_free (controller->admin);
-  hzb_user_api_free (controller->api);
-  hzb_worker_api_free (controller->worker_api);
-  hzb_cancellations_free (controller->cancellations);
-  hzb_shard_leases_free (controller->shard_leases);
-  hzb_leaseholder_free (controller->leaseholder);
-  hzb_peers_free (controller->peers);
-  hzb_records_free (controller->records);
-  hzb_completed_job_archive_free (controller->completed_job_archive);
-  hzb_reconciliation_free (controller->reconciliation);
-  hzb_metrics_free (controller->metrics);
-  g_free (controller->node->incarnation);
-  g_free (controller->node);
-  hzb_jobs_end_ownership (controller->jobs);
-  hzb_machines_clear (controller->machines);
-  hzb_autoscaler_free (controller->autoscaler);
-  hzb_dispatch_free (controller->dispatch);
-  hzb_jobs_free (controller->jobs);
-  hzb_machines_free (controller->machines);
-  hzb_shard_free (controller->shard);
-  hzb_election_free (controller->election);
-  hzb_cloud_client_free (controller->cloud);
-  hzb_kv_client_free (controller->kv);
-  hzb_provisioning_free (controller->provisioning);
-  hzb_kv_replica_free (controller->kv_replica);
-  hzb_ownership_free (controller->ownership);
-  g_free (controller->owner_load_cursor);
-  g_rand_free (controller->rand);
-  g_free (controller);
-}
-
-void
-hzb_controller_set_http_servers (HzbController *controller, HzbHttpServer *api_server, HzbHttpServer *peer_server)
-{
-  hzb_admin_set_http_servers (controller->admin, api_server, peer_server);
-}
--- a/src/controller/leader-maintenance.c
+++ b/src/controller/leader-maintenance.c
@@ -1,5 +1,4 @@
-#include "leader-maintenance.h"
-
+/* What the leader does over time with the jobs and machines that it owns. */
 #include "controller-private.h"
 #include "fleet-summary.h"
 
--- a/src/main.c
+++ b/src/main.c
@@ -1,4 +1,5 @@
 /* The program: one controller, or an archive shown to an operator. */
+#include "archive-packing.h"
 #include "controller.h"
 #include "http-client.h"
 #include "http-server.h"
--- /dev/null
+++ b/src/reconciliation/archive-packing.c
@@ -0,0 +1,110 @@
+#include "archive-packing.h"
+
+#include "archive-codec.h"
+
+#include <string.h>
+#include <zstd.h>
+
+#define MAGIC "HZBREC"
+#define HEADER_BYTES 8u
+#define MOST_UNPACKED_BYTES (16u * 1024 * 1024) /* no archive that this program wrote is larger */
+#define COMPRESSION_LEVEL 9
+
+GBytes *
+hzb_archive_pack (const HzbArchive *archive)
+{
+  g_autofree char *text = hzb_archive_encode (archive);
+  gsize length = strlen (text), bound = ZSTD_compressBound (length), packed;
+  char *out = g_malloc (HEADER_BYTES + bound + 1);
+  ZSTD_CCtx *context = ZSTD_createCCtx ();
+
+  g_snprintf (out, HEADER_BYTES + 1, MAGIC "%02u", HZB_RECONCILIATION_FORMAT);
+  ZSTD_CCtx_setParameter (context, ZSTD_c_compressionLevel, COMPRESSION_LEVEL);
+  ZSTD_CCtx_setParameter (context, ZSTD_c_checksumFlag, 1);
+  packed = ZSTD_compress2 (context, out + HEADER_BYTES, bound, text, length);
+  ZSTD_freeCCtx (context);
+  g_assert (!ZSTD_isError (packed)); /* the bound leaves room for any text */
+  return g_bytes_new_take (out, HEADER_BYTES + packed);
+}
+
+/* ---- reading ---- */
+
+static gboolean
+check_header (const char *data, gsize length, GError **error)
+{
+  guint64 format = 0;
+  g_autofree char *digits = NULL;
+
+  if (length < HEADER_BYTES || memcmp (data, MAGIC, strlen (MAGIC)) != 0)
+    {
+      hzb_archive_set_damaged (error, "it does not begin as archives do");
+      return FALSE;
+    }
+  digits = g_strndup (data + strlen (MAGIC), HEADER_BYTES - strlen (MAGIC));
+  if (!g_ascii_string_to_unsigned (digits, 10, 1, 99, &format, NULL))
+    {
+      hzb_archive_set_damaged (error, "its format is not a number");
+      return FALSE;
+    }
+  if (format > HZB_RECONCILIATION_FORMAT)
+    {
+      g_set_error (error, HZB_RECONCILIATION_ERROR, HZB_RECONCILIATION_ERROR_FUTURE_FORMAT,
+                   "the archive is of format %" G_GUINT64_FORMAT ", of a later version; this one reads up to %u",
+                   format, HZB_RECONCILIATION_FORMAT);
+      return FALSE;
+    }
+  return TRUE;
+}
+
+/* Returns: (transfer full) (nullable): the text in a zstd frame; NULL, with an error, if the frame is damaged */
+static char *
+decompress (const char *frame, gsize length, GError **error)
+{
+  unsigned long long size = ZSTD_getFrameContentSize (frame, length);
+  g_autofree char *text = NULL;
+
+  if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > MOST_UNPACKED_BYTES)
+    {
+      hzb_archive_set_damaged (error, "its length makes no sense");
+      return NULL;
+    }
+  text = g_malloc (size + 1);
+  if (ZSTD_decompress (text, size, frame, length) != size)
+    {
+      hzb_archive_set_damaged (error, "its checksum is wrong, or a part is missing");
+      return NULL;
+    }
+  text[size] = '\0';
+  return g_steal_pointer (&text);
+}
+
+HzbArchive *
+hzb_archive_unpack (GBytes *bytes, GError **error)
+{
+  gsize length;
+  const char *data = g_bytes_get_data (bytes, &length);
+  g_autofree char *text = NULL;
+
+  if (!check_header (data, length, error))
+    return NULL;
+  text = decompress (data + HEADER_BYTES, length - HEADER_BYTES, error);
+  return text ? hzb_archive_decode (text, error) : NULL;
+}
+
+HzbArchive *
+hzb_archive_read_file (const char *path, GError **error)
+{
+  g_autoptr (GBytes) bytes = NULL;
+  g_autofree char *contents = NULL;
+  char *packed;
+  gsize length = 0, packed_length = 0;
+
+  if (!g_file_get_contents (path, &contents, &length, error))
+    return NULL;
+  packed = hzb_archive_response_decode (contents, length, &packed_length);
+  if (packed)
+    bytes = g_bytes_new_take (packed, packed_length);
+  else
+    bytes = g_bytes_new_take (g_steal_pointer (&contents), length);
+  return hzb_archive_unpack (bytes, error);
+}
--- a/src/reconciliation/recorder.c
+++ b/src/reconciliation/recorder.c
@@ -2,6 +2,7 @@
  *
  * Each page of verdicts is written once, under a number of its own, on condition of the leader's term and that the
  * page is not there yet. So a transaction that is carried out late, or twice, changes nothing. */
+#include "archive-packing.h"
 #include "kv-protocol.h"
 #include "reconciliation-private.h"
 #include "record-keys.h"
--- a/src/records/job-completion.c
+++ b/src/records/job-completion.c
@@ -7,12 +7,10 @@
 static void
 apply_done (HzbJobs *jobs, const HzbJob *job, const char *body)
 {
-  cJSON *value = hzb_job_end_encode (HZB_JOB_DONE, job->n_tasks);
   guint64 revision = 0;
 
   hzb_kv_commit_decode (body, &revision, NULL);
-  hzb_jobs_apply (jobs, job->uid, value, revision);
-  cJSON_Delete (value);
+  hzb_jobs_apply_end (jobs, job->uid, HZB_JOB_DONE, job->n_tasks, revision);
 }
 
 static void
--- a/src/scheduling/jobs.c
+++ b/src/scheduling/jobs.c
@@ -255,6 +255,23 @@
   return job;
 }
 
+HzbJob *
+hzb_jobs_apply_end (HzbJobs *jobs, const char *uid, HzbJobState state, guint n_tasks, guint64 version)
+{
+  HzbJob *job = hzb_jobs_find (jobs, uid);
+  const HzbJobRecord record = { .state = state, .n_tasks = n_tasks };
+
+  g_return_val_if_fail (state != HZB_JOB_ACCEPTED, NULL);
+  if (job)
+    job->load = jobs->load;
+  if (job && job->version)
+    return job;
+  if (!job)
+    job = job_new (jobs, uid);
+  job_has_ended (jobs, job, &record, version);
+  return job;
+}
+
 void
 hzb_jobs_compare_not_terminal (HzbKvTransaction *transaction, const char *uid)
 {
--- a/src/scheduling/jobs.h
+++ b/src/scheduling/jobs.h
@@ -76,6 +76,15 @@
  */
 HzbJob *hzb_jobs_apply (HzbJobs *jobs, const char *uid, const cJSON *value, guint64 version);
 
+/**
+ * hzb_jobs_apply_end: as hzb_jobs_apply(), for the record of an end that this process wrote itself, or was told of by a peer.
+ * `state`: HZB_JOB_CANCELLED or HZB_JOB_DONE
+ * `version`: revision of the record
+ *
+ * Returns: (transfer none): the job
+ */
+HzbJob *hzb_jobs_apply_end (HzbJobs *jobs, const char *uid, HzbJobState state, guint n_tasks, guint64 version);
+
 /** hzb_jobs_apply_acceptance: takes in a record of acceptance. `value`: (nullable): NULL: the record was deleted */
 void hzb_jobs_apply_acceptance (HzbJobs *jobs, const char *key, const cJSON *value);
 
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -1,5 +1,6 @@
 /* Cold starts: all controllers crash under load and restart. No task runs twice, none is lost, and no command for a
  * job is sent before its verdict is durable. -m slow plays larger fleets and more seeds, -m perf measures. */
+#include "archive-packing.h"
 #include "json.h"
 #include "record-keys.h"
 #include "sim-faults.h"
--- a/tests/test-reconciliation.c
+++ b/tests/test-reconciliation.c
@@ -1,5 +1,6 @@
 /* The parts of the reconciliation by themselves: decisions against a plain model, records and archives that are damaged, and
  * the pace. */
+#include "archive-packing.h"
 #include "archive.h"
 #include "report.h"
 #include "start-pacing.h"
