--- a/tests/test-quarantine.c
+++ b/tests/test-quarantine.c
@@ -1,5 +1,5 @@
 /* The quarantine by itself: what it tracks, and operators' decisions. Proofs are played in the simulated cluster
- * (/cold-start/unrecorded). */
+ * (/cold-start/unrecorded-tasks). */
 #include "support.h"
 
 #include "fake-transport.h"
