--- a/src/api/task-exit.c
+++ b/src/api/task-exit.c
@@ -37,8 +37,8 @@
 {
   if (!machine->scale_in_requested)
     g_message (
-        "machine %s fails what it starts and is set aside: it gets no new tasks and is returned to the cloud once "
-        "it is empty; look at its worker's log if several machines do the same",
+        "machine %s fails what it starts and is set aside (quarantined): it gets no new tasks and is returned to the "
+        "cloud once it is empty; look at its worker's log if several machines do the same",
         machine->name);
   machine->scale_in_requested = TRUE;
 }
--- a/src/http/http-connections.c
+++ b/src/http/http-connections.c
@@ -90,8 +90,10 @@
   };
   if (!(allowed[connection->state] & 1u << to))
     {
-      g_critical ("connection: change %s -> %s is not allowed, and was not made: report this as a fault of hazelbank",
-                  state_names[connection->state], state_names[to]);
+      g_critical (
+          "connection: illegal change %s -> %s; the state stays as it is. This is a fault of the program: report it "
+          "with this log",
+          state_names[connection->state], state_names[to]);
       return FALSE;
     }
   g_debug ("connection: %s -> %s", state_names[connection->state], state_names[to]);
--- a/src/scheduling/machine.c
+++ b/src/scheduling/machine.c
@@ -47,8 +47,9 @@
 hzb_machine_mark_unreachable (HzbMachine *machine, guint64 fencing_token, struct timespec now)
 {
   g_message (
-      "machine %s: its heartbeats arrive, but the answers do not seem to reach it; it gets no work until a heartbeat "
-      "shows a new fencing token. If this stays, check the network from the controllers to this machine",
+      "machine %s: its heartbeats arrive, but the responses do not seem to reach its worker; the machine "
+      "gets no work until a heartbeat shows a new fencing token. If this stays, check the network from the controllers "
+      "to this machine",
       machine->name);
   machine->fencing_token = fencing_token;
   machine->unreachable = TRUE;
