--- a/src/api/cancel-requests.c
+++ b/src/api/cancel-requests.c
@@ -1,7 +1,8 @@
 /* Cancellations of users, and the moment from which a cancelled job may be called cancelled.
  *
- * Whoever is told that a job is cancelled relies on it: none of its tasks may be started after that. So the answer waits until
- * no controller can act without the cancellation (cancellations.h); if that takes too long, the user is told to come back. */
+ * A user whose cancellation is confirmed relies on it: none of the job's tasks may be started after that. So the answer
+ * waits until no controller can act without the cancellation (cancellations.h); if that takes too long, the answer is
+ * 503 with Retry-After. */
 #include "user-api-private.h"
 
 /* How long a request may wait for the acknowledgement of its cancellation before its user gets 503 with Retry-After. */
@@ -25,7 +26,7 @@
     running = 0;
   else if (!job->tasks || api->with.jobs->leaseholder)
     {
-      /* This node does not own all tasks of the job. Only for display: what the leader last told its peers. */
+      /* This node does not own all tasks of the job. Only for display: the counts of the leader's last heartbeat. */
       hzb_peers_task_counts (api->with.peers, job->uid, &done, &running);
       status = running ? "running" : "queued";
     }
--- a/src/api/heartbeat-admission.c
+++ b/src/api/heartbeat-admission.c
@@ -4,9 +4,8 @@
  * shard. All others redirect the worker. */
 #include "worker-api-private.h"
 
-/* Whether the heartbeat is no news: a network partition may hold heartbeats back, or bring copies of them, and what they say
- * is as old as they are. Once an agent epoch has ended for certain, no heartbeat of that epoch is news, whatever its
- * sequence number. */
+/* Whether the heartbeat is out of date: a network partition may delay heartbeats or bring copies of them. Once an agent
+ * epoch has ended for certain, every heartbeat of that epoch is out of date, whatever its sequence number. */
 static gboolean
 is_late (const HzbMachine *machine, const HzbWorkerHeartbeat *heartbeat)
 {
@@ -175,7 +174,7 @@
     }
   if (!decode (exchange))
     return FALSE;
-  /* A controller that was paused, or that reaches nobody but its workers, may have missed a cancellation. The other
+  /* A controller that was paused, or that reaches only its workers, may have missed a cancellation. The other
    * controllers rely on it to renew no lease of cancelled work meanwhile. */
   if (!hzb_cancellations_may_answer_workers (api->with.cancellations))
     {
--- a/src/api/heartbeat-tasks.c
+++ b/src/api/heartbeat-tasks.c
@@ -42,10 +42,10 @@
   return starting;
 }
 
-/* A task that a newer heartbeat does not list is not on the machine: either the start command was lost, or the task is gone.
- * A reservation has not been sent to the machine yet, so it is not expected there.
+/* A task that a newer heartbeat does not show is not on the machine: either the start command was lost, or the task is
+ * gone. A reservation has not been sent to the machine yet, so it is not expected there.
  *
- * Returns: how many of those tasks had been told to start by the answer before */
+ * Returns: for how many of those tasks the response before had a start command */
 static guint
 release_unlisted (HzbWorkerApi *api, HzbMachine *machine)
 {
--- a/src/api/job-admission.c
+++ b/src/api/job-admission.c
@@ -1,7 +1,7 @@
 /* Whether a submitted job could ever run, with the teams, zones and machine types that there are.
  *
- * A refusal is told only after it is proven that the job was not accepted earlier: a repeat of an accepted job must not be
- * refused, whatever has changed since (hzb_checks_add()). */
+ * A refusal is sent only after it is proven that the job was not accepted earlier: a repeat of an accepted job must not
+ * be refused, whatever has changed since (hzb_checks_add()). */
 #include "user-api-private.h"
 
 /* CPUs and GPUs are sums of decimal fractions: what exceeds a limit by less is rounding. */
--- a/src/api/submissions.c
+++ b/src/api/submissions.c
@@ -11,7 +11,7 @@
 #define LEAST_WAITING 256u
 #define WAITING_PART 0.25
 #define MAX_ACCEPTANCES_IN_FLIGHT 2u
-#define ACCEPT_WITHIN_S 2.5   /* or the user is told to come back */
+#define ACCEPT_WITHIN_S 2.5   /* or the user gets 503 with Retry-After */
 #define RECORD_SLACK_BYTES 64 /* braces and names around the jobs in a record */
 #define JOB_SLACK_BYTES 8     /* and around each job */
 /* The key-value store takes so many comparisons in a transaction for each change that it takes. */
@@ -106,7 +106,7 @@
 }
 
 /* Either the job is terminal, or what became of the transaction is not known. In the second case the key-value store may still
- * carry out the transaction, so the user is told to come back if the job does not show. */
+ * carry out the transaction, so the user gets 503 with Retry-After if the job does not show. */
 static void
 check_undecided (HzbUserApi *api, HzbSubmission *submission, gboolean terminal)
 {
--- a/src/api/task-exit.c
+++ b/src/api/task-exit.c
@@ -50,7 +50,7 @@
   job->not_before = hzb_time_plus (now, MIN (MAX_PAUSE_S, 1 << MIN (job->failures, MAX_DOUBLINGS)));
 }
 
-/* The worker reports that the task exited with an error. */
+/* The heartbeat shows that the task exited with an error. */
 static void
 note_error (HzbWorkerApi *api, HzbMachine *machine, HzbTask *task, gboolean ran_well, struct timespec now)
 {
@@ -141,8 +141,8 @@
   make_durable (api, task, ran_s);
 }
 
-/* The worker keeps the result until it is told to reap the task: not before the result is durable, or the other attempt at the
- * task has ended. */
+/* The worker keeps the result until a response has the reap command for the task: not before the result is durable, or
+ * the other attempt at the task has ended. */
 static void
 handle_result (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, HzbTask *task, const HzbTaskStatus *task_status,
                gboolean current)
--- a/src/api/user-api-private.h
+++ b/src/api/user-api-private.h
@@ -34,7 +34,7 @@
   char *uid;                    /**< the job */
   HzbQuestion question;         /**< what is asked */
   GError *refusal;              /**< (nullable): why a submission is refused if its job is not known */
-  struct timespec deadline;     /**< when the user is told to come back */
+  struct timespec deadline;     /**< when the user gets 503 with Retry-After */
 } HzbCheck;
 
 /** HzbSubmission: a job that waits for its acceptance. */
@@ -43,7 +43,7 @@
   HzbHttpRequest *http_request; /**< (not owned): to be answered once */
   HzbJobSpec *spec;             /**< the job */
   char *encoded;                /**< its part of the record of acceptance */
-  struct timespec deadline;     /**< when the user is told to come back */
+  struct timespec deadline;     /**< when the user gets 503 with Retry-After */
 } HzbSubmission;
 
 /** _HzbUserApi: requests in their queues, and the calls on their way to the key-value store. */
--- a/src/api/worker-api-private.h
+++ b/src/api/worker-api-private.h
@@ -37,7 +37,7 @@
 /** hzb_reachability_note_heartbeat: a newer heartbeat of the machine has come: takes its agent epoch, sequence and address. */
 void hzb_reachability_note_heartbeat (HzbWorkerApi *api, HzbHeartbeatExchange *exchange);
 
-/** hzb_reachability_is_suspect: too many answers in a row show no effect, so the machine must not be told to start tasks. */
+/** hzb_reachability_is_suspect: too many answers in a row show no effect, so the machine must get no start commands. */
 gboolean hzb_reachability_is_suspect (const HzbMachine *machine);
 
 /** hzb_reachability_check: marks the machine as partitioned one way if answers do not seem to reach it. */
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -18,7 +18,7 @@
 HzbClock *hzb_clock_new (void);
 
 /**
- * Makes a clock that stands still but for hzb_clock_advance().
+ * Makes a clock that only moves with hzb_clock_advance().
  * @return (transfer full): the clock
  */
 HzbClock *hzb_clock_new_manual (void);
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -22,7 +22,7 @@
   [HZB_ELECTION_LEADING] = 1 << HZB_ELECTION_FOLLOWING,
 };
 
-/* A lease is held from the campaign on, and is let go before the controller follows again. */
+/* A lease is held from the campaign on, and no more once the controller follows again. */
 static void
 assert_invariants (const HzbElection *election)
 {
@@ -194,7 +194,7 @@
              election->schema_version);
 }
 
-/* The record of leadership shows that this controller's leadership is over. */
+/* The record of leadership shows that this controller's leadership has ended. */
 static gboolean
 is_deposed (const HzbElection *election)
 {
--- a/src/cluster/node.h
+++ b/src/cluster/node.h
@@ -31,5 +31,5 @@
   guint schema_version;    /**< of records and messages, as this process states; HZB_SCHEMA_VERSION but in tests */
   struct timespec redirected_at; /**< when this process last redirected a worker to the leader; unset: never */
   struct timespec
-      workers_lost_at; /**< when this process last stepped down because no worker reported to it; unset: never */
+      workers_lost_at; /**< when this process last stepped down because no worker sent it a heartbeat; unset: never */
 } HzbNode;
--- a/src/cluster/peer-heartbeat.h
+++ b/src/cluster/peer-heartbeat.h
@@ -49,7 +49,7 @@
   guint schema_version;
   /** The sender lately redirected workers to the leader. Default TRUE. */
   gboolean redirects_workers;
-  /** Not long ago the sender stepped down because no worker reported to it. Default FALSE. */
+  /** Not long ago the sender stepped down because no worker sent it a heartbeat. Default FALSE. */
   gboolean lost_workers;
   /** Seconds since the key-value store last served the sender. Default HZB_KV_NEVER_SERVED_S. */
   double kv_unresponsive_s;
--- a/src/cluster/peer-knowledge.c
+++ b/src/cluster/peer-knowledge.c
@@ -14,7 +14,7 @@
 }
 
 /* A process never knows less than it did, and a process that replaces it reads the records before it owns anything. So
- * what was relayed of a peer counts for as long as this controller has not heard the peer itself. */
+ * what was relayed of a peer counts until this controller has received a heartbeat of the peer itself. */
 static guint64
 known_revision_of (const HzbPeerEntry *entry)
 {
@@ -95,7 +95,7 @@
   heartbeat->fenced_revision = knowledge->watermarks.fenced_revision;
 }
 
-/* Of a peer whose current process this controller has heard itself, it needs no relayed state. */
+/* This controller needs no relayed state of a peer whose current process has sent it a heartbeat. */
 static void
 apply_peer_state (HzbPeerTable *table, const HzbPeerState *state)
 {
--- a/src/cluster/peer-knowledge.h
+++ b/src/cluster/peer-knowledge.h
@@ -3,8 +3,8 @@
  * @short_description: which cancellations the controllers of the cluster know. Private to this folder
  *
  * A cancellation may be confirmed to users once every controller knows it, or all but one that must have fenced itself
- * since (docs/safety.md, "One controller is away"). What a controller has said of itself remains true, whoever repeats
- * it and however late. So heartbeats relay it, with the watermarks, to controllers that have restarted since.
+ * since (docs/safety.md, "One controller is unavailable"). What a controller has said of itself remains true, whoever
+ * repeats it and however late. So heartbeats relay it, with the watermarks, to controllers that have restarted since.
  */
 #pragma once
 #include "peer-heartbeat.h"
--- a/src/cluster/peer-table.h
+++ b/src/cluster/peer-table.h
@@ -18,7 +18,7 @@
   struct timespec last_heartbeat; /**< when the peer's last heartbeat or reply was received; unset: never */
   double kv_unresponsive_s;   /**< seconds since the key-value store last served the peer, as of its last heartbeat */
   gboolean redirects_workers; /**< the peer lately redirected workers to the leader */
-  gboolean lost_workers;      /**< not long ago the peer stepped down because no worker reported to it */
+  gboolean lost_workers;      /**< not long ago the peer stepped down because no worker sent it a heartbeat */
   guint schema_version;       /**< of records and messages, as the peer last stated */
   guint64 known_revision;     /**< the peer knows all cancellations up to this revision; 0: its version does not say */
   gboolean lists_cancellations; /**< see #HzbPeerHeartbeat */
--- a/src/cluster/peers-private.h
+++ b/src/cluster/peers-private.h
@@ -29,5 +29,6 @@
 /** hzb_peers_happened_lately: `at` is set, and less than so many seconds ago. */
 gboolean hzb_peers_happened_lately (const HzbPeers *peers, struct timespec at, double seconds);
 
-/** hzb_peers_this_node_lost_workers: not long ago this controller stepped down because no worker reported to it. */
+/** hzb_peers_this_node_lost_workers: not long ago this controller stepped down because no worker sent it a heartbeat.
+ * */
 gboolean hzb_peers_this_node_lost_workers (const HzbPeers *peers);
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -73,7 +73,8 @@
 gboolean hzb_peers_any_redirects_workers (HzbPeers *peers);
 
 /**
- * hzb_peers_any_lost_workers: a controller, this one included, lately stepped down because no worker reported to it.
+ * hzb_peers_any_lost_workers: a controller, this one included, lately stepped down because no worker sent it a
+ * heartbeat.
  */
 gboolean hzb_peers_any_lost_workers (HzbPeers *peers);
 
@@ -115,7 +116,7 @@
 /** hzb_peers_all_list_cancellations: the replies of every peer list the cancellations that the requester lacks. */
 gboolean hzb_peers_all_list_cancellations (HzbPeers *peers);
 
-/** hzb_peers_any_lists_no_cancellations: a peer was heard whose version lists no cancellations in replies. */
+/** hzb_peers_any_lists_no_cancellations: some peer is of a version that lists no cancellations in replies. */
 gboolean hzb_peers_any_lists_no_cancellations (HzbPeers *peers);
 
 /**
--- a/src/cluster/watermarks.h
+++ b/src/cluster/watermarks.h
@@ -5,7 +5,7 @@
  * A watermark says that, from some time on, all controllers but one have known all cancellations up to a revision. Once
  * the watermark is old enough, the remaining controller has learned of them too or has fenced itself, which means that
  * it answers no worker any more. From then on these cancellations may be confirmed to users (docs/safety.md, "One
- * controller is away").
+ * controller is unavailable").
  *
  * This module reads no clock and sends nothing: the caller passes the time.
  */
--- a/src/controller/leader-maintenance.c
+++ b/src/controller/leader-maintenance.c
@@ -9,13 +9,13 @@
 
 /* ---- leases of workers ---- */
 
-/* The worker's lease has expired for certain: it has stopped all its tasks, whatever it did not hear of. */
+/* The worker's lease has expired for certain: all its tasks have ended, whichever messages did not reach it. */
 static void
 expire_lease (HzbController *controller, HzbMachine *machine)
 {
   hzb_machine_lose_tasks (controller->jobs, machine);
   machine->expired_agent_epoch = machine->agent_epoch;
-  hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_LEASE_EXPIRED, "its lease is over");
+  hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_LEASE_EXPIRED, "its lease has expired");
 }
 
 static void
@@ -41,8 +41,8 @@
 
 /* ---- unconfirmed tasks ---- */
 
-/* A task waits only for machines that could have been told to start it: a replica that may not run on spot machines, for instance,
- * waits for none of these. */
+/* A task waits only for machines that could have received the command to start it: a replica that may not run on spot
+ * machines, for instance, waits for none of these. */
 static void
 resolve_unconfirmed_of_shard (HzbController *controller, guint shard, const GPtrArray *unverified_kinds)
 {
@@ -85,8 +85,8 @@
       hzb_task_set_state (controller->jobs, &job->tasks[i], HZB_TASK_PENDING, NULL);
 }
 
-/* Guards against a gang that waits for ever: a machine that takes no new tasks any more, since it is to be scaled in, is not told of
- * the reservations it has. */
+/* Guards against a gang that waits for ever: a machine that takes no new tasks any more, since it is to be returned,
+ * gets no start commands for the reservations on it. */
 static void
 release_useless_reservations (HzbController *controller, HzbJob *job)
 {
--- a/src/http/http-client.c
+++ b/src/http/http-client.c
@@ -73,8 +73,8 @@
 
 /* libsoup 2.74 does not always end a message that is cancelled (seen with transactions that the key-value store
  * received and never answered). Its caller would wait for ever, and so would every request that is queued behind that
- * call. So the caller is told here, whatever libsoup does; and since each abandoned call may hold a connection, a pool
- * with several of them is replaced. */
+ * call. So this client ends the call here, whatever libsoup does; and since each abandoned call may hold a connection,
+ * a pool with several of them is replaced. */
 static gboolean
 on_call_expired (gpointer data)
 {
--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -200,8 +200,8 @@
 }
 
 /* Guards against requests that wait behind others for longer than their callers do, whatever the priority of these. A
- * caller that is told nothing waits for ever, and so does all that waits for its turn there. The callers are told only
- * once all queues have been searched, since they may add requests. */
+ * caller that gets no result waits for ever, and so do all requests that the caller queues. The callers get their
+ * results only once all queues have been searched, since they may add requests. */
 static void
 give_up_expired (HzbKvClient *client, struct timespec now)
 {
--- a/src/kv/kv-replica-load.c
+++ b/src/kv/kv-replica-load.c
@@ -34,7 +34,7 @@
   hzb_kv_replica_tick (kv_replica);
 }
 
-/* A page was applied: @more tells whether there are pages after it. */
+/* A page was applied. @more: whether there are pages after it. */
 static void
 advance_load (HzbKvReplica *kv_replica, const GArray *items, gboolean more)
 {
--- a/src/protocol/worker-protocol.h
+++ b/src/protocol/worker-protocol.h
@@ -15,7 +15,7 @@
   HZB_TASK_STATUS_WAITING,       /**< gang task: waits for the other tasks of its attempt */
   HZB_TASK_STATUS_RUNNING,       /**< runs; a gang's task also while its gang is being stopped or lost a task */
   HZB_TASK_STATUS_CHECKPOINTING, /**< was stopped and saves a checkpoint */
-  HZB_TASK_STATUS_EXITED         /**< exited, see #HzbExitCause; reported until it is reaped */
+  HZB_TASK_STATUS_EXITED         /**< exited, see #HzbExitCause; shown by each heartbeat until it is reaped */
 } HzbReportedTaskState;
 
 /** HzbExitCause: why a task exited, or why its start was refused. */
@@ -65,7 +65,7 @@
 void hzb_worker_heartbeat_free (HzbWorkerHeartbeat *heartbeat);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbWorkerHeartbeat, hzb_worker_heartbeat_free)
 
-/** HzbCommandKind: what a worker is told to do. */
+/** HzbCommandKind: what the response tells the worker to do. */
 typedef enum
 {
   HZB_COMMAND_START, /**< start an attempt of a task */
@@ -96,8 +96,8 @@
 HzbWorkerHeartbeat *hzb_worker_heartbeat_decode (const char *body, gsize length, GError **error);
 
 /**
- * Encodes the response to a heartbeat. It renews the worker's lease unless the worker has seen a higher token.
- * @param fencing_token of the leader or lease holder who commands the worker
+ * Encodes the response to a heartbeat. It renews the worker's lease unless the worker has seen a higher fencing token.
+ * @param fencing_token of the leader or leaseholder that commands the worker
  * @param commands (element-type HzbCommand) (nullable) carried out in their order
  * @return (transfer full): the response's body
  */
@@ -105,7 +105,8 @@
 
 /**
  * Encodes the response that sends a worker to another controller.
- * @param node (nullable) the controller that the worker should report to; NULL: the worker tries the next one
+ * @param node (nullable) the controller that the worker should send its heartbeats to; NULL: the worker tries the
+ * next one
  * @return (transfer full): the response's body
  */
 char *hzb_worker_redirect_encode (const char *node);
--- a/src/provisioning/scale-in.c
+++ b/src/provisioning/scale-in.c
@@ -2,7 +2,7 @@
  * once the cloud has answered the return with 200. */
 #include "provisioning-private.h"
 
-#define EXPIRED_LEASE_S 12.0   /* a machine whose lease expired has so long to report again */
+#define EXPIRED_LEASE_S 12.0   /* a machine whose lease expired has so long to send a heartbeat again */
 #define UNVERIFIED_SLACK_S 2.0 /* beyond the lease, before an unverified machine is returned */
 #define MOST_DRAINING_S 120.0  /* then the machine is returned with the tasks that are left on it */
 #define MACHINES_PER_REQUEST 100u
@@ -56,15 +56,15 @@
 
 /* ---- draining ---- */
 
-/* An unverified machine that stays silent may still run tasks; only the cloud can say that the machine is gone. */
+/* An unverified machine that stays unresponsive may still run tasks; only the cloud knows that a machine is gone. */
 static gboolean
 unverified_for_too_long (const HzbMachine *machine, double in_state_s, const HzbSettings *settings)
 {
   return machine->state == HZB_MACHINE_UNVERIFIED && in_state_s > settings->lease_s + UNVERIFIED_SLACK_S;
 }
 
-/* A one-way partition that ends within the lease costs no machine. A machine that does not hear the leader for
- * longer is useless. */
+/* A one-way partition that ends within the lease costs no machine. A machine that the leader's responses do
+ * not reach for longer is useless. */
 static gboolean
 unreachable_for_too_long (const HzbMachine *machine, const HzbSettings *settings, struct timespec now)
 {
--- a/src/provisioning/scale-out.c
+++ b/src/provisioning/scale-out.c
@@ -128,7 +128,7 @@
     {
       const HzbScaleOutRequest *request = &g_array_index (wanted, HzbScaleOutRequest, i);
 
-      /* The autoscaler asks again for what is held back here. */
+      /* The autoscaler asks again for what is not sent here. */
       if (!hzb_reconciliation_may_scale_out (uses->reconciliation, now))
         return;
       hzb_reconciliation_note_scale_out (uses->reconciliation, request->count);
--- a/src/reconciliation/archive.h
+++ b/src/reconciliation/archive.h
@@ -13,7 +13,7 @@
 {
   HZB_ARCHIVE_STARTS,     /**< commands to start a task */
   HZB_ARCHIVE_STOPS,      /**< commands to stop a task */
-  HZB_ARCHIVE_REAPS,      /**< commands to forget an ended task */
+  HZB_ARCHIVE_REAPS,      /**< commands to forget an exited task */
   HZB_ARCHIVE_SCALE_OUTS, /**< machines that were asked for */
   HZB_ARCHIVE_N_KINDS     /**< how many kinds there are */
 } HzbArchiveKind;
@@ -42,7 +42,7 @@
 typedef struct
 {
   char *name;    /**< "JOB/NUMBER" */
-  char *machine; /**< that reported it */
+  char *machine; /**< whose heartbeat showed it */
   char *verdict; /**< the last one, as text */
   char *reason;  /**< of the verdict, as text */
 } HzbArchivedTask;
--- a/src/reconciliation/cold-start.c
+++ b/src/reconciliation/cold-start.c
@@ -2,12 +2,12 @@
 #include "reconciliation-private.h"
 
 #define PATIENCE_S                                                                                                     \
-  3.0 /* controllers exchange a heartbeat once a second: after three, a peer that stays silent is not waited for */
+  3.0 /* peers send a heartbeat each second: after three, the leader does not wait for an unresponsive peer */
 #define LEAST_STARTS_PER_S 8.0
 #define MOST_SCALE_OUTS_PER_S 2.0
 #define PART_OF_CLOUD_RATE 0.5
 
-/* Nothing is withheld after a change of leader. */
+/* After a failover no command is held back. */
 static void
 release_all_jobs (HzbReconciliation *reconciliation)
 {
--- a/src/reconciliation/command-gate.c
+++ b/src/reconciliation/command-gate.c
@@ -1,5 +1,5 @@
 /* What other modules may do now: which commands go to workers, whether machines may be rented. Commands are only
- * withheld: a worker shows the task again with its next heartbeat, so a command that is not given now costs nothing
+ * held back: a worker shows the task again with its next heartbeat, so a command that is not given now costs nothing
  * but time. */
 #include "reconciliation-private.h"
 
--- a/src/reconciliation/job-survey.c
+++ b/src/reconciliation/job-survey.c
@@ -59,7 +59,7 @@
   };
 }
 
-/* A job that is terminal, and of which no task is kept in memory, has ended since the records were read. */
+/* A job that is terminal, and of which no task is kept in memory, became terminal after the records were read. */
 static HzbJobEvidence
 evidence_of_terminal (const HzbJob *job, const HzbTrackedJob *tracked)
 {
--- a/src/reconciliation/quarantine-proof.c
+++ b/src/reconciliation/quarantine-proof.c
@@ -2,7 +2,7 @@
  *
  * A transaction without a response may be carried out up to 12 s after it was sent, so a record may still come until
  * then. After that, the replica of the records is brought up to the moment, and the archived completion of the job
- * is read: a job that ended long ago has its record there. Only if neither names the job, the proof is complete.
+ * is read: an old completion record is there. Only if neither names the job, the proof is complete.
  * Whatever fails begins the proof anew. */
 #include "quarantine-private.h"
 
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -115,9 +115,9 @@
       return NULL;
     }
   entry = quarantined_new (machine, task_status, now);
-  g_message (
-      "reconciliation: %s reports task %s/%u, which no record names: the task is left alone until that is proven",
-      machine->name, entry->uid, entry->task);
+  g_message ("reconciliation: machine %s shows task %s/%u, which no record names: the task is quarantined until that "
+             "is proven",
+             machine->name, entry->uid, entry->task);
   g_hash_table_insert (quarantine->entries, g_steal_pointer (&name), entry);
   return entry;
 }
--- a/src/reconciliation/quarantine.h
+++ b/src/reconciliation/quarantine.h
@@ -1,9 +1,9 @@
 /**
  * SECTION: quarantine
- * @short_description: tasks that workers report and no record names
+ * @short_description: tasks that heartbeats of workers show and no record names
  *
- * Such a task is left alone until it is proven that no record names it: the transaction that accepts its job may be
- * carried out late, and the record of a job that ended long ago lies elsewhere. Then an operator has time to decide.
+ * Such a task is quarantined until it is proven that no record names it: the transaction that accepts its job may be
+ * carried out late, and the completion record of an old job is in the archive. Then an operator has time to decide.
  * The leader uses the quarantine in every leadership while reconciliation is switched on, so that a task that an
  * operator keeps stays kept after a change of leader.
  */
@@ -32,7 +32,7 @@
   HZB_PROOF_SYNCING, /**< the replica of the records is being brought up to date */
   HZB_PROOF_READING, /**< the archived completion of the job is being read */
   HZB_PROOF_ABSENT,  /**< no record names the task */
-  HZB_PROOF_OVER,    /**< the job ended long ago */
+  HZB_PROOF_OVER,    /**< the completion of the job was found in the archive */
   HZB_PROOF_N_STATES /**< how many states there are */
 } HzbQuarantineProof;
 
@@ -40,14 +40,14 @@
 typedef struct
 {
   char *uid;                  /**< of the job */
-  char *machine;              /**< that reports the task */
+  char *machine;              /**< whose heartbeat shows the task */
   guint task;                 /**< its number in the job */
   guint64 attempt;            /**< the number of the attempt */
-  gboolean alive;             /**< as last reported */
+  gboolean alive;             /**< as last shown */
   HzbQuarantineProof proof;   /**< changed by hzb_quarantine_set_proof() only */
   gboolean stop_requested;    /**< an operator wants the task stopped */
-  struct timespec first_seen; /**< when it was first reported */
-  struct timespec last_seen;  /**< when it was last reported */
+  struct timespec first_seen; /**< when a heartbeat first showed it */
+  struct timespec last_seen;  /**< when a heartbeat last showed it */
   HzbTaskVerdict verdict;     /**< the last one */
   HzbTaskReason reason;       /**< of the last verdict */
 } HzbQuarantined;
@@ -64,7 +64,7 @@
   HZB_KEEP_BUSY         /**< another decision is being recorded */
 } HzbKeepResult;
 
-/** HzbKeepFunc: told once what became of a decision. */
+/** HzbKeepFunc: called once with what became of a decision. */
 typedef void (*HzbKeepFunc) (HzbKeepResult result, gpointer user);
 
 /** HzbQuarantineDependencies: what the module works with. Nothing is owned; all have to outlive the module. */
@@ -101,14 +101,14 @@
 HzbTaskVerdict hzb_quarantine_judge (HzbQuarantine *quarantine, const HzbMachine *machine,
                                      const HzbTaskStatus *task_status, struct timespec now, HzbTaskReason *reason);
 
-/** hzb_quarantine_tick: goes on with proofs, and forgets tasks that are not reported any more. */
+/** hzb_quarantine_tick: goes on with proofs, and forgets tasks that no heartbeat shows any more. */
 void hzb_quarantine_tick (HzbQuarantine *quarantine, struct timespec now);
 
 /** hzb_quarantine_list: Returns: (transfer container) (element-type HzbQuarantined): in the order of jobs and tasks */
 GPtrArray *hzb_quarantine_list (HzbQuarantine *quarantine);
 
-/** hzb_quarantine_overflow: Returns: how many reports were of tasks beyond those that are tracked; such tasks are
- * left alone */
+/** hzb_quarantine_overflow: Returns: how many times a heartbeat showed a task beyond those that are tracked; such tasks
+ * are left alone */
 guint hzb_quarantine_overflow (const HzbQuarantine *quarantine);
 
 /**
--- a/src/reconciliation/reconciliation-codec.h
+++ b/src/reconciliation/reconciliation-codec.h
@@ -2,7 +2,7 @@
  * SECTION: reconciliation-codec
  * @short_description: the durable records of a reconciliation
  *
- * The one place that knows how they are written. All lie under the owner's prefix; versions without reconciliation pass
+ * The one place that knows how they are written. All lie below HZB_KEY_OWNER; versions without reconciliation pass
  * over them. A record that can't be read is an error, never a guess.
  */
 #pragma once
--- a/src/reconciliation/reconciliation-private.h
+++ b/src/reconciliation/reconciliation-private.h
@@ -4,7 +4,7 @@
  *
  * reconciliation.c owns the state machines and calls the other files when they are due: reconciliation-load.c reads
  * records, cold-start.c tells a cold start from a change of leader, job-survey.c decides, recorder.c makes the
- * decisions durable, command-gate.c withholds commands, reconciliation-admin.c shows the state to operators.
+ * decisions durable, command-gate.c holds commands back, reconciliation-admin.c shows the state to operators.
  */
 #pragma once
 #include "reconciliation-codec.h"
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -1,5 +1,5 @@
 /* The state machines of a reconciliation. One reconciliation spans as many leaderships as it takes: its record and
- * the pages of verdicts lie under the owner's prefix, and the next leader goes on from them. A durable verdict is
+ * the pages of verdicts lie below HZB_KEY_OWNER, and the next leader goes on from them. A durable verdict is
  * never made anew. */
 #include "reconciliation-private.h"
 
--- a/src/reconciliation/reconciliation.h
+++ b/src/reconciliation/reconciliation.h
@@ -5,7 +5,7 @@
  * The public face of the folder, used by the leader. A leadership that begins after every controller of the last one
  * has ended is a cold start. Then no command is given for a job until it is decided, and durable, what becomes of the
  * job; that is known once every machine that may hold a task of the job has answered or is gone. Reconciliation only
- * ever withholds commands: which tasks may start elsewhere is decided by the rules of every change of leader
+ * ever holds commands back: which tasks may start elsewhere is decided by the rules of every change of leader
  * (docs/cold-start.md).
  */
 #pragma once
@@ -49,7 +49,7 @@
   HzbPeers *peers;          /**< which processes are alive */
   HzbJobs *jobs;            /**< on which verdicts are made */
   HzbMachines *machines;    /**< which may hold their tasks */
-  HzbDispatch *dispatch;    /**< is told when starts may go on */
+  HzbDispatch *dispatch;    /**< is run at once when starts may go on */
 } HzbReconciliationDependencies;
 
 /** hzb_reconciliation_new: `dependencies`: copied. Returns: (transfer full) */
@@ -61,10 +61,10 @@
 /** hzb_reconciliation_reset: forgets everything; called when leadership begins or ends. */
 void hzb_reconciliation_reset (HzbReconciliation *reconciliation);
 
-/** hzb_reconciliation_load: takes one of the owner's records; records of other modules are passed over. */
+/** hzb_reconciliation_load: takes one of the leader's records; records of other modules are passed over. */
 void hzb_reconciliation_load (HzbReconciliation *reconciliation, const HzbKvEntry *item);
 
-/** hzb_reconciliation_loaded: all records were taken. From here on commands may be withheld. */
+/** hzb_reconciliation_loaded: all records were taken. From here on commands may be held back. */
 void hzb_reconciliation_loaded (HzbReconciliation *reconciliation);
 
 /** hzb_reconciliation_tick: goes on with the next step of the reconciliation. */
@@ -91,7 +91,7 @@
 /**
  * hzb_reconciliation_judge_unrecorded: a heartbeat shows a task that no record here names.
  *
- * Returns: %HZB_TASK_VERDICT_STOP or %HZB_TASK_VERDICT_REAP if the worker may be told so, else the task is to be left
+ * Returns: %HZB_TASK_VERDICT_STOP or %HZB_TASK_VERDICT_REAP if that command may be given, else the task is to be left
  * alone
  */
 HzbTaskVerdict hzb_reconciliation_judge_unrecorded (HzbReconciliation *reconciliation, const HzbMachine *machine,
--- a/src/reconciliation/roster.c
+++ b/src/reconciliation/roster.c
@@ -47,7 +47,7 @@
   return MIN (roster->node->settings->peers->len, HZB_ROSTER_MOST_PROCESSES - 1);
 }
 
-/* Returns: (nullable): NULL if the peer was not heard lately. */
+/* Returns: (nullable): NULL if no heartbeat of the peer came lately. */
 static const char *
 peer_incarnation (const HzbRoster *roster, guint at)
 {
--- a/src/reconciliation/roster.h
+++ b/src/reconciliation/roster.h
@@ -22,7 +22,7 @@
 typedef struct
 {
   const HzbNode *node; /**< (not owned): this process */
-  HzbPeers *peers;     /**< (not owned): which other processes were heard lately */
+  HzbPeers *peers;     /**< (not owned): which other processes sent a heartbeat lately */
   GPtrArray
       *recorded; /**< (nullable) (element-type utf8): processes as the key-value store has them; %NULL: none recorded */
   GPtrArray *sent;           /**< (nullable) (element-type utf8): the same, in flight */
@@ -39,7 +39,8 @@
 /** hzb_roster_load: `flush_record`: the value of the flush record */
 void hzb_roster_load (HzbRoster *roster, const cJSON *flush_record);
 
-/** hzb_roster_due: Returns: whether this process, or a peer that was heard, is missing from the recorded roster */
+/** hzb_roster_due: Returns: whether this process, or a peer that sent a heartbeat lately, is missing from the recorded
+ * roster */
 gboolean hzb_roster_due (const HzbRoster *roster);
 
 /** hzb_roster_add_to: puts the processes that are alive into a flush record that is about to be written. */
--- a/src/reconciliation/verdicts.c
+++ b/src/reconciliation/verdicts.c
@@ -11,7 +11,7 @@
 
 /* A roster that names a process which is alive proves that not all controllers have ended. That all have ended can't
  * be proven while a peer is unresponsive: the peer may be alive behind a partition. A change of leader that is taken
- * for a cold start costs time and breaks no rule, since a cold start only withholds commands. */
+ * for a cold start costs time and breaks no rule, since in a cold start the leader only holds commands back. */
 HzbStartKind
 hzb_start_decide (const HzbStartEvidence *evidence, HzbStartReason *reason)
 {
@@ -132,7 +132,7 @@
   return verdict;
 }
 
-/* A running task is stopped, an ended one is forgotten. */
+/* A running task is stopped, an exited one is reaped. */
 static HzbTaskVerdict
 dispose (const HzbTaskEvidence *evidence, HzbTaskReason *reason, HzbTaskReason why)
 {
@@ -140,7 +140,7 @@
 }
 
 /* A task is not stopped only because this node knows no record of its job: the transaction that accepts the job may
- * be carried out late, and the record of a job that ended long ago lies elsewhere. */
+ * be carried out late, and the completion record of an old job is in the archive. */
 static HzbTaskVerdict
 decide_unrecorded (const HzbTaskEvidence *evidence, HzbTaskReason *reason)
 {
--- a/src/reconciliation/verdicts.h
+++ b/src/reconciliation/verdicts.h
@@ -13,7 +13,7 @@
 /** HzbStartKind: how this leadership began. */
 typedef enum
 {
-  HZB_START_UNDECIDED,        /**< a peer that may have survived was not heard yet */
+  HZB_START_UNDECIDED,        /**< a peer that may have survived has sent no heartbeat yet */
   HZB_START_CHANGE_OF_LEADER, /**< some controller has survived, or nothing says that none has */
   HZB_START_COLD              /**< every controller of the last leadership has ended */
 } HzbStartKind;
@@ -21,13 +21,13 @@
 /** HzbStartReason: the evidence that decided about the kind of start. */
 typedef enum
 {
-  HZB_START_REASON_PEERS_AWAITED,       /**< undecided: some peers were not heard yet */
+  HZB_START_REASON_PEERS_AWAITED,       /**< undecided: some peers have sent no heartbeat yet */
   HZB_START_REASON_NO_EARLIER_LEADER,   /**< the key-value store has no flush record: there is nothing to reconcile */
   HZB_START_REASON_NO_ROSTER,           /**< the last leader recorded no roster: an earlier version, or switched off */
   HZB_START_REASON_SELF_SURVIVED,       /**< this process is on the roster */
-  HZB_START_REASON_PEER_SURVIVED,       /**< a peer that was heard is on the roster */
-  HZB_START_REASON_ALL_ENDED,           /**< all peers were heard, and none is on the roster */
-  HZB_START_REASON_ALL_REACHABLE_ENDED, /**< some peers stay unresponsive; none that was heard is on the roster */
+  HZB_START_REASON_PEER_SURVIVED,       /**< a peer that sent a heartbeat is on the roster */
+  HZB_START_REASON_ALL_ENDED,           /**< all peers sent a heartbeat, and none is on the roster */
+  HZB_START_REASON_ALL_REACHABLE_ENDED, /**< some peers stay unresponsive; no other one is on the roster */
   HZB_START_REASON_UNFINISHED,          /**< an earlier reconciliation was not completed */
   HZB_START_N_REASONS                   /**< how many reasons there are */
 } HzbStartReason;
@@ -49,7 +49,7 @@
  * hzb_start_decide: tells a cold start from a change of leader.
  * `reason`: (out): the evidence that decided
  *
- * Returns: the kind of start; undecided until more peers are heard or patience is over
+ * Returns: the kind of start; undecided until more peers have sent a heartbeat or patience is over
  */
 HzbStartKind hzb_start_decide (const HzbStartEvidence *evidence, HzbStartReason *reason);
 
@@ -129,7 +129,7 @@
   HZB_TASK_VERDICT_ADOPT,      /**< the task goes on, or its result is taken */
   HZB_TASK_VERDICT_AWAIT,      /**< nothing is done yet */
   HZB_TASK_VERDICT_RESTART,    /**< the task is nowhere, or ended without a result */
-  HZB_TASK_VERDICT_REAP,       /**< the worker may forget the ended task */
+  HZB_TASK_VERDICT_REAP,       /**< the worker may forget the exited task */
   HZB_TASK_VERDICT_STOP,       /**< the worker is to end the task */
   HZB_TASK_VERDICT_QUARANTINE, /**< no record names the task: it is left alone */
   HZB_TASK_N_VERDICTS          /**< how many verdicts there are */
@@ -167,7 +167,7 @@
 typedef enum
 {
   HZB_STANDING_NOWHERE,   /**< it is pending, or unconfirmed */
-  HZB_STANDING_HERE,      /**< this attempt, on the machine that reports */
+  HZB_STANDING_HERE,      /**< this attempt, on the machine that shows it */
   HZB_STANDING_ELSEWHERE, /**< another attempt, or another machine */
   HZB_STANDING_RESULT,    /**< its result is known, and not durable */
   HZB_STANDING_DURABLE    /**< its result is durable */
--- a/src/records/completed-job-archive.h
+++ b/src/records/completed-job-archive.h
@@ -25,7 +25,7 @@
   HzbKvClient *kv;         /**< where the records lie */
   HzbJobs *jobs;           /**< which of them are archivable */
   HzbElection *election;   /**< the term, on which every transaction is conditional */
-  HzbOwnership *ownership; /**< whose epochs tell late answers */
+  HzbOwnership *ownership; /**< whose epochs show which answers are late */
 } HzbCompletedJobArchiveDependencies;
 
 /** hzb_completed_job_archive_new: `dependencies`: copied. Returns: (transfer full) */
--- a/src/records/record-pages.h
+++ b/src/records/record-pages.h
@@ -48,7 +48,8 @@
 /** hzb_pages_init: without pages. */
 void hzb_pages_init (HzbPages *pages, const HzbJobs *jobs, const HzbSettings *settings);
 
-/** hzb_pages_clear: drops all pages; new ones are numbered from 1 on. Jobs and machines are not told. */
+/** hzb_pages_clear: drops all pages; new ones are numbered from 1 on. Jobs and machines that name a page stay as they
+ * are. */
 void hzb_pages_clear (HzbPages *pages);
 
 /** hzb_pages_free_all: at the end of `pages`' life. */
--- a/src/records/records-private.h
+++ b/src/records/records-private.h
@@ -14,7 +14,7 @@
 {
   HZB_FLUSH_IDLE,       /**< none is */
   HZB_FLUSH_COMMITTING, /**< it was sent, and its answer has not come */
-  HZB_FLUSH_RESOLVING,  /**< its answer did not tell its outcome; the flush record is being read, which does */
+  HZB_FLUSH_RESOLVING,  /**< its answer left its outcome open; the flush record, which is being read, shows it */
   HZB_FLUSH_UNRESOLVED, /**< the flush record could not be read either; it will be read again */
   HZB_FLUSH_N_STATES    /**< how many states there are */
 } HzbFlushState;
@@ -90,5 +90,5 @@
  */
 void hzb_records_on_flush_answered (HzbKvResult result, const char *body, gpointer user);
 
-/** hzb_records_resolve_flush: reads the flush record, which tells what became of the unresolved flush. */
+/** hzb_records_resolve_flush: reads the flush record, which shows what became of the unresolved flush. */
 void hzb_records_resolve_flush (HzbRecords *records);
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -31,7 +31,7 @@
   HzbMachines *machines;               /**< which are recorded */
   HzbDispatch *dispatch;               /**< is run at once when what tasks waited for is durable */
   HzbElection *election;               /**< the term, on which every transaction is conditional */
-  HzbOwnership *ownership;             /**< whose epochs tell late answers */
+  HzbOwnership *ownership;             /**< whose epochs show which answers are late */
   HzbCancellations *cancellations;     /**< up to where they are acknowledged goes into the flush record */
   HzbReconciliation *reconciliation;   /**< keeps its roster of controllers in the flush record */
   HzbCompletedJobArchive *job_archive; /**< has its turn with each flush */
@@ -40,7 +40,7 @@
 /** HzbRecordsCallbacks: what the records tell the modules above. */
 typedef struct
 {
-  /** The result of the task is durable: the leaseholder that reported it may let its worker forget the task. */
+  /** The result of the task is durable: the leaseholder that sent it may let its worker forget the task. */
   void (*task_durable) (HzbTask *task, gpointer user);
 } HzbRecordsCallbacks;
 
--- a/src/scheduling/dispatch.c
+++ b/src/scheduling/dispatch.c
@@ -99,7 +99,7 @@
 
 /* Keeps the team's limit for the job's waiting tasks, see hzb_dispatch_team_may_use(). A job that cannot start now
  * keeps nothing: the team's other work would wait for it, and the job perhaps for a machine that is rented only once
- * that work is over. */
+ * that work is done. */
 static void
 keep_limit_for (HzbDispatch *dispatch, const HzbJob *job, struct timespec now)
 {
--- a/src/scheduling/job-codec.h
+++ b/src/scheduling/job-codec.h
@@ -5,7 +5,7 @@
  * The replicated records of jobs in the key-value store.
  *
  * There are two kinds. A record of acceptance names all jobs that a controller accepted together; its value maps the
- * name of each job to an entry with the submission. The record of an end says how one job ended. The stored form never
+ * name of each job to an entry with the submission. A completion record says how one job ended. The stored form never
  * changes.
  */
 #pragma once
@@ -16,7 +16,7 @@
 /** HzbJobRecord: what a record says of one job. */
 typedef struct
 {
-  HzbJobState state;        /**< HZB_JOB_ACCEPTED: from a record of acceptance; otherwise the record of its end. */
+  HzbJobState state;        /**< HZB_JOB_ACCEPTED: from a record of acceptance; otherwise from its completion record. */
   struct timespec accepted; /**< Of an acceptance: when, time of day. */
   HzbJobSpec *spec;         /**< Of an acceptance: (transfer full): the submission; otherwise NULL. */
   guint n_tasks;            /**< Number of tasks. */
@@ -39,8 +39,8 @@
 /**
  * hzb_job_record_decode:
  * `uid`: name of the job
- * `value`: the entry of a record of acceptance, or the record of an end
- * `known_tasks`: the number of tasks, if the record of an end does not say it
+ * `value`: the entry of an acceptance record, or the completion record
+ * `known_tasks`: the number of tasks, if the completion record does not say it
  * `record`: (out): freed with hzb_job_record_clear()
  *
  * Returns: FALSE if `value` is neither
@@ -63,7 +63,7 @@
 cJSON *hzb_job_acceptance_encode (const HzbJobSpec *spec, struct timespec wall);
 
 /**
- * hzb_job_end_encode: the record of a job's end.
+ * hzb_job_end_encode: a job's completion record.
  * `state`: HZB_JOB_DONE or HZB_JOB_CANCELLED
  *
  * Returns: (transfer full)
--- a/src/scheduling/job.c
+++ b/src/scheduling/job.c
@@ -82,7 +82,7 @@
   return MAX (job->mean_s > 0 ? job->mean_s : job->spec->estimate_s, LEAST_MEAN_S);
 }
 
-/* A task that is pending again after it was placed, and whose back-off is over. Each task is looked at once. */
+/* A task that is pending again after it was placed, and whose back-off has passed. Each task is looked at once. */
 static HzbTask *
 next_retry (HzbJob *job, struct timespec now)
 {
--- a/src/scheduling/job.h
+++ b/src/scheduling/job.h
@@ -18,7 +18,7 @@
 /** HzbJobState: what the replicated records say of a job. */
 typedef enum
 {
-  HZB_JOB_ACCEPTED,  /**< The job is recorded as accepted and has not ended. */
+  HZB_JOB_ACCEPTED,  /**< The job is recorded as accepted and is not terminal. */
   HZB_JOB_CANCELLED, /**< Terminal: the record of its cancellation exists. */
   HZB_JOB_DONE       /**< Terminal: the record of its completion exists. */
 } HzbJobState;
@@ -78,7 +78,7 @@
   /** `name` What the replicated records say of it, kept by jobs.c on every controller
    * @{ */
   HzbJobState state;   /**< Accepted, or how it ended. */
-  guint64 version;     /**< Revision of the record of its end; 0: there is none. */
+  guint64 version;     /**< Revision of its completion record; 0: there is none. */
   GSList *acceptances; /**< (element-type HzbAcceptance) While not terminal: all records of acceptance that name it. */
   guint named;         /**< How many records of acceptance name it, terminal or not. */
   guint load;          /**< HzbJobs.load of the last full reading that showed it. */
@@ -104,7 +104,7 @@
   guint64 next_attempt;                 /**< The last attempt number given out. */
   gboolean awaits_verdict; /**< After a cold start: no command is given for it until its verdict is durable, see
                               reconciliation.h. */
-  gboolean announced_to_leaseholders; /**< Leaseholders have been told of its cancellation. */
+  gboolean announced_to_leaseholders; /**< The leader has announced its cancellation to the leaseholders. */
   /** @} */
 
   /** `name` What of it is recorded, on the leader only; kept by src/records
@@ -113,7 +113,7 @@
   guint releasing;            /**< The mark that is being written; at least released. */
   gboolean release_requested; /**< A machine could take more tasks than are released. */
   gboolean dirty;             /**< Its progress changed since it was written last. */
-  gboolean completing;        /**< The record of its end is being written. */
+  gboolean completing;        /**< Its completion record is being written. */
   gboolean on_pages;          /**< Its progress is on the leader's pages. */
   gboolean
       has_schema_1_parts; /**< Its progress is in the large parts of schema version 1, which stay while a controller of that
@@ -134,7 +134,7 @@
   guint failures;                      /**< Failures in a row, without a task doing well in between. */
   char *failed_on;                     /**< (nullable) Name of the first machine on which a task failed. */
   gboolean failed_on_several_machines; /**< Tasks have failed on more than one machine. */
-  gboolean did_well;                   /**< A task has ended well, or has run for a while. */
+  gboolean did_well;                   /**< A task has succeeded, or has run for a while. */
   struct timespec not_before;          /**< Back-off after failures: nothing of it starts earlier. */
   /** @} */
 
--- a/src/scheduling/jobs.c
+++ b/src/scheduling/jobs.c
@@ -77,7 +77,7 @@
   g_hash_table_remove (jobs->acceptances, acceptance->key);
 }
 
-/* The job is terminal, but its end was never read here: deleted records of acceptance stop naming it. */
+/* The job is terminal, but its completion was never read here: deleted records of acceptance stop naming it. */
 static void
 release_gone_acceptances (HzbJobs *jobs, HzbJob *job)
 {
@@ -115,8 +115,8 @@
 {
   HzbAcceptance *acceptance = g_hash_table_lookup (jobs->acceptances, key);
 
-  /* The leader records the ends of all jobs before it deletes the record of their acceptance, but this controller may
-   * read the deletion first. */
+  /* The leader records the completions of all jobs before it deletes the record of their acceptance, but this
+   * controller may read the deletion first. */
   if (acceptance && acceptance->open)
     acceptance->removing = acceptance->gone = TRUE;
   else if (acceptance)
@@ -282,7 +282,7 @@
   hzb_kv_transaction_compare (transaction, archived, 0);
 }
 
-/* ---- jobs that ended long ago ---- */
+/* ---- completed jobs that move to the archive ---- */
 
 static gint
 by_version (gconstpointer a, gconstpointer b, gpointer user)
@@ -301,23 +301,23 @@
 
   if (!beyond)
     return old;
-  /* A full reading brings the records in the order of their names, not of their ends. */
+  /* A full reading brings the records in the order of their names, not of their completions. */
   g_queue_sort (&jobs->completed, by_version, NULL);
   for (GList *l = jobs->completed.head; l && beyond && old->len < most; l = l->next, beyond--)
     {
       HzbJob *job = l->data;
-      /* While a record of acceptance names the job, a controller that starts must find the end among the replicated
-       * records. */
+      /* While a record of acceptance names the job, a controller that starts must find the completion among the
+       * replicated records. */
       if (!job->named && !job->tasks && !job->archiving)
         g_ptr_array_add (old, job);
     }
   return old;
 }
 
-/* A controller that reads all records in pages may have read that a job was accepted, while its end moved to the
- * archive before the page of ends was read: without this the job would be called queued here for ever. An end moves
- * only once no record of acceptance names the job, so this controller has already read the deletion of each record of
- * acceptance that it knows. */
+/* A controller that reads all records in pages may have read that a job was accepted, while its completion moved to
+ * the archive before the page of completions was read: without this the job would be called queued here for ever. A
+ * completion moves only once no record of acceptance names the job, so this controller has already read the deletion of
+ * each record of acceptance that it knows. */
 gboolean
 hzb_jobs_forget (HzbJobs *jobs, const char *uid)
 {
@@ -360,8 +360,8 @@
   return gone;
 }
 
-/* This controller missed so many changes that it had to read everything anew. A job that ended in the meantime, and
- * whose records are deleted, would otherwise be called accepted here for ever. */
+/* This controller missed so many changes that it had to read everything anew. A job that was completed in the meantime,
+ * and whose records are deleted, would otherwise be called accepted here for ever. */
 void
 hzb_jobs_load_end (HzbJobs *jobs)
 {
--- a/src/scheduling/jobs.h
+++ b/src/scheduling/jobs.h
@@ -23,7 +23,7 @@
   GPtrArray *jobs;   /**< (element-type HzbJob) All jobs that it names; not owned. */
   guint open;        /**< Of these, how many are not terminal. */
   gboolean removing; /**< The transaction that deletes the record is under way, or has succeeded. */
-  gboolean gone;     /**< The record is deleted, but the end of some of its jobs has not been read here yet. */
+  gboolean gone;     /**< The record is deleted, but the completion of some of its jobs has not been read. */
   guint load;        /**< HzbJobs.load of the last full reading that showed it. */
 } HzbAcceptance;
 
@@ -34,7 +34,7 @@
    * @{ */
   GHashTable *by_uid;             /**< Name -> HzbJob. */
   GHashTable *acceptances;        /**< Key -> HzbAcceptance. */
-  GQueue completed;               /**< (element-type HzbJob) Terminal jobs, roughly in the order of their ends. */
+  GQueue completed;               /**< (element-type HzbJob) Terminal jobs, roughly in order of completion. */
   guint max_replicated_completed; /**< So many terminal jobs stay replicated; older ones move to the archive. */
   guint load;                     /**< Counts full readings of all records. */
   /** @} */
@@ -68,16 +68,17 @@
 HzbJob *hzb_jobs_find (HzbJobs *jobs, const char *uid);
 
 /**
- * hzb_jobs_apply: takes in what a record says of a job. Nothing changes any more for a job whose end is known.
- * `value`: the entry of a record of acceptance, or the record of an end
- * `version`: revision of the record of an end
+ * hzb_jobs_apply: takes in what a record says of a job. Nothing changes any more for a job whose completion is known.
+ * `value`: the entry of an acceptance record, or the completion record
+ * `version`: revision of the completion record
  *
  * Returns: (transfer none) (nullable): the job; NULL if the record cannot be read, which is logged
  */
 HzbJob *hzb_jobs_apply (HzbJobs *jobs, const char *uid, const cJSON *value, guint64 version);
 
 /**
- * hzb_jobs_apply_end: as hzb_jobs_apply(), for the record of an end that this process wrote itself, or was told of by a peer.
+ * hzb_jobs_apply_end: as hzb_jobs_apply(), for a completion record that this process wrote itself, or that a
+ * peer's heartbeat named.
  * `state`: HZB_JOB_CANCELLED or HZB_JOB_DONE
  * `version`: revision of the record
  *
@@ -102,7 +103,7 @@
 GPtrArray *hzb_jobs_archivable (HzbJobs *jobs, guint most);
 
 /**
- * hzb_jobs_forget: the record of the job's end has moved to the archive.
+ * hzb_jobs_forget: the completion record of the job has moved to the archive.
  *
  * Returns: FALSE if the job is kept, since a record of acceptance still names it or tasks of it are here
  */
@@ -115,7 +116,7 @@
 void hzb_jobs_load_end (HzbJobs *jobs);
 
 /** hzb_jobs_compare_not_terminal: makes the transaction conditional on no record, replicated or archived, saying that
- * the job has ended. */
+ * the job is terminal. */
 void hzb_jobs_compare_not_terminal (HzbKvTransaction *transaction, const char *uid);
 
 /**
--- a/src/scheduling/machine.h
+++ b/src/scheduling/machine.h
@@ -16,8 +16,8 @@
 typedef enum
 {
   HZB_MACHINE_BOOTING,    /**< Rented; its worker has not sent a heartbeat. */
-  HZB_MACHINE_UNVERIFIED, /**< An earlier owner may have started tasks on it; no heartbeat under our token has come. */
-  HZB_MACHINE_ACTIVE,     /**< Its last heartbeat was sent under our fencing token, so what it listed was complete. */
+  HZB_MACHINE_UNVERIFIED, /**< An earlier owner may have started tasks on it; it has not shown our fencing token. */
+  HZB_MACHINE_ACTIVE,     /**< Its last heartbeat was sent under our fencing token, so the tasks in it were complete. */
   HZB_MACHINE_LEASED,     /**< In a shard that is leased to another controller. */
   HZB_MACHINE_LEASE_EXPIRED, /**< Its worker's lease has expired: it has no tasks. */
   HZB_MACHINE_DRAINING,      /**< It takes no more tasks. */
@@ -76,7 +76,7 @@
   gboolean drain;             /**< An operator drains it. */
   gboolean scale_in_requested;    /**< It is to be returned to the cloud. */
   gboolean scale_in_candidate;    /**< It takes no new tasks, since there are more machines than work. */
-  guint plans_in_surplus;         /**< For how many plans of the autoscaler in a row it has been one too many. */
+  guint plans_in_surplus;         /**< For how many plans of the autoscaler in a row it has been beyond the need. */
   gboolean reserved_for_services; /**< It takes only replicas of services, which so find room at once. */
   /** @} */
 
@@ -156,7 +156,7 @@
 /**
  * hzb_machine_set_fencing_token: from now on the machine is answered under this fencing token.
  *
- * Nothing is known of it until a heartbeat under that token comes.
+ * Nothing is known of the machine until a heartbeat under that fencing token comes.
  */
 void hzb_machine_set_fencing_token (HzbMachine *machine, guint64 fencing_token);
 
--- a/src/scheduling/owned-jobs.c
+++ b/src/scheduling/owned-jobs.c
@@ -12,7 +12,8 @@
 
 #define LONGEST_WAIT_S 86400
 
-/* The tokens of shards are never used twice, so neither are attempts that begin with this multiple of the token. */
+/* The fencing tokens of shards are never used twice, so neither are attempts that begin with this multiple of the
+ * fencing token. */
 #define ATTEMPT_BITS 17
 
 /* ---- ownership ---- */
--- a/src/scheduling/shard.h
+++ b/src/scheduling/shard.h
@@ -26,8 +26,8 @@
  * `leader_term`: the term of the leader
  * `number`: used once in the term, below 2^20
  *
- * Workers obey no token below one that they have seen. A later leader's tokens exceed all of an earlier one's, and a
- * shard that passes to another owner gets a higher one.
+ * Workers obey no fencing token below one that they have seen. A later leader's fencing tokens exceed all of an earlier
+ * leader's, and a shard that passes to another owner gets a higher one.
  */
 static inline guint64
 hzb_fencing_token (guint64 leader_term, guint number)
--- a/src/scheduling/task.h
+++ b/src/scheduling/task.h
@@ -4,8 +4,8 @@
  *
  * The one place where a task changes its state, its machine, and what its team uses.
  *
- * hzb_task_set_state() keeps these books in step: the job's counters, the machine's tasks, run queues and room, and the
- * team's use in the shard. Everything else in this header goes through it.
+ * hzb_task_set_state() keeps these counts in step: the job's counters, the machine's tasks, run queues and room, and
+ * the team's use in the shard. Everything else in this header goes through it.
  */
 #pragma once
 #include "jobs.h"
--- a/src/shards/leaseholder-answer.c
+++ b/src/shards/leaseholder-answer.c
@@ -46,8 +46,8 @@
   hzb_task_set_state (jobs, task, held->runs ? HZB_TASK_RUNNING : HZB_TASK_FETCHING, machine);
 }
 
-/* This node concludes nothing from a machine that came with tasks until the machine has reported under the shard's fencing
- * token. */
+/* This node concludes nothing from a machine that came with tasks until a heartbeat under the shard's fencing token
+ * has come. */
 static void
 receive_machine (HzbLeaseholder *leaseholder, const HzbMachineLease *lease)
 {
--- a/src/shards/leaseholder-poll.c
+++ b/src/shards/leaseholder-poll.c
@@ -41,7 +41,7 @@
   return free + PREFETCH_PART * all - queued;
 }
 
-/* How many tasks of each job are on machines that the leader asked back. Returns: (transfer full): HzbJob -> count */
+/* How many tasks of each job are on machines that the leader recalled. Returns: (transfer full): HzbJob -> count */
 static GHashTable *
 count_leaving (const HzbMachines *machines)
 {
--- a/src/shards/leaseholder-private.h
+++ b/src/shards/leaseholder-private.h
@@ -3,7 +3,7 @@
  * SECTION: leaseholder-private
  * What the files of the leaseholder's side share.
  *
- * leaseholder.c ends the lease when it is over, leaseholder-poll.c polls the leader, leaseholder-answer.c applies the
+ * leaseholder.c decides when the lease ends, leaseholder-poll.c polls the leader, leaseholder-answer.c applies the
  * leader's answer, and leaseholder-returns.c gives back what the node does not need.
  */
 #pragma once
--- a/src/shards/leaseholder.c
+++ b/src/shards/leaseholder.c
@@ -1,4 +1,4 @@
-/* This node as a leaseholder: what it reports, and when its lease is over. */
+/* This node as a leaseholder: what it sends to the leader, and when its shard lease ends. */
 #include "leaseholder-private.h"
 
 /* The node gives its lease up when the leader has not answered for so long, so that it does not keep machines which the leader
@@ -52,7 +52,7 @@
   hzb_leaseholder_poll_soon (leaseholder);
 }
 
-/* Returns: (nullable): why the lease is over, for the log; NULL while it lasts */
+/* Returns: (nullable): why the shard lease ends, for the log; NULL while it lasts */
 static const char *
 reason_to_end_lease (HzbLeaseholder *leaseholder, struct timespec now)
 {
--- a/src/shards/leaseholder.h
+++ b/src/shards/leaseholder.h
@@ -37,7 +37,7 @@
 {
   /** The leader leases a shard with this fencing token to this node: makes the node a leaseholder. */
   void (*begin_lease) (guint64 fencing_token, gpointer user);
-  /** The lease is over: makes the node a leaseholder no more; why is for the log. */
+  /** The shard lease has ended: makes the node a leaseholder no more; why is for the log. */
   void (*end_lease) (const char *why, gpointer user);
   gpointer user; /**< (not owned): passed to each callback */
 } HzbLeaseholderCallbacks;
--- a/src/shards/shard-events.c
+++ b/src/shards/shard-events.c
@@ -1,7 +1,7 @@
 /* The leader applies what a leaseholder reports of the tasks and machines of its shard. */
 #include "shard-leases-private.h"
 
-/* ---- tasks that ended, or come back unstarted ---- */
+/* ---- tasks that exited, or come back unstarted ---- */
 
 /* What the functions for single tasks need. */
 typedef struct
@@ -38,7 +38,8 @@
       hzb_shard_leases_announce_durable (leaseholder->shard_leases, task);
     }
   else if (task->state == HZB_TASK_FINISHED)
-    /* The task's machine was handed over with the result on it: the leaseholder is told once the result is durable. */
+    /* The task's machine was handed over with the result on it: the leader announces it to the leaseholder once it is
+     * durable. */
     task->leaseholder = leaseholder->id;
   else if (hzb_shards_is_delegated_to (task, leaseholder))
     record_result (task, context);
--- a/src/shards/shard-leases-private.h
+++ b/src/shards/shard-leases-private.h
@@ -95,7 +95,7 @@
 
 /**
  * hzb_shards_scan: examines all machines and jobs, unless that was done a moment ago: how many CPUs and which kinds of
- * machines each shard has, and which machines leaseholders have to be told of, or asked back.
+ * machines each shard has, and which machines the leader has to send to leaseholders, or recall.
  */
 void hzb_shards_scan (HzbShardLeases *shard_leases, struct timespec now);
 
@@ -103,6 +103,7 @@
 void hzb_shards_delegate (HzbLeaseholderView *leaseholder, double room_cpus, struct timespec now);
 
 /**
- * hzb_shards_recall_for_service: asks a machine back if its work may be what keeps a service of the same team from starting.
+ * hzb_shards_recall_for_service: recalls a machine if its work may be what keeps a service of the same team from
+ * starting.
  */
 void hzb_shards_recall_for_service (const HzbLeaseholderView *leaseholder);
--- a/src/shards/shard-leases.h
+++ b/src/shards/shard-leases.h
@@ -30,7 +30,7 @@
   HzbDispatch *dispatch;           /**< what a team may use, and how late the leader's timers fire */
   HzbRecords *records;             /**< makes results durable */
   const gboolean
-      *leasing_enabled; /**< FALSE: no machine is leased, and leased ones are asked back; an operator sets it */
+      *leasing_enabled; /**< FALSE: no machine is leased, and leased ones are recalled; an operator sets it */
 } HzbShardLeasesDependencies;
 
 /** hzb_shard_leases_new: Returns: (transfer full): without leaseholders; dependencies is copied */
--- a/src/shards/shard-machines.c
+++ b/src/shards/shard-machines.c
@@ -1,5 +1,5 @@
 /* Which machine is in whose shard. A machine is leased as it comes up or stands idle, handed over with its tasks while the leader
- * is overloaded, and asked back when it is a scale-in candidate or the leader needs it. */
+ * is overloaded, and recalled when it is a scale-in candidate or the leader needs it. */
 #include "shard-leases-private.h"
 
 #include <string.h>
@@ -67,7 +67,7 @@
   push_lease (leaseholder, hzb_machine_lease_new (machine));
 }
 
-/* Scale-in candidates are asked back, and left with the leaseholder if there is work for them after all. */
+/* Scale-in candidates are recalled, and left with the leaseholder if there is work for them after all. */
 static void
 recall_or_keep (HzbLeaseholderView *leaseholder, HzbMachine *machine, gboolean recall_all)
 {
@@ -215,7 +215,8 @@
          && task->state != HZB_TASK_CHECKPOINTING && hzb_job_is_delegable (task->job);
 }
 
-/* The end of the failover's recovery is not waited for: this machine has just reported all that is on it. */
+/* The end of the failover's recovery is not waited for: the heartbeat just received from this machine shows all that is
+ * on it. */
 static gboolean
 may_hand_over (const HzbShardLeases *shard_leases, const HzbMachine *machine, struct timespec now)
 {
@@ -264,8 +265,8 @@
   if (!may_hand_over (shard_leases, machine, now))
     return NULL;
   leaseholder = smallest_leaseholder (shard_leases, machine, HAND_OVER_CPUS_PART, now);
-  /* A machine whose token is not below the shard's would raise the shard's. All machines of the shard would then be of no use
-   * until their next heartbeats. */
+  /* A machine whose fencing token is not below the shard's would raise the shard's. All machines of the shard would
+   * then be of no use until their next heartbeats. */
   if (!leaseholder || (leaseholder->fencing_token && machine->fencing_token >= leaseholder->fencing_token))
     return NULL;
   shard_leases->next_hand_over = hzb_time_plus (
--- a/src/shards/shard-messages.h
+++ b/src/shards/shard-messages.h
@@ -16,7 +16,7 @@
   char *uid;       /**< (nullable): of its job; NULL: the sender named none */
   int number;      /**< of the task in its job; below 0: the sender named none */
   guint64 attempt; /**< which start of the task it is */
-  gboolean runs;   /**< the worker has reported that it runs; else it may still be fetching its image */
+  gboolean runs;   /**< a heartbeat of the worker has shown that it runs; else it may still be fetching its image */
 } HzbHeldTask;
 
 /** hzb_held_tasks_new: Returns: (transfer full) (element-type HzbHeldTask): none yet */
@@ -75,7 +75,7 @@
 /** hzb_machine_return_decode: Returns: (transfer full) (nullable): NULL if the message gives no machine back */
 HzbMachineReturn *hzb_machine_return_decode (const cJSON *message);
 
-/** HzbRecall: the leader asks for a machine back, or withdraws that. */
+/** HzbRecall: the leader recalls a machine, or withdraws that. */
 typedef struct
 {
   char *machine;    /**< its name */
--- a/src/shards/shard-poll-messages.h
+++ b/src/shards/shard-poll-messages.h
@@ -48,7 +48,7 @@
 typedef struct
 {
   HzbOutboxMessage message;  /**< its place in the leaseholder's outbox */
-  HzbTaskGroups *finished;   /**< (nullable): tasks that ended well, and whose result the leader makes durable */
+  HzbTaskGroups *finished;   /**< (nullable): tasks that succeeded, and whose result the leader makes durable */
   double ran_s;              /**< with finished: for how long they ran, in seconds */
   HzbTaskGroups *returned;   /**< (nullable): tasks that the leaseholder has not started and has dropped */
   HzbMachineReturn *machine; /**< (nullable): a machine that the leaseholder gives back */
@@ -94,7 +94,7 @@
   guint64 have;            /**< all batches up to this number have come */
   GPtrArray *events;       /**< (nullable) (element-type HzbShardEvent) */
   double room_cpus;        /**< CPUs' worth of tasks that the sender wants to be delegated */
-  GArray *leaving;         /**< (element-type HzbJobCount): tasks on machines that the leader asked back */
+  GArray *leaving;         /**< (element-type HzbJobCount): tasks on machines that the leader recalled */
   GArray *running;         /**< (element-type HzbJobCount): tasks that run in the shard */
   gboolean partial_counts; /**< jobs that are not named stay as they were; else none of theirs leaves or runs */
 } HzbShardPoll;
