--- a/tests/fake-transport.h
+++ b/tests/fake-transport.h
@@ -64,7 +64,7 @@
   fake_call_free (call);
 }
 
-/* Ends what is on its way and what waits to be sent, so that whoever called is told and lets go of what it keeps. */
+/* Ends what is on its way and what waits to be sent, so that each caller gets a result and frees what it keeps. */
 static inline void
 fake_transport_end (FakeTransport *fake, HzbKvClient *kv)
 {
--- a/tests/sim-cluster.h
+++ b/tests/sim-cluster.h
@@ -96,7 +96,7 @@
   char last_state[12];
   GString *response_history; /* what its user was answered, a line for each change */
   double unplaced_since; /* a task of it waits although a machine that fits has room, after all faults; 0: none does */
-  guchar *finished;      /* by task: an attempt of it has ended well */
+  guchar *finished;      /* by task: an attempt of it has succeeded */
 } SimJob;
 
 /* A deployment: its size and limits, as the controllers' settings say and as the fakes enforce. */
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -412,8 +412,8 @@
     }
 }
 
-/* Users cancel a job just as its last task ends, and the transactions of both are delayed: a job ends in one way only,
- * and no user is ever told otherwise. */
+/* Users cancel a job just as its last task ends, and the transactions of both are delayed: a job has one completion
+ * only, and no user ever gets another answer. */
 static void
 test_cancellation_races_completion (void)
 {
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -341,7 +341,7 @@
   gboolean exists;
 } RecordedAcceptance;
 
-/* The records as the key-value store has them, and what has changed since the reader was last told. */
+/* The records as the key-value store has them, and what has changed since the reader last got the changes. */
 typedef struct
 {
   RecordedJob jobs[RECORDED_JOBS];
@@ -359,8 +359,8 @@
   return TRUE;
 }
 
-/* What leaders and other controllers do: a job is accepted; a job ends; a record of acceptance is deleted once all its
- * jobs have ended; the record of an end moves to the archive once no record of acceptance names the job. */
+/* What leaders and other controllers do: a job is accepted; a job completes; an acceptance record is deleted once
+ * all its jobs are terminal; the completion record moves to the archive once no acceptance record names the job. */
 static void
 change_records (Recorded *recorded, GRand *rand)
 {
@@ -461,8 +461,9 @@
     }
 }
 
-/* A controller reads all records in pages, first acceptances and then ends, and between two pages the changes since,
- * while jobs are accepted and end and their records move. Then it follows the changes, and may read everything anew. */
+/* A controller reads all records in pages, first acceptances and then completions, and between two pages the
+ * changes since, while jobs are accepted and completed and their records move. Then it follows the changes, and may
+ * read everything anew. */
 static void
 test_read_while_records_move (void)
 {
--- a/tests/test-kv-client.c
+++ b/tests/test-kv-client.c
@@ -46,7 +46,7 @@
   hzb_kv_client_pump (fixture->kv);
 }
 
-/* What one caller was told. */
+/* The result that one caller got. */
 typedef struct
 {
   guint told;
--- a/tests/test-peers.c
+++ b/tests/test-peers.c
@@ -239,7 +239,7 @@
   hzb_clock_free (clock);
 }
 
-/* What a process sent is refused once another process of the same controller was heard. */
+/* What a process sent is refused once a heartbeat of another process of the same controller has come. */
 static void
 test_earlier_process (void)
 {
--- a/tests/test-quarantine.c
+++ b/tests/test-quarantine.c
@@ -88,7 +88,7 @@
   return hzb_quarantine_is_kept (fixture->quarantine, &entry);
 }
 
-/* What the operator was told. */
+/* The answer that the operator got. */
 typedef struct
 {
   guint n;
@@ -208,7 +208,7 @@
   fixture_down (&fixture);
 }
 
-/* The answer of an earlier leadership changes nothing; the operator is told all the same. */
+/* The answer of an earlier leadership changes nothing; the operator is answered all the same. */
 static void
 test_earlier_epoch (void)
 {
--- a/tests/test-reconciliation.c
+++ b/tests/test-reconciliation.c
@@ -378,7 +378,7 @@
 
 /* ---- the pace ---- */
 
-/* In any second no more than the rate and a full bucket; the less pressing wait first; it ends by itself. */
+/* In any second no more than the rate and a full bucket; less urgent starts wait first; the pacing ends by itself. */
 static void
 test_pace (void)
 {
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -1,10 +1,10 @@
-/* Records: what is durable, and what users are told of it. */
+/* Records: what is durable, and what users see of it. */
 #include "record-keys.h"
 #include "sim-faults.h"
 
 #include <string.h>
 
-/* In an outage of the key-value store a job whose tasks have all ended is not called done, and the workers keep its
+/* In an outage of the key-value store a job whose tasks have all finished is not called done, and the workers keep its
  * results. */
 static void
 test_done_confirmed_after_durable (void)
--- a/tests/test-shard-leases.c
+++ b/tests/test-shard-leases.c
@@ -81,7 +81,7 @@
       sim_run (sim, sim->now + 6);
       known = hzb_machines_find (controller->machines, machine->name);
       g_assert_nonnull (known);
-      /* Once the machine has the leader's token it obeys no command of the old leaseholder. */
+      /* Once the worker has the leader's fencing token it obeys no command of the old leaseholder. */
       g_assert_cmpint (known->state, !=, HZB_MACHINE_LEASED);
       g_assert_cmpuint (known->fencing_token, >, MAX (fencing_token, seen));
       sim_run (sim, sim->now + 14);
@@ -92,8 +92,8 @@
     }
 }
 
-/* The leader crashes: the next one hears from every machine, leased or not, before it starts a task that may run
- * there. */
+/* The leader crashes: the next one receives a heartbeat of every machine, leased or not, before it starts a task that
+ * may run there. */
 static void
 test_leader_crash (void)
 {
