--- a/src/api/user-api-private.h
+++ b/src/api/user-api-private.h
@@ -42,7 +42,7 @@
 {
   HzbHttpRequest *http_request; /**< (not owned): to be answered once */
   HzbJobSpec *spec;             /**< the job */
-  char *encoded;                /**< its part of the record of acceptance */
+  char *encoded;                /**< its part of the acceptance record */
   struct timespec deadline;     /**< when the user gets 503 with Retry-After */
 } HzbSubmission;
 
--- a/src/records/record-flush.c
+++ b/src/records/record-flush.c
@@ -9,7 +9,7 @@
 #include "records-private.h"
 
 #define FLUSH_INTERVAL_S 0.1 /* between flushes, at least: what tasks wait for is written that often */
-#define CLEAN_INTERVAL_S 3.0 /* between removals of records of acceptances */
+#define CLEAN_INTERVAL_S 3.0 /* between removals of acceptance records */
 #define TRANSACTION_BYTES                                                                                              \
   52000u /* of pages in one transaction; the key-value store takes 64 KiB with all that is around them */
 #define MIN_RELEASE_STEP 64u /* tasks */
@@ -180,9 +180,9 @@
   return room;
 }
 
-/* ---- records of acceptances ---- */
+/* ---- acceptance records ---- */
 
-/* A record of acceptances goes once all its jobs are terminal, in what room the pages leave. */
+/* An acceptance record goes once all its jobs are terminal, in what room the pages leave. */
 static gboolean
 acceptances_due (const HzbRecords *records, struct timespec now)
 {
--- a/src/records/records-private.h
+++ b/src/records/records-private.h
@@ -35,7 +35,7 @@
   HzbFlushState flush_state;  /**< changed by hzb_records_set_flush_state() only */
   HzbEpochCall *unresolved;   /**< (nullable): the HzbFlush in state %HZB_FLUSH_UNRESOLVED, else NULL */
   struct timespec next_flush; /**< no flush before it, and no reading of an unresolved one */
-  struct timespec next_clean; /**< no records of acceptances are removed before it */
+  struct timespec next_clean; /**< no acceptance records are removed before it */
 };
 
 /**
@@ -54,7 +54,7 @@
   guint64 number;         /**< as it stands in the flush record once the transaction is carried out */
   GPtrArray *parts;       /**< (element-type HzbFlushedPart) */
   GPtrArray *machines;    /**< (element-type utf8): names recorded for the first time */
-  GPtrArray *acceptances; /**< (element-type utf8): keys of the records of acceptances that are removed */
+  GPtrArray *acceptances; /**< (element-type utf8): keys of the acceptance records that are removed */
 } HzbFlush;
 
 /** hzb_flush_new: Returns: (transfer full): empty */
--- a/src/scheduling/job-codec.h
+++ b/src/scheduling/job-codec.h
@@ -4,7 +4,7 @@
  *
  * The replicated records of jobs in the key-value store.
  *
- * There are two kinds. A record of acceptance names all jobs that a controller accepted together; its value maps the
+ * There are two kinds. An acceptance record names all jobs that a controller accepted together; its value maps the
  * name of each job to an entry with the submission. A completion record says how one job ended. The stored form never
  * changes.
  */
@@ -16,13 +16,13 @@
 /** HzbJobRecord: what a record says of one job. */
 typedef struct
 {
-  HzbJobState state;        /**< HZB_JOB_ACCEPTED: from a record of acceptance; otherwise from its completion record. */
+  HzbJobState state;        /**< HZB_JOB_ACCEPTED: from an acceptance record; otherwise from its completion record. */
   struct timespec accepted; /**< Of an acceptance: when, time of day. */
   HzbJobSpec *spec;         /**< Of an acceptance: (transfer full): the submission; otherwise NULL. */
   guint n_tasks;            /**< Number of tasks. */
 } HzbJobRecord;
 
-/** HzbAcceptedJob: one job that a record of acceptance names. Both members point into the record. */
+/** HzbAcceptedJob: one job that an acceptance record names. Both members point into the record. */
 typedef struct
 {
   const char *uid;    /**< Name of the job. */
@@ -48,14 +48,14 @@
 gboolean hzb_job_record_decode (const char *uid, const cJSON *value, guint known_tasks, HzbJobRecord *record);
 
 /**
- * hzb_acceptance_decode: the jobs that a record of acceptance names, in its order.
+ * hzb_acceptance_decode: the jobs that an acceptance record names, in its order.
  *
  * Returns: (transfer full) (element-type HzbAcceptedJob): valid for as long as `value` is
  */
 GArray *hzb_acceptance_decode (const cJSON *value);
 
 /**
- * hzb_job_acceptance_encode: a job's entry in a record of acceptance.
+ * hzb_job_acceptance_encode: a job's entry in an acceptance record.
  * `wall`: when the job was accepted, time of day; recorded in whole milliseconds
  *
  * Returns: (transfer full)
--- a/src/scheduling/job.h
+++ b/src/scheduling/job.h
@@ -66,7 +66,7 @@
 /** HzbJob: a job. The fields are grouped by who keeps them. */
 struct _HzbJob
 {
-  /** `name` Identity, fixed once the record of acceptance was read
+  /** `name` Identity, fixed once the acceptance record was read
    * @{ */
   char *uid;                /**< Its name. */
   HzbJobSpec *spec;         /**< (nullable) What the user asked for; NULL: terminal, and no tasks of it are here. */
@@ -79,8 +79,8 @@
    * @{ */
   HzbJobState state;   /**< Accepted, or how it ended. */
   guint64 version;     /**< Revision of its completion record; 0: there is none. */
-  GSList *acceptances; /**< (element-type HzbAcceptance) While not terminal: all records of acceptance that name it. */
-  guint named;         /**< How many records of acceptance name it, terminal or not. */
+  GSList *acceptances; /**< (element-type HzbAcceptance) While not terminal: all acceptance records that name it. */
+  guint named;         /**< How many acceptance records name it, terminal or not. */
   guint load;          /**< HzbJobs.load of the last full reading that showed it. */
   gboolean cancel_acknowledged; /**< Cancelled, and no controller can act without knowing that. */
   gboolean archiving;           /**< Its record is being moved to the archive of completed jobs. */
--- a/src/scheduling/jobs.c
+++ b/src/scheduling/jobs.c
@@ -63,7 +63,7 @@
   return g_hash_table_lookup (jobs->by_uid, uid);
 }
 
-/* ---- records of acceptance ---- */
+/* ---- acceptance records ---- */
 
 static void
 drop_acceptance (HzbJobs *jobs, HzbAcceptance *acceptance)
@@ -77,7 +77,7 @@
   g_hash_table_remove (jobs->acceptances, acceptance->key);
 }
 
-/* The job is terminal, but its completion was never read here: deleted records of acceptance stop naming it. */
+/* The job is terminal, but its completion was never read here: deleted acceptance records stop naming it. */
 static void
 release_gone_acceptances (HzbJobs *jobs, HzbJob *job)
 {
@@ -96,7 +96,7 @@
     }
 }
 
-/* The job is terminal: it keeps no record of acceptance from being deleted any more. */
+/* The job is terminal: it keeps no acceptance record from being deleted any more. */
 static void
 close_acceptances (HzbJobs *jobs, HzbJob *job)
 {
@@ -306,7 +306,7 @@
   for (GList *l = jobs->completed.head; l && beyond && old->len < most; l = l->next, beyond--)
     {
       HzbJob *job = l->data;
-      /* While a record of acceptance names the job, a controller that starts must find the completion among the
+      /* While an acceptance record names the job, a controller that starts must find the completion among the
        * replicated records. */
       if (!job->named && !job->tasks && !job->archiving)
         g_ptr_array_add (old, job);
@@ -316,8 +316,8 @@
 
 /* A controller that reads all records in pages may have read that a job was accepted, while its completion moved to
  * the archive before the page of completions was read: without this the job would be called queued here for ever. A
- * completion moves only once no record of acceptance names the job, so this controller has already read the deletion of
- * each record of acceptance that it knows. */
+ * completion moves only once no acceptance record names the job, so this controller has already read the deletion of
+ * each acceptance record that it knows. */
 gboolean
 hzb_jobs_forget (HzbJobs *jobs, const char *uid)
 {
@@ -342,7 +342,7 @@
   jobs->load++;
 }
 
-/* The records of acceptance that the reading did not show, or whose deletion came after it had shown them. */
+/* The acceptance records that the reading did not show, or whose deletion came after it had shown them. */
 static GPtrArray *
 acceptances_not_shown (HzbJobs *jobs)
 {
--- a/src/scheduling/jobs.h
+++ b/src/scheduling/jobs.h
@@ -86,7 +86,7 @@
  */
 HzbJob *hzb_jobs_apply_end (HzbJobs *jobs, const char *uid, HzbJobState state, guint n_tasks, guint64 version);
 
-/** hzb_jobs_apply_acceptance: takes in a record of acceptance. `value`: (nullable): NULL: the record was deleted */
+/** hzb_jobs_apply_acceptance: takes in an acceptance record. `value`: (nullable): NULL: the record was deleted */
 void hzb_jobs_apply_acceptance (HzbJobs *jobs, const char *key, const cJSON *value);
 
 /** hzb_jobs_deletable_acceptance: Returns: (transfer none) (nullable): a record that can be deleted, since all of its
@@ -105,7 +105,7 @@
 /**
  * hzb_jobs_forget: the completion record of the job has moved to the archive.
  *
- * Returns: FALSE if the job is kept, since a record of acceptance still names it or tasks of it are here
+ * Returns: FALSE if the job is kept, since an acceptance record still names it or tasks of it are here
  */
 gboolean hzb_jobs_forget (HzbJobs *jobs, const char *uid);
 
