--- a/src/records/records-private.h
+++ b/src/records/records-private.h
@@ -14,7 +14,7 @@
 {
   HZB_FLUSH_IDLE,       /**< none is */
   HZB_FLUSH_COMMITTING, /**< it was sent, and its answer has not come */
-  HZB_FLUSH_RESOLVING,  /**< its answer did not tell its outcome; the flush record is being read, which does */
+  HZB_FLUSH_RESOLVING,  /**< its answer left its outcome open; the flush record, which is being read, shows it */
   HZB_FLUSH_UNRESOLVED, /**< the flush record could not be read either; it will be read again */
   HZB_FLUSH_N_STATES    /**< how many states there are */
 } HzbFlushState;
@@ -35,7 +35,7 @@
   HzbFlushState flush_state;  /**< changed by hzb_records_set_flush_state() only */
   HzbEpochCall *unresolved;   /**< (nullable): the HzbFlush in state %HZB_FLUSH_UNRESOLVED, else NULL */
   struct timespec next_flush; /**< no flush before it, and no reading of an unresolved one */
-  struct timespec next_clean; /**< no records of acceptances are removed before it */
+  struct timespec next_clean; /**< no acceptance records are removed before it */
 };
 
 /**
@@ -54,7 +54,7 @@
   guint64 number;         /**< as it stands in the flush record once the transaction is carried out */
   GPtrArray *parts;       /**< (element-type HzbFlushedPart) */
   GPtrArray *machines;    /**< (element-type utf8): names recorded for the first time */
-  GPtrArray *acceptances; /**< (element-type utf8): keys of the records of acceptances that are removed */
+  GPtrArray *acceptances; /**< (element-type utf8): keys of the acceptance records that are removed */
 } HzbFlush;
 
 /** hzb_flush_new: Returns: (transfer full): empty */
@@ -90,5 +90,5 @@
  */
 void hzb_records_on_flush_answered (HzbKvResult result, const char *body, gpointer user);
 
-/** hzb_records_resolve_flush: reads the flush record, which tells what became of the unresolved flush. */
+/** hzb_records_resolve_flush: reads the flush record, which shows what became of the unresolved flush. */
 void hzb_records_resolve_flush (HzbRecords *records);
