--- a/src/api/heartbeat-tasks.c
+++ b/src/api/heartbeat-tasks.c
@@ -47,7 +47,7 @@
  *
  * Returns: for how many of those tasks the response before had a start command */
 static guint
-release_unlisted (HzbWorkerApi *api, HzbMachine *machine)
+release_unreported (HzbWorkerApi *api, HzbMachine *machine)
 {
   guint never_started = 0;
 
@@ -77,7 +77,7 @@
   starting = count_starting (machine);
   for (guint i = 0; i < task_statuses->len; i++)
     hzb_task_status_apply (api, exchange, &g_array_index (task_statuses, HzbTaskStatus, i));
-  never_started = release_unlisted (api, machine);
+  never_started = release_unreported (api, machine);
   if (starting)
     machine->ignored_answers = never_started < starting ? 0 : machine->ignored_answers + 1;
   if (machine->tasks->len)
--- a/src/cluster/peer-queries.c
+++ b/src/cluster/peer-queries.c
@@ -9,7 +9,7 @@
 static gboolean
 is_reachable (const HzbPeers *peers, const HzbPeerEntry *entry)
 {
-  return hzb_peer_table_silence_s (&peers->table, entry) < HZB_PEER_REACHABLE_S;
+  return hzb_peer_table_unresponsive_s (&peers->table, entry) < HZB_PEER_REACHABLE_S;
 }
 
 gboolean
@@ -61,7 +61,7 @@
 hzb_peers_any_reachable (HzbPeers *peers)
 {
   for (guint i = 0; i < peers->table.n_entries; i++)
-    if (hzb_peer_table_silence_s (&peers->table, &peers->table.entries[i]) < ANY_REACHABLE_S)
+    if (hzb_peer_table_unresponsive_s (&peers->table, &peers->table.entries[i]) < ANY_REACHABLE_S)
       return TRUE;
   return peers->table.n_entries == 0;
 }
@@ -71,7 +71,7 @@
 find_reachable (HzbPeers *peers, const char *node)
 {
   const HzbPeerEntry *entry = hzb_peer_table_find (&peers->table, node);
-  return entry && hzb_peer_table_silence_s (&peers->table, entry) <= HZB_PEER_REACHABLE_S ? entry : NULL;
+  return entry && hzb_peer_table_unresponsive_s (&peers->table, entry) <= HZB_PEER_REACHABLE_S ? entry : NULL;
 }
 
 gboolean
--- a/src/cluster/peer-table.c
+++ b/src/cluster/peer-table.c
@@ -38,7 +38,7 @@
 }
 
 double
-hzb_peer_table_silence_s (const HzbPeerTable *table, const HzbPeerEntry *entry)
+hzb_peer_table_unresponsive_s (const HzbPeerTable *table, const HzbPeerEntry *entry)
 {
   return hzb_time_is_set (entry->last_heartbeat)
              ? hzb_time_between (entry->last_heartbeat, hzb_clock_now (table->node->clock))
--- a/src/cluster/peer-table.h
+++ b/src/cluster/peer-table.h
@@ -57,8 +57,8 @@
 /** hzb_peer_table_find: Returns: (transfer none) (nullable): the entry of the controller of this name (nullable) */
 HzbPeerEntry *hzb_peer_table_find (const HzbPeerTable *table, const char *node);
 
-/** hzb_peer_table_silence_s: Returns: seconds since the peer's last heartbeat; very large if there was none */
-double hzb_peer_table_silence_s (const HzbPeerTable *table, const HzbPeerEntry *entry);
+/** hzb_peer_table_unresponsive_s: Returns: seconds since the peer's last heartbeat; very large if there was none */
+double hzb_peer_table_unresponsive_s (const HzbPeerTable *table, const HzbPeerEntry *entry);
 
 /** hzb_peer_table_covers_cluster: Returns: FALSE if the settings name fewer peers than the cluster has controllers */
 gboolean hzb_peer_table_covers_cluster (const HzbPeerTable *table);
--- a/src/cluster/peers.c
+++ b/src/cluster/peers.c
@@ -175,7 +175,7 @@
 static gboolean
 needs_heartbeat (const HzbPeers *peers, const HzbPeerEntry *entry, struct timespec now)
 {
-  gboolean heard = hzb_peer_table_silence_s (&peers->table, entry) < HEARD_RECENTLY_S;
+  gboolean heard = hzb_peer_table_unresponsive_s (&peers->table, entry) < HEARD_RECENTLY_S;
   gboolean confirmed =
       hzb_time_is_set (entry->confirmed_sent) && hzb_time_between (entry->confirmed_sent, now) < CONFIRM_INTERVAL_S;
   return !entry->awaiting_reply && !(heard && confirmed);
--- a/src/reconciliation/cold-start.c
+++ b/src/reconciliation/cold-start.c
@@ -47,7 +47,7 @@
     .per_s =
         starts_per_s > 0 ? starts_per_s : MAX (LEAST_STARTS_PER_S, machines / (2 * settings->heartbeat_interval_s)),
     .per_answer = settings->reconciliation.starts_per_heartbeat,
-    .rentals_per_s = MIN (MOST_SCALE_OUTS_PER_S, PART_OF_CLOUD_RATE * settings->cloud_rps),
+    .scale_outs_per_s = MIN (MOST_SCALE_OUTS_PER_S, PART_OF_CLOUD_RATE * settings->cloud_rps),
     .duration_s = settings->reconciliation.pace_s,
   };
   hzb_start_pacing_begin (&reconciliation->pacing, &limits, now);
--- a/src/reconciliation/command-gate.c
+++ b/src/reconciliation/command-gate.c
@@ -27,7 +27,7 @@
       && hzb_time_between (reconciliation->began, now)
              < HEARTBEATS_BEFORE_SCALE_OUT * heartbeat_interval_s + SCALE_OUT_SLACK_S)
     return FALSE;
-  return hzb_start_pacing_take_rental (&reconciliation->pacing);
+  return hzb_start_pacing_take_scale_out (&reconciliation->pacing);
 }
 
 /* ---- tasks in heartbeats ---- */
--- a/src/reconciliation/job-survey.c
+++ b/src/reconciliation/job-scan.c
@@ -20,7 +20,7 @@
 }
 
 void
-hzb_reconciliation_survey_machines (HzbReconciliation *reconciliation, struct timespec now)
+hzb_reconciliation_scan_machines (HzbReconciliation *reconciliation, struct timespec now)
 {
   HzbMachines *machines = reconciliation->dependencies.machines;
 
@@ -106,12 +106,12 @@
 }
 
 void
-hzb_reconciliation_survey (HzbReconciliation *reconciliation, struct timespec now)
+hzb_reconciliation_scan (HzbReconciliation *reconciliation, struct timespec now)
 {
   if (hzb_time_before (now, reconciliation->next_scan))
     return;
   reconciliation->next_scan = hzb_time_plus (now, hzb_machines_scan_interval_s (reconciliation->dependencies.machines));
-  hzb_reconciliation_survey_machines (reconciliation, now);
+  hzb_reconciliation_scan_machines (reconciliation, now);
   /* Nothing is decided before the record is durable: if this leader ended, the next one would not know of the cold
    * start. */
   if (reconciliation->open && reconciliation->record_state == HZB_RECORD_STATE_DURABLE)
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -171,7 +171,7 @@
 {
   if (hzb_quarantine_is_kept (quarantine, entry))
     return HZB_OPERATOR_KEEPS;
-  return entry->stop_requested ? HZB_OPERATOR_STOPS : HZB_OPERATOR_SILENT;
+  return entry->stop_requested ? HZB_OPERATOR_STOPS : HZB_OPERATOR_UNDECIDED;
 }
 
 static HzbTaskEvidence
--- a/src/reconciliation/reconciliation-private.h
+++ b/src/reconciliation/reconciliation-private.h
@@ -3,7 +3,7 @@
  * @short_description: the state that the source files of reconciliation share
  *
  * reconciliation.c owns the state machines and calls the other files when they are due: reconciliation-load.c reads
- * records, cold-start.c tells a cold start from a change of leader, job-survey.c decides, recorder.c makes the
+ * records, cold-start.c tells a cold start from a change of leader, job-scan.c decides, recorder.c makes the
  * decisions durable, command-gate.c holds commands back, reconciliation-admin.c shows the state to operators.
  */
 #pragma once
@@ -89,11 +89,11 @@
 /** hzb_reconciliation_detect: decides whether this is a cold start, as soon as the evidence suffices. */
 void hzb_reconciliation_detect (HzbReconciliation *reconciliation, struct timespec now);
 
-/** hzb_reconciliation_survey_machines: notes which machines are accounted for by now. */
-void hzb_reconciliation_survey_machines (HzbReconciliation *reconciliation, struct timespec now);
+/** hzb_reconciliation_scan_machines: notes which machines are accounted for by now. */
+void hzb_reconciliation_scan_machines (HzbReconciliation *reconciliation, struct timespec now);
 
-/** hzb_reconciliation_survey: decides about the jobs whose machines are accounted for, once the record is durable. */
-void hzb_reconciliation_survey (HzbReconciliation *reconciliation, struct timespec now);
+/** hzb_reconciliation_scan: decides about the jobs whose machines are accounted for, once the record is durable. */
+void hzb_reconciliation_scan (HzbReconciliation *reconciliation, struct timespec now);
 
 /** hzb_recorder_reset: forgets what is written and what is in flight. */
 void hzb_recorder_reset (HzbReconciliation *reconciliation);
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -305,12 +305,12 @@
       break;
     case HZB_RECONCILIATION_COLLECTING:
     case HZB_RECONCILIATION_DECIDING:
-      hzb_reconciliation_survey (reconciliation, now);
+      hzb_reconciliation_scan (reconciliation, now);
       hzb_recorder_write_verdicts (reconciliation, now);
       advance (reconciliation);
       break;
     case HZB_RECONCILIATION_RECORDED:
-      hzb_reconciliation_survey_machines (reconciliation, now);
+      hzb_reconciliation_scan_machines (reconciliation, now);
       hzb_recorder_finish (reconciliation, now);
       break;
     default:
--- a/src/reconciliation/roster.c
+++ b/src/reconciliation/roster.c
@@ -110,11 +110,11 @@
   evidence->has_flush_record = roster->has_flush_record;
   evidence->has_roster = roster->recorded != NULL;
   evidence->self_on_roster = has_process (roster->recorded, roster->node->incarnation);
-  evidence->all_peers_heard = TRUE;
+  evidence->all_peers_contacted = TRUE;
   for (guint i = 0; i < roster->node->settings->peers->len; i++)
     {
       const char *incarnation = peer_incarnation (roster, i);
-      evidence->all_peers_heard = evidence->all_peers_heard && incarnation;
+      evidence->all_peers_contacted = evidence->all_peers_contacted && incarnation;
       evidence->peer_on_roster = evidence->peer_on_roster || has_process (roster->recorded, incarnation);
     }
 }
--- a/src/reconciliation/verdicts.c
+++ b/src/reconciliation/verdicts.c
@@ -25,7 +25,7 @@
     return start (reason, HZB_START_CHANGE_OF_LEADER, HZB_START_REASON_SELF_SURVIVED);
   if (evidence->peer_on_roster)
     return start (reason, HZB_START_CHANGE_OF_LEADER, HZB_START_REASON_PEER_SURVIVED);
-  if (evidence->all_peers_heard)
+  if (evidence->all_peers_contacted)
     return start (reason, HZB_START_COLD, HZB_START_REASON_ALL_ENDED);
   if (evidence->patience_over)
     return start (reason, HZB_START_COLD, HZB_START_REASON_ALL_REACHABLE_ENDED);
@@ -148,7 +148,7 @@
     return task_verdict (reason, HZB_TASK_VERDICT_QUARANTINE, HZB_TASK_REASON_RECORD_MAY_COME);
   if (evidence->operator_decision == HZB_OPERATOR_KEEPS)
     return task_verdict (reason, HZB_TASK_VERDICT_QUARANTINE, HZB_TASK_REASON_KEPT_BY_OPERATOR);
-  if (evidence->operator_decision == HZB_OPERATOR_SILENT && !evidence->operator_time_over)
+  if (evidence->operator_decision == HZB_OPERATOR_UNDECIDED && !evidence->operator_time_over)
     return task_verdict (reason, HZB_TASK_VERDICT_QUARANTINE, HZB_TASK_REASON_OPERATOR_AWAITED);
   return dispose (evidence, reason, HZB_TASK_REASON_NO_RECORD);
 }
@@ -159,7 +159,7 @@
   if (evidence->standing == HZB_STANDING_DURABLE || evidence->standing == HZB_STANDING_RESULT)
     return task_verdict (reason, HZB_TASK_VERDICT_ADOPT, HZB_TASK_REASON_RESULT_DURABLE);
   if (evidence->machines_awaited)
-    return task_verdict (reason, HZB_TASK_VERDICT_AWAIT, HZB_TASK_REASON_MACHINE_SILENT);
+    return task_verdict (reason, HZB_TASK_VERDICT_AWAIT, HZB_TASK_REASON_MACHINE_UNRESPONSIVE);
   if (evidence->record == HZB_RECORD_OVER)
     return task_verdict (reason, HZB_TASK_VERDICT_AWAIT, HZB_TASK_REASON_JOB_OVER);
   if (!evidence->job_decided)
@@ -219,7 +219,7 @@
     [HZB_TASK_REASON_FOUND_RUNNING] = "found-running",
     [HZB_TASK_REASON_RESULT_FOUND] = "result-found",
     [HZB_TASK_REASON_RESULT_DURABLE] = "result-durable",
-    [HZB_TASK_REASON_MACHINE_SILENT] = "machine-silent",
+    [HZB_TASK_REASON_MACHINE_UNRESPONSIVE] = "machine-silent",
     [HZB_TASK_REASON_NOWHERE] = "nowhere",
     [HZB_TASK_REASON_ENDED_WITHOUT_RESULT] = "ended-without-result",
     [HZB_TASK_REASON_SUPERSEDED] = "superseded",
--- a/src/reconciliation/verdicts.h
+++ b/src/reconciliation/verdicts.h
@@ -35,12 +35,12 @@
 /** HzbStartEvidence: what a new leader knows about the processes before it. */
 typedef struct
 {
-  gboolean has_flush_record; /**< some leader has written one */
-  gboolean has_roster;       /**< the flush record has a roster */
-  gboolean self_on_roster;   /**< this process was alive under the last leader */
-  gboolean peer_on_roster;   /**< a peer that is alive was alive under the last leader */
-  gboolean all_peers_heard;  /**< no peer is unresponsive */
-  gboolean patience_over;    /**< unresponsive peers are not waited for any more */
+  gboolean has_flush_record;    /**< some leader has written one */
+  gboolean has_roster;          /**< the flush record has a roster */
+  gboolean self_on_roster;      /**< this process was alive under the last leader */
+  gboolean peer_on_roster;      /**< a peer that is alive was alive under the last leader */
+  gboolean all_peers_contacted; /**< no peer is unresponsive */
+  gboolean patience_over;       /**< unresponsive peers are not waited for any more */
   gboolean
       unfinished; /**< an unfinished reconciliation is on record, and no leader without reconciliation has led since */
 } HzbStartEvidence;
@@ -141,7 +141,7 @@
   HZB_TASK_REASON_FOUND_RUNNING,        /**< adopt: a machine that has answered runs it */
   HZB_TASK_REASON_RESULT_FOUND,         /**< adopt or await: its result is known and not durable yet */
   HZB_TASK_REASON_RESULT_DURABLE,       /**< reap, or adopt if no heartbeat shows the task */
-  HZB_TASK_REASON_MACHINE_SILENT,       /**< await: an unresponsive machine may hold it */
+  HZB_TASK_REASON_MACHINE_UNRESPONSIVE, /**< await: an unresponsive machine may hold it */
   HZB_TASK_REASON_NOWHERE,              /**< restart: no machine can hold it */
   HZB_TASK_REASON_ENDED_WITHOUT_RESULT, /**< restart, or reap if the leader does not have it there */
   HZB_TASK_REASON_SUPERSEDED,           /**< stop or reap: another attempt of the task is where it should be */
@@ -185,9 +185,9 @@
 /** HzbOperatorDecision: what an operator wants done with a quarantined task. */
 typedef enum
 {
-  HZB_OPERATOR_SILENT, /**< no decision yet */
-  HZB_OPERATOR_KEEPS,  /**< the task goes on, under later leaders too */
-  HZB_OPERATOR_STOPS   /**< the task is stopped */
+  HZB_OPERATOR_UNDECIDED, /**< no decision yet */
+  HZB_OPERATOR_KEEPS,     /**< the task goes on, under later leaders too */
+  HZB_OPERATOR_STOPS      /**< the task is stopped */
 } HzbOperatorDecision;
 
 /** HzbTaskEvidence: what is known of a task. */
--- a/src/scheduling/consolidation.c
+++ b/src/scheduling/consolidation.c
@@ -8,7 +8,7 @@
 
 /* CPUs that are free on usable machines and that no waiting task of this controller would take; below 0: too few. */
 static double
-spare_cpus (const HzbDispatch *dispatch)
+candidate_cpus (const HzbDispatch *dispatch)
 {
   double spare = 0;
 
@@ -72,7 +72,7 @@
 void
 hzb_dispatch_consolidate (HzbDispatch *dispatch, struct timespec now)
 {
-  double spare = spare_cpus (dispatch);
+  double spare = candidate_cpus (dispatch);
 
   for (guint i = 0; i < dispatch->machines->all->len && spare > 0; i++)
     {
--- a/src/scheduling/start-pacing.c
+++ b/src/scheduling/start-pacing.c
@@ -45,7 +45,7 @@
   pacing->filled = now;
   pacing->lag_s = lag_s;
   pacing->tokens = fill (pacing->tokens, pacing->limits.per_s * part, seconds);
-  pacing->rental_tokens = fill (pacing->rental_tokens, pacing->limits.rentals_per_s, seconds);
+  pacing->scale_out_tokens = fill (pacing->scale_out_tokens, pacing->limits.scale_outs_per_s, seconds);
 }
 
 void
@@ -83,12 +83,12 @@
 }
 
 gboolean
-hzb_start_pacing_take_rental (HzbStartPacing *pacing)
+hzb_start_pacing_take_scale_out (HzbStartPacing *pacing)
 {
   if (!pacing->active)
     return TRUE;
-  if (pacing->rental_tokens < 1)
+  if (pacing->scale_out_tokens < 1)
     return FALSE;
-  pacing->rental_tokens -= 1;
+  pacing->scale_out_tokens -= 1;
   return TRUE;
 }
--- a/src/scheduling/start-pacing.h
+++ b/src/scheduling/start-pacing.h
@@ -23,10 +23,10 @@
 /** HzbStartPacingLimits: what is allowed. */
 typedef struct
 {
-  double per_s;         /**< Commands a second. */
-  guint per_answer;     /**< Starts in one answer to a worker; 0: no limit. */
-  double rentals_per_s; /**< Scale-out requests to the cloud a second. */
-  double duration_s;    /**< Seconds after which the limits end by themselves. */
+  double per_s;            /**< Commands a second. */
+  guint per_answer;        /**< Starts in one answer to a worker; 0: no limit. */
+  double scale_outs_per_s; /**< Scale-out requests to the cloud a second. */
+  double duration_s;       /**< Seconds after which the limits end by themselves. */
 } HzbStartPacingLimits;
 
 /** HzbStartPacing: the state of the buckets. A zeroed one limits nothing. */
@@ -37,7 +37,7 @@
   struct timespec began;       /**< When the limits began. */
   struct timespec filled;      /**< When the buckets were last filled. */
   double tokens;               /**< Commands that may be given at once. */
-  double rental_tokens;        /**< Scale-out requests that may be sent at once. */
+  double scale_out_tokens;     /**< Scale-out requests that may be sent at once. */
   double lag_s;                /**< How late timers fired when the buckets were last filled. */
   guint in_answer;             /**< Starts in the present answer. */
 } HzbStartPacing;
@@ -64,6 +64,6 @@
 /** hzb_start_pacing_take: a command was given. */
 void hzb_start_pacing_take (HzbStartPacing *pacing);
 
-/** hzb_start_pacing_take_rental: Returns: FALSE if the cloud should not be asked now; otherwise the request is counted
+/** hzb_start_pacing_take_scale_out: Returns: FALSE if the cloud should not be asked now; otherwise the request is counted
  */
-gboolean hzb_start_pacing_take_rental (HzbStartPacing *pacing);
+gboolean hzb_start_pacing_take_scale_out (HzbStartPacing *pacing);
--- a/tests/test-reconciliation.c
+++ b/tests/test-reconciliation.c
@@ -28,7 +28,7 @@
 {
   return e->record == HZB_RECORD_ABSENT
          && (e->operator_decision == HZB_OPERATOR_KEEPS
-             || (e->operator_decision == HZB_OPERATOR_SILENT && !e->operator_time_over));
+             || (e->operator_decision == HZB_OPERATOR_UNDECIDED && !e->operator_time_over));
 }
 
 static gboolean
@@ -234,13 +234,13 @@
                              .has_roster = (at & 2) != 0,
                              .self_on_roster = (at & 4) != 0,
                              .peer_on_roster = (at & 8) != 0,
-                             .all_peers_heard = (at & 16) != 0,
+                             .all_peers_contacted = (at & 16) != 0,
                              .patience_over = (at & 32) != 0,
                              .unfinished = (at & 64) != 0 };
       HzbStartReason reason;
       HzbStartKind kind = hzb_start_decide (&e, &reason);
       gboolean known = e.has_flush_record && e.has_roster && !e.self_on_roster && !e.peer_on_roster;
-      gboolean certain = e.all_peers_heard || e.patience_over;
+      gboolean certain = e.all_peers_contacted || e.patience_over;
       g_assert_cmpint (kind, ==,
                        e.unfinished || (known && certain) ? HZB_START_COLD
                        : known                            ? HZB_START_UNDECIDED
