--- a/src/api/admin-codec.c
+++ b/src/api/admin-codec.c
@@ -67,7 +67,7 @@
   cJSON_AddBoolToObject (item, "spot", machine->spot);
   cJSON_AddStringToObject (item, "state", hzb_machine_state_name (machine->state));
   cJSON_AddNumberToObject (item, "tasks", machine->tasks->len);
-  cJSON_AddNumberToObject (item, "listed", hzb_machine_queued_tasks (machine));
+  cJSON_AddNumberToObject (item, "listed", hzb_machine_count_queued_tasks (machine));
   cJSON_AddNumberToObject (item, "cpusUsed", machine->cpus);
   cJSON_AddBoolToObject (item, "toBeReturned", machine->scale_in_requested);
   return item;
--- a/src/api/admin-settings.c
+++ b/src/api/admin-settings.c
@@ -9,10 +9,10 @@
 apply_settings (HzbAdmin *admin, const HzbOperatorSettings *settings)
 {
   admin->with.dispatch->h = settings->dispatch_h;
-  admin->with.dispatch->sample = (guint) settings->dispatch_sample;
+  admin->with.dispatch->sample_size = (guint) settings->dispatch_sample;
   admin->with.dispatch->queue_ahead_s = settings->dispatch_queue_ahead_s;
-  admin->with.autoscaler->idle_s = settings->fleet_idle_s;
-  admin->with.autoscaler->patience = settings->fleet_patience;
+  admin->with.autoscaler->max_idle_s = settings->fleet_idle_s;
+  admin->with.autoscaler->start_slack_fraction = settings->fleet_patience;
   *admin->with.lease_shards = settings->lease_shards >= 0.5;
 }
 
@@ -21,10 +21,10 @@
 {
   HzbOperatorSettings settings = {
     .dispatch_h = admin->with.dispatch->h,
-    .dispatch_sample = admin->with.dispatch->sample,
+    .dispatch_sample = admin->with.dispatch->sample_size,
     .dispatch_queue_ahead_s = admin->with.dispatch->queue_ahead_s,
-    .fleet_idle_s = admin->with.autoscaler->idle_s,
-    .fleet_patience = admin->with.autoscaler->patience,
+    .fleet_idle_s = admin->with.autoscaler->max_idle_s,
+    .fleet_patience = admin->with.autoscaler->start_slack_fraction,
     .lease_shards = *admin->with.lease_shards,
   };
   return settings;
--- a/src/api/admin.c
+++ b/src/api/admin.c
@@ -67,7 +67,7 @@
 static gboolean
 leads (HzbAdmin *admin)
 {
-  return hzb_ownership_leader_loaded (admin->with.ownership) && hzb_election_leading (admin->with.election);
+  return hzb_ownership_leader_loaded (admin->with.ownership) && hzb_election_is_leader (admin->with.election);
 }
 
 /* ---- views ---- */
@@ -83,7 +83,7 @@
   for (guint i = 0; i < settings->peers->len; i++)
     {
       controller.node = ((HzbPeer *) settings->peers->pdata[i])->node;
-      controller.schema_version = hzb_peers_unreachable (admin->with.peers, controller.node)
+      controller.schema_version = hzb_peers_is_unreachable (admin->with.peers, controller.node)
                                       ? 0
                                       : hzb_peers_schema_version (admin->with.peers, controller.node);
       g_array_append_val (controllers, controller);
@@ -97,7 +97,7 @@
   g_autoptr (GArray) controllers = stated_schema_versions (admin);
   const HzbAdminLeadership leadership = {
     .node = admin->with.node->settings->node,
-    .leads = hzb_election_leading (admin->with.election),
+    .leads = hzb_election_is_leader (admin->with.election),
     .leader = hzb_election_leader (admin->with.election),
     .term = hzb_election_leader_term (admin->with.election),
     .kv_unresponsive_s = hzb_kv_client_unresponsive_s (admin->with.kv),
@@ -209,7 +209,7 @@
 {
   machine->scale_in_requested = machine->drain = TRUE;
   machine->recorded = machine->recording = FALSE;
-  hzb_records_flush_soon (admin->with.records);
+  hzb_records_flush_if_due (admin->with.records);
   g_message (
       "machine %s is being drained, as an operator asked: it takes no new tasks and is returned once it is empty",
       machine->name);
--- a/src/api/cancel-requests.c
+++ b/src/api/cancel-requests.c
@@ -40,7 +40,7 @@
 {
   HzbUserApi *api = check->api;
 
-  if (job->state != HZB_JOB_CANCELLED || hzb_cancellations_acknowledged (api->with.cancellations, job))
+  if (job->state != HZB_JOB_CANCELLED || hzb_cancellations_is_acknowledged (api->with.cancellations, job))
     {
       reply_status (check, job);
       hzb_check_free (check);
@@ -65,7 +65,7 @@
     {
       HzbCheck *check = link->data;
       HzbJob *job = hzb_jobs_find (api->with.jobs, check->uid);
-      gboolean acknowledged = job && hzb_cancellations_acknowledged (api->with.cancellations, job);
+      gboolean acknowledged = job && hzb_cancellations_is_acknowledged (api->with.cancellations, job);
 
       next = link->next;
       if (job && !acknowledged && hzb_time_before (now, check->deadline))
@@ -91,7 +91,7 @@
     {
       guint64 revision = 0;
       hzb_kv_commit_decode (body, &revision, NULL);
-      hzb_jobs_apply_end (jobs, check->uid, HZB_JOB_CANCELLED, job->n_tasks, revision);
+      hzb_jobs_apply_completion (jobs, check->uid, HZB_JOB_CANCELLED, job->n_tasks, revision);
       hzb_check_settle (check);
     }
   else if (result == HZB_KV_REFUSED)
--- a/src/api/heartbeat-admission.c
+++ b/src/api/heartbeat-admission.c
@@ -45,8 +45,9 @@
 static HzbMachine *
 find_leased_machine (HzbWorkerApi *api, const HzbWorkerHeartbeat *heartbeat)
 {
-  HzbMachine *machine =
-      hzb_leaseholder_valid (api->with.leaseholder) ? hzb_machines_find (api->with.machines, heartbeat->host) : NULL;
+  HzbMachine *machine = hzb_leaseholder_lease_valid (api->with.leaseholder)
+                            ? hzb_machines_find (api->with.machines, heartbeat->host)
+                            : NULL;
   if (machine && heartbeat->fencing_token > machine->fencing_token)
     {
       /* The reason is part of the message to the leader, so its text stays. */
@@ -123,7 +124,7 @@
       machine->sequence = heartbeat->sequence;
     }
   if (!machine->recorded)
-    hzb_records_flush_soon (api->with.records);
+    hzb_records_flush_if_due (api->with.records);
   hzb_heartbeat_redirect (exchange, leaseholder);
 }
 
--- a/src/api/heartbeat-tasks.c
+++ b/src/api/heartbeat-tasks.c
@@ -56,7 +56,7 @@
       HzbTask *task = machine->tasks->pdata[i];
       if (task->state == HZB_TASK_STARTING)
         never_started++;
-      if (task->state == HZB_TASK_RESERVED || task->seen == machine->round)
+      if (task->state == HZB_TASK_RESERVED || task->last_heartbeat_round == machine->heartbeat_count)
         i++;
       else
         hzb_task_set_state (api->with.jobs, task, HZB_TASK_PENDING, NULL); /* takes the task off machine->tasks */
@@ -71,7 +71,7 @@
   const GArray *task_statuses = exchange->heartbeat->task_statuses;
   guint starting, never_started;
 
-  machine->round++;
+  machine->heartbeat_count++;
   machine->quarantined = 0;
   mark_verified (api, machine);
   starting = count_starting (machine);
@@ -79,7 +79,7 @@
     hzb_task_status_apply (api, exchange, &g_array_index (task_statuses, HzbTaskStatus, i));
   never_started = release_unreported (api, machine);
   if (starting)
-    machine->ignored_answers = never_started < starting ? 0 : machine->ignored_answers + 1;
+    machine->ignored_responses = never_started < starting ? 0 : machine->ignored_responses + 1;
   if (machine->tasks->len)
     machine->idle_since = exchange->now;
   if (exchange->heartbeat->notice_s >= 0)
--- a/src/api/machine-reachability.c
+++ b/src/api/machine-reachability.c
@@ -27,7 +27,7 @@
 {
   if (heartbeat->agent_epoch > machine->agent_epoch && machine->agent_epoch && machine->verified)
     {
-      hzb_machine_lose_tasks (api->with.jobs, machine);
+      hzb_machine_requeue_tasks (api->with.jobs, machine);
       mark_partitioned_one_way (api, machine, now);
     }
   machine->agent_epoch = heartbeat->agent_epoch;
@@ -50,22 +50,22 @@
   const HzbWorkerHeartbeat *heartbeat = exchange->heartbeat;
 
   note_agent_epoch (api, machine, heartbeat, exchange->now);
-  machine->last_heartbeat = machine->last_answer = exchange->now;
+  machine->last_heartbeat = machine->last_response = exchange->now;
   note_address (machine, heartbeat);
   if (!machine->recorded)
-    hzb_records_flush_soon (api->with.records);
+    hzb_records_flush_if_due (api->with.records);
   /* The worker shows the fencing token that was raised for it, so an answer has reached it. */
   if (machine->unreachable && heartbeat->fencing_token == machine->fencing_token)
     {
       machine->unreachable = FALSE;
-      machine->ignored_answers = 0;
+      machine->ignored_responses = 0;
     }
 }
 
 gboolean
 hzb_reachability_is_suspect (const HzbMachine *machine)
 {
-  return machine->ignored_answers >= ONE_WAY_PARTITION_AFTER;
+  return machine->ignored_responses >= ONE_WAY_PARTITION_AFTER;
 }
 
 void
--- a/src/api/task-exit.c
+++ b/src/api/task-exit.c
@@ -19,7 +19,7 @@
 static guint8
 one_more_try (const HzbTask *task)
 {
-  return (guint8) MIN (task->tries + 1, MAX_TRIES);
+  return (guint8) MIN (task->failed_attempts + 1, MAX_TRIES);
 }
 
 /* ---- failures ---- */
@@ -27,9 +27,10 @@
 static void
 note_failed_on (HzbJob *job, const HzbMachine *machine)
 {
-  if (!job->failed_on)
-    job->failed_on = g_strdup (machine->name);
-  job->failed_on_several_machines = job->failed_on_several_machines || !g_str_equal (job->failed_on, machine->name);
+  if (!job->first_failed_machine)
+    job->first_failed_machine = g_strdup (machine->name);
+  job->failed_on_several_machines =
+      job->failed_on_several_machines || !g_str_equal (job->first_failed_machine, machine->name);
 }
 
 static void
@@ -57,20 +58,20 @@
   HzbJob *job = task->job;
   gboolean same_job = g_strcmp0 (machine->last_failed_job, job->uid) == 0;
 
-  task->tries = one_more_try (task);
+  task->failed_attempts = one_more_try (task);
   note_failed_on (job, machine);
   /* That tasks run for a while proves nothing about a job whose tasks fail after that. */
-  job->did_well = job->did_well && (!ran_well || job->done + job->finished > 0);
+  job->proven_runnable = job->proven_runnable && (!ran_well || job->done + job->finished > 0);
   hzb_machine_note_failure (machine, job, now);
-  if (hzb_machine_seems_faulty (machine, api->with.jobs))
+  if (hzb_machine_is_faulty (machine, api->with.jobs))
     scale_in_faulty (machine);
   /* One machine that fails all replicas of a service says no more about the service than one that fails a single replica. */
-  else if (!job->did_well && !(is_service (job) && same_job))
+  else if (!job->proven_runnable && !(is_service (job) && same_job))
     pause_job (job, now);
   /* A replica is sound until its service fails on several machines: it is tried elsewhere at once. */
-  task->not_before =
-      hzb_time_plus (now, is_service (job) ? REPLICA_PAUSE_S
-                                           : MIN (MAX_PAUSE_S, 1 << MIN (task->tries, MAX_DOUBLINGS)) * TASK_PAUSE_S);
+  task->not_before = hzb_time_plus (
+      now, is_service (job) ? REPLICA_PAUSE_S
+                            : MIN (MAX_PAUSE_S, 1 << MIN (task->failed_attempts, MAX_DOUBLINGS)) * TASK_PAUSE_S);
 }
 
 static void
@@ -95,9 +96,9 @@
 {
   double pause_s = 0;
 
-  replica->tries = ran_well ? 0 : one_more_try (replica);
+  replica->failed_attempts = ran_well ? 0 : one_more_try (replica);
   if (!ran_well)
-    pause_s = MIN (QUICK_EXIT_MOST_S, QUICK_EXIT_PAUSE_S * (1 << MIN (replica->tries, MAX_DOUBLINGS)));
+    pause_s = MIN (QUICK_EXIT_MOST_S, QUICK_EXIT_PAUSE_S * (1 << MIN (replica->failed_attempts, MAX_DOUBLINGS)));
   replica->not_before = hzb_time_plus (now, pause_s);
 }
 
@@ -121,7 +122,7 @@
   else if (job->finished + job->done == job->n_tasks)
     hzb_records_complete_job (api->with.records, job);
   else
-    hzb_records_flush_soon (api->with.records);
+    hzb_records_flush_if_due (api->with.records);
 }
 
 static void
@@ -136,7 +137,7 @@
   hzb_task_set_state (api->with.jobs, task, HZB_TASK_FINISHED, NULL);
   job->dirty = TRUE;
   job->failures = 0;
-  job->did_well = TRUE;
+  job->proven_runnable = TRUE;
   hzb_machine_note_success (machine);
   make_durable (api, task, ran_s);
 }
--- a/src/api/task-status.c
+++ b/src/api/task-status.c
@@ -44,7 +44,8 @@
 static void
 apply_unrecorded (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, const HzbTaskStatus *task_status)
 {
-  gboolean stop = hzb_time_between (hzb_ownership_since (api->with.ownership), exchange->now) > STOP_UNRECORDED_AFTER_S;
+  gboolean stop =
+      hzb_time_between (hzb_ownership_start_time (api->with.ownership), exchange->now) > STOP_UNRECORDED_AFTER_S;
 
   if (api->with.node->settings->reconciliation.enabled && !hzb_ownership_is_leaseholder (api->with.ownership))
     {
@@ -86,9 +87,9 @@
   if (task->state == HZB_TASK_QUEUED)
     hzb_task_set_state (api->with.jobs, task, HZB_TASK_PENDING, NULL);
   task->attempt = task_status->attempt;
-  job->next_attempt = MAX (job->next_attempt, task_status->attempt);
+  job->last_attempt = MAX (job->last_attempt, task_status->attempt);
   hzb_task_set_state (api->with.jobs, task, task_state_of (task_status->state), exchange->machine);
-  task->seen = exchange->machine->round;
+  task->last_heartbeat_round = exchange->machine->heartbeat_count;
 }
 
 /* The task is on this machine by what this node knows, perhaps by another attempt. */
@@ -97,9 +98,9 @@
 {
   HzbMachine *machine = exchange->machine;
 
-  if (task->attempt != task_status->attempt && task->seen != machine->round)
+  if (task->attempt != task_status->attempt && task->last_heartbeat_round != machine->heartbeat_count)
     task->attempt = task_status->attempt; /* the worker refused this node's attempt: the earlier attempt still runs */
-  task->seen = machine->round;
+  task->last_heartbeat_round = machine->heartbeat_count;
   if (task->attempt == task_status->attempt)
     hzb_task_set_state (api->with.jobs, task, task_state_of (task_status->state), machine);
 }
@@ -157,7 +158,7 @@
 {
   if (task_status->state != HZB_TASK_STATUS_RUNNING || !hzb_task_ran_well (task, now))
     return;
-  task->job->did_well = TRUE;
+  task->job->proven_runnable = TRUE;
   task->job->failures = 0;
   hzb_machine_note_success (machine);
 }
@@ -169,7 +170,7 @@
   HzbTask *task = reported_task (job, task_status);
 
   if (task && hzb_task_status_is_current (exchange, task, task_status))
-    task->seen = machine->round;
+    task->last_heartbeat_round = machine->heartbeat_count;
   if (task_status->state == HZB_TASK_STATUS_EXITED)
     {
       apply_exit (api, exchange, job, task, task_status);
--- a/src/api/user-records-codec.c
+++ b/src/api/user-records-codec.c
@@ -84,5 +84,5 @@
 hzb_cancellation_record_put (const char *uid, guint n_tasks, HzbKvTransaction *transaction)
 {
   g_autofree char *key = g_strconcat (HZB_KEY_JOBS, uid, NULL);
-  hzb_kv_transaction_put (transaction, key, hzb_job_end_encode (HZB_JOB_CANCELLED, n_tasks), 0);
+  hzb_kv_transaction_put (transaction, key, hzb_job_completion_encode (HZB_JOB_CANCELLED, n_tasks), 0);
 }
--- a/src/api/worker-api.c
+++ b/src/api/worker-api.c
@@ -31,8 +31,8 @@
 static gboolean
 authority_is_certain (HzbWorkerApi *api, const HzbHeartbeatExchange *exchange)
 {
-  return exchange->leads ? hzb_election_lease_valid (api->with.election)
-                         : hzb_leaseholder_valid (api->with.leaseholder);
+  return exchange->leads ? hzb_election_is_lease_valid (api->with.election)
+                         : hzb_leaseholder_lease_valid (api->with.leaseholder);
 }
 
 static void
@@ -48,7 +48,7 @@
 {
   hzb_heartbeat_stop_cancelled (api, exchange);
   if (exchange->machine->state == HZB_MACHINE_ACTIVE)
-    exchange->machine->ignored_answers++; /* the worker has not seen the fencing token that it was answered under */
+    exchange->machine->ignored_responses++; /* the worker has not seen the fencing token that it was answered under */
 }
 
 static void
@@ -83,7 +83,7 @@
 
   exchange.http_request = http_request;
   exchange.now = hzb_clock_now (api->with.node->clock);
-  exchange.leads = hzb_election_leading (api->with.election);
+  exchange.leads = hzb_election_is_leader (api->with.election);
   exchange.commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
   answer_heartbeat (api, &exchange);
   g_array_unref (exchange.commands);
--- a/src/cluster/cancellation-knowledge.c
+++ b/src/cluster/cancellation-knowledge.c
@@ -1,8 +1,8 @@
-/* Which cancellations this controller knows, what it tells its peers of them, and whether it knows enough to answer
- * workers. */
+/* Keeps which cancellations this controller knows, exchanges them with its peers in heartbeats, and decides whether
+ * this controller knows enough of them to answer workers. */
 #include "cancellations-private.h"
 
-#define MAX_LISTED_PER_REPLY 500u /* some 45 bytes each */
+#define MAX_LISTED_PER_REPLY 500u /* cancellations, of about 45 bytes each */
 
 void
 hzb_cancellations_note_record (HzbCancellations *cancellations, const HzbJob *job, guint64 revision)
@@ -17,27 +17,29 @@
   hzb_cancellation_log_restart (cancellations->log, revision);
 }
 
-/* This controller knows all cancellations up to this revision, by its replica of the records or by peers. */
+/* Returns: the revision up to which this controller knows all cancellations, from its replica of the records or from
+ * peers */
 static guint64
 known_revision (const HzbCancellations *cancellations)
 {
-  return MAX (hzb_kv_replica_revision (cancellations->uses.kv_replica), cancellations->learned_revision);
+  return MAX (hzb_kv_replica_revision (cancellations->deps.kv_replica), cancellations->peer_listed_revision);
 }
 
 static gboolean
 replica_follows (const HzbCancellations *cancellations)
 {
-  return hzb_kv_replica_state (cancellations->uses.kv_replica) == HZB_KV_REPLICA_FOLLOWING;
+  return hzb_kv_replica_state (cancellations->deps.kv_replica) == HZB_KV_REPLICA_FOLLOWING;
 }
 
-/* Peers rely on the promise of this controller to fence itself while they can't reach it, so it is never taken back. It
- * is not made before every peer can list what this controller lacks. Otherwise work would be lost in an outage of the
- * key-value store. */
+/* Returns: whether this controller has promised its peers to fence itself. Peers rely on the promise while they can't
+ * reach this controller, so the promise is never revoked. It is made only when every peer can list the cancellations
+ * that this controller lacks. Otherwise this controller would stop answering workers in an outage of the key-value
+ * store, and their work would be lost. */
 static gboolean
-fences_itself (HzbCancellations *cancellations)
+update_self_fencing (HzbCancellations *cancellations)
 {
-  if (!cancellations->self_fencing && cancellations->uses.node->settings->peers->len)
-    cancellations->self_fencing = hzb_peers_all_list_cancellations (cancellations->uses.peers);
+  if (!cancellations->self_fencing && cancellations->deps.node->settings->peers->len)
+    cancellations->self_fencing = hzb_peers_all_list_cancellations (cancellations->deps.peers);
   return cancellations->self_fencing;
 }
 
@@ -45,36 +47,37 @@
 hzb_cancellations_fill_heartbeat (HzbCancellations *cancellations, HzbPeerHeartbeat *heartbeat)
 {
   heartbeat->cancellations_known = known_revision (cancellations);
-  heartbeat->self_fenced = fences_itself (cancellations);
+  heartbeat->self_fenced = update_self_fencing (cancellations);
 }
 
 void
 hzb_cancellations_fill_reply (HzbCancellations *cancellations, const HzbPeerHeartbeat *request, HzbPeerHeartbeat *reply)
 {
   if (!request->lists_cancellations || !replica_follows (cancellations))
-    return; /* a version that lists no cancellations takes none either */
+    return; /* a version that lists no cancellations does not read listed ones either */
   reply->cancellations_up_to = hzb_cancellation_log_read (cancellations->log, request->cancellations_known,
-                                                          hzb_kv_replica_revision (cancellations->uses.kv_replica),
+                                                          hzb_kv_replica_revision (cancellations->deps.kv_replica),
                                                           MAX_LISTED_PER_REPLY, reply->cancellations);
 }
 
 static void
-learn (HzbCancellations *cancellations, const GArray *listed, guint64 up_to)
+apply_listed (HzbCancellations *cancellations, const GArray *listed, guint64 up_to)
 {
-  guint64 replicated_revision = hzb_kv_replica_revision (cancellations->uses.kv_replica);
+  guint64 replicated_revision = hzb_kv_replica_revision (cancellations->deps.kv_replica);
 
-  /* While the replica reads all records anew, this controller owns nothing, and what the reading does not show has
-   * moved to the archive of completed jobs. */
+  /* While the replica reloads all records, this controller owns nothing, and a listed job that the reload does not show
+   * has moved to the archive of completed jobs. */
   if (!replica_follows (cancellations))
     return;
   for (guint i = 0; i < listed->len; i++)
     {
       const HzbCancellation *cancellation = &g_array_index (listed, HzbCancellation, i);
-      /* A record that the replica has shown by now may have moved to the archive since: it must not be made again. */
+      /* A job whose record the replica has received already may have moved to the archive since. It must not be created
+       * again. */
       if (cancellation->revision > replicated_revision)
         hzb_cancellations_apply (cancellations, cancellation);
     }
-  cancellations->learned_revision = MAX (cancellations->learned_revision, up_to);
+  cancellations->peer_listed_revision = MAX (cancellations->peer_listed_revision, up_to);
 }
 
 gboolean
@@ -82,7 +85,7 @@
 {
   if (!reply->cancellations_up_to)
     return FALSE;
-  learn (cancellations, reply->cancellations, reply->cancellations_up_to);
+  apply_listed (cancellations, reply->cancellations, reply->cancellations_up_to);
   return known_revision (cancellations) >= reply->cancellations_up_to;
 }
 
@@ -96,14 +99,14 @@
 gboolean
 hzb_cancellations_may_answer_workers (HzbCancellations *cancellations)
 {
-  const HzbCancellationsDependencies *uses = &cancellations->uses;
+  const HzbCancellationsDependencies *deps = &cancellations->deps;
   struct timespec current_as_of;
 
-  /* A controller that has received no heartbeat yet fences itself too: peers may rely on the promise of the process
-   * before. */
-  if (!fences_itself (cancellations)
-      && (!uses->node->settings->peers->len || hzb_peers_any_lists_no_cancellations (uses->peers)))
+  /* A controller that has received no heartbeat yet fences itself too, because peers may rely on the promise of this
+   * controller's previous process. */
+  if (!update_self_fencing (cancellations)
+      && (!deps->node->settings->peers->len || hzb_peers_any_lists_no_cancellations (deps->peers)))
     return TRUE;
-  current_as_of = later_of (hzb_kv_replica_current_as_of (uses->kv_replica), hzb_peers_current_as_of (uses->peers));
-  return hzb_time_between (current_as_of, hzb_clock_now (uses->node->clock)) < HZB_CANCELLATIONS_MAX_AGE_S;
+  current_as_of = later_of (hzb_kv_replica_current_as_of (deps->kv_replica), hzb_peers_current_as_of (deps->peers));
+  return hzb_time_between (current_as_of, hzb_clock_now (deps->node->clock)) < HZB_CANCELLATIONS_MAX_AGE_S;
 }
--- a/src/cluster/cancellation-log.c
+++ b/src/cluster/cancellation-log.c
@@ -2,7 +2,7 @@
 
 struct _HzbCancellationLog
 {
-  GQueue entries; /* HzbCancellation, by rising revision */
+  GQueue entries; /* HzbCancellation, by ascending revision */
   guint capacity;
   guint64 complete_after; /* all cancellations with a higher revision are in the log */
 };
@@ -80,10 +80,10 @@
 }
 
 guint64
-hzb_cancellation_log_read (const HzbCancellationLog *log, guint64 after, guint64 upto, guint most, GArray *into)
+hzb_cancellation_log_read (const HzbCancellationLog *log, guint64 after, guint64 up_to, guint max_count, GArray *into)
 {
   GList *l = log->entries.tail;
-  guint64 last = after;
+  guint64 complete_up_to = after;
 
   if (after < log->complete_after)
     return 0;
@@ -93,10 +93,10 @@
   for (l = l ? l->next : log->entries.head; l; l = l->next)
     {
       const HzbCancellation *entry = l->data;
-      if (into->len >= most && entry->revision != last)
-        return last;
+      if (into->len >= max_count && entry->revision != complete_up_to)
+        return complete_up_to;
       hzb_cancellations_array_add (into, entry->uid, entry->revision, entry->n_tasks);
-      last = entry->revision;
+      complete_up_to = entry->revision;
     }
-  return MAX (upto, last);
+  return MAX (up_to, complete_up_to);
 }
--- a/src/cluster/cancellation-messages.c
+++ b/src/cluster/cancellation-messages.c
@@ -3,7 +3,7 @@
 #include "json.h"
 #include "user-protocol.h"
 
-static const char request_name[] = "cancelled", response_name[] = "heard";
+static const char request_field[] = "cancelled", response_field[] = "heard";
 
 cJSON *
 hzb_cancellations_encode (const GArray *cancellations)
@@ -22,7 +22,7 @@
 }
 
 gboolean
-hzb_cancellations_decode (const cJSON *list, GArray *into)
+hzb_cancellations_decode (const cJSON *list, GArray *cancellations)
 {
   gboolean well_formed = TRUE;
   const cJSON *item;
@@ -31,7 +31,7 @@
     {
       guint64 revision = hzb_json_u64 (item, "version");
       if (revision && hzb_job_uid_is_valid (item->string))
-        hzb_cancellations_array_add (into, item->string, revision, (guint) hzb_json_number (item, "n", 0));
+        hzb_cancellations_array_add (cancellations, item->string, revision, (guint) hzb_json_number (item, "n", 0));
       else
         well_formed = FALSE;
     }
@@ -42,7 +42,7 @@
 hzb_cancellation_request_encode (const GArray *cancellations, cJSON *poll)
 {
   if (cancellations->len)
-    cJSON_AddItemToObject (poll, request_name, hzb_cancellations_encode (cancellations));
+    cJSON_AddItemToObject (poll, request_field, hzb_cancellations_encode (cancellations));
 }
 
 GArray *
@@ -50,17 +50,17 @@
 {
   GArray *cancellations;
 
-  if (!cJSON_HasObjectItem (poll, request_name))
+  if (!cJSON_HasObjectItem (poll, request_field))
     return NULL;
   cancellations = hzb_cancellations_array_new ();
-  hzb_cancellations_decode (cJSON_GetObjectItemCaseSensitive (poll, request_name), cancellations);
+  hzb_cancellations_decode (cJSON_GetObjectItemCaseSensitive (poll, request_field), cancellations);
   return cancellations;
 }
 
 void
 hzb_cancellation_response_encode (char *const *acknowledged_uids, cJSON *answer)
 {
-  cJSON *list = cJSON_AddArrayToObject (answer, response_name);
+  cJSON *list = cJSON_AddArrayToObject (answer, response_field);
 
   for (; *acknowledged_uids; acknowledged_uids++)
     cJSON_AddItemToArray (list, cJSON_CreateString (*acknowledged_uids));
@@ -69,7 +69,7 @@
 char **
 hzb_cancellation_response_decode (const cJSON *answer)
 {
-  return hzb_json_string_list (cJSON_GetObjectItemCaseSensitive (answer, response_name));
+  return hzb_json_string_list (cJSON_GetObjectItemCaseSensitive (answer, response_field));
 }
 
 HzbFlushedCancellations
--- a/src/cluster/cancellations-private.h
+++ b/src/cluster/cancellations-private.h
@@ -8,36 +8,42 @@
 /** _HzbCancellations: the state behind cancellations.h. */
 struct _HzbCancellations
 {
-  HzbCancellationsDependencies uses;   /**< not owned */
-  HzbCancellationsCallbacks callbacks; /**< upwards */
-  gpointer user;                       /**< for the callbacks */
+  HzbCancellationsDependencies deps;   /**< modules that are used, none owned */
+  HzbCancellationsCallbacks callbacks; /**< functions of the caller */
+  gpointer user;                       /**< passed to the callbacks */
 
   /* cancellation-requests.c */
-  GQueue requests;              /**< PendingRequest, the one first that was sent longest ago */
-  gboolean reading;             /**< a read of the flush record is in flight */
-  struct timespec next_attempt; /**< when to look again for the leader's acknowledgements */
+  GQueue requests;               /**< PendingRequest, least recently sent first */
+  gboolean reading_flush_record; /**< a read of the flush record is in flight */
+  struct timespec next_attempt;  /**< earliest time of the next check of a leader that can't be asked */
 
   /* cancellation-knowledge.c */
-  HzbCancellationLog *log;  /**< (owned) */
-  guint64 learned_revision; /**< peers have listed all cancellations up to this revision */
-  gboolean self_fencing;    /**< this process answers no worker once it could have missed a cancellation; stays TRUE */
+  HzbCancellationLog *log;      /**< (owned): cancellations that the replica of the records has received */
+  guint64 peer_listed_revision; /**< peers have listed all cancellations up to this revision */
+  gboolean self_fencing;        /**< this process promised its peers to fence itself; never reset */
 };
 
 /**
- * hzb_cancellations_replica_has: this controller's replica has all records up to that of the job, including those of
- * elections.
+ * hzb_cancellations_is_replicated:
+ *
+ * Returns: TRUE if this controller's replica has all records up to the one that completed the job, including the
+ * records of elections
  */
-gboolean hzb_cancellations_replica_has (const HzbCancellations *cancellations, const HzbJob *job);
+gboolean hzb_cancellations_is_replicated (const HzbCancellations *cancellations, const HzbJob *job);
 
 /**
- * hzb_cancellations_leader_acknowledges: on the leader: nothing of the job can be where its cancellation is not known.
+ * hzb_cancellations_leader_acknowledges: on the leader: announces the cancellation to the leaseholders if tasks of the
+ * job are left.
+ *
+ * Returns: TRUE if no machine or leaseholder that does not know the cancellation can have a task of the job
  */
 gboolean hzb_cancellations_leader_acknowledges (HzbCancellations *cancellations, HzbJob *job);
 
 /**
- * hzb_cancellations_apply: a cancellation that this controller's own replica of the records may not have shown yet.
+ * hzb_cancellations_apply: cancels the job of a cancellation that this controller's own replica of the records may not
+ * have received yet.
  *
- * Returns: (transfer none) (nullable): the job; NULL if it can't be
+ * Returns: (transfer none) (nullable): the job; NULL if the cancellation can't be applied
  */
 HzbJob *hzb_cancellations_apply (HzbCancellations *cancellations, const HzbCancellation *cancellation);
 
--- a/src/cluster/cancellations.h
+++ b/src/cluster/cancellations.h
@@ -1,11 +1,11 @@
 /**
  * SECTION: cancellations
- * @short_description: when a cancelled job may be confirmed to users as cancelled
+ * @short_description: decides when a cancelled job may be confirmed to users as cancelled
  *
- * A cancellation is confirmed only once no controller can act without it any more: none can start a task of the job, or
- * renew the lease of a worker without stopping what runs of the job there. cancellations.c gives the argument.
+ * A cancellation is confirmed only when no controller can act without knowing it: no controller can start a task of the
+ * job, or renew the lease of a worker without stopping the job's tasks there. cancellations.c gives the argument.
  *
- * Four concerns, a source file each: the rules of acknowledgement (cancellations.c), requests to the leader
+ * The module has four source files: the rules of acknowledgement (cancellations.c), requests to the leader
  * (cancellation-requests.c), what this controller knows and tells its peers (cancellation-knowledge.c), and the
  * messages (cancellation-messages.h).
  */
@@ -22,98 +22,110 @@
 /** HzbCancellations: opaque. */
 typedef struct _HzbCancellations HzbCancellations;
 
-/** HzbCancellationsDependencies: the modules that are used; none is owned, all must outlive the #HzbCancellations. */
+/** HzbCancellationsDependencies: modules that #HzbCancellations uses; none is owned, and all must outlive it. */
 typedef struct
 {
   const HzbNode *node;            /**< this controller */
   HzbKvClient *kv;                /**< to read the leader's flush record */
-  const HzbKvReplica *kv_replica; /**< asked for its revision and its age */
-  HzbElection *election;          /**< who leads, in which term */
-  const HzbOwnership *ownership;  /**< whether this controller has loaded its records as leader */
-  HzbJobs *jobs;                  /**< cancellations that peers list are applied to it */
-  HzbPeers *peers;                /**< what other controllers know */
+  const HzbKvReplica *kv_replica; /**< provides its revision and how old its state is */
+  HzbElection *election;          /**< provides the leader and the term */
+  const HzbOwnership *ownership;  /**< tells whether this controller leads and has loaded the records */
+  HzbJobs *jobs;                  /**< jobs that cancellations listed by peers are applied to */
+  HzbPeers *peers;                /**< tells which cancellations other controllers know */
 } HzbCancellationsDependencies;
 
-/** HzbCancellationsCallbacks: what the modules above do. All are set. */
+/** HzbCancellationsCallbacks: functions that the caller provides. None may be NULL. */
 typedef struct
 {
   /** On the leader: queues the cancellation for every leaseholder, once for each job. */
   void (*announce) (HzbJob *job, gpointer user);
 
-  /** On the leader: every leaseholder that was delegated a task of this job has acknowledged the cancellation. */
+  /**
+   * On the leader.
+   * Returns: TRUE if every leaseholder that was delegated a task of this job has acknowledged the cancellation
+   */
   gboolean (*all_leaseholders_acknowledged) (const HzbJob *job, gpointer user);
 
-  /** A request waits for the leader: poll it soon. */
+  /** Called when a request for the leader is pending, so that the leader is polled soon. */
   void (*poll_leader_soon) (gpointer user);
 } HzbCancellationsCallbacks;
 
 /**
- * hzb_cancellations_new: copies both structures. `user` is passed to the callbacks.
+ * hzb_cancellations_new: copies both structures. `user` is passed to the callbacks and is not owned.
  *
  * Returns: (transfer full)
  */
 HzbCancellations *hzb_cancellations_new (const HzbCancellationsDependencies *dependencies,
                                          const HzbCancellationsCallbacks *callbacks, gpointer user);
 
-/** hzb_cancellations_free: must not be called while a read of the key-value store is in flight. */
+/** hzb_cancellations_free: frees the structure. No read of the key-value store may be in flight. */
 void hzb_cancellations_free (HzbCancellations *cancellations);
 
-/** hzb_cancellations_tick: looks for acknowledgements of a leader that can't be asked. */
+/**
+ * hzb_cancellations_tick: looks for acknowledgements of a leader that can't be asked: one that is unreachable, or of
+ * schema version 1. Does so for pending requests, once a second at most.
+ */
 void hzb_cancellations_tick (HzbCancellations *cancellations, struct timespec now);
 
 /* ---- acknowledgement ---- */
 
 /**
- * hzb_cancellations_acknowledged: no controller can act without the cancellation of this job any more. Once TRUE, it
- * stays TRUE.
+ * hzb_cancellations_is_acknowledged:
+ *
+ * Returns: TRUE if no controller can act without the cancellation of this job any more. The result of a job never
+ * changes from TRUE to FALSE.
  */
-gboolean hzb_cancellations_acknowledged (HzbCancellations *cancellations, HzbJob *job);
+gboolean hzb_cancellations_is_acknowledged (HzbCancellations *cancellations, HzbJob *job);
 
 /**
- * hzb_cancellations_acknowledged_revision: on the leader: it acknowledges all cancellations that were recorded up to
- * this revision.
+ * hzb_cancellations_acknowledged_revision: on the leader.
+ *
+ * Returns: the revision up to which the leader acknowledges all recorded cancellations; 0 if this controller is not a
+ * leader that has loaded the records, or if a cancelled job has no record yet
  */
 guint64 hzb_cancellations_acknowledged_revision (HzbCancellations *cancellations);
 
 /* ---- requests to the leader ---- */
 
 /**
- * hzb_cancellations_request: asks the leader to acknowledge the cancellation of this job; the request is repeated for
- * 10 s.
+ * hzb_cancellations_request: asks the leader to acknowledge the cancellation of this job. The request is sent with each
+ * poll of the leader for 10 s.
  *
- * Returns: FALSE if there is no leader that can be asked just now
+ * Returns: FALSE if no leader can be asked at the moment
  */
 gboolean hzb_cancellations_request (HzbCancellations *cancellations, HzbJob *job);
 
 /**
- * hzb_cancellations_next_requests: the cancellations that the next poll asks the leader to acknowledge.
+ * hzb_cancellations_next_requests: selects the requests that the next poll of the leader carries, and drops those that
+ * have expired or are acknowledged.
  *
- * Returns: (transfer full) (element-type HzbCancellation): empty if there is none
+ * Returns: (transfer full) (element-type HzbCancellation): the cancellations to acknowledge; may be empty
  */
 GArray *hzb_cancellations_next_requests (HzbCancellations *cancellations);
 
 /**
- * hzb_cancellations_acknowledge: on the leader: which of the requested cancellations (element-type HzbCancellation) it
- * acknowledges.
+ * hzb_cancellations_acknowledge: on the leader: applies the requested cancellations (element-type HzbCancellation) and
+ * decides which of them it acknowledges.
  *
- * Returns: (transfer full): the uids of their jobs. Free with g_strfreev().
+ * Returns: (transfer full): the uids of the jobs whose cancellation the leader acknowledges. Free with g_strfreev().
  */
 char **hzb_cancellations_acknowledge (HzbCancellations *cancellations, const GArray *requested);
 
 /**
- * hzb_cancellations_handle_response: takes the acknowledgements in an answer of the leader of this term; `acknowledged_uids` is
- * a string array.
+ * hzb_cancellations_handle_response: applies the acknowledgements in a response of the leader of this term.
+ * `acknowledged_uids` is a NULL-terminated array of job uids.
  */
 void hzb_cancellations_handle_response (HzbCancellations *cancellations, guint64 term, char *const *acknowledged_uids);
 
-/* ---- what this controller knows ---- */
+/* ---- cancellations known to this controller ---- */
 
 /**
- * hzb_cancellations_note_record: the replica of the records has shown how a job completed, recorded at this revision.
+ * hzb_cancellations_note_record: called when the replica of the records has received the record of a completed job,
+ * which was written at this revision. Cancelled jobs are added to the log of cancellations.
  */
 void hzb_cancellations_note_record (HzbCancellations *cancellations, const HzbJob *job, guint64 revision);
 
-/** hzb_cancellations_note_load: the replica of the records has read all records anew, as of this revision. */
+/** hzb_cancellations_note_load: called when the replica of the records has reloaded all records as of this revision. */
 void hzb_cancellations_note_load (HzbCancellations *cancellations, guint64 revision);
 
 /** hzb_cancellations_fill_heartbeat: see #HzbPeersCallbacks. */
@@ -127,7 +139,9 @@
 gboolean hzb_cancellations_apply_reply (HzbCancellations *cancellations, const HzbPeerHeartbeat *reply);
 
 /**
- * hzb_cancellations_may_answer_workers: this controller can't have missed a cancellation that others rely on. While
- * FALSE it is self-fenced and must not answer a worker.
+ * hzb_cancellations_may_answer_workers:
+ *
+ * Returns: FALSE if this controller may have missed a cancellation that other controllers rely on it to know. It is
+ * self-fenced then and must not answer workers.
  */
 gboolean hzb_cancellations_may_answer_workers (HzbCancellations *cancellations);
--- a/src/cluster/election-campaign.c
+++ b/src/cluster/election-campaign.c
@@ -1,12 +1,12 @@
-/* How this controller becomes the leader, and remains it: campaigns, and renewals of the lease. */
+/* Campaigns of this controller for the leadership, and renewals of the leader's lease. */
 #include "election-codec.h"
 #include "election-private.h"
 #include "node.h"
 #include "record-keys.h"
 
 #define LEASE_MS 4000
-/* The lease counts from when it was requested or renewed here. Clocks may drift apart by this factor, and this margin
- * is left. */
+/* How long the leader relies on its lease, in seconds from when it sent the request or the renewal. The factor allows
+ * for clock drift between this controller and the key-value store; 0.05 s is a safety margin. */
 #define LEASE_VALID_S (LEASE_MS / 1000.0 * 0.999 - 0.05)
 
 static void
@@ -28,7 +28,8 @@
     return;
   if (result != HZB_KV_OK)
     {
-      hzb_election_give_up (election, "the campaign failed");
+      hzb_election_become_follower (election,
+                                    "the transaction that takes the leadership failed or its outcome is unknown");
       return;
     }
   hzb_kv_commit_decode (body, &election->term_version, NULL);
@@ -44,7 +45,7 @@
   return election->schema_version >= HZB_SCHEMA_VERSION_2 ? HZB_KEY_LEADER_SCHEMA_2 : HZB_KEY_LEADER_SCHEMA_1;
 }
 
-/* The record of this controller's leadership. Returns: (transfer full) */
+/* Returns: (transfer full): the record of this controller's leadership */
 static cJSON *
 encode_own_leadership (const HzbElection *election)
 {
@@ -68,7 +69,7 @@
   HzbKvTransaction *transaction;
 
   if (election->schema_version >= HZB_SCHEMA_VERSION_2 || election->raising_schema
-      || !hzb_election_lease_valid (election))
+      || !hzb_election_is_lease_valid (election))
     return;
   election->raising_schema = TRUE;
   transaction = hzb_kv_transaction_new ();
@@ -82,16 +83,16 @@
   hzb_kv_client_commit (election->kv, HZB_KV_LEASE, transaction, on_schema_raised, election);
 }
 
-/* Takes the leadership, on condition that no leader is recorded and that the term is still the last one that was seen.
- */
+/* Sends the transaction that takes the leadership. Its conditions are that no leader is recorded and that the term is
+ * still the one that the replica of the records shows. */
 static void
 campaign (HzbElection *election)
 {
   HzbKvTransaction *transaction = hzb_kv_transaction_new ();
 
-  election->term = election->seen_term + 1;
+  election->term = election->replicated_term + 1;
   hzb_kv_transaction_compare (transaction, leader_key (election), 0);
-  hzb_kv_transaction_compare (transaction, HZB_KEY_TERM, election->seen_term_version);
+  hzb_kv_transaction_compare (transaction, HZB_KEY_TERM, election->replicated_term_version);
   hzb_kv_transaction_put (transaction, leader_key (election), encode_own_leadership (election), election->lease);
   hzb_kv_transaction_put (transaction, HZB_KEY_TERM, hzb_term_record_encode (election->term, election->settings->node),
                           0);
@@ -108,9 +109,9 @@
     return;
   election->lease = result == HZB_KV_OK ? hzb_kv_lease_decode (body) : 0;
   if (election->leader)
-    hzb_election_give_up (election, "another controller leads");
+    hzb_election_become_follower (election, "another controller leads");
   else if (!election->lease)
-    hzb_election_give_up (election, "the key-value store granted no lease");
+    hzb_election_become_follower (election, "the key-value store granted no lease");
   else
     campaign (election);
 }
@@ -120,14 +121,14 @@
 {
   HzbElection *election;
   guint64 lease;
-} Renewal;
+} RenewalCall;
 
 static void
 on_renewed (HzbKvResult result, const char *body, gpointer user)
 {
-  g_autofree Renewal *renewal = user;
+  g_autofree RenewalCall *renewal = user;
   HzbElection *election = renewal->election;
-  /* An answer about the lease of an earlier leadership says nothing about this one. */
+  /* The response may be about the lease of an earlier leadership, which says nothing about the current lease. */
   if (election->state != HZB_ELECTION_LEADING || renewal->lease != election->lease)
     return;
   election->renewing = FALSE;
@@ -136,14 +137,14 @@
   else if (result == HZB_KV_NOT_FOUND)
     {
       election->lease = 0;
-      hzb_election_give_up (election, "the lease has expired");
+      hzb_election_become_follower (election, "the lease of the leadership has expired");
     }
 }
 
 void
 hzb_election_renew (HzbElection *election, struct timespec now)
 {
-  Renewal *renewal = g_new0 (Renewal, 1);
+  RenewalCall *renewal = g_new0 (RenewalCall, 1);
   renewal->election = election;
   renewal->lease = election->lease;
   election->renewing = TRUE;
@@ -152,19 +153,21 @@
 }
 
 void
-hzb_election_follow (HzbElection *election, struct timespec now)
+hzb_election_start_campaign (HzbElection *election, struct timespec now)
 {
   election->backing_off = FALSE;
   if (election->leader && g_str_equal (election->leader, election->settings->node))
     {
-      /* The record is of an earlier process of this controller, or of a campaign whose answer was lost. What that
-       * leadership may have done is not known here, so the lease is revoked and the leadership is not continued. */
-      hzb_election_set_state (election, HZB_ELECTION_REVOKING_OLD_LEASE, "an earlier process of this controller leads");
+      /* The record was written by an earlier process of this controller, or by a campaign whose response was lost. This
+       * process does not know what was done under that leadership, so it revokes the lease instead of continuing to
+       * lead. */
+      hzb_election_set_state (election, HZB_ELECTION_REVOKING_OLD_LEASE,
+                              "the leader on record is an earlier process of this controller");
       hzb_kv_client_revoke_lease (election->kv, election->leader_lease, on_old_lease_revoked, election);
     }
   else if (!election->leader)
     {
-      hzb_election_set_state (election, HZB_ELECTION_LEASING, "there is no leader");
+      hzb_election_set_state (election, HZB_ELECTION_LEASING, "no leader is recorded");
       election->lease_requested = now;
       hzb_kv_client_grant_lease (election->kv, LEASE_MS, on_lease, election);
     }
--- a/src/cluster/election-private.h
+++ b/src/cluster/election-private.h
@@ -6,53 +6,61 @@
 #include "election.h"
 
 /**
- * HZB_ELECTION_RETRY_S: after a campaign or a leadership has ended, this controller does not campaign for so many
- * seconds.
+ * HZB_ELECTION_RETRY_S: delay in seconds from the end of a campaign or leadership to the next campaign of this
+ * controller.
  */
 #define HZB_ELECTION_RETRY_S 0.3
 
 /** _HzbElection: the state behind election.h. */
 struct _HzbElection
 {
-  HzbKvClient *kv;               /**< (not owned) */
-  HzbClock *clock;               /**< (not owned) */
-  const HzbSettings *settings;   /**< (not owned) */
-  GRand *rand;                   /**< (not owned): so that controllers do not campaign at the same moment */
-  HzbElectionState state;        /**< changed by hzb_election_set_state() only */
-  char *incarnation;             /**< (owned): of this process, in the record of leadership */
-  gboolean eager;                /**< campaign before others do */
-  gboolean backing_off;          /**< let others campaign first */
-  struct timespec next_campaign; /**< no campaign begins before */
-
-  guint64 lease;                     /**< of the last campaign, or of the leadership; 0: none */
-  guint64 term;                      /**< of the last campaign, or of the leadership */
-  guint64 term_version;              /**< version of the record of the term, as the leadership began with it */
+  HzbKvClient *kv;             /**< (not owned) */
+  HzbClock *clock;             /**< (not owned) */
+  const HzbSettings *settings; /**< (not owned) */
+  GRand *rand;            /**< (not owned): for random delays, so that controllers do not campaign simultaneously */
+  HzbElectionState state; /**< changed by hzb_election_set_state() only */
+  char *incarnation;      /**< (owned): identifies this process in the record of leadership */
+  gboolean preferred;     /**< this controller waits for a shorter time before it campaigns than others do */
+  gboolean backing_off;   /**< hzb_election_back_off() has set `ref` next_campaign */
+  struct timespec next_campaign; /**< earliest time of the next campaign */
+
+  guint64 lease;                     /**< lease of the current campaign or leadership; 0: none */
+  guint64 term;                      /**< term of the last campaign; 0: none */
+  guint64 term_version;              /**< version of the record of the term as this leader wrote it */
   struct timespec lease_requested;   /**< when the lease of the last campaign was requested */
   struct timespec renewal_sent;      /**< when the lease was last requested or its renewal sent */
-  struct timespec lease_valid_until; /**< until then no other controller can be elected */
+  struct timespec lease_valid_until; /**< no other controller can be elected before this time */
   gboolean renewing;                 /**< a renewal is in flight */
   gboolean raising_schema;           /**< the transaction that raises the schema version is in flight */
 
-  guint64 seen_term;         /**< by the replica of the records: the highest term */
-  guint64 seen_term_version; /**< by the replica: version of the record of the term */
-  char *leader;              /**< by the replica (nullable) (owned): who leads */
-  guint64 leader_lease;      /**< by the replica: of the last leader, also after its record was deleted */
-  guint64 leader_term;       /**< by the replica: of the last leader, also after its record was deleted */
-  guint64 leader_version;    /**< by the replica: version of the record of leadership */
-  guint schema_version;      /**< by the replica: the version of records that every controller reads */
+  /* as the replica of the records shows it */
+  guint64 replicated_term;         /**< highest term */
+  guint64 replicated_term_version; /**< version of the record of the term */
+  char *leader;                    /**< (nullable) (owned): name of the leader; NULL: none */
+  guint64 leader_lease;            /**< lease of the last leader; kept after its record was deleted */
+  guint64 leader_term;             /**< term of the last leader; kept after its record was deleted */
+  guint64 leader_version;          /**< version of the record of leadership */
+  guint schema_version;            /**< schema version that every controller can read */
 };
 
-/** hzb_election_set_state: changes and logs the state. A change that is not allowed is logged, and nothing changes. */
-void hzb_election_set_state (HzbElection *election, HzbElectionState to, const char *why);
+/**
+ * hzb_election_set_state: changes the state and logs the change with the reason. A change that is not allowed is
+ * logged as a fault, and the state remains.
+ */
+void hzb_election_set_state (HzbElection *election, HzbElectionState to, const char *reason);
 
-/** hzb_election_give_up: ends a campaign or a leadership, and revokes its lease. */
-void hzb_election_give_up (HzbElection *election, const char *why);
+/**
+ * hzb_election_become_follower: ends a campaign or a leadership for a reason that is logged, and revokes the
+ * lease, if there is one.
+ */
+void hzb_election_become_follower (HzbElection *election, const char *reason);
 
 /**
- * hzb_election_follow: there may be no leader: campaigns, after ending what an earlier process of this controller
- * left.
+ * hzb_election_start_campaign: requests a lease to campaign with if no leader is recorded. If the record names an
+ * earlier process of this controller, revokes the lease of that process instead; the campaign follows at a later tick.
+ * Does nothing if another controller leads.
  */
-void hzb_election_follow (HzbElection *election, struct timespec now);
+void hzb_election_start_campaign (HzbElection *election, struct timespec now);
 
-/** hzb_election_renew: while leading, sends a renewal of the lease. */
+/** hzb_election_renew: on the leader: sends a renewal of the lease. */
 void hzb_election_renew (HzbElection *election, struct timespec now);
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -1,4 +1,4 @@
-/* Who leads: what the replica of the records shows, and the state of this controller. */
+/* Election: applies the records of elections from the replica, and keeps the election state of this controller. */
 #include "election-private.h"
 
 #include "election-codec.h"
@@ -8,6 +8,11 @@
 #define RENEW_INTERVAL_S 0.9
 #define STEP_DOWN_PAUSE_S 2.0
 
+/* Bounds of campaign_delay_s(). */
+#define PREFERRED_MAX_DELAY_S 0.03
+#define MIN_DELAY_S 0.05
+#define MAX_DELAY_S 0.4
+
 static const char *const state_names[HZB_ELECTION_N_STATES] = {
   [HZB_ELECTION_FOLLOWING] = "following", [HZB_ELECTION_REVOKING_OLD_LEASE] = "revoking-old-lease",
   [HZB_ELECTION_LEASING] = "leasing",     [HZB_ELECTION_CAMPAIGNING] = "campaigning",
@@ -22,7 +27,7 @@
   [HZB_ELECTION_LEADING] = 1 << HZB_ELECTION_FOLLOWING,
 };
 
-/* A lease is held from the campaign on, and no more once the controller follows again. */
+/* A controller holds a lease exactly while it campaigns or leads. */
 static void
 assert_invariants (const HzbElection *election)
 {
@@ -33,7 +38,7 @@
 }
 
 void
-hzb_election_set_state (HzbElection *election, HzbElectionState to, const char *why)
+hzb_election_set_state (HzbElection *election, HzbElectionState to, const char *reason)
 {
   if (!(legal_changes[election->state] & 1u << to))
     {
@@ -44,9 +49,9 @@
     }
   if (to == HZB_ELECTION_LEADING || election->state == HZB_ELECTION_LEADING)
     g_message ("election: %s -> %s (term %" G_GUINT64_FORMAT "): %s", state_names[election->state], state_names[to],
-               election->term, why);
+               election->term, reason);
   else
-    g_debug ("election: %s -> %s: %s", state_names[election->state], state_names[to], why);
+    g_debug ("election: %s -> %s: %s", state_names[election->state], state_names[to], reason);
   election->state = to;
   assert_invariants (election);
 }
@@ -73,13 +78,13 @@
 }
 
 gboolean
-hzb_election_leading (HzbElection *election)
+hzb_election_is_leader (HzbElection *election)
 {
   return election->state == HZB_ELECTION_LEADING;
 }
 
 gboolean
-hzb_election_lease_valid (HzbElection *election)
+hzb_election_is_lease_valid (HzbElection *election)
 {
   return election->state == HZB_ELECTION_LEADING
          && hzb_time_before (hzb_clock_now (election->clock), election->lease_valid_until);
@@ -98,9 +103,9 @@
 }
 
 gboolean
-hzb_election_term_replicated (HzbElection *election)
+hzb_election_is_term_replicated (HzbElection *election)
 {
-  return election->state == HZB_ELECTION_LEADING && election->seen_term == election->term;
+  return election->state == HZB_ELECTION_LEADING && election->replicated_term == election->term;
 }
 
 const char *
@@ -109,7 +114,7 @@
   if (election->state == HZB_ELECTION_LEADING)
     return election->settings->node;
   if (election->leader && g_str_equal (election->leader, election->settings->node))
-    return NULL; /* an earlier process of this controller, which has ended */
+    return NULL; /* the record names an earlier process of this controller, which has ended */
   return election->leader;
 }
 
@@ -122,14 +127,16 @@
 guint64
 hzb_election_leader_term (HzbElection *election)
 {
-  return election->state == HZB_ELECTION_LEADING ? election->term : election->seen_term;
+  return election->state == HZB_ELECTION_LEADING ? election->term : election->replicated_term;
 }
 
+/* Returns: a random delay in seconds, so that controllers do not campaign simultaneously. The delay of a preferred
+ * controller is always shorter than that of another one. */
 static double
-jitter (HzbElection *election)
+campaign_delay_s (HzbElection *election)
 {
-  return election->eager ? g_rand_double_range (election->rand, 0, 0.03)
-                         : g_rand_double_range (election->rand, 0.05, 0.4);
+  return election->preferred ? g_rand_double_range (election->rand, 0, PREFERRED_MAX_DELAY_S)
+                             : g_rand_double_range (election->rand, MIN_DELAY_S, MAX_DELAY_S);
 }
 
 static void
@@ -137,33 +144,34 @@
 {
 }
 
-/* The outcome of the last campaign may be unknown. Once its lease is revoked, the key-value store refuses a late
- * transaction that names the lease, so such a transaction can't make this controller the leader without its knowledge.
- */
+/* The lease is revoked because the outcome of the last campaign may be unknown. The key-value store refuses a
+ * transaction that names a revoked lease, so a late transaction of that campaign can't make this controller the leader
+ * without its knowledge. */
 void
-hzb_election_give_up (HzbElection *election, const char *why)
+hzb_election_become_follower (HzbElection *election, const char *reason)
 {
   if (election->lease)
     hzb_kv_client_revoke_lease (election->kv, election->lease, ignore_result, election);
   election->lease = 0;
-  election->next_campaign = hzb_time_plus (hzb_clock_now (election->clock), HZB_ELECTION_RETRY_S + jitter (election));
-  hzb_election_set_state (election, HZB_ELECTION_FOLLOWING, why);
+  election->next_campaign =
+      hzb_time_plus (hzb_clock_now (election->clock), HZB_ELECTION_RETRY_S + campaign_delay_s (election));
+  hzb_election_set_state (election, HZB_ELECTION_FOLLOWING, reason);
 }
 
 void
-hzb_election_step_down (HzbElection *election, const char *why)
+hzb_election_step_down (HzbElection *election, const char *reason)
 {
   if (election->state == HZB_ELECTION_LEADING)
     {
-      hzb_election_give_up (election, why);
+      hzb_election_become_follower (election, reason);
       election->next_campaign = hzb_time_plus (hzb_clock_now (election->clock), STEP_DOWN_PAUSE_S);
     }
 }
 
 void
-hzb_election_set_eager (HzbElection *election, gboolean eager)
+hzb_election_set_preferred (HzbElection *election, gboolean preferred)
 {
-  election->eager = eager;
+  election->preferred = preferred;
 }
 
 void
@@ -176,12 +184,12 @@
 static void
 apply_term (HzbElection *election, const HzbKvEntry *entry)
 {
-  if (entry->version <= election->seen_term_version)
+  if (entry->version <= election->replicated_term_version)
     return;
-  election->seen_term_version = entry->version;
-  election->seen_term = hzb_term_record_decode (entry->value);
-  if (election->state == HZB_ELECTION_LEADING && election->seen_term > election->term)
-    hzb_election_give_up (election, "a newer term exists");
+  election->replicated_term_version = entry->version;
+  election->replicated_term = hzb_term_record_decode (entry->value);
+  if (election->state == HZB_ELECTION_LEADING && election->replicated_term > election->term)
+    hzb_election_become_follower (election, "the records show a newer term");
 }
 
 static void
@@ -190,13 +198,14 @@
   if (!entry->value || election->schema_version >= HZB_SCHEMA_VERSION_2)
     return;
   election->schema_version = hzb_schema_version_record_decode (entry->value);
-  g_message ("election: every controller reads schema version %u; processes of version 1 are refused from now on",
+  g_message ("election: every controller reads schema version %u; messages from processes of version 1 are "
+             "refused from now on",
              election->schema_version);
 }
 
-/* The record of leadership shows that this controller's leadership has ended. */
+/* TRUE if the record of leadership shows that this controller's leadership has ended. */
 static gboolean
-is_deposed (const HzbElection *election)
+has_lost_leadership (const HzbElection *election)
 {
   if (election->state != HZB_ELECTION_LEADING)
     return FALSE;
@@ -219,11 +228,11 @@
       election->leader_term = record.term;
     }
   else if (!election->backing_off)
-    election->next_campaign = hzb_time_plus (hzb_clock_now (election->clock), jitter (election));
-  if (is_deposed (election))
+    election->next_campaign = hzb_time_plus (hzb_clock_now (election->clock), campaign_delay_s (election));
+  if (has_lost_leadership (election))
     {
       election->lease = 0;
-      hzb_election_give_up (election, "the record of this leadership is gone or was replaced");
+      hzb_election_become_follower (election, "the record of this leadership was deleted or replaced");
     }
 }
 
@@ -250,5 +259,5 @@
     }
   else if (election->state == HZB_ELECTION_FOLLOWING && kv_replica_fresh
            && !hzb_time_before (now, election->next_campaign))
-    hzb_election_follow (election, now);
+    hzb_election_start_campaign (election, now);
 }
--- a/src/cluster/election.h
+++ b/src/cluster/election.h
@@ -1,17 +1,17 @@
 /**
  * SECTION: election
- * @short_description: leadership by a lease of the key-value store
+ * @short_description: leader election with a lease of the key-value store
  *
  * A controller leads while the record of leadership names it. That record is attached to a lease that the leader
- * renews. The transaction that takes the leadership requires that no such record exists, and raises the one counter of
- * terms, so the term of a later leader exceeds those of all leaders before it. Writes of the leader are conditional on
- * the record of the term, so they fail once a later leader was elected.
+ * renews. The transaction that takes the leadership requires that no such record exists, and increments the term, which
+ * is one counter for the cluster, so each leader has a higher term than all earlier leaders. Writes of the leader are
+ * conditional on the record of the term, so they fail after a later leader has been elected.
  */
 #pragma once
 #include "kv-client.h"
 #include "kv-protocol.h"
 
-/** HzbElectionState: how far this controller is on its way to leadership. */
+/** HzbElectionState: the steps of this controller from follower to leader. */
 typedef enum
 {
   HZB_ELECTION_FOLLOWING,          /**< another controller leads, or none does */
@@ -19,83 +19,92 @@
   HZB_ELECTION_LEASING,            /**< this controller requests a lease to campaign with */
   HZB_ELECTION_CAMPAIGNING,        /**< the transaction that takes the leadership is in flight */
   HZB_ELECTION_LEADING,            /**< elected */
-  HZB_ELECTION_N_STATES            /**< how many states there are */
+  HZB_ELECTION_N_STATES            /**< number of states */
 } HzbElectionState;
 
 /** HzbElection: opaque. */
 typedef struct _HzbElection HzbElection;
 
 /**
- * hzb_election_new: following, with no known leader. The arguments are not owned. Draws two numbers of `rand`.
+ * hzb_election_new: creates an election that follows and knows no leader. The arguments are not owned and must outlive
+ * the election. Draws two numbers from `rand` for the incarnation.
  *
  * Returns: (transfer full)
  */
 HzbElection *hzb_election_new (HzbKvClient *kv, HzbClock *clock, const HzbSettings *settings, GRand *rand);
 
-/** hzb_election_free: must not be called while a call of the key-value store is in flight. */
+/** hzb_election_free: frees the election. No call to the key-value store may be in flight. */
 void hzb_election_free (HzbElection *election);
 
 /**
- * hzb_election_apply_record: the replica of the records has shown an entry. Entries that do not concern elections are
- * ignored.
+ * hzb_election_apply_record: applies an entry that the replica of the records has received. Entries that do not concern
+ * elections are ignored.
  */
 void hzb_election_apply_record (HzbElection *election, const HzbKvEntry *entry);
 
 /**
- * hzb_election_tick: renews the lease, or campaigns when there is no leader. No campaign begins while the replica is
- * not fresh.
+ * hzb_election_tick: renews the lease of a leader; campaigns if no leader is known. No campaign starts while the
+ * replica of the records is not fresh.
  */
 void hzb_election_tick (HzbElection *election, gboolean kv_replica_fresh);
 
 /**
- * hzb_election_step_down: gives up the leadership, and campaigns again after 2 s at the earliest. Does nothing if not
- * leading.
+ * hzb_election_step_down: ends the leadership for a reason that is logged. This controller does not campaign
+ * for the next 2 s. Does nothing if this controller does not lead.
  */
-void hzb_election_step_down (HzbElection *election, const char *why);
+void hzb_election_step_down (HzbElection *election, const char *reason);
 
-/** hzb_election_set_eager: an eager controller campaigns before others do. */
-void hzb_election_set_eager (HzbElection *election, gboolean eager);
+/** hzb_election_set_preferred: a preferred controller waits for a shorter time before it campaigns than others do. */
+void hzb_election_set_preferred (HzbElection *election, gboolean preferred);
 
-/** hzb_election_back_off: for so many seconds this controller does not campaign, so that others can be elected. */
+/** hzb_election_back_off: this controller does not campaign for the given seconds, so that others can be elected. */
 void hzb_election_back_off (HzbElection *election, double seconds);
 
-/** hzb_election_leading: this controller was elected, and does not know of a later leader. */
-gboolean hzb_election_leading (HzbElection *election);
+/** hzb_election_is_leader: Returns: TRUE if this controller was elected and knows of no later leader */
+gboolean hzb_election_is_leader (HzbElection *election);
 
-/** hzb_election_lease_valid: this controller leads, and no other controller can have been elected up to this moment. */
-gboolean hzb_election_lease_valid (HzbElection *election);
+/**
+ * hzb_election_is_lease_valid:
+ *
+ * Returns: TRUE if this controller leads and its lease is still valid, so no other controller can have been elected yet
+ */
+gboolean hzb_election_is_lease_valid (HzbElection *election);
 
-/** hzb_election_term: Returns: the term of this controller's last campaign; 0 if there was none */
+/** hzb_election_term: Returns: the term of this controller's last campaign; 0 if it has not campaigned */
 guint64 hzb_election_term (HzbElection *election);
 
-/** hzb_election_add_condition: the transaction fails once a newer term exists. */
+/**
+ * hzb_election_add_condition: adds a condition to a transaction of the leader, so that it fails if a newer term exists.
+ */
 void hzb_election_add_condition (HzbElection *election, HzbKvTransaction *transaction);
 
 /**
- * hzb_election_term_replicated: leading, and the replica of the records shows the own term, so it has all records of
- * earlier terms.
+ * hzb_election_is_term_replicated:
+ *
+ * Returns: TRUE if this controller leads and its replica of the records shows its own term; the replica then has all
+ * records of earlier terms
  */
-gboolean hzb_election_term_replicated (HzbElection *election);
+gboolean hzb_election_is_term_replicated (HzbElection *election);
 
 /**
  * hzb_election_leader:
  *
- * Returns: (transfer none) (nullable): name of the leader, this controller included; NULL if none is known
+ * Returns: (transfer none) (nullable): name of the leader, which may be this controller; NULL if no leader is known
  */
 const char *hzb_election_leader (HzbElection *election);
 
-/** hzb_election_schema_version: Returns: the version of records that every controller reads */
+/** hzb_election_schema_version: Returns: the schema version that every controller can read */
 guint hzb_election_schema_version (HzbElection *election);
 
 /**
- * hzb_election_raise_schema_version: on the leader, once every controller has stated version 2. It is recorded for
- * good.
+ * hzb_election_raise_schema_version: on the leader: records that every controller reads schema version 2. The caller
+ * has checked that every controller has stated it. The version is never lowered again.
  */
 void hzb_election_raise_schema_version (HzbElection *election);
 
 /**
  * hzb_election_leader_term:
  *
- * Returns: the highest term that the replica of the records shows; the own term while leading
+ * Returns: this controller's own term if it leads; otherwise the highest term that its replica of the records shows
  */
 guint64 hzb_election_leader_term (HzbElection *election);
--- a/src/cluster/ownership.c
+++ b/src/cluster/ownership.c
@@ -5,10 +5,10 @@
   HzbClock *clock;
   HzbOwnershipState state; /* changed by hzb_ownership_set_state() only */
   guint64 epoch;
-  struct timespec since;
+  struct timespec start_time;
 };
 
-/* In the log. */
+/* Names of the states in log lines. */
 static const char *const state_names[HZB_OWNERSHIP_N_STATES] = { "none", "leaseholder", "loading", "recovering",
                                                                  "ready" };
 
@@ -59,9 +59,9 @@
 }
 
 struct timespec
-hzb_ownership_since (const HzbOwnership *ownership)
+hzb_ownership_start_time (const HzbOwnership *ownership)
 {
-  return ownership->since;
+  return ownership->start_time;
 }
 
 void
@@ -71,7 +71,7 @@
 }
 
 gboolean
-hzb_ownership_set_state (HzbOwnership *ownership, HzbOwnershipState to, const char *why)
+hzb_ownership_set_state (HzbOwnership *ownership, HzbOwnershipState to, const char *reason)
 {
   HzbOwnershipState from = ownership->state;
 
@@ -82,10 +82,10 @@
           state_names[from], state_names[to]);
       return FALSE;
     }
-  g_message ("ownership: %s -> %s: %s", state_names[from], state_names[to], why);
+  g_message ("ownership: %s -> %s: %s", state_names[from], state_names[to], reason);
   ownership->state = to;
   if (to == HZB_OWNERSHIP_LEASEHOLDER || to == HZB_OWNERSHIP_RECOVERING)
-    ownership->since = hzb_clock_now (ownership->clock);
+    ownership->start_time = hzb_clock_now (ownership->clock);
   return TRUE;
 }
 
--- a/src/cluster/peer-heartbeat.c
+++ b/src/cluster/peer-heartbeat.c
@@ -5,7 +5,7 @@
 
 #include <math.h>
 
-#define MS_PER_S 1e3 /* ages are stated in whole milliseconds, rounded down */
+#define MS_PER_S 1e3 /* ages are sent in whole milliseconds, rounded down */
 
 static void
 task_counts_clear (gpointer data)
@@ -79,10 +79,10 @@
   cJSON *list = cJSON_AddArrayToObject (message, "knownMarks");
   for (guint i = 0; i < heartbeat->watermarks->len; i++)
     {
-      const HzbWatermarkAge *mark = &g_array_index (heartbeat->watermarks, HzbWatermarkAge, i);
+      const HzbWatermarkAge *watermark = &g_array_index (heartbeat->watermarks, HzbWatermarkAge, i);
       cJSON *item = cJSON_CreateObject ();
-      hzb_json_add_u64 (item, "version", mark->revision);
-      cJSON_AddNumberToObject (item, "ageS", floor (mark->age_s * MS_PER_S) / MS_PER_S);
+      hzb_json_add_u64 (item, "version", watermark->revision);
+      cJSON_AddNumberToObject (item, "ageS", floor (watermark->age_s * MS_PER_S) / MS_PER_S);
       cJSON_AddItemToArray (list, item);
     }
   hzb_json_add_u64 (message, "withheld", heartbeat->fenced_revision);
@@ -110,7 +110,7 @@
 void
 hzb_peer_heartbeat_encode (const HzbPeerHeartbeat *heartbeat, cJSON *message)
 {
-  cJSON_DeleteItemFromObject (message, "format"); /* a request has it from its envelope already */
+  cJSON_DeleteItemFromObject (message, "format"); /* the envelope of a request has added this field already */
   cJSON_AddNumberToObject (message, "format", heartbeat->schema_version);
   cJSON_AddBoolToObject (message, "leads", heartbeat->leads);
   hzb_json_add_u64 (message, "term", heartbeat->term);
@@ -149,10 +149,10 @@
 }
 
 static void
-decode_peer_states (HzbPeerHeartbeat *heartbeat, const cJSON *about)
+decode_peer_states (HzbPeerHeartbeat *heartbeat, const cJSON *peer_states)
 {
   const cJSON *item;
-  cJSON_ArrayForEach (item, about)
+  cJSON_ArrayForEach (item, peer_states)
     if (hzb_json_text (item, "node"))
       hzb_peer_heartbeat_add_peer_state (heartbeat, hzb_json_text (item, "node"), hzb_json_u64 (item, "born"),
                                          hzb_json_u64 (item, "cancelledKnown"),
@@ -166,13 +166,13 @@
   heartbeat->fenced_revision = hzb_json_u64 (message, "withheld");
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (message, "knownMarks"))
     {
-      HzbWatermarkAge mark = { hzb_json_u64 (item, "version"), hzb_json_number (item, "ageS", -1) };
-      if (mark.revision && mark.age_s >= 0)
-        g_array_append_val (heartbeat->watermarks, mark);
+      HzbWatermarkAge watermark = { hzb_json_u64 (item, "version"), hzb_json_number (item, "ageS", -1) };
+      if (watermark.revision && watermark.age_s >= 0)
+        g_array_append_val (heartbeat->watermarks, watermark);
     }
 }
 
-/* A malformed cancellation makes the list incomplete. Then the reply must not count as complete up to any revision. */
+/* A malformed cancellation makes the list incomplete, so the reply must not count as complete up to any revision. */
 static void
 decode_cancellations (HzbPeerHeartbeat *heartbeat, const cJSON *message)
 {
--- a/src/cluster/peer-heartbeat.h
+++ b/src/cluster/peer-heartbeat.h
@@ -1,9 +1,9 @@
 /**
  * SECTION: peer-heartbeat
- * @short_description: what two controllers tell each other once a second, and its encoding
+ * @short_description: the heartbeat that two controllers exchange once a second, and its encoding
  *
- * The one place that knows how a heartbeat is written. A receiver ignores fields that its version does not know. For a
- * field that a sender of an older version does not send, the receiver assumes the default that is named at the member.
+ * Only this module knows how a heartbeat is encoded. A receiver ignores fields that its version does not know. For a
+ * field that a sender of an older version does not send, the receiver assumes the default that is stated at the member.
  */
 #pragma once
 #include "cancellation-log.h"
@@ -11,31 +11,33 @@
 #include <cjson/cJSON.h>
 #include <glib.h>
 
-/** HZB_KV_NEVER_SERVED_S: what a controller states in seconds that the key-value store never served. */
+/**
+ * HZB_KV_NEVER_SERVED_S: value of `ref` kv_unresponsive_s, in seconds, if the key-value store never served the sender.
+ */
 #define HZB_KV_NEVER_SERVED_S 1e6
 
-/** HzbTaskCounts: how many tasks of a job are done and running, for display. */
+/** HzbTaskCounts: numbers of done and running tasks of a job, for display. */
 typedef struct
 {
-  char *uid;     /**< of the job (owned) */
-  guint done;    /**< tasks that completed */
-  guint running; /**< tasks that run now */
+  char *uid;     /**< uid of the job (owned) */
+  guint done;    /**< completed tasks */
+  guint running; /**< running tasks */
 } HzbTaskCounts;
 
-/** HzbPeerState: what the sender knows of a third controller, from what that one has said of itself. */
+/** HzbPeerState: what the sender knows of a third controller, as that controller has stated about itself. */
 typedef struct
 {
   char *node;                  /**< name of the third controller (owned) */
-  guint64 started_ms;          /**< when the process that said so started, in milliseconds of the time of day */
-  guint64 cancellations_known; /**< that process knew all cancellations up to this revision */
+  guint64 started_ms;          /**< when the process that stated it started, in milliseconds of the time of day */
+  guint64 cancellations_known; /**< that process knows all cancellations up to this revision */
   gboolean self_fenced;        /**< see #HzbPeerHeartbeat */
 } HzbPeerState;
 
-/** HzbWatermarkAge: a watermark as it is sent, see watermarks.h. */
+/** HzbWatermarkAge: a watermark in a heartbeat, with its age in place of a local time; see watermarks.h. */
 typedef struct
 {
   guint64 revision; /**< all controllers but one know all cancellations up to this revision */
-  double age_s;     /**< for at least so many seconds */
+  double age_s;     /**< they have known them for at least this many seconds */
 } HzbWatermarkAge;
 
 /** HzbPeerHeartbeat: a heartbeat, or the reply to one. */
@@ -45,41 +47,43 @@
   gboolean leads;
   /** Highest term that the sender knows. Default 0. */
   guint64 term;
-  /** Of records and messages. Default 1. */
+  /** Schema version of records and messages that the sender states. Default 1. */
   guint schema_version;
-  /** The sender lately redirected workers to the leader. Default TRUE. */
+  /** The sender recently redirected workers to the leader. Default TRUE. */
   gboolean redirects_workers;
-  /** Not long ago the sender stepped down because no worker sent it a heartbeat. Default FALSE. */
+  /** The sender recently stepped down because no worker sent it heartbeats. Default FALSE. */
   gboolean lost_workers;
   /** Seconds since the key-value store last served the sender. Default HZB_KV_NEVER_SERVED_S. */
   double kv_unresponsive_s;
   /** The sender's replica of the records has all changes up to this revision. Default 0. */
   guint64 replicated_revision;
-  /** The sender knows all cancellations up to this revision, by its replica of the records or by peers. Default 0. */
+  /** The sender knows all cancellations up to this revision, from its replica or from peers. Default 0. */
   guint64 cancellations_known;
-  /** The sender's replies list what the receiver lacks. FALSE for versions that state no `ref` cancellations_known. */
+  /**
+   * The sender's replies list cancellations that the requester lacks. FALSE if `ref` cancellations_known is missing.
+   */
   gboolean lists_cancellations;
-  /** The sender answers no worker once it could have missed a cancellation. Default FALSE. */
+  /** The sender promises to answer no worker while it could have missed a cancellation. Default FALSE. */
   gboolean self_fenced;
-  /** `ref` counts covers some of the jobs only; other heartbeats cover the others. */
+  /** `ref` counts covers only some of the jobs; other heartbeats cover the rest. Default FALSE. */
   gboolean partial_counts;
   /** HzbTaskCounts of the leader's unfinished jobs; may be empty. */
   GArray *counts;
 
-  /** HzbPeerState of the other controllers. */
+  /** HzbPeerState of the sender's peers. */
   GArray *peer_states;
-  /** HzbWatermarkAge, by rising revision. */
+  /** HzbWatermarkAge, by ascending revision. */
   GArray *watermarks;
-  /** See hzb_peers_fenced_revision(). */
+  /** The sender's result of hzb_peers_fenced_revision(). Default 0. */
   guint64 fenced_revision;
 
-  /** In replies: HzbCancellation of what was recorded after the revision that the request stated. */
+  /** In replies: HzbCancellation of the cancellations after the `ref` cancellations_known of the request. */
   GArray *cancellations;
-  /** In replies: `ref` cancellations is complete up to this revision; 0: the reply says nothing. */
+  /** In replies: `ref` cancellations is complete up to this revision; 0: the reply lists none. Default 0. */
   guint64 cancellations_up_to;
 } HzbPeerHeartbeat;
 
-/** hzb_peer_heartbeat_new: Returns: (transfer full): a heartbeat with empty lists, and 0 everywhere else */
+/** hzb_peer_heartbeat_new: Returns: (transfer full): a heartbeat with empty lists and all other members 0 */
 HzbPeerHeartbeat *hzb_peer_heartbeat_new (void);
 
 /** hzb_peer_heartbeat_free: frees the heartbeat and its lists. */
@@ -97,7 +101,7 @@
 void hzb_peer_heartbeat_encode (const HzbPeerHeartbeat *heartbeat, cJSON *message);
 
 /**
- * hzb_peer_heartbeat_decode: reads a heartbeat. A field that is missing or malformed has its default.
+ * hzb_peer_heartbeat_decode: reads a heartbeat. Members whose field is missing or malformed get their default.
  *
  * Returns: (transfer full)
  */
--- a/src/cluster/peer-knowledge.c
+++ b/src/cluster/peer-knowledge.c
@@ -13,8 +13,8 @@
   hzb_watermarks_clear (&knowledge->watermarks);
 }
 
-/* A process never knows less than it did, and a process that replaces it reads the records before it owns anything. So
- * what was relayed of a peer counts until this controller has received a heartbeat of the peer itself. */
+/* The known revision of a process never decreases, and a process that replaces it reads the records before it owns
+ * anything. So the relayed state of a peer is valid until this controller accepts a request of the peer itself. */
 static guint64
 known_revision_of (const HzbPeerEntry *entry)
 {
@@ -40,8 +40,8 @@
   return TRUE;
 }
 
-/* The highest revision up to which all controllers but one know all cancellations, provided that the remaining one
- * fences itself once it could have missed any; 0 if there is no such revision. */
+/* Returns: the highest revision up to which all controllers but one know all cancellations, if the remaining one has
+ * promised to fence itself; 0 if there is no such revision */
 static guint64
 revision_known_by_all_but_one (const HzbPeerKnowledge *knowledge, guint64 replicated_revision)
 {
@@ -89,13 +89,13 @@
   for (const GList *l = knowledge->watermarks.marks.head; l; l = l->next)
     {
       const HzbWatermark *watermark = l->data;
-      HzbWatermarkAge stated = { watermark->revision, hzb_time_between (watermark->since, now) };
-      g_array_append_val (heartbeat->watermarks, stated);
+      HzbWatermarkAge relayed = { watermark->revision, hzb_time_between (watermark->since, now) };
+      g_array_append_val (heartbeat->watermarks, relayed);
     }
   heartbeat->fenced_revision = knowledge->watermarks.fenced_revision;
 }
 
-/* This controller needs no relayed state of a peer whose current process has sent it a heartbeat. */
+/* Relayed state is ignored for a peer that has sent this controller a request itself. */
 static void
 apply_peer_state (HzbPeerTable *table, const HzbPeerState *state)
 {
@@ -118,7 +118,7 @@
   hzb_watermarks_raise (&knowledge->watermarks, heartbeat->fenced_revision);
   for (guint i = 0; i < heartbeat->watermarks->len; i++)
     {
-      const HzbWatermarkAge *stated = &g_array_index (heartbeat->watermarks, HzbWatermarkAge, i);
-      hzb_watermarks_add (&knowledge->watermarks, hzb_time_plus (now, -stated->age_s), stated->revision);
+      const HzbWatermarkAge *relayed = &g_array_index (heartbeat->watermarks, HzbWatermarkAge, i);
+      hzb_watermarks_add (&knowledge->watermarks, hzb_time_plus (now, -relayed->age_s), relayed->revision);
     }
 }
--- a/src/cluster/peer-queries.c
+++ b/src/cluster/peer-queries.c
@@ -1,10 +1,10 @@
-/* What the other modules ask about the peers, answered from the heartbeats received so far. */
+/* Queries of other modules about the peers, answered from the heartbeats received so far. */
 #include "peers-private.h"
 
-#define ANY_REACHABLE_S 5.0
-#define REACHES_KV_S 2.5    /* the key-value store answers a controller that it serves more often than that */
-#define LONGEST_KNOWN_S 1e5 /* a controller that was not served for longer says nothing about when it was */
-#define LOST_WORKERS_LATELY_S 120.0
+#define ANY_REACHABLE_MAX_AGE_S 5.0
+#define KV_RESPONSE_MAX_AGE_S 2.5 /* a controller that the key-value store serves gets responses more often than this */
+#define MAX_KV_UNRESPONSIVE_S 1e5 /* above this value the time of the last contact counts as unknown */
+#define RECENT_WORKER_LOSS_S 120.0
 
 static gboolean
 is_reachable (const HzbPeers *peers, const HzbPeerEntry *entry)
@@ -18,22 +18,22 @@
   for (guint i = 0; i < peers->table.n_entries; i++)
     {
       const HzbPeerEntry *entry = &peers->table.entries[i];
-      if (is_reachable (peers, entry) && entry->kv_unresponsive_s < REACHES_KV_S)
+      if (is_reachable (peers, entry) && entry->kv_unresponsive_s < KV_RESPONSE_MAX_AGE_S)
         return TRUE;
     }
   return FALSE;
 }
 
 gboolean
-hzb_peers_happened_lately (const HzbPeers *peers, struct timespec at, double seconds)
+hzb_peers_is_recent (const HzbPeers *peers, struct timespec at, double seconds)
 {
-  return hzb_time_is_set (at) && hzb_time_between (at, hzb_clock_now (peers->uses.node->clock)) < seconds;
+  return hzb_time_is_set (at) && hzb_time_between (at, hzb_clock_now (peers->deps.node->clock)) < seconds;
 }
 
 gboolean
 hzb_peers_this_node_lost_workers (const HzbPeers *peers)
 {
-  return hzb_peers_happened_lately (peers, peers->uses.node->workers_lost_at, LOST_WORKERS_LATELY_S);
+  return hzb_peers_is_recent (peers, peers->deps.node->workers_lost_at, RECENT_WORKER_LOSS_S);
 }
 
 gboolean
@@ -61,12 +61,12 @@
 hzb_peers_any_reachable (HzbPeers *peers)
 {
   for (guint i = 0; i < peers->table.n_entries; i++)
-    if (hzb_peer_table_unresponsive_s (&peers->table, &peers->table.entries[i]) < ANY_REACHABLE_S)
+    if (hzb_peer_table_unresponsive_s (&peers->table, &peers->table.entries[i]) < ANY_REACHABLE_MAX_AGE_S)
       return TRUE;
   return peers->table.n_entries == 0;
 }
 
-/* NULL if the peer is unreachable or unknown. */
+/* Returns: (nullable): the entry of a reachable peer; NULL if the peer is unreachable or unknown */
 static const HzbPeerEntry *
 find_reachable (HzbPeers *peers, const char *node)
 {
@@ -75,7 +75,7 @@
 }
 
 gboolean
-hzb_peers_unreachable (HzbPeers *peers, const char *node)
+hzb_peers_is_unreachable (HzbPeers *peers, const char *node)
 {
   return !find_reachable (peers, node);
 }
@@ -109,7 +109,7 @@
   for (guint i = 0; i < peers->table.n_entries; i++)
     {
       const HzbPeerEntry *entry = &peers->table.entries[i];
-      if (is_reachable (peers, entry) && entry->schema_version < peers->uses.node->schema_version)
+      if (is_reachable (peers, entry) && entry->schema_version < peers->deps.node->schema_version)
         return TRUE;
     }
   return FALSE;
@@ -158,7 +158,7 @@
 hzb_peers_last_kv_contact (HzbPeers *peers, const char *node, struct timespec *at)
 {
   const HzbPeerEntry *entry = hzb_peer_table_find (&peers->table, node);
-  if (!entry || !hzb_time_is_set (entry->last_heartbeat) || entry->kv_unresponsive_s > LONGEST_KNOWN_S)
+  if (!entry || !hzb_time_is_set (entry->last_heartbeat) || entry->kv_unresponsive_s > MAX_KV_UNRESPONSIVE_S)
     return FALSE;
   *at = hzb_time_plus (entry->last_heartbeat, -entry->kv_unresponsive_s);
   return TRUE;
--- a/src/cluster/peer-table.c
+++ b/src/cluster/peer-table.c
@@ -2,7 +2,7 @@
 
 #include "peer-heartbeat.h"
 
-#define NEVER_HEARD_S 1e9
+#define NO_HEARTBEAT_S 1e9
 
 void
 hzb_peer_table_init (HzbPeerTable *table, const HzbNode *node)
@@ -42,7 +42,7 @@
 {
   return hzb_time_is_set (entry->last_heartbeat)
              ? hzb_time_between (entry->last_heartbeat, hzb_clock_now (table->node->clock))
-             : NEVER_HEARD_S;
+             : NO_HEARTBEAT_S;
 }
 
 gboolean
--- a/src/cluster/peers-private.h
+++ b/src/cluster/peers-private.h
@@ -12,23 +12,26 @@
 /** _HzbPeers: the state behind peers.h. */
 struct _HzbPeers
 {
-  HzbPeersDependencies uses;      /**< not owned */
-  HzbPeersCallbacks callbacks;    /**< upwards */
-  gpointer user;                  /**< for the callbacks */
-  HzbPeerTable table;             /**< what is known of each peer */
-  HzbPeerSenders senders;         /**< which requests are accepted */
-  HzbPeerKnowledge knowledge;     /**< which cancellations the peers know */
-  HzbTaskCountTable *task_counts; /**< (owned): by the leader's heartbeats */
-  guint64 highest_known_term;     /**< by the heartbeats of all peers */
+  HzbPeersDependencies deps;      /**< modules that are used, none owned */
+  HzbPeersCallbacks callbacks;    /**< functions of the caller */
+  gpointer user;                  /**< passed to the callbacks */
+  HzbPeerTable table;             /**< the state of each peer */
+  HzbPeerSenders senders;         /**< decides which requests are accepted */
+  HzbPeerKnowledge knowledge;     /**< tracks which cancellations the peers know */
+  HzbTaskCountTable *task_counts; /**< (owned): from the leader's heartbeats */
+  guint64 highest_known_term;     /**< highest term in the heartbeats of all peers */
   guint64 started_ms;             /**< when this process started, in milliseconds of the time of day */
-  guint64 number;                 /**< of this process's last message */
-  struct timespec next_heartbeat; /**< when heartbeats are due */
+  guint64 last_message_number;    /**< number of this process's last message to a peer */
+  struct timespec next_heartbeat; /**< when the next heartbeats are due */
   struct timespec current_as_of;  /**< see hzb_peers_current_as_of() */
 };
 
-/** hzb_peers_happened_lately: `at` is set, and less than so many seconds ago. */
-gboolean hzb_peers_happened_lately (const HzbPeers *peers, struct timespec at, double seconds);
+/** hzb_peers_is_recent: Returns: TRUE if `at` is set and less than the given seconds ago */
+gboolean hzb_peers_is_recent (const HzbPeers *peers, struct timespec at, double seconds);
 
-/** hzb_peers_this_node_lost_workers: not long ago this controller stepped down because no worker sent it a heartbeat.
- * */
+/**
+ * hzb_peers_this_node_lost_workers:
+ *
+ * Returns: TRUE if this controller stepped down in the last 120 s because no worker sent it heartbeats
+ */
 gboolean hzb_peers_this_node_lost_workers (const HzbPeers *peers);
--- a/src/cluster/peers.c
+++ b/src/cluster/peers.c
@@ -6,13 +6,14 @@
 #define SHARD_POLL_PATH "/peer/v1/block"
 #define HEARTBEAT_INTERVAL_S 1.0
 #define HEARTBEAT_TIMEOUT_MS 1500u
-/* A heartbeat received from a peer makes one to it needless, but only the reply to this controller's own heartbeat
- * proves something: see hzb_peers_current_as_of(). So each controller sends one at least this often. */
-#define HEARD_RECENTLY_S 0.9
+/* A controller skips its heartbeat to a peer if it received one from that peer less than RECENT_HEARTBEAT_S ago. But
+ * hzb_peers_current_as_of() counts only replies to this controller's own heartbeats. So each controller sends a
+ * heartbeat if the last one that the peer answered is older than CONFIRM_INTERVAL_S. */
+#define RECENT_HEARTBEAT_S 0.9
 #define CONFIRM_INTERVAL_S 2.5
-#define REDIRECTED_LATELY_S 3.0
+#define RECENT_REDIRECT_S 3.0
 
-/* Milliseconds of the time of day. */
+/* Returns: the time of day in milliseconds */
 static guint64
 wall_clock_ms (HzbClock *clock)
 {
@@ -24,7 +25,7 @@
 hzb_peers_new (const HzbPeersDependencies *dependencies, const HzbPeersCallbacks *callbacks, gpointer user)
 {
   HzbPeers *peers = g_new0 (HzbPeers, 1);
-  peers->uses = *dependencies;
+  peers->deps = *dependencies;
   peers->callbacks = *callbacks;
   peers->user = user;
   peers->started_ms = wall_clock_ms (dependencies->node->clock);
@@ -46,45 +47,45 @@
 }
 
 static struct timespec
-now_of (const HzbPeers *peers)
+current_time (const HzbPeers *peers)
 {
-  return hzb_clock_now (peers->uses.node->clock);
+  return hzb_clock_now (peers->deps.node->clock);
 }
 
 /* ---- heartbeats ---- */
 
 cJSON *
-hzb_peers_message (HzbPeers *peers, HzbPeerMessageKind kind)
+hzb_peers_new_message (HzbPeers *peers, HzbPeerMessageKind kind)
 {
-  const HzbNode *node = peers->uses.node;
+  const HzbNode *node = peers->deps.node;
   const HzbPeerEnvelope envelope = { .node = node->settings->node,
                                      .incarnation = node->incarnation,
                                      .started_ms = peers->started_ms,
-                                     .number = ++peers->number,
+                                     .number = ++peers->last_message_number,
                                      .schema_version = node->schema_version };
   return hzb_peer_envelope_encode (&envelope);
 }
 
-/* What this controller has to say now. */
+/* Returns: (transfer full): a heartbeat with the current state of this controller */
 static HzbPeerHeartbeat *
 new_heartbeat (HzbPeers *peers)
 {
-  const HzbPeersDependencies *uses = &peers->uses;
+  const HzbPeersDependencies *deps = &peers->deps;
   HzbPeerHeartbeat *heartbeat = hzb_peer_heartbeat_new ();
 
-  heartbeat->schema_version = uses->node->schema_version;
-  heartbeat->leads = hzb_election_leading (uses->election);
-  /* The term is relayed: a replaced leader may reach only controllers that the key-value store does not reach either.
-   */
-  heartbeat->term = MAX (hzb_election_leader_term (uses->election), peers->highest_known_term);
-  heartbeat->redirects_workers = hzb_peers_happened_lately (peers, uses->node->redirected_at, REDIRECTED_LATELY_S);
+  heartbeat->schema_version = deps->node->schema_version;
+  heartbeat->leads = hzb_election_is_leader (deps->election);
+  /* The highest term of the peers is relayed, because a replaced leader may reach only controllers that can't reach the
+   * key-value store either. */
+  heartbeat->term = MAX (hzb_election_leader_term (deps->election), peers->highest_known_term);
+  heartbeat->redirects_workers = hzb_peers_is_recent (peers, deps->node->redirected_at, RECENT_REDIRECT_S);
   heartbeat->lost_workers = hzb_peers_this_node_lost_workers (peers);
-  heartbeat->kv_unresponsive_s = hzb_kv_client_unresponsive_s (uses->kv);
-  heartbeat->replicated_revision = hzb_kv_replica_revision (uses->kv_replica);
+  heartbeat->kv_unresponsive_s = hzb_kv_client_unresponsive_s (deps->kv);
+  heartbeat->replicated_revision = hzb_kv_replica_revision (deps->kv_replica);
   peers->callbacks.fill_heartbeat (heartbeat, peers->user);
-  hzb_peer_knowledge_fill_heartbeat (&peers->knowledge, heartbeat, now_of (peers));
-  if (hzb_ownership_leader_loaded (uses->ownership))
-    hzb_task_count_table_fill_heartbeat (peers->task_counts, uses->jobs, heartbeat);
+  hzb_peer_knowledge_fill_heartbeat (&peers->knowledge, heartbeat, current_time (peers));
+  if (hzb_ownership_leader_loaded (deps->ownership))
+    hzb_task_count_table_fill_heartbeat (peers->task_counts, deps->jobs, heartbeat);
   return heartbeat;
 }
 
@@ -102,20 +103,20 @@
   entry->self_fenced = heartbeat->self_fenced;
 }
 
-/* Takes a heartbeat, or the reply to one. */
+/* Applies a heartbeat of the entry's peer, or the peer's reply to one. */
 static void
 apply_heartbeat (HzbPeers *peers, HzbPeerEntry *entry, const HzbPeerHeartbeat *heartbeat)
 {
-  struct timespec now = now_of (peers);
+  struct timespec now = current_time (peers);
 
   update_entry (entry, heartbeat, now);
   hzb_peer_knowledge_apply_heartbeat (&peers->knowledge, heartbeat, now);
   if (heartbeat->leads)
     hzb_task_count_table_apply_heartbeat (peers->task_counts, heartbeat, now);
   peers->highest_known_term = MAX (peers->highest_known_term, heartbeat->term);
-  /* A leader that the key-value store does not reach learns here that it has been replaced. */
-  if (heartbeat->term > hzb_election_term (peers->uses.election))
-    hzb_election_step_down (peers->uses.election, "a peer knows a newer term");
+  /* This is how a leader that can't reach the key-value store learns that another leader has replaced it. */
+  if (heartbeat->term > hzb_election_term (peers->deps.election))
+    hzb_election_step_down (peers->deps.election, "a peer knows a newer term");
 }
 
 /* A heartbeat in flight. */
@@ -126,8 +127,8 @@
   struct timespec sent;
 } HeartbeatCall;
 
-/* A peer proves nothing if its own replica of the records is ahead of what it lists, or if it could not list all that
- * this controller lacks. */
+/* The reply makes this controller current only if the list is complete up to the revision of the peer's own replica of
+ * the records, and this controller could apply the whole list. */
 static void
 apply_listed_cancellations (HzbPeers *peers, const HzbPeerHeartbeat *reply, struct timespec sent)
 {
@@ -159,15 +160,15 @@
 send_heartbeat (HzbPeers *peers, HzbPeerEntry *receiver)
 {
   g_autoptr (HzbPeerHeartbeat) heartbeat = new_heartbeat (peers);
-  cJSON *message = hzb_peers_message (peers, HZB_PEER_HEARTBEAT);
+  cJSON *message = hzb_peers_new_message (peers, HZB_PEER_HEARTBEAT);
   HeartbeatCall *call = g_new0 (HeartbeatCall, 1);
 
   receiver->awaiting_reply = TRUE;
   call->peers = peers;
   call->receiver = receiver;
-  call->sent = now_of (peers);
+  call->sent = current_time (peers);
   hzb_peer_heartbeat_encode (heartbeat, message);
-  hzb_send (peers->uses.node->transport, "POST", receiver->peer->address, HEARTBEAT_PATH,
+  hzb_send (peers->deps.node->transport, "POST", receiver->peer->address, HEARTBEAT_PATH,
             cJSON_PrintUnformatted (message), HEARTBEAT_TIMEOUT_MS, on_heartbeat_reply, call);
   cJSON_Delete (message);
 }
@@ -175,10 +176,10 @@
 static gboolean
 needs_heartbeat (const HzbPeers *peers, const HzbPeerEntry *entry, struct timespec now)
 {
-  gboolean heard = hzb_peer_table_unresponsive_s (&peers->table, entry) < HEARD_RECENTLY_S;
+  gboolean received_recently = hzb_peer_table_unresponsive_s (&peers->table, entry) < RECENT_HEARTBEAT_S;
   gboolean confirmed =
       hzb_time_is_set (entry->confirmed_sent) && hzb_time_between (entry->confirmed_sent, now) < CONFIRM_INTERVAL_S;
-  return !entry->awaiting_reply && !(heard && confirmed);
+  return !entry->awaiting_reply && !(received_recently && confirmed);
 }
 
 void
@@ -187,8 +188,8 @@
   if (hzb_time_before (now, peers->next_heartbeat))
     return;
   peers->next_heartbeat = hzb_time_plus (now, HEARTBEAT_INTERVAL_S);
-  hzb_peer_knowledge_advance (&peers->knowledge, now, hzb_kv_replica_revision (peers->uses.kv_replica));
-  hzb_task_count_table_next_turn (peers->task_counts);
+  hzb_peer_knowledge_advance (&peers->knowledge, now, hzb_kv_replica_revision (peers->deps.kv_replica));
+  hzb_task_count_table_advance (peers->task_counts);
   for (guint i = 0; i < peers->table.n_entries; i++)
     if (needs_heartbeat (peers, &peers->table.entries[i], now))
       send_heartbeat (peers, &peers->table.entries[i]);
@@ -217,9 +218,8 @@
       g_str_equal (http_request->path, SHARD_POLL_PATH) ? HZB_PEER_SHARD_POLL : HZB_PEER_HEARTBEAT;
   cJSON *message = cJSON_ParseWithLength (http_request->body, http_request->length);
   HzbPeerEnvelope envelope = hzb_peer_envelope_decode (message);
-  guint lowest_schema_version = MIN (hzb_election_schema_version (peers->uses.election), HZB_SCHEMA_VERSION_2);
-  HzbPeerEntry *sender =
-      hzb_peer_senders_admit (&peers->senders, &peers->table, &envelope, kind, lowest_schema_version);
+  guint min_schema_version = MIN (hzb_election_schema_version (peers->deps.election), HZB_SCHEMA_VERSION_2);
+  HzbPeerEntry *sender = hzb_peer_senders_admit (&peers->senders, &peers->table, &envelope, kind, min_schema_version);
 
   if (!sender)
     hzb_http_request_respond (http_request, 400, hzb_error_response_encode ("not a message of a peer, or an old one"),
--- a/src/cluster/task-count-table.c
+++ b/src/cluster/task-count-table.c
@@ -1,10 +1,10 @@
 #include "task-count-table.h"
 
-/* Each job takes some 35 bytes of a heartbeat. */
+/* Each job takes about 35 bytes of a heartbeat. */
 #define MAX_JOBS_PER_HEARTBEAT 1000u
-/* In a partial list the leader names each unfinished job within this time, unless there are more than 30,000 of them.
- */
-#define COUNTS_KEPT_S 30.0
+/* Lifetime of counts that come in partial lists: the leader lists each unfinished job within this time, unless there
+ * are more than 30,000 unfinished jobs. */
+#define COUNTS_MAX_AGE_S 30.0
 
 typedef struct
 {
@@ -15,7 +15,7 @@
 struct _HzbTaskCountTable
 {
   GHashTable *by_uid; /* job uid -> ReceivedCounts */
-  guint next_job;     /* on the leader: index of the first job that the next heartbeat names, modulo their number */
+  guint next_job;     /* on the leader: index of the first job in the next heartbeat, modulo the number of jobs */
 };
 
 HzbTaskCountTable *
@@ -34,13 +34,13 @@
 }
 
 void
-hzb_task_count_table_next_turn (HzbTaskCountTable *table)
+hzb_task_count_table_advance (HzbTaskCountTable *table)
 {
   table->next_job += MAX_JOBS_PER_HEARTBEAT;
 }
 
-/* A receiver keeps what a partial list does not name. So a partial list also names jobs with no task done or running,
- * to replace their earlier counts. */
+/* A receiver keeps the counts of jobs that a partial list does not contain. So a partial list also contains jobs
+ * without done or running tasks, to replace their earlier counts. */
 void
 hzb_task_count_table_fill_heartbeat (const HzbTaskCountTable *table, const HzbJobs *jobs, HzbPeerHeartbeat *heartbeat)
 {
@@ -61,7 +61,8 @@
 static gboolean
 is_outdated (gpointer uid, gpointer counts, gpointer now)
 {
-  return hzb_time_between (((const ReceivedCounts *) counts)->received, *(const struct timespec *) now) > COUNTS_KEPT_S;
+  return hzb_time_between (((const ReceivedCounts *) counts)->received, *(const struct timespec *) now)
+         > COUNTS_MAX_AGE_S;
 }
 
 void
--- a/src/cluster/task-count-table.h
+++ b/src/cluster/task-count-table.h
@@ -1,10 +1,10 @@
 /**
  * SECTION: task-count-table
- * @short_description: how many tasks of each job are done and running, as the leader says. Private to this
+ * @short_description: numbers of done and running tasks of each job, as the leader states them. Private to this
  * folder.
  *
- * The leader adds the counts of its unfinished jobs to its heartbeats, so that every controller can show them to users.
- * The counts are for display only; no decision rests on them.
+ * The leader adds the task counts of its unfinished jobs to its heartbeats, so that every controller can show them to
+ * users. The counts are for display only; no decision depends on them.
  */
 #pragma once
 #include "jobs.h"
@@ -20,18 +20,18 @@
 void hzb_task_count_table_free (HzbTaskCountTable *table);
 
 /**
- * hzb_task_count_table_next_turn: once a second. If one heartbeat can't hold all jobs, the next heartbeats cover the
- * next jobs.
+ * hzb_task_count_table_advance: to be called once a second, before the heartbeats are sent. If a heartbeat can't hold
+ * the counts of all jobs, the next heartbeats state the counts of the next jobs.
  */
-void hzb_task_count_table_next_turn (HzbTaskCountTable *table);
+void hzb_task_count_table_advance (HzbTaskCountTable *table);
 
 /** hzb_task_count_table_fill_heartbeat: on the leader: adds the counts of its unfinished jobs to a heartbeat. */
 void
 hzb_task_count_table_fill_heartbeat (const HzbTaskCountTable *table, const HzbJobs *jobs, HzbPeerHeartbeat *heartbeat);
 
-/** hzb_task_count_table_apply_heartbeat: takes the counts from a heartbeat of the leader. */
+/** hzb_task_count_table_apply_heartbeat: stores the counts of a heartbeat of the leader that was received at `now`. */
 void
 hzb_task_count_table_apply_heartbeat (HzbTaskCountTable *table, const HzbPeerHeartbeat *heartbeat, struct timespec now);
 
-/** hzb_task_count_table_get: the counts of a job; 0 if the leader stated none. */
+/** hzb_task_count_table_get: stores the counts of a job in `done` and `running`; 0 if the leader stated none. */
 void hzb_task_count_table_get (const HzbTaskCountTable *table, const char *uid, guint *done, guint *running);
--- a/src/cluster/watermarks.c
+++ b/src/cluster/watermarks.c
@@ -1,12 +1,12 @@
 #include "watermarks.h"
 
-/* A controller adds about one watermark a second, and they leave after HZB_FENCED_AFTER_S. */
+/* A controller adds about one watermark per second, and removes each after HZB_FENCED_AFTER_S. */
 #define MAX_WATERMARKS 40u
 
 void
-hzb_watermarks_init (HzbWatermarks *watermarks, double after_s)
+hzb_watermarks_init (HzbWatermarks *watermarks, double min_age_s)
 {
-  *watermarks = (HzbWatermarks){ .after_s = after_s };
+  *watermarks = (HzbWatermarks){ .min_age_s = min_age_s };
 }
 
 void
@@ -22,15 +22,15 @@
   return left->revision < right->revision ? -1 : left->revision > right->revision;
 }
 
-/* The first watermark covers at least the revisions of the second, for at least as long. */
+/* TRUE if the first watermark covers at least the revisions of the second, and for at least as long. */
 static gboolean
 implies (const HzbWatermark *first, const HzbWatermark *second)
 {
   return first->revision >= second->revision && !hzb_time_before (second->since, first->since);
 }
 
-/* Watermarks of other controllers are added too: a controller that has just restarted continues from what the others
- * have seen, so that frequent changes of leader do not begin the wait anew. */
+/* Watermarks of other controllers are added too. A restarted controller continues with them, so that frequent changes
+ * of the leader do not restart the wait for the minimum age. */
 void
 hzb_watermarks_add (HzbWatermarks *watermarks, struct timespec since, guint64 revision)
 {
@@ -65,7 +65,7 @@
   const HzbWatermark *oldest;
 
   while ((oldest = g_queue_peek_head (&watermarks->marks))
-         && hzb_time_between (oldest->since, now) > watermarks->after_s)
+         && hzb_time_between (oldest->since, now) > watermarks->min_age_s)
     {
       watermarks->fenced_revision = oldest->revision;
       g_free (g_queue_pop_head (&watermarks->marks));
--- a/src/controller/connectivity.c
+++ b/src/controller/connectivity.c
@@ -59,7 +59,7 @@
 {
   double kv_unresponsive_s = hzb_kv_client_unresponsive_s (controller->kv);
 
-  if (!hzb_election_leading (controller->election))
+  if (!hzb_election_is_leader (controller->election))
     return;
   if (kv_unresponsive_s < KV_REACHED_S && hzb_peers_any_reachable (controller->peers)
       && controller->settings->peers->len && has_lost_all_workers (controller))
--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -88,7 +88,7 @@
 all_leaseholders_acknowledged (const HzbJob *job, gpointer user)
 {
   HzbController *controller = user;
-  return hzb_shard_leases_all_acknowledged (controller->shard_leases, job);
+  return hzb_shard_leases_cancellation_acknowledged (controller->shard_leases, job);
 }
 
 static void
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -65,14 +65,14 @@
   hzb_cloud_client_pump (controller->cloud);
   hzb_kv_replica_tick (controller->kv_replica);
 
-  hzb_election_set_eager (controller->election, is_ahead_of_rollout (controller));
+  hzb_election_set_preferred (controller->election, is_ahead_of_rollout (controller));
   hzb_election_tick (controller->election, hzb_kv_replica_is_fresh (controller->kv_replica));
   hzb_controller_check_connectivity (controller);
   hzb_controller_update_ownership (controller, now);
   if (may_raise_schema_version (controller))
     hzb_election_raise_schema_version (controller->election);
 
-  if (hzb_election_leading (controller->election))
+  if (hzb_election_is_leader (controller->election))
     hzb_shard_leases_tick (controller->shard_leases, now);
   else
     hzb_leaseholder_tick (controller->leaseholder, now);
--- a/src/controller/leader-maintenance.c
+++ b/src/controller/leader-maintenance.c
@@ -13,7 +13,7 @@
 static void
 expire_lease (HzbController *controller, HzbMachine *machine)
 {
-  hzb_machine_lose_tasks (controller->jobs, machine);
+  hzb_machine_requeue_tasks (controller->jobs, machine);
   machine->expired_agent_epoch = machine->agent_epoch;
   hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_LEASE_EXPIRED, "its lease has expired");
 }
@@ -24,17 +24,17 @@
   const HzbSettings *settings = controller->settings;
   double expires_after_s = settings->lease_s * CLOCK_DRIFT + LEASE_SLACK_S;
 
-  if (!hzb_election_lease_valid (controller->election))
+  if (!hzb_election_is_lease_valid (controller->election))
     return; /* a newer leader could have renewed them */
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       HzbMachine *machine = controller->machines->all->pdata[i];
       gboolean works = machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_DRAINING;
-      if (works && machine->verified && hzb_time_between (machine->last_answer, now) > expires_after_s)
+      if (works && machine->verified && hzb_time_between (machine->last_response, now) > expires_after_s)
         expire_lease (controller, machine);
       else if (machine->state == HZB_MACHINE_ACTIVE
                && hzb_time_between (machine->last_heartbeat, now) > MISSED_HEARTBEATS * settings->heartbeat_interval_s
-               && hzb_machine_queued_tasks (machine))
+               && hzb_machine_count_queued_tasks (machine))
         hzb_machine_clear_run_queues (controller->jobs, machine);
     }
 }
@@ -63,7 +63,7 @@
   if (hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_RECOVERING
       && !hzb_jobs_any_unconfirmed (controller->jobs))
     return;
-  of_shards = hzb_machines_unverified_kinds (controller->machines, controller->settings->peers->len + 1);
+  of_shards = hzb_machines_list_unverified_kinds (controller->machines, controller->settings->peers->len + 1);
   for (guint shard = 0; shard < of_shards->len; shard++)
     {
       const GPtrArray *unverified_kinds = of_shards->pdata[shard];
@@ -93,7 +93,7 @@
   for (guint i = 0; job->placed > job->running && i < job->n_tasks; i++)
     {
       HzbTask *task = &job->tasks[i];
-      if (task->state == HZB_TASK_RESERVED && !hzb_machine_usable (task->machine))
+      if (task->state == HZB_TASK_RESERVED && !hzb_machine_is_usable (task->machine))
         hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
     }
 }
@@ -141,7 +141,7 @@
   if (job->placed || job->unconfirmed || job->completing)
     return FALSE;
   hzb_records_drop_job (controller->records, job);
-  hzb_jobs_retire (controller->jobs, job);
+  hzb_jobs_deactivate (controller->jobs, job);
   return TRUE;
 }
 
@@ -194,7 +194,7 @@
   if (!hzb_time_before (now, controller->dispatch->next_run))
     {
       hzb_controller_dispatch (controller, now);
-      hzb_records_flush_soon (controller->records); /* releases tasks of jobs that could start now */
+      hzb_records_flush_if_due (controller->records); /* releases tasks of jobs that could start now */
     }
-  hzb_records_flush_soon (controller->records);
+  hzb_records_flush_if_due (controller->records);
 }
--- a/src/controller/ownership-transitions.c
+++ b/src/controller/ownership-transitions.c
@@ -111,13 +111,13 @@
 {
   return hzb_ownership_state (controller->ownership) == HZB_OWNERSHIP_NONE
          && hzb_kv_replica_state (controller->kv_replica) == HZB_KV_REPLICA_FOLLOWING
-         && hzb_election_term_replicated (controller->election);
+         && hzb_election_is_term_replicated (controller->election);
 }
 
 void
 hzb_controller_update_ownership (HzbController *controller, struct timespec now)
 {
-  gboolean leading = hzb_election_leading (controller->election);
+  gboolean leading = hzb_election_is_leader (controller->election);
 
   if (leading)
     hzb_controller_end_leased (controller, "this node leads now");
--- a/src/controller/replica-records.c
+++ b/src/controller/replica-records.c
@@ -15,7 +15,7 @@
   else
     {
       hzb_dispatch_clear_indexes (controller->dispatch);
-      hzb_jobs_forget (controller->jobs, uid); /* the leader has moved the record to the archive */
+      hzb_jobs_remove (controller->jobs, uid); /* the leader has moved the record to the archive */
     }
 }
 
--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -1,45 +1,45 @@
-/* Requests wait in a queue for each priority until the budgets allow them, see hzb_kv_client_pump(). */
+/* Each priority has a queue. A request waits in its queue until the budgets allow it, see hzb_kv_client_pump(). */
 #include "kv-client.h"
 #include "kv-protocol.h"
 
 #include <string.h>
 
-/* How long a request waits in its queue, and then as long again for its answer. The key-value store usually answers in
- * under 10 ms, and now and then in a few hundred, so an answer that takes longer than these is lost, or the store is
- * out. */
-#define CALL_TIMEOUT_MS 2500       /* a transaction or a read that no user waits for */
-#define READ_CALL_TIMEOUT_MS 1700  /* a user waits for it, and for two seconds at most */
-#define LEASE_CALL_TIMEOUT_MS 1500 /* a lost renewal has to leave time for another one before the lease expires */
-#define RANGE_CALL_TIMEOUT_MS 4000 /* a page of records is large, and to read it again costs as much */
-#define WATCH_SLACK_MS 2000        /* beyond the time that a watch waits, for its answer to come through */
-
-/* The key-value store allows 1,000 rows and 512 KiB in an answer; this stays well below, since a lost page is read
- * again whole. */
+/* Timeouts. Each limits the time of a request in its queue, and after that the time until its answer. The key-value
+ * store usually answers in under 10 ms and occasionally in a few hundred. If an answer takes longer than the timeout,
+ * the answer is lost or the store is unavailable. */
+#define CALL_TIMEOUT_MS 2500       /* transactions and reads that no user waits for */
+#define READ_CALL_TIMEOUT_MS 1700  /* reads for a user, who waits for at most two seconds */
+#define LEASE_CALL_TIMEOUT_MS 1500 /* after a lost renewal, another one must fit in before the lease expires */
+#define RANGE_CALL_TIMEOUT_MS 4000 /* a page of records is large, and reading it again costs the same */
+#define WATCH_SLACK_MS 2000        /* added to the wait of a watch, for the transfer of its answer */
+
+/* The key-value store allows 1,000 rows and 512 KiB in an answer. The client requests fewer rows, since a lost page has
+ * to be read again as a whole. */
 #define RANGE_ROWS 500u
 
-/* The store counts the requests and changes of all controllers together (state.rps and state.write_rps in the settings)
- * and answers 429 beyond that. A controller takes only a part, so that followers leave room for the leader, which
- * writes most. */
-#define REQUESTS_PART 0.5
-#define WRITES_PART 0.6
-#define BUDGET_BURST_S 1.0       /* the store allows bursts of one second's worth */
-#define RATE_LIMITED_PAUSE_S 0.2 /* after a 429, for the store's count to go down */
+/* The store limits the requests and changes per second of all controllers together (state.rps and state.write_rps in
+ * the settings) and answers 429 above these limits. Each controller uses only a fraction of them, so that the followers
+ * leave capacity for the leader, which writes most. */
+#define REQUEST_RATE_FRACTION 0.5
+#define WRITE_RATE_FRACTION 0.6
+#define BUDGET_BURST_S 1.0       /* the store allows bursts as large as the limit for one second */
+#define RATE_LIMITED_PAUSE_S 0.2 /* after a 429, until the store's measured rate has fallen */
 
-#define READ_OVERDUE_S 0.4     /* a read that has waited so long goes before acceptances, every other time */
-#define EXPIRE_INTERVAL_S 0.05 /* how often the queues are searched for expired requests, which costs a look at each */
-#define NEVER_SERVED_S 1e9     /* stands for a time without an answer since the start */
+#define READ_OVERDUE_S 0.4 /* a read that has waited longer may go before the acceptances, see send_overdue_read() */
+#define EXPIRE_INTERVAL_S 0.05 /* between searches for expired requests, each of which visits every request */
+#define NEVER_SERVED_S 1e9     /* reported while the store has never served a request */
 
-/* A request, in its queue or sent. */
+/* A request that waits in its queue or has been sent. */
 typedef struct
 {
   HzbKvClient *client;
   HzbKvPriority priority;
   const char *method;
   char *path, *body;
-  guint writes; /* keys that it changes */
+  guint writes; /* number of keys that the request changes */
   guint timeout_ms;
   struct timespec queued;
-  struct timespec deadline; /* by which it is given up in the queue, and not sent again after a 429 */
+  struct timespec deadline; /* the request fails if it is still queued then, and a later 429 is final */
   HzbKvFunc done;
   gpointer user;
 } Request;
@@ -50,10 +50,11 @@
   HzbClock *clock;
   const HzbSettings *settings;
   GQueue waiting[HZB_KV_N_PRIORITIES]; /* Request */
-  double request_budget, write_budget; /* how many may be sent now; leases may overdraw the first */
+  double request_budget; /* requests that may be sent now; negative if leases and watches have overdrawn it */
+  double write_budget;   /* changes that may be sent now */
   struct timespec budgets_filled;
-  struct timespec last_served; /* unset: never */
-  struct timespec not_before;  /* no request that counts goes before it, after a 429 */
+  struct timespec last_served;        /* valid if ever_served */
+  struct timespec rate_limited_until; /* set by a 429: only leases and watches are sent before it */
   struct timespec next_expiry;
   gboolean ever_served;
   gboolean logged_malformed;
@@ -107,13 +108,13 @@
     case 410:
       return HZB_KV_NOT_FOUND;
     case 503:
-      return HZB_KV_REFUSED; /* the one server error that says that nothing was done */
+      return HZB_KV_REFUSED; /* unlike other server errors, 503 states that nothing was done */
     default:
       return status == 0 || status >= 500 ? HZB_KV_UNKNOWN : HZB_KV_REFUSED;
     }
 }
 
-/* Guards against a log full of one message: whoever sent a malformed request sends it again after a pause. */
+/* Logs only the first malformed request: its caller repeats the request after a pause, which would fill the log. */
 static void
 warn_malformed_once (HzbKvClient *client, const Request *request, const char *body)
 {
@@ -121,17 +122,17 @@
     return;
   client->logged_malformed = TRUE;
   g_warning (
-      "the key-value store refuses %s %s with %u changes and %u bytes as malformed: %s. Nothing was written, and "
-      "the request is repeated. Compare its size with the limits in the settings (state.txn_ops, state.value_kb). "
-      "Further refusals are not logged.",
+      "key-value store rejected %s %s (%u changes, %u bytes) as malformed: %s. Nothing was written; the request is "
+      "repeated. Compare its size with the limits in the settings (state.txn_ops, state.value_kb). Later rejections of "
+      "malformed requests are not logged.",
       request->method, request->path, request->writes, (guint) (request->body ? strlen (request->body) : 0), body);
 }
 
-/* Over the shared rate: nothing was done, so the request goes to the head of its queue again. */
+/* 429: the shared rate limit is exceeded and the store did nothing, so the request returns to the head of its queue. */
 static void
 requeue_rate_limited (HzbKvClient *client, Request *request, struct timespec now)
 {
-  client->not_before = hzb_time_plus (now, RATE_LIMITED_PAUSE_S);
+  client->rate_limited_until = hzb_time_plus (now, RATE_LIMITED_PAUSE_S);
   g_queue_push_head (&client->waiting[request->priority], request);
 }
 
@@ -166,7 +167,7 @@
 {
   client->request_budget -= 1;
   client->write_budget -= request->writes;
-  /* The body stays with the request, which is sent again if it is answered 429. */
+  /* The request keeps its body, since it is sent again after a 429. */
   hzb_send (client->transport, request->method, client->settings->kv_addr, request->path, g_strdup (request->body),
             request->timeout_ms, on_reply, request);
 }
@@ -175,9 +176,9 @@
 refill_budgets (HzbKvClient *client, struct timespec now)
 {
   double gap_s = hzb_time_between (client->budgets_filled, now);
-  double rps = client->settings->kv_rps * REQUESTS_PART;
-  double write_rps = client->settings->kv_write_rps * WRITES_PART;
-  /* The largest transaction has to fit, else it would wait for ever. */
+  double rps = client->settings->kv_rps * REQUEST_RATE_FRACTION;
+  double write_rps = client->settings->kv_write_rps * WRITE_RATE_FRACTION;
+  /* The budget must be able to hold the largest transaction, which would otherwise never be sent. */
   double max_writes = MAX (write_rps * BUDGET_BURST_S, client->settings->kv_txn_ops);
 
   client->budgets_filled = now;
@@ -186,7 +187,7 @@
 }
 
 static void
-take_expired (GQueue *waiting, GQueue *expired, struct timespec now)
+collect_expired (GQueue *waiting, GQueue *expired, struct timespec now)
 {
   for (GList *l = waiting->head, *next; l; l = next)
     {
@@ -199,11 +200,11 @@
     }
 }
 
-/* Guards against requests that wait behind others for longer than their callers do, whatever the priority of these. A
- * caller that gets no result waits for ever, and so do all requests that the caller queues. The callers get their
- * results only once all queues have been searched, since they may add requests. */
+/* Fails the requests that have waited in their queue until their deadline, at every priority. Without a result a caller
+ * would wait without end, and so would the requests that the caller itself queues. Callbacks run after all queues have
+ * been searched, since a callback may add requests to the queues. */
 static void
-give_up_expired (HzbKvClient *client, struct timespec now)
+fail_expired (HzbKvClient *client, struct timespec now)
 {
   GQueue expired = G_QUEUE_INIT;
   Request *request;
@@ -212,7 +213,7 @@
     return;
   client->next_expiry = hzb_time_plus (now, EXPIRE_INTERVAL_S);
   for (guint i = 0; i < HZB_KV_N_PRIORITIES; i++)
-    take_expired (&client->waiting[i], &expired, now);
+    collect_expired (&client->waiting[i], &expired, now);
   while ((request = g_queue_pop_head (&expired)))
     {
       request->done (HZB_KV_REFUSED, "", request->user);
@@ -223,11 +224,11 @@
 static gboolean
 may_send_request (const HzbKvClient *client, struct timespec now)
 {
-  return client->request_budget >= 1 && !hzb_time_before (now, client->not_before);
+  return client->request_budget >= 1 && !hzb_time_before (now, client->rate_limited_until);
 }
 
-/* Guards against a key-value store that takes few requests, all of which would go to acceptances. Only one read goes
- * before them at a time, so that neither keeps the other waiting. */
+/* When the key-value store accepts few requests, acceptances could use them all and starve the reads. So a read
+ * that is overdue is sent before the acceptances, but only one in each call, so that reads don't starve acceptances. */
 static void
 send_overdue_read (HzbKvClient *client, struct timespec now)
 {
@@ -237,48 +238,49 @@
     send_now (client, g_queue_pop_head (&client->waiting[HZB_KV_READ]));
 }
 
-/* Sends from one queue what the budgets allow. @writes_wait: (inout): a request of a higher priority waits for the
- * budget of changes, which must not be used up before it. */
+/* Sends the requests of one queue that the budgets allow.
+ * @writes_blocked: (inout): a request of a higher priority waits for the write budget, so no later request may use that
+ * budget. */
 static void
-send_from (HzbKvClient *client, GQueue *waiting, gboolean *writes_wait, struct timespec now)
+send_from_queue (HzbKvClient *client, GQueue *waiting, gboolean *writes_blocked, struct timespec now)
 {
   const Request *request;
 
   while ((request = g_queue_peek_head (waiting)) && may_send_request (client, now))
     {
-      if (request->writes && (*writes_wait || client->write_budget < request->writes))
+      if (request->writes && (*writes_blocked || client->write_budget < request->writes))
         {
-          *writes_wait = TRUE;
+          *writes_blocked = TRUE;
           return;
         }
       send_now (client, g_queue_pop_head (waiting));
     }
 }
 
-/* A lower priority never overtakes a higher one in a budget that both need. A request that changes nothing does not
- * wait for the budget of changes: else more acceptances, completions or cancellations than that allows would keep every
- * user's question waiting. Requests for leases and watches wait for no budget, though they use it up: leadership
- * depends on them. */
+/* A request never overtakes one of a higher priority that waits for the same budget. A read does not wait for the write
+ * budget: otherwise a backlog of acceptances, completions or cancellations would delay the queries of all users.
+ * Requests for leases and watches are sent without waiting for a budget, since leadership depends on them, but they are
+ * counted in the request budget. */
 void
 hzb_kv_client_pump (HzbKvClient *client)
 {
   struct timespec now = hzb_clock_now (client->clock);
-  gboolean writes_wait = FALSE;
+  gboolean writes_blocked = FALSE;
   Request *request;
 
   refill_budgets (client, now);
-  give_up_expired (client, now);
+  fail_expired (client, now);
   while ((request = g_queue_pop_head (&client->waiting[HZB_KV_LEASE])))
     send_now (client, request);
   send_overdue_read (client, now);
   for (guint i = HZB_KV_LEASE + 1; i < HZB_KV_N_PRIORITIES; i++)
-    send_from (client, &client->waiting[i], &writes_wait, now);
+    send_from_queue (client, &client->waiting[i], &writes_blocked, now);
 }
 
-/* Takes @path and @body. */
+/* Queues a request and sends what the budgets allow. Takes ownership of @path and @body. */
 static void
-add (HzbKvClient *client, HzbKvPriority priority, const char *method, char *path, char *body, guint writes,
-     guint timeout_ms, HzbKvFunc done, gpointer user)
+enqueue_request (HzbKvClient *client, HzbKvPriority priority, const char *method, char *path, char *body, guint writes,
+                 guint timeout_ms, HzbKvFunc done, gpointer user)
 {
   Request *request = g_new0 (Request, 1);
   request->client = client;
@@ -299,15 +301,15 @@
 void
 hzb_kv_client_get (HzbKvClient *client, HzbKvPriority priority, const char *key, HzbKvFunc done, gpointer user)
 {
-  add (client, priority, "GET", hzb_kv_get_path (key), NULL, 0,
-       priority == HZB_KV_READ ? READ_CALL_TIMEOUT_MS : CALL_TIMEOUT_MS, done, user);
+  enqueue_request (client, priority, "GET", hzb_kv_get_path (key), NULL, 0,
+                   priority == HZB_KV_READ ? READ_CALL_TIMEOUT_MS : CALL_TIMEOUT_MS, done, user);
 }
 
 void
 hzb_kv_client_range (HzbKvClient *client, const char *prefix, const char *after, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_READ, "GET", hzb_kv_range_path (prefix, after, RANGE_ROWS), NULL, 0, RANGE_CALL_TIMEOUT_MS, done,
-       user);
+  enqueue_request (client, HZB_KV_READ, "GET", hzb_kv_range_path (prefix, after, RANGE_ROWS), NULL, 0,
+                   RANGE_CALL_TIMEOUT_MS, done, user);
 }
 
 void
@@ -317,39 +319,42 @@
   guint writes = hzb_kv_transaction_changes (transaction);
   char *body = hzb_kv_transaction_encode (transaction);
   hzb_kv_transaction_free (transaction);
-  add (client, priority, "POST", g_strdup (hzb_path_transaction), body, writes,
-       priority == HZB_KV_READ ? READ_CALL_TIMEOUT_MS : CALL_TIMEOUT_MS, done, user);
+  enqueue_request (client, priority, "POST", g_strdup (hzb_path_transaction), body, writes,
+                   priority == HZB_KV_READ ? READ_CALL_TIMEOUT_MS : CALL_TIMEOUT_MS, done, user);
 }
 
 void
 hzb_kv_client_watch (HzbKvClient *client, const char *prefix, guint64 after, guint wait_ms, HzbKvFunc done,
                      gpointer user)
 {
-  add (client, HZB_KV_LEASE, "GET", hzb_kv_watch_path (prefix, after, wait_ms), NULL, 0, wait_ms + WATCH_SLACK_MS, done,
-       user);
+  enqueue_request (client, HZB_KV_LEASE, "GET", hzb_kv_watch_path (prefix, after, wait_ms), NULL, 0,
+                   wait_ms + WATCH_SLACK_MS, done, user);
 }
 
 void
 hzb_kv_client_changes (HzbKvClient *client, const char *prefix, guint64 after, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_READ, "GET", hzb_kv_watch_path (prefix, after, 0), NULL, 0, READ_CALL_TIMEOUT_MS, done, user);
+  enqueue_request (client, HZB_KV_READ, "GET", hzb_kv_watch_path (prefix, after, 0), NULL, 0, READ_CALL_TIMEOUT_MS,
+                   done, user);
 }
 
 void
 hzb_kv_client_grant_lease (HzbKvClient *client, guint ttl_ms, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_LEASE, "POST", g_strdup (hzb_path_leases), hzb_kv_lease_encode (ttl_ms), 0, LEASE_CALL_TIMEOUT_MS,
-       done, user);
+  enqueue_request (client, HZB_KV_LEASE, "POST", g_strdup (hzb_path_leases), hzb_kv_lease_encode (ttl_ms), 0,
+                   LEASE_CALL_TIMEOUT_MS, done, user);
 }
 
 void
 hzb_kv_client_renew_lease (HzbKvClient *client, guint64 lease, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_LEASE, "POST", hzb_kv_lease_renew_path (lease), NULL, 0, LEASE_CALL_TIMEOUT_MS, done, user);
+  enqueue_request (client, HZB_KV_LEASE, "POST", hzb_kv_lease_renew_path (lease), NULL, 0, LEASE_CALL_TIMEOUT_MS, done,
+                   user);
 }
 
 void
 hzb_kv_client_revoke_lease (HzbKvClient *client, guint64 lease, HzbKvFunc done, gpointer user)
 {
-  add (client, HZB_KV_LEASE, "DELETE", hzb_kv_lease_revoke_path (lease), NULL, 0, LEASE_CALL_TIMEOUT_MS, done, user);
+  enqueue_request (client, HZB_KV_LEASE, "DELETE", hzb_kv_lease_revoke_path (lease), NULL, 0, LEASE_CALL_TIMEOUT_MS,
+                   done, user);
 }
--- a/src/kv/kv-replica-load.c
+++ b/src/kv/kv-replica-load.c
@@ -1,25 +1,25 @@
-/* The reading of all records.
+/* The load: it reads all records with the replica's prefix.
  *
- * A reading goes page by page. A page that did not come is asked for again, and what has been read stays. Between two
- * pages come the changes since the one before, so that it does not matter how long a reading takes: the key-value store
- * keeps only its last 10,000 changes. After the last page come the changes once more, and then all is as of one
- * revision. */
+ * The load reads one page at a time. A page that was not received is requested again, and the records that have been
+ * read stay. After each page the load reads the changes since the previous step: the key-value store keeps only its
+ * last 10,000 changes, and this way the total duration of the load does not matter. After the last page the load reads
+ * the changes a last time, so that the replica shows all records as of one revision. */
 #include "kv-protocol.h"
 #include "kv-replica-private.h"
 
-#define RELOAD_PAUSE_S 0.4 /* after a page that did not come: an outage may last for minutes */
+#define LOAD_RETRY_DELAY_S 0.4 /* after a request without a result: an outage may last for minutes */
 
 static void
 apply_page (HzbKvReplica *kv_replica, const GArray *items)
 {
   for (guint i = 0; i < items->len; i++)
-    kv_replica->funcs.apply (&g_array_index (items, HzbKvEntry, i), kv_replica->user);
+    kv_replica->callbacks.apply (&g_array_index (items, HzbKvEntry, i), kv_replica->user);
 }
 
 static void
-ask_again_later (HzbKvReplica *kv_replica)
+schedule_retry (HzbKvReplica *kv_replica)
 {
-  kv_replica->next_step = hzb_time_plus (hzb_clock_now (kv_replica->clock), RELOAD_PAUSE_S);
+  kv_replica->next_step = hzb_time_plus (hzb_clock_now (kv_replica->clock), LOAD_RETRY_DELAY_S);
 }
 
 static void
@@ -27,14 +27,16 @@
 {
   kv_replica->revision = MAX (kv_replica->revision, kv_replica->load_revision);
   hzb_kv_replica_set_state (kv_replica, HZB_KV_REPLICA_FOLLOWING);
-  hzb_kv_replica_note_current (kv_replica, as_of);
+  hzb_kv_replica_advance_current_as_of (kv_replica, as_of);
   kv_replica->last_watch = hzb_clock_now (kv_replica->clock);
-  kv_replica->funcs.load_end (kv_replica->revision, kv_replica->user);
-  g_message ("the replica of the records is complete, at revision %" G_GUINT64_FORMAT, kv_replica->revision);
+  kv_replica->callbacks.load_end (kv_replica->revision, kv_replica->user);
+  g_message ("kv replica of %s: loaded all records at revision %" G_GUINT64_FORMAT
+             "; following their changes from now on",
+             kv_replica->prefix, kv_replica->revision);
   hzb_kv_replica_tick (kv_replica);
 }
 
-/* A page was applied. @more: whether there are pages after it. */
+/* Goes to the step after a page that was applied. @more: whether there are pages after that page. */
 static void
 advance_load (HzbKvReplica *kv_replica, const GArray *items, gboolean more)
 {
@@ -56,13 +58,13 @@
   guint64 revision = 0;
   g_autoptr (GArray) items = NULL;
 
-  if (!hzb_kv_replica_is_current (call))
+  if (!hzb_kv_replica_call_is_current (call))
     return;
-  kv_replica->load_asked = FALSE;
+  kv_replica->load_request_in_flight = FALSE;
   items = result == HZB_KV_OK ? hzb_kv_range_decode (body, &more, &revision) : NULL;
   if (!items)
     {
-      ask_again_later (kv_replica);
+      schedule_retry (kv_replica);
       return;
     }
   if (!kv_replica->load_revision)
@@ -83,22 +85,23 @@
   guint64 revision = 0;
   g_autoptr (GArray) items = NULL;
 
-  if (!hzb_kv_replica_is_current (call))
+  if (!hzb_kv_replica_call_is_current (call))
     return;
-  kv_replica->load_asked = FALSE;
+  kv_replica->load_request_in_flight = FALSE;
   if (result == HZB_KV_NOT_FOUND)
     {
       g_message (
-          "the key-value store does not keep the changes since the last page any more; all records are read anew, and "
-          "nothing needs to be done");
+          "kv replica of %s: restarting the load of all records, since the key-value store no longer keeps the changes "
+          "since the last page; nothing needs to be done",
+          kv_replica->prefix);
       hzb_kv_replica_set_state (kv_replica, HZB_KV_REPLICA_EMPTY);
-      ask_again_later (kv_replica);
+      schedule_retry (kv_replica);
       return;
     }
   items = result == HZB_KV_OK ? hzb_kv_watch_decode (body, &revision) : NULL;
   if (!items)
     {
-      ask_again_later (kv_replica);
+      schedule_retry (kv_replica);
       return;
     }
   kv_replica->load_revision = hzb_kv_replica_apply_changes (kv_replica, items, kv_replica->load_revision, revision);
@@ -114,7 +117,7 @@
 void
 hzb_kv_replica_continue_load (HzbKvReplica *kv_replica)
 {
-  kv_replica->load_asked = TRUE;
+  kv_replica->load_request_in_flight = TRUE;
   if (kv_replica->load_step == HZB_KV_LOAD_PAGE)
     hzb_kv_client_range (kv_replica->kv, kv_replica->prefix, kv_replica->load_cursor, on_page,
                          hzb_kv_replica_call_new (kv_replica));
@@ -127,7 +130,7 @@
 hzb_kv_replica_begin_load (HzbKvReplica *kv_replica)
 {
   hzb_kv_replica_set_state (kv_replica, HZB_KV_REPLICA_LOADING);
-  kv_replica->funcs.load_begin (kv_replica->user);
+  kv_replica->callbacks.load_begin (kv_replica->user);
   g_clear_pointer (&kv_replica->load_cursor, g_free);
   kv_replica->load_revision = 0;
   kv_replica->load_step = HZB_KV_LOAD_PAGE;
--- a/src/kv/kv-replica-private.h
+++ b/src/kv/kv-replica-private.h
@@ -1,86 +1,92 @@
 /**
  * SECTION: kv-replica-private
- * @short_description: what kv-replica.c (state, watch, sync) and kv-replica-load.c (the reading of all
- * records) share.
+ * @short_description: internals shared by kv-replica.c (state, watch, sync) and kv-replica-load.c (the load of all
+ * records)
  */
 #pragma once
 #include "kv-replica.h"
 
-/** HzbKvLoadStep: what the reading of all records does next. */
+/** HzbKvLoadStep: the steps of a load. Pages and changes alternate until the last page. */
 typedef enum
 {
-  HZB_KV_LOAD_PAGE,        /**< reads the keys after the last one read */
-  HZB_KV_LOAD_CHANGES,     /**< reads what has changed meanwhile */
-  HZB_KV_LOAD_LAST_CHANGES /**< the same, after the last page: the last step */
+  HZB_KV_LOAD_PAGE,        /**< reads the next page of keys */
+  HZB_KV_LOAD_CHANGES,     /**< reads the changes since the previous step */
+  HZB_KV_LOAD_LAST_CHANGES /**< reads the changes after the last page, which ends the load */
 } HzbKvLoadStep;
 
-/** _HzbKvReplica: the state of the replica, of its watch, and of the reading of all records. */
+/** _HzbKvReplica: the state of the replica, of its watch and of its load. */
 struct _HzbKvReplica
 {
-  HzbKvClient *kv;             /**< (not owned) */
-  HzbClock *clock;             /**< (not owned) */
-  char *prefix;                /**< of the keys */
-  HzbKvReplicaCallbacks funcs; /**< of the module that made the replica */
-  gpointer user;               /**< (nullable) (not owned): handed to them */
+  HzbKvClient *kv;                 /**< (not owned) */
+  HzbClock *clock;                 /**< (not owned) */
+  char *prefix;                    /**< of the keys that the replica follows; owned */
+  HzbKvReplicaCallbacks callbacks; /**< of the module that created the replica */
+  gpointer user;                   /**< (nullable) (not owned): passed to the callbacks */
 
   HzbKvReplicaState state; /**< changed by hzb_kv_replica_set_state() only */
-  guint64 generation;      /**< raised when all is read anew: answers to earlier requests are not taken any more */
-  guint64 revision;        /**< see hzb_kv_replica_revision() */
+  guint64 generation; /**< raised when the replica becomes empty; answers to requests of an earlier one are ignored */
+  guint64 revision;   /**< see hzb_kv_replica_revision() */
   struct timespec current_as_of; /**< see hzb_kv_replica_current_as_of() */
-  struct timespec next_step;     /**< no reading and no watch goes on before it: a pause after a failure */
+  struct timespec next_step;     /**< pause after a failure: neither the load nor the watch sends a request before it */
 
   /* The watch. */
-  gboolean watching;          /**< one is open */
-  guint lost_watches;         /**< in a row */
-  double watch_interval_s;    /**< between the openings of two watches */
-  struct timespec next_watch; /**< none is opened before it */
-  struct timespec last_watch; /**< when the last one was answered, or the reading ended */
+  gboolean watch_in_flight;       /**< a watch is open */
+  guint consecutive_lost_watches; /**< watches without an answer since the last answered one */
+  double watch_interval_s;        /**< minimum between the openings of two watches, in seconds */
+  struct timespec next_watch;     /**< no watch is opened before it */
+  struct timespec last_watch;     /**< when the last watch was answered, or the load ended */
 
-  /* The reading under way. */
-  HzbKvLoadStep load_step; /**< the step that is under way, or comes next */
-  gboolean load_asked;     /**< the request of this step is on its way */
-  guint64 load_revision;   /**< of its first page, or of the changes that were read since; 0: there was no page yet */
-  char *load_cursor;       /**< (nullable): the last key read */
+  /* The load in progress. */
+  HzbKvLoadStep load_step;         /**< the current step, or the next one if no request is in flight */
+  gboolean load_request_in_flight; /**< the request of this step has been sent */
+  guint64 load_revision;           /**< of the first page, or of the changes read since; 0: no page has been received */
+  char *load_cursor; /**< (nullable): the last key of the last page; NULL: the next page is the first; owned */
 };
 
-/** HzbKvReplicaCall: a request on its way, and what it was made for. Freed with g_free(). */
+/** HzbKvReplicaCall: the context of a request that was sent. Freed with g_free(). */
 typedef struct
 {
-  HzbKvReplica *kv_replica;  /**< the sender */
-  guint64 generation;        /**< of the replica as it was sent */
-  struct timespec sent;      /**< when it was sent */
-  HzbKvReplicaSyncFunc done; /**< (nullable): of a sync, as is the next */
-  gpointer user;             /**< (nullable): handed to the callback */
+  HzbKvReplica *kv_replica;  /**< (not owned): the sender */
+  guint64 generation;        /**< generation of the replica when the request was sent */
+  struct timespec sent;      /**< time of sending */
+  HzbKvReplicaSyncFunc done; /**< (nullable): callback of a sync; NULL for other requests */
+  gpointer user;             /**< (nullable) (not owned): passed to `done` */
 } HzbKvReplicaCall;
 
-/** hzb_kv_replica_call_new: Returns: (transfer full): sent now, in the replica's generation */
+/**
+ * hzb_kv_replica_call_new: Returns: (transfer full): the context of a request that is sent now, in the current
+ * generation
+ */
 HzbKvReplicaCall *hzb_kv_replica_call_new (HzbKvReplica *kv_replica);
 
-/** hzb_kv_replica_is_current: the answer to the call may be taken: the replica has not been reset since. */
-gboolean hzb_kv_replica_is_current (const HzbKvReplicaCall *call);
+/**
+ * hzb_kv_replica_call_is_current: Returns: whether the answer to the call may be used, because the replica has not been
+ * reset since the call was sent
+ */
+gboolean hzb_kv_replica_call_is_current (const HzbKvReplicaCall *call);
 
 /**
- * hzb_kv_replica_set_state: the one place where the state changes: EMPTY, LOADING, FOLLOWING, and back to EMPTY from
- * each.
+ * hzb_kv_replica_set_state: changes the state; no other function does. The transitions are EMPTY to LOADING to
+ * FOLLOWING, and from each state to EMPTY. Any other transition is refused and logged.
  */
 void hzb_kv_replica_set_state (HzbKvReplica *kv_replica, HzbKvReplicaState to);
 
 /**
- * hzb_kv_replica_apply_changes: hands over each change once, and in order.
- * - `changes`: (element-type HzbKvEntry): as a watch or a sync brought them
- * - `applied`: up to this revision they were handed over before
- * - `revision`: of the answer that brought them
+ * hzb_kv_replica_apply_changes: passes each change that is new to the `apply` callback, in the order of revisions.
+ * - `changes`: (element-type HzbKvEntry): from the answer to a watch or a sync
+ * - `applied`: changes up to this revision have been applied before
+ * - `revision`: of the answer
  *
- * Returns: the revision up to which all is applied now
+ * Returns: the revision up to which all changes are applied now
  */
 guint64
 hzb_kv_replica_apply_changes (HzbKvReplica *kv_replica, const GArray *changes, guint64 applied, guint64 revision);
 
-/** hzb_kv_replica_note_current: everything that was recorded by `as_of` has been applied. */
-void hzb_kv_replica_note_current (HzbKvReplica *kv_replica, struct timespec as_of);
+/** hzb_kv_replica_advance_current_as_of: notes that all changes recorded by the time `as_of` have been applied. */
+void hzb_kv_replica_advance_current_as_of (HzbKvReplica *kv_replica, struct timespec as_of);
 
-/** hzb_kv_replica_begin_load: reads all records anew; the replica is empty. */
+/** hzb_kv_replica_begin_load: starts to read all records. The replica must be in state %HZB_KV_REPLICA_EMPTY. */
 void hzb_kv_replica_begin_load (HzbKvReplica *kv_replica);
 
-/** hzb_kv_replica_continue_load: makes the request of the next step; none of the reading is on its way. */
+/** hzb_kv_replica_continue_load: sends the request of the current step. No request of the load may be in flight. */
 void hzb_kv_replica_continue_load (HzbKvReplica *kv_replica);
--- a/src/kv/kv-replica.c
+++ b/src/kv/kv-replica.c
@@ -1,27 +1,27 @@
-/* The replica's state, its watch and its syncs. The reading of all records is in kv-replica-load.c. */
+/* The replica's state, its watch and its syncs. kv-replica-load.c has the load, which reads all records. */
 #include "kv-replica.h"
 #include "kv-protocol.h"
 #include "kv-replica-private.h"
 
-#define FRESH_SLACK_S 2.0 /* beyond the time that a watch waits: for its answer, and for the interval between watches */
-#define REWATCH_PAUSE_S 0.3 /* after a watch that failed */
-/* Guards against changes that never come in time because there are too many of them: after so many watches without an
- * answer, though the store answers other requests, all records are read anew in pages. */
-#define MAX_LOST_WATCHES 5u
-#define SERVED_LATELY_S 2.0 /* the store has answered some request since: it is reachable */
+#define FRESH_SLACK_S 2.0       /* added to the wait of a watch, for its answer and the interval between watches */
+#define WATCH_RETRY_DELAY_S 0.3 /* after a failed watch */
+/* If there are too many changes, the answer to a watch never arrives in time. After this many watches without an
+ * answer, while the store answers other requests, the replica reads all records again in pages. */
+#define MAX_CONSECUTIVE_LOST_WATCHES 5u
+#define STORE_REACHABLE_S 2.0 /* a store that served a request within this time is reachable */
 #define STORE_UNRESPONSIVE_S                                                                                           \
-  (HZB_KV_REPLICA_WATCH_MS / 1000.0 + 1) /* a store that answers ends each watch within that time */
+  (HZB_KV_REPLICA_WATCH_MS / 1000.0 + 1) /* a responsive store ends each watch within this time */
 
 HzbKvReplica *
 hzb_kv_replica_new (HzbKvClient *kv, HzbClock *clock, const char *prefix, double watch_interval_s,
-                    const HzbKvReplicaCallbacks *funcs, gpointer user)
+                    const HzbKvReplicaCallbacks *callbacks, gpointer user)
 {
   HzbKvReplica *kv_replica = g_new0 (HzbKvReplica, 1);
   kv_replica->kv = kv;
   kv_replica->clock = clock;
   kv_replica->prefix = g_strdup (prefix);
   kv_replica->watch_interval_s = watch_interval_s;
-  kv_replica->funcs = *funcs;
+  kv_replica->callbacks = *callbacks;
   kv_replica->user = user;
   return kv_replica;
 }
@@ -46,36 +46,37 @@
   return call;
 }
 
-/* Guards against answers that outlive what they were asked for: those of an earlier reading, or from before a reset. */
+/* Rejects answers to requests of an earlier load, and to those sent before a reset. */
+
 gboolean
-hzb_kv_replica_is_current (const HzbKvReplicaCall *call)
+hzb_kv_replica_call_is_current (const HzbKvReplicaCall *call)
 {
   return call->generation == call->kv_replica->generation;
 }
 
-/* The one place where the state changes: empty -> loading -> following, and back to empty from each. */
+/* No other function changes the state: empty -> loading -> following, and back to empty from each. */
+
 void
 hzb_kv_replica_set_state (HzbKvReplica *kv_replica, HzbKvReplicaState to)
 {
-  static const guint legal[] = {
+  static const guint allowed_transitions[] = {
     [HZB_KV_REPLICA_EMPTY] = 1 << HZB_KV_REPLICA_LOADING | 1 << HZB_KV_REPLICA_EMPTY,
     [HZB_KV_REPLICA_LOADING] = 1 << HZB_KV_REPLICA_FOLLOWING | 1 << HZB_KV_REPLICA_EMPTY,
     [HZB_KV_REPLICA_FOLLOWING] = 1 << HZB_KV_REPLICA_EMPTY,
   };
-  g_return_if_fail (legal[kv_replica->state] & 1u << to);
+  g_return_if_fail (allowed_transitions[kv_replica->state] & 1u << to);
   kv_replica->state = to;
   if (to == HZB_KV_REPLICA_EMPTY)
     {
       kv_replica->generation++;
       kv_replica->current_as_of = (struct timespec){ 0 };
-      kv_replica->watching = kv_replica->load_asked = FALSE;
-      kv_replica->lost_watches = 0;
+      kv_replica->watch_in_flight = kv_replica->load_request_in_flight = FALSE;
+      kv_replica->consecutive_lost_watches = 0;
     }
 }
 
-/* Each change is applied once, and in order: a sync that was sent before a watch may bring again what the watch has
- * brought.
- * Returns: the revision up to which all is applied now. */
+/* Skips changes that have been applied: the answer to a sync that was sent before a watch may repeat the changes of
+ * that watch. */
 guint64
 hzb_kv_replica_apply_changes (HzbKvReplica *kv_replica, const GArray *changes, guint64 applied, guint64 revision)
 {
@@ -83,14 +84,14 @@
     {
       const HzbKvEntry *change = &g_array_index (changes, HzbKvEntry, i);
       if (change->version > applied)
-        kv_replica->funcs.apply (change, kv_replica->user);
+        kv_replica->callbacks.apply (change, kv_replica->user);
     }
   return MAX (applied, revision);
 }
 
-/* Answers may come in another order than their requests were sent in. */
+/* Answers may arrive in another order than their requests were sent, so an earlier time never replaces a later one. */
 void
-hzb_kv_replica_note_current (HzbKvReplica *kv_replica, struct timespec as_of)
+hzb_kv_replica_advance_current_as_of (HzbKvReplica *kv_replica, struct timespec as_of)
 {
   if (hzb_time_before (kv_replica->current_as_of, as_of))
     kv_replica->current_as_of = as_of;
@@ -100,20 +101,21 @@
 hzb_kv_replica_reset (HzbKvReplica *kv_replica)
 {
   hzb_kv_replica_set_state (kv_replica, HZB_KV_REPLICA_EMPTY);
-  kv_replica->funcs.lost (kv_replica->user);
+  kv_replica->callbacks.reset (kv_replica->user);
 }
 
 /* ---- following ---- */
 
 static void
-watch_failed (HzbKvReplica *kv_replica, HzbKvResult result)
+handle_watch_failure (HzbKvReplica *kv_replica, HzbKvResult result)
 {
-  kv_replica->next_step = hzb_time_plus (hzb_clock_now (kv_replica->clock), REWATCH_PAUSE_S);
+  kv_replica->next_step = hzb_time_plus (hzb_clock_now (kv_replica->clock), WATCH_RETRY_DELAY_S);
   if (result != HZB_KV_UNKNOWN)
     return;
-  if (hzb_kv_client_unresponsive_s (kv_replica->kv) > SERVED_LATELY_S)
-    kv_replica->lost_watches = 0; /* the store answers nothing at all, so the number of changes is not the cause */
-  else if (++kv_replica->lost_watches >= MAX_LOST_WATCHES)
+  /* If the store answers no request at all, the number of changes is not the cause. */
+  if (hzb_kv_client_unresponsive_s (kv_replica->kv) > STORE_REACHABLE_S)
+    kv_replica->consecutive_lost_watches = 0;
+  else if (++kv_replica->consecutive_lost_watches >= MAX_CONSECUTIVE_LOST_WATCHES)
     hzb_kv_replica_reset (kv_replica);
 }
 
@@ -125,20 +127,20 @@
   guint64 revision = 0;
   g_autoptr (GArray) items = NULL;
 
-  if (!hzb_kv_replica_is_current (call))
+  if (!hzb_kv_replica_call_is_current (call))
     return;
-  kv_replica->watching = FALSE;
+  kv_replica->watch_in_flight = FALSE;
   items = result == HZB_KV_OK ? hzb_kv_watch_decode (body, &revision) : NULL;
   if (result == HZB_KV_NOT_FOUND)
     hzb_kv_replica_reset (kv_replica);
   else if (!items)
-    watch_failed (kv_replica, result);
+    handle_watch_failure (kv_replica, result);
   else
     {
       kv_replica->revision = hzb_kv_replica_apply_changes (kv_replica, items, kv_replica->revision, revision);
-      hzb_kv_replica_note_current (kv_replica, call->sent);
+      hzb_kv_replica_advance_current_as_of (kv_replica, call->sent);
       kv_replica->last_watch = hzb_clock_now (kv_replica->clock);
-      kv_replica->lost_watches = 0;
+      kv_replica->consecutive_lost_watches = 0;
     }
   hzb_kv_replica_tick (kv_replica);
 }
@@ -151,7 +153,7 @@
   guint64 revision = 0;
   g_autoptr (GArray) items = NULL;
 
-  if (!hzb_kv_replica_is_current (call))
+  if (!hzb_kv_replica_call_is_current (call))
     {
       call->done (FALSE, call->user);
       return;
@@ -160,10 +162,10 @@
   if (items)
     {
       kv_replica->revision = hzb_kv_replica_apply_changes (kv_replica, items, kv_replica->revision, revision);
-      hzb_kv_replica_note_current (kv_replica, call->sent);
+      hzb_kv_replica_advance_current_as_of (kv_replica, call->sent);
     }
   else if (result == HZB_KV_NOT_FOUND)
-    hzb_kv_replica_reset (kv_replica); /* else the watch would get the same answer a moment later */
+    hzb_kv_replica_reset (kv_replica); /* the watch would get the same answer a moment later */
   call->done (items != NULL, call->user);
 }
 
@@ -188,21 +190,21 @@
   struct timespec now = hzb_clock_now (kv_replica->clock);
   if (hzb_time_before (now, kv_replica->next_step))
     return;
-  if (kv_replica->state == HZB_KV_REPLICA_EMPTY && kv_replica->funcs.may_load (kv_replica->user))
+  if (kv_replica->state == HZB_KV_REPLICA_EMPTY && kv_replica->callbacks.may_load (kv_replica->user))
     hzb_kv_replica_begin_load (kv_replica);
-  else if (kv_replica->state == HZB_KV_REPLICA_LOADING && !kv_replica->load_asked)
+  else if (kv_replica->state == HZB_KV_REPLICA_LOADING && !kv_replica->load_request_in_flight)
     hzb_kv_replica_continue_load (kv_replica);
-  else if (kv_replica->state == HZB_KV_REPLICA_FOLLOWING && !kv_replica->watching
+  else if (kv_replica->state == HZB_KV_REPLICA_FOLLOWING && !kv_replica->watch_in_flight
            && !hzb_time_before (now, kv_replica->next_watch))
     {
-      kv_replica->watching = TRUE;
+      kv_replica->watch_in_flight = TRUE;
       kv_replica->next_watch = hzb_time_plus (now, kv_replica->watch_interval_s);
       hzb_kv_client_watch (kv_replica->kv, kv_replica->prefix, kv_replica->revision, HZB_KV_REPLICA_WATCH_MS,
                            on_watched, hzb_kv_replica_call_new (kv_replica));
     }
 }
 
-/* ---- what others ask ---- */
+/* ---- queries ---- */
 
 HzbKvReplicaState
 hzb_kv_replica_state (const HzbKvReplica *kv_replica)
--- a/src/kv/kv-replica.h
+++ b/src/kv/kv-replica.h
@@ -2,115 +2,116 @@
  * SECTION: kv-replica
  * @short_description: this controller's replica of the records that every controller follows
  *
- * Reads all records under one prefix, in pages, and then follows their changes with a watch. It keeps none of them:
- * each record is handed, in the order of changes, to the module that made the replica (#HzbKvReplicaCallbacks), which knows
- * what they mean.
+ * The replica reads all records under one prefix in pages (the load), and then follows their changes with a watch. It
+ * stores no records itself: it passes each record, in the order of changes, to the module that created the replica
+ * (#HzbKvReplicaCallbacks).
  *
- * Two promises: while the replica follows, each change is handed over once and in order; and everything up to
- * hzb_kv_replica_revision() has been handed over. hzb_kv_replica_current_as_of() tells how old that knowledge is.
+ * The replica guarantees that, while it follows, each change is passed on once and in order, and that all changes up to
+ * hzb_kv_replica_revision() have been passed on. hzb_kv_replica_current_as_of() says how old that state is.
  */
 #pragma once
 #include "kv-client.h"
 #include "kv-protocol.h"
 
-/** HzbKvReplicaState: how far the replica has come. */
+/** HzbKvReplicaState: the state of the replica. */
 typedef enum
 {
-  HZB_KV_REPLICA_EMPTY,    /**< nothing was read yet, or too much was missed */
-  HZB_KV_REPLICA_LOADING,  /**< all records are being read */
-  HZB_KV_REPLICA_FOLLOWING /**< a watch brings each change */
+  HZB_KV_REPLICA_EMPTY,    /**< no record has been read yet, or all records have to be read again */
+  HZB_KV_REPLICA_LOADING,  /**< the load is reading all records */
+  HZB_KV_REPLICA_FOLLOWING /**< a watch delivers each change */
 } HzbKvReplicaState;
 
-/** HzbKvReplica: the reading or the watch of one prefix. */
+/** HzbKvReplica: the load and the watch of one prefix. */
 typedef struct _HzbKvReplica HzbKvReplica;
 
-/** HzbKvReplicaCallbacks: what the module that made the replica does. Each gets its `user`. */
+/** HzbKvReplicaCallbacks: the functions of the module that created the replica. Each gets the `user` of that module. */
 typedef struct
 {
-  /** Whether a reading may begin now; if not, hzb_kv_replica_tick() asks again. */
+  /** Returns: whether a load may begin now; if not, hzb_kv_replica_tick() calls it again. */
   gboolean (*may_load) (gpointer user);
-  /** A reading of all records begins: what its records do not show by the end does not exist any more. */
+  /** A load begins. A record that has not been passed to `apply` by its end does not exist any more. */
   void (*load_begin) (gpointer user);
-  /** A record as it is now, or its removal (a value of NULL). During a reading a record may be handed over more than
-   * once, each time as it is by then. The entry is valid during the call. */
+  /** A record was read or has changed; a value of NULL means that it was removed. During a load a record may be passed
+   * more than once, each time in its state by then. The entry is valid during the call. */
   void (*apply) (const HzbKvEntry *item, gpointer user);
-  /** The reading is complete: everything up to the revision was handed over. */
+  /** The load is complete: all changes up to the revision have been passed on. */
   void (*load_end) (guint64 revision, gpointer user);
-  /** Too much was missed: all records will be read anew. What is known stays, and may be out of date. */
-  void (*lost) (gpointer user);
+  /** The replica was reset, so all records will be read again. Until then the records passed on may be out of date. */
+  void (*reset) (gpointer user);
 } HzbKvReplicaCallbacks;
 
 /**
- * HzbKvReplicaSyncFunc: the end of a hzb_kv_replica_sync().
- * - `fresh`: everything that was recorded before the call was handed over; FALSE: that could not be achieved, and
- *   nothing is known
+ * HzbKvReplicaSyncFunc: receives the result of hzb_kv_replica_sync().
+ * - `fresh`: TRUE: all changes that were recorded before the call have been passed on; FALSE: the sync failed, and the
+ *   replica may or may not be up to date
  * - `user`: as given with the call
  */
 typedef void (*HzbKvReplicaSyncFunc) (gboolean fresh, gpointer user);
 
 /**
- * hzb_kv_replica_new:
- * - `kv`: (transfer none): outlives the replica, as do the clock and what `user` is
- * - `prefix`: of the keys
- * - `watch_interval_s`: in seconds; watches are opened no more often than this, and what changes meanwhile comes with
- *   the next one
- * - `funcs`: copied
- * - `user`: (nullable): handed to `funcs`
+ * hzb_kv_replica_new: creates a replica of the records under a prefix.
+ * - `kv`: (transfer none): outlives the replica, as do the clock and `user`
+ * - `prefix`: of the keys; copied
+ * - `watch_interval_s`: minimum between the openings of two watches, in seconds; the next watch delivers the changes of
+ *   the meantime
+ * - `callbacks`: copied
+ * - `user`: (nullable) (not owned): passed to `callbacks`
  *
- * Returns: (transfer full): empty; the first hzb_kv_replica_tick() begins the reading
+ * Returns: (transfer full): in state %HZB_KV_REPLICA_EMPTY; hzb_kv_replica_tick() begins the load
  */
 HzbKvReplica *hzb_kv_replica_new (HzbKvClient *kv, HzbClock *clock, const char *prefix, double watch_interval_s,
-                                  const HzbKvReplicaCallbacks *funcs, gpointer user);
+                                  const HzbKvReplicaCallbacks *callbacks, gpointer user);
 
-/** hzb_kv_replica_free: no answer to a request of the replica may come after it. */
+/** hzb_kv_replica_free: frees the replica. No answer to one of its requests may arrive afterwards. */
 void hzb_kv_replica_free (HzbKvReplica *kv_replica);
 
-/** hzb_kv_replica_tick: starts whatever is to be done next: a reading, or the next watch. Cheap to call often. */
+/** hzb_kv_replica_tick: begins or continues the load, or opens the next watch, if that is due. Cheap to call often. */
 void hzb_kv_replica_tick (HzbKvReplica *kv_replica);
 
-/** hzb_kv_replica_state: Returns: how far the replica has come */
+/** hzb_kv_replica_state: Returns: the state of the replica */
 HzbKvReplicaState hzb_kv_replica_state (const HzbKvReplica *kv_replica);
 
 /**
- * hzb_kv_replica_revision: Returns: all changes up to this revision were applied; 0 before the first reading was
- * complete
+ * hzb_kv_replica_revision: Returns: the revision up to which all changes have been applied; 0 before the end of the
+ * first load
  */
 guint64 hzb_kv_replica_revision (const HzbKvReplica *kv_replica);
 
 /**
- * hzb_kv_replica_covers: Returns: whatever has changed up to `revision` was applied, or a page of the reading under way
- * will show what is left of it
+ * hzb_kv_replica_covers: Returns: whether all changes up to `revision` have been applied, or the remaining pages of the
+ * load in progress include their effect
  */
 gboolean hzb_kv_replica_covers (const HzbKvReplica *kv_replica, guint64 revision);
 
 /**
- * hzb_kv_replica_is_fresh: Returns: the replica follows, and a watch has ended lately, so little can have been missed
+ * hzb_kv_replica_is_fresh: Returns: whether the replica follows and a watch was answered, or the load ended, in the
+ * last 4 s, so that only recent changes can be missing
  */
 gboolean hzb_kv_replica_is_fresh (const HzbKvReplica *kv_replica);
 
 /**
- * hzb_kv_replica_current_as_of: Returns: whatever had been recorded by then has been applied: the time at which the
- * request was sent whose answer brought the replica up to date last. Unset before the first reading was complete, and
- * while all is read anew.
+ * hzb_kv_replica_current_as_of: Returns: a time such that all changes recorded by then have been applied: the time of
+ * sending of the latest request whose answer brought the replica up to date. Zero before the end of the first load, and
+ * from a reset until the end of the next load.
  */
 struct timespec hzb_kv_replica_current_as_of (const HzbKvReplica *kv_replica);
 
 /**
- * hzb_kv_replica_sync: brings the replica up to this moment.
- * - `done`: called once: at once, with FALSE, unless the replica follows; else within 3.4 s (see
+ * hzb_kv_replica_sync: reads and applies all changes that were recorded before this call.
+ * - `done`: called exactly once: at once with FALSE if the replica does not follow, otherwise within 3.4 s (see
  *   hzb_kv_client_changes())
- * - `user`: (nullable): handed to `done`
+ * - `user`: (nullable) (not owned): passed to `done`
  */
 void hzb_kv_replica_sync (HzbKvReplica *kv_replica, HzbKvReplicaSyncFunc done, gpointer user);
 
-/** hzb_kv_replica_reset: all records are read anew. Answers to earlier requests are not taken any more. */
+/** hzb_kv_replica_reset: makes the replica read all records again. Answers to earlier requests are ignored. */
 void hzb_kv_replica_reset (HzbKvReplica *kv_replica);
 
-/** HZB_KV_REPLICA_WATCH_MS: how long a watch waits for a change before it is renewed. */
+/** HZB_KV_REPLICA_WATCH_MS: time that a watch waits for a change before the store ends it, in milliseconds. */
 #define HZB_KV_REPLICA_WATCH_MS 2000
 
 /**
- * hzb_kv_replica_store_unresponsive: Returns: the key-value store has not answered for longer than a watch takes. A
- * request that needs it is better refused at once.
+ * hzb_kv_replica_store_unresponsive: Returns: whether the key-value store has not answered for longer than a watch
+ * takes. Callers should then refuse at once a request that needs the store.
  */
 gboolean hzb_kv_replica_store_unresponsive (const HzbKvReplica *kv_replica);
--- a/src/provisioning/provisioning.c
+++ b/src/provisioning/provisioning.c
@@ -30,7 +30,7 @@
 
   if (provisioning->types_requested || hzb_time_before (now, provisioning->next_types))
     return;
-  if (uses->machines->types && !hzb_election_leading (uses->election))
+  if (uses->machines->types && !hzb_election_is_leader (uses->election))
     return;
   provisioning->types_requested = TRUE;
   hzb_cloud_client_list_types (uses->cloud, on_types, provisioning);
@@ -43,7 +43,7 @@
 {
   g_autoptr (GPtrArray) candidates = NULL;
 
-  if (!hzb_election_lease_valid (provisioning->dependencies.election))
+  if (!hzb_election_is_lease_valid (provisioning->dependencies.election))
     return;
   candidates = hzb_autoscaler_scale_in (provisioning->dependencies.autoscaler, now);
   for (guint i = 0; i < candidates->len; i++)
@@ -77,7 +77,7 @@
   struct timespec *at = NULL;
 
   hzb_records_drop_machine (uses->records, machine);
-  hzb_machine_lose_tasks (uses->jobs, machine);
+  hzb_machine_requeue_tasks (uses->jobs, machine);
   hzb_machine_set_state (uses->machines, machine, HZB_MACHINE_GONE, "the cloud has confirmed it");
   at = g_new (struct timespec, 1);
   *at = hzb_clock_now (uses->node->clock);
--- a/src/provisioning/scale-in.c
+++ b/src/provisioning/scale-in.c
@@ -98,7 +98,7 @@
 {
   const HzbProvisioningDependencies *uses = &provisioning->dependencies;
 
-  if (hzb_machine_queued_tasks (machine))
+  if (hzb_machine_count_queued_tasks (machine))
     hzb_machine_clear_run_queues (uses->jobs, machine);
   if (machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len)
     hzb_machine_set_state (uses->machines, machine, HZB_MACHINE_DRAINING, "to be returned");
--- a/src/provisioning/scale-out.c
+++ b/src/provisioning/scale-out.c
@@ -59,14 +59,15 @@
 inform_autoscaler (HzbProvisioning *provisioning, const ScaleOutCall *call, guint granted, struct timespec now)
 {
   const HzbProvisioningDependencies *uses = &provisioning->dependencies;
-  HzbScaleOutRequest request = { hzb_machines_type (uses->machines, call->type), call->zone, call->spot, call->count };
+  HzbScaleOutRequest request = { hzb_machines_find_type (uses->machines, call->type), call->zone, call->spot,
+                                 call->count };
 
   if (!request.type)
     return;
   if (granted < call->count)
-    hzb_autoscaler_note_refused (uses->autoscaler, &request, now);
+    hzb_autoscaler_record_refusal (uses->autoscaler, &request, now);
   else
-    hzb_autoscaler_note_granted (uses->autoscaler, &request);
+    hzb_autoscaler_record_grant (uses->autoscaler, &request);
 }
 
 static void
@@ -121,7 +122,7 @@
   const HzbProvisioningDependencies *uses = &provisioning->dependencies;
   g_autoptr (GArray) wanted = NULL;
 
-  if (provisioning->scale_outs || !hzb_election_lease_valid (uses->election) || !uses->machines->types)
+  if (provisioning->scale_outs || !hzb_election_is_lease_valid (uses->election) || !uses->machines->types)
     return;
   wanted = hzb_autoscaler_scale_out (uses->autoscaler, now);
   for (guint i = 0; i < wanted->len; i++)
--- a/src/reconciliation/cold-start.c
+++ b/src/reconciliation/cold-start.c
@@ -46,7 +46,7 @@
   HzbStartPacingLimits limits = {
     .per_s =
         starts_per_s > 0 ? starts_per_s : MAX (LEAST_STARTS_PER_S, machines / (2 * settings->heartbeat_interval_s)),
-    .per_answer = settings->reconciliation.starts_per_heartbeat,
+    .starts_per_response = settings->reconciliation.starts_per_heartbeat,
     .scale_outs_per_s = MIN (MOST_SCALE_OUTS_PER_S, PART_OF_CLOUD_RATE * settings->cloud_rps),
     .duration_s = settings->reconciliation.pace_s,
   };
--- a/src/reconciliation/command-gate.c
+++ b/src/reconciliation/command-gate.c
@@ -27,7 +27,7 @@
       && hzb_time_between (reconciliation->began, now)
              < HEARTBEATS_BEFORE_SCALE_OUT * heartbeat_interval_s + SCALE_OUT_SLACK_S)
     return FALSE;
-  return hzb_start_pacing_take_scale_out (&reconciliation->pacing);
+  return hzb_start_pacing_take_scale_out_token (&reconciliation->pacing);
 }
 
 /* ---- tasks in heartbeats ---- */
@@ -43,7 +43,7 @@
     {
       if (!hzb_start_pacing_allows (&reconciliation->pacing, HZB_START_PACING_OTHER))
         return HZB_TASK_VERDICT_AWAIT;
-      hzb_start_pacing_take (&reconciliation->pacing);
+      hzb_start_pacing_take_token (&reconciliation->pacing);
     }
   reconciliation->verdicts[verdict][reason]++;
   return verdict;
--- a/src/reconciliation/job-scan.c
+++ b/src/reconciliation/job-scan.c
@@ -94,7 +94,7 @@
 static void
 decide_jobs (HzbReconciliation *reconciliation)
 {
-  g_autoptr (GPtrArray) kinds_of_shards = hzb_machines_unverified_kinds (reconciliation->dependencies.machines, 1);
+  g_autoptr (GPtrArray) kinds_of_shards = hzb_machines_list_unverified_kinds (reconciliation->dependencies.machines, 1);
   const GPtrArray *unverified = kinds_of_shards->pdata[HZB_UNCONFIRMED_TASKS_OF_LEADER];
   GHashTableIter iter;
   gpointer value;
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -228,7 +228,7 @@
   if (task->state == HZB_TASK_QUEUED)
     hzb_task_set_state (jobs, task, HZB_TASK_PENDING, NULL);
   task->attempt = entry->attempt;
-  job->next_attempt = MAX (job->next_attempt, entry->attempt);
+  job->last_attempt = MAX (job->last_attempt, entry->attempt);
   hzb_task_set_state (jobs, task, HZB_TASK_RUNNING, machine);
 }
 
--- a/src/reconciliation/reconciliation-admin.c
+++ b/src/reconciliation/reconciliation-admin.c
@@ -97,7 +97,7 @@
 leads (const HzbReconciliation *reconciliation)
 {
   return hzb_ownership_leader_loaded (reconciliation->dependencies.ownership)
-         && hzb_election_leading (reconciliation->dependencies.election);
+         && hzb_election_is_leader (reconciliation->dependencies.election);
 }
 
 /* Returns: FALSE if there is nothing at the path. */
--- a/src/records/completed-job-archive.c
+++ b/src/records/completed-job-archive.c
@@ -1,17 +1,18 @@
-/* A job's record is in one of the two places at any time: it moves in one transaction, conditional on its version. */
+/* A job's record moves to the archive in one transaction that is conditional on the record's version. So the record is
+ * always either among the replicated records or in the archive. */
 #include "completed-job-archive.h"
 #include "kv-protocol.h"
 #include "record-keys.h"
 
-#define MIN_INTERVAL_S 1.0 /* between transactions, and longer after one with many jobs: */
-#define WRITES_PART 0.15   /* of the changes that the key-value store takes, for archiving */
-#define CHANGES_PER_JOB 2u /* its record is put at the new place, and deleted at the old one */
+#define MIN_INTERVAL_S 1.0       /* minimum time between two transactions */
+#define WRITE_RATE_FRACTION 0.15 /* fraction of the key-value store's write rate that archiving may use */
+#define CHANGES_PER_JOB 2u       /* its record is put below the archive's key, and deleted below the old one */
 
 struct _HzbCompletedJobArchive
 {
   HzbCompletedJobArchiveDependencies modules;
-  gboolean in_flight; /* a transaction is on its way */
-  struct timespec next;
+  gboolean in_flight;               /* a transaction was sent and not answered yet */
+  struct timespec next_transaction; /* no transaction is sent before it */
 };
 
 HzbCompletedJobArchive *
@@ -35,7 +36,7 @@
 }
 
 static gboolean
-names_record_of (const GPtrArray *keys, const HzbJob *job)
+contains_record_of (const GPtrArray *keys, const HzbJob *job)
 {
   for (guint i = 0; keys && i < keys->len; i++)
     if (g_str_has_suffix (keys->pdata[i], job->uid))
@@ -59,10 +60,10 @@
   for (guint i = 0; i < uids->len; i++)
     {
       HzbJob *job = hzb_jobs_find (archive->modules.jobs, uids->pdata[i]);
-      /* A job whose record has changed was moved by an earlier leader, as the replica of the records will show. It
-       * stays marked, so that it is not tried again. */
+      /* If the comparison of a job's record failed, an earlier leader has moved the record, which the replica of the
+       * records will show. The job stays marked as archiving, so that this leader does not try again. */
       if (job)
-        job->archiving = names_record_of (failed_keys, job);
+        job->archiving = contains_record_of (failed_keys, job);
     }
 }
 
@@ -73,12 +74,12 @@
   g_autofree char *to = g_strconcat (HZB_KEY_ARCHIVED, job->uid, NULL);
 
   hzb_kv_transaction_compare (transaction, from, job->version);
-  hzb_kv_transaction_put (transaction, to, hzb_job_end_encode (job->state, job->n_tasks), 0);
+  hzb_kv_transaction_put (transaction, to, hzb_job_completion_encode (job->state, job->n_tasks), 0);
   hzb_kv_transaction_delete (transaction, from);
 }
 
 static void
-move (HzbCompletedJobArchive *archive, const GPtrArray *jobs)
+move_records (HzbCompletedJobArchive *archive, const GPtrArray *jobs)
 {
   const HzbCompletedJobArchiveDependencies *modules = &archive->modules;
   GPtrArray *uids = g_ptr_array_new_with_free_func (g_free);
@@ -103,11 +104,11 @@
   const HzbSettings *settings = archive->modules.node->settings;
   g_autoptr (GPtrArray) jobs = NULL;
 
-  if (archive->in_flight || hzb_time_before (now, archive->next))
+  if (archive->in_flight || hzb_time_before (now, archive->next_transaction))
     return;
-  jobs = hzb_jobs_archivable (archive->modules.jobs, MAX (1, settings->kv_txn_ops / CHANGES_PER_JOB));
-  archive->next =
-      hzb_time_plus (now, MAX (MIN_INTERVAL_S, jobs->len * CHANGES_PER_JOB / (WRITES_PART * settings->kv_write_rps)));
+  jobs = hzb_jobs_list_archivable (archive->modules.jobs, MAX (1, settings->kv_txn_ops / CHANGES_PER_JOB));
+  archive->next_transaction = hzb_time_plus (
+      now, MAX (MIN_INTERVAL_S, jobs->len * CHANGES_PER_JOB / (WRITE_RATE_FRACTION * settings->kv_write_rps)));
   if (jobs->len)
-    move (archive, jobs);
+    move_records (archive, jobs);
 }
--- a/src/records/completed-job-archive.h
+++ b/src/records/completed-job-archive.h
@@ -1,10 +1,11 @@
 /**
  * SECTION: completed-job-archive
  * @short_description: moves the records of jobs that completed long ago to the archive, which no
- * controller replicates.
+ * controller replicates
  *
- * The leader's part. A month of completed jobs would not fit the memory of a controller. A question about an archived
- * job is answered from its one record in the archive (src/api/user-api.c).
+ * Only the leader moves records. The archive exists because the completed jobs of a month would not fit into the memory
+ * of a controller. The user API answers a query about an archived job from the job's one record in the archive
+ * (src/api/user-api.c).
  */
 #pragma once
 #include "election.h"
@@ -13,34 +14,36 @@
 #include "node.h"
 #include "ownership.h"
 
-/** HzbCompletedJobArchive: when the next records move, and whether some are on the way. */
+/** HzbCompletedJobArchive: the time of the next transaction, and whether one is in flight. */
 typedef struct _HzbCompletedJobArchive HzbCompletedJobArchive;
 
 /**
- * HzbCompletedJobArchiveDependencies: the modules that the archive works with. None is owned; all outlive the archive.
+ * HzbCompletedJobArchiveDependencies: the modules that the archive uses. The archive owns none of them, and all of them
+ * outlive it.
  */
 typedef struct
 {
   const HzbNode *node;     /**< settings */
-  HzbKvClient *kv;         /**< where the records lie */
-  HzbJobs *jobs;           /**< which of them are archivable */
-  HzbElection *election;   /**< the term, on which every transaction is conditional */
-  HzbOwnership *ownership; /**< whose epochs show which answers are late */
+  HzbKvClient *kv;         /**< the store that has the records */
+  HzbJobs *jobs;           /**< say which records can be archived */
+  HzbElection *election;   /**< leader's term, on which every transaction is conditional */
+  HzbOwnership *ownership; /**< its epochs show which answers are late */
 } HzbCompletedJobArchiveDependencies;
 
-/** hzb_completed_job_archive_new: `dependencies`: copied. Returns: (transfer full) */
+/** hzb_completed_job_archive_new: `dependencies`: copied. Returns: (transfer full): without a transaction in flight */
 HzbCompletedJobArchive *hzb_completed_job_archive_new (const HzbCompletedJobArchiveDependencies *dependencies);
 
-/** hzb_completed_job_archive_free: no answer to a transaction may come after it. */
+/** hzb_completed_job_archive_free: frees the archive. No answer to a transaction may arrive afterwards. */
 void hzb_completed_job_archive_free (HzbCompletedJobArchive *archive);
 
 /**
- * hzb_completed_job_archive_reset: called when an ownership begins or ends; answers to what was sent before are
- * dropped.
+ * hzb_completed_job_archive_reset: called when this node gains or loses leadership. Answers to transactions that were
+ * sent before are ignored.
  */
 void hzb_completed_job_archive_reset (HzbCompletedJobArchive *archive);
 
 /**
- * hzb_completed_job_archive_tick: sends the next transaction if one is due. Only while leading; cheap to call often.
+ * hzb_completed_job_archive_tick: sends the next transaction if one is due. Called only while this node leads; cheap to
+ * call often.
  */
 void hzb_completed_job_archive_tick (HzbCompletedJobArchive *archive, struct timespec now);
--- a/src/records/job-completion.c
+++ b/src/records/job-completion.c
@@ -1,16 +1,16 @@
-/* The record that a job is done. It is written only if no record says that the job is terminal: so a job is either done
- * or cancelled, never both. */
+/* Writes the record that a job is done. The transaction fails if a record already says that the job is terminal, so a
+ * job is never recorded both as done and as cancelled. */
 #include "record-keys.h"
 #include "records-private.h"
 
-/* The replica of the records brings the job's record too; this answer may come first. */
+/* The replica of the records delivers the job's record too, but the answer to the transaction may arrive first. */
 static void
 apply_done (HzbJobs *jobs, const HzbJob *job, const char *body)
 {
   guint64 revision = 0;
 
   hzb_kv_commit_decode (body, &revision, NULL);
-  hzb_jobs_apply_end (jobs, job->uid, HZB_JOB_DONE, job->n_tasks, revision);
+  hzb_jobs_apply_completion (jobs, job->uid, HZB_JOB_DONE, job->n_tasks, revision);
 }
 
 static void
@@ -24,7 +24,7 @@
 
   if (!job)
     return;
-  /* The record is true whoever leads now, so it is applied even if this node's leadership has ended. */
+  /* The record is valid whichever node leads, so it is applied even if this node's leadership has ended. */
   if (result == HZB_KV_OK)
     apply_done (jobs, job, body);
   if (!hzb_epoch_call_is_current (call))
@@ -32,9 +32,9 @@
   job->completing = FALSE;
   if (result != HZB_KV_OK || !job->tasks)
     return;
-  g_message ("job %s is done", uid);
+  g_message ("job %s is done: all of its %u tasks have finished", uid, job->n_tasks);
   hzb_records_drop_job (records, job);
-  hzb_jobs_retire (jobs, job);
+  hzb_jobs_deactivate (jobs, job);
 }
 
 void
@@ -44,14 +44,14 @@
   g_autofree char *key = NULL;
   HzbKvTransaction *transaction;
 
-  if (job->completing || job->state != HZB_JOB_ACCEPTED || !hzb_election_leading (modules->election))
+  if (job->completing || job->state != HZB_JOB_ACCEPTED || !hzb_election_is_leader (modules->election))
     return;
   job->completing = TRUE;
   key = g_strconcat (HZB_KEY_JOBS, job->uid, NULL);
   transaction = hzb_kv_transaction_new ();
   hzb_election_add_condition (modules->election, transaction);
-  hzb_jobs_compare_not_terminal (transaction, job->uid); /* the job has not been cancelled */
-  hzb_kv_transaction_put (transaction, key, hzb_job_end_encode (HZB_JOB_DONE, job->n_tasks), 0);
+  hzb_jobs_compare_not_terminal (transaction, job->uid); /* fails if the job has been cancelled */
+  hzb_kv_transaction_put (transaction, key, hzb_job_completion_encode (HZB_JOB_DONE, job->n_tasks), 0);
   hzb_kv_client_commit (modules->kv, HZB_KV_ACCEPT, transaction, on_completed,
                         hzb_epoch_call_new (modules->ownership, records, g_strdup (job->uid)));
 }
--- a/src/records/job-progress.c
+++ b/src/records/job-progress.c
@@ -2,12 +2,13 @@
 #include "task.h"
 
 guint
-hzb_job_chunks (const HzbJobs *jobs, const HzbJob *job)
+hzb_job_count_chunks (const HzbJobs *jobs, const HzbJob *job)
 {
-  return (job->n_tasks + jobs->chunk - 1) / jobs->chunk;
+  return (job->n_tasks + jobs->chunk_tasks - 1) / jobs->chunk_tasks;
 }
 
-/* The bits end with the last byte that has any: most tasks of a large job have not finished for most of its life. */
+/* Sets `finished_bytes` to end with the last byte that has a bit set, which keeps the record short: for most of a large
+ * job's run time, most of its tasks have not finished. */
 static void
 pack_finished (const HzbJob *job, guint first, guint n, HzbProgressRecord *record)
 {
@@ -23,19 +24,20 @@
 void
 hzb_job_pack_progress (const HzbJobs *jobs, const HzbJob *job, guint chunk, HzbProgressRecord *record)
 {
-  guint first = chunk * jobs->chunk;
+  guint first = chunk * jobs->chunk_tasks;
 
   *record = (HzbProgressRecord){ .released = job->releasing };
-  if (job->n_tasks > jobs->chunk)
-    record->chunk_tasks = jobs->chunk;
+  if (job->n_tasks > jobs->chunk_tasks)
+    record->chunk_tasks = jobs->chunk_tasks;
   if (job->state == HZB_JOB_CANCELLED || chunk == 0)
     {
-      /* A cancelled job's own record no longer says what its tasks use, so the progress says it. */
+      /* A cancelled job's own record no longer states the resources of its tasks, so the progress record states
+       * them. */
       record->team = g_strdup (job->spec->team);
       record->cpus = job->spec->cpus;
       record->gpus = job->spec->gpus;
     }
-  pack_finished (job, first, MIN (jobs->chunk, job->n_tasks - first), record);
+  pack_finished (job, first, MIN (jobs->chunk_tasks, job->n_tasks - first), record);
 }
 
 static gboolean
@@ -55,7 +57,7 @@
     }
 }
 
-/* Any part may be the newest, so the released mark of each holds for the tasks of all parts. */
+/* Any part may have been written last, so the released mark of each part applies to the tasks of all parts. */
 static void
 raise_released_mark (HzbJobs *jobs, HzbJob *job, guint released)
 {
@@ -67,15 +69,16 @@
 }
 
 gboolean
-hzb_job_apply_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const HzbProgressRecord *record, gboolean *ours)
+hzb_job_apply_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const HzbProgressRecord *record,
+                        gboolean *has_current_layout)
 {
   guint size = record->chunk_tasks;
 
   if (chunk > job->n_tasks / size)
     return FALSE;
-  *ours = job->n_tasks <= MIN (size, jobs->chunk) || size == jobs->chunk;
+  *has_current_layout = job->n_tasks <= MIN (size, jobs->chunk_tasks) || size == jobs->chunk_tasks;
   mark_done (jobs, job, chunk * size, record);
   raise_released_mark (jobs, job, MIN (record->released, job->n_tasks));
-  job->did_well = job->did_well || job->done > 0;
+  job->proven_runnable = job->proven_runnable || job->done > 0;
   return TRUE;
 }
--- a/src/records/job-progress.h
+++ b/src/records/job-progress.h
@@ -1,34 +1,37 @@
 /**
  * SECTION: job-progress
- * @short_description: how far a job has come, between the job in memory and its durable form
+ * @short_description: converts a job's progress between the job in memory and its progress records
  *
- * A job's progress is recorded in parts (chunks), each of which fits a value of the key-value store: which tasks have
- * finished, and up to which number tasks may have been started (the released mark). The stored form is the business of
- * records-codec.h.
+ * A job's progress is recorded in parts (chunks), each of which fits into a value of the key-value store. A part states
+ * which of its tasks have finished, and the number below which tasks may have been started (the released mark).
+ * records-codec.h defines the stored form.
  */
 #pragma once
 #include "jobs.h"
 #include "records-codec.h"
 
-/** hzb_job_chunks: Returns: how many parts the job's progress has, at the part size that this version writes */
-guint hzb_job_chunks (const HzbJobs *jobs, const HzbJob *job);
+/**
+ * hzb_job_count_chunks: Returns: the number of parts of the job's progress, at the part size that this version writes
+ */
+guint hzb_job_count_chunks (const HzbJobs *jobs, const HzbJob *job);
 
 /**
- * hzb_job_pack_progress: the durable form of one part.
- * - `job`: with tasks and a specification, owned by this controller
- * - `chunk`: below hzb_job_chunks()
- * - `record`: (out caller-allocates): to be cleared by the caller
+ * hzb_job_pack_progress: fills the progress record of one part.
+ * - `job`: owned by this controller, with its tasks and specification in memory
+ * - `chunk`: number of the part, below hzb_job_count_chunks()
+ * - `record`: (out caller-allocates): the caller clears it with hzb_progress_record_clear()
  */
 void hzb_job_pack_progress (const HzbJobs *jobs, const HzbJob *job, guint chunk, HzbProgressRecord *record);
 
 /**
- * hzb_job_apply_progress: takes over what a part says: a task that the part shows as finished is done, and the other
- * tasks below its released mark become unconfirmed.
- * - `job`: with tasks
- * - `chunk`: the part's number, at the part size that `record` states
- * - `ours`: (out): the part is one of those that this version would write
+ * hzb_job_apply_progress: applies the record of a part to the job in memory: tasks that the part shows as finished
+ * become done, and the other pending tasks of the job below the released mark become unconfirmed.
+ * - `job`: with its tasks in memory
+ * - `chunk`: number of the part, at the part size that `record` states
+ * - `has_current_layout`: (out): whether this version would divide the job into the same parts; unset if FALSE is
+ *   returned
  *
- * Returns: FALSE, with nothing changed, if the job has no such part
+ * Returns: FALSE, without a change, if the job has no such part
  */
-gboolean
-hzb_job_apply_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const HzbProgressRecord *record, gboolean *ours);
+gboolean hzb_job_apply_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const HzbProgressRecord *record,
+                                 gboolean *has_current_layout);
--- a/src/records/record-flush-outcome.c
+++ b/src/records/record-flush-outcome.c
@@ -1,16 +1,17 @@
-/* What became of a flush.
+/* The outcome of a flush.
  *
- * If the key-value store has carried it out, what it wrote is durable and is applied. If the store has refused it, all
- * of it is written again. If there is no answer, or the answer is a conflict (the flush record has been raised
- * meanwhile), the flush record is read: it has the flush's number if and only if the flush was carried
- * out. If it was not, the next flush raises the record, and this one can't be carried out late. */
+ * If the key-value store has carried out the transaction, its contents are durable and are applied in memory. If the
+ * store has refused the transaction, the leader writes all of the contents again. If there is no answer, or the answer
+ * is a conflict (the flush record has changed meanwhile), the leader reads the flush record: it has the flush's number
+ * if and only if the flush was carried out. If the flush was not carried out, the next flush changes the record's
+ * version, so the earlier transaction fails even if the store executes it late. */
 #include "record-keys.h"
 #include "records-codec.h"
 #include "records-private.h"
 
-#define REFUSED_PAUSE_S 0.5 /* before the next attempt: an outage may last for minutes */
+#define REFUSED_RETRY_DELAY_S 0.5 /* before the next attempt; an outage may last for minutes */
 
-/* ---- applying ---- */
+/* ---- applying a durable flush ---- */
 
 static void
 apply_part (HzbRecords *records, const HzbFlushedPart *part)
@@ -20,7 +21,7 @@
 
   if (!job || !job->tasks)
     return;
-  job->released = MAX (job->released, part->releasing);
+  job->released = MAX (job->released, part->released_mark);
   for (guint i = 0; i < part->finished->len; i++)
     {
       HzbTask *task = &job->tasks[g_array_index (part->finished, guint, i)];
@@ -49,9 +50,9 @@
     hzb_jobs_apply_acceptance (modules->jobs, flush->acceptances->pdata[i], NULL);
 }
 
-/* ---- writing again ---- */
+/* ---- reverting a failed flush ---- */
 
-/* The flush does not know which pages it wrote, so all pages are taken for such that have to be written again. */
+/* HzbFlush does not list the pages that were written, so all pages have to be written again. */
 static void
 mark_all_pages_stale (HzbRecords *records)
 {
@@ -64,7 +65,7 @@
   records->replacements_pending = records->retiring_pages > 0;
 }
 
-/* The flush was not carried out and never will be. */
+/* Undoes what was noted in memory when the flush was sent. The flush was not carried out and never will be. */
 static void
 revert_flush (HzbRecords *records, const HzbFlush *flush)
 {
@@ -87,14 +88,14 @@
     {
       HzbAcceptance *acceptance = g_hash_table_lookup (modules->jobs->acceptances, flush->acceptances->pdata[i]);
       if (acceptance)
-        acceptance->removing = FALSE;
+        acceptance->deleting = FALSE;
     }
   mark_all_pages_stale (records);
 }
 
-/* ---- the outcome ---- */
+/* ---- determining the outcome ---- */
 
-/* Takes @call, with its flush. */
+/* Frees @call and its flush. */
 static void
 drop_call (HzbEpochCall *call)
 {
@@ -102,7 +103,7 @@
   g_free (call);
 }
 
-/* Takes @call, with its flush. */
+/* Applies or reverts the flush. Takes ownership of @call and its flush. */
 static void
 end_flush (HzbRecords *records, HzbEpochCall *call, gboolean carried_out)
 {
@@ -117,7 +118,7 @@
 static void
 pause_flushes (HzbRecords *records)
 {
-  records->next_flush = hzb_time_plus (hzb_clock_now (records->modules.node->clock), REFUSED_PAUSE_S);
+  records->next_flush = hzb_time_plus (hzb_clock_now (records->modules.node->clock), REFUSED_RETRY_DELAY_S);
 }
 
 void
@@ -126,9 +127,9 @@
   g_clear_pointer (&records->unresolved, drop_call);
 }
 
-/* Returns: FALSE if the flush record could not be read. */
+/* Decodes the flush record and notes its version. Returns: FALSE if the flush record could not be read. */
 static gboolean
-take_flush_record (HzbRecords *records, HzbKvResult result, const char *body, HzbFlushRecord *record)
+decode_flush_record_answer (HzbRecords *records, HzbKvResult result, const char *body, HzbFlushRecord *record)
 {
   HzbKvEntry entry = { 0 };
 
@@ -150,7 +151,7 @@
 
   if (!hzb_epoch_call_is_current (call))
     drop_call (call);
-  else if (take_flush_record (records, result, body, &record))
+  else if (decode_flush_record_answer (records, result, body, &record))
     end_flush (records, call, record.number == flush->number);
   else
     {
@@ -160,7 +161,7 @@
     }
 }
 
-/* Takes @call, with its flush. */
+/* Takes ownership of @call and its flush. */
 static void
 read_flush_record (HzbRecords *records, HzbEpochCall *call)
 {
@@ -188,7 +189,7 @@
     {
       hzb_kv_commit_decode (body, &records->flush_version, NULL);
       end_flush (records, call, TRUE);
-      /* What was released, and the machines that were recorded, can be used at once. */
+      /* Released tasks and recorded machines can be used from now on, so the dispatcher runs at once. */
       records->modules.dispatch->next_run = (struct timespec){ 0 };
     }
   else
--- a/src/records/record-flush.c
+++ b/src/records/record-flush.c
@@ -1,19 +1,19 @@
-/* Writing the pages: one transaction at a time.
+/* Writes the pages, one transaction at a time.
  *
- * Each transaction raises the number in the flush record and is conditional on the version that the transaction before
- * gave that record. So a transaction that comes late, or twice, fails: without that, an older set of results could
- * overwrite a newer one of the same term. What became of a transaction is the business of record-flush-outcome.c. */
+ * Each transaction raises the number in the flush record, and is conditional on the version that the previous
+ * transaction gave that record. So a transaction that is executed late, or twice, fails. Without this condition an
+ * older set of results could overwrite a newer one of the same term. record-flush-outcome.c determines the outcome of
+ * each transaction. */
 #include "job-progress.h"
 #include "record-keys.h"
 #include "records-codec.h"
 #include "records-private.h"
 
-#define FLUSH_INTERVAL_S 0.1 /* between flushes, at least: what tasks wait for is written that often */
-#define CLEAN_INTERVAL_S 3.0 /* between removals of acceptance records */
-#define TRANSACTION_BYTES                                                                                              \
-  52000u /* of pages in one transaction; the key-value store takes 64 KiB with all that is around them */
-#define MIN_RELEASE_STEP 64u /* tasks */
-#define RELEASE_STEPS 32u    /* in which a large job is released */
+#define FLUSH_INTERVAL_S 0.1 /* minimum time between flushes: records that tasks wait for are written this often */
+#define ACCEPTANCE_REMOVAL_INTERVAL_S 3.0 /* minimum time between removals of acceptance records */
+#define TRANSACTION_BYTES 52000u /* of pages; the key-value store takes 64 KiB including the rest of the request */
+#define MIN_RELEASE_STEP 64u     /* tasks */
+#define RELEASE_STEPS 32u        /* number of steps in which a large job is released */
 
 /* ---- the contents of a flush ---- */
 
@@ -46,25 +46,26 @@
   g_free (flush);
 }
 
-/* ---- the state ---- */
+/* ---- the state of the flush ---- */
 
 void
 hzb_records_set_flush_state (HzbRecords *records, HzbFlushState to)
 {
-  static const guint legal[HZB_FLUSH_N_STATES] = {
+  static const guint allowed_transitions[HZB_FLUSH_N_STATES] = {
     [HZB_FLUSH_IDLE] = 1 << HZB_FLUSH_IDLE | 1 << HZB_FLUSH_COMMITTING,
     [HZB_FLUSH_COMMITTING] = 1 << HZB_FLUSH_IDLE | 1 << HZB_FLUSH_RESOLVING,
     [HZB_FLUSH_RESOLVING] = 1 << HZB_FLUSH_IDLE | 1 << HZB_FLUSH_UNRESOLVED,
     [HZB_FLUSH_UNRESOLVED] = 1 << HZB_FLUSH_IDLE | 1 << HZB_FLUSH_RESOLVING,
   };
-  g_return_if_fail (legal[records->flush_state] & 1u << to);
+  g_return_if_fail (allowed_transitions[records->flush_state] & 1u << to);
   records->flush_state = to;
 }
 
-/* ---- writing pages ---- */
+/* ---- adding pages to a transaction ---- */
 
-/* Few tasks are released ahead of their start: after a change of leader, each released task has to be accounted for by
- * every machine. All tasks of a gang start together, and a service has few. */
+/* Returns: the number of tasks to release at once. Few tasks are released ahead of their start, since after a failover
+ * every machine has to account for each released task. A gang is released as a whole because its tasks start together,
+ * and a service because it has few tasks. */
 static guint
 release_step (const HzbJob *job)
 {
@@ -76,22 +77,22 @@
 static void
 extend_release (HzbJob *job)
 {
-  if (hzb_records_wants_release (job))
+  if (hzb_records_needs_release (job))
     job->releasing = MIN (job->n_tasks, job->releasing + release_step (job));
   job->release_requested = FALSE;
 }
 
-/* What is to be applied to the job once the part is durable. */
+/* Returns: the contents of the part that are applied to the job when the part is durable. */
 static HzbFlushedPart *
 flushed_part_new (const HzbJobs *jobs, const HzbJob *job, guint chunk)
 {
   HzbFlushedPart *flushed = g_new0 (HzbFlushedPart, 1);
-  guint first = chunk * jobs->chunk;
+  guint first = chunk * jobs->chunk_tasks;
 
   flushed->uid = g_strdup (job->uid);
-  flushed->releasing = job->releasing;
+  flushed->released_mark = job->releasing;
   flushed->finished = g_array_new (FALSE, FALSE, sizeof (guint));
-  for (guint i = first; job->finished && i < MIN (job->n_tasks, first + jobs->chunk); i++)
+  for (guint i = first; job->finished && i < MIN (job->n_tasks, first + jobs->chunk_tasks); i++)
     if (job->tasks[i].state == HZB_TASK_FINISHED)
       g_array_append_val (flushed->finished, i);
   return flushed;
@@ -141,7 +142,7 @@
   return hzb_machine_page_encode (entries);
 }
 
-/* An empty page is removed. */
+/* Writes the page, or removes it if it is empty. */
 static void
 put_page (HzbRecords *records, HzbPage *page, HzbKvTransaction *transaction, HzbFlush *flush, struct timespec now)
 {
@@ -161,15 +162,15 @@
     }
 }
 
-/* Returns: how many changes the transaction takes beyond these pages. */
+/* Returns: the number of changes that the transaction can still take. */
 static guint
 put_pages (HzbRecords *records, const GPtrArray *due, HzbKvTransaction *transaction, HzbFlush *flush,
            struct timespec now)
 {
-  guint room = records->modules.node->settings->kv_txn_ops - 1; /* beside the flush record */
+  guint remaining_changes = records->modules.node->settings->kv_txn_ops - 1; /* one change is the flush record */
   gsize bytes = 0;
 
-  for (guint i = 0; i < due->len && room; i++, room--)
+  for (guint i = 0; i < due->len && remaining_changes; i++, remaining_changes--)
     {
       HzbPage *page = due->pdata[i];
       if (i && bytes + page->bytes > TRANSACTION_BYTES)
@@ -177,26 +178,29 @@
       bytes += page->bytes;
       put_page (records, page, transaction, flush, now);
     }
-  return room;
+  return remaining_changes;
 }
 
 /* ---- acceptance records ---- */
 
-/* An acceptance record goes once all its jobs are terminal, in what room the pages leave. */
+/* An acceptance record is removed when all of its jobs are terminal, if the pages leave changes for that. */
 static gboolean
 acceptances_due (const HzbRecords *records, struct timespec now)
 {
-  return !hzb_time_before (now, records->next_clean) && hzb_jobs_deletable_acceptance (records->modules.jobs);
+  return !hzb_time_before (now, records->next_acceptance_removal)
+         && hzb_jobs_find_deletable_acceptance (records->modules.jobs);
 }
 
 static void
-remove_completed_acceptances (HzbRecords *records, HzbKvTransaction *transaction, HzbFlush *flush, guint room)
+remove_completed_acceptances (HzbRecords *records, HzbKvTransaction *transaction, HzbFlush *flush,
+                              guint remaining_changes)
 {
   HzbAcceptance *completed;
 
-  for (; room && (completed = hzb_jobs_deletable_acceptance (records->modules.jobs)); room--)
+  for (; remaining_changes && (completed = hzb_jobs_find_deletable_acceptance (records->modules.jobs));
+       remaining_changes--)
     {
-      completed->removing = TRUE;
+      completed->deleting = TRUE;
       hzb_kv_transaction_delete (transaction, completed->key);
       g_ptr_array_add (flush->acceptances, g_strdup (completed->key));
     }
@@ -204,7 +208,7 @@
 
 /* ---- the flush ---- */
 
-/* Returns: (transfer full): with its conditions, and with the flush record in it. */
+/* Returns: (transfer full): a transaction with the conditions of a flush, which writes the flush record. */
 static HzbKvTransaction *
 begin_transaction (const HzbRecords *records, const HzbFlush *flush)
 {
@@ -236,31 +240,31 @@
 flush_pages (HzbRecords *records, struct timespec now)
 {
   g_autoptr (GPtrArray) due = hzb_records_choose_pages (records, now);
-  gboolean clean = acceptances_due (records, now);
+  gboolean remove_acceptances = acceptances_due (records, now);
   HzbKvTransaction *transaction;
   HzbFlush *flush;
-  guint room;
+  guint remaining_changes;
 
-  if (!due->len && !clean && !hzb_reconciliation_roster_due (records->modules.reconciliation))
+  if (!due->len && !remove_acceptances && !hzb_reconciliation_roster_due (records->modules.reconciliation))
     return;
   flush = hzb_flush_new (++records->flush_number);
   transaction = begin_transaction (records, flush);
-  room = put_pages (records, due, transaction, flush, now);
-  if (clean)
+  remaining_changes = put_pages (records, due, transaction, flush, now);
+  if (remove_acceptances)
     {
-      remove_completed_acceptances (records, transaction, flush, room);
-      records->next_clean = hzb_time_plus (now, CLEAN_INTERVAL_S);
+      remove_completed_acceptances (records, transaction, flush, remaining_changes);
+      records->next_acceptance_removal = hzb_time_plus (now, ACCEPTANCE_REMOVAL_INTERVAL_S);
     }
   commit (records, transaction, flush);
 }
 
 void
-hzb_records_flush_soon (HzbRecords *records)
+hzb_records_flush_if_due (HzbRecords *records)
 {
   const HzbRecordsDependencies *modules = &records->modules;
   struct timespec now = hzb_clock_now (modules->node->clock);
 
-  if (!hzb_ownership_leader_loaded (modules->ownership) || !hzb_election_leading (modules->election))
+  if (!hzb_ownership_leader_loaded (modules->ownership) || !hzb_election_is_leader (modules->election))
     return;
   hzb_completed_job_archive_tick (modules->job_archive, now);
   if (hzb_time_before (now, records->next_flush))
