--- a/src/records/record-pages.c
+++ b/src/records/record-pages.c
@@ -3,12 +3,12 @@
 
 #include <string.h>
 
-#define PAGE_BYTES 12000u   /* a page is written as a whole: a larger one costs too much for one job's news */
-#define PAGE_VALUE_PART 0.9 /* of the largest value that the key-value store takes, since sizes are estimated */
-/* What an entry takes besides its names (uid and team; name, type and zone): */
+#define PAGE_BYTES 12000u       /* a page is written as a whole, so a larger one costs too much for one job's change */
+#define PAGE_VALUE_FRACTION 0.9 /* fraction of the largest value that the key-value store takes; sizes are estimates */
+/* Bytes of an entry besides its names (uid and team of a part; name, type and zone of a machine). */
 #define PART_BYTES 120u
 #define MACHINE_BYTES 85u
-#define TASKS_PER_BYTE 6u /* base 64 keeps the bits of six tasks in a character */
+#define TASKS_PER_BYTE 6u /* base 64 stores the bits of six tasks in a character */
 
 static void
 page_free (gpointer data)
@@ -34,7 +34,7 @@
   page->number = number;
   page->of_machines = of_machines;
   hzb_page_make_empty (page);
-  pages->numbers = MAX (pages->numbers, number);
+  pages->max_number = MAX (pages->max_number, number);
   g_ptr_array_add (pages->all, page);
   return page;
 }
@@ -60,11 +60,11 @@
 static gsize
 max_page_bytes (const HzbPages *pages)
 {
-  return MIN (PAGE_BYTES, (gsize) (pages->settings->kv_value_kb * 1024 * PAGE_VALUE_PART));
+  return MIN (PAGE_BYTES, (gsize) (pages->settings->kv_value_kb * 1024 * PAGE_VALUE_FRACTION));
 }
 
 HzbPage *
-hzb_pages_with_room (HzbPages *pages, gboolean of_machines, gsize bytes)
+hzb_pages_find_with_room (HzbPages *pages, gboolean of_machines, gsize bytes)
 {
   gsize max_bytes = max_page_bytes (pages);
 
@@ -74,14 +74,14 @@
       if (page->of_machines == of_machines && !page->retiring && page->bytes + bytes <= max_bytes)
         return page;
     }
-  return hzb_page_new (pages, pages->numbers + 1, of_machines);
+  return hzb_page_new (pages, pages->max_number + 1, of_machines);
 }
 
 gsize
-hzb_pages_part_bytes (const HzbPages *pages, const HzbJob *job, guint chunk)
+hzb_pages_estimate_part_bytes (const HzbPages *pages, const HzbJob *job, guint chunk)
 {
-  guint tasks = MIN (pages->jobs->chunk, job->n_tasks - chunk * pages->jobs->chunk);
-  /* No task of a service is ever done, so there are no bits to keep. */
+  guint tasks = MIN (pages->jobs->chunk_tasks, job->n_tasks - chunk * pages->jobs->chunk_tasks);
+  /* No task of a service is ever done, so its record has no bits. */
   return PART_BYTES + strlen (job->uid) + strlen (job->spec->team)
          + (job->spec->kind == HZB_JOB_SERVICE ? 0 : tasks / TASKS_PER_BYTE);
 }
@@ -89,13 +89,13 @@
 void
 hzb_pages_add_part (HzbPages *pages, HzbPage *page, HzbJob *job, guint chunk)
 {
-  HzbPagePart part = { job, chunk, hzb_pages_part_bytes (pages, job, chunk) };
+  HzbPagePart part = { job, chunk, hzb_pages_estimate_part_bytes (pages, job, chunk) };
   g_array_append_val (page->parts, part);
   page->bytes += part.bytes;
 }
 
 gsize
-hzb_page_machine_bytes (const HzbMachine *machine)
+hzb_page_estimate_machine_bytes (const HzbMachine *machine)
 {
   return MACHINE_BYTES + strlen (machine->name) + strlen (machine->type_name) + strlen (machine->zone);
 }
@@ -104,7 +104,7 @@
 hzb_page_add_machine (HzbPage *page, HzbMachine *machine)
 {
   g_ptr_array_add (page->machines, machine);
-  page->bytes += hzb_page_machine_bytes (machine);
+  page->bytes += hzb_page_estimate_machine_bytes (machine);
   machine->page = page->number;
 }
 
@@ -137,7 +137,7 @@
   machine->page = 0;
   if (!page || !g_ptr_array_remove_fast (page->machines, machine))
     return;
-  page->bytes -= hzb_page_machine_bytes (machine);
+  page->bytes -= hzb_page_estimate_machine_bytes (machine);
   page->stale = TRUE;
 }
 
@@ -147,14 +147,14 @@
   pages->jobs = jobs;
   pages->settings = settings;
   pages->all = g_ptr_array_new_with_free_func (page_free);
-  pages->numbers = 0;
+  pages->max_number = 0;
 }
 
 void
 hzb_pages_clear (HzbPages *pages)
 {
   g_ptr_array_set_size (pages->all, 0);
-  pages->numbers = 0;
+  pages->max_number = 0;
 }
 
 void
--- a/src/records/records-codec.c
+++ b/src/records/records-codec.c
@@ -59,7 +59,7 @@
 void
 hzb_progress_record_decode (const cJSON *value, HzbProgressRecord *record)
 {
-  double chunk_tasks = hzb_json_number (value, "of", HZB_PROGRESS_PART_TASKS_SCHEMA_1);
+  double chunk_tasks = hzb_json_number (value, "of", HZB_SCHEMA_1_CHUNK_TASKS);
   const char *finished = hzb_json_text (value, "done");
 
   *record = (HzbProgressRecord){ 0 };
@@ -142,7 +142,8 @@
   return machines;
 }
 
-/* The address is not written: a worker states it with every heartbeat, and schema version 1 does without it. */
+/* The address is not written: a worker states its address with every heartbeat, and schema version 1 reads machine
+ * records without an address. */
 static cJSON *
 machine_record_encode (const HzbMachineRecord *record)
 {
--- a/src/records/records-codec.h
+++ b/src/records/records-codec.h
@@ -1,11 +1,11 @@
 /**
  * SECTION: records-codec
- * @short_description: the stored form of the leader's records: pages of progress, pages of machines, the flush
- * record.
+ * @short_description: the stored form of the leader's records: pages of progress, pages of machines, and the flush
+ * record
  *
- * The one place that knows the names and the layout of these records. The stored bytes outlive the process that wrote
- * them, and during a rollout processes of schema versions 1 and 2 read and write them side by side: a field may be
- * added, but the order, the names and the meaning of the present ones never change.
+ * No other module depends on the names and the layout of these records. The stored bytes outlive the process that wrote
+ * them, and during a rollout processes of schema versions 1 and 2 read and write them side by side. So a field may be
+ * added, but the order, names and meaning of the present fields never change.
  *
  * A page is an object. A page of progress has a member "uid/chunk" for each part of a job, a page of machines a member
  * for each machine, under its name.
@@ -15,64 +15,64 @@
 #include <glib.h>
 
 /**
- * HzbFlushRecord: the record that every transaction of pages rewrites. Its version orders these transactions, and its
- * number tells whether one that was not answered has been carried out.
+ * HzbFlushRecord: the record that every flush (transaction of pages) rewrites. Its version orders the flushes, and its
+ * number shows whether a flush without an answer was carried out.
  */
 typedef struct
 {
-  guint64 number; /**< of the last transaction of pages that was carried out */
-  guint64 term;   /**< of the leader that wrote it; 0: not stated (schema version 1) */
-  guint64
-      acknowledged_revision; /**< cancellations recorded up to it are acknowledged; 0: not stated (schema version 1) */
+  guint64 number; /**< number of the last flush that was carried out */
+  guint64 term;   /**< term of the leader that wrote the record; 0: not stated (schema version 1) */
+  /** Cancellations recorded up to this revision are acknowledged; 0: not stated (schema version 1). */
+  guint64 acknowledged_revision;
 } HzbFlushRecord;
 
 /** hzb_flush_record_encode: Returns: (transfer full): the record; the caller may add the roster of controllers to it */
 cJSON *hzb_flush_record_encode (const HzbFlushRecord *record);
 
-/** hzb_flush_record_decode: `value`: (nullable): NULL if there is no such record, which is read as all zeros */
+/** hzb_flush_record_decode: `value`: (nullable): the record; NULL: the store has none, which is decoded as all zeros */
 void hzb_flush_record_decode (const cJSON *value, HzbFlushRecord *record);
 
-/** HzbProgressRecord: how far one part (chunk) of a job has come. */
+/** HzbProgressRecord: the progress of one part (chunk) of a job. */
 typedef struct
 {
-  guint released;       /**< tasks of the job, from the first on, that may have been started */
-  guint chunk_tasks;    /**< tasks in a part; 0 when encoding: not stated, since the job has one part only */
-  char *team;           /**< (nullable): the job's team, beside the first part and with cancelled jobs */
-  double cpus;          /**< of one task, in processors; stated with the team */
-  double gpus;          /**< of one task; stated with the team */
-  guchar *finished;     /**< (nullable): one bit for each task of the part that has finished, the lowest bit first */
-  gsize finished_bytes; /**< size of the bits; tasks beyond it have not finished */
+  guint released;    /**< released mark: tasks of the job with a lower number may have been started */
+  guint chunk_tasks; /**< number of tasks in a part; 0 when encoding: not stated, since the job has one part */
+  char *team;        /**< (nullable): the job's team; stated in the first part, and in all parts of a cancelled job */
+  double cpus;       /**< CPUs of one task; stated with the team */
+  double gpus;       /**< GPUs of one task; stated with the team */
+  guchar *finished;  /**< (nullable): one bit for each task of the part, lowest bit first; 1: the task has finished */
+  gsize finished_bytes; /**< size of `finished`; tasks beyond it have not finished */
 } HzbProgressRecord;
 
-/** hzb_progress_record_clear: frees what `record` points to, and not `record` itself. */
+/** hzb_progress_record_clear: frees the members of `record`, and not `record` itself. */
 void hzb_progress_record_clear (HzbProgressRecord *record);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HzbProgressRecord, hzb_progress_record_clear)
 
-/** hzb_progress_record_encode: Returns: (transfer full): the member of a page of progress */
+/** hzb_progress_record_encode: Returns: (transfer full): the value of a member of a page of progress */
 cJSON *hzb_progress_record_encode (const HzbProgressRecord *record);
 
 /**
- * hzb_progress_record_decode:
- * - `record`: (out caller-allocates): to be cleared by the caller. Its `chunk_tasks` is at least 1: a part that does
- *   not state it has the size that schema version 1 uses.
+ * hzb_progress_record_decode: decodes the value of a member of a page of progress.
+ * - `record`: (out caller-allocates): the caller clears it with hzb_progress_record_clear(). Its `chunk_tasks` is at
+ *   least 1; if the value does not state it, it is the size that schema version 1 uses.
  */
 void hzb_progress_record_decode (const cJSON *value, HzbProgressRecord *record);
 
 /** HzbProgressPart: a member of a page of progress. */
 typedef struct
 {
-  char *uid;                  /**< of the job; NULL when decoding: the member's name makes no sense */
-  guint chunk;                /**< which part of the job, from 0 on */
-  HzbProgressRecord progress; /**< of that part */
+  char *uid;                  /**< of the job; NULL when decoding: the member's name is malformed */
+  guint chunk;                /**< number of the part in the job, from 0 on */
+  HzbProgressRecord progress; /**< progress of the part */
 } HzbProgressPart;
 
 /**
- * hzb_progress_parts_new: Returns: (transfer full) (element-type HzbProgressPart): empty; it frees what its parts point
- * to
+ * hzb_progress_parts_new: Returns: (transfer full) (element-type HzbProgressPart): an empty array, which frees the
+ * members of its parts
  */
 GArray *hzb_progress_parts_new (void);
 
-/** hzb_progress_page_encode: `parts`: (element-type HzbProgressPart). Returns: (transfer full) */
+/** hzb_progress_page_encode: `parts`: (element-type HzbProgressPart). Returns: (transfer full): a page of progress */
 cJSON *hzb_progress_page_encode (const GArray *parts);
 
 /** hzb_progress_page_decode: Returns: (transfer full) (element-type HzbProgressPart): in the order of the page */
@@ -81,26 +81,29 @@
 /** HzbMachineRecord: a member of a page of machines. */
 typedef struct
 {
-  char *name;         /**< of the machine */
-  char *address;      /**< (nullable): written by schema version 1 only; a worker states it with every heartbeat */
-  char *type;         /**< name of its machine type; NULL when decoding: the record makes no sense */
-  char *zone;         /**< where it is; NULL when decoding: the record makes no sense */
-  gboolean spot;      /**< it is a spot instance */
-  gboolean drain;     /**< an operator drains it */
-  double recorded_at; /**< time of day of the writing, in seconds since 1970; NAN: not stated */
+  char *name; /**< name of the machine */
+  /** (nullable): host and port. Only schema version 1 writes it, since a worker states it with every heartbeat. */
+  char *address;
+  char *type;         /**< name of the machine type; NULL when decoding: the record is malformed */
+  char *zone;         /**< zone of the machine; NULL when decoding: the record is malformed */
+  gboolean spot;      /**< the machine is a spot instance */
+  gboolean drain;     /**< an operator drains the machine */
+  double recorded_at; /**< wall-clock time of writing, in seconds since 1970; NAN: not stated */
 } HzbMachineRecord;
 
 /**
- * hzb_machine_records_new: Returns: (transfer full) (element-type HzbMachineRecord): empty; it frees what its records
- * point to
+ * hzb_machine_records_new: Returns: (transfer full) (element-type HzbMachineRecord): an empty array, which frees the
+ * members of its records
  */
 GArray *hzb_machine_records_new (void);
 
-/** hzb_machine_page_encode: `machines`: (element-type HzbMachineRecord). Returns: (transfer full) */
+/**
+ * hzb_machine_page_encode: `machines`: (element-type HzbMachineRecord). Returns: (transfer full): a page of machines
+ */
 cJSON *hzb_machine_page_encode (const GArray *machines);
 
 /** hzb_machine_page_decode: Returns: (transfer full) (element-type HzbMachineRecord): in the order of the page */
 GArray *hzb_machine_page_decode (const cJSON *page);
 
-/** hzb_record_bytes: Returns: how many bytes the value takes in the key-value store */
+/** hzb_record_bytes: Returns: the size of the value in the key-value store, in bytes */
 gsize hzb_record_bytes (const cJSON *value);
--- a/src/records/records-private.h
+++ b/src/records/records-private.h
@@ -1,94 +1,98 @@
 /**
  * SECTION: records-private
- * @short_description: what the files of HzbRecords share
+ * @short_description: internals shared by the files of HzbRecords
  *
- * records.c reads, record-page-selection.c chooses what to write, record-flush.c writes it, record-flush-outcome.c
- * applies what became durable, and job-completion.c records that a job is done.
+ * records.c loads the records, record-page-selection.c selects the pages to write, record-flush.c writes them,
+ * record-flush-outcome.c applies or reverts a flush after its outcome is known, and job-completion.c records that a job
+ * is done.
  */
 #pragma once
 #include "record-pages.h"
 #include "records.h"
 
-/** HzbFlushState: of the one transaction of pages that may be under way; see hzb_records_set_flush_state(). */
+/** HzbFlushState: the state of the flush, of which at most one is in flight; see hzb_records_set_flush_state(). */
 typedef enum
 {
-  HZB_FLUSH_IDLE,       /**< none is */
-  HZB_FLUSH_COMMITTING, /**< it was sent, and its answer has not come */
-  HZB_FLUSH_RESOLVING,  /**< its answer left its outcome open; the flush record, which is being read, shows it */
-  HZB_FLUSH_UNRESOLVED, /**< the flush record could not be read either; it will be read again */
-  HZB_FLUSH_N_STATES    /**< how many states there are */
+  HZB_FLUSH_IDLE,       /**< no flush is in flight */
+  HZB_FLUSH_COMMITTING, /**< the transaction was sent, and its answer has not arrived */
+  HZB_FLUSH_RESOLVING,  /**< the answer did not show the outcome; the flush record, which shows it, is being read */
+  HZB_FLUSH_UNRESOLVED, /**< the flush record could not be read; it will be read again */
+  HZB_FLUSH_N_STATES    /**< number of states */
 } HzbFlushState;
 
-/** _HzbRecords: the pages of the leader, and the flush that is under way. */
+/** _HzbRecords: the pages of the leader, and the flush in flight. */
 struct _HzbRecords
 {
-  HzbRecordsDependencies modules; /**< what the records work with */
-  HzbRecordsCallbacks callbacks;  /**< what they tell the modules above */
-  gpointer user;                  /**< (nullable) (not owned): handed to the callbacks */
+  HzbRecordsDependencies modules; /**< the modules that the records use */
+  HzbRecordsCallbacks callbacks;  /**< functions of the module that created the records */
+  gpointer user;                  /**< (nullable) (not owned): passed to the callbacks */
 
-  HzbPages pages;                /**< all pages, as they are or will be in the key-value store */
-  guint retiring_pages;          /**< pages of an earlier layout that are still to be removed */
-  gboolean replacements_pending; /**< some page that takes over from a retiring one is not durable yet */
+  HzbPages pages;                /**< all pages that are in the key-value store or will be written to it */
+  guint retiring_pages;          /**< number of retiring pages, which are still to be removed */
+  gboolean replacements_pending; /**< at least one page that replaces a retiring page is not durable yet */
 
-  guint64 flush_version;      /**< version of the flush record, as the last transaction left it; 0: there is none */
-  guint64 flush_number;       /**< of the last transaction that was sent */
+  guint64 flush_version;      /**< version of the flush record after the last flush; 0: there is no flush record */
+  guint64 flush_number;       /**< number of the last flush that was sent */
   HzbFlushState flush_state;  /**< changed by hzb_records_set_flush_state() only */
-  HzbEpochCall *unresolved;   /**< (nullable): the HzbFlush in state %HZB_FLUSH_UNRESOLVED, else NULL */
-  struct timespec next_flush; /**< no flush before it, and no reading of an unresolved one */
-  struct timespec next_clean; /**< no acceptance records are removed before it */
+  HzbEpochCall *unresolved;   /**< (nullable): call with the HzbFlush in state %HZB_FLUSH_UNRESOLVED; else NULL */
+  struct timespec next_flush; /**< no flush is sent, and no unresolved flush is resolved, before it */
+  struct timespec next_acceptance_removal; /**< no acceptance records are removed before it */
 };
 
 /**
- * HzbFlushedPart: what a flush writes of a part of a job's progress, so far as it has to be applied once it is durable.
+ * HzbFlushedPart: the contents of a written part of a job's progress that are applied to the job when the flush is
+ * durable.
  */
 typedef struct
 {
-  char *uid;        /**< of the job, which may have gone meanwhile */
-  guint releasing;  /**< the released mark that was written */
-  GArray *finished; /**< (element-type guint): the tasks whose results were written for the first time */
+  char *uid;           /**< of the job, which may have been removed meanwhile */
+  guint released_mark; /**< the released mark that was written */
+  GArray *finished;    /**< (element-type guint): numbers of the finished tasks that are to become done */
 } HzbFlushedPart;
 
 /** HzbFlush: one transaction of pages. */
 typedef struct
 {
-  guint64 number;         /**< as it stands in the flush record once the transaction is carried out */
+  guint64 number;         /**< value of the flush record's number after the transaction was carried out */
   GPtrArray *parts;       /**< (element-type HzbFlushedPart) */
-  GPtrArray *machines;    /**< (element-type utf8): names recorded for the first time */
+  GPtrArray *machines;    /**< (element-type utf8): names of machines that are recorded for the first time */
   GPtrArray *acceptances; /**< (element-type utf8): keys of the acceptance records that are removed */
 } HzbFlush;
 
-/** hzb_flush_new: Returns: (transfer full): empty */
+/** hzb_flush_new: `number`: of the flush. Returns: (transfer full): a flush without contents */
 HzbFlush *hzb_flush_new (guint64 number);
 
-/** hzb_flush_free: does not change what the flush wrote. */
+/** hzb_flush_free: frees the description of the flush. Neither memory nor stored records change otherwise. */
 void hzb_flush_free (HzbFlush *flush);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbFlush, hzb_flush_free)
 
-/** hzb_records_set_flush_state: the one place where the state changes; it refuses, and logs, what is not allowed. */
+/** hzb_records_set_flush_state: changes the state; no other function does. Refuses and logs a transition that is not
+ * allowed. */
 void hzb_records_set_flush_state (HzbRecords *records, HzbFlushState to);
 
-/** hzb_records_drop_unresolved: forgets a flush whose outcome is not known, if there is one. */
+/** hzb_records_drop_unresolved: frees the unresolved flush, if there is one. */
 void hzb_records_drop_unresolved (HzbRecords *records);
 
 /**
- * hzb_records_choose_pages: puts jobs and machines that have none onto pages.
+ * hzb_records_choose_pages: assigns pages to jobs and machines that have none, and selects the pages to write.
  *
- * Returns: (transfer container) (element-type HzbPage): the pages that are to be written now, the most urgent ones
- * first
+ * Returns: (transfer container) (element-type HzbPage): the pages that are due at `now`, urgent pages first
  */
 GPtrArray *hzb_records_choose_pages (HzbRecords *records, struct timespec now);
 
 /**
- * hzb_records_wants_release: a machine could take tasks of the job beyond its released mark, and none was asked for
- * since.
+ * hzb_records_needs_release: Returns: whether a machine could take tasks of the job beyond its released mark, and the
+ * mark has not been raised since that was noted
  */
-gboolean hzb_records_wants_release (const HzbJob *job);
+gboolean hzb_records_needs_release (const HzbJob *job);
 
 /**
- * hzb_records_on_flush_answered: the answer to a transaction of pages. `user`: an HzbEpochCall of the records with the
- * HzbFlush
+ * hzb_records_on_flush_answered: handles the answer to a flush.
+ * - `result`: outcome of the request
+ * - `body`: (transfer none): of the answer
+ * - `user`: (transfer full): an HzbEpochCall of the records with the HzbFlush
  */
 void hzb_records_on_flush_answered (HzbKvResult result, const char *body, gpointer user);
 
-/** hzb_records_resolve_flush: reads the flush record, which shows what became of the unresolved flush. */
+/** hzb_records_resolve_flush: reads the flush record, which shows whether the unresolved flush was carried out. */
 void hzb_records_resolve_flush (HzbRecords *records);
--- a/src/records/records.c
+++ b/src/records/records.c
@@ -1,10 +1,11 @@
-/* Life of the records, and their reading when this node becomes the leader.
+/* Creation, reset and release of the records, and their loading when this node becomes the leader.
  *
- * A page of schema version 1 may be larger than a value will be allowed to be. The leader puts what such a page names
- * on pages of its own size, and removes the large page once all of these are durable. Until then both are read, and
- * that is safe: a task that is done on either is done, the released mark is the highest of any, and a machine on either
- * is on record. A job whose parts only schema version 1 writes stays where it is, unchanged, and starts nothing beyond
- * its released mark while a controller of version 1 may be running. */
+ * A page of schema version 1 may be larger than the future limit for a value (state.value_kb). The leader moves the
+ * contents of such a page to pages of its own size, and removes the large page when all of these are durable. A leader
+ * that is elected in between loads both, which is safe: a task that is done on either page is done, the released mark
+ * is the highest of all, and a machine on either page is recorded. A job that has parts which only schema version 1
+ * writes keeps its pages unchanged while a controller of version 1 may be running, and until then starts no task beyond
+ * its released mark. */
 #include "records.h"
 #include "job-progress.h"
 #include "record-keys.h"
@@ -13,7 +14,7 @@
 
 #include <string.h>
 
-#define CLOCK_SKEW_S 1.0 /* by which the times of day of two nodes may differ */
+#define CLOCK_SKEW_S 1.0 /* maximum difference between the wall clocks of two nodes */
 
 HzbRecords *
 hzb_records_new (const HzbRecordsDependencies *dependencies, const HzbRecordsCallbacks *callbacks, gpointer user)
@@ -57,11 +58,11 @@
   hzb_pages_drop_machine (&records->pages, machine);
 }
 
-/* ---- reading ---- */
+/* ---- loading ---- */
 
-/* A cancelled job's own record no longer says what its tasks use; the record of its progress does. */
+/* A cancelled job's own record no longer states the resources of its tasks; its progress record does. */
 static HzbJobSpec *
-spec_of_cancelled (const char *uid, const HzbProgressRecord *progress, guint n_tasks)
+cancelled_job_spec_new (const char *uid, const HzbProgressRecord *progress, guint n_tasks)
 {
   HzbJobSpec *spec = g_new0 (HzbJobSpec, 1);
   spec->uid = g_strdup (uid);
@@ -80,7 +81,7 @@
 {
   HzbJobs *jobs = records->modules.jobs;
   HzbJob *job = part->uid ? hzb_jobs_find (jobs, part->uid) : NULL;
-  gboolean ours = TRUE;
+  gboolean has_current_layout = TRUE;
 
   if (!job || job->state == HZB_JOB_DONE)
     {
@@ -89,23 +90,23 @@
     }
   if (job->state == HZB_JOB_CANCELLED && !job->spec && part->progress.team)
     {
-      job->spec = spec_of_cancelled (part->uid, &part->progress, job->n_tasks);
+      job->spec = cancelled_job_spec_new (part->uid, &part->progress, job->n_tasks);
       job->team = hzb_settings_team (records->modules.node->settings, job->spec->team);
     }
   hzb_jobs_activate (jobs, job);
   if (!job->tasks)
     return;
-  if (!hzb_job_apply_progress (jobs, job, part->chunk, &part->progress, &ours))
+  if (!hzb_job_apply_progress (jobs, job, part->chunk, &part->progress, &has_current_layout))
     page->stale = TRUE;
-  else if (ours && !job->has_schema_1_parts)
+  else if (has_current_layout && !job->has_schema_1_chunks)
     {
       hzb_pages_add_part (&records->pages, page, job, part->chunk);
       job->on_pages = TRUE;
     }
   else
     {
-      hzb_pages_drop_job (&records->pages, job); /* of several parts some may be ours already */
-      job->has_schema_1_parts = page->retiring = TRUE;
+      hzb_pages_drop_job (&records->pages, job); /* parts that were loaded before may have the current layout */
+      job->has_schema_1_chunks = page->retiring = TRUE;
     }
 }
 
@@ -113,7 +114,8 @@
 load_machine (HzbRecords *records, HzbPage *page, const HzbMachineRecord *record)
 {
   HzbMachines *machines = records->modules.machines;
-  double age_s = (double) hzb_clock_wall (records->modules.node->clock).tv_sec - record->recorded_at; /* or NAN */
+  double age_s =
+      (double) hzb_clock_wall (records->modules.node->clock).tv_sec - record->recorded_at; /* NAN if not recorded */
   HzbMachine *machine;
 
   if (hzb_machines_find (machines, record->name) || !record->type || !record->zone)
@@ -168,9 +170,9 @@
   page->replaces_retired = records->replacements_pending = TRUE;
 }
 
-/* Puts what stands on a page that is to go on others. */
+/* Moves the contents of a retiring page to other pages. */
 static void
-move_to_other_pages (HzbRecords *records, HzbPage *retiring)
+move_contents (HzbRecords *records, HzbPage *retiring)
 {
   HzbPages *pages = &records->pages;
   g_autoptr (GArray) parts = g_steal_pointer (&retiring->parts);
@@ -180,13 +182,13 @@
   for (guint i = 0; i < parts->len; i++)
     {
       const HzbPagePart *part = &g_array_index (parts, HzbPagePart, i);
-      HzbPage *to = hzb_pages_with_room (pages, FALSE, part->bytes);
+      HzbPage *to = hzb_pages_find_with_room (pages, FALSE, part->bytes);
       hzb_pages_add_part (pages, to, part->job, part->chunk);
       mark_replacement (records, to);
     }
   for (guint i = 0; i < machines->len; i++)
     {
-      HzbPage *to = hzb_pages_with_room (pages, TRUE, hzb_page_machine_bytes (machines->pdata[i]));
+      HzbPage *to = hzb_pages_find_with_room (pages, TRUE, hzb_page_estimate_machine_bytes (machines->pdata[i]));
       hzb_page_add_machine (to, machines->pdata[i]);
       mark_replacement (records, to);
     }
@@ -195,15 +197,15 @@
 void
 hzb_records_load_finished (HzbRecords *records)
 {
-  guint n_read = records->pages.all->len; /* moving adds pages */
+  guint n_loaded = records->pages.all->len; /* move_contents() adds pages */
 
-  for (guint i = 0; i < n_read; i++)
+  for (guint i = 0; i < n_loaded; i++)
     {
       HzbPage *page = records->pages.all->pdata[i];
       if (!page->retiring)
         continue;
       records->retiring_pages++;
-      move_to_other_pages (records, page);
+      move_contents (records, page);
     }
   if (records->retiring_pages)
     g_message (
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -2,9 +2,9 @@
  * SECTION: records
  * @short_description: the leader's durable records of progress and machines
  *
- * What the leader keeps in the key-value store for the leader after it: how far jobs have come, and which machines
- * there are. Used only while this node leads. Jobs and machines share records (pages, see record-pages.h); a flush
- * writes those that have news in one transaction (record-flush.c).
+ * The leader records the progress of jobs and the machines of the cluster in the key-value store, for the leader after
+ * a failover. The module is used only while this node leads. Jobs and machines share records (pages, see
+ * record-pages.h). A flush writes the changed pages in one transaction (record-flush.c).
  */
 #pragma once
 #include "cancellations.h"
@@ -19,69 +19,78 @@
 #include "ownership.h"
 #include "reconciliation.h"
 
-/** HzbRecords: the pages of the leader, and the flush that is under way. */
+/** HzbRecords: the pages of the leader, and the flush in flight. */
 typedef struct _HzbRecords HzbRecords;
 
-/** HzbRecordsDependencies: the modules that the records work with. None is owned; all outlive the records. */
+/** HzbRecordsDependencies: the modules that the records use. The records own none of them; all outlive the records. */
 typedef struct
 {
   const HzbNode *node;                 /**< settings and clock */
-  HzbKvClient *kv;                     /**< where the records lie */
-  HzbJobs *jobs;                       /**< whose progress is recorded */
-  HzbMachines *machines;               /**< which are recorded */
-  HzbDispatch *dispatch;               /**< is run at once when what tasks waited for is durable */
-  HzbElection *election;               /**< the term, on which every transaction is conditional */
-  HzbOwnership *ownership;             /**< whose epochs show which answers are late */
-  HzbCancellations *cancellations;     /**< up to where they are acknowledged goes into the flush record */
-  HzbReconciliation *reconciliation;   /**< keeps its roster of controllers in the flush record */
-  HzbCompletedJobArchive *job_archive; /**< has its turn with each flush */
+  HzbKvClient *kv;                     /**< the store that has the records */
+  HzbJobs *jobs;                       /**< their progress is recorded */
+  HzbMachines *machines;               /**< the machines to record */
+  HzbDispatch *dispatch;               /**< runs at once when a flush that tasks waited for is durable */
+  HzbElection *election;               /**< leader's term, on which every transaction is conditional */
+  HzbOwnership *ownership;             /**< its epochs show which answers are late */
+  HzbCancellations *cancellations;     /**< the flush record states up to which revision they are acknowledged */
+  HzbReconciliation *reconciliation;   /**< adds its roster of controllers to the flush record */
+  HzbCompletedJobArchive *job_archive; /**< its tick is called before each flush */
 } HzbRecordsDependencies;
 
-/** HzbRecordsCallbacks: what the records tell the modules above. */
+/** HzbRecordsCallbacks: the functions of the module that created the records. */
 typedef struct
 {
-  /** The result of the task is durable: the leaseholder that sent it may let its worker forget the task. */
+  /** The result of the task is durable: the leaseholder that sent the result may let its worker drop the task. */
   void (*task_durable) (HzbTask *task, gpointer user);
 } HzbRecordsCallbacks;
 
 /**
- * hzb_records_new:
+ * hzb_records_new: creates the records of a controller.
  * - `dependencies`: copied
  * - `callbacks`: copied
- * - `user`: (transfer none) (nullable): handed to `callbacks`
+ * - `user`: (transfer none) (nullable): passed to `callbacks`
  *
- * Returns: (transfer full): without pages
+ * Returns: (transfer full): records without pages
  */
 HzbRecords *
 hzb_records_new (const HzbRecordsDependencies *dependencies, const HzbRecordsCallbacks *callbacks, gpointer user);
 
-/** hzb_records_free: no answer to a flush may come after it. */
+/** hzb_records_free: frees the records. No answer to a flush may arrive afterwards. */
 void hzb_records_free (HzbRecords *records);
 
-/** hzb_records_reset: drops all pages. Called when an ownership begins or ends, after its epoch has begun. */
+/**
+ * hzb_records_reset: drops all pages. Called when this node gains or loses leadership, after the new epoch has begun.
+ */
 void hzb_records_reset (HzbRecords *records);
 
 /**
- * hzb_records_load: takes one record as the key-value store has it, while the leader reads the records of the leader
- * before.
+ * hzb_records_load: loads one record from the key-value store, while a new leader loads the records of the previous
+ * one.
  * - `item`: a record below %HZB_KEY_OWNER; records of other modules are ignored
  */
 void hzb_records_load (HzbRecords *records, const HzbKvEntry *item);
 
-/** hzb_records_load_finished: all records were loaded. Pages that are too large, or not ours, are laid out anew. */
+/**
+ * hzb_records_load_finished: called after all records were loaded. Moves the contents of pages that are too large, or
+ * that have parts which only schema version 1 writes, to other pages.
+ */
 void hzb_records_load_finished (HzbRecords *records);
 
-/** hzb_records_flush_soon: writes what is due, at most one transaction at a time. Cheap to call often. */
-void hzb_records_flush_soon (HzbRecords *records);
+/**
+ * hzb_records_flush_if_due: writes the pages that are due, unless a flush is in flight or this node does not lead.
+ * Cheap to call often.
+ */
+void hzb_records_flush_if_due (HzbRecords *records);
 
 /**
- * hzb_records_complete_job: all tasks of the job have finished. Records that the job is done, unless it has been
- * cancelled or the record is on its way already; if the transaction fails, the caller calls again later.
+ * hzb_records_complete_job: records that the job is done, unless the job has been cancelled or the transaction is in
+ * flight already. Called when all tasks of the job have finished; if the transaction fails, the caller calls again
+ * later.
  */
 void hzb_records_complete_job (HzbRecords *records, HzbJob *job);
 
-/** hzb_records_drop_job: the job needs no progress record any more; its pages will be written without it. */
+/** hzb_records_drop_job: removes the job, which needs no progress record any more, from its pages. */
 void hzb_records_drop_job (HzbRecords *records, HzbJob *job);
 
-/** hzb_records_drop_machine: the machine is gone; its page will be written without it. */
+/** hzb_records_drop_machine: removes a machine that no longer exists from its page. */
 void hzb_records_drop_machine (HzbRecords *records, HzbMachine *machine);
--- a/src/scheduling/autoscaler.c
+++ b/src/scheduling/autoscaler.c
@@ -1,17 +1,18 @@
 #include "autoscaler.h"
 
-#define DEFAULT_IDLE_S 40
-#define DEFAULT_PATIENCE 0.6
+#define DEFAULT_MAX_IDLE_S 40
+#define DEFAULT_START_SLACK_FRACTION 0.6
 
-/* Pause after a refusal: it grows with each one that follows. */
-#define PAUSE_GROWTH 1.5
-#define LEAST_PAUSE_S 6
-#define MOST_PAUSE_S 30
+/* The pause after a refusal grows by this factor with each further refusal of the kind. */
+#define REFUSAL_PAUSE_GROWTH 1.5
+#define MIN_REFUSAL_PAUSE_S 6
+#define MAX_REFUSAL_PAUSE_S 30
 
+/* The last refusal of a kind of machines. */
 typedef struct
 {
-  struct timespec until;
-  double pause_s;
+  struct timespec until; /* end of the pause */
+  double pause_s;        /* length of the pause */
 } Refusal;
 
 HzbAutoscaler *
@@ -22,16 +23,16 @@
   autoscaler->jobs = jobs;
   autoscaler->machines = machines;
   autoscaler->settings = settings;
-  autoscaler->idle_s = DEFAULT_IDLE_S;
-  autoscaler->patience = DEFAULT_PATIENCE;
-  autoscaler->refused = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  autoscaler->max_idle_s = DEFAULT_MAX_IDLE_S;
+  autoscaler->start_slack_fraction = DEFAULT_START_SLACK_FRACTION;
+  autoscaler->refusals = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return autoscaler;
 }
 
 void
 hzb_autoscaler_free (HzbAutoscaler *autoscaler)
 {
-  g_hash_table_unref (autoscaler->refused);
+  g_hash_table_unref (autoscaler->refusals);
   g_free (autoscaler);
 }
 
@@ -42,32 +43,32 @@
 }
 
 void
-hzb_autoscaler_note_refused (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *rental, struct timespec now)
+hzb_autoscaler_record_refusal (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *request, struct timespec now)
 {
-  g_autofree char *name = hzb_machine_kind_name (rental->type, rental->zone, rental->spot);
-  Refusal *refusal = g_hash_table_lookup (autoscaler->refused, name);
+  g_autofree char *name = hzb_machine_kind_name (request->type, request->zone, request->spot);
+  Refusal *refusal = g_hash_table_lookup (autoscaler->refusals, name);
 
   if (!refusal)
     {
       refusal = g_new0 (Refusal, 1);
-      g_hash_table_insert (autoscaler->refused, g_steal_pointer (&name), refusal);
+      g_hash_table_insert (autoscaler->refusals, g_steal_pointer (&name), refusal);
     }
-  refusal->pause_s = CLAMP (refusal->pause_s * PAUSE_GROWTH, LEAST_PAUSE_S, MOST_PAUSE_S);
+  refusal->pause_s = CLAMP (refusal->pause_s * REFUSAL_PAUSE_GROWTH, MIN_REFUSAL_PAUSE_S, MAX_REFUSAL_PAUSE_S);
   refusal->until = hzb_time_plus (now, refusal->pause_s);
 }
 
 void
-hzb_autoscaler_note_granted (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *rental)
+hzb_autoscaler_record_grant (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *request)
 {
-  g_autofree char *name = hzb_machine_kind_name (rental->type, rental->zone, rental->spot);
+  g_autofree char *name = hzb_machine_kind_name (request->type, request->zone, request->spot);
 
-  g_hash_table_remove (autoscaler->refused, name);
+  g_hash_table_remove (autoscaler->refusals, name);
 }
 
 gboolean
 hzb_autoscaler_is_refused (const HzbAutoscaler *autoscaler, const char *kind_name, struct timespec now)
 {
-  const Refusal *refusal = g_hash_table_lookup (autoscaler->refused, kind_name);
+  const Refusal *refusal = g_hash_table_lookup (autoscaler->refusals, kind_name);
 
   return refusal && hzb_time_before (now, refusal->until);
 }
--- a/src/scheduling/autoscaler.h
+++ b/src/scheduling/autoscaler.h
@@ -2,21 +2,21 @@
  * @file
  * SECTION: autoscaler
  *
- * How many machines of which kinds there should be.
+ * The autoscaler: decides how many machines of which kinds to rent and to return.
  *
- * Decides only: provisioning asks the cloud. demand.h counts what is needed and what there is, scale-out.c rents for
- * what is lacking, and scale-in.c gives up what is too much.
+ * The autoscaler only decides; provisioning sends the requests to the cloud. demand.h computes demand and supply,
+ * scale-out.c requests machines where supply is short, and scale-in.c returns surplus machines.
  */
 #pragma once
 #include "machines.h"
 
-/** HzbScaleOutRequest: machines of one kind to be rented by one call. */
+/** HzbScaleOutRequest: machines of one kind to be rented by one call to the cloud. */
 typedef struct
 {
   const HzbMachineType *type; /**< Not owned. */
   const char *zone;           /**< Not owned: a zone of the type. */
   gboolean spot;              /**< Spot instances. */
-  guint count;                /**< How many. */
+  guint count;                /**< Number of machines. */
 } HzbScaleOutRequest;
 
 /** HzbAutoscaler: the autoscaler of the leader. */
@@ -25,14 +25,15 @@
   HzbJobs *jobs;               /**< Not owned. */
   HzbMachines *machines;       /**< Not owned. */
   const HzbSettings *settings; /**< Not owned. */
-  GHashTable *refused;         /**< Kinds that the cloud refused lately, see hzb_autoscaler_is_refused(). */
-  double idle_s;               /**< Parameter: a machine without work is kept so many seconds. */
-  double patience; /**< Parameter: waiting work should start within this part of the time that its objectives leave. */
-  double usual;    /**< Units wanted, smoothed over about twelve seconds, see scale-in.c. */
+  GHashTable *refusals;        /**< Name of a kind -> private record of the refusal; owned. */
+  double max_idle_s;           /**< Parameter: seconds that a machine without work is kept. */
+  double start_slack_fraction; /**< Parameter: waiting work should start within this fraction of the time that its
+                                  objectives leave. */
+  double smoothed_units;       /**< Units wanted by all demands, smoothed over about twelve seconds, see scale-in.c. */
 } HzbAutoscaler;
 
 /**
- * hzb_autoscaler_new: all arguments are (transfer none) and outlive the autoscaler.
+ * hzb_autoscaler_new: creates an autoscaler. All arguments are (transfer none) and outlive it.
  *
  * Returns: (transfer full)
  */
@@ -42,7 +43,7 @@
 void hzb_autoscaler_free (HzbAutoscaler *autoscaler);
 
 /**
- * hzb_autoscaler_scale_out: what to rent now.
+ * hzb_autoscaler_scale_out: decides which machines to rent now.
  *
  * Scale-in candidates that are needed again stop being candidates.
  *
@@ -51,22 +52,24 @@
 GArray *hzb_autoscaler_scale_out (HzbAutoscaler *autoscaler, struct timespec now);
 
 /**
- * hzb_autoscaler_scale_in: which machines to return to the cloud now. Called once a second.
+ * hzb_autoscaler_scale_in: decides which machines to return to the cloud now. Called once a second.
  *
- * Also decides which machines are scale-in candidates, and which are reserved for services (headroom.h).
+ * Also updates which machines are scale-in candidates, and which are reserved for services (headroom.h).
  *
  * Returns: (transfer full) (element-type HzbMachine)
  */
 GPtrArray *hzb_autoscaler_scale_in (HzbAutoscaler *autoscaler, struct timespec now);
 
-/** hzb_autoscaler_note_refused: the cloud has no such machines: the kind is not asked for again for 6 to 30 seconds. */
-void hzb_autoscaler_note_refused (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *rental, struct timespec now);
+/** hzb_autoscaler_record_refusal: records that the cloud refused the request for lack of machines of this kind, which
+ * is not requested again for 6 to 30 seconds. */
+void hzb_autoscaler_record_refusal (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *request, struct timespec now);
 
-/** hzb_autoscaler_note_granted: the cloud has rented such machines out. */
-void hzb_autoscaler_note_granted (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *rental);
+/** hzb_autoscaler_record_grant: records that the cloud granted the request, which ends the pause for this kind. */
+void hzb_autoscaler_record_grant (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *request);
 
-/** hzb_autoscaler_is_refused: whether the kind is not to be asked for now. `kind_name`: from hzb_machine_kind_name() */
+/** hzb_autoscaler_is_refused: whether the kind is not to be requested now, since the cloud refused it lately.
+ * `kind_name`: from hzb_machine_kind_name() */
 gboolean hzb_autoscaler_is_refused (const HzbAutoscaler *autoscaler, const char *kind_name, struct timespec now);
 
-/** hzb_machine_kind_name: names a kind of machines in tables. Returns: (transfer full) */
+/** hzb_machine_kind_name: the name of a kind of machines, a key for hash tables. Returns: (transfer full) */
 char *hzb_machine_kind_name (const HzbMachineType *type, const char *zone, gboolean spot);
--- a/src/scheduling/demand.c
+++ b/src/scheduling/demand.c
@@ -7,27 +7,28 @@
 #include <math.h>
 #include <string.h>
 
-/* Bounds of the time within which all tasks of a job should have started. */
-#define LEAST_START_WITHIN_S 10
-#define MOST_START_WITHIN_S 150
+/* Bounds on the time within which all tasks of a job should have started. */
+#define MIN_START_WITHIN_S 10
+#define MAX_START_WITHIN_S 150
 
-/* Part of a placed task's work that counts as done: on the whole, a task that runs is half over. */
-#define RUNNING_PART_DONE 0.5
+/* Fraction of a placed task's work that counts as done: on average, a running task is half done. */
+#define PLACED_DONE_FRACTION 0.5
 
-/* A machine that boots counts until it has taken this many times as long as its type needs. */
-#define BOOT_FACTOR 2.5
-#define BOOT_LEAST_S 30
+/* A booting machine counts as supply until it has taken this many times the boot time of its type, and at least the
+ * minimum. */
+#define BOOT_ALLOWANCE_FACTOR 2.5
+#define MIN_BOOT_ALLOWANCE_S 30
 
-/* Seconds of use over which the price of the boot time is spread. */
-#define BOOT_SPREAD_S 80
+/* Seconds of use over which the cost of the boot time is spread. */
+#define BOOT_COST_SPREAD_S 80
 
-/* The demands while they are collected. */
+/* The state of hzb_demand_collect(). */
 typedef struct
 {
   const HzbAutoscaler *autoscaler;
   struct timespec now;
-  GPtrArray *all;                /* HzbDemand */
-  double *cpus_left, *gpus_left; /* by team: of its limit, after the jobs so far */
+  GPtrArray *all;                /* HzbDemand, collected so far */
+  double *cpus_left, *gpus_left; /* by team: of its limit, what the jobs examined so far leave */
 } Collection;
 
 static void
@@ -36,7 +37,7 @@
   HzbDemand *demand = data;
 
   g_free (demand->name);
-  g_array_unref (demand->parts);
+  g_array_unref (demand->job_demands);
   g_free (demand);
 }
 
@@ -48,11 +49,11 @@
   demand->spec = spec;
   demand->zone = zone;
   demand->name = name;
-  demand->parts = g_array_new (FALSE, FALSE, sizeof (HzbDemandPart));
+  demand->job_demands = g_array_new (FALSE, FALSE, sizeof (HzbJobDemand));
   return demand;
 }
 
-/* ---- which kinds of machines ---- */
+/* ---- kinds of machines ---- */
 
 GArray *
 hzb_machine_kinds (const HzbMachines *machines)
@@ -72,9 +73,9 @@
   return kinds;
 }
 
-/* Returns: (transfer full): the names of all types that hold a task, each with a comma behind it */
+/* Returns: (transfer full): the names of all types that hold a task, each followed by a comma */
 static char *
-types_holding (const HzbMachines *machines, const HzbJobSpec *spec)
+list_fitting_types (const HzbMachines *machines, const HzbJobSpec *spec)
 {
   GString *names = g_string_new (NULL);
 
@@ -87,7 +88,7 @@
   return g_string_free (names, FALSE);
 }
 
-/* CPUs of the machines in the zone that hold a task. */
+/* CPUs of the machines in the zone whose type holds a task. */
 static double
 cpus_in_zone (const HzbMachines *machines, const HzbJobSpec *spec, const char *zone)
 {
@@ -103,13 +104,14 @@
   return cpus;
 }
 
-/* Returns: (nullable): the only zone for the job's tasks. With `samePlace` it is the one that has the most machines for
- * them, or else the first that could have any. */
+/* Returns: (transfer none) (nullable): the only allowed zone for the job's tasks; NULL: any. For a job with
+ * `samePlace`, it is the zone with the most CPUs on machines that hold a task, or the first zone of the first fitting
+ * type if there are no such machines. */
 static const char *
-zone_for (const HzbMachines *machines, const HzbJobSpec *spec)
+find_required_zone (const HzbMachines *machines, const HzbJobSpec *spec)
 {
   const char *best = NULL;
-  double most = -1;
+  double best_cpus = -1;
 
   if (spec->zone || !spec->same_zone)
     return spec->zone;
@@ -119,9 +121,9 @@
       for (guint z = 0; hzb_machine_type_holds (type, spec) && type->zones[z]; z++)
         {
           double cpus = cpus_in_zone (machines, spec, type->zones[z]);
-          if (cpus > most)
+          if (cpus > best_cpus)
             {
-              most = cpus;
+              best_cpus = cpus;
               best = type->zones[z];
             }
         }
@@ -144,9 +146,9 @@
   return hzb_demand_kind_fits (demand, &kind);
 }
 
-/* ---- collecting ---- */
+/* ---- collection of demands ---- */
 
-/* Within how many seconds from now all tasks of the job should have started. */
+/* Returns: seconds from now within which all tasks of the job should have started; 0: at once */
 static double
 start_within_s (const Collection *collection, const HzbJob *job)
 {
@@ -154,11 +156,12 @@
   double slack = hzb_job_slack_s (autoscaler->settings, job, collection->now, NULL);
 
   if (job->spec->kind == HZB_JOB_GANG || job->spec->kind == HZB_JOB_SERVICE)
-    return 0; /* All tasks are needed together. */
-  return CLAMP (autoscaler->patience * slack, LEAST_START_WITHIN_S, MOST_START_WITHIN_S);
+    return 0; /* All tasks are needed at the same time. */
+  return CLAMP (autoscaler->start_slack_fraction * slack, MIN_START_WITHIN_S, MAX_START_WITHIN_S);
 }
 
-/* Tasks on machines that take no more: they end there or are moved, and need no other machine until then. */
+/* Number of tasks on machines that take no new tasks. Such a task ends there or is moved, and needs no other machine
+ * until then. */
 static guint
 tasks_on_leaving_machines (const HzbJob *job)
 {
@@ -169,27 +172,27 @@
   return MIN (n, job->placed);
 }
 
-/* Of so many tasks, how many the rest of the team's limit lets run at the same time. */
+/* Returns: how many of `tasks` can run at the same time within what is left of the team's limit */
 static double
-allowed_by_limit (const Collection *collection, const HzbJob *job, double tasks)
+limit_to_quota (const Collection *collection, const HzbJob *job, double tasks)
 {
   const HzbJobSpec *spec = job->spec;
 
   if (spec->cpus > 0)
-    tasks = MIN (tasks, floor (collection->cpus_left[job->team] / spec->cpus + HZB_QUOTIENT_ROUNDING));
+    tasks = MIN (tasks, floor (collection->cpus_left[job->team] / spec->cpus + HZB_QUOTIENT_TOLERANCE));
   if (spec->gpus > 0)
-    tasks = MIN (tasks, floor (collection->gpus_left[job->team] / spec->gpus + HZB_QUOTIENT_ROUNDING));
+    tasks = MIN (tasks, floor (collection->gpus_left[job->team] / spec->gpus + HZB_QUOTIENT_TOLERANCE));
   return tasks;
 }
 
-/* Returns: (transfer none): the demand for the kinds of machines that hold a task of the job. The kinds count, not what
- * the job says of them: a large task is not served by small machines. */
+/* Returns: (transfer none): the demand for the kinds of machines that can hold a task of the job. Jobs share a demand
+ * only if the same kinds fit them: a large task cannot run on small machines. */
 static HzbDemand *
-demand_for (Collection *collection, const HzbJobSpec *spec)
+find_or_add_demand (Collection *collection, const HzbJobSpec *spec)
 {
   const HzbMachines *machines = collection->autoscaler->machines;
-  g_autofree char *types = types_holding (machines, spec);
-  const char *zone = zone_for (machines, spec);
+  g_autofree char *types = list_fitting_types (machines, spec);
+  const char *zone = find_required_zone (machines, spec);
   g_autofree char *name = g_strdup_printf ("%s%s%s%s%s", types, zone ? "@" : "", zone ? zone : "",
                                            spec->spot ? "" : "!ordinary", spec->gpus > 0 ? "!gpus" : "");
   HzbDemand *demand;
@@ -207,16 +210,16 @@
 }
 
 static void
-add_part (Collection *collection, const HzbJob *job, double tasks, double placed, double at_once)
+add_job_demand (Collection *collection, const HzbJob *job, double tasks, double placed, double runnable)
 {
   const HzbJobSpec *spec = job->spec;
-  HzbDemand *demand = demand_for (collection, spec);
-  double unit = demand->gpus ? spec->gpus : spec->cpus;
-  HzbDemandPart part = { .unit = unit, .at_once = at_once * unit };
+  HzbDemand *demand = find_or_add_demand (collection, spec);
+  double task_units = demand->gpus ? spec->gpus : spec->cpus;
+  HzbJobDemand job_demand = { .task_units = task_units, .max_units = runnable * task_units };
 
-  part.work_s = (tasks - placed * RUNNING_PART_DONE) * unit * hzb_job_mean_s (job);
-  part.within_s = start_within_s (collection, job);
-  g_array_append_val (demand->parts, part);
+  job_demand.work_unit_s = (tasks - placed * PLACED_DONE_FRACTION) * task_units * hzb_job_mean_s (job);
+  job_demand.start_within_s = start_within_s (collection, job);
+  g_array_append_val (demand->job_demands, job_demand);
   if (spec->cpus > 0)
     demand->memory_per_cpu = MAX (demand->memory_per_cpu, spec->memory_gb / spec->cpus);
 }
@@ -225,52 +228,55 @@
 collect_job (Collection *collection, const HzbJob *job)
 {
   const HzbJobSpec *spec = job->spec;
-  double placed = job->placed - tasks_on_leaving_machines (job), tasks, at_once;
+  double placed = job->placed - tasks_on_leaving_machines (job), tasks, runnable;
 
-  /* Tasks on leaving machines need no room, but count against the team's limit all the same. */
+  /* Tasks on leaving machines need no other room, but count against the team's limit. */
   collection->cpus_left[job->team] -= (job->placed - placed) * spec->cpus;
   collection->gpus_left[job->team] -= (job->placed - placed) * spec->gpus;
   tasks = job->pending + job->queued + job->unconfirmed + placed;
-  /* A job that has only failed so far is tried one task at a time, and gets no more machines than that takes. */
-  if (job->failures && !job->did_well)
+  /* A job that has only failed so far runs one task at a time, and gets no more machines than one further task
+   * takes. */
+  if (job->failures && !job->proven_runnable)
     tasks = MIN (tasks, placed + 1);
-  at_once = allowed_by_limit (collection, job, tasks);
-  if (at_once < 1)
+  runnable = limit_to_quota (collection, job, tasks);
+  if (runnable < 1)
     return;
-  collection->cpus_left[job->team] -= at_once * spec->cpus;
+  collection->cpus_left[job->team] -= runnable * spec->cpus;
   if (spec->kind == HZB_JOB_SERVICE && spec->gpus <= 0)
-    return; /* collect_services() has all of these together. */
-  collection->gpus_left[job->team] -= at_once * spec->gpus;
-  add_part (collection, job, tasks, placed, at_once);
+    return; /* collect_services() adds the demand of all services together. */
+  collection->gpus_left[job->team] -= runnable * spec->gpus;
+  add_job_demand (collection, job, tasks, placed, runnable);
 }
 
-/* Replicas never end: the room that they take is taken for good, and a little more is kept free. */
+/* Adds a demand for the replicas of services in each zone of the headroom plan. Replicas do not end, so they need their
+ * room permanently, in addition to the headroom that is kept free. */
 static void
 collect_services (Collection *collection)
 {
   const HzbAutoscaler *autoscaler = collection->autoscaler;
   HzbHeadroom headroom = hzb_headroom_plan (autoscaler->jobs, autoscaler->machines);
-  g_autofree char *types = headroom.spec ? types_holding (autoscaler->machines, headroom.spec) : NULL;
+  g_autofree char *types = headroom.spec ? list_fitting_types (autoscaler->machines, headroom.spec) : NULL;
 
   for (guint z = 0; z < headroom.n_zones; z++)
     {
       const HzbHeadroomZone *zone = &headroom.zones[z];
       HzbDemand *demand =
           demand_new (headroom.spec, zone->zone, g_strdup_printf ("%s@%s!ordinary!services", types, zone->zone));
-      HzbDemandPart part = { .at_once = zone->placed + zone->waiting + zone->free, .unit = headroom.spec->cpus };
+      HzbJobDemand job_demand = { .max_units = zone->placed + zone->waiting + zone->free,
+                                  .task_units = headroom.spec->cpus };
 
       demand->services = TRUE;
       if (headroom.spec->cpus > 0)
         demand->memory_per_cpu = headroom.spec->memory_gb / headroom.spec->cpus;
-      g_array_append_val (demand->parts, part);
+      g_array_append_val (demand->job_demands, job_demand);
       g_ptr_array_add (collection->all, demand);
     }
 }
 
-/* The demand with the longest name first. The name lists the types that hold a task, and what limits the choice among
- * them. */
+/* Sorts the demand with the longest name first. The name lists the types that hold a task, and the constraints on the
+ * choice among them. */
 static gint
-longest_name_first (gconstpointer a, gconstpointer b)
+compare_name_lengths (gconstpointer a, gconstpointer b)
 {
   const HzbDemand *x = *(HzbDemand *const *) a, *y = *(HzbDemand *const *) b;
   return (int) strlen (y->name) - (int) strlen (x->name);
@@ -292,24 +298,26 @@
         collect_job (&collection, job);
     }
   collect_services (&collection);
-  g_ptr_array_sort (collection.all, longest_name_first);
+  g_ptr_array_sort (collection.all, compare_name_lengths);
   return collection.all;
 }
 
-/* ---- how many units, at what price ---- */
+/* ---- units and prices ---- */
 
 double
-hzb_demand_units (const HzbDemand *demand, double dearness)
+hzb_demand_units (const HzbDemand *demand, double price_ratio)
 {
-  double sum = 0, slack = cbrt (MAX (dearness, 1)), largest_task = 0;
+  double sum = 0, time_factor = cbrt (MAX (price_ratio, 1)), largest_task = 0;
 
-  for (guint i = 0; i < demand->parts->len; i++)
+  for (guint i = 0; i < demand->job_demands->len; i++)
     {
-      const HzbDemandPart *part = &g_array_index (demand->parts, HzbDemandPart, i);
-      sum += part->within_s > 0 ? MIN (part->at_once, part->work_s / (part->within_s * slack)) : part->at_once;
-      largest_task = MAX (largest_task, part->unit);
+      const HzbJobDemand *job_demand = &g_array_index (demand->job_demands, HzbJobDemand, i);
+      sum += job_demand->start_within_s > 0
+                 ? MIN (job_demand->max_units, job_demand->work_unit_s / (job_demand->start_within_s * time_factor))
+                 : job_demand->max_units;
+      largest_task = MAX (largest_task, job_demand->task_units);
     }
-  /* However little work there is, it needs room for its largest task, at any price. */
+  /* Any amount of work needs room for its largest task, at any price. */
   return MAX (sum, largest_task);
 }
 
@@ -336,14 +344,14 @@
 double
 hzb_demand_price_with_boot (const HzbMachineType *type, double price)
 {
-  return price * (1 + type->boot_s / BOOT_SPREAD_S);
+  return price * (1 + type->boot_s / BOOT_COST_SPREAD_S);
 }
 
 double
 hzb_demand_lowest_price (const HzbAutoscaler *autoscaler, const HzbDemand *demand, gboolean with_boot)
 {
   g_autoptr (GArray) kinds = hzb_machine_kinds (autoscaler->machines);
-  double least = INFINITY;
+  double lowest = INFINITY;
 
   for (guint i = 0; i < kinds->len; i++)
     {
@@ -352,15 +360,15 @@
       if (!hzb_demand_kind_fits (demand, kind))
         continue;
       price = hzb_demand_unit_price (demand, kind->type, kind->spot);
-      least = MIN (least, with_boot ? hzb_demand_price_with_boot (kind->type, price) : price);
+      lowest = MIN (lowest, with_boot ? hzb_demand_price_with_boot (kind->type, price) : price);
     }
-  return least;
+  return lowest;
 }
 
-/* ---- what there is ---- */
+/* ---- supply ---- */
 
 static gboolean
-is_or_will_be_up (const HzbMachine *machine, struct timespec now)
+is_up_or_booting (const HzbMachine *machine, struct timespec now)
 {
   switch (machine->state)
     {
@@ -369,7 +377,8 @@
     case HZB_MACHINE_LEASED:
       return TRUE;
     case HZB_MACHINE_BOOTING:
-      return hzb_time_between (machine->rented, now) < MAX (BOOT_LEAST_S, BOOT_FACTOR * machine->type->boot_s);
+      return hzb_time_between (machine->rented, now)
+             < MAX (MIN_BOOT_ALLOWANCE_S, BOOT_ALLOWANCE_FACTOR * machine->type->boot_s);
     default:
       return FALSE;
     }
@@ -378,17 +387,17 @@
 double
 hzb_demand_supply (const HzbAutoscaler *autoscaler, const HzbDemand *demand, struct timespec now)
 {
-  double have = 0;
+  double supply = 0;
 
   for (guint i = 0; i < autoscaler->machines->all->len; i++)
     {
       const HzbMachine *machine = autoscaler->machines->all->pdata[i];
       if (!machine->type || machine->scale_in_requested || machine->scale_in_candidate
           || !hzb_demand_machine_fits (demand, machine) || (machine->reserved_for_services && !demand->services)
-          || !is_or_will_be_up (machine, now))
+          || !is_up_or_booting (machine, now))
         continue;
-      have += hzb_demand_useful_units (demand, machine->type)
-              - (demand->services || demand->gpus ? 0 : machine->service_cpus);
+      supply += hzb_demand_useful_units (demand, machine->type)
+                - (demand->services || demand->gpus ? 0 : machine->service_cpus);
     }
-  return have;
+  return supply;
 }
--- a/src/scheduling/dispatch-start.c
+++ b/src/scheduling/dispatch-start.c
@@ -6,175 +6,180 @@
 #include "scheduling-class.h"
 #include "worker-protocol.h"
 
-/* Bounds of one search for a task to move: machines sampled, and tasks examined in the run queue of each. */
+/* Bounds of one search for a task to move: the number of machines sampled, and of tasks examined in the run queue of
+ * each. */
 #define MOVE_SAMPLE 32u
 #define MOVE_TASKS_PER_QUEUE 8u
 
-/* Tasks whose image the machine has go before others. */
+/* The passes over candidate tasks: tasks whose image the machine has are started before others. */
 typedef enum
 {
-  IMAGE_IS_THERE,
+  IMAGE_PRESENT,
   ANY_IMAGE,
   N_IMAGE_PASSES
 } ImagePass;
 
-/* The answer to one heartbeat. */
+/* The response to one heartbeat. */
 typedef struct
 {
   HzbDispatch *dispatch;
   HzbMachine *machine;
   struct timespec now;
-  GArray *commands; /* HzbCommand */
-} Answer;
+  GArray *commands; /* (element-type HzbCommand) not owned */
+} HeartbeatResponse;
 
-/* The smallest waiting task could fit. */
+/* Whether the machine has free CPUs for the smallest waiting task. */
 static gboolean
-has_some_room (const Answer *answer)
+fits_smallest_waiting_task (const HeartbeatResponse *response)
 {
-  return answer->machine->cpus + answer->dispatch->least_cpus <= answer->machine->type->cpus + HZB_ROUNDING;
+  return response->machine->cpus + response->dispatch->min_waiting_cpus
+         <= response->machine->type->cpus + HZB_AMOUNT_TOLERANCE;
 }
 
 static gboolean
-may_start (const Answer *answer, const HzbTask *task)
+may_start (const HeartbeatResponse *response, const HzbTask *task)
 {
-  HzbDispatch *dispatch = answer->dispatch;
+  HzbDispatch *dispatch = response->dispatch;
 
-  if (!hzb_dispatch_pace_allows (dispatch, task->job)
-      || (dispatch->pacing && hzb_start_pacing_answer_full (dispatch->pacing)))
+  if (!hzb_dispatch_pacing_allows (dispatch, task->job)
+      || (dispatch->pacing && hzb_start_pacing_response_full (dispatch->pacing)))
     return FALSE;
   return task->job->state == HZB_JOB_ACCEPTED && !task->job->awaits_verdict
-         && hzb_dispatch_team_may_use (dispatch, task->job) && hzb_zone_allowed (task->job, answer->machine);
+         && hzb_dispatch_team_limit_allows (dispatch, task->job)
+         && hzb_machine_zone_is_eligible (task->job, response->machine);
 }
 
 static void
-start (const Answer *answer, HzbTask *task)
+start_task (const HeartbeatResponse *response, HzbTask *task)
 {
-  HzbJobs *jobs = answer->dispatch->jobs;
+  HzbJobs *jobs = response->dispatch->jobs;
   HzbJob *job = task->job;
   HzbCommand command = { HZB_COMMAND_START, job->uid, task->index, 0, 0 };
 
-  if (task->state == HZB_TASK_QUEUED && task->machine != answer->machine)
+  if (task->state == HZB_TASK_QUEUED && task->machine != response->machine)
     hzb_task_set_state (jobs, task, HZB_TASK_PENDING,
-                        NULL); /* It moves: no start command was sent to the other machine. */
+                        NULL); /* The task moves; no start command was sent to the other machine. */
   if (task->state == HZB_TASK_PENDING)
     {
       g_queue_remove (&job->retry, task);
-      hzb_task_set_state (jobs, task, HZB_TASK_QUEUED, answer->machine);
+      hzb_task_set_state (jobs, task, HZB_TASK_QUEUED, response->machine);
     }
   if (job->spec->kind != HZB_JOB_GANG)
-    task->attempt = ++job->next_attempt;
+    task->attempt = ++job->last_attempt;
   command.attempt = task->attempt;
-  if (hzb_task_set_state (jobs, task, HZB_TASK_STARTING, answer->machine))
+  if (hzb_task_set_state (jobs, task, HZB_TASK_STARTING, response->machine))
     {
-      hzb_dispatch_note_started (answer->dispatch, job);
-      g_array_append_val (answer->commands, command);
+      hzb_dispatch_note_started (response->dispatch, job);
+      g_array_append_val (response->commands, command);
     }
 }
 
-/* ---- reservations of gangs ---- */
+/* ---- gang reservations ---- */
 
 static HzbTask *
-next_reserved (const HzbMachine *machine)
+next_reserved_task (const HzbMachine *machine)
 {
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       HzbTask *task = machine->tasks->pdata[i];
-      /* The reservations of a gang that was cancelled may not have been given up yet. */
+      /* Reservations of a cancelled gang may not have been released yet. */
       if (task->state == HZB_TASK_RESERVED && task->job->state == HZB_JOB_ACCEPTED)
         return task;
     }
   return NULL;
 }
 
-/* They come first: their room has been taken since it was reserved. */
+/* Starts the reserved tasks. They need no check for room, which they have used since it was reserved. */
 static void
-start_reserved (const Answer *answer)
+start_reserved_tasks (const HeartbeatResponse *response)
 {
   HzbTask *task;
 
-  while ((task = next_reserved (answer->machine)))
-    start (answer, task);
+  while ((task = next_reserved_task (response->machine)))
+    start_task (response, task);
 }
 
 /* ---- the machine's own run queue ---- */
 
-/* Returns: FALSE if a task does not fit yet. First come, first served: no task of this class or below passes it. */
+/* Starts tasks of the class in FIFO order. Returns: FALSE if a task does not fit yet: no later task of this class and
+ * no task of a lower class may start before it */
 static gboolean
-start_from_run_queue (const Answer *answer, guint scheduling_class)
+start_queued_tasks (const HeartbeatResponse *response, guint scheduling_class)
 {
-  for (GList *l = answer->machine->run_queues[scheduling_class].head; l;)
+  for (GList *l = response->machine->run_queues[scheduling_class].head; l;)
     {
       HzbTask *task = l->data;
-      l = l->next; /* start() takes the task off the queue */
-      if (!may_start (answer, task))
+      l = l->next; /* start_task() removes the task from the queue */
+      if (!may_start (response, task))
         continue;
-      if (!hzb_machine_has_room (answer->machine, task->job->spec))
+      if (!hzb_machine_has_room (response->machine, task->job->spec))
         return FALSE;
-      start (answer, task);
+      start_task (response, task);
     }
   return TRUE;
 }
 
 /* ---- tasks in other machines' run queues ---- */
 
-/* A replica starts sooner where its image is, even if that machine sends its heartbeat later. */
+/* Whether the task is a replica that should stay queued on a machine that has its image: it starts sooner there, even
+ * if that machine sends its heartbeat later. The wait is bounded. */
 static gboolean
-replica_waits_for_image (const Answer *answer, const HzbTask *task, const HzbMachine *other)
+replica_waits_for_image (const HeartbeatResponse *response, const HzbTask *task, const HzbMachine *other)
 {
   const HzbJobSpec *spec = task->job->spec;
   return spec->kind == HZB_JOB_SERVICE && g_hash_table_contains (other->images, spec->image)
-         && hzb_time_between (task->since, answer->now) < 2 * answer->dispatch->settings->heartbeat_interval_s;
+         && hzb_time_between (task->since, response->now) < 2 * response->dispatch->settings->heartbeat_interval_s;
 }
 
 static gboolean
-may_move (const Answer *answer, const HzbTask *task, const HzbMachine *from, ImagePass pass)
+may_move (const HeartbeatResponse *response, const HzbTask *task, const HzbMachine *from, ImagePass pass)
 {
-  const HzbMachine *machine = answer->machine;
+  const HzbMachine *machine = response->machine;
   const HzbJobSpec *spec = task->job->spec;
 
-  if ((pass == IMAGE_IS_THERE || replica_waits_for_image (answer, task, from))
+  if ((pass == IMAGE_PRESENT || replica_waits_for_image (response, task, from))
       && !g_hash_table_contains (machine->images, spec->image))
     return FALSE;
-  return hzb_machine_allowed (machine, spec) && hzb_machine_has_room (machine, spec)
-         && !hzb_machine_avoids (machine, task->job, answer->now) && may_start (answer, task);
+  return hzb_machine_is_eligible (machine, spec) && hzb_machine_has_room (machine, spec)
+         && !hzb_machine_avoids_job (machine, task->job, response->now) && may_start (response, task);
 }
 
 static HzbTask *
-first_that_may_move (const Answer *answer, HzbMachine *from, guint scheduling_class, ImagePass pass)
+first_movable_task (const HeartbeatResponse *response, HzbMachine *from, guint scheduling_class, ImagePass pass)
 {
   guint examined = 0;
 
   for (GList *l = from->run_queues[scheduling_class].head; l && examined < MOVE_TASKS_PER_QUEUE;
        l = l->next, examined++)
-    if (may_move (answer, l->data, from, pass))
+    if (may_move (response, l->data, from, pass))
       return l->data;
   return NULL;
 }
 
-/* The task that the machine should take over from another's run queue: of a sample, that of the most loaded. */
+/* Finds a task to move to this machine from the run queue of the most loaded machine of a sample. */
 static HzbTask *
-find_task_to_move (const Answer *answer, guint scheduling_class, ImagePass pass)
+find_task_to_move (const HeartbeatResponse *response, guint scheduling_class, ImagePass pass)
 {
-  HzbDispatch *dispatch = answer->dispatch;
+  HzbDispatch *dispatch = response->dispatch;
   GPtrArray *candidates = dispatch->machines_with_queues[scheduling_class];
-  guint n = candidates->len, most = MIN (n, dispatch->lagging ? dispatch->sample : MOVE_SAMPLE);
-  guint first = most < n ? (guint) g_rand_int_range (dispatch->rand, 0, (gint32) n) : 0;
-  guint step = most ? n / most : 1;
+  guint n = candidates->len, n_sampled = MIN (n, dispatch->lagging ? dispatch->sample_size : MOVE_SAMPLE);
+  guint first = n_sampled < n ? (guint) g_rand_int_range (dispatch->rand, 0, (gint32) n) : 0;
+  guint step = n_sampled ? n / n_sampled : 1;
   HzbTask *best = NULL;
   double best_workload = -1;
 
-  for (guint i = 0; i < most; i++)
+  for (guint i = 0; i < n_sampled; i++)
     {
       HzbMachine *other = candidates->pdata[(first + i * step) % n];
       HzbTask *task;
       double workload;
-      if (other == answer->machine || !other->run_queues[scheduling_class].length)
+      if (other == response->machine || !other->run_queues[scheduling_class].length)
         continue;
-      dispatch->examined++;
+      dispatch->n_examined++;
       workload = hzb_estimate_mean (&other->estimates[scheduling_class]);
       if (workload <= best_workload)
         continue;
-      task = first_that_may_move (answer, other, scheduling_class, pass);
+      task = first_movable_task (response, other, scheduling_class, pass);
       if (!task)
         continue;
       best = task;
@@ -184,85 +189,85 @@
 }
 
 static void
-start_moved (const Answer *answer, guint scheduling_class)
+start_moved_tasks (const HeartbeatResponse *response, guint scheduling_class)
 {
-  const GPtrArray *candidates = answer->dispatch->machines_with_queues[scheduling_class];
+  const GPtrArray *candidates = response->dispatch->machines_with_queues[scheduling_class];
   HzbTask *task;
 
-  for (ImagePass pass = IMAGE_IS_THERE; pass < N_IMAGE_PASSES && candidates->len; pass++)
-    while (has_some_room (answer) && (task = find_task_to_move (answer, scheduling_class, pass)))
-      start (answer, task);
+  for (ImagePass pass = IMAGE_PRESENT; pass < N_IMAGE_PASSES && candidates->len; pass++)
+    while (fits_smallest_waiting_task (response) && (task = find_task_to_move (response, scheduling_class, pass)))
+      start_task (response, task);
 }
 
 /* ---- tasks in no run queue ---- */
 
-/* The list of waiting jobs is that of the last run, so what may have changed since is examined here. */
+/* The index of waiting jobs dates from the last run, so conditions that may have changed since are checked here. */
 static gboolean
-may_take_waiting (const Answer *answer, const HzbJob *job, guint scheduling_class, ImagePass pass)
+may_start_waiting_job (const HeartbeatResponse *response, const HzbJob *job, guint scheduling_class, ImagePass pass)
 {
-  const HzbMachine *machine = answer->machine;
+  const HzbMachine *machine = response->machine;
 
   return job->pending && job->state == HZB_JOB_ACCEPTED && job->scheduling_class == scheduling_class && !job->failures
-         && hzb_machine_has_room (machine, job->spec) && hzb_machine_allowed (machine, job->spec)
-         && !hzb_time_before (answer->now, job->not_before) && !hzb_machine_avoids (machine, job, answer->now)
+         && hzb_machine_has_room (machine, job->spec) && hzb_machine_is_eligible (machine, job->spec)
+         && !hzb_time_before (response->now, job->not_before) && !hzb_machine_avoids_job (machine, job, response->now)
          && (pass == ANY_IMAGE || g_hash_table_contains (machine->images, job->spec->image))
-         && hzb_dispatch_team_may_use (answer->dispatch, job);
+         && hzb_dispatch_team_limit_allows (response->dispatch, job);
 }
 
 static void
-start_waiting_of_job (const Answer *answer, HzbJob *job)
+start_waiting_tasks_of_job (const HeartbeatResponse *response, HzbJob *job)
 {
   HzbTask *task;
 
-  while (!hzb_job_overdue_start_placed (job) && hzb_machine_has_room (answer->machine, job->spec)
-         && (task = hzb_job_take_pending (job, answer->now)))
+  while (!hzb_job_overdue_start_placed (job) && hzb_machine_has_room (response->machine, job->spec)
+         && (task = hzb_job_take_pending (job, response->now)))
     {
-      if (!may_start (answer, task))
+      if (!may_start (response, task))
         {
           g_queue_push_head (&job->retry, task);
           return;
         }
-      start (answer, task);
+      start_task (response, task);
     }
 }
 
 static void
-start_waiting (const Answer *answer, guint scheduling_class)
+start_waiting_tasks (const HeartbeatResponse *response, guint scheduling_class)
 {
-  GPtrArray *waiting = answer->dispatch->waiting[scheduling_class];
+  GPtrArray *waiting = response->dispatch->waiting[scheduling_class];
 
-  for (ImagePass pass = IMAGE_IS_THERE; pass < N_IMAGE_PASSES; pass++)
-    for (guint i = 0; i < waiting->len && has_some_room (answer); i++)
-      if (may_take_waiting (answer, waiting->pdata[i], scheduling_class, pass))
-        start_waiting_of_job (answer, waiting->pdata[i]);
+  for (ImagePass pass = IMAGE_PRESENT; pass < N_IMAGE_PASSES; pass++)
+    for (guint i = 0; i < waiting->len && fits_smallest_waiting_task (response); i++)
+      if (may_start_waiting_job (response, waiting->pdata[i], scheduling_class, pass))
+        start_waiting_tasks_of_job (response, waiting->pdata[i]);
 }
 
-/* Returns: FALSE if lower classes must not start anything on the machine now */
+/* Returns: FALSE if no task of a lower class may start on the machine now */
 static gboolean
-start_class (const Answer *answer, guint scheduling_class)
+start_tasks_of_class (const HeartbeatResponse *response, guint scheduling_class)
 {
-  if (hzb_gang_blocks_machine (answer->dispatch, answer->machine, scheduling_class, answer->now)
-      || !start_from_run_queue (answer, scheduling_class))
+  if (hzb_gang_blocks_machine (response->dispatch, response->machine, scheduling_class, response->now)
+      || !start_queued_tasks (response, scheduling_class))
     return FALSE;
-  start_moved (answer, scheduling_class);
-  start_waiting (answer, scheduling_class);
+  start_moved_tasks (response, scheduling_class);
+  start_waiting_tasks (response, scheduling_class);
   return TRUE;
 }
 
 void
 hzb_dispatch_start_tasks (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands)
 {
-  Answer answer = { dispatch, machine, now, commands };
+  HeartbeatResponse response = { dispatch, machine, now, commands };
 
-  if (!hzb_machine_usable (machine))
+  if (!hzb_machine_is_usable (machine))
     return;
   if (dispatch->pacing)
-    hzb_start_pacing_begin_answer (dispatch->pacing);
-  start_reserved (&answer);
+    hzb_start_pacing_begin_response (dispatch->pacing);
+  start_reserved_tasks (&response);
   if (dispatch->generation != dispatch->machines->generation)
-    hzb_dispatch_index_queues (dispatch); /* Machines of the index may have been freed. */
-  for (guint next = HZB_N_SCHEDULING_CLASSES; next > 0 && has_some_room (&answer); next--)
-    if (!start_class (&answer, next - 1))
+    hzb_dispatch_index_queues (dispatch); /* Machines in the index may have been freed. */
+  for (guint next = HZB_N_SCHEDULING_CLASSES; next > 0 && fits_smallest_waiting_task (&response); next--)
+    if (!start_tasks_of_class (&response, next - 1))
       break;
   hzb_preempt_on_machine (dispatch, machine, now, commands);
 }
--- a/src/scheduling/dispatch-state.c
+++ b/src/scheduling/dispatch-state.c
@@ -2,32 +2,32 @@
 
 #define DEFAULT_H 0.5
 #define DEFAULT_QUEUE_AHEAD_S 8
-#define DEFAULT_SAMPLE 8
+#define DEFAULT_SAMPLE_SIZE 8
 
-/* When the controller counts as overloaded. The two thresholds differ so that it does not go back and forth. */
+/* Thresholds of the smoothed timer lag. They differ (hysteresis) so that the lagging flag does not oscillate. */
 #define LAG_SMOOTHING 0.1
-#define MOST_LAG_S 5 /* of one timer */
+#define MAX_LAG_S 5 /* cap on the lag of one timer */
 #define LAGGING_ABOVE_S 0.25
 #define LAGGING_UNTIL_BELOW_S 0.05
 
-/* Part of the work of lower classes that counts for a task, which could have that work stopped. */
-#define PREEMPTIBLE_PART 0.3
+/* Fraction of the work of lower classes that counts as wait for a task, because the task could preempt that work. */
+#define PREEMPTIBLE_WORK_FRACTION 0.3
 
 HzbDispatch *
 hzb_dispatch_new (HzbJobs *jobs, HzbMachines *machines, const HzbSettings *settings, GRand *rand)
 {
   HzbDispatch *dispatch = g_new0 (HzbDispatch, 1);
-  guint n_ahead = settings->teams->len * HZB_N_SCHEDULING_CLASSES;
+  guint n_entries = settings->teams->len * HZB_N_SCHEDULING_CLASSES;
 
   dispatch->jobs = jobs;
   dispatch->machines = machines;
   dispatch->settings = settings;
   dispatch->rand = rand;
-  dispatch->ahead_cpus = g_new0 (double, n_ahead);
-  dispatch->ahead_gpus = g_new0 (double, n_ahead);
+  dispatch->waiting_cpus_by_class = g_new0 (double, n_entries);
+  dispatch->waiting_gpus_by_class = g_new0 (double, n_entries);
   dispatch->h = DEFAULT_H;
   dispatch->queue_ahead_s = DEFAULT_QUEUE_AHEAD_S;
-  dispatch->sample = DEFAULT_SAMPLE;
+  dispatch->sample_size = DEFAULT_SAMPLE_SIZE;
   dispatch->usable = g_ptr_array_new ();
   for (guint class_index = 0; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
     {
@@ -46,8 +46,8 @@
       g_ptr_array_unref (dispatch->machines_with_queues[class_index]);
     }
   g_ptr_array_unref (dispatch->usable);
-  g_free (dispatch->ahead_cpus);
-  g_free (dispatch->ahead_gpus);
+  g_free (dispatch->waiting_cpus_by_class);
+  g_free (dispatch->waiting_gpus_by_class);
   g_free (dispatch);
 }
 
@@ -71,7 +71,7 @@
 
   g_ptr_array_set_size (dispatch->usable, 0);
   for (guint i = 0; i < all->len; i++)
-    if (hzb_machine_usable (all->pdata[i]))
+    if (hzb_machine_is_usable (all->pdata[i]))
       g_ptr_array_add (dispatch->usable, all->pdata[i]);
 }
 
@@ -99,33 +99,34 @@
 {
   gboolean lagging;
 
-  dispatch->lag_s += (CLAMP (late_s, 0, MOST_LAG_S) - dispatch->lag_s) * LAG_SMOOTHING;
+  dispatch->lag_s += (CLAMP (late_s, 0, MAX_LAG_S) - dispatch->lag_s) * LAG_SMOOTHING;
   lagging = dispatch->lag_s > (dispatch->lagging ? LAGGING_UNTIL_BELOW_S : LAGGING_ABOVE_S);
   if (lagging != dispatch->lagging)
     g_message (
         "dispatch: timers are %.2f s late, %s", dispatch->lag_s,
         lagging
-            ? "so machines are sampled instead of searched; if this stays, this controller needs more processor time"
-            : "so all machines are searched again");
+            ? "so samples of machines replace full searches; if this persists, this controller needs more processor "
+              "time"
+            : "so full searches of all machines resume");
   dispatch->lagging = lagging;
 }
 
 /* ---- estimates ---- */
 
-/* The images that tasks on the machine will bring, but that its worker does not have yet. */
+/* Resets the set of images that the tasks on the machine will fetch, because the machine does not have them yet. */
 static void
 reset_expected_images (HzbMachine *machine)
 {
-  g_hash_table_remove_all (machine->expected);
+  g_hash_table_remove_all (machine->expected_images);
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       const HzbTask *task = machine->tasks->pdata[i];
       if (!g_hash_table_contains (machine->images, task->job->spec->image))
-        g_hash_table_add (machine->expected, g_ref_string_acquire (task->job->spec->image));
+        g_hash_table_add (machine->expected_images, g_ref_string_acquire (task->job->spec->image));
     }
 }
 
-/* Adds, for each scheduling class, the seconds of work on the machine that a new task of that class waits behind. */
+/* Adds, for each scheduling class, the seconds of work of the tasks on the machine that a new task would wait for. */
 static void
 add_work_on_machine (const HzbMachine *machine, double work_s[HZB_N_SCHEDULING_CLASSES], struct timespec now)
 {
@@ -135,11 +136,12 @@
       guint v = MAX (1, hzb_machine_speed (machine, task->job->spec));
       double work = hzb_task_remaining_s (task, now) / v;
       for (guint class_index = 0; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
-        work_s[class_index] += class_index <= task->job->scheduling_class ? work : work * PREEMPTIBLE_PART;
+        work_s[class_index] += class_index <= task->job->scheduling_class ? work : work * PREEMPTIBLE_WORK_FRACTION;
     }
 }
 
-/* The same of the work in its run queues, where no higher class waits for a lower one. */
+/* Adds, for each scheduling class, the seconds of work in the machine's run queues that a new task would wait for.
+ * Tasks of a higher class do not wait for queued tasks of a lower class. */
 static void
 add_work_in_queues (const HzbMachine *machine, double work_s[HZB_N_SCHEDULING_CLASSES])
 {
@@ -168,34 +170,35 @@
   machine->estimate_stale = FALSE;
 }
 
-/* ---- what a team may use, and how fast ---- */
+/* ---- team limits and start pacing ---- */
 
-/* A team's limit must not be filled, as it frees up, by whichever machine sends a heartbeat first: what the team's
- * higher classes wait for is kept for them. */
+/* Resources that the team's higher classes wait for are reserved within the team's limit. Otherwise the machine that
+ * sends the next heartbeat would use up a part of the limit that becomes free, even for work of a lower class. */
 gboolean
-hzb_dispatch_team_may_use (HzbDispatch *dispatch, const HzbJob *job)
+hzb_dispatch_team_limit_allows (HzbDispatch *dispatch, const HzbJob *job)
 {
-  const double *cpus = dispatch->ahead_cpus + job->team * HZB_N_SCHEDULING_CLASSES;
-  const double *gpus = dispatch->ahead_gpus + job->team * HZB_N_SCHEDULING_CLASSES;
-  double kept_cpus = 0, kept_gpus = 0;
+  const double *cpus = dispatch->waiting_cpus_by_class + job->team * HZB_N_SCHEDULING_CLASSES;
+  const double *gpus = dispatch->waiting_gpus_by_class + job->team * HZB_N_SCHEDULING_CLASSES;
+  double higher_class_cpus = 0, higher_class_gpus = 0;
 
   for (guint class_index = job->scheduling_class + 1; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
     {
-      kept_cpus += cpus[class_index];
-      kept_gpus += gpus[class_index];
+      higher_class_cpus += cpus[class_index];
+      higher_class_gpus += gpus[class_index];
     }
-  return hzb_shard_fits (dispatch->jobs->shard, job->team, job->spec->cpus + kept_cpus, job->spec->gpus + kept_gpus);
+  return hzb_shard_fits (dispatch->jobs->shard, job->team, job->spec->cpus + higher_class_cpus,
+                         job->spec->gpus + higher_class_gpus);
 }
 
 void
 hzb_dispatch_note_started (HzbDispatch *dispatch, const HzbJob *job)
 {
-  guint at = (guint) job->team * HZB_N_SCHEDULING_CLASSES + job->scheduling_class;
+  guint index = (guint) job->team * HZB_N_SCHEDULING_CLASSES + job->scheduling_class;
 
-  dispatch->ahead_cpus[at] = MAX (0, dispatch->ahead_cpus[at] - job->spec->cpus);
-  dispatch->ahead_gpus[at] = MAX (0, dispatch->ahead_gpus[at] - job->spec->gpus);
+  dispatch->waiting_cpus_by_class[index] = MAX (0, dispatch->waiting_cpus_by_class[index] - job->spec->cpus);
+  dispatch->waiting_gpus_by_class[index] = MAX (0, dispatch->waiting_gpus_by_class[index] - job->spec->gpus);
   if (dispatch->pacing)
-    hzb_start_pacing_take (dispatch->pacing);
+    hzb_start_pacing_take_token (dispatch->pacing);
 }
 
 static HzbStartPacingClass
@@ -209,7 +212,7 @@
 }
 
 gboolean
-hzb_dispatch_pace_allows (const HzbDispatch *dispatch, const HzbJob *job)
+hzb_dispatch_pacing_allows (const HzbDispatch *dispatch, const HzbJob *job)
 {
   return !dispatch->pacing || hzb_start_pacing_allows (dispatch->pacing, pacing_class_of (job->scheduling_class));
 }
--- a/src/scheduling/dispatch.c
+++ b/src/scheduling/dispatch.c
@@ -8,39 +8,39 @@
 #include <math.h>
 #include <string.h>
 
-/* Bounds of one run, so that it does not hold up the main loop. What more there is to place goes into the next run, or
- * is placed by samples of machines instead of full searches. */
+/* Bounds of one run, so that it does not block the main loop. Tasks beyond the first two bounds wait for the next run;
+ * beyond the third, samples of machines replace full searches. */
 #define TASKS_PER_RUN 400u
 #define TASKS_PER_RUN_LAGGING 50u
 #define CANDIDATES_PER_RUN 20000u
 
-/* From so many failures in a row on, a job is tried with one task at a time. */
-#define MANY_FAILURES 4u
+/* After this many consecutive failures, only one task of the job is queued or placed at a time. */
+#define SINGLE_TASK_MIN_FAILURES 4u
 
-/* One run of the dispatcher. */
+/* The state of one run of the dispatcher. */
 typedef struct
 {
   HzbDispatch *dispatch;
   struct timespec now;
-  double *cpus, *gpus;   /* by team: what tasks in run queues take that go before those still to be placed */
-  guint tasks_left;      /* that this run may still place */
-  guint candidates_left; /* that this run may still examine in full searches */
-} Run;
+  double *cpus, *gpus;   /* by team: resources of queued tasks that are served before the next task to be placed */
+  guint tasks_left;      /* number of tasks that this run may still place */
+  guint candidates_left; /* number of machines that this run may still examine in full searches */
+} DispatchRun;
 
 HzbMachine *
-hzb_dispatch_choose (HzbDispatch *dispatch, HzbJob *job, struct timespec now)
+hzb_dispatch_choose_machine (HzbDispatch *dispatch, HzbJob *job, struct timespec now)
 {
   g_auto (HzbSearch) search = { 0 };
 
   hzb_dispatch_index_usable (dispatch);
   hzb_search_begin (&search, dispatch, job, now);
-  hzb_search_examine (&search, dispatch->lagging ? dispatch->sample : 0);
+  hzb_search_examine (&search, dispatch->lagging ? dispatch->sample_size : 0);
   return hzb_search_best (&search);
 }
 
-/* Expected seconds that the machine needs for the tasks of this class and higher ones in its run queues. */
+/* Expected seconds of work of the tasks of this and higher classes in the run queues of the machine. */
 static double
-queued_s (const HzbMachine *machine, guint scheduling_class)
+queued_work_s (const HzbMachine *machine, guint scheduling_class)
 {
   double work = 0;
 
@@ -61,7 +61,7 @@
 
   hzb_task_set_state (dispatch->jobs, task, HZB_TASK_QUEUED, machine);
   if (!g_hash_table_contains (machine->images, task->job->spec->image))
-    g_hash_table_add (machine->expected, g_ref_string_acquire (task->job->spec->image));
+    g_hash_table_add (machine->expected_images, g_ref_string_acquire (task->job->spec->image));
   for (guint class_index = 0; class_index <= scheduling_class; class_index++)
     {
       hzb_estimate_shift (&machine->estimates[class_index], now);
@@ -69,57 +69,59 @@
     }
 }
 
-/* ---- what waits ---- */
+/* ---- index of waiting jobs ---- */
 
-/* Some machine, in whichever shard, could take the job's tasks. */
+/* Whether any machine, in this shard or a leased one, is eligible for the job. */
 static gboolean
-has_machine (const HzbDispatch *dispatch, const HzbJobSpec *spec)
+has_eligible_machine (const HzbDispatch *dispatch, const HzbJobSpec *spec)
 {
   for (guint i = 0; i < dispatch->machines->all->len; i++)
     {
       const HzbMachine *machine = dispatch->machines->all->pdata[i];
-      if ((machine->state == HZB_MACHINE_LEASED || hzb_machine_usable (machine)) && hzb_machine_allowed (machine, spec))
+      if ((machine->state == HZB_MACHINE_LEASED || hzb_machine_is_usable (machine))
+          && hzb_machine_is_eligible (machine, spec))
         return TRUE;
     }
   return FALSE;
 }
 
 static void
-clear_waiting (HzbDispatch *dispatch)
+clear_waiting_index (HzbDispatch *dispatch)
 {
-  gsize n_ahead = (gsize) dispatch->jobs->shard->n_teams * HZB_N_SCHEDULING_CLASSES;
+  gsize n_entries = (gsize) dispatch->jobs->shard->n_teams * HZB_N_SCHEDULING_CLASSES;
 
-  memset (dispatch->ahead_cpus, 0, n_ahead * sizeof (double));
-  memset (dispatch->ahead_gpus, 0, n_ahead * sizeof (double));
+  memset (dispatch->waiting_cpus_by_class, 0, n_entries * sizeof (double));
+  memset (dispatch->waiting_gpus_by_class, 0, n_entries * sizeof (double));
   dispatch->gang_waits = FALSE;
-  dispatch->least_cpus = INFINITY;
+  dispatch->min_waiting_cpus = INFINITY;
   for (guint class_index = 0; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
     g_ptr_array_set_size (dispatch->waiting[class_index], 0);
 }
 
-/* Keeps the team's limit for the job's waiting tasks, see hzb_dispatch_team_may_use(). A job that cannot start now
- * keeps nothing: the team's other work would wait for it, and the job perhaps for a machine that is rented only once
- * that work is done. */
+/* Reserves resources within the team's limit for the job's waiting tasks, see hzb_dispatch_team_limit_allows(). Nothing
+ * is reserved for a job that cannot start now: the team's other jobs would wait for that job, which may itself wait for
+ * a machine that is rented only after those jobs have ended. */
 static void
-keep_limit_for (HzbDispatch *dispatch, const HzbJob *job, struct timespec now)
+reserve_team_limit (HzbDispatch *dispatch, const HzbJob *job, struct timespec now)
 {
-  guint at, waiting;
+  guint index, waiting;
 
-  if (hzb_time_before (now, job->not_before) || job->failures || !has_machine (dispatch, job->spec))
+  if (hzb_time_before (now, job->not_before) || job->failures || !has_eligible_machine (dispatch, job->spec))
     return;
-  at = (guint) job->team * HZB_N_SCHEDULING_CLASSES + job->scheduling_class;
+  index = (guint) job->team * HZB_N_SCHEDULING_CLASSES + job->scheduling_class;
   waiting = job->start_overdue ? 1 : job->pending + job->queued;
-  dispatch->ahead_cpus[at] += waiting * job->spec->cpus;
-  dispatch->ahead_gpus[at] += waiting * job->spec->gpus;
+  dispatch->waiting_cpus_by_class[index] += waiting * job->spec->cpus;
+  dispatch->waiting_gpus_by_class[index] += waiting * job->spec->gpus;
 }
 
-/* Finds the jobs that wait. Returns: (transfer full) (element-type HzbJob): in the order of service */
+/* Rebuilds the index of waiting jobs. Returns: (transfer full) (element-type HzbJob): all of them, in the order of
+ * service */
 static GPtrArray *
 index_waiting_jobs (HzbDispatch *dispatch, struct timespec now)
 {
   GPtrArray *order = g_ptr_array_new ();
 
-  clear_waiting (dispatch);
+  clear_waiting_index (dispatch);
   for (guint i = 0; i < dispatch->jobs->active->len; i++)
     {
       HzbJob *job = dispatch->jobs->active->pdata[i];
@@ -127,8 +129,8 @@
         continue;
       g_ptr_array_add (order, job);
       dispatch->gang_waits = dispatch->gang_waits || job->spec->kind == HZB_JOB_GANG;
-      dispatch->least_cpus = MIN (dispatch->least_cpus, job->spec->cpus);
-      keep_limit_for (dispatch, job, now);
+      dispatch->min_waiting_cpus = MIN (dispatch->min_waiting_cpus, job->spec->cpus);
+      reserve_team_limit (dispatch, job, now);
     }
   g_ptr_array_sort (order, hzb_scheduling_classes_compare);
   for (guint i = 0; i < order->len; i++)
@@ -140,38 +142,38 @@
   return order;
 }
 
-/* ---- placing it ---- */
+/* ---- placement ---- */
 
 static gboolean
-team_limit_allows_one_more (const Run *run, const HzbJob *job)
+team_limit_allows_one_more (const DispatchRun *run, const HzbJob *job)
 {
   return hzb_shard_fits (run->dispatch->jobs->shard, job->team, run->cpus[job->team] + job->spec->cpus,
                          run->gpus[job->team] + job->spec->gpus);
 }
 
-/* Takes one of the job's tasks and puts it into the run queue of the best machine that the search has found. A task
- * that no machine could start for a while stays where it is, so that more pressing work which comes later can still go
- * first, and so that no more tasks are released than machines could take. Returns: FALSE if no task was placed */
+/* Puts one of the job's pending tasks into the run queue of the best machine of the search. If that run queue is
+ * already filled far enough ahead, the task stays pending, so that more urgent work that arrives later can still go
+ * first, and so that no more tasks are released than machines could take. Returns: FALSE if no task was queued */
 static gboolean
-queue_one (const Run *run, HzbJob *job, HzbSearch *search)
+queue_next_task (const DispatchRun *run, HzbJob *job, HzbSearch *search)
 {
   HzbMachine *machine = hzb_job_overdue_start_placed (job) ? NULL : hzb_search_best (search);
   HzbTask *task;
 
-  if (!machine || queued_s (machine, job->scheduling_class) > run->dispatch->queue_ahead_s)
+  if (!machine || queued_work_s (machine, job->scheduling_class) > run->dispatch->queue_ahead_s)
     return FALSE;
   task = hzb_job_take_pending (job, run->now);
   if (!task)
     return FALSE;
   put_into_run_queue (run->dispatch, task, machine, run->now);
-  hzb_search_note_sent (search);
+  hzb_search_note_queued (search);
   return TRUE;
 }
 
-/* Puts tasks of one job into run queues: only as many as the team may use, since tasks that wait for their team's limit
- * should hold up no others. */
+/* Puts tasks of one job into run queues, but only as many as the team's limit allows, so that tasks that wait for the
+ * limit do not delay other tasks in the run queues. */
 static void
-queue_tasks (Run *run, HzbJob *job)
+queue_tasks (DispatchRun *run, HzbJob *job)
 {
   HzbDispatch *dispatch = run->dispatch;
   g_auto (HzbSearch) search = { 0 };
@@ -186,22 +188,22 @@
   while (run->tasks_left && team_limit_allows_one_more (run, job))
     {
       if (sampled)
-        hzb_search_examine (&search, dispatch->sample);
-      if (!queue_one (run, job, &search))
+        hzb_search_examine (&search, dispatch->sample_size);
+      if (!queue_next_task (run, job, &search))
         break;
       run->cpus[job->team] += job->spec->cpus;
       run->gpus[job->team] += job->spec->gpus;
       run->tasks_left--;
-      if (job->failures >= MANY_FAILURES)
+      if (job->failures >= SINGLE_TASK_MIN_FAILURES)
         break;
     }
 }
 
 static void
-place_job (Run *run, HzbJob *job)
+place_job (DispatchRun *run, HzbJob *job)
 {
   if (!job->pending || hzb_time_before (run->now, job->not_before)
-      || (job->failures >= MANY_FAILURES && job->placed + job->queued > 0))
+      || (job->failures >= SINGLE_TASK_MIN_FAILURES && job->placed + job->queued > 0))
     return;
   if (job->spec->kind == HZB_JOB_GANG)
     hzb_gang_place (run->dispatch, job, run->now);
@@ -216,14 +218,19 @@
 {
   guint n_teams = dispatch->jobs->shard->n_teams;
   g_autofree double *cpus = g_new0 (double, n_teams), *gpus = g_new0 (double, n_teams);
-  Run run = {
-    dispatch, now, cpus, gpus, dispatch->lagging ? TASKS_PER_RUN_LAGGING : TASKS_PER_RUN, CANDIDATES_PER_RUN
+  DispatchRun run = {
+    .dispatch = dispatch,
+    .now = now,
+    .cpus = cpus,
+    .gpus = gpus,
+    .tasks_left = dispatch->lagging ? TASKS_PER_RUN_LAGGING : TASKS_PER_RUN,
+    .candidates_left = CANDIDATES_PER_RUN,
   };
 
   for (guint i = 0; i < order->len && run.tasks_left; i++)
     {
       HzbJob *job = order->pdata[i];
-      /* Tasks of this class and higher ones that are in run queues come before; lower work does not. */
+      /* Queued tasks of this class and of higher classes are served first; those of lower classes are not counted. */
       cpus[job->team] += job->queued * job->spec->cpus;
       gpus[job->team] += job->queued * job->spec->gpus;
       place_job (&run, job);
--- a/src/scheduling/dispatch.h
+++ b/src/scheduling/dispatch.h
@@ -2,34 +2,36 @@
  * @file
  * SECTION: dispatch
  *
- * Decides which task starts on which machine.
+ * The dispatcher, which decides which task starts on which machine.
  *
- * A run puts waiting tasks into the run queues of the machines that the rule chooses (search.h), and reserves room for
- * gangs (gang.h). The answer to a machine's heartbeat then carries the start commands that fit. No I/O; the caller says
- * what time it is.
+ * A run puts waiting tasks into the run queues of the machines that the placement rule chooses (search.h), and reserves
+ * room for gangs (gang.h). The response to a machine's heartbeat then carries start commands for the tasks that fit.
+ * The dispatcher does no I/O, and the caller passes the current time.
  */
 #pragma once
 #include "dispatch-state.h"
 
 /**
- * hzb_dispatch_choose: the rule: the machine with the least U + h/v among those that may hold the task.
+ * hzb_dispatch_choose_machine: applies the placement rule (search.h): chooses the machine with the lowest cost among
+ * those that may run a task of the job. While lagging, only a sample of machines is examined.
  *
- * Returns: (transfer none) (nullable): NULL if no machine may
+ * Returns: (transfer none) (nullable): NULL if no examined machine may run the task
  */
-HzbMachine *hzb_dispatch_choose (HzbDispatch *dispatch, HzbJob *job, struct timespec now);
+HzbMachine *hzb_dispatch_choose_machine (HzbDispatch *dispatch, HzbJob *job, struct timespec now);
 
-/** hzb_dispatch_run: waiting tasks go into run queues, and gangs get reservations. Called several times a second. */
+/** hzb_dispatch_run: puts waiting tasks into run queues and reserves room for gangs. Called several times a second. */
 void hzb_dispatch_run (HzbDispatch *dispatch, struct timespec now);
 
 /**
- * hzb_dispatch_start_tasks: the commands for a machine that has just sent a heartbeat.
- * `commands`: (element-type HzbCommand): they are appended to it; their names point into the jobs
+ * hzb_dispatch_start_tasks: starts and preempts tasks on a machine that has just sent a heartbeat.
+ * `commands`: (element-type HzbCommand): the commands for the machine are appended to it; the names in them are owned
+ * by the jobs
  */
 void hzb_dispatch_start_tasks (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands);
 
 /**
- * hzb_dispatch_consolidate: tasks that can save a checkpoint are to leave half-empty machines that are scale-in
- * candidates, where other machines have room that no task waits for. They are stopped with the answers to the next
+ * hzb_dispatch_consolidate: marks tasks with checkpoints on lightly used scale-in candidates to be stopped, where other
+ * machines have room for them that no waiting task needs. The stop commands go out with the responses to the next
  * heartbeats.
  */
 void hzb_dispatch_consolidate (HzbDispatch *dispatch, struct timespec now);
--- a/src/scheduling/gang.c
+++ b/src/scheduling/gang.c
@@ -3,23 +3,23 @@
 #include <math.h>
 #include <string.h>
 
-/* A gang must have waited this long before it holds up other work. */
-#define BLOCKS_AFTER_S 5
+/* Seconds that a gang must have waited before it blocks machines for other work. */
+#define BLOCK_AFTER_S 5
 
-/* A placement that is being tried. */
+/* A tentative placement of a gang. */
 typedef struct
 {
   HzbDispatch *dispatch;
   HzbJob *job;
   struct timespec now;
-  const char *zone;      /* (nullable): the only one that counts */
-  guint *n_tasks;        /* by index of machine: tasks of the gang on it */
-  GHashTable *n_by_zone; /* zone -> tasks of the gang there */
+  const char *zone;      /* (nullable): the only zone that may be used; NULL: any zone */
+  guint *n_tasks;        /* by index of the machine: tasks of the gang placed on it */
+  GHashTable *n_by_zone; /* name of the zone -> tasks of the gang placed in it */
 } Placement;
 
 /* Returns: (transfer container) (element-type utf8): the zones that have machines */
 static GPtrArray *
-zones_of (const HzbMachines *machines)
+list_zones (const HzbMachines *machines)
 {
   GPtrArray *zones = g_ptr_array_new ();
 
@@ -39,15 +39,15 @@
 }
 
 static gboolean
-takes_one_more (const Placement *placement, const HzbMachine *machine, guint n_there)
+fits_one_more (const Placement *placement, const HzbMachine *machine, guint n_placed)
 {
   const HzbJobSpec *spec = placement->job->spec;
   guint half = (placement->job->n_tasks + 1) / 2;
 
-  return hzb_machine_usable (machine) && hzb_machine_allowed (machine, spec)
+  return hzb_machine_is_usable (machine) && hzb_machine_is_eligible (machine, spec)
          && (!placement->zone || g_str_equal (placement->zone, machine->zone))
          && (!spec->spread || tasks_in_zone (placement, machine->zone) < half)
-         && hzb_machine_has_room_for (machine, spec, n_there + 1);
+         && hzb_machine_has_room_for (machine, spec, n_placed + 1);
 }
 
 /* Expected seconds until a task that is sent to the machine could start. */
@@ -57,65 +57,66 @@
   HzbEstimate *estimate = &machine->estimates[placement->job->scheduling_class];
 
   hzb_estimate_shift (estimate, placement->now);
-  return hzb_estimate_mean (estimate) + hzb_fetch_s (machine, placement->job->spec);
+  return hzb_estimate_mean (estimate) + hzb_machine_image_fetch_s (machine, placement->job->spec);
 }
 
-/* Adds one task where it can start soonest. Returns: FALSE if no machine takes it */
+/* Places one more task on the machine where it can start soonest. Returns: FALSE if no machine has room */
 static gboolean
-add_one (Placement *placement)
+place_next_task (Placement *placement)
 {
   GPtrArray *all = placement->dispatch->machines->all;
   HzbMachine *best = NULL;
-  guint best_at = 0;
-  double least = INFINITY;
+  guint best_index = 0;
+  double min_delay = INFINITY;
 
   for (guint i = 0; i < all->len; i++)
     {
       double delay;
-      if (!takes_one_more (placement, all->pdata[i], placement->n_tasks[i]))
+      if (!fits_one_more (placement, all->pdata[i], placement->n_tasks[i]))
         continue;
       delay = start_delay_s (placement, all->pdata[i]);
-      if (delay < least)
+      if (delay < min_delay)
         {
-          least = delay;
+          min_delay = delay;
           best = all->pdata[i];
-          best_at = i;
+          best_index = i;
         }
     }
   if (!best)
     return FALSE;
-  placement->n_tasks[best_at]++;
+  placement->n_tasks[best_index]++;
   g_hash_table_insert (placement->n_by_zone, best->zone, GUINT_TO_POINTER (tasks_in_zone (placement, best->zone) + 1));
   return TRUE;
 }
 
-/* Returns: whether there is room for all tasks; @n_tasks then says where */
+/* Searches room for all tasks of the gang, in one zone or, if @zone is NULL, in all zones. Returns: whether there is
+ * room; @n_tasks then has the number of tasks by index of the machine */
 static gboolean
-try_place (HzbDispatch *dispatch, HzbJob *job, const char *zone, guint *n_tasks, struct timespec now)
+find_placement (HzbDispatch *dispatch, HzbJob *job, const char *zone, guint *n_tasks, struct timespec now)
 {
   g_autoptr (GHashTable) n_by_zone = g_hash_table_new (g_str_hash, g_str_equal);
   Placement placement = { dispatch, job, now, zone, n_tasks, n_by_zone };
 
   memset (n_tasks, 0, dispatch->machines->all->len * sizeof *n_tasks);
-  for (guint left = job->n_tasks; left; left--)
-    if (!add_one (&placement))
+  for (guint n_left = job->n_tasks; n_left; n_left--)
+    if (!place_next_task (&placement))
       return FALSE;
   return TRUE;
 }
 
-/* All tasks of a gang start under one attempt number, by which workers know that they belong together. */
+/* Reserves the room. All tasks of a gang start under the same attempt number, by which workers identify its members. */
 static void
-reserve (HzbDispatch *dispatch, HzbJob *job, const guint *n_tasks)
+reserve_placement (HzbDispatch *dispatch, HzbJob *job, const guint *n_tasks)
 {
   GPtrArray *all = dispatch->machines->all;
   guint next = 0;
 
-  job->next_attempt++;
+  job->last_attempt++;
   for (guint i = 0; i < all->len; i++)
     for (guint k = 0; k < n_tasks[i]; k++)
       {
         HzbTask *task = &job->tasks[next++];
-        task->attempt = job->next_attempt;
+        task->attempt = job->last_attempt;
         hzb_task_set_state (dispatch->jobs, task, HZB_TASK_RESERVED, all->pdata[i]);
       }
   job->cursor = job->n_tasks;
@@ -132,12 +133,12 @@
   if (job->pending != n || job->released < n || hzb_time_before (now, job->not_before)
       || !hzb_shard_fits (dispatch->jobs->shard, job->team, spec->cpus * n, spec->gpus * n))
     return FALSE;
-  zones = zones_of (dispatch->machines);
-  /* With `samePlace` each zone is tried by itself, otherwise all zones together. */
+  zones = list_zones (dispatch->machines);
+  /* With `samePlace` each zone is tried separately, otherwise all zones together. */
   for (guint z = 0; z < (spec->same_zone ? zones->len : 1); z++)
-    if (try_place (dispatch, job, spec->same_zone ? zones->pdata[z] : NULL, n_tasks, now))
+    if (find_placement (dispatch, job, spec->same_zone ? zones->pdata[z] : NULL, n_tasks, now))
       {
-        reserve (dispatch, job, n_tasks);
+        reserve_placement (dispatch, job, n_tasks);
         return TRUE;
       }
   return FALSE;
@@ -151,7 +152,7 @@
       const HzbJob *job = dispatch->jobs->active->pdata[i];
       if (job->spec->kind == HZB_JOB_GANG && job->state == HZB_JOB_ACCEPTED && job->pending == job->n_tasks
           && job->scheduling_class >= scheduling_class && !hzb_time_before (now, job->not_before)
-          && hzb_machine_allowed (machine, job->spec) && hzb_time_between (job->since, now) > BLOCKS_AFTER_S)
+          && hzb_machine_is_eligible (machine, job->spec) && hzb_time_between (job->since, now) > BLOCK_AFTER_S)
         return TRUE;
     }
   return FALSE;
--- a/src/scheduling/headroom.c
+++ b/src/scheduling/headroom.c
@@ -2,23 +2,25 @@
 
 #include <math.h>
 
-/* Another job that has waited this long in vain has the room given up. */
-#define OTHERS_WAIT_S 45.0
+/* The headroom is released once a job that is not a service has been starved for longer than this. */
+#define STARVED_AFTER_S 45.0
 
-/* A zone gives up machines only if it has this many times the room it wants, so that no machine goes back and forth. */
+/* A zone releases machines only if it keeps this many times the CPUs that it wants, so that no machine is reserved and
+ * released repeatedly. */
 #define SURPLUS_FACTOR 1.5
 
-/* Weights of zone_rank() and reserve_cost(), in CPUs. */
+/* Weights of zone_rank() and reserve_cost(), expressed in CPUs. */
 #define RANK_PER_SERVICE_CPU 100
 #define RANK_PER_RESERVED_CPU 20
 #define COST_PER_SERVICE_CPU 100
 #define COST_OF_LEASED 1000
 #define COST_OF_NOT_ACTIVE 100
 
-/* ---- which zones ---- */
+/* ---- selection of zones ---- */
 
-/* Zones with replicas or reserved machines go first, or room would be kept in ever other zones; then those with the
- * most machines to choose from. */
+/* Returns: the rank of the zone; higher ranks are selected first. Zones with replicas or reserved machines rank first,
+ * since otherwise headroom would move to other zones over time; then the zones with the most CPUs on machines that
+ * fit. */
 static double
 zone_rank (const HzbMachines *machines, const HzbJobSpec *spec, const char *zone)
 {
@@ -46,28 +48,29 @@
   return FALSE;
 }
 
-/* Adds the zone, in place of the one with the lowest rank if that is lower. */
+/* Adds the zone. If the maximum number of zones is selected, it replaces the zone with the lowest rank, provided that
+ * its own rank is higher. */
 static void
-offer_zone (HzbHeadroom *headroom, double ranks[HZB_HEADROOM_ZONES], const char *zone, double rank)
+insert_zone (HzbHeadroom *headroom, double ranks[HZB_HEADROOM_ZONES], const char *zone, double rank)
 {
-  guint at = 0;
+  guint slot = 0;
 
   if (headroom->n_zones < HZB_HEADROOM_ZONES)
-    at = headroom->n_zones++;
+    slot = headroom->n_zones++;
   else
     {
       for (guint z = 1; z < HZB_HEADROOM_ZONES; z++)
-        if (ranks[z] < ranks[at])
-          at = z;
-      if (ranks[at] >= rank)
+        if (ranks[z] < ranks[slot])
+          slot = z;
+      if (ranks[slot] >= rank)
         return;
     }
-  headroom->zones[at].zone = zone;
-  ranks[at] = rank;
+  headroom->zones[slot].zone = zone;
+  ranks[slot] = rank;
 }
 
 static void
-choose_zones (HzbHeadroom *headroom, const HzbMachines *machines)
+select_zones (HzbHeadroom *headroom, const HzbMachines *machines)
 {
   double ranks[HZB_HEADROOM_ZONES] = { 0 };
 
@@ -76,11 +79,11 @@
       const HzbMachineType *type = machines->types->pdata[t];
       for (guint z = 0; hzb_machine_type_holds (type, headroom->spec) && type->zones[z]; z++)
         if (!has_zone (headroom, type->zones[z]))
-          offer_zone (headroom, ranks, type->zones[z], zone_rank (machines, headroom->spec, type->zones[z]));
+          insert_zone (headroom, ranks, type->zones[z], zone_rank (machines, headroom->spec, type->zones[z]));
     }
 }
 
-/* ---- how much room ---- */
+/* ---- wanted headroom ---- */
 
 static double
 service_cpus_in_zone (const HzbMachines *machines, const char *zone)
@@ -100,7 +103,7 @@
 hzb_headroom_plan (const HzbJobs *jobs, const HzbMachines *machines)
 {
   HzbHeadroom headroom = { 0 };
-  double waiting = 0, largest = 0; /* CPUs: of replicas that wait; of the largest service and one more replica */
+  double waiting = 0, largest = 0; /* CPUs of waiting replicas; CPUs of the largest service and one more replica */
 
   for (guint i = 0; i < jobs->active->len; i++)
     {
@@ -115,7 +118,7 @@
     }
   if (!headroom.spec || !machines->types)
     return (HzbHeadroom){ 0 };
-  choose_zones (&headroom, machines);
+  select_zones (&headroom, machines);
   for (guint z = 0; z < headroom.n_zones; z++)
     {
       HzbHeadroomZone *zone = &headroom.zones[z];
@@ -126,11 +129,12 @@
   return headroom;
 }
 
-/* ---- which machines ---- */
+/* ---- reservation of machines ---- */
 
-/* The machine may be reserved for such replicas: it can hold one, and the cloud does not take it back. */
+/* Whether the machine may be reserved for such replicas: it is up or booting, can hold one, and the cloud does not
+ * reclaim it. */
 static gboolean
-suits (const HzbMachine *machine, const HzbJobSpec *spec)
+is_reservable (const HzbMachine *machine, const HzbJobSpec *spec)
 {
   return machine->type && !machine->spot && !machine->scale_in_requested && !machine->unreachable
          && hzb_machine_type_holds (machine->type, spec)
@@ -145,48 +149,51 @@
 }
 
 static double
-free_for_replicas (const HzbMachine *machine)
+free_replica_cpus (const HzbMachine *machine)
 {
   return machine->type->cpus - machine->service_cpus - machine->queued_service_cpus;
 }
 
-/* Keeps HzbJob.begun and HzbJob.waits_since. Returns: whether the job has waited long although its team's limit allows
- * more */
+/* Updates HzbJob.started_tasks and HzbJob.starved_since. A job is starved while it has waiting tasks and its team's
+ * limit allows one more, but no task of it starts. Returns: whether it has been starved for longer than
+ * STARVED_AFTER_S */
 static gboolean
-waits_in_vain (HzbJobs *jobs, HzbJob *job, struct timespec now)
+update_starvation (HzbJobs *jobs, HzbJob *job, struct timespec now)
 {
-  guint begun = job->placed + job->finished + job->done;
-  gboolean in_vain = FALSE;
+  guint started_tasks = job->placed + job->finished + job->done;
+  gboolean starved = FALSE;
 
-  if (!(job->pending || job->queued) || begun > job->begun || !hzb_time_is_set (job->waits_since)
+  if (!(job->pending || job->queued) || started_tasks > job->started_tasks || !hzb_time_is_set (job->starved_since)
       || !hzb_shard_fits (jobs->shard, job->team, job->spec->cpus, job->spec->gpus))
-    job->waits_since = now;
+    job->starved_since = now;
   else
-    in_vain = hzb_time_between (job->waits_since, now) > OTHERS_WAIT_S;
-  job->begun = begun;
-  return in_vain;
+    starved = hzb_time_between (job->starved_since, now) > STARVED_AFTER_S;
+  job->started_tasks = started_tasks;
+  return starved;
 }
 
-/* Room must not stay empty for good while other work waits: a replica that needs it later can preempt that work.
- * Examines every job, also after one was found, since each is kept track of. */
+/* Reserved machines must not stay empty permanently while other work waits: a replica that needs the room later can
+ * preempt that work. The loop examines every job, also after it has found a starved one, to update the state of
+ * each. */
 static gboolean
-any_other_job_waits_in_vain (HzbJobs *jobs)
+any_other_job_starved (HzbJobs *jobs)
 {
   struct timespec now = hzb_clock_now (jobs->clock);
-  gboolean any = FALSE;
+  gboolean any_starved = FALSE;
 
   for (guint i = 0; i < jobs->active->len; i++)
     {
       HzbJob *job = jobs->active->pdata[i];
       if (!job->spec || job->spec->kind == HZB_JOB_SERVICE || job->state != HZB_JOB_ACCEPTED)
         continue;
-      any = waits_in_vain (jobs, job, now) || any;
+      any_starved = update_starvation (jobs, job, now) || any_starved;
     }
-  return any;
+  return any_starved;
 }
 
-/* Lower is better: machines of this controller's own first, with replicas already, and with the least other work to
- * wait for. */
+/* Returns: the cost of reserving the machine. Active machines of this controller cost the least, then those that are
+ * not active yet, then leased ones. Replicas on the machine lower the cost, and CPUs of other tasks, which have to end
+ * first, raise it. */
 static double
 reserve_cost (const HzbMachine *machine)
 {
@@ -199,22 +206,23 @@
   return cost + machine->cpus - COST_PER_SERVICE_CPU * machine->service_cpus;
 }
 
-/* Returns: (transfer none) (nullable): the machine that can serve soonest. Machines that still boot count, too: they
- * would be leased to another controller as soon as they are up. */
+/* Returns: (transfer none) (nullable): the machine with the lowest cost that can be reserved. Booting machines are
+ * included, since otherwise they would be leased to another controller as soon as they are up. */
 static HzbMachine *
-next_to_reserve (const HzbHeadroom *headroom, HzbMachines *machines, const char *zone)
+find_machine_to_reserve (const HzbHeadroom *headroom, HzbMachines *machines, const char *zone)
 {
   HzbMachine *best = NULL;
-  double least = INFINITY;
+  double lowest_cost = INFINITY;
 
   for (guint i = 0; i < machines->all->len; i++)
     {
       HzbMachine *machine = machines->all->pdata[i];
       double cost = reserve_cost (machine);
-      if (machine->reserved_for_services || !suits (machine, headroom->spec) || !g_str_equal (zone, machine->zone)
-          || free_for_replicas (machine) < headroom->spec->cpus || cost >= least)
+      if (machine->reserved_for_services || !is_reservable (machine, headroom->spec)
+          || !g_str_equal (zone, machine->zone) || free_replica_cpus (machine) < headroom->spec->cpus
+          || cost >= lowest_cost)
         continue;
-      least = cost;
+      lowest_cost = cost;
       best = machine;
     }
   return best;
@@ -229,21 +237,21 @@
     hzb_machine_clear_run_queues (jobs, machine);
 }
 
-/* Machines that no longer serve the purpose go back to other work; all of them if @give_up. */
+/* Ends the reservation of machines that are no longer suitable; of all machines if @release_all. */
 static void
-release_unsuitable (const HzbHeadroom *headroom, HzbMachines *machines, gboolean give_up)
+release_unsuitable (const HzbHeadroom *headroom, HzbMachines *machines, gboolean release_all)
 {
   for (guint i = 0; i < machines->all->len; i++)
     {
       HzbMachine *machine = machines->all->pdata[i];
       if (machine->reserved_for_services
-          && (!headroom->spec || give_up || !suits (machine, headroom->spec)
+          && (!headroom->spec || release_all || !is_reservable (machine, headroom->spec)
               || (!has_zone (headroom, machine->zone) && machine->service_cpus <= 0)))
         machine->reserved_for_services = FALSE;
     }
 }
 
-/* Returns: CPUs for replicas on the machines that are reserved in the zone */
+/* Returns: CPUs that are free for replicas on the machines that are reserved in the zone */
 static double
 reserved_cpus (const HzbMachines *machines, const char *zone)
 {
@@ -251,11 +259,12 @@
 
   for (guint i = 0; i < machines->all->len; i++)
     if (is_reserved_in (machines->all->pdata[i], zone))
-      cpus += free_for_replicas (machines->all->pdata[i]);
+      cpus += free_replica_cpus (machines->all->pdata[i]);
   return cpus;
 }
 
-/* Empty machines beyond what is wanted go back to other work. */
+/* Ends the reservation of machines without placed or queued replicas, as long as SURPLUS_FACTOR times the wanted CPUs
+ * stay reserved. */
 static void
 release_surplus (HzbMachines *machines, const char *zone, double reserved, double wanted)
 {
@@ -277,10 +286,10 @@
   double wanted = zone->free + zone->waiting, reserved = reserved_cpus (machines, zone->zone);
   HzbMachine *machine;
 
-  while (reserved < wanted && (machine = next_to_reserve (headroom, machines, zone->zone)))
+  while (reserved < wanted && (machine = find_machine_to_reserve (headroom, machines, zone->zone)))
     {
       reserve_machine (jobs, machine);
-      reserved += free_for_replicas (machine);
+      reserved += free_replica_cpus (machine);
     }
   release_surplus (machines, zone->zone, reserved, wanted);
 }
@@ -288,9 +297,9 @@
 void
 hzb_headroom_reserve (const HzbHeadroom *headroom, HzbJobs *jobs, HzbMachines *machines)
 {
-  gboolean give_up = headroom->spec && any_other_job_waits_in_vain (jobs);
+  gboolean release_all = headroom->spec && any_other_job_starved (jobs);
 
-  release_unsuitable (headroom, machines, give_up);
-  for (guint z = 0; z < headroom->n_zones && !give_up; z++)
+  release_unsuitable (headroom, machines, release_all);
+  for (guint z = 0; z < headroom->n_zones && !release_all; z++)
     reserve_in_zone (headroom, &headroom->zones[z], jobs, machines);
 }
--- a/src/scheduling/job-codec.c
+++ b/src/scheduling/job-codec.c
@@ -4,7 +4,7 @@
 
 #include <math.h>
 
-/* Names in records. They are part of the stored format and never change. */
+/* Field names in records. They are part of the stored format and never change. */
 #define KEY_STATE "state"
 #define KEY_ACCEPTED_AT "at"
 #define KEY_SPEC "spec"
@@ -17,7 +17,7 @@
 };
 
 static int
-state_of (const cJSON *value)
+decode_state (const cJSON *value)
 {
   return hzb_json_index_of (hzb_json_text (value, KEY_STATE), state_texts, G_N_ELEMENTS (state_texts));
 }
@@ -31,13 +31,13 @@
 gboolean
 hzb_job_record_is_acceptance (const cJSON *value)
 {
-  return state_of (value) == HZB_JOB_ACCEPTED;
+  return decode_state (value) == HZB_JOB_ACCEPTED;
 }
 
 gboolean
 hzb_job_record_decode (const char *uid, const cJSON *value, guint known_tasks, HzbJobRecord *record)
 {
-  int state = state_of (value);
+  int state = decode_state (value);
 
   *record = (HzbJobRecord){ 0 };
   if (state < 0)
@@ -82,7 +82,7 @@
 }
 
 cJSON *
-hzb_job_end_encode (HzbJobState state, guint n_tasks)
+hzb_job_completion_encode (HzbJobState state, guint n_tasks)
 {
   cJSON *value = cJSON_CreateObject ();
 
--- a/src/scheduling/job.c
+++ b/src/scheduling/job.c
@@ -1,11 +1,11 @@
 #include "job.h"
 
-/* Part of the mean run time that a running task is taken to have left at least, however long it has run. */
-#define LEAST_REMAINING_PART 0.15
+/* A running task is expected to continue for at least this fraction of the mean run time, however long it has run. */
+#define MIN_REMAINING_FRACTION 0.15
 
-#define LEAST_MEAN_S 0.1
+#define MIN_MEAN_S 0.1
 
-/* Texts in logs, which the unit tests compare. */
+/* State names in log messages, which the unit tests compare. */
 static const char *const state_names[HZB_TASK_N_STATES] = {
   [HZB_TASK_PENDING] = "pending",
   [HZB_TASK_QUEUED] = "listed",
@@ -30,12 +30,12 @@
   job->other_owner = job->delegated_running = job->delegated_on_recalled_machines = 0;
   job->cursor = job->pending = job->queued = job->unconfirmed = job->placed = job->running = 0;
   job->finished = job->done = job->released = job->releasing = 0;
-  job->dirty = job->completing = job->on_pages = job->has_schema_1_parts = job->release_requested = FALSE;
+  job->dirty = job->completing = job->on_pages = job->has_schema_1_chunks = job->release_requested = FALSE;
   job->announced_to_leaseholders = FALSE;
-  job->failures = job->begun = 0;
-  job->failed_on_several_machines = job->did_well = job->awaits_verdict = FALSE;
-  g_clear_pointer (&job->failed_on, g_free);
-  job->waits_since = (struct timespec){ 0 };
+  job->failures = job->started_tasks = 0;
+  job->failed_on_several_machines = job->proven_runnable = job->awaits_verdict = FALSE;
+  g_clear_pointer (&job->first_failed_machine, g_free);
+  job->starved_since = (struct timespec){ 0 };
 }
 
 const char *
@@ -58,7 +58,7 @@
   if (task->job->spec->kind == HZB_JOB_SERVICE)
     return 0;
   if (task->state == HZB_TASK_RUNNING)
-    return MAX (mean - hzb_time_between (task->since, now), LEAST_REMAINING_PART * mean);
+    return MAX (mean - hzb_time_between (task->since, now), MIN_REMAINING_FRACTION * mean);
   return mean;
 }
 
@@ -79,18 +79,19 @@
 double
 hzb_job_mean_s (const HzbJob *job)
 {
-  return MAX (job->mean_s > 0 ? job->mean_s : job->spec->estimate_s, LEAST_MEAN_S);
+  return MAX (job->mean_s > 0 ? job->mean_s : job->spec->estimate_s, MIN_MEAN_S);
 }
 
-/* A task that is pending again after it was placed, and whose back-off has passed. Each task is looked at once. */
+/* Takes a task off the retry queue that is still pending and whose back-off has passed. Examines each entry of the
+ * queue once. Returns: (nullable): NULL if there is none */
 static HzbTask *
-next_retry (HzbJob *job, struct timespec now)
+take_retry (HzbJob *job, struct timespec now)
 {
   for (guint n = job->retry.length; n > 0; n--)
     {
       HzbTask *task = g_queue_pop_head (&job->retry);
       if (task->state != HZB_TASK_PENDING)
-        continue; /* It was placed in the meantime without being taken off this queue. */
+        continue; /* The task was placed in the meantime without being taken off this queue. */
       if (!hzb_time_before (now, task->not_before))
         return task;
       g_queue_push_tail (&job->retry, task);
@@ -101,7 +102,7 @@
 HzbTask *
 hzb_job_take_pending (HzbJob *job, struct timespec now)
 {
-  HzbTask *task = next_retry (job, now);
+  HzbTask *task = take_retry (job, now);
 
   if (task)
     return task;
--- a/src/scheduling/job.h
+++ b/src/scheduling/job.h
@@ -5,8 +5,8 @@
  * A job and its tasks, as data.
  *
  * Each controller holds an HzbJob for each job that it has read from the replicated records. The controller that owns
- * tasks of the job (the leader, or a leaseholder) also keeps where each task is. jobs.h is the registry of jobs; task.h
- * has the one function that changes the state of a task.
+ * tasks of the job (the leader, or a leaseholder) also keeps the state and the machine of each task. jobs.h is the
+ * registry of jobs; task.h has the one function that changes the state of a task.
  */
 #pragma once
 #include "clock.h"
@@ -15,7 +15,7 @@
 typedef struct _HzbMachine HzbMachine; /**< A machine, see machine.h. */
 typedef struct _HzbJob HzbJob;         /**< A job. */
 
-/** HzbJobState: what the replicated records say of a job. */
+/** HzbJobState: the state of a job according to the replicated records. */
 typedef enum
 {
   HZB_JOB_ACCEPTED,  /**< The job is recorded as accepted and is not terminal. */
@@ -24,10 +24,10 @@
 } HzbJobState;
 
 /**
- * HzbTaskState: where a task is, as far as this controller knows.
+ * HzbTaskState: the state of a task, as far as this controller knows.
  *
- * The order matters: the states from HZB_TASK_RESERVED to HZB_TASK_CHECKPOINTING are those in which a task takes room
- * on a machine, see hzb_task_on_machine().
+ * The order matters: in the states from HZB_TASK_RESERVED to HZB_TASK_CHECKPOINTING a task takes resources of a
+ * machine, see hzb_task_on_machine().
  */
 typedef enum
 {
@@ -36,12 +36,12 @@
   HZB_TASK_UNCONFIRMED,   /**< May run on a machine that has not sent a heartbeat under the current fencing token. */
   HZB_TASK_OTHER_OWNER,   /**< On a leaseholder only: the task is in another controller's shard. */
   HZB_TASK_DELEGATED,     /**< On the leader only: the task is in a leased shard, whose leaseholder may run it. */
-  HZB_TASK_RESERVED,      /**< Room on a machine is reserved for it; the start command has not been sent. */
-  HZB_TASK_STARTING,      /**< The start command was sent; no newer heartbeat has come yet. */
+  HZB_TASK_RESERVED,      /**< Resources of a machine are reserved for it; the start command has not been sent. */
+  HZB_TASK_STARTING,      /**< The start command was sent; no newer heartbeat has been received. */
   HZB_TASK_FETCHING,      /**< Its machine fetches the image. */
-  HZB_TASK_WAITING,       /**< Of a gang: it is on its machine and waits for the other tasks. */
-  HZB_TASK_RUNNING,       /**< It runs. */
-  HZB_TASK_CHECKPOINTING, /**< It was told to stop and saves its progress. */
+  HZB_TASK_WAITING,       /**< Gangs only: the task is on its machine and waits for the other tasks of the gang. */
+  HZB_TASK_RUNNING,       /**< The task runs. */
+  HZB_TASK_CHECKPOINTING, /**< The task was told to stop and saves a checkpoint. */
   HZB_TASK_FINISHED,      /**< Its result is known but not yet durable. */
   HZB_TASK_DONE,          /**< Its result is durable. */
   HZB_TASK_N_STATES       /**< Number of states. */
@@ -51,102 +51,103 @@
 typedef struct
 {
   HzbJob *job;                /**< The job it belongs to; not owned. */
-  HzbMachine *machine;        /**< (nullable) Where it is, or in whose run queue; not owned. */
-  guint index;                /**< Its number in the job, from 0. */
+  HzbMachine *machine;        /**< (nullable) The machine that it is on, or in whose run queue it is; not owned. */
+  guint index;                /**< Its index in the job, from 0. */
   guint8 state;               /**< An HzbTaskState, changed by hzb_task_set_state() only. */
-  guint8 tries;               /**< Failed attempts in a row, which the back-off is computed from. */
+  guint8 failed_attempts;     /**< Failed attempts in a row, which determine the back-off. */
   guint8 leaseholder;         /**< The leaseholder (1 and up) that it was delegated to; 0: none. */
   gboolean stopping : 1;      /**< It is to be stopped, or a stop command was sent. */
-  guint seen;                 /**< HzbMachine.round of the last heartbeat that named it. */
-  guint64 attempt;            /**< Number of its current start; never used twice in a job. */
+  guint last_heartbeat_round; /**< HzbMachine.heartbeat_count of the last heartbeat that listed the task. */
+  guint64 attempt;            /**< Number of its current start; unique within the job. */
   struct timespec since;      /**< When it entered its state. */
-  struct timespec not_before; /**< Back-off after a failure: it does not start earlier. */
+  struct timespec not_before; /**< Back-off after a failure: the task does not start before this time. */
 } HzbTask;
 
-/** HzbJob: a job. The fields are grouped by who keeps them. */
+/** HzbJob: a job. The fields are grouped by the module that maintains them. */
 struct _HzbJob
 {
   /** `name` Identity, fixed once the acceptance record was read
    * @{ */
   char *uid;                /**< Its name. */
-  HzbJobSpec *spec;         /**< (nullable) What the user asked for; NULL: terminal, and no tasks of it are here. */
+  HzbJobSpec *spec;         /**< (nullable) The submission; NULL: the job is terminal, and this controller owns none of
+                               its tasks. */
   guint n_tasks;            /**< Number of tasks. */
   int team;                 /**< Index into the settings' teams; -1: the settings do not name its team. */
   struct timespec accepted; /**< When it was accepted, time of day. */
   /** @} */
 
-  /** `name` What the replicated records say of it, kept by jobs.c on every controller
+  /** `name` State in the replicated records, maintained by jobs.c on every controller
    * @{ */
-  HzbJobState state;   /**< Accepted, or how it ended. */
+  HzbJobState state;   /**< Accepted, cancelled or done. */
   guint64 version;     /**< Revision of its completion record; 0: there is none. */
   GSList *acceptances; /**< (element-type HzbAcceptance) While not terminal: all acceptance records that name it. */
-  guint named;         /**< How many acceptance records name it, terminal or not. */
-  guint load;          /**< HzbJobs.load of the last full reading that showed it. */
-  gboolean cancel_acknowledged; /**< Cancelled, and no controller can act without knowing that. */
+  guint n_acceptances; /**< Number of acceptance records that name it, terminal or not. */
+  guint last_load;     /**< HzbJobs.load_number of the last full load that included it. */
+  gboolean cancel_acknowledged; /**< Cancelled, and every controller that can issue commands knows it. */
   gboolean archiving;           /**< Its record is being moved to the archive of completed jobs. */
   /** @} */
 
-  /** `name` Where its tasks are, on their owner only; counted by hzb_task_set_state()
+  /** `name` State of its tasks, on their owner only; counted by hzb_task_set_state()
    * @{ */
-  HzbTask *tasks;          /**< (nullable) One for each task; NULL: this controller owns none of them. */
-  guint cursor;            /**< Tasks from here on have never been placed. */
-  GQueue retry;            /**< (element-type HzbTask) Tasks that are pending again after they were elsewhere. */
+  HzbTask *tasks;          /**< (nullable) An array of n_tasks; owned. NULL: this controller owns none of them. */
+  guint cursor;            /**< Tasks from this index on have never been placed. */
+  GQueue retry;            /**< (element-type HzbTask) Tasks that returned to HZB_TASK_PENDING from another state. */
   guint pending;           /**< Tasks in HZB_TASK_PENDING, released or not. */
   guint queued;            /**< Tasks in HZB_TASK_QUEUED. */
   guint unconfirmed;       /**< Tasks in HZB_TASK_UNCONFIRMED. */
   guint other_owner;       /**< Tasks in HZB_TASK_OTHER_OWNER. */
   guint placed;            /**< Tasks on a machine, or delegated to a leaseholder. */
-  guint running;           /**< Of these, running or checkpointing on machines of this controller's own. */
-  guint delegated_running; /**< Running on machines of leaseholders, as these say. */
+  guint running;           /**< Of the placed tasks, those running or checkpointing on this controller's machines. */
+  guint delegated_running; /**< Of the delegated tasks, those that leaseholders report as running. */
   guint delegated_on_recalled_machines; /**< Of the delegated tasks, those on machines that the leader has recalled. */
   guint finished;                       /**< Tasks in HZB_TASK_FINISHED. */
   guint done;                           /**< Tasks in HZB_TASK_DONE. */
-  guint64 next_attempt;                 /**< The last attempt number given out. */
-  gboolean awaits_verdict; /**< After a cold start: no command is given for it until its verdict is durable, see
+  guint64 last_attempt;                 /**< The last attempt number that was assigned. */
+  gboolean awaits_verdict; /**< After a cold start: no command is issued for it until its verdict is durable, see
                               reconciliation.h. */
   gboolean announced_to_leaseholders; /**< The leader has announced its cancellation to the leaseholders. */
   /** @} */
 
-  /** `name` What of it is recorded, on the leader only; kept by src/records
+  /** `name` Progress records, on the leader only; maintained by src/records
    * @{ */
-  guint released;             /**< Tasks below this number may have been started: this mark is durable. */
+  guint released;             /**< Tasks below this index may have been started: this mark is durable. */
   guint releasing;            /**< The mark that is being written; at least released. */
-  gboolean release_requested; /**< A machine could take more tasks than are released. */
-  gboolean dirty;             /**< Its progress changed since it was written last. */
+  gboolean release_requested; /**< The machines have capacity for more tasks than are released. */
+  gboolean dirty;             /**< Its progress changed since it was last written. */
   gboolean completing;        /**< Its completion record is being written. */
-  gboolean on_pages;          /**< Its progress is on the leader's pages. */
+  gboolean on_pages;          /**< Its progress is recorded on the leader's pages. */
   gboolean
-      has_schema_1_parts; /**< Its progress is in the large parts of schema version 1, which stay while a controller of that
-                       version runs. */
+      has_schema_1_chunks; /**< Its progress is recorded in the large chunks of schema version 1, which stay while a
+                                   controller of that version runs. */
   /** @} */
 
-  /** `name` Its place in the order of service, kept by hzb_scheduling_classes_update()
+  /** `name` Scheduling order, maintained by hzb_scheduling_classes_update()
    * @{ */
   guint8 scheduling_class; /**< An HzbSchedulingClass (machine.h). */
   gboolean guaranteed;     /**< It fits its team's guarantee, together with the team's older jobs. */
   gboolean start_overdue;  /**< No task has started for long: its first task goes before other work. */
-  double mean_s;           /**< Best guess of a task's run time in seconds; 0: the user's estimate holds. */
-  struct timespec since;   /**< When it was accepted, on the steady clock. */
+  double mean_s;           /**< Expected run time of a task in seconds; 0: the user's estimate is used. */
+  struct timespec since;   /**< When it was accepted, on the monotonic clock. */
   /** @} */
 
-  /** `name` How it has fared, which decides where and how fast its tasks are tried
+  /** `name` Failure history, which decides where and how fast its tasks are retried
    * @{ */
-  guint failures;                      /**< Failures in a row, without a task doing well in between. */
-  char *failed_on;                     /**< (nullable) Name of the first machine on which a task failed. */
+  guint failures;                      /**< Failures in a row, without a success or a long run in between. */
+  char *first_failed_machine;          /**< (nullable) Name of the first machine on which a task failed; owned. */
   gboolean failed_on_several_machines; /**< Tasks have failed on more than one machine. */
-  gboolean did_well;                   /**< A task has succeeded, or has run for a while. */
-  struct timespec not_before;          /**< Back-off after failures: nothing of it starts earlier. */
+  gboolean proven_runnable;            /**< A task has succeeded, or has run for a while. */
+  struct timespec not_before;          /**< Back-off after failures: no task of the job starts before this time. */
   /** @} */
 
-  /** `name` Whether it waits in vain, kept by hzb_headroom_reserve()
+  /** `name` Starvation, maintained by hzb_headroom_reserve()
    * @{ */
-  guint begun;                 /**< Tasks that had begun when that function last examined the job. */
-  struct timespec waits_since; /**< No more tasks have begun since then, although the team's limit allows it; unset: not
-                                  examined. */
+  guint started_tasks;           /**< Tasks that had started when that function last examined the job. */
+  struct timespec starved_since; /**< No more tasks have started since then, although the team's limit allows it; unset:
+                                    not examined. */
   /** @} */
 };
 
-/** hzb_job_clear_owner_state: forgets where the job's tasks are, and all else that only their owner keeps. */
+/** hzb_job_clear_owner_state: frees the job's tasks and resets all other fields that only the owner of tasks keeps. */
 void hzb_job_clear_owner_state (HzbJob *job);
 
 /**
@@ -156,14 +157,14 @@
  */
 const char *hzb_task_state_name (HzbTaskState state);
 
-/** hzb_task_on_machine: whether the task takes room on a machine. */
+/** hzb_task_on_machine: whether the task takes resources of a machine. */
 gboolean hzb_task_on_machine (const HzbTask *task);
 
 /**
  * hzb_task_remaining_s: how many seconds the task is expected to run from `now` on, if it runs on this controller's
  * machine.
  *
- * Returns: 0 for a replica of a service: it takes its room for good and leaves no work that others would wait for
+ * Returns: 0 for a replica of a service: it keeps its resources permanently, so no other work waits for it to finish
  */
 double hzb_task_remaining_s (const HzbTask *task, struct timespec now);
 
@@ -178,9 +179,10 @@
 double hzb_job_mean_s (const HzbJob *job);
 
 /**
- * hzb_job_take_pending: takes a task that may start now off the job's waiting tasks, those that waited again first.
+ * hzb_job_take_pending: takes a task that may start now off the job's pending tasks; tasks that returned to pending go
+ * first.
  *
- * If only the released mark is in the way, HzbJob.release_requested is set.
+ * Sets HzbJob.release_requested if the job has pending tasks but none of them is released.
  *
  * Returns: (transfer none) (nullable): NULL if no task may start now
  */
--- a/src/scheduling/jobs.c
+++ b/src/scheduling/jobs.c
@@ -2,10 +2,11 @@
 
 #include "record-keys.h"
 
-/* More than users ask about often; each takes about 600 bytes of memory on every controller. */
+/* More terminal jobs than users often ask about; each takes about 600 bytes of memory on every controller. */
 #define MAX_REPLICATED_COMPLETED 2000u
 
-/* Tasks in a part of a job's progress, for values of the key-value store from 2 KB on and below. */
+/* Tasks in a chunk of a job's progress, where the key-value store takes values of 2 KB or more, and where it takes only
+ * smaller ones. */
 #define CHUNK_TASKS 8192u
 #define CHUNK_TASKS_SMALL_VALUES 4096u
 #define SMALL_VALUES_BELOW_KB 2
@@ -39,7 +40,7 @@
   jobs->acceptances = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, acceptance_free);
   jobs->active = g_ptr_array_new ();
   jobs->max_replicated_completed = MAX_REPLICATED_COMPLETED;
-  jobs->chunk = settings->kv_value_kb >= SMALL_VALUES_BELOW_KB ? CHUNK_TASKS : CHUNK_TASKS_SMALL_VALUES;
+  jobs->chunk_tasks = settings->kv_value_kb >= SMALL_VALUES_BELOW_KB ? CHUNK_TASKS : CHUNK_TASKS_SMALL_VALUES;
   jobs->estimate_biases = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   jobs->clock = clock;
   jobs->settings = settings;
@@ -65,6 +66,7 @@
 
 /* ---- acceptance records ---- */
 
+/* Removes the record from the registry and from the jobs that it names. */
 static void
 drop_acceptance (HzbJobs *jobs, HzbAcceptance *acceptance)
 {
@@ -72,53 +74,55 @@
     {
       HzbJob *job = acceptance->jobs->pdata[i];
       job->acceptances = g_slist_remove (job->acceptances, acceptance);
-      job->named--;
+      job->n_acceptances--;
     }
   g_hash_table_remove (jobs->acceptances, acceptance->key);
 }
 
-/* The job is terminal, but its completion was never read here: deleted acceptance records stop naming it. */
+/* Removes the job from the deleted acceptance records that name it. The job is terminal, but its completion record was
+ * never read here. */
 static void
-release_gone_acceptances (HzbJobs *jobs, HzbJob *job)
+release_deleted_acceptances (HzbJobs *jobs, HzbJob *job)
 {
   GSList *next;
   for (GSList *l = job->acceptances; l; l = next)
     {
       HzbAcceptance *acceptance = l->data;
       next = l->next;
-      if (!acceptance->gone)
+      if (!acceptance->deleted)
         continue;
       job->acceptances = g_slist_delete_link (job->acceptances, l);
       g_ptr_array_remove (acceptance->jobs, job);
-      job->named--;
-      if (!--acceptance->open)
+      job->n_acceptances--;
+      if (!--acceptance->n_open)
         drop_acceptance (jobs, acceptance);
     }
 }
 
-/* The job is terminal: it keeps no acceptance record from being deleted any more. */
+/* Counts the job, which has become terminal, as no longer open in the acceptance records that name it, and drops the
+ * deleted records that have no open job left. */
 static void
 close_acceptances (HzbJobs *jobs, HzbJob *job)
 {
-  g_autoptr (GSList) named_by = g_steal_pointer (&job->acceptances); /* drop_acceptance() would change the list */
+  g_autoptr (GSList) named_by = g_steal_pointer (&job->acceptances); /* drop_acceptance() changes the list */
 
   for (GSList *l = named_by; l; l = l->next)
     {
       HzbAcceptance *acceptance = l->data;
-      if (!--acceptance->open && acceptance->gone)
+      if (!--acceptance->n_open && acceptance->deleted)
         drop_acceptance (jobs, acceptance);
     }
 }
 
 static void
-acceptance_was_deleted (HzbJobs *jobs, const char *key)
+apply_acceptance_deletion (HzbJobs *jobs, const char *key)
 {
   HzbAcceptance *acceptance = g_hash_table_lookup (jobs->acceptances, key);
 
   /* The leader records the completions of all jobs before it deletes the record of their acceptance, but this
    * controller may read the deletion first. */
-  if (acceptance && acceptance->open)
-    acceptance->removing = acceptance->gone = TRUE;
+  if (acceptance && acceptance->n_open)
+    acceptance->deleting = acceptance->deleted = TRUE;
   else if (acceptance)
     drop_acceptance (jobs, acceptance);
 }
@@ -129,7 +133,7 @@
   HzbAcceptance *acceptance = g_new0 (HzbAcceptance, 1);
 
   acceptance->key = g_strdup (key);
-  acceptance->load = jobs->load;
+  acceptance->last_load = jobs->load_number;
   acceptance->jobs = g_ptr_array_new ();
   g_hash_table_insert (jobs->acceptances, acceptance->key, acceptance);
   return acceptance;
@@ -138,14 +142,14 @@
 static void
 add_to_acceptance (HzbAcceptance *acceptance, HzbJob *job)
 {
-  job->named++;
+  job->n_acceptances++;
   g_ptr_array_add (acceptance->jobs, job);
-  /* Two controllers may have accepted the same job, and controllers may read the two records in different order. So
-   * each record stays until the job is terminal. */
+  /* Two controllers may have accepted the same job, and controllers may read the two acceptance records in different
+   * order. So each record stays until the job is terminal. */
   if (!job->version)
     {
       job->acceptances = g_slist_prepend (job->acceptances, acceptance);
-      acceptance->open++;
+      acceptance->n_open++;
     }
 }
 
@@ -157,12 +161,12 @@
 
   if (!value)
     {
-      acceptance_was_deleted (jobs, key);
+      apply_acceptance_deletion (jobs, key);
       return;
     }
   if (acceptance)
     {
-      acceptance->load = jobs->load;
+      acceptance->last_load = jobs->load_number;
       return;
     }
   acceptance = acceptance_new (jobs, key);
@@ -177,7 +181,7 @@
 }
 
 HzbAcceptance *
-hzb_jobs_deletable_acceptance (HzbJobs *jobs)
+hzb_jobs_find_deletable_acceptance (HzbJobs *jobs)
 {
   GHashTableIter iter;
   gpointer value;
@@ -185,13 +189,13 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       HzbAcceptance *acceptance = value;
-      if (!acceptance->open && !acceptance->removing)
+      if (!acceptance->n_open && !acceptance->deleting)
         return acceptance;
     }
   return NULL;
 }
 
-/* ---- records of jobs ---- */
+/* ---- job records ---- */
 
 static HzbJob *
 job_new (HzbJobs *jobs, const char *uid)
@@ -200,13 +204,13 @@
 
   job->uid = g_strdup (uid);
   job->team = -1;
-  job->load = jobs->load;
+  job->last_load = jobs->load_number;
   g_hash_table_insert (jobs->by_uid, job->uid, job);
   return job;
 }
 
 static void
-job_was_accepted (HzbJobs *jobs, HzbJob *job, HzbJobRecord *record)
+apply_accepted (HzbJobs *jobs, HzbJob *job, HzbJobRecord *record)
 {
   job->state = HZB_JOB_ACCEPTED;
   job->accepted = record->accepted;
@@ -218,7 +222,7 @@
 }
 
 static void
-job_has_ended (HzbJobs *jobs, HzbJob *job, const HzbJobRecord *record, guint64 version)
+apply_completed (HzbJobs *jobs, HzbJob *job, const HzbJobRecord *record, guint64 version)
 {
   job->version = version;
   g_queue_push_tail (&jobs->completed, job);
@@ -236,39 +240,39 @@
   g_auto (HzbJobRecord) record = { 0 };
 
   if (job)
-    job->load = jobs->load;
+    job->last_load = jobs->load_number;
   if (job && (job->version || hzb_job_record_is_acceptance (value)))
     return job;
   if (!hzb_job_record_decode (uid, value, job ? job->n_tasks : 0, &record))
     {
-      g_critical ("job %s: its record in the key-value store cannot be read, so the job is left out here. Check which "
-                  "version wrote the record",
+      g_critical ("job %s: its record in the key-value store cannot be decoded; this controller ignores the record. "
+                  "Check which version of hazelbank wrote it",
                   uid);
       return NULL;
     }
   if (!job)
     job = job_new (jobs, uid);
   if (record.state == HZB_JOB_ACCEPTED)
-    job_was_accepted (jobs, job, &record);
+    apply_accepted (jobs, job, &record);
   else
-    job_has_ended (jobs, job, &record, version);
+    apply_completed (jobs, job, &record, version);
   return job;
 }
 
 HzbJob *
-hzb_jobs_apply_end (HzbJobs *jobs, const char *uid, HzbJobState state, guint n_tasks, guint64 version)
+hzb_jobs_apply_completion (HzbJobs *jobs, const char *uid, HzbJobState state, guint n_tasks, guint64 version)
 {
   HzbJob *job = hzb_jobs_find (jobs, uid);
   const HzbJobRecord record = { .state = state, .n_tasks = n_tasks };
 
   g_return_val_if_fail (state != HZB_JOB_ACCEPTED, NULL);
   if (job)
-    job->load = jobs->load;
+    job->last_load = jobs->load_number;
   if (job && job->version)
     return job;
   if (!job)
     job = job_new (jobs, uid);
-  job_has_ended (jobs, job, &record, version);
+  apply_completed (jobs, job, &record, version);
   return job;
 }
 
@@ -282,100 +286,101 @@
   hzb_kv_transaction_compare (transaction, archived, 0);
 }
 
-/* ---- completed jobs that move to the archive ---- */
+/* ---- archiving of completed jobs ---- */
 
 static gint
-by_version (gconstpointer a, gconstpointer b, gpointer user)
+compare_versions (gconstpointer a, gconstpointer b, gpointer user)
 {
   const HzbJob *x = a, *y = b;
   return x->version < y->version ? -1 : x->version > y->version;
 }
 
 GPtrArray *
-hzb_jobs_archivable (HzbJobs *jobs, guint most)
+hzb_jobs_list_archivable (HzbJobs *jobs, guint max_jobs)
 {
-  GPtrArray *old = g_ptr_array_new ();
-  guint beyond = jobs->completed.length > jobs->max_replicated_completed
+  GPtrArray *archivable = g_ptr_array_new ();
+  guint excess = jobs->completed.length > jobs->max_replicated_completed
                      ? jobs->completed.length - jobs->max_replicated_completed
                      : 0;
 
-  if (!beyond)
-    return old;
-  /* A full reading brings the records in the order of their names, not of their completions. */
-  g_queue_sort (&jobs->completed, by_version, NULL);
-  for (GList *l = jobs->completed.head; l && beyond && old->len < most; l = l->next, beyond--)
+  if (!excess)
+    return archivable;
+  /* A full load reads the records in the order of their names, not of their completions. */
+  g_queue_sort (&jobs->completed, compare_versions, NULL);
+  for (GList *l = jobs->completed.head; l && excess && archivable->len < max_jobs; l = l->next, excess--)
     {
       HzbJob *job = l->data;
       /* While an acceptance record names the job, a controller that starts must find the completion among the
        * replicated records. */
-      if (!job->named && !job->tasks && !job->archiving)
-        g_ptr_array_add (old, job);
+      if (!job->n_acceptances && !job->tasks && !job->archiving)
+        g_ptr_array_add (archivable, job);
     }
-  return old;
+  return archivable;
 }
 
-/* A controller that reads all records in pages may have read that a job was accepted, while its completion moved to
- * the archive before the page of completions was read: without this the job would be called queued here for ever. A
- * completion moves only once no acceptance record names the job, so this controller has already read the deletion of
- * each acceptance record that it knows. */
+/* A controller that loads all records in pages may read the acceptance of a job, while the completion record moves to
+ * the archive before the page of completion records is read. Without the removal of such a job, this controller would
+ * report it as queued permanently. A completion record moves only once no acceptance record names the job, so this
+ * controller has already read the deletion of each acceptance record that it knows. */
 gboolean
-hzb_jobs_forget (HzbJobs *jobs, const char *uid)
+hzb_jobs_remove (HzbJobs *jobs, const char *uid)
 {
   HzbJob *job = hzb_jobs_find (jobs, uid);
 
   if (!job)
     return TRUE;
   if (job->state == HZB_JOB_ACCEPTED)
-    release_gone_acceptances (jobs, job);
-  if (job->tasks || job->named)
+    release_deleted_acceptances (jobs, job);
+  if (job->tasks || job->n_acceptances)
     return FALSE;
   g_queue_remove (&jobs->completed, job);
   g_hash_table_remove (jobs->by_uid, uid);
   return TRUE;
 }
 
-/* ---- full readings ---- */
+/* ---- full loads ---- */
 
 void
 hzb_jobs_load_begin (HzbJobs *jobs)
 {
-  jobs->load++;
+  jobs->load_number++;
 }
 
-/* The acceptance records that the reading did not show, or whose deletion came after it had shown them. */
+/* Returns: (transfer container) (element-type HzbAcceptance): the acceptance records that the full load did not
+ * include, or that were deleted after the load had read them */
 static GPtrArray *
-acceptances_not_shown (HzbJobs *jobs)
+list_stale_acceptances (HzbJobs *jobs)
 {
   GHashTableIter iter;
   gpointer value;
-  GPtrArray *gone = g_ptr_array_new ();
+  GPtrArray *stale = g_ptr_array_new ();
 
   g_hash_table_iter_init (&iter, jobs->acceptances);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const HzbAcceptance *acceptance = value;
-      if (acceptance->load != jobs->load || acceptance->gone)
-        g_ptr_array_add (gone, value);
+      if (acceptance->last_load != jobs->load_number || acceptance->deleted)
+        g_ptr_array_add (stale, value);
     }
-  return gone;
+  return stale;
 }
 
-/* This controller missed so many changes that it had to read everything anew. A job that was completed in the meantime,
- * and whose records are deleted, would otherwise be called accepted here for ever. */
+/* A controller that missed too many changes loads all records again. A job that completed in the meantime, and whose
+ * records are deleted, would otherwise stay accepted on this controller permanently. */
 void
 hzb_jobs_load_end (HzbJobs *jobs)
 {
   GHashTableIter iter;
   gpointer value;
-  g_autoptr (GPtrArray) gone = acceptances_not_shown (jobs);
+  g_autoptr (GPtrArray) stale = list_stale_acceptances (jobs);
 
-  for (guint i = 0; i < gone->len; i++)
-    drop_acceptance (jobs, gone->pdata[i]);
+  for (guint i = 0; i < stale->len; i++)
+    drop_acceptance (jobs, stale->pdata[i]);
   g_hash_table_iter_init (&iter, jobs->by_uid);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       HzbJob *job = value;
-      if (job->tasks || job->named || (job->version && job->load == jobs->load))
+      if (job->tasks || job->n_acceptances || (job->version && job->last_load == jobs->load_number))
         continue;
       g_queue_remove (&jobs->completed, job);
       g_hash_table_iter_remove (&iter);
--- a/src/scheduling/machine.c
+++ b/src/scheduling/machine.c
@@ -4,13 +4,17 @@
 
 #include <math.h>
 
-/* How much more the fetch of an image counts than other seconds: it holds the place of a task all the while. */
+/* Weight of a second of fetching an image: the fetch occupies the room of a task without making progress on it. */
 #define FETCH_WEIGHT 2.0
-#define FETCH_UNDER_WAY_PART 0.5
 
-/* A machine avoids the job that failed there last for this long only: a job that has failed once on every machine must
- * be able to start somewhere, also if no other work does well there in the meantime. */
-#define AVOID_S 30.0
+/* Fraction of the fetch time that counts for an image that another task is already expected to fetch. */
+#define EXPECTED_FETCH_FRACTION 0.5
+
+#define MIN_FETCH_GB_PER_S 1e-3 /* guards a division */
+
+/* Seconds for which a machine avoids the job that failed on it last. The time is limited so that a job that has failed
+ * once on every machine can still start, even if no other task succeeds on those machines. */
+#define AVOID_FAILED_JOB_S 30.0
 
 static const char *const state_names[HZB_MACHINE_N_STATES] = {
   [HZB_MACHINE_BOOTING] = "booting",
@@ -40,23 +44,22 @@
 {
   machine->fencing_token = machine->first_exclusive_fencing_token = fencing_token;
   machine->verified = machine->unreachable = FALSE;
-  machine->ignored_answers = 0;
+  machine->ignored_responses = 0;
 }
 
 void
 hzb_machine_mark_unreachable (HzbMachine *machine, guint64 fencing_token, struct timespec now)
 {
-  g_message (
-      "machine %s: its heartbeats arrive, but the responses do not seem to reach its worker; the machine "
-      "gets no work until a heartbeat shows a new fencing token. If this stays, check the network from the controllers "
-      "to this machine",
-      machine->name);
+  g_message ("machine %s: its heartbeats arrive, but the responses do not seem to reach its worker; the machine "
+             "gets no work until a heartbeat shows a new fencing token. If this persists, check the network from the "
+             "controllers to this machine",
+             machine->name);
   machine->fencing_token = fencing_token;
   machine->unreachable = TRUE;
   machine->unreachable_since = now;
 }
 
-/* ---- tasks and room ---- */
+/* ---- tasks and used resources ---- */
 
 void
 hzb_machine_enqueue (HzbMachine *machine, HzbTask *task)
@@ -90,13 +93,13 @@
 }
 
 void
-hzb_machine_add (HzbMachine *machine, HzbTask *task)
+hzb_machine_add_task (HzbMachine *machine, HzbTask *task)
 {
   const HzbJobSpec *spec = task->job->spec;
 
   machine->cpus += spec->cpus;
   machine->gpus += spec->gpus;
-  machine->memory += spec->memory_gb;
+  machine->memory_gb += spec->memory_gb;
   if (spec->kind == HZB_JOB_SERVICE)
     {
       machine->service_cpus += spec->cpus;
@@ -106,7 +109,7 @@
 }
 
 void
-hzb_machine_remove (HzbMachine *machine, HzbTask *task)
+hzb_machine_remove_task (HzbMachine *machine, HzbTask *task)
 {
   const HzbJobSpec *spec = task->job->spec;
 
@@ -114,7 +117,7 @@
     return;
   machine->cpus -= spec->cpus;
   machine->gpus -= spec->gpus;
-  machine->memory -= spec->memory_gb;
+  machine->memory_gb -= spec->memory_gb;
   if (spec->kind == HZB_JOB_SERVICE)
     {
       machine->service_cpus -= spec->cpus;
@@ -123,7 +126,7 @@
 }
 
 guint
-hzb_machine_queued_tasks (const HzbMachine *machine)
+hzb_machine_count_queued_tasks (const HzbMachine *machine)
 {
   guint n = 0;
   for (guint i = 0; i < HZB_N_SCHEDULING_CLASSES; i++)
@@ -134,9 +137,9 @@
 gboolean
 hzb_machine_has_room_for (const HzbMachine *machine, const HzbJobSpec *spec, guint n_tasks)
 {
-  return machine->cpus + spec->cpus * n_tasks <= machine->type->cpus + HZB_ROUNDING
-         && machine->gpus + spec->gpus * n_tasks <= machine->type->gpus + HZB_ROUNDING
-         && machine->memory + spec->memory_gb * n_tasks <= machine->type->memory_gb + HZB_ROUNDING;
+  return machine->cpus + spec->cpus * n_tasks <= machine->type->cpus + HZB_AMOUNT_TOLERANCE
+         && machine->gpus + spec->gpus * n_tasks <= machine->type->gpus + HZB_AMOUNT_TOLERANCE
+         && machine->memory_gb + spec->memory_gb * n_tasks <= machine->type->memory_gb + HZB_AMOUNT_TOLERANCE;
 }
 
 gboolean
@@ -146,17 +149,17 @@
 }
 
 gboolean
-hzb_machine_takes_replica (const HzbMachine *machine, const HzbJobSpec *spec)
+hzb_machine_fits_replica (const HzbMachine *machine, const HzbJobSpec *spec)
 {
-  return machine->service_cpus + machine->queued_service_cpus + spec->cpus <= machine->type->cpus + HZB_ROUNDING
+  return machine->service_cpus + machine->queued_service_cpus + spec->cpus <= machine->type->cpus + HZB_AMOUNT_TOLERANCE
          && machine->service_memory_gb + machine->queued_service_memory_gb + spec->memory_gb
-                <= machine->type->memory_gb + HZB_ROUNDING;
+                <= machine->type->memory_gb + HZB_AMOUNT_TOLERANCE;
 }
 
-/* ---- what may run there, and how well ---- */
+/* ---- placement constraints and speed ---- */
 
 gboolean
-hzb_machine_usable (const HzbMachine *machine)
+hzb_machine_is_usable (const HzbMachine *machine)
 {
   return machine->state == HZB_MACHINE_ACTIVE && machine->recorded && machine->known_to_cloud && machine->type
          && !machine->scale_in_requested && !machine->scale_in_candidate && !machine->unreachable;
@@ -165,16 +168,16 @@
 gboolean
 hzb_machine_type_holds (const HzbMachineType *type, const HzbJobSpec *spec)
 {
-  return type->cpus + HZB_QUOTIENT_ROUNDING >= spec->cpus && type->gpus + HZB_QUOTIENT_ROUNDING >= spec->gpus
-         && type->memory_gb + HZB_QUOTIENT_ROUNDING >= spec->memory_gb
+  return type->cpus + HZB_QUOTIENT_TOLERANCE >= spec->cpus && type->gpus + HZB_QUOTIENT_TOLERANCE >= spec->gpus
+         && type->memory_gb + HZB_QUOTIENT_TOLERANCE >= spec->memory_gb
          && (!spec->types || g_strv_contains ((const char *const *) spec->types, type->name));
 }
 
-/* The lesser of @n_tasks and of how many tasks that need @each fit into @room. */
+/* The minimum of @n_tasks and the number of tasks that fit into @capacity if each needs @per_task. */
 static double
-limited_by (double n_tasks, double room, double each)
+limit_n_tasks (double n_tasks, double capacity, double per_task)
 {
-  return MIN (n_tasks, floor (room / each + HZB_QUOTIENT_ROUNDING));
+  return MIN (n_tasks, floor (capacity / per_task + HZB_QUOTIENT_TOLERANCE));
 }
 
 guint
@@ -185,11 +188,11 @@
   if (!hzb_machine_type_holds (type, spec))
     return 0;
   if (spec->cpus > 0)
-    v = limited_by (v, type->cpus, spec->cpus);
+    v = limit_n_tasks (v, type->cpus, spec->cpus);
   if (spec->gpus > 0)
-    v = limited_by (v, type->gpus, spec->gpus);
+    v = limit_n_tasks (v, type->gpus, spec->gpus);
   if (spec->memory_gb > 0)
-    v = limited_by (v, type->memory_gb, spec->memory_gb);
+    v = limit_n_tasks (v, type->memory_gb, spec->memory_gb);
   return (guint) v;
 }
 
@@ -198,64 +201,64 @@
 {
   double v = hzb_machine_type_speed (machine->type, spec);
 
-  if (machine->service_cpus > HZB_ROUNDING && spec->cpus > 0)
-    v = limited_by (v, machine->type->cpus - machine->service_cpus, spec->cpus);
-  if (machine->service_memory_gb > HZB_ROUNDING && spec->memory_gb > 0)
-    v = limited_by (v, machine->type->memory_gb - machine->service_memory_gb, spec->memory_gb);
+  if (machine->service_cpus > HZB_AMOUNT_TOLERANCE && spec->cpus > 0)
+    v = limit_n_tasks (v, machine->type->cpus - machine->service_cpus, spec->cpus);
+  if (machine->service_memory_gb > HZB_AMOUNT_TOLERANCE && spec->memory_gb > 0)
+    v = limit_n_tasks (v, machine->type->memory_gb - machine->service_memory_gb, spec->memory_gb);
   return (guint) MAX (v, 0);
 }
 
 gboolean
-hzb_machine_is_of_allowed_kind (const HzbMachine *machine, const HzbJobSpec *spec)
+hzb_machine_matches_constraints (const HzbMachine *machine, const HzbJobSpec *spec)
 {
   return machine->type && hzb_machine_type_holds (machine->type, spec) && (spec->spot || !machine->spot)
          && (!spec->zone || g_str_equal (spec->zone, machine->zone));
 }
 
 gboolean
-hzb_machine_allowed (const HzbMachine *machine, const HzbJobSpec *spec)
+hzb_machine_is_eligible (const HzbMachine *machine, const HzbJobSpec *spec)
 {
-  return hzb_machine_is_of_allowed_kind (machine, spec)
+  return hzb_machine_matches_constraints (machine, spec)
          && (spec->kind == HZB_JOB_SERVICE || !machine->reserved_for_services);
 }
 
 gboolean
-hzb_zone_allowed (const HzbJob *job, const HzbMachine *machine)
+hzb_machine_zone_is_eligible (const HzbJob *job, const HzbMachine *machine)
 {
-  guint here = 0;
+  guint n_in_zone = 0;
 
   if (!job->spec->same_zone && !job->spec->spread)
     return TRUE;
   if (job->unconfirmed && job->spec->same_zone)
     return FALSE;
-  here = job->unconfirmed; /* Each unconfirmed task may be in this zone. */
+  n_in_zone = job->unconfirmed; /* each unconfirmed task may be in this zone */
   for (guint i = 0; i < job->n_tasks; i++)
     {
       const HzbTask *task = &job->tasks[i];
       if (!hzb_task_on_machine (task))
         continue;
       if (g_str_equal (task->machine->zone, machine->zone))
-        here++;
+        n_in_zone++;
       else if (job->spec->same_zone)
         return FALSE;
     }
-  return !job->spec->spread || here + 1 <= (job->n_tasks + 1) / 2;
+  return !job->spec->spread || n_in_zone + 1 <= (job->n_tasks + 1) / 2;
 }
 
 double
-hzb_fetch_s (const HzbMachine *machine, const HzbJobSpec *spec)
+hzb_machine_image_fetch_s (const HzbMachine *machine, const HzbJobSpec *spec)
 {
-  double alone = spec->image_gb / MAX (machine->type->fetch_gb_per_s, 1e-3);
+  double unshared_s = spec->image_gb / MAX (machine->type->fetch_gb_per_s, MIN_FETCH_GB_PER_S);
 
   if (g_hash_table_contains (machine->images, spec->image))
     return 0;
-  if (g_hash_table_contains (machine->expected, spec->image))
-    return FETCH_UNDER_WAY_PART * alone;
-  /* Fetches share the machine's rate, so each one that is expected slows this one down. */
-  return FETCH_WEIGHT * alone * (1 + g_hash_table_size (machine->expected));
+  if (g_hash_table_contains (machine->expected_images, spec->image))
+    return EXPECTED_FETCH_FRACTION * unshared_s;
+  /* Concurrent fetches share the machine's bandwidth, so each expected fetch slows this one down. */
+  return FETCH_WEIGHT * unshared_s * (1 + g_hash_table_size (machine->expected_images));
 }
 
-/* ---- failures there ---- */
+/* ---- task failures ---- */
 
 void
 hzb_machine_note_failure (HzbMachine *machine, const HzbJob *job, struct timespec now)
@@ -276,8 +279,8 @@
 }
 
 gboolean
-hzb_machine_avoids (const HzbMachine *machine, const HzbJob *job, struct timespec now)
+hzb_machine_avoids_job (const HzbMachine *machine, const HzbJob *job, struct timespec now)
 {
   return machine->last_failed_job && g_str_equal (machine->last_failed_job, job->uid)
-         && hzb_time_between (machine->last_failure, now) < AVOID_S;
+         && hzb_time_between (machine->last_failure, now) < AVOID_FAILED_JOB_S;
 }
--- a/src/scheduling/machine.h
+++ b/src/scheduling/machine.h
@@ -2,7 +2,8 @@
  * @file
  * SECTION: machine
  *
- * A machine: what the cloud and its worker say of it, the room on it, and what may run there.
+ * A rented machine: its state as reported by the cloud and by its worker, its free resources, and the placement
+ * constraints that decide which tasks may run on it.
  *
  * machines.h is the registry of machines. The tasks and run queues of a machine change through hzb_task_set_state()
  * (task.h) only.
@@ -12,24 +13,29 @@
 #include "job.h"
 #include "machine-type.h"
 
-/** HzbMachineState: how far this controller may rely on a machine. Changed by hzb_machine_set_state() only. */
+/** HzbMachineState: the life cycle of a machine, as this controller knows it. Changed by hzb_machine_set_state()
+ * only. */
 typedef enum
 {
-  HZB_MACHINE_BOOTING,    /**< Rented; its worker has not sent a heartbeat. */
-  HZB_MACHINE_UNVERIFIED, /**< An earlier owner may have started tasks on it; it has not shown our fencing token. */
-  HZB_MACHINE_ACTIVE,     /**< Its last heartbeat was sent under our fencing token, so the tasks in it were complete. */
-  HZB_MACHINE_LEASED,     /**< In a shard that is leased to another controller. */
-  HZB_MACHINE_LEASE_EXPIRED, /**< Its worker's lease has expired: it has no tasks. */
-  HZB_MACHINE_DRAINING,      /**< It takes no more tasks. */
-  HZB_MACHINE_RETURNING,     /**< The cloud was asked to take it back; until it confirms, the machine may run. */
-  HZB_MACHINE_GONE,          /**< The cloud has confirmed that it is gone. */
+  HZB_MACHINE_BOOTING,    /**< Rented; its worker has not sent a heartbeat yet. */
+  HZB_MACHINE_UNVERIFIED, /**< An earlier owner may have started tasks on it, and no heartbeat under this owner's
+                             fencing token has arrived. */
+  HZB_MACHINE_ACTIVE,     /**< Its last heartbeat was sent under this owner's fencing token, so it listed all tasks on
+                             the machine. */
+  HZB_MACHINE_LEASED,     /**< Part of a shard that is leased to another controller. */
+  HZB_MACHINE_LEASE_EXPIRED, /**< The lease of its worker has expired, so no task runs on it. */
+  HZB_MACHINE_DRAINING,      /**< It is being drained: it gets no new tasks. */
+  HZB_MACHINE_RETURNING,     /**< Its return to the cloud was requested; the machine may run until the cloud confirms
+                                the return. */
+  HZB_MACHINE_GONE,          /**< The cloud has confirmed that the machine no longer exists. */
   HZB_MACHINE_N_STATES       /**< Number of states. */
 } HzbMachineState;
 
-/** HzbSchedulingClass: the class of waiting work. Higher classes are served first, see scheduling-class.h. */
+/** HzbSchedulingClass: the scheduling class of a waiting job. Higher classes are served first, see
+ * scheduling-class.h. */
 typedef enum
 {
-  HZB_SCHEDULING_CLASS_BEST_EFFORT,       /**< Work of a team without a guarantee, which takes what others leave. */
+  HZB_SCHEDULING_CLASS_BEST_EFFORT,       /**< Work of a team without a guarantee, on leftover resources. */
   HZB_SCHEDULING_CLASS_IDLE,              /**< Idle priority, beyond the team's guarantee. */
   HZB_SCHEDULING_CLASS_NORMAL,            /**< Normal priority, beyond the team's guarantee. */
   HZB_SCHEDULING_CLASS_OBJECTIVE_AT_RISK, /**< Will miss its service-level objective unless it starts soon. */
@@ -41,196 +47,206 @@
   HZB_N_SCHEDULING_CLASSES                /**< Number of classes. */
 } HzbSchedulingClass;
 
-/** HZB_UNCONFIRMED_TASKS_OF_LEADER: value of HzbMachine.unconfirmed_tasks_of for tasks that an earlier leader may have
- * started. */
+/** HZB_UNCONFIRMED_TASKS_OF_LEADER: value of HzbMachine.unconfirmed_tasks_of for a machine on which an earlier leader
+ * may have started tasks. */
 #define HZB_UNCONFIRMED_TASKS_OF_LEADER 0u
 
-/** HZB_UNCONFIRMED_TASKS_OF_NONE: value of HzbMachine.unconfirmed_tasks_of for a machine that can hold only tasks bound
- * to itself. */
+/** HZB_UNCONFIRMED_TASKS_OF_NONE: value of HzbMachine.unconfirmed_tasks_of for a machine that can only hold tasks that
+ * are already assigned to that machine. */
 #define HZB_UNCONFIRMED_TASKS_OF_NONE 255u
 
-/** HzbMachine: a machine. The fields are grouped by what they are about. */
+/** HzbMachine: a machine. The fields are grouped by subject. */
 struct _HzbMachine
 {
   /** `name` Identity
    * @{ */
-  char *name;                 /**< Its name in the cloud. */
+  char *name;                 /**< Name of the machine in the cloud. */
   char *addr;                 /**< (nullable) Address of its worker, host:port. */
-  char *type_name;            /**< Name of its type. */
-  char *zone;                 /**< Its zone. */
-  const HzbMachineType *type; /**< (nullable) NULL: the list of types does not have it, or is not known yet. */
-  gboolean spot;              /**< A spot instance: cheaper, and the cloud may take it back. */
+  char *type_name;            /**< Name of the machine type. */
+  char *zone;                 /**< Name of the zone. */
+  const HzbMachineType *type; /**< (nullable) Not owned; NULL: the list of types lacks the type or is not known. */
+  gboolean spot;              /**< A spot instance, which the cloud may reclaim. */
   /** @} */
 
   /** `name` Life cycle
    * @{ */
-  HzbMachineState state;      /**< Changed by hzb_machine_set_state() only. */
-  struct timespec since;      /**< When it entered its state. */
-  struct timespec rented;     /**< When it was rented; of a machine found in the records, when it was first known. */
-  struct timespec idle_since; /**< When it last had no tasks. */
-  gboolean known_to_cloud;    /**< It was rented by this leader, is on record, or is in the cloud's inventory. A machine
-                                 known only by a heartbeat may be long gone: that heartbeat may be a delayed copy. */
-  gboolean recorded;          /**< It is on record durably, as every machine must be before its first start command. */
-  gboolean recording;         /**< Its record is being written. */
-  guint page;                 /**< Number of the leader's page that records it; 0: none. */
-  gboolean drain;             /**< An operator drains it. */
-  gboolean scale_in_requested;    /**< It is to be returned to the cloud. */
-  gboolean scale_in_candidate;    /**< It takes no new tasks, since there are more machines than work. */
-  guint plans_in_surplus;         /**< For how many plans of the autoscaler in a row it has been beyond the need. */
-  gboolean reserved_for_services; /**< It takes only replicas of services, which so find room at once. */
+  HzbMachineState state;  /**< Changed by hzb_machine_set_state() only. */
+  struct timespec since;  /**< When the machine entered its current state. */
+  struct timespec rented; /**< When it was rented; for a machine loaded from the records, when it first became known. */
+  struct timespec idle_since; /**< Start of its idle time: when a heartbeat last found tasks on it, or it was added,
+                                 reclaimed from a leaseholder or kept from scale-in. */
+  gboolean known_to_cloud; /**< The machine was rented by this leader, has a record, or is in the cloud's inventory. A
+                              machine known only by a heartbeat may no longer exist: the heartbeat may be a delayed
+                              duplicate. */
+  gboolean recorded;       /**< Its record is durable, which is required before the first start command to it. */
+  gboolean recording;      /**< Its record is being written. */
+  guint page;              /**< Number of the leader's record page that has the machine; 0: none. */
+  gboolean drain;          /**< An operator has requested a drain of the machine. */
+  gboolean scale_in_requested;    /**< The machine is to be returned to the cloud. */
+  gboolean scale_in_candidate;    /**< It gets no new tasks, because there are more machines than the work needs. */
+  guint plans_in_surplus;         /**< Consecutive plans of the autoscaler in which the machine was surplus. */
+  gboolean reserved_for_services; /**< It runs only replicas of services, so that a replica finds room at once. */
   /** @} */
 
-  /** `name` Its worker's heartbeats, and whether they can be relied on
+  /** `name` Heartbeats of its worker, and the fencing token
    * @{ */
-  guint64 agent_epoch;         /**< Epoch of the worker's agent; a new one has none of the tasks of the one before. */
-  guint64 sequence;            /**< Number of its last heartbeat within the epoch. */
-  guint64 expired_agent_epoch; /**< This agent epoch has ended for certain: a heartbeat of it is late. */
-  guint64 fencing_token;       /**< The fencing token in answers to it. */
-  guint64 first_exclusive_fencing_token; /**< From this fencing token on only this owner has given it commands, so that
-                                            a heartbeat under such a token lists every task that can be on it. */
-  gboolean verified;                     /**< A heartbeat under our fencing token has come. */
-  guint8 unconfirmed_tasks_of; /**< While unverified: whose unconfirmed tasks may be on it: a leaseholder's (1 and up)
-                                  whose shard was reclaimed, HZB_UNCONFIRMED_TASKS_OF_LEADER or
+  guint64 agent_epoch; /**< Epoch of the worker's agent. An agent of a new epoch has no tasks of an earlier epoch. */
+  guint64 sequence;    /**< Sequence number of the last heartbeat within the epoch. */
+  guint64 expired_agent_epoch;           /**< An agent epoch known to have ended: a heartbeat of it is a delayed one. */
+  guint64 fencing_token;                 /**< The fencing token sent in responses to its worker. */
+  guint64 first_exclusive_fencing_token; /**< From this fencing token on, only this owner has sent commands to the
+                                            machine, so a heartbeat under such a token lists every task that can be
+                                            on it. */
+  gboolean verified;                     /**< A heartbeat under this owner's fencing token has arrived. */
+  guint8 unconfirmed_tasks_of; /**< While unverified: the owner whose unconfirmed tasks may be on it: the number (1 and
+                                  up) of a leaseholder whose shard was reclaimed, HZB_UNCONFIRMED_TASKS_OF_LEADER or
                                   HZB_UNCONFIRMED_TASKS_OF_NONE. */
-  struct timespec last_heartbeat; /**< When its last heartbeat came. */
-  struct timespec last_answer;    /**< When a heartbeat of it was last answered, which may have renewed its lease. */
-  guint ignored_answers;          /**< Heartbeats in a row that show none of the starts that they should. */
-  gboolean unreachable; /**< A one-way partition is suspected: the machine gets no work until a heartbeat shows the
-                           fencing token that was raised since. */
-  struct timespec unreachable_since; /**< When that was first suspected. */
-  guint round;                       /**< Counts its heartbeats, see HzbTask.seen. */
-  guint quarantined;                 /**< Tasks in its last heartbeat that no record names, and which are left alone. */
+  struct timespec last_heartbeat; /**< When its last heartbeat arrived. */
+  struct timespec last_response;  /**< When its last heartbeat was answered, which may have renewed its lease. */
+  guint ignored_responses;        /**< Consecutive heartbeats that show no effect of earlier responses: not the fencing
+                                     token, or none of the start commands. */
+  gboolean unreachable; /**< A one-way network partition is suspected: the machine gets no work until a heartbeat
+                           shows the fencing token that was issued since. */
+  struct timespec unreachable_since; /**< When the partition was first suspected. */
+  guint heartbeat_count;             /**< Number of heartbeats processed, see HzbTask.last_heartbeat_round. */
+  guint quarantined;                 /**< Tasks in its last heartbeat that no record names and that are left running. */
   /** @} */
 
-  /** `name` Leasing it to another controller
+  /** `name` Lease to another controller
    * @{ */
-  guint8 leaseholder;        /**< The leaseholder (1 and up) that has it; 0: none. */
-  gboolean lease_sent;       /**< The leaseholder was sent the machine. */
-  gboolean recall_requested; /**< On the leader: the leaseholder was asked to return it. On the leaseholder: the leader
-                                wants it back. */
-  gboolean recall_at_once;   /**< The return is to include all tasks that are on it. */
+  guint8 leaseholder;        /**< Number (1 and up) of the leaseholder that the machine is leased to; 0: none. */
+  gboolean lease_sent;       /**< The machine was sent to the leaseholder. */
+  gboolean recall_requested; /**< On the leader: the leaseholder was asked to return the machine. On the
+                                leaseholder: the leader has asked for the machine. */
+  gboolean recall_at_once;   /**< The machine is to be returned together with all tasks that are on it. */
   /** @} */
 
-  /** `name` Tasks and room
+  /** `name` Tasks and used resources
    * @{ */
-  GPtrArray *tasks; /**< (element-type HzbTask) The tasks on it, or that may be on it; not owned. */
-  GQueue run_queues[HZB_N_SCHEDULING_CLASSES]; /**< (element-type HzbTask) Tasks that wait for it, first come, first
-                                                  served in a class. */
-  double cpus;                                 /**< CPUs that tasks take. */
-  double gpus;                                 /**< GPUs that tasks take. */
-  double memory;                               /**< GB of memory that tasks take. */
-  double service_cpus;             /**< Of cpus, those of replicas of services, which do not end by themselves. */
-  double service_memory_gb;        /**< Of memory, that of replicas. */
-  double queued_service_cpus;      /**< CPUs of the replicas in its run queues. */
+  GPtrArray *tasks; /**< (element-type HzbTask) Tasks that are, or may be, on the machine; not owned. */
+  GQueue run_queues[HZB_N_SCHEDULING_CLASSES]; /**< (element-type HzbTask) Tasks that wait for the machine, by
+                                                  scheduling class, in FIFO order; not owned. */
+  double cpus;                                 /**< CPUs used by tasks. */
+  double gpus;                                 /**< GPUs used by tasks. */
+  double memory_gb;                            /**< GB of memory used by tasks. */
+  double service_cpus;        /**< The part of cpus used by replicas of services, which do not end by themselves. */
+  double service_memory_gb;   /**< The part of memory_gb used by replicas. */
+  double queued_service_cpus; /**< CPUs of the replicas in its run queues. */
   double queued_service_memory_gb; /**< GB of memory of the replicas in its run queues. */
   /** @} */
 
-  /** `name` What placing a task there costs
+  /** `name` Cost of placing a task on the machine
    * @{ */
-  HzbEstimate estimates[HZB_N_SCHEDULING_CLASSES]; /**< For each class, the work that a new task of the class would wait
-                                                      behind. */
-  gboolean estimate_stale;                         /**< estimates no longer match the tasks and queues. */
-  GHashTable *images;                              /**< Set of image names (GRefString) that its worker has. */
-  GHashTable
-      *expected; /**< Set of image names (GRefString) that its tasks and queues will bring, as of the last heartbeat. */
+  HzbEstimate estimates[HZB_N_SCHEDULING_CLASSES]; /**< For each scheduling class, the work that a new task of the class
+                                                      would wait for. */
+  gboolean estimate_stale;                         /**< The estimates no longer match the tasks and run queues. */
+  GHashTable *images;                              /**< Set of image names (GRefString) that are on the machine. */
+  GHashTable *expected_images; /**< Set of image names (GRefString) that its tasks and run queues will fetch, as of the
+                                  last heartbeat. */
   /** @} */
 
-  /** `name` Failures of tasks there
+  /** `name` Task failures on the machine
    * @{ */
-  GHashTable *failed_jobs;      /**< Name of job -> number of failures, since a task last did well there. */
-  char *last_failed_job;        /**< (nullable) The job whose task failed there last. */
-  struct timespec last_failure; /**< When that was. */
+  GHashTable *failed_jobs; /**< Name of job -> number of failures since a task last succeeded, or ran for a while, on
+                              the machine. */
+  char *last_failed_job;   /**< (nullable) Name of the job whose task failed last on the machine. */
+  struct timespec last_failure; /**< When that task failed. */
   /** @} */
 };
 
-/** hzb_machine_name: Returns: (transfer none): the machine's name */
+/** hzb_machine_name: Returns: (transfer none): the name of the machine */
 const char *hzb_machine_name (const HzbMachine *machine);
 
 /**
- * hzb_machine_state_name: the name of a machine's state, in logs and in the admin API.
+ * hzb_machine_state_name: the name of a machine state in logs and in the admin API.
  *
  * Returns: (transfer none)
  */
 const char *hzb_machine_state_name (HzbMachineState state);
 
 /**
- * hzb_machine_set_fencing_token: from now on the machine is answered under this fencing token.
+ * hzb_machine_set_fencing_token: sets the fencing token that responses to the machine carry from now on.
  *
- * Nothing is known of the machine until a heartbeat under that fencing token comes.
+ * The tasks on the machine are unknown until a heartbeat under this fencing token arrives.
  */
 void hzb_machine_set_fencing_token (HzbMachine *machine, guint64 fencing_token);
 
 /**
- * hzb_machine_mark_unreachable: answers do not seem to arrive at the machine.
- * `fencing_token`: one that was not used before; the machine gets no work until a heartbeat shows it
+ * hzb_machine_mark_unreachable: marks a machine whose worker does not seem to receive responses.
+ * `fencing_token`: a new fencing token; the machine gets no work until a heartbeat shows this token
+ * `now`: the current time
  */
 void hzb_machine_mark_unreachable (HzbMachine *machine, guint64 fencing_token, struct timespec now);
 
-/** hzb_machine_enqueue: appends the task to the run queue of its job's scheduling class. For hzb_task_set_state() only.
- */
+/** hzb_machine_enqueue: appends the task to the machine's run queue for the job's scheduling class. Called by
+ * hzb_task_set_state() only. */
 void hzb_machine_enqueue (HzbMachine *machine, HzbTask *task);
 
-/** hzb_machine_dequeue: removes the task from whichever run queue has it. For hzb_task_set_state() only. */
+/** hzb_machine_dequeue: removes the task from the machine's run queues. Called by hzb_task_set_state() only. */
 void hzb_machine_dequeue (HzbMachine *machine, HzbTask *task);
 
-/** hzb_machine_add: the task takes room on the machine from now on. For hzb_task_set_state() only. */
-void hzb_machine_add (HzbMachine *machine, HzbTask *task);
+/** hzb_machine_add_task: adds the task and its resources to the machine. Called by hzb_task_set_state() only. */
+void hzb_machine_add_task (HzbMachine *machine, HzbTask *task);
 
-/** hzb_machine_remove: the task takes no room on the machine any more. For hzb_task_set_state() only. */
-void hzb_machine_remove (HzbMachine *machine, HzbTask *task);
+/** hzb_machine_remove_task: removes the task and its resources from the machine. Called by hzb_task_set_state()
+ * only. */
+void hzb_machine_remove_task (HzbMachine *machine, HzbTask *task);
 
-/** hzb_machine_queued_tasks: number of tasks in all its run queues. */
-guint hzb_machine_queued_tasks (const HzbMachine *machine);
+/** hzb_machine_count_queued_tasks: Returns: the number of tasks in all run queues of the machine */
+guint hzb_machine_count_queued_tasks (const HzbMachine *machine);
 
-/** hzb_machine_usable: whether this controller may start new tasks on the machine at all. */
-gboolean hzb_machine_usable (const HzbMachine *machine);
+/** hzb_machine_is_usable: whether this controller may start new tasks on the machine, regardless of the job. */
+gboolean hzb_machine_is_usable (const HzbMachine *machine);
 
-/** hzb_machine_type_holds: whether an empty machine of this type could hold a task of the job, and the job's list of types has
- * it. */
+/** hzb_machine_type_holds: whether the job allows this machine type and an empty machine of the type has room for one
+ * task of the job. */
 gboolean hzb_machine_type_holds (const HzbMachineType *type, const HzbJobSpec *spec);
 
-/** hzb_machine_type_speed: v of the rule U + h/v (search.h): how many tasks of the job an empty machine of this type holds at
- * the same time. */
+/** hzb_machine_type_speed: the speed v of the placement rule U + h/v (search.h): how many tasks of the job an empty
+ * machine of this type holds at the same time; 0: none. */
 guint hzb_machine_type_speed (const HzbMachineType *type, const HzbJobSpec *spec);
 
-/** hzb_machine_speed: v for this machine: as hzb_machine_type_speed(), without the room that replicas of services take for
- * good. */
+/** hzb_machine_speed: as hzb_machine_type_speed(), less the room of the service replicas on this machine, which do not
+ * end by themselves. */
 guint hzb_machine_speed (const HzbMachine *machine, const HzbJobSpec *spec);
 
-/** hzb_machine_takes_replica: whether a replica fits beside the replicas that are there or queued, if all other work
- * were stopped. */
-gboolean hzb_machine_takes_replica (const HzbMachine *machine, const HzbJobSpec *spec);
+/** hzb_machine_fits_replica: whether a replica fits beside the replicas that run or are queued on the machine, if all
+ * other tasks were stopped. */
+gboolean hzb_machine_fits_replica (const HzbMachine *machine, const HzbJobSpec *spec);
 
-/** hzb_machine_is_of_allowed_kind: whether the job may run there by type, zone and kind (spot or not), which every
- * controller of every schema version judges alike. */
-gboolean hzb_machine_is_of_allowed_kind (const HzbMachine *machine, const HzbJobSpec *spec);
+/** hzb_machine_matches_constraints: whether the machine meets the job's placement constraints on resources, machine
+ * type, zone and spot instances. Controllers of every schema version evaluate these constraints alike. */
+gboolean hzb_machine_matches_constraints (const HzbMachine *machine, const HzbJobSpec *spec);
 
-/** hzb_machine_allowed: as hzb_machine_is_of_allowed_kind(), and the machine is not reserved for other work. */
-gboolean hzb_machine_allowed (const HzbMachine *machine, const HzbJobSpec *spec);
+/** hzb_machine_is_eligible: whether hzb_machine_matches_constraints() holds and the machine is not reserved for
+ * services, or the job is a service. */
+gboolean hzb_machine_is_eligible (const HzbMachine *machine, const HzbJobSpec *spec);
 
-/** hzb_machine_has_room: whether one more task of the job fits now. */
+/** hzb_machine_has_room: whether one more task of the job fits beside the tasks on the machine. */
 gboolean hzb_machine_has_room (const HzbMachine *machine, const HzbJobSpec *spec);
 
-/** hzb_machine_has_room_for: whether `n_tasks` more tasks of the job fit now. */
+/** hzb_machine_has_room_for: whether `n_tasks` more tasks of the job fit beside the tasks on the machine. */
 gboolean hzb_machine_has_room_for (const HzbMachine *machine, const HzbJobSpec *spec, guint n_tasks);
 
 /**
- * hzb_zone_allowed: whether a task of the job may start on the machine by the submission's `samePlace` and `spread`.
+ * hzb_machine_zone_is_eligible: whether the submission's `samePlace` and `spread` allow a task of the job to start in
+ * the machine's zone.
  *
- * All of the job's tasks that are or may be on machines count. While any of them is unconfirmed, its zone is not known.
+ * Every task of the job that is, or may be, on a machine counts. The zone of an unconfirmed task is not known.
  */
-gboolean hzb_zone_allowed (const HzbJob *job, const HzbMachine *machine);
+gboolean hzb_machine_zone_is_eligible (const HzbJob *job, const HzbMachine *machine);
 
-/** hzb_fetch_s: what fetching the image costs a task that is sent there, in weighted seconds; 0: the machine has the
- * image. */
-double hzb_fetch_s (const HzbMachine *machine, const HzbJobSpec *spec);
+/** hzb_machine_image_fetch_s: the cost in weighted seconds of fetching the job's image for a task placed on the
+ * machine; 0: the machine has the image. */
+double hzb_machine_image_fetch_s (const HzbMachine *machine, const HzbJobSpec *spec);
 
-/** hzb_machine_note_failure: a task of the job failed there. */
+/** hzb_machine_note_failure: counts a failure of a task of the job on the machine. */
 void hzb_machine_note_failure (HzbMachine *machine, const HzbJob *job, struct timespec now);
 
-/** hzb_machine_note_success: a task did well there, so earlier failures are forgotten. */
+/** hzb_machine_note_success: clears the failures counted on the machine, because a task succeeded, or ran for a while,
+ * there. */
 void hzb_machine_note_success (HzbMachine *machine);
 
-/** hzb_machine_avoids: a task of this job failed there last, not long ago: its tasks are tried on other machines first.
- */
-gboolean hzb_machine_avoids (const HzbMachine *machine, const HzbJob *job, struct timespec now);
+/** hzb_machine_avoids_job: whether a task of this job was the last one to fail on the machine, a short time ago. The
+ * job's tasks are then tried on other machines first. */
+gboolean hzb_machine_avoids_job (const HzbMachine *machine, const HzbJob *job, struct timespec now);
--- a/src/scheduling/machines.c
+++ b/src/scheduling/machines.c
@@ -1,10 +1,10 @@
 #include "machines.h"
 
-/* When a machine counts as faulty, see hzb_machine_seems_faulty(). */
-#define FAULTY_AFTER_FAILURES 3u
-#define FAULTY_AFTER_UNPROVEN_JOBS 3u /* jobs that have done well nowhere yet, and failed nowhere else */
+/* Thresholds from which a machine counts as faulty, see hzb_machine_is_faulty(). */
+#define FAULTY_MIN_FAILURES 3u
+#define FAULTY_MIN_UNPROVEN_JOBS 3u /* jobs without a success so far that are not known to fail on other machines */
 
-/* With 4,000 machines there are five scans a second; with a few hundred, one at each turn of the timer. */
+/* Gives five scans a second with 4,000 machines, and a scan at each timer tick with a few hundred. */
 #define SCAN_S_PER_MACHINE 5e-5
 
 static void
@@ -19,7 +19,7 @@
   g_hash_table_unref (machine->failed_jobs);
   g_ptr_array_unref (machine->tasks);
   g_hash_table_unref (machine->images);
-  g_hash_table_unref (machine->expected);
+  g_hash_table_unref (machine->expected_images);
   for (guint i = 0; i < HZB_N_SCHEDULING_CLASSES; i++)
     {
       g_queue_clear (&machine->run_queues[i]);
@@ -66,13 +66,13 @@
   for (guint i = 0; i < machines->all->len; i++)
     {
       HzbMachine *machine = machines->all->pdata[i];
-      machine->type = hzb_machines_type (machines, machine->type_name);
+      machine->type = hzb_machines_find_type (machines, machine->type_name);
     }
   g_clear_pointer (&old, g_ptr_array_unref);
 }
 
 const HzbMachineType *
-hzb_machines_type (HzbMachines *machines, const char *name)
+hzb_machines_find_type (HzbMachines *machines, const char *name)
 {
   for (guint i = 0; machines->types && i < machines->types->len; i++)
     if (g_strcmp0 (((HzbMachineType *) machines->types->pdata[i])->name, name) == 0)
@@ -97,13 +97,13 @@
   machine->type_name = g_strdup (type);
   machine->zone = g_strdup (zone);
   machine->spot = spot;
-  machine->type = hzb_machines_type (machines, type);
+  machine->type = hzb_machines_find_type (machines, type);
   machine->state = state;
   machine->since = machine->rented = machine->idle_since = now;
   machine->tasks = g_ptr_array_new ();
   machine->failed_jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   machine->images = g_hash_table_new_full (NULL, NULL, (GDestroyNotify) g_ref_string_release, NULL);
-  machine->expected = g_hash_table_new_full (NULL, NULL, (GDestroyNotify) g_ref_string_release, NULL);
+  machine->expected_images = g_hash_table_new_full (NULL, NULL, (GDestroyNotify) g_ref_string_release, NULL);
   machine->estimate_stale = TRUE;
   g_hash_table_insert (machines->by_name, machine->name, machine);
   g_ptr_array_add (machines->all, machine);
@@ -121,22 +121,23 @@
 
 /* ---- states ---- */
 
-#define STATE(name) (1u << HZB_MACHINE_##name)
+#define STATE_BIT(name) (1u << HZB_MACHINE_##name)
 
-/* For each state, the set of states that may follow. */
+/* For each state, the set of allowed next states. */
 static const guint allowed_next[HZB_MACHINE_N_STATES] = {
-  [HZB_MACHINE_BOOTING] = STATE (ACTIVE) | STATE (RETURNING) | STATE (DRAINING) | STATE (UNVERIFIED) | STATE (LEASED),
-  [HZB_MACHINE_LEASED] = STATE (UNVERIFIED),
-  [HZB_MACHINE_UNVERIFIED] = STATE (ACTIVE) | STATE (RETURNING),
-  [HZB_MACHINE_ACTIVE] = STATE (LEASED) | STATE (LEASE_EXPIRED) | STATE (DRAINING) | STATE (RETURNING),
-  [HZB_MACHINE_LEASE_EXPIRED] = STATE (ACTIVE) | STATE (RETURNING),
-  [HZB_MACHINE_DRAINING] = STATE (LEASE_EXPIRED) | STATE (RETURNING) | STATE (ACTIVE),
-  [HZB_MACHINE_RETURNING] = STATE (GONE),
+  [HZB_MACHINE_BOOTING] =
+      STATE_BIT (ACTIVE) | STATE_BIT (RETURNING) | STATE_BIT (DRAINING) | STATE_BIT (UNVERIFIED) | STATE_BIT (LEASED),
+  [HZB_MACHINE_LEASED] = STATE_BIT (UNVERIFIED),
+  [HZB_MACHINE_UNVERIFIED] = STATE_BIT (ACTIVE) | STATE_BIT (RETURNING),
+  [HZB_MACHINE_ACTIVE] = STATE_BIT (LEASED) | STATE_BIT (LEASE_EXPIRED) | STATE_BIT (DRAINING) | STATE_BIT (RETURNING),
+  [HZB_MACHINE_LEASE_EXPIRED] = STATE_BIT (ACTIVE) | STATE_BIT (RETURNING),
+  [HZB_MACHINE_DRAINING] = STATE_BIT (LEASE_EXPIRED) | STATE_BIT (RETURNING) | STATE_BIT (ACTIVE),
+  [HZB_MACHINE_RETURNING] = STATE_BIT (GONE),
   [HZB_MACHINE_GONE] = 0,
 };
 
 gboolean
-hzb_machine_set_state (HzbMachines *machines, HzbMachine *machine, HzbMachineState to, const char *why)
+hzb_machine_set_state (HzbMachines *machines, HzbMachine *machine, HzbMachineState to, const char *reason)
 {
   HzbMachineState from = machine->state;
 
@@ -146,48 +147,48 @@
     {
       g_critical (
           "machine %s: illegal change %s -> %s (%s); the change is refused: please report this with the log before it",
-          machine->name, hzb_machine_state_name (from), hzb_machine_state_name (to), why);
+          machine->name, hzb_machine_state_name (from), hzb_machine_state_name (to), reason);
       return FALSE;
     }
   g_message ("machine %s (%s%s in %s): %s -> %s: %s", machine->name, machine->type_name, machine->spot ? ", spot" : "",
-             machine->zone, hzb_machine_state_name (from), hzb_machine_state_name (to), why);
+             machine->zone, hzb_machine_state_name (from), hzb_machine_state_name (to), reason);
   machine->state = to;
   machine->since = hzb_clock_now (machines->clock);
   return TRUE;
 }
 
 void
-hzb_machine_unverify (HzbMachines *machines, HzbMachine *machine, guint64 fencing_token, const char *why)
+hzb_machine_unverify (HzbMachines *machines, HzbMachine *machine, guint64 fencing_token, const char *reason)
 {
   hzb_machine_set_fencing_token (machine, fencing_token);
   machine->recall_requested = machine->recall_at_once = FALSE;
   machine->leaseholder = 0;
-  hzb_machine_set_state (machines, machine, HZB_MACHINE_UNVERIFIED, why);
+  hzb_machine_set_state (machines, machine, HZB_MACHINE_UNVERIFIED, reason);
 }
 
 /* ---- faulty machines ---- */
 
 gboolean
-hzb_machine_seems_faulty (const HzbMachine *machine, HzbJobs *jobs)
+hzb_machine_is_faulty (const HzbMachine *machine, HzbJobs *jobs)
 {
   GHashTableIter iter;
   gpointer uid, count;
-  guint failures = 0, unproven = 0;
-  gboolean any_sound = FALSE;
+  guint failures = 0, n_unproven_jobs = 0;
+  gboolean has_proven_job = FALSE;
 
   g_hash_table_iter_init (&iter, machine->failed_jobs);
   while (g_hash_table_iter_next (&iter, &uid, &count))
     {
       const HzbJob *job = hzb_jobs_find (jobs, uid);
-      /* A job that fails wherever it runs says nothing about the machine: it would have one machine after another
-       * returned. */
-      if (!job || (job->failed_on_several_machines && !job->did_well))
+      /* A job that fails on every machine is no evidence against this one. Counting it would return one machine after
+       * another to the cloud. */
+      if (!job || (job->failed_on_several_machines && !job->proven_runnable))
         continue;
       failures += GPOINTER_TO_UINT (count);
-      any_sound = any_sound || job->did_well;
-      unproven += !job->did_well;
+      has_proven_job = has_proven_job || job->proven_runnable;
+      n_unproven_jobs += !job->proven_runnable;
     }
-  return failures >= FAULTY_AFTER_FAILURES && (any_sound || unproven >= FAULTY_AFTER_UNPROVEN_JOBS);
+  return failures >= FAULTY_MIN_FAILURES && (has_proven_job || n_unproven_jobs >= FAULTY_MIN_UNPROVEN_JOBS);
 }
 
 /* ---- unverified machines ---- */
@@ -221,31 +222,31 @@
 }
 
 GPtrArray *
-hzb_machines_unverified_kinds (const HzbMachines *machines, guint n_shards)
+hzb_machines_list_unverified_kinds (const HzbMachines *machines, guint n_shards)
 {
-  GPtrArray *of_shards = g_ptr_array_new_with_free_func (kinds_free);
+  GPtrArray *kinds_by_shard = g_ptr_array_new_with_free_func (kinds_free);
 
   for (guint i = 0; i < n_shards; i++)
-    g_ptr_array_add (of_shards, g_ptr_array_new ());
+    g_ptr_array_add (kinds_by_shard, g_ptr_array_new ());
   for (guint i = 0; i < machines->all->len; i++)
     {
       HzbMachine *machine = machines->all->pdata[i];
       if (machine->unconfirmed_tasks_of < n_shards && is_unverified (machine))
-        hzb_machines_add_kind (of_shards->pdata[machine->unconfirmed_tasks_of], machine);
+        hzb_machines_add_kind (kinds_by_shard->pdata[machine->unconfirmed_tasks_of], machine);
     }
-  return of_shards;
+  return kinds_by_shard;
 }
 
 gboolean
 hzb_job_may_run_on_unverified (const HzbJob *job, const GPtrArray *unverified_kinds)
 {
-  /* The record of a terminal job need not say where the job might have run. */
+  /* The record of a terminal job may lack the placement constraints of the job. */
   if (job->state != HZB_JOB_ACCEPTED)
     return unverified_kinds->len > 0;
   for (guint i = 0; i < unverified_kinds->len; i++)
     {
       const HzbMachine *machine = unverified_kinds->pdata[i];
-      if (!machine->type || hzb_machine_is_of_allowed_kind (machine, job->spec))
+      if (!machine->type || hzb_machine_matches_constraints (machine, job->spec))
         return TRUE;
     }
   return FALSE;
