--- a/src/scheduling/owned-jobs.c
+++ b/src/scheduling/owned-jobs.c
@@ -3,20 +3,22 @@
 #include <math.h>
 #include <string.h>
 
-/* How estimates of run times are corrected, see hzb_jobs_record_run_time(). The estimate of one job is wrong in one way
- * for all its tasks, so a job counts as one observation. A smaller bias than the threshold may be chance. */
+/* Correction of run time estimates, see hzb_jobs_record_run_time(). A bias is the logarithm of run time over estimate.
+ * The estimate of a job has the same error for all its tasks, so a whole job has the weight of one observation. A bias
+ * below the threshold may be chance and is not applied. */
 #define BIAS_SMOOTHING 0.08
-#define BIAS_THRESHOLD 0.35 /* of the logarithm of the ratio: a factor of 1.4 */
-#define MAX_BIAS 2.0        /* of one observation */
-#define MAX_CLASSES 200u    /* classes beyond these are not learned, to bound memory */
+#define BIAS_THRESHOLD 0.35     /* run time over estimate of 1.4, or its inverse */
+#define MAX_OBSERVED_BIAS 2.0   /* bound for one observation */
+#define MAX_BIASED_CLASSES 200u /* further classes get no correction, to bound memory */
 
-#define LONGEST_WAIT_S 86400
+/* Bound on the time that a job counts as having waited before this controller activated it. */
+#define MAX_WAIT_S 86400
 
-/* The fencing tokens of shards are never used twice, so neither are attempts that begin with this multiple of the
- * fencing token. */
+/* Attempt numbers begin at the fencing token of the shard, shifted left by this many bits. No two shards share a
+ * fencing token, so attempt numbers are not reused either. */
 #define ATTEMPT_BITS 17
 
-/* ---- ownership ---- */
+/* ---- ownership of tasks ---- */
 
 void
 hzb_jobs_begin_ownership (HzbJobs *jobs, HzbShard *shard)
@@ -37,7 +39,7 @@
 }
 
 static void
-forget_owner_state (HzbJob *job)
+clear_owner_state (HzbJob *job)
 {
   hzb_job_clear_owner_state (job);
   if (job->state != HZB_JOB_ACCEPTED)
@@ -48,14 +50,14 @@
 hzb_jobs_end_ownership (HzbJobs *jobs)
 {
   for (guint i = 0; i < jobs->active->len; i++)
-    forget_owner_state (jobs->active->pdata[i]);
+    clear_owner_state (jobs->active->pdata[i]);
   g_ptr_array_set_size (jobs->active, 0);
   jobs->shard = NULL;
   jobs->leaseholder = FALSE;
 }
 
 static gint
-by_age (gconstpointer a, gconstpointer b)
+compare_acceptance_times (gconstpointer a, gconstpointer b)
 {
   const HzbJob *x = *(HzbJob *const *) a, *y = *(HzbJob *const *) b;
   if (hzb_time_before (x->accepted, y->accepted))
@@ -65,7 +67,7 @@
   return strcmp (x->uid, y->uid);
 }
 
-/* On the leader all tasks of a job begin as pending; on a leaseholder they are another owner's until they are
+/* On the leader, all tasks of a job begin as pending. On a leaseholder, they belong to another owner until they are
  * delegated. */
 static void
 create_tasks (HzbJobs *jobs, HzbJob *job, struct timespec now)
@@ -101,21 +103,22 @@
   if (job->tasks || !job->spec || job->team < 0)
     return;
   create_tasks (jobs, job, now);
-  job->next_attempt = jobs->shard->fencing_token << ATTEMPT_BITS;
+  job->last_attempt = jobs->shard->fencing_token << ATTEMPT_BITS;
   waited = hzb_time_between (job->accepted, hzb_clock_wall (jobs->clock));
-  job->since = hzb_time_plus (now, -CLAMP (waited, 0, LONGEST_WAIT_S));
-  g_message ("job %s (%s, %s): %u tasks of %g CPUs, %g GB, %g s expected, image %s", job->uid, job->spec->job_class,
-             job->spec->team, job->n_tasks, job->spec->cpus, job->spec->memory_gb, job->spec->estimate_s,
-             job->spec->image);
+  job->since = hzb_time_plus (now, -CLAMP (waited, 0, MAX_WAIT_S));
+  g_message (
+      "job %s (class %s, team %s): activated; %u tasks of %g CPUs and %g GB each, expected run time %g s, image %s",
+      job->uid, job->spec->job_class, job->spec->team, job->n_tasks, job->spec->cpus, job->spec->memory_gb,
+      job->spec->estimate_s, job->spec->image);
   g_ptr_array_add (jobs->active, job);
-  g_ptr_array_sort (jobs->active, by_age);
+  g_ptr_array_sort (jobs->active, compare_acceptance_times);
 }
 
 void
-hzb_jobs_retire (HzbJobs *jobs, HzbJob *job)
+hzb_jobs_deactivate (HzbJobs *jobs, HzbJob *job)
 {
   g_ptr_array_remove (jobs->active, job);
-  forget_owner_state (job);
+  clear_owner_state (job);
 }
 
 gboolean
@@ -129,13 +132,14 @@
 
 /* ---- run times ---- */
 
-/* (nullable): the learned bias of the job class: an average of the logarithm of run time over estimate. */
+/* Returns: (transfer none) (nullable): the bias of the job class, an exponential moving average of the logarithm of run
+ * time over estimate; NULL: too many classes have one already */
 static double *
-bias_to_learn (HzbJobs *jobs, const char *job_class)
+find_or_add_bias (HzbJobs *jobs, const char *job_class)
 {
   double *bias = g_hash_table_lookup (jobs->estimate_biases, job_class);
 
-  if (bias || g_hash_table_size (jobs->estimate_biases) >= MAX_CLASSES)
+  if (bias || g_hash_table_size (jobs->estimate_biases) >= MAX_BIASED_CLASSES)
     return bias;
   bias = g_new0 (double, 1);
   g_hash_table_insert (jobs->estimate_biases, g_strdup (job_class), bias);
@@ -149,10 +153,10 @@
 
   if (!job->spec || job->spec->kind == HZB_JOB_SERVICE || seconds <= 0 || job->spec->estimate_s <= 0)
     return;
-  bias = bias_to_learn (jobs, job->spec->job_class);
+  bias = find_or_add_bias (jobs, job->spec->job_class);
   if (bias)
-    *bias +=
-        (CLAMP (log (seconds / job->spec->estimate_s), -MAX_BIAS, MAX_BIAS) - *bias) * BIAS_SMOOTHING / job->n_tasks;
+    *bias += (CLAMP (log (seconds / job->spec->estimate_s), -MAX_OBSERVED_BIAS, MAX_OBSERVED_BIAS) - *bias)
+             * BIAS_SMOOTHING / job->n_tasks;
 }
 
 double
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -5,23 +5,24 @@
 
 #include <math.h>
 
-/* A task that is expected to end sooner is left to end. */
+/* A task that is expected to end within this time is not preempted. */
 #define NEARLY_DONE_S 5.0
 
-/* Seconds that a job waits before it preempts. Where a service-level objective allows less, it is this part of what the
- * objective allows. */
+/* Seconds that a job waits before it may preempt other tasks. A service-level objective on the wait shortens them to
+ * this fraction of the wait that the objective allows. */
 #define PREEMPT_AFTER_S 10
-#define PREEMPT_AFTER_PART 0.45
+#define PREEMPT_AFTER_FRACTION 0.45
 
-/* The lowest priority is stopped first: between two priorities lies more than any cost of stopping a task. */
-#define COST_OF_PRIORITY 1e4
+/* Added to the cost of stopping a task, per priority level: more than the cost of stopping any task, so that tasks of
+ * the lowest priority are stopped first. */
+#define COST_PER_PRIORITY 1e4
 
-#define LEAST_CPUS 1e-3 /* guards a division */
+#define MIN_CPUS 1e-3 /* guards a division */
 
-/* Tasks in a machine's run queues that are examined for one heartbeat. */
-#define MOST_PREEMPTORS 32u
+/* Maximum number of tasks in a machine's run queues that are examined for one heartbeat. */
+#define MAX_PREEMPTORS 32u
 
-/* ---- who may be stopped for whom ---- */
+/* ---- preemption rules and costs ---- */
 
 static gboolean
 may_preempt (const HzbDispatch *dispatch, const HzbJob *preemptor, const HzbTask *victim)
@@ -34,15 +35,15 @@
     return TRUE;
   if (!preemptor->guaranteed || other->team == preemptor->team || other->guaranteed)
     return FALSE;
-  /* The other team has at least what it is guaranteed also without the victim. */
+  /* Without the victim, the other team must still use at least its guarantee. */
   team = dispatch->settings->teams->pdata[other->team];
-  return shard->cpus[other->team] - other->spec->cpus >= team->cpus - HZB_ROUNDING
-         && shard->gpus[other->team] - other->spec->gpus >= team->gpus - HZB_ROUNDING;
+  return shard->cpus[other->team] - other->spec->cpus >= team->cpus - HZB_AMOUNT_TOLERANCE
+         && shard->gpus[other->team] - other->spec->gpus >= team->gpus - HZB_AMOUNT_TOLERANCE;
 }
 
-/* The objective says how soon such a job should start. */
+/* Whether the objective limits how long the job may wait for its start. */
 static gboolean
-limits_wait_of (const HzbObjective *objective, const HzbJob *job)
+objective_limits_wait (const HzbObjective *objective, const HzbJob *job)
 {
   if (g_strcmp0 (objective->kind, "wait") == 0)
     return g_strcmp0 (objective->job_class, job->spec->job_class) == 0;
@@ -55,12 +56,12 @@
   double after = PREEMPT_AFTER_S;
 
   if (job->spec->kind == HZB_JOB_SERVICE)
-    return 0; /* A missing replica counts from the first second. */
+    return 0; /* a missing replica counts against its service from the first second */
   for (guint i = 0; i < dispatch->settings->objectives->len; i++)
     {
       const HzbObjective *objective = dispatch->settings->objectives->pdata[i];
-      if (limits_wait_of (objective, job))
-        after = MIN (after, objective->within_s * PREEMPT_AFTER_PART);
+      if (objective_limits_wait (objective, job))
+        after = MIN (after, objective->within_s * PREEMPT_AFTER_FRACTION);
     }
   return after;
 }
@@ -71,7 +72,7 @@
   return hzb_time_between (job->since, now) >= preempt_after_s (dispatch, job);
 }
 
-/* The work that is lost if the task is stopped, in CPU-seconds; INFINITY: it must not be stopped. */
+/* The work that is lost if the task is stopped, in CPU-seconds; INFINITY: the task must not be stopped. */
 static double
 stop_cost (const HzbTask *task, struct timespec now)
 {
@@ -88,8 +89,9 @@
          * spec->cpus;
 }
 
-/* ---- within a team's limit ---- */
+/* ---- preemption within a team's limit ---- */
 
+/* A task that may be stopped, and the cost of stopping it. */
 typedef struct
 {
   double cost;
@@ -97,30 +99,31 @@
 } Victim;
 
 static gint
-cheapest_first (gconstpointer a, gconstpointer b)
+compare_victims (gconstpointer a, gconstpointer b)
 {
   const Victim *x = a, *y = b;
   return x->cost < y->cost ? -1 : x->cost > y->cost;
 }
 
-/* CPUs by which the team exceeds its limit with the preemptor's waiting tasks, without those already being stopped. */
+/* CPUs by which the team would exceed its limit with the preemptor's waiting tasks, less the CPUs of tasks that are
+ * already being stopped. */
 static double
-cpus_lacking (const HzbDispatch *dispatch, const HzbJob *preemptor)
+missing_cpus (const HzbDispatch *dispatch, const HzbJob *preemptor)
 {
   const HzbShard *shard = dispatch->jobs->shard;
   int team = preemptor->team;
   double limit = shard->cpus_allowed[team];
-  double lack =
+  double missing =
       shard->cpus[team] + MIN ((preemptor->pending + preemptor->queued) * preemptor->spec->cpus, limit) - limit;
 
-  for (guint i = 0; i < dispatch->jobs->active->len && lack > HZB_ROUNDING; i++)
+  for (guint i = 0; i < dispatch->jobs->active->len && missing > HZB_AMOUNT_TOLERANCE; i++)
     {
       const HzbJob *job = dispatch->jobs->active->pdata[i];
       for (guint k = 0; job->team == team && job->placed && k < job->n_tasks; k++)
         if (job->tasks[k].stopping)
-          lack -= job->spec->cpus;
+          missing -= job->spec->cpus;
     }
-  return lack;
+  return missing;
 }
 
 static void
@@ -131,12 +134,13 @@
       Victim victim = { stop_cost (&job->tasks[k], now), &job->tasks[k] };
       if (!isfinite (victim.cost))
         continue;
-      victim.cost = victim.cost / MAX (job->spec->cpus, LEAST_CPUS) + job->spec->priority * COST_OF_PRIORITY;
+      victim.cost = victim.cost / MAX (job->spec->cpus, MIN_CPUS) + job->spec->priority * COST_PER_PRIORITY;
       g_array_append_val (victims, victim);
     }
 }
 
-/* Returns: (transfer full) (element-type Victim): lower work of the preemptor's team, the cheapest to stop first */
+/* Returns: (transfer full) (element-type Victim): tasks of the preemptor's team that have a lower priority, by
+ * ascending cost */
 static GArray *
 victims_within_team (const HzbDispatch *dispatch, const HzbJob *preemptor, struct timespec now)
 {
@@ -148,33 +152,33 @@
       if (job->team == preemptor->team && job->spec->priority < preemptor->spec->priority)
         add_victims_of_job (victims, job, now);
     }
-  g_array_sort (victims, cheapest_first);
+  g_array_sort (victims, compare_victims);
   return victims;
 }
 
 void
 hzb_preempt_within_team (HzbDispatch *dispatch, const HzbJob *preemptor, struct timespec now)
 {
-  double lack;
+  double missing;
   g_autoptr (GArray) victims = NULL;
 
   if (preemptor->spec->kind == HZB_JOB_GANG || !has_waited_long_enough (dispatch, preemptor, now))
     return;
-  lack = cpus_lacking (dispatch, preemptor);
-  if (lack <= HZB_ROUNDING)
+  missing = missing_cpus (dispatch, preemptor);
+  if (missing <= HZB_AMOUNT_TOLERANCE)
     return;
   victims = victims_within_team (dispatch, preemptor, now);
-  for (guint i = 0; i < victims->len && lack > HZB_ROUNDING; i++)
+  for (guint i = 0; i < victims->len && missing > HZB_AMOUNT_TOLERANCE; i++)
     {
       HzbTask *task = g_array_index (victims, Victim, i).task;
       task->stopping = TRUE;
-      lack -= task->job->spec->cpus;
+      missing -= task->job->spec->cpus;
     }
 }
 
-/* ---- on one machine ---- */
+/* ---- preemption on one machine ---- */
 
-/* Room on a machine once all tasks that are being stopped there have ended. */
+/* Free resources of a machine once all tasks that are being stopped there have ended. */
 typedef struct
 {
   double cpus, gpus, memory_gb;
@@ -189,7 +193,7 @@
 }
 
 static void
-take_room_for (Room *room, const HzbJobSpec *spec)
+subtract_room_of (Room *room, const HzbJobSpec *spec)
 {
   room->cpus -= spec->cpus;
   room->gpus -= spec->gpus;
@@ -197,17 +201,17 @@
 }
 
 static gboolean
-room_lacks (const Room *room, const HzbJobSpec *spec)
+lacks_room_for (const Room *room, const HzbJobSpec *spec)
 {
-  return room->cpus + HZB_ROUNDING < spec->cpus || room->gpus + HZB_ROUNDING < spec->gpus
-         || room->memory_gb + HZB_ROUNDING < spec->memory_gb;
+  return room->cpus + HZB_AMOUNT_TOLERANCE < spec->cpus || room->gpus + HZB_AMOUNT_TOLERANCE < spec->gpus
+         || room->memory_gb + HZB_AMOUNT_TOLERANCE < spec->memory_gb;
 }
 
 static Room
-room_on (const HzbMachine *machine)
+room_after_stops (const HzbMachine *machine)
 {
   Room room = { machine->type->cpus - machine->cpus, machine->type->gpus - machine->gpus,
-                machine->type->memory_gb - machine->memory };
+                machine->type->memory_gb - machine->memory_gb };
 
   for (guint i = 0; i < machine->tasks->len; i++)
     {
@@ -218,13 +222,13 @@
   return room;
 }
 
-/* Returns: (transfer none) (nullable): the task whose stop costs least */
+/* Returns: (transfer none) (nullable): the task with the lowest stop cost; NULL: no task may be stopped */
 static HzbTask *
 cheapest_victim (const HzbDispatch *dispatch, const HzbMachine *machine, const HzbJob *preemptor,
                  gboolean own_team_only, struct timespec now)
 {
   HzbTask *victim = NULL;
-  double least = INFINITY;
+  double min_cost = INFINITY;
 
   for (guint i = 0; i < machine->tasks->len; i++)
     {
@@ -233,10 +237,10 @@
       if (!isfinite (cost) || (own_team_only && task->job->team != preemptor->team)
           || !may_preempt (dispatch, preemptor, task))
         continue;
-      cost += task->job->spec->priority * COST_OF_PRIORITY;
-      if (cost < least)
+      cost += task->job->spec->priority * COST_PER_PRIORITY;
+      if (cost < min_cost)
         {
-          least = cost;
+          min_cost = cost;
           victim = task;
         }
     }
@@ -244,7 +248,7 @@
 }
 
 static void
-stop (HzbTask *task, GArray *commands)
+stop_task (HzbTask *task, GArray *commands)
 {
   HzbCommand command = { HZB_COMMAND_STOP, task->job->uid, task->index, task->attempt,
                          hzb_job_spec_grace_s (task->job->spec) };
@@ -253,35 +257,36 @@
   g_array_append_val (commands, command);
 }
 
-/* Makes room for one task. Returns: FALSE if too little may be stopped */
+/* Stops tasks until one task of the preemptor fits. Returns: FALSE if the tasks that may be stopped free too little */
 static gboolean
 make_room (const HzbDispatch *dispatch, HzbMachine *machine, const HzbJob *preemptor, gboolean own_team_only,
            Room *room, struct timespec now, GArray *commands)
 {
-  while (room_lacks (room, preemptor->spec))
+  while (lacks_room_for (room, preemptor->spec))
     {
       HzbTask *victim = cheapest_victim (dispatch, machine, preemptor, own_team_only, now);
       if (!victim)
         return FALSE;
-      stop (victim, commands);
+      stop_task (victim, commands);
       add_room_of (room, victim->job->spec);
     }
-  take_room_for (room, preemptor->spec);
+  subtract_room_of (room, preemptor->spec);
   return TRUE;
 }
 
-/* Returns: FALSE if too little on the machine may be stopped, so that the search for room there ends */
+/* Returns: FALSE if the tasks that may be stopped on the machine free too little, so that no further preemptor is
+ * examined */
 static gboolean
-preempt_for (const HzbDispatch *dispatch, HzbMachine *machine, const HzbJob *preemptor, Room *room, struct timespec now,
-             GArray *commands)
+preempt_for_job (const HzbDispatch *dispatch, HzbMachine *machine, const HzbJob *preemptor, Room *room,
+                 struct timespec now, GArray *commands)
 {
   const HzbJobSpec *spec = preemptor->spec;
-  /* Beyond the team's limit only lower work of the team itself can make room. */
+  /* If the team's limit is used up, only stopping tasks of the same team helps. */
   gboolean own_team_only = !hzb_shard_fits (dispatch->jobs->shard, preemptor->team, spec->cpus, spec->gpus);
 
-  if (preemptor->state != HZB_JOB_ACCEPTED || !hzb_zone_allowed (preemptor, machine)
+  if (preemptor->state != HZB_JOB_ACCEPTED || !hzb_machine_zone_is_eligible (preemptor, machine)
       || !has_waited_long_enough (dispatch, preemptor, now)
-      || (own_team_only && room->cpus + HZB_ROUNDING >= spec->cpus))
+      || (own_team_only && room->cpus + HZB_AMOUNT_TOLERANCE >= spec->cpus))
     return TRUE;
   return make_room (dispatch, machine, preemptor, own_team_only, room, now, commands);
 }
@@ -289,16 +294,15 @@
 void
 hzb_preempt_on_machine (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands)
 {
-  Room room = room_on (machine);
+  Room room = room_after_stops (machine);
   guint examined = 0;
 
   for (guint scheduling_class = HZB_N_SCHEDULING_CLASSES - 1; scheduling_class > HZB_SCHEDULING_CLASS_OBJECTIVE_AT_RISK;
        scheduling_class--)
-    for (GList *l = machine->run_queues[scheduling_class].head; l && examined < MOST_PREEMPTORS;
-         l = l->next, examined++)
+    for (GList *l = machine->run_queues[scheduling_class].head; l && examined < MAX_PREEMPTORS; l = l->next, examined++)
       {
         const HzbTask *task = l->data;
-        if (!preempt_for (dispatch, machine, task->job, &room, now, commands))
+        if (!preempt_for_job (dispatch, machine, task->job, &room, now, commands))
           return;
       }
 }
--- a/src/scheduling/rounding.h
+++ b/src/scheduling/rounding.h
@@ -2,12 +2,13 @@
  * @file
  * SECTION: rounding
  *
- * Tolerances for amounts of CPUs, GPUs and GB, which are floating point numbers.
+ * Tolerances for amounts of CPUs, GPUs and GB, which are floating-point numbers.
  */
 #pragma once
 
-/** HZB_ROUNDING: adding and subtracting amounts leaves errors: sums are compared with this tolerance. */
-#define HZB_ROUNDING 1e-6
+/** HZB_AMOUNT_TOLERANCE: tolerance for comparing sums of amounts, in the unit of the amounts: adding and subtracting
+ * leaves rounding errors. */
+#define HZB_AMOUNT_TOLERANCE 1e-6
 
-/** HZB_QUOTIENT_ROUNDING: the tolerance for how many times one amount fits into another. */
-#define HZB_QUOTIENT_ROUNDING 1e-9
+/** HZB_QUOTIENT_TOLERANCE: tolerance for the quotient of two amounts, which is rounded down to a whole number. */
+#define HZB_QUOTIENT_TOLERANCE 1e-9
--- a/src/scheduling/scheduling-class.c
+++ b/src/scheduling/scheduling-class.c
@@ -6,44 +6,45 @@
 #include <math.h>
 #include <string.h>
 
-/* Where the job with the least work goes first, the largest job would wait for as long as smaller ones keep coming.
- * Users want the largest to begin within four minutes: after half of that the first task of any job goes before all but
- * urgent work. */
-#define OVERDUE_AFTER_S 120.0
-#define OVERDUE_CLASS HZB_SCHEDULING_CLASS_URGENT
+/* In the classes where the job with the least work goes first, a large job would starve while smaller ones keep
+ * arriving. Users want even the largest job to start within four minutes, so after half of that time the first task of
+ * any job goes before all other work except urgent work. */
+#define START_OVERDUE_AFTER_S 120.0
+#define MIN_OVERDUE_CLASS HZB_SCHEDULING_CLASS_URGENT
 
-/* With less left than this part of what the objective allows, the objective is at risk. */
-#define AT_RISK_PART 0.25
+/* An objective is at risk if less than this fraction of the time that it allows is left. */
+#define AT_RISK_FRACTION 0.25
 
-/* Objectives about the end of a job have to allow for its run time, and something for a mean that is too low. */
-#define RUN_TIME_RESERVE 1.3
+/* For objectives about the end of a job, the expected run time is multiplied by this factor, since the estimated mean
+ * may be too low. */
+#define RUN_TIME_SAFETY_FACTOR 1.3
 
-#define NO_OBJECTIVE_ALLOWS_S 120.0
-#define LEAST_SLACK_S 10
+#define DEFAULT_START_LIMIT_S 120.0
+#define MIN_SLACK_S 10
 
-/* Part of a placed task's work that counts as left. */
-#define PLACED_PART 0.5
-#define LEAST_CPUS 0.1
+/* Fraction of a placed task's work that counts as remaining. */
+#define PLACED_REMAINING_FRACTION 0.5
+#define MIN_CPUS 0.1
 
 /* ---- service-level objectives ---- */
 
 static gboolean
-is_for_class_of (const HzbObjective *objective, const HzbJob *job)
+objective_applies (const HzbObjective *objective, const HzbJob *job)
 {
   return g_strcmp0 (objective->job_class, job->spec->job_class) == 0;
 }
 
-/* Seconds after its acceptance by which the tasks of the job must start for the objective to be met; -INFINITY: the
- * objective does not depend on that. */
+/* Returns: the seconds after its acceptance within which the job's tasks must start for the objective to be met;
+ * -INFINITY: the objective sets no limit on the start */
 static double
-start_by_s (const HzbObjective *objective, const HzbJob *job)
+objective_start_limit_s (const HzbObjective *objective, const HzbJob *job)
 {
   if (g_str_equal (objective->kind, "finished"))
-    return objective->within_s - RUN_TIME_RESERVE * hzb_job_mean_s (job);
+    return objective->within_s - RUN_TIME_SAFETY_FACTOR * hzb_job_mean_s (job);
   if (g_str_equal (objective->kind, "wait"))
     return objective->within_s;
   if (g_str_equal (objective->kind, "deadline") && job->spec->deadline_s > 0)
-    return job->spec->deadline_s * MAX (objective->times, 1) - RUN_TIME_RESERVE * hzb_job_mean_s (job);
+    return job->spec->deadline_s * MAX (objective->times, 1) - RUN_TIME_SAFETY_FACTOR * hzb_job_mean_s (job);
   return -INFINITY;
 }
 
@@ -51,51 +52,53 @@
 has_objective (const HzbSettings *settings, const HzbJob *job)
 {
   for (guint i = 0; i < settings->objectives->len; i++)
-    if (is_for_class_of (settings->objectives->pdata[i], job))
+    if (objective_applies (settings->objectives->pdata[i], job))
       return TRUE;
   return FALSE;
 }
 
-/* A job without an objective asks for more machines the longer it waits: otherwise the fleet would stay as small as for
- * a job that just came. A job that has missed all its objectives is in no such hurry. */
+/* The slack of a job that has no objective, or has missed all of them. Without an objective the slack shrinks as the
+ * job waits, so that the autoscaler rents more machines for it: otherwise the fleet would stay as small as for a job
+ * that has just been accepted. For a job that has missed all its objectives, the slack does not shrink. */
 static double
 slack_without_objective_s (const HzbSettings *settings, const HzbJob *job, double age)
 {
   double waited = has_objective (settings, job) ? 0 : age;
-  return MAX (NO_OBJECTIVE_ALLOWS_S - RUN_TIME_RESERVE * hzb_job_mean_s (job) - waited, LEAST_SLACK_S);
+  return MAX (DEFAULT_START_LIMIT_S - RUN_TIME_SAFETY_FACTOR * hzb_job_mean_s (job) - waited, MIN_SLACK_S);
 }
 
 double
-hzb_job_slack_s (const HzbSettings *settings, const HzbJob *job, struct timespec now, double *aim)
+hzb_job_slack_s (const HzbSettings *settings, const HzbJob *job, struct timespec now, double *start_limit_s)
 {
-  double age = hzb_time_between (job->since, now), least = INFINITY, allows = NO_OBJECTIVE_ALLOWS_S;
+  double age = hzb_time_between (job->since, now), min_slack = INFINITY, limit = DEFAULT_START_LIMIT_S;
 
   for (guint i = 0; i < settings->objectives->len; i++)
     {
       const HzbObjective *objective = settings->objectives->pdata[i];
-      double by = is_for_class_of (objective, job) ? start_by_s (objective, job) : -INFINITY;
-      if (by > age && by - age < least)
+      double objective_limit =
+          objective_applies (objective, job) ? objective_start_limit_s (objective, job) : -INFINITY;
+      if (objective_limit > age && objective_limit - age < min_slack)
         {
-          least = by - age;
-          allows = by;
+          min_slack = objective_limit - age;
+          limit = objective_limit;
         }
     }
-  if (aim)
-    *aim = allows;
-  return isfinite (least) ? least : slack_without_objective_s (settings, job, age);
+  if (start_limit_s)
+    *start_limit_s = limit;
+  return isfinite (min_slack) ? min_slack : slack_without_objective_s (settings, job, age);
 }
 
 static gboolean
 objective_is_at_risk (const HzbSettings *settings, const HzbJob *job, struct timespec now)
 {
-  double aim, slack = hzb_job_slack_s (settings, job, now, &aim);
+  double start_limit_s, slack = hzb_job_slack_s (settings, job, now, &start_limit_s);
 
-  /* Once at risk it stays so, or the job would move back and forth as it misses one objective after the other. */
+  /* A job stays in this class: otherwise it would move back and forth as it misses one objective after the other. */
   return job->scheduling_class == HZB_SCHEDULING_CLASS_OBJECTIVE_AT_RISK
-         || (slack < AT_RISK_PART * aim && has_objective (settings, job));
+         || (slack < AT_RISK_FRACTION * start_limit_s && has_objective (settings, job));
 }
 
-/* ---- guarantees ---- */
+/* ---- guarantees of teams ---- */
 
 static gboolean
 has_guarantee (const HzbTeam *team)
@@ -104,7 +107,7 @@
 }
 
 static gboolean
-any_has_guarantee (const HzbSettings *settings)
+any_team_has_guarantee (const HzbSettings *settings)
 {
   for (guint i = 0; i < settings->teams->len; i++)
     if (has_guarantee (settings->teams->pdata[i]))
@@ -112,19 +115,20 @@
   return FALSE;
 }
 
-/* ---- the class of a job ---- */
+/* ---- scheduling classes ---- */
 
 static gboolean
 is_start_overdue (const HzbJob *job, struct timespec now)
 {
   return !(job->placed || job->finished || job->done || job->unconfirmed || job->spec->kind == HZB_JOB_GANG)
-         && hzb_time_between (job->since, now) > OVERDUE_AFTER_S;
+         && hzb_time_between (job->since, now) > START_OVERDUE_AFTER_S;
 }
 
-/* High priorities come first, then work within guarantees, then work whose objective is at risk, then the rest by
- * priority, and last the work of teams without a guarantee where others have one (@best_effort). */
+/* Returns: the scheduling class of the job, without regard to an overdue start. High priorities come first, then work
+ * within guarantees, then work whose objective is at risk, then the other work by priority. Work of teams without a
+ * guarantee comes last if other teams have one (@best_effort). */
 static HzbSchedulingClass
-class_without_overdue (const HzbSettings *settings, const HzbJob *job, gboolean best_effort, struct timespec now)
+base_scheduling_class (const HzbSettings *settings, const HzbJob *job, gboolean best_effort, struct timespec now)
 {
   gboolean normal = job->spec->priority == HZB_PRIORITY_NORMAL;
 
@@ -157,11 +161,12 @@
 hzb_scheduling_classes_update (HzbJobs *jobs, const HzbSettings *settings, struct timespec now)
 {
   guint n_teams = settings->teams->len;
-  g_autofree double *cpus = g_new0 (double, n_teams), *gpus = g_new0 (double, n_teams);    /* of the jobs so far */
-  g_autoptr (GHashTable) overdue_best_effort = g_hash_table_new (g_str_hash, g_str_equal); /* job classes */
-  gboolean any_guarantee = any_has_guarantee (settings);
+  g_autofree double *cpus = g_new0 (double, n_teams),
+                    *gpus = g_new0 (double, n_teams); /* by team: of the jobs so far */
+  g_autoptr (GHashTable) overdue_best_effort = g_hash_table_new (g_str_hash, g_str_equal); /* set of job classes */
+  gboolean any_guarantee = any_team_has_guarantee (settings);
 
-  for (guint i = 0; i < jobs->active->len; i++) /* The oldest job comes first. */
+  for (guint i = 0; i < jobs->active->len; i++) /* The oldest job is first. */
     {
       HzbJob *job = jobs->active->pdata[i];
       const HzbTeam *team = settings->teams->pdata[job->team];
@@ -172,14 +177,15 @@
       job->mean_s = hzb_jobs_mean_s (jobs, job);
       cpus[job->team] += job->spec->cpus * job->n_tasks;
       gpus[job->team] += job->spec->gpus * job->n_tasks;
-      job->guaranteed = cpus[job->team] <= team->cpus + HZB_ROUNDING && gpus[job->team] <= team->gpus + HZB_ROUNDING;
-      scheduling_class = class_without_overdue (settings, job, best_effort, now);
-      /* Of a team without a guarantee only one overdue job of each class at a time goes first, or a swarm of its small
-       * jobs would go before all other work. */
+      job->guaranteed =
+          cpus[job->team] <= team->cpus + HZB_AMOUNT_TOLERANCE && gpus[job->team] <= team->gpus + HZB_AMOUNT_TOLERANCE;
+      scheduling_class = base_scheduling_class (settings, job, best_effort, now);
+      /* For teams without a guarantee, only one overdue job of each job class at a time goes first: otherwise many
+       * small jobs of such a team would go before all other work. */
       job->start_overdue =
           is_start_overdue (job, now) && (!best_effort || g_hash_table_add (overdue_best_effort, job->spec->job_class));
       if (job->start_overdue)
-        scheduling_class = MAX (scheduling_class, OVERDUE_CLASS);
+        scheduling_class = MAX (scheduling_class, MIN_OVERDUE_CLASS);
       set_scheduling_class (jobs, job, scheduling_class);
     }
 }
@@ -190,18 +196,19 @@
   return job->start_overdue && (job->queued || job->placed);
 }
 
-/* ---- the order within a class ---- */
+/* ---- order within a scheduling class ---- */
 
-/* CPU-seconds of work that the job has left. */
+/* Returns: CPU-seconds of work that the job has left */
 static double
-work_left (const HzbJob *job)
+remaining_work (const HzbJob *job)
 {
-  return (job->pending + job->queued + job->unconfirmed + PLACED_PART * job->placed) * hzb_job_mean_s (job)
-         * MAX (job->spec->cpus, LEAST_CPUS);
+  return (job->pending + job->queued + job->unconfirmed + PLACED_REMAINING_FRACTION * job->placed)
+         * hzb_job_mean_s (job) * MAX (job->spec->cpus, MIN_CPUS);
 }
 
-/* First come, first served, except in the classes where many jobs wait: there the job with the least work left goes
- * first, since objectives count the jobs that end in time. A job that gets late moves to a higher class. */
+/* The order is first come, first served. Only in the classes up to HZB_SCHEDULING_CLASS_OBJECTIVE_AT_RISK, where many
+ * jobs wait, the job with the least remaining work goes first, since objectives count the jobs that end in time. A job
+ * that is about to miss its objective moves to a higher class. */
 gint
 hzb_scheduling_classes_compare (gconstpointer a, gconstpointer b)
 {
@@ -211,9 +218,9 @@
     return (int) y->scheduling_class - (int) x->scheduling_class;
   if (x->scheduling_class <= HZB_SCHEDULING_CLASS_OBJECTIVE_AT_RISK)
     {
-      double left_of_x = work_left (x), left_of_y = work_left (y);
-      if (left_of_x != left_of_y)
-        return left_of_x < left_of_y ? -1 : 1;
+      double x_work = remaining_work (x), y_work = remaining_work (y);
+      if (x_work != y_work)
+        return x_work < y_work ? -1 : 1;
     }
   if (hzb_time_before (x->accepted, y->accepted))
     return -1;
--- a/src/scheduling/shard.c
+++ b/src/scheduling/shard.c
@@ -45,8 +45,8 @@
 gboolean
 hzb_shard_fits (const HzbShard *shard, int team, double cpus, double gpus)
 {
-  return shard->cpus[team] + cpus <= shard->cpus_allowed[team] + HZB_ROUNDING
-         && shard->gpus[team] + gpus <= shard->gpus_allowed[team] + HZB_ROUNDING;
+  return shard->cpus[team] + cpus <= shard->cpus_allowed[team] + HZB_AMOUNT_TOLERANCE
+         && shard->gpus[team] + gpus <= shard->gpus_allowed[team] + HZB_AMOUNT_TOLERANCE;
 }
 
 void
--- a/src/scheduling/shard.h
+++ b/src/scheduling/shard.h
@@ -2,32 +2,34 @@
  * @file
  * SECTION: shard
  *
- * A set of machines under one owner, and what each team uses on them.
+ * A shard: a set of machines with one owner, and the resources that each team uses on them.
  *
- * Every machine and every task that has not ended is in one shard. The leader owns all that it has not leased to a
- * leaseholder.
+ * Every machine and every task that has not ended belongs to exactly one shard. The leader owns the machines and tasks
+ * that are not leased to a leaseholder.
  */
 #pragma once
 #include "settings.h"
 
-/** HzbShard: a shard, as its owner keeps it. Arrays are indexed by team. */
+/** HzbShard: the resources of a shard, as kept by its owner. Arrays are indexed by team and owned. */
 typedef struct
 {
-  guint64 fencing_token; /**< Sent with each command, see hzb_fencing_token(). */
+  guint64 fencing_token; /**< Fencing token sent with each command, see hzb_fencing_token(). */
   guint n_teams;         /**< Number of teams in the settings. */
-  double *cpus;          /**< CPUs in use, or possibly in use. */
-  double *gpus;          /**< GPUs in use, or possibly in use. */
-  double *cpus_allowed;  /**< CPUs that the team may use here. */
-  double *gpus_allowed;  /**< GPUs that the team may use here. */
+  double *cpus;          /**< CPUs that tasks of the team use or may use. */
+  double *gpus;          /**< GPUs that tasks of the team use or may use. */
+  double *cpus_allowed;  /**< Limit of the team on CPUs in this shard. */
+  double *gpus_allowed;  /**< Limit of the team on GPUs in this shard. */
 } HzbShard;
 
 /**
- * hzb_fencing_token: the fencing token of a shard.
+ * hzb_fencing_token: composes the fencing token of a shard.
  * `leader_term`: the term of the leader
- * `number`: used once in the term, below 2^20
+ * `number`: a number below 2^20 that is used only once in the term
  *
- * Workers obey no fencing token below one that they have seen. A later leader's fencing tokens exceed all of an earlier
- * leader's, and a shard that passes to another owner gets a higher one.
+ * Workers reject commands with a fencing token below the highest one that they have seen. The fencing tokens of a later
+ * leader are higher than all those of an earlier leader, and a shard that passes to another owner gets a higher one.
+ *
+ * Returns: the fencing token
  */
 static inline guint64
 hzb_fencing_token (guint64 leader_term, guint number)
@@ -35,32 +37,33 @@
   return leader_term << 20 | number;
 }
 
-/** hzb_fencing_token_term: the term of the leader that made the fencing token. */
+/** hzb_fencing_token_term: Returns: the term of the leader that issued the fencing token */
 static inline guint64
 hzb_fencing_token_term (guint64 fencing_token)
 {
   return fencing_token >> 20;
 }
 
-/** hzb_shard_new: Returns: (transfer full): a shard without use, in which each team may use up to its limit */
+/** hzb_shard_new: Returns: (transfer full): a shard without used resources, with the limits of teams from the
+ * settings */
 HzbShard *hzb_shard_new (const HzbSettings *settings, guint64 fencing_token);
 
 /**
- * hzb_shard_new_leased: the shard of a leaseholder. It sets teams no limit: the leader counts a task against the limit
- * before it delegates it.
+ * hzb_shard_new_leased: creates the shard of a leaseholder. Teams have no limits in it, because the leader counts each
+ * task against the limit of its team before delegating the task.
  *
- * Returns: (transfer full)
+ * Returns: (transfer full): a shard without used resources
  */
 HzbShard *hzb_shard_new_leased (const HzbSettings *settings, guint64 fencing_token);
 
 /** hzb_shard_free: `shard`: (transfer full) (nullable) */
 void hzb_shard_free (HzbShard *shard);
 
-/** hzb_shard_fits: whether the team may use so many CPUs and GPUs more. */
+/** hzb_shard_fits: whether the limits of the team allow the use of `cpus` more CPUs and `gpus` more GPUs. */
 gboolean hzb_shard_fits (const HzbShard *shard, int team, double cpus, double gpus);
 
-/** hzb_shard_reserve: the team uses so many CPUs and GPUs more. */
+/** hzb_shard_reserve: adds `cpus` CPUs and `gpus` GPUs to those that the team uses. The limits are not checked. */
 void hzb_shard_reserve (HzbShard *shard, int team, double cpus, double gpus);
 
-/** hzb_shard_release: the team uses so many CPUs and GPUs less. */
+/** hzb_shard_release: subtracts `cpus` CPUs and `gpus` GPUs from those that the team uses. */
 void hzb_shard_release (HzbShard *shard, int team, double cpus, double gpus);
--- a/src/scheduling/start-pacing.c
+++ b/src/scheduling/start-pacing.c
@@ -1,19 +1,20 @@
 #include "start-pacing.h"
 
-#define BURST_S 1.0 /* the bucket holds the commands of this many seconds */
+#define BURST_S 1.0 /* capacity of a bucket, in seconds of its refill rate */
 
-/* When timers fire this late the processor's share is used up, and commands are given at this part of the rate. */
+/* Timers that fire this late show a lack of processor time; the command bucket is then refilled at this fraction of its
+ * rate. */
 #define LAGGING_ABOVE_S 0.25
-#define LAGGING_PART 0.5
+#define LAGGING_RATE_FRACTION 0.5
 
-/* Parts of the bucket that are left to higher classes. */
-#define GUARANTEED_LEAVES 0.2
-#define OTHER_LEAVES 0.5
+/* Fractions of the bucket that are reserved for higher classes. */
+#define GUARANTEED_RESERVE_FRACTION 0.2
+#define OTHER_RESERVE_FRACTION 0.5
 
 void
 hzb_start_pacing_begin (HzbStartPacing *pacing, const HzbStartPacingLimits *limits, struct timespec now)
 {
-  *pacing = (HzbStartPacing){ .limits = *limits, .active = TRUE, .began = now, .filled = now };
+  *pacing = (HzbStartPacing){ .limits = *limits, .active = TRUE, .began = now, .refilled = now };
   pacing->tokens = limits->per_s * BURST_S;
 }
 
@@ -24,7 +25,7 @@
 }
 
 static double
-fill (double tokens, double per_s, double seconds)
+refill (double tokens, double per_s, double seconds)
 {
   return MIN (MAX (per_s * BURST_S, 1), tokens + per_s * seconds);
 }
@@ -32,7 +33,7 @@
 void
 hzb_start_pacing_tick (HzbStartPacing *pacing, double lag_s, struct timespec now)
 {
-  double seconds, part = lag_s > LAGGING_ABOVE_S ? LAGGING_PART : 1;
+  double seconds, rate_fraction = lag_s > LAGGING_ABOVE_S ? LAGGING_RATE_FRACTION : 1;
 
   if (!pacing->active)
     return;
@@ -41,49 +42,52 @@
       hzb_start_pacing_end (pacing);
       return;
     }
-  seconds = hzb_time_between (pacing->filled, now);
-  pacing->filled = now;
+  seconds = hzb_time_between (pacing->refilled, now);
+  pacing->refilled = now;
   pacing->lag_s = lag_s;
-  pacing->tokens = fill (pacing->tokens, pacing->limits.per_s * part, seconds);
-  pacing->scale_out_tokens = fill (pacing->scale_out_tokens, pacing->limits.scale_outs_per_s, seconds);
+  pacing->tokens = refill (pacing->tokens, pacing->limits.per_s * rate_fraction, seconds);
+  pacing->scale_out_tokens = refill (pacing->scale_out_tokens, pacing->limits.scale_outs_per_s, seconds);
 }
 
 void
-hzb_start_pacing_begin_answer (HzbStartPacing *pacing)
+hzb_start_pacing_begin_response (HzbStartPacing *pacing)
 {
-  pacing->in_answer = 0;
+  pacing->starts_in_response = 0;
 }
 
 gboolean
-hzb_start_pacing_answer_full (const HzbStartPacing *pacing)
+hzb_start_pacing_response_full (const HzbStartPacing *pacing)
 {
-  return pacing->active && pacing->limits.per_answer && pacing->in_answer >= pacing->limits.per_answer;
+  return pacing->active && pacing->limits.starts_per_response
+         && pacing->starts_in_response >= pacing->limits.starts_per_response;
 }
 
 gboolean
 hzb_start_pacing_allows (const HzbStartPacing *pacing, HzbStartPacingClass class)
 {
-  static const double leaves[HZB_START_PACING_N_CLASSES] = { [HZB_START_PACING_OTHER] = OTHER_LEAVES,
-                                                             [HZB_START_PACING_GUARANTEED] = GUARANTEED_LEAVES,
-                                                             [HZB_START_PACING_URGENT] = 0 };
+  static const double reserve_fractions[HZB_START_PACING_N_CLASSES] = {
+    [HZB_START_PACING_OTHER] = OTHER_RESERVE_FRACTION,
+    [HZB_START_PACING_GUARANTEED] = GUARANTEED_RESERVE_FRACTION,
+    [HZB_START_PACING_URGENT] = 0,
+  };
   double bucket = pacing->limits.per_s * BURST_S;
 
   if (!pacing->active)
     return TRUE;
-  return pacing->tokens >= MIN (1 + leaves[class] * bucket, bucket);
+  return pacing->tokens >= MIN (1 + reserve_fractions[class] * bucket, bucket);
 }
 
 void
-hzb_start_pacing_take (HzbStartPacing *pacing)
+hzb_start_pacing_take_token (HzbStartPacing *pacing)
 {
   if (!pacing->active)
     return;
   pacing->tokens -= 1;
-  pacing->in_answer++;
+  pacing->starts_in_response++;
 }
 
 gboolean
-hzb_start_pacing_take_scale_out (HzbStartPacing *pacing)
+hzb_start_pacing_take_scale_out_token (HzbStartPacing *pacing)
 {
   if (!pacing->active)
     return TRUE;
--- a/src/scheduling/start-pacing.h
+++ b/src/scheduling/start-pacing.h
@@ -2,16 +2,16 @@
  * @file
  * SECTION: start-pacing
  *
- * How fast commands may be given after a cold start.
+ * Limits the rate of commands after a cold start.
  *
- * A token bucket with a reserve for higher scheduling classes: the less is left in it, the more urgent a task has to
- * be. It reads no clock and does no I/O. The dispatcher asks it before each start and before each task that it
- * delegates, the quarantine before each stop. (These tokens have nothing to do with fencing tokens.)
+ * A token bucket with reserves for higher scheduling classes: the fewer tokens are left, the more urgent a task must be
+ * to take one. The module reads no clock and does no I/O. A token is needed for each start and each delegation of a
+ * task by the dispatcher, and for each stop by the quarantine. (These tokens are unrelated to fencing tokens.)
  */
 #pragma once
 #include "clock.h"
 
-/** HzbStartPacingClass: who may use how much of what is left in the bucket. */
+/** HzbStartPacingClass: the class of a command, which decides how many tokens it has to leave in the bucket. */
 typedef enum
 {
   HZB_START_PACING_OTHER,      /**< Stops of tasks that no record names, and work without a guarantee. */
@@ -20,50 +20,52 @@
   HZB_START_PACING_N_CLASSES   /**< Number of classes. */
 } HzbStartPacingClass;
 
-/** HzbStartPacingLimits: what is allowed. */
+/** HzbStartPacingLimits: the limits after a cold start. */
 typedef struct
 {
-  double per_s;            /**< Commands a second. */
-  guint per_answer;        /**< Starts in one answer to a worker; 0: no limit. */
-  double scale_outs_per_s; /**< Scale-out requests to the cloud a second. */
-  double duration_s;       /**< Seconds after which the limits end by themselves. */
+  double per_s;              /**< Commands per second. */
+  guint starts_per_response; /**< Start commands in one response to a worker; 0: no limit. */
+  double scale_outs_per_s;   /**< Scale-out requests to the cloud per second. */
+  double duration_s;         /**< Seconds after which the limits end. */
 } HzbStartPacingLimits;
 
-/** HzbStartPacing: the state of the buckets. A zeroed one limits nothing. */
+/** HzbStartPacing: the state of the token buckets. A zeroed struct sets no limits. */
 typedef struct
 {
-  HzbStartPacingLimits limits; /**< While active. */
-  gboolean active;             /**< FALSE: nothing is limited. */
+  HzbStartPacingLimits limits; /**< The limits; valid while active. */
+  gboolean active;             /**< Whether the limits apply. */
   struct timespec began;       /**< When the limits began. */
-  struct timespec filled;      /**< When the buckets were last filled. */
-  double tokens;               /**< Commands that may be given at once. */
-  double scale_out_tokens;     /**< Scale-out requests that may be sent at once. */
-  double lag_s;                /**< How late timers fired when the buckets were last filled. */
-  guint in_answer;             /**< Starts in the present answer. */
+  struct timespec refilled;    /**< When the buckets were last refilled. */
+  double tokens;               /**< Commands that may be sent now. */
+  double scale_out_tokens;     /**< Scale-out requests that may be sent now. */
+  double lag_s;                /**< Lateness of timers in seconds when the buckets were last refilled. */
+  guint starts_in_response;    /**< Start commands in the current response. */
 } HzbStartPacing;
 
-/** hzb_start_pacing_begin: commands are limited from now on. `limits`: copied */
+/** hzb_start_pacing_begin: applies the limits from `now` on. `limits`: copied */
 void hzb_start_pacing_begin (HzbStartPacing *pacing, const HzbStartPacingLimits *limits, struct timespec now);
 
-/** hzb_start_pacing_end: nothing is limited from now on. */
+/** hzb_start_pacing_end: removes all limits. */
 void hzb_start_pacing_end (HzbStartPacing *pacing);
 
-/** hzb_start_pacing_tick: fills the buckets, and ends the limits once their time is over. `lag_s`: how many seconds
- * late timers fire */
+/** hzb_start_pacing_tick: refills the buckets, and removes the limits once their duration is over. `lag_s`: lateness of
+ * timers in seconds */
 void hzb_start_pacing_tick (HzbStartPacing *pacing, double lag_s, struct timespec now);
 
-/** hzb_start_pacing_begin_answer: an answer to one worker begins. */
-void hzb_start_pacing_begin_answer (HzbStartPacing *pacing);
+/** hzb_start_pacing_begin_response: resets the count of starts, at the beginning of a response to one worker. */
+void hzb_start_pacing_begin_response (HzbStartPacing *pacing);
 
-/** hzb_start_pacing_answer_full: whether the present answer has as many starts as one worker should get at once. */
-gboolean hzb_start_pacing_answer_full (const HzbStartPacing *pacing);
+/** hzb_start_pacing_response_full: whether the current response has reached the limit of starts in one response. */
+gboolean hzb_start_pacing_response_full (const HzbStartPacing *pacing);
 
-/** hzb_start_pacing_allows: whether one more command of this class may be given now. */
+/** hzb_start_pacing_allows: whether one more command of this class may be sent now. */
 gboolean hzb_start_pacing_allows (const HzbStartPacing *pacing, HzbStartPacingClass class);
 
-/** hzb_start_pacing_take: a command was given. */
-void hzb_start_pacing_take (HzbStartPacing *pacing);
+/** hzb_start_pacing_take_token: takes the token of a command that was sent, and counts it in the current response. */
+void hzb_start_pacing_take_token (HzbStartPacing *pacing);
 
-/** hzb_start_pacing_take_scale_out: Returns: FALSE if the cloud should not be asked now; otherwise the request is counted
+/** hzb_start_pacing_take_scale_out_token: takes the token of a scale-out request.
+ *
+ * Returns: FALSE if there is no token left, so that no request may be sent now
  */
-gboolean hzb_start_pacing_take_scale_out (HzbStartPacing *pacing);
+gboolean hzb_start_pacing_take_scale_out_token (HzbStartPacing *pacing);
--- a/src/scheduling/task.c
+++ b/src/scheduling/task.c
@@ -2,33 +2,34 @@
 
 #define STATE(name) (1u << HZB_TASK_##name)
 
-/* The states that a heartbeat can show. */
-#define REPORTED (STATE (FETCHING) | STATE (WAITING) | STATE (RUNNING) | STATE (CHECKPOINTING))
+/* The states that a heartbeat can report. */
+#define REPORTED_STATES (STATE (FETCHING) | STATE (WAITING) | STATE (RUNNING) | STATE (CHECKPOINTING))
 
-/* From a machine, a task can also be handed to another owner together with the machine. */
-#define FROM_MACHINE (STATE (PENDING) | REPORTED | STATE (FINISHED) | STATE (OTHER_OWNER) | STATE (DELEGATED))
+/* The states that may follow one on a machine. A task can also pass to another owner, together with its machine. */
+#define STATES_AFTER_MACHINE                                                                                           \
+  (STATE (PENDING) | REPORTED_STATES | STATE (FINISHED) | STATE (OTHER_OWNER) | STATE (DELEGATED))
 
 /* For each state, the set of states that may follow. */
-static const guint allowed_next[HZB_TASK_N_STATES] = {
+static const guint allowed_transitions[HZB_TASK_N_STATES] = {
   [HZB_TASK_OTHER_OWNER] = STATE (PENDING),
   [HZB_TASK_DELEGATED] = STATE (PENDING) | STATE (UNCONFIRMED) | STATE (STARTING) | STATE (FINISHED),
   [HZB_TASK_PENDING] = STATE (OTHER_OWNER) | STATE (DELEGATED) | STATE (QUEUED) | STATE (RESERVED) | STATE (UNCONFIRMED)
-                       | STATE (DONE) | REPORTED | STATE (FINISHED),
+                       | STATE (DONE) | REPORTED_STATES | STATE (FINISHED),
   [HZB_TASK_QUEUED] = STATE (PENDING) | STATE (RESERVED) | STATE (STARTING),
-  [HZB_TASK_UNCONFIRMED] = STATE (PENDING) | REPORTED | STATE (FINISHED) | STATE (DONE),
+  [HZB_TASK_UNCONFIRMED] = STATE (PENDING) | REPORTED_STATES | STATE (FINISHED) | STATE (DONE),
   [HZB_TASK_RESERVED] = STATE (PENDING) | STATE (STARTING),
-  [HZB_TASK_STARTING] = FROM_MACHINE,
-  [HZB_TASK_FETCHING] = FROM_MACHINE,
-  [HZB_TASK_WAITING] = FROM_MACHINE,
-  [HZB_TASK_RUNNING] = FROM_MACHINE,
-  [HZB_TASK_CHECKPOINTING] = FROM_MACHINE,
+  [HZB_TASK_STARTING] = STATES_AFTER_MACHINE,
+  [HZB_TASK_FETCHING] = STATES_AFTER_MACHINE,
+  [HZB_TASK_WAITING] = STATES_AFTER_MACHINE,
+  [HZB_TASK_RUNNING] = STATES_AFTER_MACHINE,
+  [HZB_TASK_CHECKPOINTING] = STATES_AFTER_MACHINE,
   [HZB_TASK_FINISHED] = STATE (DONE),
   [HZB_TASK_DONE] = 0,
 };
 
-/* The job's counter of tasks in this state. Every state without a counter of its own counts as placed. */
+/* Returns: the job's counter of tasks in this state. States without a counter of their own count as placed. */
 static guint *
-counter_of (HzbJob *job, HzbTaskState state)
+state_counter (HzbJob *job, HzbTaskState state)
 {
   switch (state)
     {
@@ -58,13 +59,14 @@
 static void
 move_between_counters (HzbJob *job, HzbTaskState from, HzbTaskState to)
 {
-  (*counter_of (job, from))--;
+  (*state_counter (job, from))--;
   job->running -= counts_as_running (from);
-  (*counter_of (job, to))++;
+  (*state_counter (job, to))++;
   job->running += counts_as_running (to);
 }
 
-/* The task counts against its team's limit: it runs, or the controller cannot be sure that it does not. */
+/* Whether the task counts against its team's limit: it takes resources of a machine, or this controller cannot rule out
+ * that it runs. */
 static gboolean
 counts_against_team (const HzbTask *task)
 {
@@ -77,7 +79,7 @@
   if (task->state == HZB_TASK_QUEUED)
     hzb_machine_dequeue (task->machine, task);
   if (hzb_task_on_machine (task) && task->machine)
-    hzb_machine_remove (task->machine, task);
+    hzb_machine_remove_task (task->machine, task);
 }
 
 static void
@@ -86,7 +88,7 @@
   if (task->state == HZB_TASK_QUEUED)
     hzb_machine_enqueue (task->machine, task);
   if (hzb_task_on_machine (task) && task->machine)
-    hzb_machine_add (task->machine, task);
+    hzb_machine_add_task (task->machine, task);
 }
 
 static void
@@ -109,10 +111,10 @@
 
   if (task->state == to && task->machine == machine)
     return TRUE;
-  if (!(allowed_next[task->state] & 1u << to))
+  if (!(allowed_transitions[task->state] & 1u << to))
     {
       g_critical (
-          "task %s/%u: illegal change %s -> %s; the change is refused: please report this with the log before it",
+          "task %s/%u: illegal change %s -> %s; the task keeps its state: please report this with the log before it",
           job->uid, task->index, hzb_task_state_name (task->state), hzb_task_state_name (to));
       return FALSE;
     }
@@ -146,16 +148,16 @@
 }
 
 void
-hzb_machine_lose_tasks (HzbJobs *jobs, HzbMachine *machine)
+hzb_machine_requeue_tasks (HzbJobs *jobs, HzbMachine *machine)
 {
   while (machine->tasks->len)
     {
-      guint before = machine->tasks->len;
-      hzb_task_set_state (jobs, machine->tasks->pdata[before - 1], HZB_TASK_PENDING, NULL);
-      g_return_if_fail (machine->tasks->len < before);
+      guint n_before = machine->tasks->len;
+      hzb_task_set_state (jobs, machine->tasks->pdata[n_before - 1], HZB_TASK_PENDING, NULL);
+      g_return_if_fail (machine->tasks->len < n_before);
     }
-  /* What rounding has left over in the sums goes, too. */
-  machine->cpus = machine->gpus = machine->memory = machine->service_cpus = machine->service_memory_gb = 0;
+  /* Clears the rounding errors that the sums have accumulated. */
+  machine->cpus = machine->gpus = machine->memory_gb = machine->service_cpus = machine->service_memory_gb = 0;
   hzb_machine_clear_run_queues (jobs, machine);
 }
 
--- a/src/scheduling/task.h
+++ b/src/scheduling/task.h
@@ -2,10 +2,11 @@
  * @file
  * SECTION: task
  *
- * The one place where a task changes its state, its machine, and what its team uses.
+ * State changes of tasks.
  *
- * hzb_task_set_state() keeps these counts in step: the job's counters, the machine's tasks, run queues and room, and
- * the team's use in the shard. Everything else in this header goes through it.
+ * hzb_task_set_state() is the only function that changes the state or the machine of a task. It keeps the derived
+ * counts consistent: the job's counters, the machine's tasks, run queues and used resources, and the team's use in the
+ * shard. The other functions of this header call it.
  */
 #pragma once
 #include "jobs.h"
@@ -16,14 +17,14 @@
  * `jobs`: the registry of the task's job, whose shard counts the use of teams
  * `task`: the task
  * `to`: its new state
- * `machine`: (nullable): where it is from now on, or in whose run queue
+ * `machine`: (nullable): the machine that it is on from now on, or in whose run queue it is
  *
  * Returns: FALSE if the state machine does not allow the change; the refusal is logged, and nothing changes
  */
 gboolean hzb_task_set_state (HzbJobs *jobs, HzbTask *task, HzbTaskState to, HzbMachine *machine);
 
 /**
- * hzb_job_resolve_unconfirmed: unconfirmed tasks of a job become pending.
+ * hzb_job_resolve_unconfirmed: returns unconfirmed tasks of a job to HZB_TASK_PENDING.
  * `leaseholder`: 0: the tasks that an earlier leader may have started; 1 and up: those in the reclaimed shard of that
  * leaseholder
  *
@@ -33,11 +34,12 @@
 void hzb_job_resolve_unconfirmed (HzbJobs *jobs, HzbJob *job, guint leaseholder);
 
 /**
- * hzb_machine_lose_tasks: all tasks on the machine become pending, and its run queues are emptied.
+ * hzb_machine_requeue_tasks: returns all tasks on the machine to HZB_TASK_PENDING and empties its run queues.
  *
- * The caller guarantees that the tasks are gone for certain.
+ * The caller guarantees that none of the tasks can still run.
  */
-void hzb_machine_lose_tasks (HzbJobs *jobs, HzbMachine *machine);
+void hzb_machine_requeue_tasks (HzbJobs *jobs, HzbMachine *machine);
 
-/** hzb_machine_clear_run_queues: the tasks in the machine's run queues, none of which was started, become pending. */
+/** hzb_machine_clear_run_queues: returns the tasks in the machine's run queues, none of which was started, to
+ * HZB_TASK_PENDING. */
 void hzb_machine_clear_run_queues (HzbJobs *jobs, HzbMachine *machine);
--- a/src/shards/leaseholder-answer.c
+++ b/src/shards/leaseholder-answer.c
@@ -1,73 +1,75 @@
-/* The leaseholder applies the leader's answer: its lease begins, goes on or ends, and machines and tasks join the shard. */
+/* The leaseholder applies the leader's answer: the lease begins, is renewed or ends, and machines and tasks are
+ * added to the shard. */
 #include "leaseholder-private.h"
 
 /* ---- machines ---- */
 
-/* Returns: whether every task that may be on the machine is of a job that is known here, and is nowhere else in the shard */
+/* Activates the jobs of the tasks that may be on the machine. Returns: whether each of these tasks is known here and
+ * is not already in the shard */
 static gboolean
-knows_all_held (HzbJobs *jobs, const HzbMachineLease *lease)
+can_accept_held_tasks (HzbJobs *jobs, const HzbMachineLease *lease)
 {
-  gboolean known = TRUE;
+  gboolean acceptable = TRUE;
 
-  for (guint i = 0; lease->holds && i < lease->holds->len; i++)
+  for (guint i = 0; lease->held_tasks && i < lease->held_tasks->len; i++)
     {
-      const HzbHeldTask *held = &g_array_index (lease->holds, HzbHeldTask, i);
+      const HzbHeldTask *held = &g_array_index (lease->held_tasks, HzbHeldTask, i);
       HzbJob *job = held->uid ? hzb_jobs_find (jobs, held->uid) : NULL;
       const HzbTask *task;
       if (job && job->state == HZB_JOB_ACCEPTED)
         hzb_jobs_activate (jobs, job);
       task = hzb_tasks_find (jobs, held->uid, held->number);
-      known = known && task && task->state == HZB_TASK_OTHER_OWNER;
+      acceptable = acceptable && task && task->state == HZB_TASK_OTHER_OWNER;
     }
-  return known;
+  return acceptable;
 }
 
-/* The machine holds a task of a job that this node's replica of the records does not show yet, or that is terminal. The
- * machine goes back to the leader with the tasks that came with it. */
+/* Returns the machine to the leader with the tasks that came with it. The machine holds a task of a job that this
+ * node's replica of the records does not show yet, or of a terminal job. */
 static void
 refuse_machine (HzbLeaseholder *leaseholder, const HzbMachineLease *lease)
 {
   HzbShardEvent *event = hzb_shard_event_new ();
   event->machine = hzb_machine_return_new (lease->name, "it holds tasks of jobs that are not known here",
                                            lease->agent_epoch, lease->sequence);
-  g_array_unref (event->machine->lost);
-  event->machine->lost = g_array_ref (lease->holds);
+  g_array_unref (event->machine->held_tasks);
+  event->machine->held_tasks = g_array_ref (lease->held_tasks);
   hzb_leaseholder_push (leaseholder, event);
 }
 
 static void
-put_on_machine (HzbJobs *jobs, const HzbHeldTask *held, HzbMachine *machine)
+place_held_task (HzbJobs *jobs, const HzbHeldTask *held, HzbMachine *machine)
 {
   HzbTask *task = hzb_tasks_find (jobs, held->uid, held->number);
 
   hzb_task_set_state (jobs, task, HZB_TASK_PENDING, NULL);
   g_queue_remove (&task->job->retry, task);
   task->attempt = held->attempt;
-  hzb_task_set_state (jobs, task, held->runs ? HZB_TASK_RUNNING : HZB_TASK_FETCHING, machine);
+  hzb_task_set_state (jobs, task, held->running ? HZB_TASK_RUNNING : HZB_TASK_FETCHING, machine);
 }
 
-/* This node concludes nothing from a machine that came with tasks until a heartbeat under the shard's fencing token
- * has come. */
+/* A machine that was leased with tasks is unverified: this node draws no conclusion about its tasks until it has
+ * received a heartbeat of the machine under the shard's fencing token. */
 static void
 receive_machine (HzbLeaseholder *leaseholder, const HzbMachineLease *lease)
 {
   const HzbLeaseholderDependencies *modules = &leaseholder->modules;
   HzbMachine *machine;
 
-  if (!knows_all_held (modules->jobs, lease))
+  if (!can_accept_held_tasks (modules->jobs, lease))
     {
       refuse_machine (leaseholder, lease);
       return;
     }
   machine = hzb_machines_add (modules->machines, lease->name, lease->addr, lease->type, lease->zone, lease->spot,
-                              lease->holds ? HZB_MACHINE_UNVERIFIED : HZB_MACHINE_BOOTING);
+                              lease->held_tasks ? HZB_MACHINE_UNVERIFIED : HZB_MACHINE_BOOTING);
   machine->recorded = machine->known_to_cloud = TRUE;
   hzb_machine_set_fencing_token (machine, leaseholder->fencing_token);
   machine->agent_epoch = lease->agent_epoch;
   machine->sequence = lease->sequence;
   machine->last_heartbeat = hzb_clock_now (modules->node->clock);
-  for (guint i = 0; lease->holds && i < lease->holds->len; i++)
-    put_on_machine (modules->jobs, &g_array_index (lease->holds, HzbHeldTask, i), machine);
+  for (guint i = 0; lease->held_tasks && i < lease->held_tasks->len; i++)
+    place_held_task (modules->jobs, &g_array_index (lease->held_tasks, HzbHeldTask, i), machine);
 }
 
 static void
@@ -76,32 +78,33 @@
   HzbMachine *machine = hzb_machines_find (machines, recall->machine);
   if (!machine)
     return;
-  machine->recall_requested = machine->scale_in_candidate = recall->back;
+  machine->recall_requested = machine->scale_in_candidate = recall->requested;
   machine->recall_at_once = recall->at_once;
 }
 
 /* ---- tasks ---- */
 
 static void
-task_delegated (HzbTask *task, gpointer jobs)
+accept_delegated_task (HzbTask *task, gpointer jobs)
 {
   if (task->state == HZB_TASK_OTHER_OWNER)
     hzb_task_set_state (jobs, task, HZB_TASK_PENDING, NULL);
 }
 
 static void
-task_durable (HzbTask *task, gpointer jobs)
+complete_durable_task (HzbTask *task, gpointer jobs)
 {
   if (task->state == HZB_TASK_FINISHED)
     hzb_task_set_state (jobs, task, HZB_TASK_DONE, NULL);
 }
 
-/* Tasks of jobs that this node's replica of the records does not show yet, or that are terminal, go back. */
+/* Accepts delegated tasks, and returns those of jobs that this node's replica of the records does not show yet, and
+ * of terminal jobs. */
 static void
 receive_tasks (HzbLeaseholder *leaseholder, const HzbTaskGroups *groups)
 {
   HzbJobs *jobs = leaseholder->modules.jobs;
-  g_autoptr (HzbTaskGroups) unknown = hzb_task_groups_new ();
+  g_autoptr (HzbTaskGroups) rejected = hzb_task_groups_new ();
 
   for (guint i = 0; i < groups->len; i++)
     {
@@ -110,14 +113,14 @@
       if (job && job->state == HZB_JOB_ACCEPTED)
         hzb_jobs_activate (jobs, job);
       if (!job || !job->tasks)
-        hzb_task_groups_add_group (unknown, group);
+        hzb_task_groups_add_group (rejected, group);
     }
-  if (unknown->len)
-    hzb_leaseholder_push_returned (leaseholder, g_steal_pointer (&unknown));
-  hzb_task_groups_foreach (groups, jobs, task_delegated, jobs);
+  if (rejected->len)
+    hzb_leaseholder_push_returned (leaseholder, g_steal_pointer (&rejected));
+  hzb_task_groups_foreach (groups, jobs, accept_delegated_task, jobs);
 }
 
-/* This node's replica of the records may not show the cancellation yet. */
+/* Cancels the job here as well, since this node's replica of the records may not show the cancellation yet. */
 static void
 apply_cancellation (HzbJobs *jobs, const char *uid)
 {
@@ -137,7 +140,7 @@
     apply_cancellation (modules->jobs, batch->cancelled_uid);
   if (batch->delegated)
     receive_tasks (leaseholder, batch->delegated);
-  hzb_task_groups_foreach (batch->durable, modules->jobs, task_durable, modules->jobs);
+  hzb_task_groups_foreach (batch->durable, modules->jobs, complete_durable_task, modules->jobs);
   if (batch->lease && !hzb_machines_find (modules->machines, batch->lease->name))
     receive_machine (leaseholder, batch->lease);
   if (batch->recall)
@@ -150,9 +153,9 @@
   for (guint i = 0; i < batches->len; i++)
     {
       const HzbShardBatch *batch = batches->pdata[i];
-      if (batch->message.number != leaseholder->batches_taken + 1)
-        continue; /* the leader repeats the batch, since the acknowledgement has not reached it yet */
-      leaseholder->batches_taken++;
+      if (batch->message.number != leaseholder->last_batch_applied + 1)
+        continue; /* the leader repeats the batch until it receives the acknowledgement */
+      leaseholder->last_batch_applied++;
       apply_batch (leaseholder, batch);
     }
   if (!batches->len)
@@ -161,7 +164,8 @@
   hzb_leaseholder_poll_soon (leaseholder);
 }
 
-/* The leader raised the shard's fencing token: nothing is concluded from its machines until they have reported under it. */
+/* Adopts a higher fencing token of the shard for all its machines. This node draws no conclusion about the tasks of
+ * a machine until it has received a heartbeat of the machine under this token. */
 static void
 raise_fencing_token (HzbLeaseholder *leaseholder, guint64 fencing_token)
 {
@@ -172,20 +176,21 @@
     hzb_machine_set_fencing_token (machines->pdata[i], fencing_token);
 }
 
-/* Returns: whether the answer is to a poll of the present ownership, and from the present leader */
+/* Returns: whether the answer belongs to a poll of the current ownership epoch, and comes from the current leader */
 static gboolean
-answer_counts (const HzbLeaseholder *leaseholder, const HzbShardAnswer *answer)
+answer_is_current (const HzbLeaseholder *leaseholder, const HzbShardAnswer *answer)
 {
   HzbElection *election = leaseholder->modules.election;
-  /* Guards against an answer to a poll that was sent before this node gave its shard up. The node would hold the shard again
-   * without what it had been sent before, and the leader would believe that all of the shard is looked after. */
-  return hzb_epoch_call_is_current (&leaseholder->poll) && !hzb_election_leading (election)
+  /* Guards against an answer to a poll that was sent before this node released its shard. The node would hold the
+   * shard again, but without the machines and tasks that it was sent before, while the leader would assume that the
+   * node still manages them. */
+  return hzb_epoch_call_is_current (&leaseholder->poll_call) && !hzb_election_is_leader (election)
          && answer->term == hzb_election_leader_term (election);
 }
 
-/* This node begins to hold the shard, or goes on holding it. Returns: FALSE if this node cannot hold a shard now */
+/* Begins or renews the lease of the shard. Returns: FALSE if this node cannot hold a shard now */
 static gboolean
-take_lease (HzbLeaseholder *leaseholder, guint64 fencing_token)
+accept_lease (HzbLeaseholder *leaseholder, guint64 fencing_token)
 {
   const HzbLeaseholderDependencies *modules = &leaseholder->modules;
 
@@ -207,18 +212,19 @@
 hzb_leaseholder_apply_answer (HzbLeaseholder *leaseholder, const HzbShardAnswer *answer)
 {
   hzb_cancellations_handle_response (leaseholder->modules.cancellations, answer->term, answer->acknowledged_uids);
-  if (!answer_counts (leaseholder, answer))
+  if (!answer_is_current (leaseholder, answer))
     return;
-  if (answer->end)
+  if (answer->reclaimed)
     {
       leaseholder->callbacks.end_lease ("the leader has reclaimed the shard", leaseholder->callbacks.user);
       return;
     }
-  if (!answer->fencing_token || !take_lease (leaseholder, answer->fencing_token))
+  if (!answer->fencing_token || !accept_lease (leaseholder, answer->fencing_token))
     return;
   leaseholder->last_answer = hzb_clock_now (leaseholder->modules.node->clock);
-  /* The lease counts from when the poll was sent: the answer may be old if this process was stalled in between. */
+  /* The lease duration counts from when the poll was sent, because the answer may be old if this process was
+   * stalled. */
   leaseholder->valid_until = hzb_time_plus (leaseholder->last_poll, answer->lease_s);
-  hzb_outbox_acknowledge (&leaseholder->events, answer->have);
+  hzb_outbox_acknowledge (&leaseholder->events, answer->last_event_applied);
   apply_batches (leaseholder, answer->batches);
 }
--- a/src/shards/leaseholder-poll.c
+++ b/src/shards/leaseholder-poll.c
@@ -1,14 +1,19 @@
-/* The leaseholder polls the leader: the poll asks for a lease, renews it, and carries what the leader has to know of the shard. */
+/* Polls the leader. A poll requests or renews the shard lease, and carries the events, free CPUs and task counts of
+ * the shard. */
 #include "json.h"
 #include "leaseholder-private.h"
 
 #define POLL_INTERVAL_S 0.4
-#define POLL_SOON_INTERVAL_S 0.25 /* with news; a poll costs both nodes as much as a worker's heartbeat */
+/* The interval after hzb_leaseholder_poll_soon(). It is not shorter, because a poll costs both nodes as much as a
+ * worker's heartbeat. */
+#define POLL_SOON_INTERVAL_S 0.25
 #define POLL_TIMEOUT_MS 1500
-/* Of the shard's CPUs: tasks are asked for beyond the free room, so that no CPU is idle until the next answer. */
-#define PREFETCH_PART 0.12
-/* Jobs whose counts go with a poll, up to 25 bytes each in two lists. If there are more, each poll counts some in turn. */
-#define COUNTS_PER_POLL 350u
+/* Fraction of the shard's CPUs for which tasks are requested in advance, so that no CPU is idle until the next
+ * answer. */
+#define PREFETCH_FRACTION 0.12
+/* Maximum number of jobs whose counts a poll carries. A count takes up to 25 bytes in each of two lists. If there
+ * are more jobs, consecutive polls cover them in round-robin order. */
+#define MAX_JOB_COUNTS_PER_POLL 350u
 
 void
 hzb_leaseholder_poll_soon (HzbLeaseholder *leaseholder)
@@ -18,32 +23,33 @@
     leaseholder->next_poll = soon;
 }
 
-/* ---- what the poll says ---- */
+/* ---- content of the poll ---- */
 
-/* CPUs' worth of tasks that the shard could start now, and a little beyond. */
+/* Returns: CPUs of the tasks to request: the free CPUs of the shard plus the prefetch, less the CPUs of unstarted
+ * tasks */
 static double
-room_cpus (const HzbLeaseholderDependencies *modules)
+cpus_to_request (const HzbLeaseholderDependencies *modules)
 {
-  double free = 0, all = 0, queued = 0;
+  double free_cpus = 0, total_cpus = 0, queued_cpus = 0;
   for (guint i = 0; i < modules->machines->all->len; i++)
     {
       const HzbMachine *machine = modules->machines->all->pdata[i];
-      if (!hzb_machine_usable (machine))
+      if (!hzb_machine_is_usable (machine))
         continue;
-      free += MAX (0, machine->type->cpus - machine->cpus);
-      all += machine->type->cpus;
+      free_cpus += MAX (0, machine->type->cpus - machine->cpus);
+      total_cpus += machine->type->cpus;
     }
   for (guint i = 0; i < modules->jobs->active->len; i++)
     {
       const HzbJob *job = modules->jobs->active->pdata[i];
-      queued += (job->queued + job->pending) * job->spec->cpus;
+      queued_cpus += (job->queued + job->pending) * job->spec->cpus;
     }
-  return free + PREFETCH_PART * all - queued;
+  return free_cpus + PREFETCH_FRACTION * total_cpus - queued_cpus;
 }
 
-/* How many tasks of each job are on machines that the leader recalled. Returns: (transfer full): HzbJob -> count */
+/* Returns: (transfer full): HzbJob -> number of its tasks on machines that the leader has recalled */
 static GHashTable *
-count_leaving (const HzbMachines *machines)
+count_tasks_on_recalled_machines (const HzbMachines *machines)
 {
   GHashTable *counts = g_hash_table_new (NULL, NULL);
 
@@ -60,31 +66,32 @@
   return counts;
 }
 
-/* The counts of all jobs, if they fit. Otherwise each poll has those of some jobs in turn, and then zeros are stated too, since the
- * leader keeps the counts of jobs that are not named. */
+/* Adds the counts of all jobs if they fit into one poll. Otherwise the poll is partial and has the counts of the
+ * next jobs in round-robin order; it states zeros as well, since the leader keeps the counts of jobs that a partial
+ * poll does not name. */
 static void
-add_counts (HzbLeaseholder *leaseholder, HzbShardPoll *poll)
+add_job_counts (HzbLeaseholder *leaseholder, HzbShardPoll *poll)
 {
   const GPtrArray *jobs = leaseholder->modules.jobs->active;
-  g_autoptr (GHashTable) leaving_counts = count_leaving (leaseholder->modules.machines);
-  gboolean partial = jobs->len > COUNTS_PER_POLL;
-  guint first = partial ? leaseholder->next_counted % jobs->len : 0;
+  g_autoptr (GHashTable) recalled_counts = count_tasks_on_recalled_machines (leaseholder->modules.machines);
+  gboolean partial = jobs->len > MAX_JOB_COUNTS_PER_POLL;
+  guint first = partial ? leaseholder->next_counted_job % jobs->len : 0;
 
-  for (guint i = 0; i < MIN (jobs->len, COUNTS_PER_POLL); i++)
+  for (guint i = 0; i < MIN (jobs->len, MAX_JOB_COUNTS_PER_POLL); i++)
     {
       const HzbJob *job = jobs->pdata[(first + i) % jobs->len];
-      guint leaving = GPOINTER_TO_UINT (g_hash_table_lookup (leaving_counts, job));
-      if (leaving || partial)
-        hzb_job_counts_add (poll->leaving, job->uid, leaving);
+      guint recalled = GPOINTER_TO_UINT (g_hash_table_lookup (recalled_counts, job));
+      if (recalled || partial)
+        hzb_job_counts_add (poll->recalled_counts, job->uid, recalled);
       if (job->running || partial)
-        hzb_job_counts_add (poll->running, job->uid, job->running);
+        hzb_job_counts_add (poll->running_counts, job->uid, job->running);
     }
   poll->partial_counts = partial;
-  leaseholder->next_counted = first + COUNTS_PER_POLL;
+  leaseholder->next_counted_job = first + MAX_JOB_COUNTS_PER_POLL;
 }
 
 static HzbShardPoll *
-poll_of_now (HzbLeaseholder *leaseholder)
+build_poll (HzbLeaseholder *leaseholder)
 {
   HzbShardPoll *poll = hzb_shard_poll_new ();
 
@@ -92,10 +99,10 @@
   if (!hzb_ownership_is_leaseholder (leaseholder->modules.ownership))
     return poll;
   poll->fencing_token = leaseholder->fencing_token;
-  poll->have = leaseholder->batches_taken;
+  poll->last_batch_applied = leaseholder->last_batch_applied;
   poll->events = hzb_outbox_send (&leaseholder->events);
-  poll->room_cpus = hzb_leaseholder_valid (leaseholder) ? room_cpus (&leaseholder->modules) : 0;
-  add_counts (leaseholder, poll);
+  poll->requested_cpus = hzb_leaseholder_lease_valid (leaseholder) ? cpus_to_request (&leaseholder->modules) : 0;
+  add_job_counts (leaseholder, poll);
   return poll;
 }
 
@@ -108,7 +115,7 @@
   cJSON *message = status == 200 ? cJSON_ParseWithLength (body, length) : NULL;
   HzbShardAnswer answer;
 
-  leaseholder->polling = FALSE;
+  leaseholder->poll_in_flight = FALSE;
   if (!message)
     return;
   hzb_shard_answer_decode (message, &answer);
@@ -117,7 +124,8 @@
   hzb_shard_answer_clear (&answer);
 }
 
-/* Returns: (nullable): NULL if no leader is known, or this node has no address of it */
+/* Returns: (nullable): the leader's address; NULL if no leader is known, or it is not among the peers in the
+ * settings */
 static const char *
 leader_address (const HzbLeaseholder *leaseholder)
 {
@@ -133,12 +141,12 @@
 static void
 send_poll (HzbLeaseholder *leaseholder, const char *address, struct timespec now)
 {
-  cJSON *message = hzb_peers_message (leaseholder->modules.peers, HZB_PEER_SHARD_POLL);
-  g_autoptr (HzbShardPoll) poll = poll_of_now (leaseholder);
+  cJSON *message = hzb_peers_new_message (leaseholder->modules.peers, HZB_PEER_SHARD_POLL);
+  g_autoptr (HzbShardPoll) poll = build_poll (leaseholder);
 
-  leaseholder->polling = TRUE;
+  leaseholder->poll_in_flight = TRUE;
   leaseholder->last_poll = now;
-  hzb_epoch_call_init (&leaseholder->poll, leaseholder->modules.ownership, leaseholder, NULL);
+  hzb_epoch_call_init (&leaseholder->poll_call, leaseholder->modules.ownership, leaseholder, NULL);
   hzb_shard_poll_encode (poll, message);
   hzb_send (leaseholder->modules.node->transport, "POST", address, "/peer/v1/block", hzb_json_print (message),
             POLL_TIMEOUT_MS, on_answer, leaseholder);
@@ -149,7 +157,7 @@
 {
   const char *address;
 
-  if (!hzb_election_leader (leaseholder->modules.election) || leaseholder->polling
+  if (!hzb_election_leader (leaseholder->modules.election) || leaseholder->poll_in_flight
       || hzb_time_before (now, leaseholder->next_poll))
     return;
   leaseholder->next_poll = hzb_time_plus (now, POLL_INTERVAL_S);
--- a/src/shards/leaseholder-returns.c
+++ b/src/shards/leaseholder-returns.c
@@ -1,19 +1,20 @@
-/* What the leaseholder gives back to the leader: unstarted tasks, and machines that it does not need or cannot use. */
+/* The leaseholder returns unstarted tasks, and machines that it does not need or cannot use, to the leader. */
 #include "leaseholder-private.h"
 
-#define UNSTARTED_TTL_S 6.0         /* a task that has not started for so long goes back */
-#define IDLE_S 10.0                 /* a machine that has been idle for so long goes back */
-#define MISSED_HEARTBEATS 3         /* a machine that has sent no heartbeat for so many intervals goes back */
-#define MAX_RETURNED_PER_EVENT 800u /* tasks, up to 30 bytes each: the event has to fit a poll */
-#define MAINTENANCE_INTERVAL_S 0.5  /* how often tasks that have to go back are looked for */
+#define UNSTARTED_TTL_S 6.0         /* a task that has not started within this time is returned */
+#define MAX_IDLE_S 10.0             /* a machine that has been idle for longer is returned */
+#define MAX_MISSED_HEARTBEATS 3     /* a machine that misses more heartbeat intervals is returned */
+#define MAX_RETURNED_PER_EVENT 800u /* tasks of up to 30 bytes each: the event must fit into a poll */
+#define MAINTENANCE_INTERVAL_S 0.5  /* interval of the search for unstarted tasks to return */
 
 /* ---- machines ---- */
 
-/* Returns: (transfer full): the return of a machine, with all tasks that may be on it; these are the leader's from now on */
+/* Removes all tasks from the machine; the tasks that may be on it belong to the leader afterwards. Returns:
+ * (transfer full): the return of the machine, which names these tasks */
 static HzbMachineReturn *
-give_up_machine (HzbJobs *jobs, HzbMachine *machine, const char *why)
+detach_machine (HzbJobs *jobs, HzbMachine *machine, const char *reason)
 {
-  HzbMachineReturn *returned = hzb_machine_return_new (machine->name, why, machine->agent_epoch, machine->sequence);
+  HzbMachineReturn *returned = hzb_machine_return_new (machine->name, reason, machine->agent_epoch, machine->sequence);
 
   returned->faulty = machine->scale_in_requested && !machine->recall_requested;
   hzb_machine_clear_run_queues (jobs, machine);
@@ -25,7 +26,7 @@
         hzb_task_set_state (jobs, task, HZB_TASK_PENDING, NULL);
       else
         {
-          hzb_held_tasks_add (returned->lost, task);
+          hzb_held_tasks_add (returned->held_tasks, task);
           hzb_task_set_state (jobs, task, HZB_TASK_OTHER_OWNER, NULL);
         }
       g_return_val_if_fail (machine->tasks->len < before, returned);
@@ -34,43 +35,43 @@
 }
 
 void
-hzb_leaseholder_return_machine (HzbLeaseholder *leaseholder, HzbMachine *machine, const char *why)
+hzb_leaseholder_return_machine (HzbLeaseholder *leaseholder, HzbMachine *machine, const char *reason)
 {
   HzbMachines *machines = leaseholder->modules.machines;
   HzbShardEvent *event = hzb_shard_event_new ();
 
-  event->machine = give_up_machine (leaseholder->modules.jobs, machine, why);
+  event->machine = detach_machine (leaseholder->modules.jobs, machine, reason);
   hzb_leaseholder_push (leaseholder, event);
-  hzb_machine_set_state (machines, machine, HZB_MACHINE_RETURNING, why);
-  hzb_machine_set_state (machines, machine, HZB_MACHINE_GONE, "given back to the leader");
+  hzb_machine_set_state (machines, machine, HZB_MACHINE_RETURNING, reason);
+  hzb_machine_set_state (machines, machine, HZB_MACHINE_GONE, "returned to the leader");
   hzb_machines_remove (machines, machine);
 }
 
 typedef enum
 {
-  STAYS,
+  NOT_RETURNED,
   UNRESPONSIVE, /* the machine sends no heartbeats */
-  UNREACHABLE,  /* its heartbeats do not show what it was answered: the answers seem not to arrive */
-  FAULTY,       /* tasks fail on the machine, and not because of their jobs */
-  RECLAIMED,    /* the cloud has announced that it takes the machine back */
-  RECALLED,     /* the leader asked for it */
-  IDLE,         /* the machine has had no task for a while */
-  N_REASONS_TO_RETURN
-} ReasonToReturn;
-
-/* These go over the wire. */
-static const char *const reason_texts[N_REASONS_TO_RETURN] = {
+  UNREACHABLE,  /* heartbeats of the machine do not reflect the answers to earlier ones, which seem to be lost */
+  FAULTY,       /* tasks fail on the machine for reasons other than their jobs */
+  RECLAIMED,    /* the cloud has announced that it reclaims the spot machine */
+  RECALLED,     /* the leader has recalled the machine */
+  IDLE,         /* the machine has had no task for MAX_IDLE_S */
+  N_RETURN_REASONS
+} ReturnReason;
+
+/* Sent to the leader, which logs the text as the reason of the return. */
+static const char *const return_reason_texts[N_RETURN_REASONS] = {
   [UNRESPONSIVE] = "it is silent",        [UNREACHABLE] = "it does not seem to hear its answers",
   [FAULTY] = "it fails what it starts",   [RECLAIMED] = "the cloud takes it back",
   [RECALLED] = "the leader asked for it", [IDLE] = "it has nothing to do",
 };
 
-static ReasonToReturn
-reason_to_return (const HzbMachine *machine, double heartbeat_interval_s, struct timespec now)
+static ReturnReason
+return_reason (const HzbMachine *machine, double heartbeat_interval_s, struct timespec now)
 {
   gboolean empty = machine->tasks->len == 0;
 
-  if (hzb_time_between (machine->last_heartbeat, now) > MISSED_HEARTBEATS * heartbeat_interval_s)
+  if (hzb_time_between (machine->last_heartbeat, now) > MAX_MISSED_HEARTBEATS * heartbeat_interval_s)
     return UNRESPONSIVE;
   if (machine->unreachable)
     return UNREACHABLE;
@@ -80,10 +81,10 @@
     return RECLAIMED;
   if (machine->recall_requested && (empty || (machine->recall_at_once && machine->state == HZB_MACHINE_ACTIVE)))
     return RECALLED;
-  if (machine->state == HZB_MACHINE_ACTIVE && empty && hzb_machine_queued_tasks (machine) == 0
-      && hzb_time_between (machine->idle_since, now) > IDLE_S)
+  if (machine->state == HZB_MACHINE_ACTIVE && empty && hzb_machine_count_queued_tasks (machine) == 0
+      && hzb_time_between (machine->idle_since, now) > MAX_IDLE_S)
     return IDLE;
-  return STAYS;
+  return NOT_RETURNED;
 }
 
 static void
@@ -95,12 +96,12 @@
   for (guint i = machines->len; i-- > 0;)
     {
       HzbMachine *machine = machines->pdata[i];
-      ReasonToReturn reason = reason_to_return (machine, heartbeat_interval_s, now);
-      if (reason == STAYS)
+      ReturnReason reason = return_reason (machine, heartbeat_interval_s, now);
+      if (reason == NOT_RETURNED)
         continue;
       if (reason == RECLAIMED)
         machine->scale_in_requested = TRUE; /* so that the leader returns it to the cloud */
-      hzb_leaseholder_return_machine (leaseholder, machine, reason_texts[reason]);
+      hzb_leaseholder_return_machine (leaseholder, machine, return_reason_texts[reason]);
     }
 }
 
@@ -114,21 +115,21 @@
   hzb_leaseholder_push (leaseholder, event);
 }
 
-/* Tasks on their way back, in events that are not too large. */
+/* Unstarted tasks to return, collected in events of limited size. */
 typedef struct
 {
   HzbLeaseholder *leaseholder;
-  HzbTaskGroups *tasks; /* (nullable): of the event that is not complete yet */
-  guint n;              /* of these tasks */
+  HzbTaskGroups *tasks; /* (nullable): tasks of the event that is being built */
+  guint n_tasks;        /* number of these tasks */
 } ReturnedTasks;
 
 static void
-push_event (ReturnedTasks *returned)
+push_returned_tasks (ReturnedTasks *returned)
 {
   if (!returned->tasks)
     return;
   hzb_leaseholder_push_returned (returned->leaseholder, g_steal_pointer (&returned->tasks));
-  returned->n = 0;
+  returned->n_tasks = 0;
 }
 
 static void
@@ -143,13 +144,13 @@
   if (!returned->tasks)
     returned->tasks = hzb_task_groups_new ();
   hzb_task_groups_add (returned->tasks, task);
-  if (++returned->n >= MAX_RETURNED_PER_EVENT)
-    push_event (returned);
+  if (++returned->n_tasks >= MAX_RETURNED_PER_EVENT)
+    push_returned_tasks (returned);
 }
 
-/* Of a terminal job all unstarted tasks go back, of others those that have waited for too long. */
+/* Returns all unstarted tasks of a terminal job, and those of other jobs that have waited for UNSTARTED_TTL_S. */
 static void
-return_tasks_of (ReturnedTasks *returned, HzbJob *job, struct timespec now)
+return_job_tasks (ReturnedTasks *returned, HzbJob *job, struct timespec now)
 {
   gboolean terminal = job->state != HZB_JOB_ACCEPTED;
 
@@ -171,14 +172,14 @@
   for (guint i = 0; i < jobs->active->len; i++)
     {
       HzbJob *job = jobs->active->pdata[i];
-      return_tasks_of (&returned, job, now);
+      return_job_tasks (&returned, job, now);
       if (job->state != HZB_JOB_ACCEPTED && !job->placed && !job->pending && !job->queued)
         {
-          hzb_jobs_retire (jobs, job);
+          hzb_jobs_deactivate (jobs, job);
           i--;
         }
     }
-  push_event (&returned);
+  push_returned_tasks (&returned);
 }
 
 void
--- a/src/shards/leaseholder.c
+++ b/src/shards/leaseholder.c
@@ -1,12 +1,12 @@
-/* This node as a leaseholder: what it sends to the leader, and when its shard lease ends. */
+/* The life cycle of a leaseholder: the queue of events for the leader, and the end of the shard lease. */
 #include "leaseholder-private.h"
 
-/* The node gives its lease up when the leader has not answered for so long, so that it does not keep machines which the leader
- * cannot give work. */
-#define LEASE_ABANDON_S 5.0
-/* Guards against a poll that is larger than a request may be. The leader would refuse such a poll each time and
- * acknowledge no event, and the node would lose its whole shard, when hundreds of machines become unresponsive together. With
- * the rest of the poll these bytes stay below 64 KiB. */
+/* A leaseholder releases its lease when the leader has not answered for this time: otherwise it would keep machines
+ * to which the leader cannot delegate tasks. */
+#define LEADER_RESPONSE_TIMEOUT_S 5.0
+/* Limits the size of the events in a poll. When hundreds of machines become unresponsive at the same time, their
+ * events would exceed the maximum size of a request, 64 KiB. The leader would reject each poll and acknowledge no
+ * event, and the node would lose its whole shard. The limit leaves space for the rest of the poll. */
 #define MAX_EVENT_BYTES (36 * 1024)
 
 HzbLeaseholder *
@@ -31,11 +31,11 @@
 hzb_leaseholder_clear (HzbLeaseholder *leaseholder)
 {
   hzb_outbox_clear (&leaseholder->events);
-  leaseholder->batches_taken = 0;
+  leaseholder->last_batch_applied = 0;
 }
 
 gboolean
-hzb_leaseholder_valid (HzbLeaseholder *leaseholder)
+hzb_leaseholder_lease_valid (HzbLeaseholder *leaseholder)
 {
   return hzb_ownership_is_leaseholder (leaseholder->modules.ownership)
          && hzb_time_before (hzb_clock_now (leaseholder->modules.node->clock), leaseholder->valid_until);
@@ -52,29 +52,29 @@
   hzb_leaseholder_poll_soon (leaseholder);
 }
 
-/* Returns: (nullable): why the shard lease ends, for the log; NULL while it lasts */
+/* Returns: (nullable): why the shard lease ends, for the log; NULL if it continues */
 static const char *
-reason_to_end_lease (HzbLeaseholder *leaseholder, struct timespec now)
+lease_end_reason (HzbLeaseholder *leaseholder, struct timespec now)
 {
   if (hzb_election_leader_term (leaseholder->modules.election) != hzb_fencing_token_term (leaseholder->fencing_token))
-    return "another node leads";
-  if (!hzb_leaseholder_valid (leaseholder))
-    return "the lease has expired";
-  if (hzb_time_between (leaseholder->last_answer, now) > LEASE_ABANDON_S)
-    return "the leader does not answer";
+    return "the leader's term has changed";
+  if (!hzb_leaseholder_lease_valid (leaseholder))
+    return "the shard lease has expired";
+  if (hzb_time_between (leaseholder->last_answer, now) > LEADER_RESPONSE_TIMEOUT_S)
+    return "the leader does not answer polls";
   return NULL;
 }
 
 void
 hzb_leaseholder_tick (HzbLeaseholder *leaseholder, struct timespec now)
 {
-  if (hzb_election_leading (leaseholder->modules.election))
+  if (hzb_election_is_leader (leaseholder->modules.election))
     return;
   if (hzb_ownership_is_leaseholder (leaseholder->modules.ownership))
     {
-      const char *why = reason_to_end_lease (leaseholder, now);
-      if (why)
-        leaseholder->callbacks.end_lease (why, leaseholder->callbacks.user);
+      const char *reason = lease_end_reason (leaseholder, now);
+      if (reason)
+        leaseholder->callbacks.end_lease (reason, leaseholder->callbacks.user);
       else
         hzb_leaseholder_return_unneeded (leaseholder, now);
     }
--- a/src/shards/leaseholder.h
+++ b/src/shards/leaseholder.h
@@ -1,9 +1,9 @@
 /**
  * @file
  * SECTION: leaseholder
- * The shard that the leader has leased to this node.
+ * The leaseholder side of leased shards: polls the leader, and holds the shard that the leader has leased to this node.
  *
- * shard-leases.h is the other side. README.md explains the protocol between them.
+ * shard-leases.h is the leader's side. README.md explains the protocol between them.
  */
 #pragma once
 #include "cancellations.h"
@@ -15,59 +15,72 @@
 #include "ownership.h"
 #include "peers.h"
 
-/** HzbLeaseholder: this node as a leaseholder, or as one that asks the leader for a shard. */
+/** HzbLeaseholder: the state of a node that holds a leased shard, or polls the leader for one. */
 typedef struct _HzbLeaseholder HzbLeaseholder;
 
-/** HzbLeaseholderDependencies: what the module works with; none of it is owned, and all of it outlives the module. */
+/**
+ * HzbLeaseholderDependencies: the modules that a leaseholder uses; none is owned, and each outlives the leaseholder.
+ */
 typedef struct
 {
   HzbNode *node;                   /**< this node: its settings, its clock and its transport */
-  HzbElection *election;           /**< who leads */
+  HzbElection *election;           /**< the known leader and its term */
   HzbOwnership *ownership;         /**< whether this node holds a shard */
-  HzbKvReplica *kv_replica;        /**< whether this node follows the records */
-  HzbPeers *peers;                 /**< begins each poll */
-  HzbCancellations *cancellations; /**< has a part in each poll and answer */
-  HzbJobs *jobs;                   /**< jobs and tasks; also the shard that is held */
+  HzbKvReplica *kv_replica;        /**< whether this node's replica of the records is up to date */
+  HzbPeers *peers;                 /**< creates the message of each poll */
+  HzbCancellations *cancellations; /**< adds its requests to each poll and handles the response in each answer */
+  HzbJobs *jobs;                   /**< jobs and tasks; also the leased shard */
   HzbMachines *machines;           /**< the machines of the shard */
-  HzbDispatch *dispatch;           /**< places tasks once they have come */
+  HzbDispatch *dispatch;           /**< places tasks that the leader has delegated */
 } HzbLeaseholderDependencies;
 
-/** HzbLeaseholderCallbacks: calls upwards, to what puts this node together. */
+/** HzbLeaseholderCallbacks: callbacks to the controller that owns the leaseholder. */
 typedef struct
 {
-  /** The leader leases a shard with this fencing token to this node: makes the node a leaseholder. */
+  /** Called when the leader leases a shard with this fencing token to this node; makes the node a leaseholder. */
   void (*begin_lease) (guint64 fencing_token, gpointer user);
-  /** The shard lease has ended: makes the node a leaseholder no more; why is for the log. */
-  void (*end_lease) (const char *why, gpointer user);
-  gpointer user; /**< (not owned): passed to each callback */
+  /** Called when the shard lease has ended; this node is no leaseholder afterwards. The reason is logged. */
+  void (*end_lease) (const char *reason, gpointer user);
+  gpointer user; /**< (not owned): user data of each callback */
 } HzbLeaseholderCallbacks;
 
-/** hzb_leaseholder_new: Returns: (transfer full): without a shard; dependencies and callbacks are copied */
+/**
+ * hzb_leaseholder_new: Returns: (transfer full): a leaseholder without a shard; dependencies and callbacks are copied
+ */
 HzbLeaseholder *
 hzb_leaseholder_new (const HzbLeaseholderDependencies *dependencies, const HzbLeaseholderCallbacks *callbacks);
 
-/** hzb_leaseholder_free: frees the module; the machines and tasks of the shard stay as they are. */
+/** hzb_leaseholder_free: frees the leaseholder; the machines and tasks of the shard are not changed. */
 void hzb_leaseholder_free (HzbLeaseholder *leaseholder);
 
-/** hzb_leaseholder_tick: polls the leader, returns what is not needed, and ends the lease when it has expired. */
+/**
+ * hzb_leaseholder_tick: polls the leader when a poll is due, returns machines and tasks that this node cannot use, and
+ * ends the lease when it has expired, when the leader's term has changed, or when the leader does not answer.
+ */
 void hzb_leaseholder_tick (HzbLeaseholder *leaseholder, struct timespec now);
 
-/** hzb_leaseholder_clear: drops all that waits for the leader; called when this node becomes a leaseholder, and stops being one. */
+/**
+ * hzb_leaseholder_clear: drops all events that the leader has not acknowledged, and restarts the numbering of events
+ * and batches. Called when this node becomes a leaseholder and when it stops being one.
+ */
 void hzb_leaseholder_clear (HzbLeaseholder *leaseholder);
 
-/** hzb_leaseholder_valid: Returns: whether this node holds a shard whose lease has not expired */
-gboolean hzb_leaseholder_valid (HzbLeaseholder *leaseholder);
+/** hzb_leaseholder_lease_valid: Returns: whether this node holds a shard whose lease has not expired */
+gboolean hzb_leaseholder_lease_valid (HzbLeaseholder *leaseholder);
 
-/** hzb_leaseholder_poll_soon: something waits for the leader's answer: the next poll is brought forward. */
+/** hzb_leaseholder_poll_soon: schedules the next poll earlier, because a module waits for the leader's answer. */
 void hzb_leaseholder_poll_soon (HzbLeaseholder *leaseholder);
 
-/** hzb_leaseholder_report_finished: queues the task's result for the leader, which makes it durable; it ran for ran_s seconds. */
+/**
+ * hzb_leaseholder_report_finished: queues the result of a task that ran for ran_s seconds; the leader makes the result
+ * durable.
+ */
 void hzb_leaseholder_report_finished (HzbLeaseholder *leaseholder, const HzbTask *task, double ran_s);
 
 /**
- * hzb_leaseholder_return_machine: removes the machine from this shard, and queues the return for the leader with the names of all
- * tasks that may be on it.
+ * hzb_leaseholder_return_machine: removes the machine from this shard, frees it, and queues its return for the leader.
+ * The return names all tasks that may be on the machine.
  *
- * why goes over the wire.
+ * The reason is sent to the leader, which logs it.
  */
-void hzb_leaseholder_return_machine (HzbLeaseholder *leaseholder, HzbMachine *machine, const char *why);
+void hzb_leaseholder_return_machine (HzbLeaseholder *leaseholder, HzbMachine *machine, const char *reason);
--- a/src/shards/shard-delegation.c
+++ b/src/shards/shard-delegation.c
@@ -1,11 +1,11 @@
-/* Which unstarted tasks are delegated to a leaseholder that has room, and which of its machines come back for a service. */
+/* Delegates unstarted tasks to leaseholders with free CPUs, and selects machines to recall for a service. */
 #include "scheduling-class.h"
 #include "shard-leases-private.h"
 
-#define MAX_TASKS_PER_ANSWER 640u /* as many as thousands of machines start between two polls */
+#define MAX_TASKS_PER_ANSWER 640u /* thousands of machines start about this many tasks between two polls */
 
-/* The leader runs all jobs whose tasks have to be considered together, and services, whose replicas must not wait for another
- * node. */
+/* Jobs whose tasks have to be placed together run only in the leader's shard, and so do services, whose replicas
+ * must not wait for another node. */
 gboolean
 hzb_job_is_delegable (const HzbJob *job)
 {
@@ -16,40 +16,41 @@
 
 /* ---- delegating tasks ---- */
 
-/* The delegation to one leaseholder in one answer. */
+/* The state of the delegation to one leaseholder in one answer. */
 typedef struct
 {
   HzbLeaseholderView *leaseholder;
   struct timespec now;
-  double room_cpus; /* that is left */
-  guint n;          /* tasks so far */
+  double remaining_cpus; /* CPUs that may still be delegated */
+  guint n_tasks;         /* number of tasks delegated so far */
   HzbTaskGroups *tasks;
 } Delegation;
 
 static gboolean
-shard_accepts (const HzbLeaseholderView *leaseholder, const HzbJobSpec *spec)
+shard_has_allowed_machine (const HzbLeaseholderView *leaseholder, const HzbJobSpec *spec)
 {
-  for (guint i = 0; i < leaseholder->kinds->len; i++)
+  for (guint i = 0; i < leaseholder->machine_kinds->len; i++)
     {
-      const HzbMachine *machine = leaseholder->kinds->pdata[i];
-      /* The machine may have come back since the scan. */
-      if (hzb_shards_is_leased_to (machine, leaseholder) && hzb_machine_allowed (machine, spec))
+      const HzbMachine *machine = leaseholder->machine_kinds->pdata[i];
+      /* The machine may have been returned since the scan. */
+      if (hzb_shards_is_leased_to (machine, leaseholder) && hzb_machine_is_eligible (machine, spec))
         return TRUE;
     }
   return FALSE;
 }
 
-/* Takes tasks that are in no run queue first, then those in one; *@at: up to which task the latter were looked for. */
+/* Takes tasks that are in no run queue first, and then queued tasks from *@next_index on, which it advances.
+ * Returns: (nullable): NULL if the job has no task left to delegate */
 static HzbTask *
-next_to_delegate (HzbJobs *jobs, HzbJob *job, guint *at, struct timespec now)
+take_next_task (HzbJobs *jobs, HzbJob *job, guint *next_index, struct timespec now)
 {
   HzbTask *task = job->pending ? hzb_job_take_pending (job, now) : NULL;
-  for (; !task && job->queued && *at < job->n_tasks; (*at)++)
-    if (job->tasks[*at].state == HZB_TASK_QUEUED && !hzb_time_before (now, job->tasks[*at].not_before))
+  for (; !task && job->queued && *next_index < job->n_tasks; (*next_index)++)
+    if (job->tasks[*next_index].state == HZB_TASK_QUEUED && !hzb_time_before (now, job->tasks[*next_index].not_before))
       {
-        task = &job->tasks[*at];
+        task = &job->tasks[*next_index];
         hzb_task_set_state (jobs, task, HZB_TASK_PENDING, NULL);
-        g_queue_pop_tail (&job->retry); /* where the change of state has just put the task */
+        g_queue_pop_tail (&job->retry); /* the change of state has just appended the task there */
       }
   return task;
 }
@@ -61,39 +62,40 @@
          && !hzb_time_before (now, job->not_before);
 }
 
-/* Returns: (transfer container) (element-type HzbJob): in the order in which they are served */
+/* Returns: (transfer container) (element-type HzbJob): jobs with tasks to delegate, in scheduling order */
 static GPtrArray *
 jobs_to_delegate (const HzbJobs *jobs, struct timespec now)
 {
-  GPtrArray *order = g_ptr_array_new ();
+  GPtrArray *ordered_jobs = g_ptr_array_new ();
   for (guint i = 0; i < jobs->active->len; i++)
     if (has_tasks_to_delegate (jobs->active->pdata[i], now))
-      g_ptr_array_add (order, jobs->active->pdata[i]);
-  g_ptr_array_sort (order, hzb_scheduling_classes_compare);
-  return order;
+      g_ptr_array_add (ordered_jobs, jobs->active->pdata[i]);
+  g_ptr_array_sort (ordered_jobs, hzb_scheduling_classes_compare);
+  return ordered_jobs;
 }
 
 static gboolean
-has_room_for (const Delegation *delegation, const HzbJob *job)
+can_delegate (const Delegation *delegation, const HzbJob *job)
 {
   HzbDispatch *dispatch = delegation->leaseholder->shard_leases->modules.dispatch;
-  return delegation->n < MAX_TASKS_PER_ANSWER && job->spec->cpus <= delegation->room_cpus
-         && hzb_dispatch_pace_allows (dispatch, job) && hzb_dispatch_team_may_use (dispatch, job);
+  return delegation->n_tasks < MAX_TASKS_PER_ANSWER && job->spec->cpus <= delegation->remaining_cpus
+         && hzb_dispatch_pacing_allows (dispatch, job) && hzb_dispatch_team_limit_allows (dispatch, job);
 }
 
 static void
-delegate_tasks_of (Delegation *delegation, HzbJob *job)
+delegate_job_tasks (Delegation *delegation, HzbJob *job)
 {
   const HzbShardLeasesDependencies *modules = &delegation->leaseholder->shard_leases->modules;
-  guint at = 0;
+  guint next_index = 0;
 
-  if (!shard_accepts (delegation->leaseholder, job->spec) || (job->start_overdue && (job->queued || job->placed)))
+  if (!shard_has_allowed_machine (delegation->leaseholder, job->spec)
+      || (job->start_overdue && (job->queued || job->placed)))
     return;
   if (job->cursor >= job->released)
     job->release_requested = TRUE;
-  while (has_room_for (delegation, job))
+  while (can_delegate (delegation, job))
     {
-      HzbTask *task = next_to_delegate (modules->jobs, job, &at, delegation->now);
+      HzbTask *task = take_next_task (modules->jobs, job, &next_index, delegation->now);
       if (!task)
         return;
       if (!hzb_task_set_state (modules->jobs, task, HZB_TASK_DELEGATED, NULL))
@@ -101,29 +103,30 @@
       task->leaseholder = delegation->leaseholder->id;
       hzb_dispatch_note_started (modules->dispatch, job);
       hzb_task_groups_add (delegation->tasks, task);
-      delegation->room_cpus -= MAX (job->spec->cpus, 0.01);
-      delegation->n++;
+      delegation->remaining_cpus -= MAX (job->spec->cpus, 0.01);
+      delegation->n_tasks++;
       if (job->start_overdue)
-        return; /* only the first task of such a job goes before other jobs */
+        return; /* only the first task of an overdue job has priority over other jobs */
     }
 }
 
-/* A leaseholder with room is to the leader what an idle machine is to a run queue: unstarted tasks move there. */
+/* Unstarted tasks move to a leaseholder with free CPUs as they move from a run queue to an idle machine. */
 void
-hzb_shards_delegate (HzbLeaseholderView *leaseholder, double room_cpus, struct timespec now)
+hzb_shards_delegate (HzbLeaseholderView *leaseholder, double requested_cpus, struct timespec now)
 {
   const HzbShardLeasesDependencies *modules = &leaseholder->shard_leases->modules;
-  g_autoptr (GPtrArray) order = NULL;
+  g_autoptr (GPtrArray) ordered_jobs = NULL;
   g_autoptr (HzbTaskGroups) tasks = NULL;
-  Delegation delegation = { leaseholder, now, room_cpus, 0, NULL };
+  Delegation delegation = { leaseholder, now, requested_cpus, 0, NULL };
   HzbShardBatch *batch;
 
-  if (room_cpus <= 0 || !hzb_election_lease_valid (modules->election))
+  if (requested_cpus <= 0 || !hzb_election_is_lease_valid (modules->election))
     return;
-  order = jobs_to_delegate (modules->jobs, now);
+  ordered_jobs = jobs_to_delegate (modules->jobs, now);
   tasks = delegation.tasks = hzb_task_groups_new ();
-  for (guint i = 0; i < order->len && delegation.room_cpus > 0 && delegation.n < MAX_TASKS_PER_ANSWER; i++)
-    delegate_tasks_of (&delegation, order->pdata[i]);
+  for (guint i = 0; i < ordered_jobs->len && delegation.remaining_cpus > 0 && delegation.n_tasks < MAX_TASKS_PER_ANSWER;
+       i++)
+    delegate_job_tasks (&delegation, ordered_jobs->pdata[i]);
   if (!tasks->len)
     return;
   batch = hzb_shard_batch_new ();
@@ -131,11 +134,12 @@
   hzb_shards_push (leaseholder, batch);
 }
 
-/* ---- machines that come back for a service ---- */
+/* ---- recall for a service ---- */
 
-/* The team has tasks that could be stopped for a replica: delegated to @leaseholder, or on the leader's machines if it is NULL. */
+/* Returns: whether the team has tasks that could be preempted for a service replica: tasks that are delegated to
+ * @leaseholder (nullable), or tasks on the leader's machines if @leaseholder is NULL */
 static gboolean
-team_has_lower_work (const HzbJobs *jobs, int team, const HzbLeaseholderView *leaseholder)
+team_has_preemptible_work (const HzbJobs *jobs, int team, const HzbLeaseholderView *leaseholder)
 {
   for (guint i = 0; i < jobs->active->len; i++)
     {
@@ -153,8 +157,9 @@
   return FALSE;
 }
 
-/* Guards against a service whose team is at its limit while all of the team's other work is delegated: the leader can stop only
- * what runs in its own shard, so the service would wait until that work ends. */
+/* Returns: whether a service waits because its team has reached its quota while all other tasks of the team are
+ * delegated. The leader can preempt only tasks in its own shard, so the service would wait until the delegated tasks
+ * end. */
 static gboolean
 service_waits_for_delegated_work (const HzbLeaseholderView *leaseholder)
 {
@@ -165,18 +170,20 @@
       const HzbJob *job = jobs->active->pdata[i];
       if (job->state == HZB_JOB_ACCEPTED && job->spec->kind == HZB_JOB_SERVICE && (job->pending || job->queued)
           && !hzb_shard_fits (jobs->shard, job->team, job->spec->cpus, job->spec->gpus)
-          && !team_has_lower_work (jobs, job->team, NULL) && team_has_lower_work (jobs, job->team, leaseholder))
+          && !team_has_preemptible_work (jobs, job->team, NULL)
+          && team_has_preemptible_work (jobs, job->team, leaseholder))
         return TRUE;
     }
   return FALSE;
 }
 
-/* One machine at a time comes back with its tasks: the leader does not know which machines hold tasks of the team. */
+/* Machines are recalled one at a time, each with its tasks, since the leader does not know which machines hold tasks
+ * of the team. */
 void
 hzb_shards_recall_for_service (const HzbLeaseholderView *leaseholder)
 {
   const HzbMachines *machines = leaseholder->shard_leases->modules.machines;
-  HzbMachine *next = NULL;
+  HzbMachine *candidate = NULL;
 
   if (!service_waits_for_delegated_work (leaseholder))
     return;
@@ -186,9 +193,9 @@
       if (!hzb_shards_is_leased_to (machine, leaseholder) || !machine->lease_sent)
         continue;
       if (machine->recall_at_once)
-        return; /* that machine is already on its way back */
-      next = next ? next : machine;
+        return; /* this machine is already being recalled */
+      candidate = candidate ? candidate : machine;
     }
-  if (next)
-    next->recall_at_once = TRUE;
+  if (candidate)
+    candidate->recall_at_once = TRUE;
 }
--- a/src/shards/shard-events.c
+++ b/src/shards/shard-events.c
@@ -1,13 +1,13 @@
-/* The leader applies what a leaseholder reports of the tasks and machines of its shard. */
+/* The leader applies a leaseholder's events and task counts. */
 #include "shard-leases-private.h"
 
-/* ---- tasks that exited, or come back unstarted ---- */
+/* ---- finished tasks, and tasks that are returned unstarted ---- */
 
-/* What the functions for single tasks need. */
+/* The user data of the callbacks for single tasks. */
 typedef struct
 {
   HzbLeaseholderView *leaseholder;
-  double ran_s; /* for how long the tasks of the event ran */
+  double ran_s; /* run time of the event's tasks, in seconds */
 } EventContext;
 
 static void
@@ -15,38 +15,39 @@
 {
   const HzbShardLeasesDependencies *modules = &context->leaseholder->shard_leases->modules;
 
-  task->job->did_well = TRUE;
+  task->job->proven_runnable = TRUE;
   hzb_jobs_record_run_time (modules->jobs, task->job, context->ran_s);
   hzb_task_set_state (modules->jobs, task, HZB_TASK_FINISHED, NULL);
   task->job->dirty = TRUE;
   if (task->job->finished + task->job->done == task->job->n_tasks)
     hzb_records_complete_job (modules->records, task->job);
   else
-    hzb_records_flush_soon (modules->records);
+    hzb_records_flush_if_due (modules->records);
 }
 
 static void
-task_finished (HzbTask *task, gpointer user)
+apply_finished_task (HzbTask *task, gpointer user)
 {
   const EventContext *context = user;
   HzbLeaseholderView *leaseholder = context->leaseholder;
 
   if (task->state == HZB_TASK_DONE)
     {
-      /* The leaseholder repeats the event after a failover. The result is durable already, so the worker may forget it. */
+      /* The leaseholder reports the task again after a failover. The result is durable already, so the worker may
+       * drop it. */
       task->leaseholder = leaseholder->id;
       hzb_shard_leases_announce_durable (leaseholder->shard_leases, task);
     }
   else if (task->state == HZB_TASK_FINISHED)
-    /* The task's machine was handed over with the result on it: the leader announces it to the leaseholder once it is
-     * durable. */
+    /* The task's machine was handed over while it still kept the result: the leader announces to the leaseholder
+     * when the result is durable. */
     task->leaseholder = leaseholder->id;
   else if (hzb_shards_is_delegated_to (task, leaseholder))
     record_result (task, context);
 }
 
 static void
-task_returned (HzbTask *task, gpointer user)
+apply_returned_task (HzbTask *task, gpointer user)
 {
   const EventContext *context = user;
   if (!hzb_shards_is_delegated_to (task, context->leaseholder))
@@ -55,11 +56,12 @@
   task->leaseholder = 0;
 }
 
-/* ---- machines that come back ---- */
+/* ---- returned machines ---- */
 
-/* The heartbeats that the leaseholder received were newer than any copy of one that may still arrive here. */
+/* Adopts the leaseholder's last heartbeat of the machine, so that delayed duplicates of earlier heartbeats are
+ * rejected here. */
 static void
-adopt_heartbeat_numbers (HzbMachine *machine, const HzbMachineReturn *returned)
+update_heartbeat_sequence (HzbMachine *machine, const HzbMachineReturn *returned)
 {
   if (returned->agent_epoch < machine->agent_epoch)
     return;
@@ -70,9 +72,10 @@
   machine->agent_epoch = returned->agent_epoch;
 }
 
-/* The task is on the returned machine or nowhere, so it waits only for that machine's next heartbeat, or its end. */
+/* Sets the task to starting on the returned machine. The task cannot be on any other machine, so its state is
+ * resolved by the next heartbeat of this machine, or by the end of the machine. */
 static void
-bind_task (HzbLeaseholderView *leaseholder, HzbMachine *machine, const HzbHeldTask *held)
+attach_held_task (HzbLeaseholderView *leaseholder, HzbMachine *machine, const HzbHeldTask *held)
 {
   HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
   HzbTask *task = hzb_tasks_find (jobs, held->uid, held->number);
@@ -93,14 +96,14 @@
 
   if (!machine || !hzb_shards_is_leased_to (machine, leaseholder))
     return;
-  hzb_machine_unverify (machines, machine, hzb_shard_leases_next_fencing_token (shard_leases), returned->why);
+  hzb_machine_unverify (machines, machine, hzb_shard_leases_next_fencing_token (shard_leases), returned->reason);
   machine->unconfirmed_tasks_of = HZB_UNCONFIRMED_TASKS_OF_NONE;
   machine->idle_since = hzb_clock_now (shard_leases->modules.node->clock);
   if (returned->faulty)
     machine->scale_in_requested = TRUE;
-  adopt_heartbeat_numbers (machine, returned);
-  for (guint i = 0; i < returned->lost->len; i++)
-    bind_task (leaseholder, machine, &g_array_index (returned->lost, HzbHeldTask, i));
+  update_heartbeat_sequence (machine, returned);
+  for (guint i = 0; i < returned->held_tasks->len; i++)
+    attach_held_task (leaseholder, machine, &g_array_index (returned->held_tasks, HzbHeldTask, i));
 }
 
 void
@@ -109,16 +112,17 @@
   HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
   EventContext context = { leaseholder, event->ran_s };
 
-  hzb_task_groups_foreach (event->finished, jobs, task_finished, &context);
-  hzb_task_groups_foreach (event->returned, jobs, task_returned, &context);
+  hzb_task_groups_foreach (event->finished, jobs, apply_finished_task, &context);
+  hzb_task_groups_foreach (event->returned, jobs, apply_returned_task, &context);
   if (event->machine)
     accept_returned_machine (leaseholder, event->machine);
 }
 
-/* ---- counts of tasks by job: a member of HzbJob has the sum over all leaseholders ---- */
+/* ---- counts of tasks by job ---- */
 
+/* Returns: the member of the job at this offset, a sum over all leaseholders */
 static guint *
-sum_of (HzbJob *job, glong member)
+job_counter (HzbJob *job, glong member)
 {
   return &G_STRUCT_MEMBER (guint, job, member);
 }
@@ -127,8 +131,8 @@
 subtract_count (HzbJobs *jobs, glong member, const char *uid, guint count)
 {
   HzbJob *job = hzb_jobs_find (jobs, uid);
-  if (job && *sum_of (job, member) >= count)
-    *sum_of (job, member) -= count;
+  if (job && *job_counter (job, member) >= count)
+    *job_counter (job, member) -= count;
 }
 
 static void
@@ -143,7 +147,8 @@
   g_hash_table_remove_all (counts);
 }
 
-/* Jobs that a partial message does not name keep their counts. */
+/* Replaces the counts of a leaseholder by the reported ones. If the poll is partial, jobs that it does not name keep
+ * their counts. */
 static void
 apply_counts (HzbJobs *jobs, GHashTable *counts, glong member, const GArray *reported, gboolean partial)
 {
@@ -156,7 +161,7 @@
       if (!job || !job->tasks)
         continue;
       subtract_count (jobs, member, item->uid, GPOINTER_TO_UINT (g_hash_table_lookup (counts, item->uid)));
-      *sum_of (job, member) += item->count;
+      *job_counter (job, member) += item->count;
       g_hash_table_insert (counts, g_strdup (item->uid), GUINT_TO_POINTER (item->count));
     }
 }
@@ -165,16 +170,16 @@
 hzb_shards_apply_counts (HzbLeaseholderView *leaseholder, const HzbShardPoll *poll)
 {
   HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
-  apply_counts (jobs, leaseholder->running, G_STRUCT_OFFSET (HzbJob, delegated_running), poll->running,
-                poll->partial_counts);
-  apply_counts (jobs, leaseholder->leaving, G_STRUCT_OFFSET (HzbJob, delegated_on_recalled_machines), poll->leaving,
+  apply_counts (jobs, leaseholder->running_counts, G_STRUCT_OFFSET (HzbJob, delegated_running), poll->running_counts,
                 poll->partial_counts);
+  apply_counts (jobs, leaseholder->recalled_counts, G_STRUCT_OFFSET (HzbJob, delegated_on_recalled_machines),
+                poll->recalled_counts, poll->partial_counts);
 }
 
 void
 hzb_shards_clear_counts (HzbLeaseholderView *leaseholder)
 {
   HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
-  clear_counts (jobs, leaseholder->running, G_STRUCT_OFFSET (HzbJob, delegated_running));
-  clear_counts (jobs, leaseholder->leaving, G_STRUCT_OFFSET (HzbJob, delegated_on_recalled_machines));
+  clear_counts (jobs, leaseholder->running_counts, G_STRUCT_OFFSET (HzbJob, delegated_running));
+  clear_counts (jobs, leaseholder->recalled_counts, G_STRUCT_OFFSET (HzbJob, delegated_on_recalled_machines));
 }
--- a/src/shards/shard-leases-private.h
+++ b/src/shards/shard-leases-private.h
@@ -1,10 +1,11 @@
 /**
  * @file
  * SECTION: shard-leases-private
- * What the files of the leader's side of leased shards share.
+ * The state and the functions that are shared by the files of the leader's side of leased shards.
  *
- * shard-leases.c keeps the leaseholders and reclaims shards, shard-requests.c answers polls, shard-events.c applies what
- * leaseholders report, shard-machines.c decides which machine is in whose shard, and shard-delegation.c which tasks go there.
+ * shard-leases.c keeps the leaseholders and reclaims shards, shard-requests.c answers polls, shard-events.c applies the
+ * events that leaseholders report, shard-machines.c assigns machines to shards, and shard-delegation.c delegates tasks
+ * to leaseholders.
  */
 #pragma once
 #include "settings.h"
@@ -12,45 +13,48 @@
 #include "shard-poll-messages.h"
 
 /**
- * HZB_SHARDS_MISSED_POLLS_S: the leader reclaims a shard when its leaseholder has not polled for so many seconds. The node then has
- * to poll steadily for a while before the leader leases it machines again.
+ * HZB_SHARDS_POLL_TIMEOUT_S: the leader reclaims a shard when its leaseholder has not polled for this number of
+ * seconds. The node must then poll without interruption for a while before the leader leases machines to it again.
  */
-#define HZB_SHARDS_MISSED_POLLS_S 4.0
+#define HZB_SHARDS_POLL_TIMEOUT_S 4.0
 
-/** HzbLeaseholderView: the leader's view of one other node, which may hold a shard. */
+/** HzbLeaseholderView: the leader's view of one other node, which may hold a leased shard. */
 typedef struct
 {
-  HzbShardLeases *shard_leases; /**< (not owned): all of them */
-  guint8 id;                    /**< 1 and up: the peer's place in the settings */
-  const HzbPeer *peer;          /**< (not owned): its name and address */
-  char *incarnation;            /**< (nullable): the process that polled last; NULL: none has in this term */
-  guint64 fencing_token;        /**< of the shard that is leased to it; 0: none is */
-  gboolean holds;               /**< it has polled with that fencing token, so it knows of its shard */
-  struct timespec last_poll;    /**< unset: it has not polled in this term */
-  struct timespec steady_since; /**< since when it has polled without interruption */
-  HzbOutbox batches;            /**< (element-type HzbShardBatch): what it has not acknowledged */
-  guint64 acknowledged;         /**< it has taken the batches up to this number */
-  guint64 events_taken;         /**< its events up to this number were applied */
-  GHashTable *running;          /**< uid -> count: tasks that run in its shard, as of its last poll */
-  GHashTable *leaving; /**< uid -> count: tasks on machines that it is about to give back, as of its last poll */
-  GPtrArray *kinds;    /**< (element-type HzbMachine): one machine of each kind in its shard, as of the last scan */
+  HzbShardLeases *shard_leases;    /**< (not owned): the leader's view of all leaseholders */
+  guint8 id;                       /**< from 1 on: the position of the peer in the settings */
+  const HzbPeer *peer;             /**< (not owned): name and address of the node */
+  char *incarnation;               /**< (nullable): the process that polled last; NULL: none has polled in this term */
+  guint64 fencing_token;           /**< fencing token of the shard that is leased to the node; 0: none */
+  gboolean lease_confirmed;        /**< the node has polled with that fencing token, so it holds the shard */
+  struct timespec last_poll;       /**< when the node last polled; unset: not in this term */
+  struct timespec steady_since;    /**< the start of the node's polling without interruption */
+  HzbOutbox batches;               /**< (element-type HzbShardBatch): the batches that the node has not acknowledged */
+  guint64 last_batch_acknowledged; /**< number of the last batch that the node has acknowledged; 0: none */
+  guint64 last_event_applied;      /**< number of the node's last event that was applied; 0: none */
+  GHashTable *running_counts;      /**< job uid -> number of tasks that run in the shard, as of the last poll */
+  GHashTable *recalled_counts; /**< job uid -> number of tasks on recalled machines of the shard, as of the last poll */
+  GPtrArray *machine_kinds;    /**< (element-type HzbMachine): one machine of each kind, as of the last scan */
 } HzbLeaseholderView;
 
-/** _HzbShardLeases: the module's state; all but modules and leaseholders is of the present term. */
+/** _HzbShardLeases: the leader's state; all members except modules and leaseholders belong to the current term. */
 struct _HzbShardLeases
 {
-  HzbShardLeasesDependencies modules; /**< what it works with */
-  GPtrArray *leaseholders;            /**< (element-type HzbLeaseholderView), by their ids */
-  guint fencing_tokens;               /**< numbers of fencing tokens that were used in this term */
-  struct timespec next_hand_over;     /**< no machine is handed over with its tasks before */
-  double *cpus; /**< of each shard, by id, the leader's own at 0; as of the last scan and the leases since */
-  struct timespec scanned_at;      /**< unset: never in this term */
-  guint generation;                /**< of the machines at the last scan; kinds is stale once it has changed */
-  gboolean gang_waits;             /**< at the last scan a gang waited, which needs the machines of all shards */
-  gboolean only_leader_work_waits; /**< at the last scan all that waited had to run in the leader's shard */
+  HzbShardLeasesDependencies modules; /**< the modules that shard leases use */
+  GPtrArray *leaseholders;            /**< (element-type HzbLeaseholderView): in the order of their ids */
+  guint fencing_token_count;          /**< how many fencing tokens were created in this term */
+  struct timespec next_hand_over;     /**< the earliest time at which a machine may be handed over with its tasks */
+  double *shard_cpus; /**< CPUs by leaseholder id, 0 for the leader's own shard: the last scan and later leases */
+  struct timespec scanned_at; /**< when the last scan took place; unset: not in this term */
+  guint generation;           /**< HzbMachines.generation at the last scan; when it changes, machine_kinds is stale */
+  gboolean gang_waiting;      /**< at the last scan a gang was waiting, which needs the machines of all shards */
+  gboolean only_leader_work_waiting; /**< at the last scan all waiting tasks had to run in the leader's shard */
 };
 
-/** hzb_shard_leases_leaseholder: Returns: (transfer none) (nullable): the leaseholder of this id; NULL for 0, the leader */
+/**
+ * hzb_shard_leases_leaseholder: Returns: (transfer none) (nullable): the leaseholder with this id; NULL for 0, which is
+ * the leader
+ */
 static inline HzbLeaseholderView *
 hzb_shard_leases_leaseholder (const HzbShardLeases *shard_leases, guint8 id)
 {
@@ -64,7 +68,7 @@
   hzb_outbox_push (&leaseholder->batches, &batch->message);
 }
 
-/** hzb_shards_is_delegated_to: Returns: whether the leaseholder may run the task */
+/** hzb_shards_is_delegated_to: Returns: whether the task is delegated to the leaseholder */
 static inline gboolean
 hzb_shards_is_delegated_to (const HzbTask *task, const HzbLeaseholderView *leaseholder)
 {
@@ -79,31 +83,35 @@
 }
 
 /**
- * hzb_shards_reclaim: takes the leaseholder's shard back. Its machines become unverified under a higher fencing token, its
- * tasks unconfirmed.
+ * hzb_shards_reclaim: reclaims the leaseholder's shard. The machines of the shard become unverified under a higher
+ * fencing token, its tasks become unconfirmed. The reason is logged.
  */
-void hzb_shards_reclaim (HzbLeaseholderView *leaseholder, const char *why);
+void hzb_shards_reclaim (HzbLeaseholderView *leaseholder, const char *reason);
 
-/** hzb_shards_apply_event: applies the next event of a leaseholder. */
+/** hzb_shards_apply_event: applies an event of the leaseholder; the caller checks that events come in order. */
 void hzb_shards_apply_event (HzbLeaseholderView *leaseholder, const HzbShardEvent *event);
 
-/** hzb_shards_apply_counts: takes over how many tasks of each job run in the shard, and are about to leave it. */
+/**
+ * hzb_shards_apply_counts: stores the poll's numbers of tasks by job: those that run, and those on recalled machines.
+ */
 void hzb_shards_apply_counts (HzbLeaseholderView *leaseholder, const HzbShardPoll *poll);
 
-/** hzb_shards_clear_counts: no task runs in the shard, or is about to leave it, any more. */
+/**
+ * hzb_shards_clear_counts: resets the leaseholder's numbers of running tasks and of tasks on recalled machines to 0.
+ */
 void hzb_shards_clear_counts (HzbLeaseholderView *leaseholder);
 
 /**
- * hzb_shards_scan: examines all machines and jobs, unless that was done a moment ago: how many CPUs and which kinds of
- * machines each shard has, and which machines the leader has to send to leaseholders, or recall.
+ * hzb_shards_scan: examines all machines and jobs, unless the last scan is recent. Counts the CPUs of each shard,
+ * collects its kinds of machines, sends leases of recorded machines to leaseholders, and recalls machines.
  */
 void hzb_shards_scan (HzbShardLeases *shard_leases, struct timespec now);
 
-/** hzb_shards_delegate: delegates unstarted tasks to a leaseholder that has room for room_cpus CPUs' worth. */
-void hzb_shards_delegate (HzbLeaseholderView *leaseholder, double room_cpus, struct timespec now);
+/** hzb_shards_delegate: delegates unstarted tasks to a leaseholder, up to requested_cpus CPUs in total. */
+void hzb_shards_delegate (HzbLeaseholderView *leaseholder, double requested_cpus, struct timespec now);
 
 /**
- * hzb_shards_recall_for_service: recalls a machine if its work may be what keeps a service of the same team from
- * starting.
+ * hzb_shards_recall_for_service: marks one machine of the shard for recall with its tasks, if a service waits because
+ * its team's quota is used by tasks that are delegated to the leaseholder.
  */
 void hzb_shards_recall_for_service (const HzbLeaseholderView *leaseholder);
--- a/src/shards/shard-leases.c
+++ b/src/shards/shard-leases.c
@@ -1,4 +1,5 @@
-/* The leader's side of leased shards: who holds one, reclaiming it, and what the leader announces to leaseholders. */
+/* The leader's view of leaseholders: reclaims shards, and announces durable results and cancellations to
+ * leaseholders. */
 #include "shard-leases-private.h"
 
 static HzbLeaseholderView *
@@ -10,9 +11,9 @@
   leaseholder->peer = peer;
   hzb_outbox_init (&leaseholder->batches, 0, (HzbOutboxEncode) hzb_shard_batch_encode,
                    (GDestroyNotify) hzb_shard_batch_free);
-  leaseholder->running = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  leaseholder->leaving = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  leaseholder->kinds = g_ptr_array_new ();
+  leaseholder->running_counts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  leaseholder->recalled_counts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  leaseholder->machine_kinds = g_ptr_array_new ();
   return leaseholder;
 }
 
@@ -21,10 +22,10 @@
 {
   hzb_outbox_clear (&leaseholder->batches);
   g_clear_pointer (&leaseholder->incarnation, g_free);
-  g_hash_table_remove_all (leaseholder->running);
-  g_hash_table_remove_all (leaseholder->leaving);
-  leaseholder->fencing_token = leaseholder->events_taken = leaseholder->acknowledged = 0;
-  leaseholder->holds = FALSE;
+  g_hash_table_remove_all (leaseholder->running_counts);
+  g_hash_table_remove_all (leaseholder->recalled_counts);
+  leaseholder->fencing_token = leaseholder->last_event_applied = leaseholder->last_batch_acknowledged = 0;
+  leaseholder->lease_confirmed = FALSE;
   leaseholder->last_poll = leaseholder->steady_since = (struct timespec){ 0 };
 }
 
@@ -33,9 +34,9 @@
 {
   HzbLeaseholderView *leaseholder = data;
   leaseholder_view_reset (leaseholder);
-  g_hash_table_unref (leaseholder->running);
-  g_hash_table_unref (leaseholder->leaving);
-  g_ptr_array_unref (leaseholder->kinds);
+  g_hash_table_unref (leaseholder->running_counts);
+  g_hash_table_unref (leaseholder->recalled_counts);
+  g_ptr_array_unref (leaseholder->machine_kinds);
   g_free (leaseholder);
 }
 
@@ -47,7 +48,7 @@
 
   shard_leases->modules = *dependencies;
   shard_leases->leaseholders = g_ptr_array_new_with_free_func (leaseholder_view_free);
-  shard_leases->cpus = g_new0 (double, peers->len + 1);
+  shard_leases->shard_cpus = g_new0 (double, peers->len + 1);
   for (guint i = 0; i < peers->len; i++)
     g_ptr_array_add (shard_leases->leaseholders,
                      leaseholder_view_new (shard_leases, (guint8) (i + 1), peers->pdata[i]));
@@ -59,7 +60,7 @@
 {
   for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     leaseholder_view_reset (shard_leases->leaseholders->pdata[i]);
-  shard_leases->fencing_tokens = 0;
+  shard_leases->fencing_token_count = 0;
   shard_leases->scanned_at = (struct timespec){ 0 };
 }
 
@@ -67,14 +68,14 @@
 hzb_shard_leases_free (HzbShardLeases *shard_leases)
 {
   g_ptr_array_unref (shard_leases->leaseholders);
-  g_free (shard_leases->cpus);
+  g_free (shard_leases->shard_cpus);
   g_free (shard_leases);
 }
 
 guint64
 hzb_shard_leases_next_fencing_token (HzbShardLeases *shard_leases)
 {
-  return hzb_fencing_token (hzb_election_term (shard_leases->modules.election), ++shard_leases->fencing_tokens);
+  return hzb_fencing_token (hzb_election_term (shard_leases->modules.election), ++shard_leases->fencing_token_count);
 }
 
 const char *
@@ -87,7 +88,7 @@
 /* ---- reclaiming ---- */
 
 static guint
-unverify_machines (HzbLeaseholderView *leaseholder, guint64 fencing_token, const char *why)
+unverify_machines (HzbLeaseholderView *leaseholder, guint64 fencing_token, const char *reason)
 {
   HzbMachines *machines = leaseholder->shard_leases->modules.machines;
   guint n = 0;
@@ -97,7 +98,7 @@
       HzbMachine *machine = machines->all->pdata[i];
       if (!hzb_shards_is_leased_to (machine, leaseholder))
         continue;
-      hzb_machine_unverify (machines, machine, fencing_token, why);
+      hzb_machine_unverify (machines, machine, fencing_token, reason);
       machine->unconfirmed_tasks_of = leaseholder->id;
       n++;
     }
@@ -105,7 +106,7 @@
 }
 
 static guint
-unconfirm_tasks (HzbLeaseholderView *leaseholder)
+mark_tasks_unconfirmed (HzbLeaseholderView *leaseholder)
 {
   HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
   guint n = 0;
@@ -124,21 +125,21 @@
 }
 
 void
-hzb_shards_reclaim (HzbLeaseholderView *leaseholder, const char *why)
+hzb_shards_reclaim (HzbLeaseholderView *leaseholder, const char *reason)
 {
   HzbShardLeases *shard_leases = leaseholder->shard_leases;
   guint64 fencing_token = hzb_shard_leases_next_fencing_token (shard_leases);
-  guint machines = unverify_machines (leaseholder, fencing_token, why);
-  guint tasks = unconfirm_tasks (leaseholder);
+  guint machines = unverify_machines (leaseholder, fencing_token, reason);
+  guint tasks = mark_tasks_unconfirmed (leaseholder);
 
   hzb_shards_clear_counts (leaseholder);
   g_message (
-      "the shard leased to %s is reclaimed with %u machines and %u tasks (%s); its tasks start elsewhere only once "
-      "these machines have answered this leader or are gone",
-      leaseholder->peer->node, machines, tasks, why);
+      "shard of leaseholder %s: reclaimed with %u machines and %u tasks: %s; each of these tasks may start on another "
+      "machine only after all machines of the shard have sent a heartbeat to this leader or are gone",
+      leaseholder->peer->node, machines, tasks, reason);
   hzb_outbox_clear (&leaseholder->batches);
-  leaseholder->fencing_token = leaseholder->events_taken = leaseholder->acknowledged = 0;
-  leaseholder->holds = FALSE;
+  leaseholder->fencing_token = leaseholder->last_event_applied = leaseholder->last_batch_acknowledged = 0;
+  leaseholder->lease_confirmed = FALSE;
   leaseholder->steady_since = hzb_clock_now (shard_leases->modules.node->clock);
 }
 
@@ -150,14 +151,14 @@
   for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     {
       HzbLeaseholderView *leaseholder = shard_leases->leaseholders->pdata[i];
-      if (leaseholder->fencing_token && hzb_time_between (leaseholder->last_poll, now) > HZB_SHARDS_MISSED_POLLS_S)
-        hzb_shards_reclaim (leaseholder, "the leaseholder does not poll");
+      if (leaseholder->fencing_token && hzb_time_between (leaseholder->last_poll, now) > HZB_SHARDS_POLL_TIMEOUT_S)
+        hzb_shards_reclaim (leaseholder, "the leaseholder has stopped polling");
     }
 }
 
 /* ---- announcements ---- */
 
-/* The batch to which durable tasks can still be added. */
+/* Returns: the last batch if durable tasks can still be added to it; otherwise a new batch, which is queued */
 static HzbShardBatch *
 open_durable_batch (HzbLeaseholderView *leaseholder)
 {
@@ -181,7 +182,8 @@
     hzb_task_groups_add (open_durable_batch (leaseholder)->durable, task);
 }
 
-/* A leaseholder's own replica of the records may lag behind, or the key-value store may not serve that node. */
+/* Cancellations are announced because a leaseholder's own replica of the records may lag behind, or the key-value
+ * store may not serve that node. */
 void
 hzb_shard_leases_announce_cancellation (HzbShardLeases *shard_leases, HzbJob *job)
 {
@@ -203,7 +205,7 @@
 static gboolean
 has_unacknowledged_cancellation (const HzbLeaseholderView *leaseholder, const char *uid)
 {
-  for (const GList *l = leaseholder->batches.waiting.head; l; l = l->next)
+  for (const GList *l = leaseholder->batches.unacknowledged.head; l; l = l->next)
     if (g_strcmp0 (((const HzbShardBatch *) l->data)->cancelled_uid, uid) == 0)
       return TRUE;
   return FALSE;
@@ -219,7 +221,7 @@
 }
 
 gboolean
-hzb_shard_leases_all_acknowledged (HzbShardLeases *shard_leases, const HzbJob *job)
+hzb_shard_leases_cancellation_acknowledged (HzbShardLeases *shard_leases, const HzbJob *job)
 {
   for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     {
--- a/src/shards/shard-machines.c
+++ b/src/shards/shard-machines.c
@@ -1,25 +1,27 @@
-/* Which machine is in whose shard. A machine is leased as it comes up or stands idle, handed over with its tasks while the leader
- * is overloaded, and recalled when it is a scale-in candidate or the leader needs it. */
+/* Assigns machines to shards. A machine is leased while it boots or when it is idle, handed over with its tasks
+ * while the leader is overloaded, and recalled when it is a scale-in candidate or the leader needs it. */
 #include "shard-leases-private.h"
 
 #include <string.h>
 
-/* The leader leases machines only to a leaseholder that has polled without interruption for STEADY_S, and lately. */
-#define STEADY_S 3.0
-#define LATELY_S 1.5
-/* A machine with more tasks is not handed over: one message has to name all of them when the machine comes back. */
+/* The leader leases machines only to a leaseholder that has polled without interruption for MIN_STEADY_POLLING_S,
+ * and whose last poll is not older than MAX_POLL_AGE_S. */
+#define MIN_STEADY_POLLING_S 3.0
+#define MAX_POLL_AGE_S 1.5
+/* A machine with more tasks is not handed over, because a single message must name all of them when the machine is
+ * returned. */
 #define MAX_TASKS_HANDED_OVER 400u
-/* A machine with tasks is handed over only to a shard that has less than this part of the leader's CPUs. */
-#define HAND_OVER_CPUS_PART 0.7
-/* Each hand-over keeps its machine from work for about a second, so hand-overs are paced. In a large fleet they follow each other
- * faster, so that every machine could be handed over within HAND_OVER_ALL_MACHINES_S. */
+/* A machine with tasks is handed over only to a shard with less than this fraction of the leader's CPUs. */
+#define HAND_OVER_MAX_CPUS_FRACTION 0.7
+/* A handed-over machine starts no tasks for about a second, so hand-overs are rate limited. In a large fleet the
+ * interval is shorter, so that all machines could be handed over within MAX_HAND_OVER_ALL_S. */
 #define HAND_OVER_INTERVAL_S 0.25
-#define HAND_OVER_ALL_MACHINES_S 10.0
-/* The leader hands machines with tasks over only while its timers fire so late on average. */
-#define OVERLOADED_LAG_S 0.015
+#define MAX_HAND_OVER_ALL_S 10.0
+/* The leader is overloaded, and hands over machines with tasks, while its timers fire at least this late on average. */
+#define MIN_OVERLOAD_LAG_S 0.015
 
 static gboolean
-gang_waits (const HzbJobs *jobs)
+has_waiting_gang (const HzbJobs *jobs)
 {
   for (guint i = 0; i < jobs->active->len; i++)
     {
@@ -30,11 +32,12 @@
   return FALSE;
 }
 
-/* Guards against machines that stand idle in other shards while the only work that waits is bound to the leader's. */
+/* Returns: whether tasks are waiting, and all of them have to run in the leader's shard. Machines leased in this
+ * state would be idle in the other shards. */
 static gboolean
-only_leader_work_waits (const HzbJobs *jobs)
+has_only_leader_work_waiting (const HzbJobs *jobs)
 {
-  gboolean any = FALSE;
+  gboolean any_waiting = FALSE;
   for (guint i = 0; i < jobs->active->len; i++)
     {
       const HzbJob *job = jobs->active->pdata[i];
@@ -42,9 +45,9 @@
         continue;
       if (hzb_job_is_delegable (job))
         return FALSE;
-      any = TRUE;
+      any_waiting = TRUE;
     }
-  return any;
+  return any_waiting;
 }
 
 /* ---- the periodic scan ---- */
@@ -57,9 +60,10 @@
   hzb_shards_push (leaseholder, batch);
 }
 
-/* A leaseholder may start tasks on a machine as soon as it knows of the lease, so the machine has to be on record before. */
+/* Sends the lease only after the machine is recorded, because the leaseholder may start tasks on it as soon as it
+ * receives the lease. */
 static void
-send_lease_once_recorded (HzbLeaseholderView *leaseholder, HzbMachine *machine)
+send_lease_if_recorded (HzbLeaseholderView *leaseholder, HzbMachine *machine)
 {
   if (machine->lease_sent || !machine->recorded)
     return;
@@ -67,20 +71,22 @@
   push_lease (leaseholder, hzb_machine_lease_new (machine));
 }
 
-/* Scale-in candidates are recalled, and left with the leaseholder if there is work for them after all. */
+/* Recalls the machine if it is a scale-in candidate or the leader needs it, and withdraws the recall when the reason
+ * no longer holds. */
 static void
-recall_or_keep (HzbLeaseholderView *leaseholder, HzbMachine *machine, gboolean recall_all)
+update_recall (HzbLeaseholderView *leaseholder, HzbMachine *machine, gboolean recall_all)
 {
-  gboolean back = recall_all || machine->scale_in_candidate || machine->scale_in_requested
-                  || machine->reserved_for_services || machine->recall_at_once;
+  gboolean requested = recall_all || machine->scale_in_candidate || machine->scale_in_requested
+                       || machine->reserved_for_services || machine->recall_at_once;
   HzbShardBatch *batch;
 
-  if (machine->recall_requested == back || !machine->lease_sent)
+  if (machine->recall_requested == requested || !machine->lease_sent)
     return;
-  machine->recall_requested = back;
+  machine->recall_requested = requested;
   batch = hzb_shard_batch_new ();
-  /* Replicas wait for room on the machine. Its tasks come back with it, so that the leader can stop them. */
-  batch->recall = hzb_recall_new (machine->name, back, machine->reserved_for_services || machine->recall_at_once);
+  /* If the machine is reserved for services, replicas wait for it: it is returned with its tasks, so that the leader
+   * can stop them. */
+  batch->recall = hzb_recall_new (machine->name, requested, machine->reserved_for_services || machine->recall_at_once);
   hzb_shards_push (leaseholder, batch);
 }
 
@@ -91,16 +97,16 @@
       machine->state == HZB_MACHINE_LEASED ? hzb_shard_leases_leaseholder (shard_leases, machine->leaseholder) : NULL;
 
   if (machine->type && leaseholder)
-    shard_leases->cpus[machine->leaseholder] += machine->type->cpus;
+    shard_leases->shard_cpus[machine->leaseholder] += machine->type->cpus;
   else if (machine->type && machine->state == HZB_MACHINE_ACTIVE)
-    shard_leases->cpus[0] += machine->type->cpus;
+    shard_leases->shard_cpus[0] += machine->type->cpus;
   if (!leaseholder)
     return;
-  send_lease_once_recorded (leaseholder, machine);
-  if (leaseholder->holds)
-    recall_or_keep (leaseholder, machine, shard_leases->gang_waits || !*shard_leases->modules.leasing_enabled);
+  send_lease_if_recorded (leaseholder, machine);
+  if (leaseholder->lease_confirmed)
+    update_recall (leaseholder, machine, shard_leases->gang_waiting || !*shard_leases->modules.leasing_enabled);
   if (!machine->recall_requested)
-    hzb_machines_add_kind (leaseholder->kinds, machine);
+    hzb_machines_add_kind (leaseholder->machine_kinds, machine);
 }
 
 static gboolean
@@ -111,7 +117,7 @@
          && hzb_time_between (shard_leases->scanned_at, now) < hzb_machines_scan_interval_s (machines);
 }
 
-/* A scan examines every machine, which would be too much at every heartbeat and poll. */
+/* A scan examines every machine, which is too expensive for every heartbeat and poll, so scans are rate limited. */
 void
 hzb_shards_scan (HzbShardLeases *shard_leases, struct timespec now)
 {
@@ -121,11 +127,11 @@
     return;
   shard_leases->scanned_at = now;
   shard_leases->generation = machines->generation;
-  shard_leases->gang_waits = gang_waits (shard_leases->modules.jobs);
-  shard_leases->only_leader_work_waits = only_leader_work_waits (shard_leases->modules.jobs);
-  memset (shard_leases->cpus, 0, (shard_leases->leaseholders->len + 1) * sizeof *shard_leases->cpus);
+  shard_leases->gang_waiting = has_waiting_gang (shard_leases->modules.jobs);
+  shard_leases->only_leader_work_waiting = has_only_leader_work_waiting (shard_leases->modules.jobs);
+  memset (shard_leases->shard_cpus, 0, (shard_leases->leaseholders->len + 1) * sizeof *shard_leases->shard_cpus);
   for (guint i = 0; i < shard_leases->leaseholders->len; i++)
-    g_ptr_array_set_size (((HzbLeaseholderView *) shard_leases->leaseholders->pdata[i])->kinds, 0);
+    g_ptr_array_set_size (((HzbLeaseholderView *) shard_leases->leaseholders->pdata[i])->machine_kinds, 0);
   for (guint i = 0; i < machines->all->len; i++)
     scan_machine (shard_leases, machines->all->pdata[i]);
 }
@@ -133,30 +139,30 @@
 /* ---- leasing ---- */
 
 static gboolean
-may_be_leased_machines (const HzbLeaseholderView *leaseholder, struct timespec now)
+is_polling_steadily (const HzbLeaseholderView *leaseholder, struct timespec now)
 {
-  return hzb_time_is_set (leaseholder->last_poll) && hzb_time_between (leaseholder->last_poll, now) <= LATELY_S
-         && hzb_time_between (leaseholder->steady_since, now) >= STEADY_S;
+  return hzb_time_is_set (leaseholder->last_poll) && hzb_time_between (leaseholder->last_poll, now) <= MAX_POLL_AGE_S
+         && hzb_time_between (leaseholder->steady_since, now) >= MIN_STEADY_POLLING_S;
 }
 
-/* The leaseholder whose shard has the fewest CPUs, if these are fewer than @part of the CPUs that the leader would be left with;
- * NULL if there is none. */
+/* Returns: (nullable): the leaseholder whose shard has the fewest CPUs, if these are less than @max_fraction of the
+ * CPUs that the leader would keep; NULL if there is none */
 static HzbLeaseholderView *
-smallest_leaseholder (HzbShardLeases *shard_leases, const HzbMachine *machine, double part, struct timespec now)
+smallest_leaseholder (HzbShardLeases *shard_leases, const HzbMachine *machine, double max_fraction, struct timespec now)
 {
-  const double *cpus = shard_leases->cpus;
-  double least;
+  const double *cpus = shard_leases->shard_cpus;
+  double cpus_limit;
   HzbLeaseholderView *smallest = NULL;
 
   hzb_shards_scan (shard_leases, now);
-  /* A machine that works for the leader is leased only if that makes the shards more equal. */
-  least = part * (machine->state == HZB_MACHINE_ACTIVE ? cpus[0] - machine->type->cpus : cpus[0]);
+  /* An active machine of the leader is leased only if this reduces the difference between the shards. */
+  cpus_limit = max_fraction * (machine->state == HZB_MACHINE_ACTIVE ? cpus[0] - machine->type->cpus : cpus[0]);
   for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     {
       HzbLeaseholderView *leaseholder = shard_leases->leaseholders->pdata[i];
-      if (may_be_leased_machines (leaseholder, now) && cpus[leaseholder->id] < least)
+      if (is_polling_steadily (leaseholder, now) && cpus[leaseholder->id] < cpus_limit)
         {
-          least = cpus[leaseholder->id];
+          cpus_limit = cpus[leaseholder->id];
           smallest = leaseholder;
         }
     }
@@ -164,31 +170,31 @@
 }
 
 static gboolean
-may_lease (const HzbShardLeases *shard_leases, const HzbMachine *machine)
+can_lease_machine (const HzbShardLeases *shard_leases, const HzbMachine *machine)
 {
   return *shard_leases->modules.leasing_enabled && machine->type && !machine->scale_in_requested
          && !machine->scale_in_candidate && !machine->reserved_for_services && !machine->unreachable
          && machine->known_to_cloud && hzb_ownership_leader_loaded (shard_leases->modules.ownership)
-         && !shard_leases->gang_waits && !shard_leases->only_leader_work_waits;
+         && !shard_leases->gang_waiting && !shard_leases->only_leader_work_waiting;
 }
 
 static void
-lease_to (HzbLeaseholderView *leaseholder, HzbMachine *machine)
+lease_machine_to (HzbLeaseholderView *leaseholder, HzbMachine *machine)
 {
   HzbShardLeases *shard_leases = leaseholder->shard_leases;
 
   if (!leaseholder->fencing_token || machine->fencing_token >= leaseholder->fencing_token)
     leaseholder->fencing_token = hzb_shard_leases_next_fencing_token (shard_leases);
   if (machine->state == HZB_MACHINE_ACTIVE)
-    shard_leases->cpus[0] -= machine->type->cpus;
-  shard_leases->cpus[leaseholder->id] += machine->type->cpus;
+    shard_leases->shard_cpus[0] -= machine->type->cpus;
+  shard_leases->shard_cpus[leaseholder->id] += machine->type->cpus;
   machine->leaseholder = leaseholder->id;
   machine->lease_sent = FALSE;
   hzb_machine_set_state (shard_leases->modules.machines, machine, HZB_MACHINE_LEASED, leaseholder->peer->node);
 }
 
-/* Shards are kept at about the same size. The leader delegates to each as much work as it has room for, so the work that
- * waits is spread evenly as well. */
+/* Leasing keeps the shards at about the same size. The leader delegates as many tasks to each shard as it has CPUs
+ * for, so the waiting tasks are spread evenly as well. */
 const char *
 hzb_shard_leases_lease_idle (HzbShardLeases *shard_leases, HzbMachine *machine)
 {
@@ -197,43 +203,43 @@
 
   hzb_shards_scan (shard_leases, now);
   if ((machine->state != HZB_MACHINE_BOOTING && machine->state != HZB_MACHINE_ACTIVE) || machine->tasks->len
-      || hzb_machine_queued_tasks (machine) || machine->quarantined || !may_lease (shard_leases, machine))
+      || hzb_machine_count_queued_tasks (machine) || machine->quarantined || !can_lease_machine (shard_leases, machine))
     return NULL;
   leaseholder = smallest_leaseholder (shard_leases, machine, 1, now);
   if (!leaseholder)
     return NULL;
-  lease_to (leaseholder, machine);
+  lease_machine_to (leaseholder, machine);
   return leaseholder->peer->node;
 }
 
-/* ---- handing over machines with their tasks ---- */
+/* ---- hand-over of machines with their tasks ---- */
 
 static gboolean
-task_may_move (const HzbTask *task)
+can_hand_over_task (const HzbTask *task)
 {
   return !task->stopping && !task->job->awaits_verdict && task->state != HZB_TASK_RESERVED
          && task->state != HZB_TASK_CHECKPOINTING && hzb_job_is_delegable (task->job);
 }
 
-/* The end of the failover's recovery is not waited for: the heartbeat just received from this machine shows all that is
- * on it. */
+/* A hand-over does not wait for the end of the recovery after a failover, because the heartbeat just received from
+ * this machine shows all tasks on it. */
 static gboolean
-may_hand_over (const HzbShardLeases *shard_leases, const HzbMachine *machine, struct timespec now)
+can_hand_over_machine (const HzbShardLeases *shard_leases, const HzbMachine *machine, struct timespec now)
 {
-  if (shard_leases->modules.dispatch->lag_s < OVERLOADED_LAG_S || hzb_time_before (now, shard_leases->next_hand_over)
+  if (shard_leases->modules.dispatch->lag_s < MIN_OVERLOAD_LAG_S || hzb_time_before (now, shard_leases->next_hand_over)
       || machine->tasks->len > MAX_TASKS_HANDED_OVER || machine->state != HZB_MACHINE_ACTIVE || !machine->verified
-      || !machine->recorded || machine->ignored_answers || machine->quarantined || !may_lease (shard_leases, machine)
-      || !hzb_election_lease_valid (shard_leases->modules.election))
+      || !machine->recorded || machine->ignored_responses || machine->quarantined
+      || !can_lease_machine (shard_leases, machine) || !hzb_election_is_lease_valid (shard_leases->modules.election))
     return FALSE;
   for (guint i = 0; i < machine->tasks->len; i++)
-    if (!task_may_move (machine->tasks->pdata[i]))
+    if (!can_hand_over_task (machine->tasks->pdata[i]))
       return FALSE;
   return TRUE;
 }
 
-/* The tasks of the machine count as delegated from now on. Returns: (transfer full) (element-type HzbHeldTask): them */
+/* Sets all tasks on the machine to delegated. Returns: (transfer full) (element-type HzbHeldTask): these tasks */
 static GArray *
-delegate_tasks_of (HzbLeaseholderView *leaseholder, HzbMachine *machine)
+delegate_machine_tasks (HzbLeaseholderView *leaseholder, HzbMachine *machine)
 {
   HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
   GArray *held = hzb_held_tasks_new ();
@@ -251,9 +257,10 @@
   return held;
 }
 
-/* After a failover the leader has every machine, and under load hardly any machine is ever without tasks. Such a machine goes
- * to a leaseholder with the names of all tasks that may be on it, those started in the last answer included. The
- * leaseholder concludes nothing from the machine until the machine has reported under the shard's fencing token. */
+/* After a failover the leader holds every machine, and under load hardly any machine is without tasks. Such a
+ * machine is leased together with the names of all tasks that may be on it, including those started in the last
+ * answer. The leaseholder draws no conclusion about these tasks until the machine has sent a heartbeat under the
+ * shard's fencing token. */
 const char *
 hzb_shard_leases_hand_over (HzbShardLeases *shard_leases, HzbMachine *machine)
 {
@@ -262,18 +269,18 @@
   HzbMachineLease *lease;
 
   hzb_shards_scan (shard_leases, now);
-  if (!may_hand_over (shard_leases, machine, now))
+  if (!can_hand_over_machine (shard_leases, machine, now))
     return NULL;
-  leaseholder = smallest_leaseholder (shard_leases, machine, HAND_OVER_CPUS_PART, now);
-  /* A machine whose fencing token is not below the shard's would raise the shard's. All machines of the shard would
-   * then be of no use until their next heartbeats. */
+  leaseholder = smallest_leaseholder (shard_leases, machine, HAND_OVER_MAX_CPUS_FRACTION, now);
+  /* Leasing a machine whose fencing token is not below the shard's would raise the fencing token of the shard. No
+   * machine of the shard could then be used until its next heartbeat. */
   if (!leaseholder || (leaseholder->fencing_token && machine->fencing_token >= leaseholder->fencing_token))
     return NULL;
-  shard_leases->next_hand_over = hzb_time_plus (
-      now, MIN (HAND_OVER_INTERVAL_S, HAND_OVER_ALL_MACHINES_S / shard_leases->modules.machines->all->len));
+  shard_leases->next_hand_over =
+      hzb_time_plus (now, MIN (HAND_OVER_INTERVAL_S, MAX_HAND_OVER_ALL_S / shard_leases->modules.machines->all->len));
   lease = hzb_machine_lease_new (machine);
-  lease->holds = delegate_tasks_of (leaseholder, machine);
-  lease_to (leaseholder, machine);
+  lease->held_tasks = delegate_machine_tasks (leaseholder, machine);
+  lease_machine_to (leaseholder, machine);
   machine->lease_sent = TRUE;
   push_lease (leaseholder, lease);
   return leaseholder->peer->node;
--- a/src/shards/shard-messages.c
+++ b/src/shards/shard-messages.c
@@ -2,7 +2,7 @@
 
 #include "json.h"
 
-/* ---- tasks on machines that change hands ---- */
+/* ---- tasks on machines that move to another shard ---- */
 
 static void
 held_task_clear (gpointer data)
@@ -21,8 +21,8 @@
 void
 hzb_held_tasks_add (GArray *held, const HzbTask *task)
 {
-  HzbHeldTask added = { g_strdup (task->job->uid), (int) task->index, task->attempt, task->state == HZB_TASK_RUNNING };
-  g_array_append_val (held, added);
+  HzbHeldTask entry = { g_strdup (task->job->uid), (int) task->index, task->attempt, task->state == HZB_TASK_RUNNING };
+  g_array_append_val (held, entry);
 }
 
 static cJSON *
@@ -36,14 +36,14 @@
       cJSON_AddStringToObject (item, "job", task->uid);
       cJSON_AddNumberToObject (item, "task", task->number);
       hzb_json_add_u64 (item, "attempt", task->attempt);
-      cJSON_AddBoolToObject (item, "runs", task->runs);
+      cJSON_AddBoolToObject (item, "runs", task->running);
       cJSON_AddItemToArray (list, item);
     }
   return list;
 }
 
-/* An entry that names no job is kept as a task that is unknown here. Without it the receiver would conclude that the machine
- * holds fewer tasks than it may hold. */
+/* An entry that names no job is kept as an unknown task. If it were left out, the receiver would assume that the
+ * machine holds fewer tasks than it may hold. */
 static GArray *
 held_tasks_decode (const cJSON *list)
 {
@@ -68,7 +68,7 @@
   g_free (lease->addr);
   g_free (lease->type);
   g_free (lease->zone);
-  g_clear_pointer (&lease->holds, g_array_unref);
+  g_clear_pointer (&lease->held_tasks, g_array_unref);
   g_free (lease);
 }
 
@@ -97,8 +97,8 @@
   cJSON_AddBoolToObject (message, "spot", lease->spot);
   hzb_json_add_u64 (message, "session", lease->agent_epoch);
   hzb_json_add_u64 (message, "seq", lease->sequence);
-  if (lease->holds)
-    cJSON_AddItemToObject (message, "holds", held_tasks_encode (lease->holds));
+  if (lease->held_tasks)
+    cJSON_AddItemToObject (message, "holds", held_tasks_encode (lease->held_tasks));
   return message;
 }
 
@@ -118,7 +118,7 @@
   lease->spot = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "spot"));
   lease->agent_epoch = hzb_json_u64 (message, "session");
   lease->sequence = hzb_json_u64 (message, "seq");
-  lease->holds = holds ? held_tasks_decode (holds) : NULL;
+  lease->held_tasks = holds ? held_tasks_decode (holds) : NULL;
   return lease;
 }
 
@@ -128,20 +128,20 @@
 hzb_machine_return_free (HzbMachineReturn *returned)
 {
   g_free (returned->name);
-  g_free (returned->why);
-  g_array_unref (returned->lost);
+  g_free (returned->reason);
+  g_array_unref (returned->held_tasks);
   g_free (returned);
 }
 
 HzbMachineReturn *
-hzb_machine_return_new (const char *name, const char *why, guint64 agent_epoch, guint64 sequence)
+hzb_machine_return_new (const char *name, const char *reason, guint64 agent_epoch, guint64 sequence)
 {
   HzbMachineReturn *returned = g_new0 (HzbMachineReturn, 1);
   returned->name = g_strdup (name);
-  returned->why = g_strdup (why);
+  returned->reason = g_strdup (reason);
   returned->agent_epoch = agent_epoch;
   returned->sequence = sequence;
-  returned->lost = hzb_held_tasks_new ();
+  returned->held_tasks = hzb_held_tasks_new ();
   return returned;
 }
 
@@ -150,11 +150,11 @@
 {
   cJSON *message = cJSON_CreateObject ();
   cJSON_AddStringToObject (message, "machine", returned->name);
-  cJSON_AddStringToObject (message, "why", returned->why);
+  cJSON_AddStringToObject (message, "why", returned->reason);
   cJSON_AddBoolToObject (message, "sick", returned->faulty);
   hzb_json_add_u64 (message, "session", returned->agent_epoch);
   hzb_json_add_u64 (message, "seq", returned->sequence);
-  cJSON_AddItemToObject (message, "lost", held_tasks_encode (returned->lost));
+  cJSON_AddItemToObject (message, "lost", held_tasks_encode (returned->held_tasks));
   return message;
 }
 
@@ -169,19 +169,19 @@
   returned = hzb_machine_return_new (name, hzb_json_text (message, "why"), hzb_json_u64 (message, "session"),
                                      hzb_json_u64 (message, "seq"));
   returned->faulty = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "sick"));
-  g_array_unref (returned->lost);
-  returned->lost = held_tasks_decode (cJSON_GetObjectItemCaseSensitive (message, "lost"));
+  g_array_unref (returned->held_tasks);
+  returned->held_tasks = held_tasks_decode (cJSON_GetObjectItemCaseSensitive (message, "lost"));
   return returned;
 }
 
 /* ---- recalls ---- */
 
 HzbRecall *
-hzb_recall_new (const char *machine, gboolean back, gboolean at_once)
+hzb_recall_new (const char *machine, gboolean requested, gboolean at_once)
 {
   HzbRecall *recall = g_new0 (HzbRecall, 1);
   recall->machine = g_strdup (machine);
-  recall->back = back;
+  recall->requested = requested;
   recall->at_once = at_once;
   return recall;
 }
@@ -197,8 +197,8 @@
 hzb_recall_encode (const HzbRecall *recall)
 {
   cJSON *message = cJSON_CreateObject ();
-  cJSON_AddStringToObject (message, recall->back ? "back" : "keep", recall->machine);
-  if (recall->back && recall->at_once)
+  cJSON_AddStringToObject (message, recall->requested ? "back" : "keep", recall->machine);
+  if (recall->requested && recall->at_once)
     cJSON_AddTrueToObject (message, "now");
   return message;
 }
--- a/src/shards/shard-poll-messages.c
+++ b/src/shards/shard-poll-messages.c
@@ -4,7 +4,7 @@
 #include "json.h"
 
 static const cJSON *
-member (const cJSON *message, const char *name)
+get_member (const cJSON *message, const char *name)
 {
   return cJSON_GetObjectItemCaseSensitive (message, name);
 }
@@ -51,8 +51,8 @@
   batch->message.number = hzb_json_u64 (message, "n");
   batch->lease = hzb_machine_lease_decode (message);
   batch->recall = hzb_recall_decode (message);
-  batch->delegated = hzb_task_groups_decode (member (message, "tasks"));
-  batch->durable = hzb_task_groups_decode (member (message, "durable"));
+  batch->delegated = hzb_task_groups_decode (get_member (message, "tasks"));
+  batch->durable = hzb_task_groups_decode (get_member (message, "durable"));
   batch->cancelled_uid = g_strdup (hzb_json_text (message, "cancelled"));
   return batch;
 }
@@ -94,9 +94,9 @@
 {
   HzbShardEvent *event = hzb_shard_event_new ();
   event->message.number = hzb_json_u64 (message, "n");
-  event->finished = hzb_task_groups_decode (member (message, "finished"));
+  event->finished = hzb_task_groups_decode (get_member (message, "finished"));
   event->ran_s = hzb_json_number (message, "ranS", 0);
-  event->returned = hzb_task_groups_decode (member (message, "returned"));
+  event->returned = hzb_task_groups_decode (get_member (message, "returned"));
   event->machine = hzb_machine_return_decode (message);
   return event;
 }
@@ -120,8 +120,8 @@
 void
 hzb_job_counts_add (GArray *counts, const char *uid, guint count)
 {
-  HzbJobCount added = { g_strdup (uid), count };
-  g_array_append_val (counts, added);
+  HzbJobCount entry = { g_strdup (uid), count };
+  g_array_append_val (counts, entry);
 }
 
 static cJSON *
@@ -153,8 +153,8 @@
 hzb_shard_poll_new (void)
 {
   HzbShardPoll *poll = g_new0 (HzbShardPoll, 1);
-  poll->leaving = hzb_job_counts_new ();
-  poll->running = hzb_job_counts_new ();
+  poll->recalled_counts = hzb_job_counts_new ();
+  poll->running_counts = hzb_job_counts_new ();
   return poll;
 }
 
@@ -165,8 +165,8 @@
   g_free (poll->incarnation);
   g_clear_pointer (&poll->cancellations, g_array_unref);
   g_clear_pointer (&poll->events, g_ptr_array_unref);
-  g_array_unref (poll->leaving);
-  g_array_unref (poll->running);
+  g_array_unref (poll->recalled_counts);
+  g_array_unref (poll->running_counts);
   g_free (poll);
 }
 
@@ -180,13 +180,13 @@
   if (!poll->fencing_token)
     return;
   hzb_json_add_u64 (message, "token", poll->fencing_token);
-  hzb_json_add_u64 (message, "have", poll->have);
+  hzb_json_add_u64 (message, "have", poll->last_batch_applied);
   events = cJSON_AddArrayToObject (message, "events");
   for (guint i = 0; poll->events && i < poll->events->len; i++)
     cJSON_AddItemToArray (events, hzb_shard_event_encode (poll->events->pdata[i]));
-  cJSON_AddNumberToObject (message, "room", poll->room_cpus);
-  cJSON_AddItemToObject (message, "leaving", job_counts_encode (poll->leaving));
-  cJSON_AddItemToObject (message, "running", job_counts_encode (poll->running));
+  cJSON_AddNumberToObject (message, "room", poll->requested_cpus);
+  cJSON_AddItemToObject (message, "leaving", job_counts_encode (poll->recalled_counts));
+  cJSON_AddItemToObject (message, "running", job_counts_encode (poll->running_counts));
   if (poll->partial_counts)
     cJSON_AddTrueToObject (message, "partial");
 }
@@ -201,14 +201,14 @@
   poll->incarnation = g_strdup (hzb_json_text (message, "incarnation"));
   poll->cancellations = hzb_cancellation_request_decode (message);
   poll->fencing_token = hzb_json_u64 (message, "token");
-  poll->have = hzb_json_u64 (message, "have");
+  poll->last_batch_applied = hzb_json_u64 (message, "have");
   poll->events = g_ptr_array_new_with_free_func ((GDestroyNotify) hzb_shard_event_free);
-  cJSON_ArrayForEach (event, member (message, "events"))
+  cJSON_ArrayForEach (event, get_member (message, "events"))
     g_ptr_array_add (poll->events, hzb_shard_event_decode (event));
-  poll->room_cpus = hzb_json_number (message, "room", 0);
-  poll->leaving = job_counts_decode (member (message, "leaving"));
-  poll->running = job_counts_decode (member (message, "running"));
-  poll->partial_counts = cJSON_IsTrue (member (message, "partial"));
+  poll->requested_cpus = hzb_json_number (message, "room", 0);
+  poll->recalled_counts = job_counts_decode (get_member (message, "leaving"));
+  poll->running_counts = job_counts_decode (get_member (message, "running"));
+  poll->partial_counts = cJSON_IsTrue (get_member (message, "partial"));
   return poll;
 }
 
@@ -221,7 +221,8 @@
   g_clear_pointer (&answer->batches, g_ptr_array_unref);
 }
 
-/* The order of the members is that of the versions before: a trace compares the bytes. */
+/* The order of the members is the same as in earlier versions, because the comparison of behaviour traces compares
+ * the bytes. */
 void
 hzb_shard_answer_encode (const HzbShardAnswer *answer, cJSON *message)
 {
@@ -234,13 +235,13 @@
   if (batches)
     cJSON_AddItemToObject (message, "batches", batches);
   hzb_json_add_u64 (message, "term", answer->term);
-  if (answer->end)
+  if (answer->reclaimed)
     {
       cJSON_AddTrueToObject (message, "end");
       return;
     }
   hzb_json_add_u64 (message, "token", answer->fencing_token);
-  hzb_json_add_u64 (message, "have", answer->have);
+  hzb_json_add_u64 (message, "have", answer->last_event_applied);
   cJSON_AddNumberToObject (message, "leaseS", answer->lease_s);
 }
 
@@ -251,11 +252,11 @@
 
   answer->acknowledged_uids = hzb_cancellation_response_decode (message);
   answer->batches = g_ptr_array_new_with_free_func ((GDestroyNotify) hzb_shard_batch_free);
-  cJSON_ArrayForEach (batch, member (message, "batches"))
+  cJSON_ArrayForEach (batch, get_member (message, "batches"))
     g_ptr_array_add (answer->batches, hzb_shard_batch_decode (batch));
   answer->term = hzb_json_u64 (message, "term");
-  answer->end = cJSON_IsTrue (member (message, "end"));
+  answer->reclaimed = cJSON_IsTrue (get_member (message, "end"));
   answer->fencing_token = hzb_json_u64 (message, "token");
-  answer->have = hzb_json_u64 (message, "have");
+  answer->last_event_applied = hzb_json_u64 (message, "have");
   answer->lease_s = hzb_json_number (message, "leaseS", 0);
 }
--- a/src/shards/shard-poll-messages.h
+++ b/src/shards/shard-poll-messages.h
@@ -3,9 +3,10 @@
  * SECTION: shard-poll-messages
  * The poll of a leaseholder and the leader's answer, and their encoding.
  *
- * A leaseholder polls the leader about twice a second. The poll carries numbered events, the answer numbered batches; each side
- * repeats them until the other has acknowledged them (outbox.h). shard-messages.h encodes what they say of machines,
- * task-group-messages.h how they name tasks. What cancellations have to say rides along in both, encoded by their own module.
+ * A leaseholder polls the leader about twice a second. The poll carries numbered events, the answer numbered batches;
+ * each side repeats them until the other has acknowledged them (outbox.h). shard-messages.h encodes machines, and
+ * task-group-messages.h encodes tasks. Polls and answers also carry requests and acknowledgements of cancellations,
+ * which cancellation-messages.h encodes.
  */
 #pragma once
 #include "outbox.h"
@@ -13,124 +14,134 @@
 #include "task-group-messages.h"
 
 /**
- * HzbShardBatch: something that the leader tells a leaseholder.
+ * HzbShardBatch: a message from the leader to a leaseholder.
  *
- * Exactly one member beside message is set when it is encoded.
+ * Exactly one member other than message is set when the batch is encoded.
  */
 typedef struct
 {
-  HzbOutboxMessage message; /**< its place in the leader's outbox */
+  HzbOutboxMessage message; /**< number and state in the leader's outbox */
   HzbMachineLease *lease;   /**< (nullable): a machine that joins the shard */
-  HzbRecall *recall;        /**< (nullable): a machine that should leave the shard, or stay after all */
+  HzbRecall *recall;        /**< (nullable): a recall of a machine, or its withdrawal */
   HzbTaskGroups *delegated; /**< (nullable): unstarted tasks that the leaseholder may start */
-  HzbTaskGroups *durable;   /**< (nullable): tasks whose result is durable, so that workers may forget it */
-  char *cancelled_uid;      /**< (nullable): a job that was cancelled */
+  HzbTaskGroups *durable;   /**< (nullable): tasks whose result is durable, so that their workers may drop it */
+  char *cancelled_uid;      /**< (nullable): uid of a job that was cancelled */
 } HzbShardBatch;
 
-/** hzb_shard_batch_new: Returns: (transfer full): with nothing in it */
+/** hzb_shard_batch_new: Returns: (transfer full): a batch without content */
 HzbShardBatch *hzb_shard_batch_new (void);
 
-/** hzb_shard_batch_free: frees a batch and what it holds. */
+/** hzb_shard_batch_free: frees a batch and its members. */
 void hzb_shard_batch_free (HzbShardBatch *batch);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbShardBatch, hzb_shard_batch_free)
 
-/** hzb_shard_batch_encode: Returns: (transfer full) */
+/** hzb_shard_batch_encode: Returns: (transfer full): the wire format of the batch */
 cJSON *hzb_shard_batch_encode (const HzbShardBatch *batch);
 
-/** hzb_shard_batch_decode: Returns: (transfer full) */
+/**
+ * hzb_shard_batch_decode: Returns: (transfer full): the decoded batch; members that the message does not have are unset
+ */
 HzbShardBatch *hzb_shard_batch_decode (const cJSON *message);
 
 /**
- * HzbShardEvent: something that a leaseholder tells the leader.
+ * HzbShardEvent: a message from a leaseholder to the leader.
  *
- * Exactly one of finished, returned and machine is set when it is encoded.
+ * Exactly one of finished, returned and machine is set when the event is encoded.
  */
 typedef struct
 {
-  HzbOutboxMessage message;  /**< its place in the leaseholder's outbox */
-  HzbTaskGroups *finished;   /**< (nullable): tasks that succeeded, and whose result the leader makes durable */
-  double ran_s;              /**< with finished: for how long they ran, in seconds */
-  HzbTaskGroups *returned;   /**< (nullable): tasks that the leaseholder has not started and has dropped */
-  HzbMachineReturn *machine; /**< (nullable): a machine that the leaseholder gives back */
+  HzbOutboxMessage message;  /**< number and state in the leaseholder's outbox */
+  HzbTaskGroups *finished;   /**< (nullable): tasks that succeeded; the leader makes their result durable */
+  double ran_s;              /**< if finished is set: run time of these tasks, in seconds */
+  HzbTaskGroups *returned;   /**< (nullable): tasks that the leaseholder returns unstarted */
+  HzbMachineReturn *machine; /**< (nullable): a machine that the leaseholder returns */
 } HzbShardEvent;
 
-/** hzb_shard_event_new: Returns: (transfer full): with nothing in it */
+/** hzb_shard_event_new: Returns: (transfer full): an event without content */
 HzbShardEvent *hzb_shard_event_new (void);
 
-/** hzb_shard_event_free: frees an event and what it holds. */
+/** hzb_shard_event_free: frees an event and its members. */
 void hzb_shard_event_free (HzbShardEvent *event);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbShardEvent, hzb_shard_event_free)
 
-/** hzb_shard_event_encode: Returns: (transfer full) */
+/** hzb_shard_event_encode: Returns: (transfer full): the wire format of the event */
 cJSON *hzb_shard_event_encode (const HzbShardEvent *event);
 
-/** hzb_shard_event_decode: Returns: (transfer full) */
+/**
+ * hzb_shard_event_decode: Returns: (transfer full): the decoded event; members that the message does not have are unset
+ */
 HzbShardEvent *hzb_shard_event_decode (const cJSON *message);
 
-/** HzbJobCount: how many tasks of one job a leaseholder speaks of. */
+/** HzbJobCount: a number of tasks of one job. */
 typedef struct
 {
-  char *uid;   /**< of the job */
-  guint count; /**< of its tasks */
+  char *uid;   /**< uid of the job */
+  guint count; /**< number of tasks */
 } HzbJobCount;
 
-/** hzb_job_counts_new: Returns: (transfer full) (element-type HzbJobCount): none yet */
+/** hzb_job_counts_new: Returns: (transfer full) (element-type HzbJobCount): an empty array */
 GArray *hzb_job_counts_new (void);
 
-/** hzb_job_counts_add: says that of the job uid (copied) there are count tasks. */
+/** hzb_job_counts_add: appends the number of tasks count of the job uid (copied) to counts. */
 void hzb_job_counts_add (GArray *counts, const char *uid, guint count);
 
 /**
- * HzbShardPoll: what a leaseholder asks and tells the leader.
+ * HzbShardPoll: the request that a leaseholder, or a node without a shard, sends to the leader.
  *
- * A node that holds no shard sends fencing_token 0 and none of the members below it.
+ * A node that holds no shard has fencing_token 0; the members below fencing_token are not sent then.
  */
 typedef struct
 {
-  char *node;              /**< (nullable): the sender; decoded only, see hzb_peers_message() */
-  char *incarnation;       /**< (nullable): the sender's process; decoded only */
-  GArray *cancellations;   /**< (nullable) (element-type HzbCancellation): the leader is asked to acknowledge these */
-  guint64 fencing_token;   /**< of the shard that the sender holds; 0: none */
-  guint64 have;            /**< all batches up to this number have come */
-  GPtrArray *events;       /**< (nullable) (element-type HzbShardEvent) */
-  double room_cpus;        /**< CPUs' worth of tasks that the sender wants to be delegated */
-  GArray *leaving;         /**< (element-type HzbJobCount): tasks on machines that the leader recalled */
-  GArray *running;         /**< (element-type HzbJobCount): tasks that run in the shard */
-  gboolean partial_counts; /**< jobs that are not named stay as they were; else none of theirs leaves or runs */
+  char *node;            /**< (nullable): name of the sender; set by decoding only, see hzb_peers_new_message() */
+  char *incarnation;     /**< (nullable): incarnation of the sender's process; set by decoding only */
+  GArray *cancellations; /**< (nullable) (element-type HzbCancellation): the leader is asked to acknowledge these */
+  guint64 fencing_token; /**< fencing token of the shard that the sender holds; 0: none */
+  guint64 last_batch_applied; /**< acknowledges all batches up to this number */
+  GPtrArray *events;       /**< (nullable) (element-type HzbShardEvent): events that the leader has not acknowledged */
+  double requested_cpus;   /**< total CPUs of the tasks that the sender asks the leader to delegate */
+  GArray *recalled_counts; /**< (element-type HzbJobCount): tasks on machines that the leader has recalled */
+  GArray *running_counts;  /**< (element-type HzbJobCount): tasks that run in the shard */
+  gboolean partial_counts; /**< jobs that are not named keep their counts; FALSE: their counts are 0 */
 } HzbShardPoll;
 
-/** hzb_shard_poll_new: Returns: (transfer full): of a node that holds no shard */
+/** hzb_shard_poll_new: Returns: (transfer full): the poll of a node that holds no shard */
 HzbShardPoll *hzb_shard_poll_new (void);
 
-/** hzb_shard_poll_free: frees a poll and what it holds. */
+/** hzb_shard_poll_free: frees a poll and its members. */
 void hzb_shard_poll_free (HzbShardPoll *poll);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbShardPoll, hzb_shard_poll_free)
 
-/** hzb_shard_poll_encode: adds the poll to a message that hzb_peers_message() has begun. */
+/** hzb_shard_poll_encode: adds the poll to a message that hzb_peers_new_message() has created. */
 void hzb_shard_poll_encode (const HzbShardPoll *poll, cJSON *message);
 
-/** hzb_shard_poll_decode: Returns: (transfer full) */
+/**
+ * hzb_shard_poll_decode: Returns: (transfer full): the decoded poll; malformed members are unset, malformed counts left
+ * out
+ */
 HzbShardPoll *hzb_shard_poll_decode (const cJSON *message);
 
 /** HzbShardAnswer: the leader's answer to a poll. */
 typedef struct
 {
-  char **
-      acknowledged_uids; /**< (nullable): jobs whose cancellation the leader acknowledges, NULL: it was not asked; an answer that was decoded has an array */
-  GPtrArray *batches;    /**< (nullable) (element-type HzbShardBatch) */
-  guint64 term;          /**< of the leader */
-  gboolean end;          /**< the shard was reclaimed; what is below is not sent then */
-  guint64 fencing_token; /**< of the shard that the leader leases to the asker; 0: none */
-  guint64 have;          /**< all events up to this number have come */
-  double lease_s;        /**< how long the lease lasts, in seconds from when the poll was sent */
+  /**
+   * (nullable): uids of the jobs whose cancellation the leader acknowledges; NULL: the poll did not ask. Never NULL in
+   * a decoded answer.
+   */
+  char **acknowledged_uids;
+  GPtrArray *batches;         /**< (nullable) (element-type HzbShardBatch): batches that are not acknowledged */
+  guint64 term;               /**< term of the leader */
+  gboolean reclaimed;         /**< the shard was reclaimed; the members below are not sent then */
+  guint64 fencing_token;      /**< fencing token of the shard that is leased to the polling node; 0: none */
+  guint64 last_event_applied; /**< acknowledges all events up to this number */
+  double lease_s;             /**< duration of the lease in seconds, counted from when the poll was sent */
 } HzbShardAnswer;
 
-/** hzb_shard_answer_clear: frees what the answer holds, but not the answer itself. */
+/** hzb_shard_answer_clear: frees the members of the answer, but not the answer itself. */
 void hzb_shard_answer_clear (HzbShardAnswer *answer);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HzbShardAnswer, hzb_shard_answer_clear)
 
 /** hzb_shard_answer_encode: adds the answer to message. */
 void hzb_shard_answer_encode (const HzbShardAnswer *answer, cJSON *message);
 
-/** hzb_shard_answer_decode: fills answer, to be cleared with hzb_shard_answer_clear(). */
+/** hzb_shard_answer_decode: fills answer from message; the caller clears it with hzb_shard_answer_clear(). */
 void hzb_shard_answer_decode (const cJSON *message, HzbShardAnswer *answer);
--- a/src/shards/shard-requests.c
+++ b/src/shards/shard-requests.c
@@ -1,11 +1,11 @@
-/* The leader answers the polls of leaseholders. */
+/* The leader answers the polls of leaseholders, and renews their leases. */
 #include "json.h"
 #include "shard-leases-private.h"
 #include "user-protocol.h"
 
-#define LEASE_S 10.0 /* how long a lease lasts from when the poll was sent; the design page names this value */
+#define SHARD_LEASE_S 10.0 /* lease duration from when the poll was sent; the design documentation states it */
 
-/* Returns: (nullable): NULL if no other node has that name */
+/* Returns: (nullable): NULL if node is NULL or no other node has this name */
 static HzbLeaseholderView *
 find_leaseholder (HzbShardLeases *shard_leases, const char *node)
 {
@@ -18,45 +18,47 @@
   return NULL;
 }
 
-/* A leaseholder that restarted knows nothing of the shard that its earlier process held. */
+/* Reclaims the shard if the leaseholder has restarted, because the new process does not have the state of the shard. */
 static void
-note_incarnation (HzbLeaseholderView *leaseholder, const char *incarnation, struct timespec now)
+update_incarnation (HzbLeaseholderView *leaseholder, const char *incarnation, struct timespec now)
 {
   if (g_strcmp0 (leaseholder->incarnation, incarnation) == 0)
     return;
   if (leaseholder->fencing_token)
-    hzb_shards_reclaim (leaseholder, "the leaseholder restarted");
+    hzb_shards_reclaim (leaseholder, "the leaseholder has restarted");
   g_free (leaseholder->incarnation);
   leaseholder->incarnation = g_strdup (incarnation);
   leaseholder->steady_since = now;
 }
 
+/* A pause of more than HZB_SHARDS_POLL_TIMEOUT_S interrupts the node's polling. */
 static void
-note_poll_time (HzbLeaseholderView *leaseholder, struct timespec now)
+update_poll_time (HzbLeaseholderView *leaseholder, struct timespec now)
 {
   if (hzb_time_is_set (leaseholder->last_poll)
-      && hzb_time_between (leaseholder->last_poll, now) > HZB_SHARDS_MISSED_POLLS_S)
+      && hzb_time_between (leaseholder->last_poll, now) > HZB_SHARDS_POLL_TIMEOUT_S)
     leaseholder->steady_since = now;
   leaseholder->last_poll = now;
 }
 
-/* Compares what the leaseholder says it holds with what was leased to it. */
+/* Compares the shard that the poll states with the leased shard. Reclaims the shard if the leaseholder has released
+ * it, or has lost batches that it acknowledged earlier. */
 static void
-reclaim_if_given_up (HzbLeaseholderView *leaseholder, const HzbShardPoll *poll)
+reclaim_if_not_held (HzbLeaseholderView *leaseholder, const HzbShardPoll *poll)
 {
   if (!poll->fencing_token)
     {
-      if (leaseholder->holds)
-        hzb_shards_reclaim (leaseholder, "the leaseholder gave its lease up");
+      if (leaseholder->lease_confirmed)
+        hzb_shards_reclaim (leaseholder, "the leaseholder has released its lease");
       return;
     }
   if (poll->fencing_token != leaseholder->fencing_token)
     return;
-  leaseholder->holds = TRUE;
-  /* A leaseholder that restarted, or runs schema version 1, may renew the lease without the machines and tasks that were
-   * already sent to it. Reclaim the shard: otherwise those tasks would never be reported again. */
-  if (poll->have < leaseholder->acknowledged)
-    hzb_shards_reclaim (leaseholder, "the leaseholder lost what it had acknowledged");
+  leaseholder->lease_confirmed = TRUE;
+  /* A leaseholder that has restarted, or that runs schema version 1, may renew the lease without the machines and
+   * tasks that were already sent to it. Without a reclaim these tasks would never be reported again. */
+  if (poll->last_batch_applied < leaseholder->last_batch_acknowledged)
+    hzb_shards_reclaim (leaseholder, "the leaseholder has lost machines or tasks that it had acknowledged");
 }
 
 static void
@@ -65,30 +67,30 @@
   for (guint i = 0; i < events->len; i++)
     {
       const HzbShardEvent *event = events->pdata[i];
-      if (event->message.number != leaseholder->events_taken + 1)
-        continue; /* the leaseholder repeats the event, since the answer that acknowledged it was lost */
-      leaseholder->events_taken++;
+      if (event->message.number != leaseholder->last_event_applied + 1)
+        continue; /* the leaseholder repeats the event until it receives the acknowledgement */
+      leaseholder->last_event_applied++;
       hzb_shards_apply_event (leaseholder, event);
     }
 }
 
-/* Applies what a leaseholder that holds its shard reports, and delegates tasks to it for the room that it states. */
+/* Applies the poll of a leaseholder that holds its shard, and delegates tasks for the CPUs that the poll requests. */
 static void
 apply_poll (HzbLeaseholderView *leaseholder, const HzbShardPoll *poll, struct timespec now)
 {
   /* Batches that the poll does not acknowledge are sent again: the answer that carried them may have been lost. */
-  leaseholder->acknowledged = MAX (leaseholder->acknowledged, poll->have);
-  hzb_outbox_acknowledge (&leaseholder->batches, leaseholder->acknowledged);
+  leaseholder->last_batch_acknowledged = MAX (leaseholder->last_batch_acknowledged, poll->last_batch_applied);
+  hzb_outbox_acknowledge (&leaseholder->batches, leaseholder->last_batch_acknowledged);
   apply_events (leaseholder, poll->events);
   hzb_shards_apply_counts (leaseholder, poll);
   hzb_shards_recall_for_service (leaseholder);
-  /* The room that the poll states does not consider batches that the leaseholder has not taken yet. Delegating before it has
-   * would fill the same room twice. */
-  if (!leaseholder->batches.waiting.length)
-    hzb_shards_delegate (leaseholder, poll->room_cpus, now);
+  /* The requested CPUs do not account for batches that the leaseholder has not applied yet. Delegating before it has
+   * applied them would fill the same CPUs twice. */
+  if (!leaseholder->batches.unacknowledged.length)
+    hzb_shards_delegate (leaseholder, poll->requested_cpus, now);
 }
 
-/* The leaseholder polls under a fencing token whose shard was reclaimed, or which an earlier leader gave out. */
+/* Returns: whether the poll has the fencing token of a shard that was reclaimed, or that an earlier leader leased */
 static gboolean
 holds_reclaimed_shard (const HzbLeaseholderView *leaseholder, const HzbShardPoll *poll, guint64 term)
 {
@@ -108,17 +110,17 @@
              struct timespec now)
 {
   const HzbShardLeasesDependencies *modules = &leaseholder->shard_leases->modules;
-  g_auto (HzbShardAnswer) answer = { .term = hzb_election_term (modules->election), .lease_s = LEASE_S };
+  g_auto (HzbShardAnswer) answer = { .term = hzb_election_term (modules->election), .lease_s = SHARD_LEASE_S };
 
   if (poll->cancellations)
     answer.acknowledged_uids = hzb_cancellations_acknowledge (modules->cancellations, poll->cancellations);
-  answer.end = holds_reclaimed_shard (leaseholder, poll, answer.term);
-  if (!answer.end)
+  answer.reclaimed = holds_reclaimed_shard (leaseholder, poll, answer.term);
+  if (!answer.reclaimed)
     {
       if (poll->fencing_token)
         apply_poll (leaseholder, poll, now);
       answer.fencing_token = leaseholder->fencing_token;
-      answer.have = leaseholder->events_taken;
+      answer.last_event_applied = leaseholder->last_event_applied;
       answer.batches = hzb_outbox_send (&leaseholder->batches);
     }
   respond (http_request, &answer);
@@ -132,16 +134,16 @@
   HzbLeaseholderView *leaseholder = find_leaseholder (shard_leases, poll->node);
   struct timespec now = hzb_clock_now (modules->node->clock);
 
-  if (hzb_election_leading (modules->election))
+  if (hzb_election_is_leader (modules->election))
     hzb_shards_scan (shard_leases, now);
-  if (!leaseholder || !poll->incarnation || !hzb_election_leading (modules->election)
+  if (!leaseholder || !poll->incarnation || !hzb_election_is_leader (modules->election)
       || !hzb_ownership_leader_loaded (modules->ownership))
     {
       hzb_http_request_respond (http_request, 503, hzb_error_response_encode ("no blocks to lease here"), 0);
       return;
     }
-  note_incarnation (leaseholder, poll->incarnation, now);
-  note_poll_time (leaseholder, now);
-  reclaim_if_given_up (leaseholder, poll);
+  update_incarnation (leaseholder, poll->incarnation, now);
+  update_poll_time (leaseholder, now);
+  reclaim_if_not_held (leaseholder, poll);
   answer_poll (leaseholder, http_request, poll, now);
 }
--- a/src/shards/shard-status-codec.c
+++ b/src/shards/shard-status-codec.c
@@ -1,4 +1,4 @@
-/* The leader's view of all shards, for the administration API. */
+/* The status of all shards on the leader, and its encoding for the administration API. */
 #include "shard-status-codec.h"
 
 #include "json.h"
--- a/src/shards/shard-status-codec.h
+++ b/src/shards/shard-status-codec.h
@@ -1,22 +1,22 @@
 /**
  * @file
  * SECTION: shard-status-codec
- * What the administration API shows of a shard, and its encoding.
+ * The status of a shard in the administration API, and its encoding.
  */
 #pragma once
 #include <cjson/cJSON.h>
 #include <glib.h>
 
-/** HzbShardStatus: one shard. */
+/** HzbShardStatus: the status of one shard. */
 typedef struct
 {
-  const char *holder;    /**< (not owned): the node that decides about it */
-  guint64 fencing_token; /**< of the shard; 0: the node holds none */
-  guint machines;        /**< in it, of a known type; of the leader's own shard the active ones */
-  double cpus;           /**< of these machines */
-  gboolean leased;       /**< FALSE: it is the leader's own shard */
-  guint delegated_tasks; /**< of a leased shard: tasks that its holder may run */
+  const char *holder;    /**< (not owned): name of the node that holds the shard */
+  guint64 fencing_token; /**< fencing token of the shard; 0: the node holds no shard */
+  guint machines;  /**< number of its machines with a known type; in the leader's own shard only active machines */
+  double cpus;     /**< total CPUs of these machines */
+  gboolean leased; /**< the shard is leased; FALSE: it is the leader's own shard */
+  guint delegated_tasks; /**< if leased: number of tasks that are delegated to its holder */
 } HzbShardStatus;
 
-/** hzb_shard_statuses_encode: Returns: (transfer full): of an array (element-type HzbShardStatus) of shards */
+/** hzb_shard_statuses_encode: Returns: (transfer full): the wire format of statuses (element-type HzbShardStatus) */
 cJSON *hzb_shard_statuses_encode (const GArray *statuses);
--- a/tests/sim-cluster.c
+++ b/tests/sim-cluster.c
@@ -194,7 +194,7 @@
 sim_leader (Sim *sim)
 {
   for (guint i = 0; i < SIM_NODES; i++)
-    if (sim->nodes[i].controller && hzb_election_leading (sim->nodes[i].controller->election))
+    if (sim->nodes[i].controller && hzb_election_is_leader (sim->nodes[i].controller->election))
       return (int) i;
   return -1;
 }
--- a/tests/test-cancellation-messages.c
+++ b/tests/test-cancellation-messages.c
@@ -1,4 +1,4 @@
-/* The messages about cancellations: their bytes, and what is concluded from malformed ones. */
+/* The encoding of cancellations in messages: the exact bytes, and the decoding of malformed messages. */
 #include "cancellation-messages.h"
 
 #include "json.h"
@@ -30,7 +30,7 @@
   g_assert_cmpuint (g_array_index (decoded, HzbCancellation, 0).n_tasks, ==, 12);
 }
 
-/* Malformed entries are left out, and the others are taken. */
+/* Malformed entries are skipped, and well-formed entries are decoded. */
 static void
 test_malformed_request (void)
 {
--- a/tests/test-cancellations.c
+++ b/tests/test-cancellations.c
@@ -1,4 +1,5 @@
-/* Cancellations without a controller: when the leader acknowledges one, and how other controllers ask for it. */
+/* HzbCancellations without a controller: when the leader acknowledges a cancellation, and how other controllers request
+ * the acknowledgement. */
 #include "support.h"
 
 #include "cancellation-messages.h"
@@ -6,7 +7,7 @@
 #include "fake-transport.h"
 #include "record-keys.h"
 
-#define REVISION 50u /* that the replica of the records has */
+#define REVISION 50u /* revision of the replica of the records */
 #define MAX_REQUESTS_PER_POLL 64u
 
 /* One of three controllers, whose peers have not sent anything yet. */
@@ -23,8 +24,8 @@
   HzbPeers *peers;
   HzbCancellations *cancellations;
 
-  gboolean leaseholders_acknowledged; /* what the modules above say */
-  guint announced, polls_requested;
+  gboolean leaseholders_acknowledged; /* result of all_leaseholders_acknowledged() */
+  guint announced, polls_requested;   /* number of calls of announce() and poll_leader_soon() */
 } Fixture;
 
 static void
@@ -61,7 +62,7 @@
 {
 }
 
-/* The replica of the records reads a key-value store without records. */
+/* Lets the replica of the records load from a key-value store without records. */
 static void
 load_replica (Fixture *fixture)
 {
@@ -83,9 +84,9 @@
 static void
 fixture_up (Fixture *fixture)
 {
-  static const HzbKvReplicaCallbacks replica_funcs = { .may_load = may_load,
-                                                       .load_begin = ignore_load_begin,
-                                                       .load_end = ignore_load_end };
+  static const HzbKvReplicaCallbacks replica_callbacks = { .may_load = may_load,
+                                                           .load_begin = ignore_load_begin,
+                                                           .load_end = ignore_load_end };
   static const HzbPeersCallbacks no_callbacks = { 0 };
   static const HzbCancellationsCallbacks callbacks = { announce, all_leaseholders_acknowledged, poll_leader_soon };
   HzbSettings *settings;
@@ -106,7 +107,7 @@
                              .schema_version = HZB_SCHEMA_VERSION };
   fixture->kv = hzb_kv_client_new (fixture->node.transport, fixture->bench.clock, settings);
   fixture->kv_replica =
-      hzb_kv_replica_new (fixture->kv, fixture->bench.clock, HZB_KEY_REPLICATED, 0.1, &replica_funcs, fixture);
+      hzb_kv_replica_new (fixture->kv, fixture->bench.clock, HZB_KEY_REPLICATED, 0.1, &replica_callbacks, fixture);
   fixture->election = hzb_election_new (fixture->kv, fixture->bench.clock, settings, fixture->bench.rand);
   fixture->ownership = hzb_ownership_new (fixture->bench.clock);
   fixture->peers = hzb_peers_new (&(HzbPeersDependencies){ &fixture->node, fixture->kv, fixture->kv_replica,
@@ -132,9 +133,9 @@
   bench_down (&fixture->bench);
 }
 
-/* The controller has loaded the records as leader. */
+/* Puts the controller into the state of a leader that has loaded the records. */
 static void
-own_as_leader (Fixture *fixture)
+become_leader (Fixture *fixture)
 {
   hzb_ownership_begin_epoch (fixture->ownership);
   g_assert_true (hzb_ownership_set_state (fixture->ownership, HZB_OWNERSHIP_LOADING, "test"));
@@ -159,7 +160,8 @@
   cJSON_Delete (answer);
 }
 
-/* The leader takes the cancellation from the request, and acknowledges it once every leaseholder has. */
+/* The leader applies the cancellation from the request. It acknowledges the cancellation only after every leaseholder
+ * has, and only if no task of the job may be on a machine that has not answered this leader. */
 static void
 test_leader_waits_for_leaseholders (void)
 {
@@ -173,7 +175,7 @@
   g_assert_nonnull (job->tasks);
   check_answer (&fixture, poll, "{\"heard\":[]}"); /* this controller does not lead */
   g_assert_cmpint (job->state, ==, HZB_JOB_CANCELLED);
-  own_as_leader (&fixture);
+  become_leader (&fixture);
   check_answer (&fixture, poll, "{\"heard\":[]}");
   g_assert_cmpuint (fixture.announced, ==, 1);
   fixture.leaseholders_acknowledged = TRUE;
@@ -189,7 +191,7 @@
 cancelled_job (Fixture *fixture, guint number, guint64 revision)
 {
   g_autofree char *uid = g_strdup_printf ("run-%06u", number);
-  cJSON *record = hzb_job_end_encode (HZB_JOB_CANCELLED, 1);
+  cJSON *record = hzb_job_completion_encode (HZB_JOB_CANCELLED, 1);
   HzbJob *job = hzb_jobs_apply (fixture->bench.jobs, uid, record, revision);
   cJSON_Delete (record);
   return job;
@@ -204,23 +206,23 @@
   cJSON_Delete (answer);
 }
 
-/* An acknowledgement does not count if it is of an earlier leader, or if the replica does not show the record yet. */
+/* An acknowledgement is ignored if an earlier leader sent it, or if the replica has not received the record yet. */
 static void
 test_response (void)
 {
   HzbKvEntry term = { (char *) HZB_KEY_TERM, cJSON_Parse ("{\"term\":4,\"node\":\"n1\"}"), 40 };
-  HzbJob *replicated, *ahead;
+  HzbJob *replicated, *not_replicated;
   Fixture fixture;
 
   fixture_up (&fixture);
   hzb_election_apply_record (fixture.election, &term);
   replicated = cancelled_job (&fixture, 1, REVISION);
-  ahead = cancelled_job (&fixture, 2, REVISION + 1);
+  not_replicated = cancelled_job (&fixture, 2, REVISION + 1);
   respond (&fixture, 3, "{\"heard\":[\"run-000001\",\"run-000002\"]}");
-  g_assert_false (hzb_cancellations_acknowledged (fixture.cancellations, replicated));
+  g_assert_false (hzb_cancellations_is_acknowledged (fixture.cancellations, replicated));
   respond (&fixture, 4, "{\"heard\":[\"run-000001\",\"run-000002\",7]}");
-  g_assert_true (hzb_cancellations_acknowledged (fixture.cancellations, replicated));
-  g_assert_false (hzb_cancellations_acknowledged (fixture.cancellations, ahead));
+  g_assert_true (hzb_cancellations_is_acknowledged (fixture.cancellations, replicated));
+  g_assert_false (hzb_cancellations_is_acknowledged (fixture.cancellations, not_replicated));
   cJSON_Delete (term.value);
   fixture_down (&fixture);
 }
@@ -246,7 +248,7 @@
   return count;
 }
 
-/* Requests that the leader does not acknowledge do not keep later ones from being sent, and they end after a while. */
+/* Requests that the leader does not acknowledge do not prevent later ones from being sent, and expire after 10 s. */
 static void
 test_requests_take_turns (void)
 {
@@ -258,7 +260,7 @@
     g_assert_false (hzb_cancellations_request (fixture.cancellations, cancelled_job (&fixture, i, REVISION)));
   g_assert_cmpuint (fixture.polls_requested, ==, MAX_REQUESTS_PER_POLL + 6);
   g_assert_cmpuint (count_requested (&fixture, "run-000000", &found), ==, MAX_REQUESTS_PER_POLL);
-  g_assert_false (found); /* the newest go first, since they were never sent */
+  g_assert_false (found); /* the newest requests are sent first, since they were never sent before */
   g_assert_cmpuint (count_requested (&fixture, "run-000000", &found), ==, MAX_REQUESTS_PER_POLL);
   g_assert_true (found);
   hzb_clock_advance (fixture.bench.clock, 10.5);
