--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -4,13 +4,14 @@
 
 #include <math.h>
 
-/* A plain model of the rule: examines every machine and remembers nothing. */
+/* A stateless reference model of the placement rule, which examines every machine. Stores the cost of the best machine
+ * in @min_cost. */
 static HzbMachine *
-plain_choose (Bench *b, HzbJob *job, double *least)
+reference_choose (Bench *b, HzbJob *job, double *min_cost)
 {
   HzbMachine *best = NULL;
   const HzbJobSpec *spec = job->spec;
-  *least = INFINITY;
+  *min_cost = INFINITY;
   for (guint i = 0; i < b->machines->all->len; i++)
     {
       HzbMachine *machine = b->machines->all->pdata[i];
@@ -25,17 +26,18 @@
       for (guint k = 0; k < e->length; k++)
         u += (double) k * e->mass[k];
       u += b->dispatch->h * spec->estimate_s / v;
-      if (u < *least)
+      if (u < *min_cost)
         {
-          *least = u;
+          *min_cost = u;
           best = machine;
         }
     }
   return best;
 }
 
+/* The dispatcher chooses a machine with the same cost as the reference model, for random machines and jobs. */
 static void
-test_rule (void)
+test_placement_rule (void)
 {
   for (guint32 seed = 1; seed <= 30; seed++)
     {
@@ -50,20 +52,20 @@
         {
           HzbJob *job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, g_rand_int_range (b.rand, 1, 6),
                                    g_rand_double_range (b.rand, 1, 30));
-          HzbMachine *machine, *plain;
-          double least;
+          HzbMachine *machine, *expected;
+          double min_cost;
           if (g_rand_boolean (b.rand))
             job->spec->zone = g_strdup ("za");
-          machine = hzb_dispatch_choose (b.dispatch, job, hzb_clock_now (b.clock));
-          plain = plain_choose (&b, job, &least);
-          g_assert_true ((machine == NULL) == (plain == NULL));
+          machine = hzb_dispatch_choose_machine (b.dispatch, job, hzb_clock_now (b.clock));
+          expected = reference_choose (&b, job, &min_cost);
+          g_assert_true ((machine == NULL) == (expected == NULL));
           if (machine)
             {
-              /* Rounding may make a difference between equal offers: what counts is that no machine is better. */
+              /* Machines with equal costs may differ by rounding, so costs are compared instead of machines. */
               double v = hzb_machine_type_speed (machine->type, job->spec);
               g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&machine->estimates[job->scheduling_class])
                                                   + b.dispatch->h * job->spec->estimate_s / v,
-                                              least, 1e-3);
+                                              min_cost, 1e-3);
               hzb_task_set_state (b.jobs, hzb_job_take_pending (job, hzb_clock_now (b.clock)), HZB_TASK_QUEUED,
                                   machine);
               for (guint c = 0; c <= job->scheduling_class; c++)
@@ -75,27 +77,28 @@
     }
 }
 
-/* While the controller is lagging only a sample of machines is examined, and a machine is still found. */
+/* While the controller lags, only a sample of machines is examined, and a machine is still found for each job. */
 static void
 test_sampling (void)
 {
   Bench b;
-  guint found = 0;
+  guint n_found = 0;
   bench_up (&b, 7);
   for (guint i = 0; i < 60; i++)
     bench_machine (&b, "big", "za", FALSE);
   b.dispatch->lagging = TRUE;
   for (guint i = 0; i < 50; i++)
-    found +=
-        hzb_dispatch_choose (b.dispatch, bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, 1, 5), hzb_clock_now (b.clock))
-        != NULL;
-  g_assert_cmpuint (found, ==, 50);
+    n_found += hzb_dispatch_choose_machine (b.dispatch, bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, 1, 5),
+                                            hzb_clock_now (b.clock))
+               != NULL;
+  g_assert_cmpuint (n_found, ==, 50);
   bench_down (&b);
 }
 
-/* Where most machines are leased, samples are taken of the others: otherwise few would find a machine. */
+/* Samples are taken of usable machines only. Where most machines are leased, a sample of all machines would often
+ * contain no usable machine. */
 static void
-test_sample_of_usable (void)
+test_sample_of_usable_machines (void)
 {
   Bench b;
   HzbJob *job;
@@ -109,13 +112,14 @@
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, 1, 5);
   b.dispatch->lagging = TRUE;
   for (guint i = 0; i < 50; i++)
-    g_assert_nonnull (hzb_dispatch_choose (b.dispatch, job, hzb_clock_now (b.clock)));
+    g_assert_nonnull (hzb_dispatch_choose_machine (b.dispatch, job, hzb_clock_now (b.clock)));
   bench_down (&b);
 }
 
-/* Sampling begins after a second or so of late timers, not at the first one, and ends once they are on time again. */
+/* Sampling begins when timers have been late repeatedly, not at the first late timer, and ends only after timers have
+ * been on time for a while. */
 static void
-test_lag (void)
+test_lagging_hysteresis (void)
 {
   Bench b;
   bench_up (&b, 7);
@@ -134,7 +138,7 @@
 }
 
 static guint
-count_orders (const GArray *commands, HzbCommandKind kind)
+count_commands (const GArray *commands, HzbCommandKind kind)
 {
   guint n = 0;
   for (guint i = 0; i < commands->len; i++)
@@ -142,20 +146,21 @@
   return n;
 }
 
-/* The largest job begins within four minutes, also while small jobs keep coming to full machines. */
+/* The first task of the largest job starts within four minutes, even if small jobs are submitted without end while all
+ * machines are full. */
 static void
-test_largest_begins (void)
+test_largest_job_starts (void)
 {
   Bench b;
   HzbJob *large;
-  guint began = 0, small = 0;
+  guint start_second = 0, n_small_finished = 0;
   bench_up (&b, 11);
   for (guint i = 0; i < 2; i++)
     bench_machine (&b, "small", "za", FALSE);
   for (guint i = 0; i < 4; i++)
     bench_job (&b, "blue", HZB_PRIORITY_NORMAL, 3, 2, 5);
   large = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 500, 2, 30);
-  for (guint second = 1; second <= 300 && !began; second++)
+  for (guint second = 1; second <= 300 && !start_second; second++)
     {
       struct timespec now;
       hzb_clock_advance (b.clock, 1);
@@ -172,32 +177,32 @@
               if (hzb_time_between (task->since, now) < 5)
                 continue;
               hzb_task_set_state (b.jobs, task, HZB_TASK_FINISHED, NULL);
-              small++;
+              n_small_finished++;
             }
           hzb_dispatch_reset_estimates (b.dispatch, machine, now);
           hzb_dispatch_start_tasks (b.dispatch, machine, now, commands);
         }
       if (large->placed)
-        began = second;
+        start_second = second;
     }
-  g_assert_cmpuint (began, >, 100); /* so the largest job did wait for smaller ones */
-  g_assert_cmpuint (began, <, 240);
+  g_assert_cmpuint (start_second, >, 100); /* the largest job did wait for smaller ones */
+  g_assert_cmpuint (start_second, <, 240);
   g_assert_cmpuint (large->placed, ==, 1);
-  g_assert_cmpuint (small, >, 50);
+  g_assert_cmpuint (n_small_finished, >, 50);
   bench_down (&b);
 }
 
-/* A job of a high class that no machine could take keeps none of its team's limit from the team's other jobs. Otherwise
- * these would wait for it for ever, and the job for a machine that is rented only within what the limit leaves. */
+/* A job of a high class for which no machine is eligible reserves nothing within its team's limit. Otherwise the team's
+ * other jobs would wait for it forever, while the job waits for a machine that is rented only if the limit has room. */
 static void
-test_unplaceable_keeps_nothing (void)
+test_unplaceable_job_reserves_nothing (void)
 {
   Bench b;
-  HzbJob *elsewhere, *job;
+  HzbJob *unplaceable, *job;
   bench_up (&b, 12);
   bench_machine (&b, "big", "za", FALSE);
-  elsewhere = bench_job (&b, "red", HZB_PRIORITY_HIGH, 30, 2, 30);
-  elsewhere->spec->zone = g_strdup ("zb");
+  unplaceable = bench_job (&b, "red", HZB_PRIORITY_HIGH, 30, 2, 30);
+  unplaceable->spec->zone = g_strdup ("zb");
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 4, 2, 30);
   for (guint round = 0; round < 2; round++)
     {
@@ -207,47 +212,47 @@
       bench_machine (&b, "big", "zb", FALSE);
     }
   g_assert_cmpuint (job->placed, ==, 4);
-  g_assert_cmpuint (elsewhere->queued, >, 0);
+  g_assert_cmpuint (unplaceable->queued, >, 0);
   bench_down (&b);
 }
 
-/* A half-empty scale-in candidate is emptied of tasks that can save a checkpoint, where other machines have room. Tasks
- * that cannot, or that are nearly done, stay, and none moves where other tasks already wait for the room. */
+/* Tasks with checkpoints are stopped on a half-empty scale-in candidate if other machines have room for them. Tasks
+ * without checkpoints and tasks that are nearly done stay, and no task is stopped if waiting tasks need the room. */
 static void
 test_consolidate (void)
 {
   Bench b;
-  HzbMachine *going, *staying, *busy;
-  HzbJob *saves, *loses;
+  HzbMachine *candidate, *other, *busy_candidate;
+  HzbJob *checkpointed, *not_checkpointed;
   struct timespec now;
   bench_up (&b, 13);
-  going = bench_machine (&b, "big", "za", FALSE);
-  busy = bench_machine (&b, "big", "za", FALSE);
-  staying = bench_machine (&b, "small", "za", FALSE);
-  saves = bench_job (&b, "red", HZB_PRIORITY_IDLE, 3, 2, 200);
-  loses = bench_job (&b, "red", HZB_PRIORITY_IDLE, 1, 2, 200);
-  saves->spec->checkpoint_interval_s = 20;
-  hzb_task_set_state (b.jobs, &saves->tasks[0], HZB_TASK_RUNNING, going);
-  hzb_task_set_state (b.jobs, &saves->tasks[1], HZB_TASK_RUNNING, busy);
-  hzb_task_set_state (b.jobs, &loses->tasks[0], HZB_TASK_RUNNING, busy);
-  hzb_task_set_state (b.jobs, &saves->tasks[2], HZB_TASK_RUNNING, staying);
-  going->scale_in_candidate = busy->scale_in_candidate = TRUE;
+  candidate = bench_machine (&b, "big", "za", FALSE);
+  busy_candidate = bench_machine (&b, "big", "za", FALSE);
+  other = bench_machine (&b, "small", "za", FALSE);
+  checkpointed = bench_job (&b, "red", HZB_PRIORITY_IDLE, 3, 2, 200);
+  not_checkpointed = bench_job (&b, "red", HZB_PRIORITY_IDLE, 1, 2, 200);
+  checkpointed->spec->checkpoint_interval_s = 20;
+  hzb_task_set_state (b.jobs, &checkpointed->tasks[0], HZB_TASK_RUNNING, candidate);
+  hzb_task_set_state (b.jobs, &checkpointed->tasks[1], HZB_TASK_RUNNING, busy_candidate);
+  hzb_task_set_state (b.jobs, &not_checkpointed->tasks[0], HZB_TASK_RUNNING, busy_candidate);
+  hzb_task_set_state (b.jobs, &checkpointed->tasks[2], HZB_TASK_RUNNING, other);
+  candidate->scale_in_candidate = busy_candidate->scale_in_candidate = TRUE;
   hzb_clock_advance (b.clock, 30);
   now = hzb_clock_now (b.clock);
   hzb_dispatch_consolidate (b.dispatch, now);
-  g_assert_true (saves->tasks[0].stopping);
-  g_assert_false (saves->tasks[1].stopping); /* stopping it would not empty its machine */
-  g_assert_false (saves->tasks[2].stopping);
-  saves->tasks[0].stopping = FALSE;
-  bench_job (&b, "blue", HZB_PRIORITY_NORMAL, 2, 2, 30); /* this job waits for the same room */
+  g_assert_true (checkpointed->tasks[0].stopping);
+  g_assert_false (checkpointed->tasks[1].stopping); /* stopping it would not empty its machine */
+  g_assert_false (checkpointed->tasks[2].stopping);
+  checkpointed->tasks[0].stopping = FALSE;
+  bench_job (&b, "blue", HZB_PRIORITY_NORMAL, 2, 2, 30); /* needs the same room */
   hzb_dispatch_consolidate (b.dispatch, now);
-  g_assert_false (saves->tasks[0].stopping);
+  g_assert_false (checkpointed->tasks[0].stopping);
   bench_down (&b);
 }
 
-/* In no order of heartbeats do more tasks start than the team's limit allows. */
+/* Whatever the order of heartbeats, no more tasks start than the team's limit allows. */
 static void
-test_limit (void)
+test_team_limit (void)
 {
   Bench b;
   guint started = 0;
@@ -262,7 +267,7 @@
         {
           g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
           hzb_dispatch_start_tasks (b.dispatch, b.machines->all->pdata[i], hzb_clock_now (b.clock), commands);
-          started += count_orders (commands, HZB_COMMAND_START);
+          started += count_commands (commands, HZB_COMMAND_START);
         }
     }
   g_assert_cmpuint (started, ==, 20); /* the limit is 40 CPUs */
@@ -270,59 +275,61 @@
   bench_down (&b);
 }
 
+/* Queued tasks of a busy machine start on an idle machine that sends its heartbeat first, but a task whose start
+ * command was sent does not move. */
 static void
-test_move_to_idle (void)
+test_move_to_idle_machine (void)
 {
   Bench b;
   HzbJob *job;
   g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
-  HzbMachine *first, *second;
+  HzbMachine *source, *target;
   bench_up (&b, 3);
-  first = bench_machine (&b, "small", "za", FALSE);
+  source = bench_machine (&b, "small", "za", FALSE);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 8, 2, 10);
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
-  /* Run queues are filled only a little ahead: more pressing work can still overtake the other tasks. */
-  g_assert_cmpuint (hzb_machine_queued_tasks (first), ==, 2);
-  second = bench_machine (&b, "small", "zb", FALSE);
-  hzb_dispatch_start_tasks (b.dispatch, second, hzb_clock_now (b.clock), commands);
+  /* Run queues are filled only a few seconds ahead, so that more urgent tasks can still go before the other tasks. */
+  g_assert_cmpuint (hzb_machine_count_queued_tasks (source), ==, 2);
+  target = bench_machine (&b, "small", "zb", FALSE);
+  hzb_dispatch_start_tasks (b.dispatch, target, hzb_clock_now (b.clock), commands);
   g_assert_cmpuint (commands->len, ==, 2);
-  g_assert_cmpuint (second->tasks->len, ==, 2);
-  g_assert_cmpuint (hzb_machine_queued_tasks (first), ==, 0); /* it moved, before tasks that wait for a run queue */
+  g_assert_cmpuint (target->tasks->len, ==, 2);
+  g_assert_cmpuint (hzb_machine_count_queued_tasks (source), ==, 0); /* queued tasks move before pending tasks start */
   g_assert_cmpuint (job->pending, ==, 6);
-  /* A task whose start was sent stays where it is until a heartbeat shows that it is gone. */
+  /* A task whose start command was sent stays on its machine until a heartbeat shows that it is not there. */
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
   g_assert_cmpint (job->tasks[0].state, ==, HZB_TASK_STARTING);
   bench_down (&b);
 }
 
-/* A queued replica is not moved to a machine that sends its heartbeat first but would have to fetch the image; a task
- * of an array is. A replica is queued only where it fits beside other replicas, and at most half of a service that is
- * to be spread in one zone. */
+/* A queued replica does not move to a machine that sends its heartbeat first but has to fetch the image, until a
+ * bounded wait is over; a task of a job array moves at once. A replica is queued only where it fits beside other
+ * replicas, and at most half of the replicas of a service with `spread` are queued in one zone. */
 static void
-test_replica_stays (void)
+test_replica_placement (void)
 {
   for (guint service = 0; service < 2; service++)
     {
       Bench b;
-      HzbMachine *with, *without;
+      HzbMachine *machine_with_image, *machine_without_image;
       HzbJob *job;
       g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
       struct timespec now;
       bench_up (&b, 5);
       now = hzb_clock_now (b.clock);
-      with = bench_machine (&b, "small", "za", FALSE);
+      machine_with_image = bench_machine (&b, "small", "za", FALSE);
       job = bench_job (&b, "red", HZB_PRIORITY_PRODUCTION, 1, 1, 10);
       job->spec->kind = service ? HZB_JOB_SERVICE : HZB_JOB_ARRAY;
       job->spec->image_gb = 5;
-      g_hash_table_add (with->images, g_ref_string_acquire (job->spec->image));
+      g_hash_table_add (machine_with_image->images, g_ref_string_acquire (job->spec->image));
       hzb_dispatch_run (b.dispatch, now);
       g_assert_cmpint (job->tasks[0].state, ==, HZB_TASK_QUEUED);
-      without = bench_machine (&b, "small", "za", FALSE);
+      machine_without_image = bench_machine (&b, "small", "za", FALSE);
       hzb_dispatch_run (b.dispatch, now);
-      hzb_dispatch_start_tasks (b.dispatch, without, now, commands);
+      hzb_dispatch_start_tasks (b.dispatch, machine_without_image, now, commands);
       g_assert_cmpuint (commands->len, ==, service ? 0 : 1);
-      hzb_clock_advance (b.clock, 5); /* a replica does not wait for its image for ever */
-      hzb_dispatch_start_tasks (b.dispatch, without, hzb_clock_now (b.clock), commands);
+      hzb_clock_advance (b.clock, 5); /* the wait of a replica for its image is bounded */
+      hzb_dispatch_start_tasks (b.dispatch, machine_without_image, hzb_clock_now (b.clock), commands);
       g_assert_cmpuint (commands->len, ==, 1);
       bench_down (&b);
     }
@@ -330,7 +337,7 @@
     Bench b;
     HzbMachine *machine[4];
     HzbJob *job;
-    guint in_za = 0, queued = 0;
+    guint n_in_za = 0, queued = 0;
     bench_up (&b, 6);
     for (guint i = 0; i < 4; i++)
       machine[i] = bench_machine (&b, "small", i < 3 ? "za" : "zb", FALSE); /* 4 CPUs each */
@@ -342,9 +349,9 @@
       if (job->tasks[i].state == HZB_TASK_QUEUED)
         {
           queued++;
-          in_za += g_str_equal (job->tasks[i].machine->zone, "za");
+          n_in_za += g_str_equal (job->tasks[i].machine->zone, "za");
         }
-    g_assert_cmpuint (in_za, ==, 4);
+    g_assert_cmpuint (n_in_za, ==, 4);
     g_assert_cmpuint (queued, ==, 6); /* two tasks fit in zb */
     for (guint i = 0; i < 4; i++)
       g_assert_cmpfloat (machine[i]->queued_service_cpus, <=, 4);
@@ -352,11 +359,11 @@
   }
 }
 
-/* An urgent task preempts work of lower priority, but none of its own priority. */
+/* A task of high priority preempts a task of lower priority, but not one of its own priority. */
 static void
 test_preemption (void)
 {
-  for (guint same = 0; same < 2; same++)
+  for (guint same_priority = 0; same_priority < 2; same_priority++)
     {
       Bench b;
       HzbMachine *machine;
@@ -364,28 +371,30 @@
       g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
       bench_up (&b, 3);
       machine = bench_machine (&b, "small", "za", FALSE);
-      low = bench_job (&b, "red", same ? HZB_PRIORITY_HIGH : HZB_PRIORITY_IDLE, 10, 4, 100);
+      low = bench_job (&b, "red", same_priority ? HZB_PRIORITY_HIGH : HZB_PRIORITY_IDLE, 10, 4, 100);
       hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
       hzb_dispatch_start_tasks (b.dispatch, machine, hzb_clock_now (b.clock), commands);
-      g_assert_cmpuint (count_orders (commands, HZB_COMMAND_START), ==, 1);
+      g_assert_cmpuint (count_commands (commands, HZB_COMMAND_START), ==, 1);
       hzb_task_set_state (b.jobs, &low->tasks[0], HZB_TASK_RUNNING, machine);
       bench_job (&b, "red", HZB_PRIORITY_HIGH, 1, 4, 10);
       hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
       hzb_clock_advance (b.clock, 30);
       g_array_set_size (commands, 0);
       hzb_dispatch_start_tasks (b.dispatch, machine, hzb_clock_now (b.clock), commands);
-      g_assert_cmpuint (count_orders (commands, HZB_COMMAND_STOP), ==, same ? 0 : 1);
-      g_assert_cmpuint (count_orders (commands, HZB_COMMAND_START), ==, 0);
+      g_assert_cmpuint (count_commands (commands, HZB_COMMAND_STOP), ==, same_priority ? 0 : 1);
+      g_assert_cmpuint (count_commands (commands, HZB_COMMAND_START), ==, 0);
       bench_down (&b);
     }
 }
 
+/* A gang with `samePlace` is placed only when one zone has room for all of its tasks, which get the same attempt
+ * number. */
 static void
 test_gang (void)
 {
   Bench b;
   HzbJob *job;
-  guint zb = 0;
+  guint n_in_zb = 0;
   bench_up (&b, 3);
   bench_machine (&b, "small", "za", FALSE);
   bench_machine (&b, "small", "zb", FALSE);
@@ -399,14 +408,15 @@
   g_assert_cmpuint (job->placed, ==, 4);
   for (guint i = 0; i < 4; i++)
     {
-      zb += g_str_equal (job->tasks[i].machine->zone, "zb");
+      n_in_zb += g_str_equal (job->tasks[i].machine->zone, "zb");
       g_assert_cmpuint (job->tasks[i].attempt, ==, job->tasks[0].attempt);
     }
-  g_assert_cmpuint (zb, ==, 4);
+  g_assert_cmpuint (n_in_zb, ==, 4);
   bench_down (&b);
 }
 
-/* A gang that has reservations is cancelled before its machines send a heartbeat: none of its tasks starts. */
+/* No task starts of a gang that is cancelled after room was reserved for it and before its machines send a
+ * heartbeat. */
 static void
 test_cancelled_gang (void)
 {
@@ -423,79 +433,81 @@
   job->state = HZB_JOB_CANCELLED;
   for (guint i = 0; i < b.machines->all->len; i++)
     hzb_dispatch_start_tasks (b.dispatch, b.machines->all->pdata[i], hzb_clock_now (b.clock), commands);
-  g_assert_cmpuint (count_orders (commands, HZB_COMMAND_START), ==, 0);
+  g_assert_cmpuint (count_commands (commands, HZB_COMMAND_START), ==, 0);
   bench_down (&b);
 }
 
+/* Scale-out requests respect the placement constraints of the waiting job, and a refused kind of machine is not
+ * requested again at once. */
 static void
-test_rentals (void)
+test_scale_out (void)
 {
   Bench b;
-  HzbAutoscaler *fleet;
-  g_autoptr (GArray) rentals = NULL;
-  g_autoptr (GArray) again = NULL;
+  HzbAutoscaler *autoscaler;
+  g_autoptr (GArray) requests = NULL;
+  g_autoptr (GArray) later_requests = NULL;
   HzbJob *job;
   bench_up (&b, 3);
-  fleet = hzb_autoscaler_new (b.jobs, b.machines, b.settings);
+  autoscaler = hzb_autoscaler_new (b.jobs, b.machines, b.settings);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 10, 2, 40);
   job->spec->spot = FALSE;
   job->spec->zone = g_strdup ("zb");
-  rentals = hzb_autoscaler_scale_out (fleet, hzb_clock_now (b.clock));
-  g_assert_cmpuint (rentals->len, >=, 1);
-  for (guint i = 0; i < rentals->len; i++)
+  requests = hzb_autoscaler_scale_out (autoscaler, hzb_clock_now (b.clock));
+  g_assert_cmpuint (requests->len, >=, 1);
+  for (guint i = 0; i < requests->len; i++)
     {
-      const HzbScaleOutRequest *r = &g_array_index (rentals, HzbScaleOutRequest, i);
+      const HzbScaleOutRequest *r = &g_array_index (requests, HzbScaleOutRequest, i);
       g_assert_false (r->spot);
       g_assert_cmpstr (r->zone, ==, "zb");
-      hzb_autoscaler_note_refused (fleet, r, hzb_clock_now (b.clock));
+      hzb_autoscaler_record_refusal (autoscaler, r, hzb_clock_now (b.clock));
     }
-  again = hzb_autoscaler_scale_out (fleet, hzb_clock_now (b.clock));
-  for (guint i = 0; i < again->len; i++) /* a kind that was refused is not requested again at once */
-    g_assert_true (g_array_index (again, HzbScaleOutRequest, i).type
-                   != g_array_index (rentals, HzbScaleOutRequest, 0).type);
-  hzb_autoscaler_free (fleet);
+  later_requests = hzb_autoscaler_scale_out (autoscaler, hzb_clock_now (b.clock));
+  for (guint i = 0; i < later_requests->len; i++) /* a kind that was refused is not requested again at once */
+    g_assert_true (g_array_index (later_requests, HzbScaleOutRequest, i).type
+                   != g_array_index (requests, HzbScaleOutRequest, 0).type);
+  hzb_autoscaler_free (autoscaler);
   bench_down (&b);
 }
 
-/* Two faults once made work wait for ever: so little work that it counted as worth no part of a machine, and a large
- * task that counted as served by machines which are too small for it. */
+/* Guards against two faults that left tasks waiting forever: a very small demand counted as no machine at all,
+ * and a large task counted as served by machines that are too small for it. */
 static void
-test_rentals_for_little (void)
+test_scale_out_for_small_work (void)
 {
   Bench b;
-  HzbAutoscaler *fleet;
-  g_autoptr (GArray) rentals = NULL;
-  gboolean big = FALSE;
+  HzbAutoscaler *autoscaler;
+  g_autoptr (GArray) requests = NULL;
+  gboolean requests_big = FALSE;
   bench_up (&b, 3);
-  fleet = hzb_autoscaler_new (b.jobs, b.machines, b.settings);
+  autoscaler = hzb_autoscaler_new (b.jobs, b.machines, b.settings);
   bench_job (&b, "red", HZB_PRIORITY_IDLE, 1, 0.5, 0.2);
-  rentals = hzb_autoscaler_scale_out (fleet, hzb_clock_now (b.clock));
-  g_assert_cmpuint (rentals->len, ==, 1);
+  requests = hzb_autoscaler_scale_out (autoscaler, hzb_clock_now (b.clock));
+  g_assert_cmpuint (requests->len, ==, 1);
   bench_machine (&b, "small", "za", TRUE);
   bench_job (&b, "red", HZB_PRIORITY_IDLE, 1, 12, 1);
-  g_array_unref (g_steal_pointer (&rentals));
-  rentals = hzb_autoscaler_scale_out (fleet, hzb_clock_now (b.clock));
-  for (guint i = 0; i < rentals->len; i++)
-    big = big || g_str_equal (g_array_index (rentals, HzbScaleOutRequest, i).type->name, "big");
-  g_assert_true (big);
-  hzb_autoscaler_free (fleet);
+  g_array_unref (g_steal_pointer (&requests));
+  requests = hzb_autoscaler_scale_out (autoscaler, hzb_clock_now (b.clock));
+  for (guint i = 0; i < requests->len; i++)
+    requests_big = requests_big || g_str_equal (g_array_index (requests, HzbScaleOutRequest, i).type->name, "big");
+  g_assert_true (requests_big);
+  hzb_autoscaler_free (autoscaler);
   bench_down (&b);
 }
 
-/* Twenty machines are half full and no task waits: once a machine takes no new tasks, the tasks that end on it need no
- * room elsewhere. (When these were counted, twelve machines stayed until the last task was done.) For new work,
- * machines stop being scale-in candidates before any is rented. */
+/* Twenty machines are half full and no task waits, so most become scale-in candidates: tasks that end on a candidate
+ * need no room on another machine. (Counting such room kept twelve machines until the last task had ended.) For new
+ * work, candidates are used again before a machine is rented. */
 static void
-test_leaving (void)
+test_scale_in_candidates (void)
 {
   Bench b;
-  HzbAutoscaler *fleet;
+  HzbAutoscaler *autoscaler;
   HzbJob *job;
-  guint scale_in_candidate = 0, kept = 0;
-  g_autoptr (GArray) rentals = NULL;
+  guint n_candidates = 0, n_not_candidates = 0;
+  g_autoptr (GArray) requests = NULL;
 
   bench_up (&b, 3);
-  fleet = hzb_autoscaler_new (b.jobs, b.machines, b.settings);
+  autoscaler = hzb_autoscaler_new (b.jobs, b.machines, b.settings);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 40, 1, 300);
   for (guint i = 0; i < 40; i++)
     {
@@ -507,20 +519,20 @@
     }
   for (guint t = 0; t < 90; t++)
     {
-      g_autoptr (GPtrArray) back = hzb_autoscaler_scale_in (fleet, hzb_clock_now (b.clock));
-      g_assert_cmpuint (back->len, ==, 0); /* no machine is returned while tasks are on it */
+      g_autoptr (GPtrArray) returned = hzb_autoscaler_scale_in (autoscaler, hzb_clock_now (b.clock));
+      g_assert_cmpuint (returned->len, ==, 0); /* no machine is returned while tasks are on it */
       hzb_clock_advance (b.clock, 1);
     }
   for (guint i = 0; i < b.machines->all->len; i++)
-    scale_in_candidate += ((HzbMachine *) b.machines->all->pdata[i])->scale_in_candidate;
-  g_assert_cmpuint (scale_in_candidate, >=, 16);
+    n_candidates += ((HzbMachine *) b.machines->all->pdata[i])->scale_in_candidate;
+  g_assert_cmpuint (n_candidates, >=, 16);
   bench_job (&b, "blue", HZB_PRIORITY_HIGH, 24, 1, 30);
-  rentals = hzb_autoscaler_scale_out (fleet, hzb_clock_now (b.clock));
+  requests = hzb_autoscaler_scale_out (autoscaler, hzb_clock_now (b.clock));
   for (guint i = 0; i < b.machines->all->len; i++)
-    kept += !((HzbMachine *) b.machines->all->pdata[i])->scale_in_candidate;
-  g_assert_cmpuint (rentals->len, ==, 0);
-  g_assert_cmpuint (kept, >, 20 - scale_in_candidate);
-  hzb_autoscaler_free (fleet);
+    n_not_candidates += !((HzbMachine *) b.machines->all->pdata[i])->scale_in_candidate;
+  g_assert_cmpuint (requests->len, ==, 0);
+  g_assert_cmpuint (n_not_candidates, >, 20 - n_candidates);
+  hzb_autoscaler_free (autoscaler);
   bench_down (&b);
 }
 
@@ -528,21 +540,21 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/dispatch/rule-plain-model", test_rule);
+  g_test_add_func ("/dispatch/rule-plain-model", test_placement_rule);
   g_test_add_func ("/dispatch/sampling", test_sampling);
-  g_test_add_func ("/dispatch/sample-of-usable", test_sample_of_usable);
-  g_test_add_func ("/dispatch/lag", test_lag);
-  g_test_add_func ("/dispatch/limit", test_limit);
-  g_test_add_func ("/dispatch/unplaceable-keeps-nothing", test_unplaceable_keeps_nothing);
+  g_test_add_func ("/dispatch/sample-of-usable", test_sample_of_usable_machines);
+  g_test_add_func ("/dispatch/lag", test_lagging_hysteresis);
+  g_test_add_func ("/dispatch/limit", test_team_limit);
+  g_test_add_func ("/dispatch/unplaceable-keeps-nothing", test_unplaceable_job_reserves_nothing);
   g_test_add_func ("/dispatch/consolidate", test_consolidate);
-  g_test_add_func ("/dispatch/largest-begins", test_largest_begins);
-  g_test_add_func ("/dispatch/move-to-idle", test_move_to_idle);
-  g_test_add_func ("/dispatch/replica-stays", test_replica_stays);
+  g_test_add_func ("/dispatch/largest-begins", test_largest_job_starts);
+  g_test_add_func ("/dispatch/move-to-idle", test_move_to_idle_machine);
+  g_test_add_func ("/dispatch/replica-stays", test_replica_placement);
   g_test_add_func ("/dispatch/preemption", test_preemption);
   g_test_add_func ("/dispatch/gang", test_gang);
   g_test_add_func ("/dispatch/cancelled-gang", test_cancelled_gang);
-  g_test_add_func ("/fleet/rentals", test_rentals);
-  g_test_add_func ("/fleet/rentals-for-little", test_rentals_for_little);
-  g_test_add_func ("/fleet/leaving", test_leaving);
+  g_test_add_func ("/fleet/rentals", test_scale_out);
+  g_test_add_func ("/fleet/rentals-for-little", test_scale_out_for_small_work);
+  g_test_add_func ("/fleet/leaving", test_scale_in_candidates);
   return g_test_run ();
 }
--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -1,4 +1,5 @@
-/* Elections: an answer to a request of an earlier leadership changes nothing, and the bytes of the records. */
+/* Elections: late responses to requests of an earlier leadership are ignored, and the records have the expected bytes.
+ * */
 #include "support.h"
 
 #include "election-codec.h"
@@ -76,7 +77,8 @@
   cJSON_Delete (item.value);
 }
 
-/* The lease has expired and the controller was elected again. Then the answer to a renewal of the old lease arrives. */
+/* Guards against a late response to the renewal of an old lease: the lease has expired and the controller was elected
+ * again before the response arrives. The response must not end the new leadership or extend its lease. */
 static void
 test_late_renewal (void)
 {
@@ -88,24 +90,25 @@
       tick_for (&fixture, 0.1);
       answer (&fixture, "/leases", 200, "{\"permit\":7}");
       answer (&fixture, "/multi", 200, "{\"epoch\":5}");
-      g_assert_true (hzb_election_leading (fixture.election));
+      g_assert_true (hzb_election_is_leader (fixture.election));
       apply (&fixture, HZB_KEY_TERM, "{\"term\":1,\"node\":\"n0\"}", 5);
       apply (&fixture, HZB_KEY_LEADER_SCHEMA_1, "{\"node\":\"n0\",\"incarnation\":\"x\",\"lease\":7,\"term\":1}", 5);
       tick_for (&fixture, 1);
       g_assert_nonnull (find_call (&fixture, "/leases/7/renew"));
       apply (&fixture, HZB_KEY_LEADER_SCHEMA_1, NULL, 6);
-      g_assert_false (hzb_election_leading (fixture.election));
+      g_assert_false (hzb_election_is_leader (fixture.election));
       tick_for (&fixture, 0.9);
       answer (&fixture, "/leases", 200, "{\"permit\":8}");
       answer (&fixture, "/multi", 200, "{\"epoch\":7}");
-      g_assert_true (hzb_election_leading (fixture.election));
+      g_assert_true (hzb_election_is_leader (fixture.election));
       tick_for (&fixture, 1);
       g_assert_nonnull (find_call (&fixture, "/leases/8/renew"));
       answer (&fixture, "/leases/7/renew", statuses[i], "{}");
-      g_assert_true (hzb_election_leading (fixture.election));
-      /* The renewal of the new lease gets no answer, so the leadership is valid as long as that lease. */
+      g_assert_true (hzb_election_is_leader (fixture.election));
+      /* The renewal of the new lease gets no response, so the leadership is valid only as long as the lease was
+       * granted. */
       hzb_clock_advance (fixture.clock, 3.05);
-      g_assert_false (hzb_election_lease_valid (fixture.election));
+      g_assert_false (hzb_election_is_lease_valid (fixture.election));
       fixture_down (&fixture);
     }
 }
@@ -118,7 +121,7 @@
   cJSON_Delete (value);
 }
 
-/* Records of earlier and later versions depend on these bytes. */
+/* Earlier and later versions of the program must be able to read these records. */
 static void
 test_records (void)
 {
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -4,9 +4,9 @@
 
 #include <math.h>
 
-/* A change of state that the tables do not allow is refused, changes nothing, and is logged. */
+/* A state change that the transition tables do not allow is refused and logged, and changes nothing. */
 static void
-test_illegal (void)
+test_illegal_transitions (void)
 {
   Bench b;
   HzbJob *job;
@@ -40,10 +40,10 @@
   bench_down (&b);
 }
 
-/* The counters of a job, the room of a machine and the use of a team equal a plain count, over seeded walks of allowed
- * changes. */
+/* The counters of a job, the used resources of a machine and the use of a team equal a direct count over all tasks,
+ * after each step of seeded random sequences of state changes. */
 static void
-test_books (void)
+test_resource_accounting (void)
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
@@ -62,7 +62,7 @@
           guint counts[HZB_TASK_N_STATES] = { 0 };
           double used = 0, room[3] = { 0 };
           if (to == HZB_TASK_FINISHED && step % 8)
-            continue; /* seldom, or all tasks would soon be done */
+            continue; /* rarely, since otherwise all tasks would soon be done */
           g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
           hzb_task_set_state (b.jobs, task, to,
                               placed ? (task->machine && to != HZB_TASK_QUEUED ? task->machine : machine[step % 3])
@@ -82,8 +82,8 @@
           g_assert_cmpuint (job->unconfirmed, ==, counts[HZB_TASK_UNCONFIRMED]);
           g_assert_cmpuint (job->running, ==, counts[HZB_TASK_RUNNING] + counts[HZB_TASK_CHECKPOINTING]);
           g_assert_cmpuint (job->done, ==, counts[HZB_TASK_DONE]);
-          g_assert_cmpuint (hzb_machine_queued_tasks (machine[0]) + hzb_machine_queued_tasks (machine[1])
-                                + hzb_machine_queued_tasks (machine[2]),
+          g_assert_cmpuint (hzb_machine_count_queued_tasks (machine[0]) + hzb_machine_count_queued_tasks (machine[1])
+                                + hzb_machine_count_queued_tasks (machine[2]),
                             ==, counts[HZB_TASK_QUEUED]);
           g_assert_cmpfloat_with_epsilon (b.shard->cpus[0], used, 1e-9);
           for (guint k = 0; k < 3; k++)
@@ -93,10 +93,10 @@
     }
 }
 
-/* The room that replicas of services take on a machine equals a plain count, over seeded walks of two services and an
- * array; and v is how many tasks fit into the rest. */
+/* The resources that replicas of services take on a machine equal a direct count, after each step of seeded random
+ * sequences of state changes of two services and a job array. v is the number of tasks that fit into the rest. */
 static void
-test_replica_books (void)
+test_replica_accounting (void)
 {
   for (guint32 seed = 1; seed <= 20; seed++)
     {
@@ -149,9 +149,9 @@
     }
 }
 
-/* From a job to the stored form of a part of its progress, and back. */
+/* Encodes a chunk of the job's progress as it is stored. */
 static cJSON *
-pack_progress (const HzbJobs *jobs, const HzbJob *job, guint chunk)
+encode_progress (const HzbJobs *jobs, const HzbJob *job, guint chunk)
 {
   g_auto (HzbProgressRecord) record = { 0 };
   hzb_job_pack_progress (jobs, job, chunk, &record);
@@ -159,70 +159,71 @@
 }
 
 static gboolean
-read_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const cJSON *value, gboolean *ours)
+read_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const cJSON *value, gboolean *is_current_size)
 {
   g_auto (HzbProgressRecord) record = { 0 };
   hzb_progress_record_decode (value, &record);
-  return hzb_job_apply_progress (jobs, job, chunk, &record, ours);
+  return hzb_job_apply_progress (jobs, job, chunk, &record, is_current_size);
 }
 
-/* Parts of 32768 tasks, as schema version 1 has them, are read and told apart from ours. What is written instead says
- * the same, also if it is read beside the old parts. */
+/* Chunks of 32768 tasks, as schema version 1 records them, are read and distinguished from chunks of the current size.
+ * The chunks that are written in their place restore the same states, also if an old chunk is read in between. */
 static void
-test_parts_of_version_1 (void)
+test_schema_1_chunks (void)
 {
-  Bench b, after;
-  HzbJob *job, *again;
-  gboolean ours = TRUE;
+  Bench b, successor;
+  HzbJob *job, *restored;
+  gboolean is_current_size = TRUE;
   cJSON *old = cJSON_Parse (
       "{\"released\":40000,\"team\":\"red\",\"cpus\":1,\"gpus\":0,\"done\":\"AQAAgA==\"}"); /* tasks 0 and 31 */
   cJSON *second = cJSON_Parse ("{\"released\":64,\"done\":\"Ag==\"}");                      /* task 32768 + 1 */
   bench_up (&b, 1);
-  bench_up (&after, 1);
+  bench_up (&successor, 1);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 50000, 1, 10);
   job->released = job->releasing = 0;
-  g_assert_true (read_progress (b.jobs, job, 0, old, &ours));
-  g_assert_false (ours);
-  g_assert_true (read_progress (b.jobs, job, 1, second, &ours));
-  g_assert_false (read_progress (b.jobs, job, 2, second, &ours)); /* the job has no such part */
+  g_assert_true (read_progress (b.jobs, job, 0, old, &is_current_size));
+  g_assert_false (is_current_size);
+  g_assert_true (read_progress (b.jobs, job, 1, second, &is_current_size));
+  g_assert_false (read_progress (b.jobs, job, 2, second, &is_current_size)); /* the job has no such chunk */
   g_assert_cmpuint (job->done, ==, 3);
   g_assert_cmpint (job->tasks[32769].state, ==, HZB_TASK_DONE);
   g_assert_cmpuint (job->released, ==, 40000);
   g_assert_cmpuint (job->unconfirmed, ==, 40000 - 3);
-  again = bench_job (&after, "red", HZB_PRIORITY_NORMAL, 50000, 1, 10);
-  again->released = again->releasing = 0;
-  for (guint k = 0; k < hzb_job_chunks (b.jobs, job); k++)
+  restored = bench_job (&successor, "red", HZB_PRIORITY_NORMAL, 50000, 1, 10);
+  restored->released = restored->releasing = 0;
+  for (guint k = 0; k < hzb_job_count_chunks (b.jobs, job); k++)
     {
-      cJSON *value = pack_progress (b.jobs, job, k);
-      g_assert_true (read_progress (after.jobs, again, k, value, &ours));
-      g_assert_true (ours);
+      cJSON *value = encode_progress (b.jobs, job, k);
+      g_assert_true (read_progress (successor.jobs, restored, k, value, &is_current_size));
+      g_assert_true (is_current_size);
       cJSON_Delete (value);
       if (k == 2)
-        read_progress (after.jobs, again, 0, old, &ours);
+        read_progress (successor.jobs, restored, 0, old, &is_current_size);
     }
-  g_assert_cmpuint (again->done, ==, 3);
-  g_assert_cmpuint (again->released, ==, 40000);
+  g_assert_cmpuint (restored->done, ==, 3);
+  g_assert_cmpuint (restored->released, ==, 40000);
   for (guint i = 0; i < 50000; i++)
-    g_assert_cmpint (again->tasks[i].state, ==, job->tasks[i].state);
-  /* A job that fits one part of either size is written alike by both schema versions. */
+    g_assert_cmpint (restored->tasks[i].state, ==, job->tasks[i].state);
+  /* Both schema versions write the same record for a job that fits into one chunk of either size. */
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 8000, 1, 10);
-  second = (cJSON_Delete (second), pack_progress (b.jobs, job, 0));
+  second = (cJSON_Delete (second), encode_progress (b.jobs, job, 0));
   g_assert_false (cJSON_HasObjectItem (second, "of"));
   cJSON_Delete (second);
   cJSON_Delete (old);
   bench_down (&b);
-  bench_down (&after);
+  bench_down (&successor);
 }
 
+/* Progress that is encoded by one leader restores the released mark and the done tasks on its successor. */
 static void
 test_progress (void)
 {
-  Bench b, after;
-  HzbJob *job, *again;
-  gboolean ours = FALSE;
+  Bench b, successor;
+  HzbJob *job, *restored;
+  gboolean is_current_size = FALSE;
   cJSON *value;
   bench_up (&b, 1);
-  bench_up (&after, 1);
+  bench_up (&successor, 1);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 50, 1, 10);
   job->releasing = 40;
   for (guint i = 0; i < 50; i += 7)
@@ -230,26 +231,26 @@
       hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_UNCONFIRMED, NULL);
       hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_FINISHED, NULL);
     }
-  value = pack_progress (b.jobs, job, 0);
-  again = bench_job (&after, "red", HZB_PRIORITY_NORMAL, 50, 1, 10);
-  again->released = again->releasing = 0;
-  g_assert_true (read_progress (after.jobs, again, 0, value, &ours));
-  g_assert_true (ours);
-  g_assert_cmpuint (again->done, ==, 8);
-  /* Tasks that may have been started count against the team until they are found or ruled out. */
-  g_assert_cmpuint (again->unconfirmed, ==, 34);
-  g_assert_cmpuint (again->pending, ==, 8);
-  g_assert_cmpfloat (after.shard->cpus[0], ==, 34);
-  for (guint i = 0; i < after.jobs->active->len; i++)
-    hzb_job_resolve_unconfirmed (after.jobs, after.jobs->active->pdata[i], 0);
-  g_assert_cmpuint (again->unconfirmed, ==, 0);
-  g_assert_cmpfloat (after.shard->cpus[0], ==, 0);
+  value = encode_progress (b.jobs, job, 0);
+  restored = bench_job (&successor, "red", HZB_PRIORITY_NORMAL, 50, 1, 10);
+  restored->released = restored->releasing = 0;
+  g_assert_true (read_progress (successor.jobs, restored, 0, value, &is_current_size));
+  g_assert_true (is_current_size);
+  g_assert_cmpuint (restored->done, ==, 8);
+  /* Tasks that may have been started count against the team until they are confirmed or resolved to pending. */
+  g_assert_cmpuint (restored->unconfirmed, ==, 34);
+  g_assert_cmpuint (restored->pending, ==, 8);
+  g_assert_cmpfloat (successor.shard->cpus[0], ==, 34);
+  for (guint i = 0; i < successor.jobs->active->len; i++)
+    hzb_job_resolve_unconfirmed (successor.jobs, successor.jobs->active->pdata[i], 0);
+  g_assert_cmpuint (restored->unconfirmed, ==, 0);
+  g_assert_cmpfloat (successor.shard->cpus[0], ==, 0);
   cJSON_Delete (value);
   bench_down (&b);
-  bench_down (&after);
+  bench_down (&successor);
 }
 
-/* Each part of the largest job's progress fits the smallest value that the settings allow. */
+/* Each chunk of the largest job's progress fits into the smallest value size that the settings allow. */
 static void
 test_large_job (void)
 {
@@ -262,10 +263,10 @@
       hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_UNCONFIRMED, NULL);
       hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_FINISHED, NULL);
     }
-  g_assert_cmpuint (hzb_job_chunks (b.jobs, job), ==, 13);
+  g_assert_cmpuint (hzb_job_count_chunks (b.jobs, job), ==, 13);
   for (guint k = 0; k < 13; k++)
     {
-      cJSON *value = pack_progress (b.jobs, job, k);
+      cJSON *value = encode_progress (b.jobs, job, k);
       g_autofree char *text = cJSON_PrintUnformatted (value);
       g_assert_cmpuint (strlen (text), <, 2 * 1024 * 0.9);
       cJSON_Delete (value);
@@ -273,29 +274,31 @@
   bench_down (&b);
 }
 
-/* A terminal job stays terminal, whichever record is read late: that of its acceptance, or of another end. */
+/* A terminal job keeps its state if an acceptance record or a second completion record is read late. */
 static void
-test_old_record (void)
+test_late_record (void)
 {
   Bench b;
   HzbJob *job;
-  cJSON *cancelled = hzb_job_end_encode (HZB_JOB_CANCELLED, 3), *done = hzb_job_end_encode (HZB_JOB_DONE, 3);
+  cJSON *cancelled = hzb_job_completion_encode (HZB_JOB_CANCELLED, 3),
+        *done = hzb_job_completion_encode (HZB_JOB_DONE, 3);
   cJSON *record = cJSON_CreateObject ();
   bench_up (&b, 1);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 3, 1, 10);
   cJSON_AddItemToObject (record, job->uid, hzb_job_acceptance_encode (job->spec, job->accepted));
   hzb_jobs_apply_acceptance (b.jobs, "a", record);
-  hzb_jobs_apply_acceptance (b.jobs, "b", record); /* accepted by two controllers: neither record may be deleted yet */
-  g_assert_null (hzb_jobs_deletable_acceptance (b.jobs));
+  /* Two controllers accepted the job: neither acceptance record may be deleted yet. */
+  hzb_jobs_apply_acceptance (b.jobs, "b", record);
+  g_assert_null (hzb_jobs_find_deletable_acceptance (b.jobs));
   hzb_jobs_apply (b.jobs, job->uid, cancelled, 70);
   g_assert_cmpint (job->state, ==, HZB_JOB_CANCELLED);
-  g_assert_nonnull (hzb_jobs_deletable_acceptance (b.jobs)); /* the record of its acceptance may be deleted */
+  g_assert_nonnull (hzb_jobs_find_deletable_acceptance (b.jobs)); /* an acceptance record may be deleted */
   hzb_jobs_apply (b.jobs, job->uid, done, 71);
   g_assert_cmpint (job->state, ==, HZB_JOB_CANCELLED);
   hzb_jobs_apply_acceptance (b.jobs, "a", NULL);
   hzb_jobs_apply_acceptance (b.jobs, "b", NULL);
-  g_assert_null (hzb_jobs_deletable_acceptance (b.jobs));
-  hzb_jobs_apply_acceptance (b.jobs, "a", record); /* read late */
+  g_assert_null (hzb_jobs_find_deletable_acceptance (b.jobs));
+  hzb_jobs_apply_acceptance (b.jobs, "a", record); /* the acceptance record is read late */
   g_assert_cmpint (job->state, ==, HZB_JOB_CANCELLED);
   cJSON_Delete (cancelled);
   cJSON_Delete (done);
@@ -303,9 +306,9 @@
   bench_down (&b);
 }
 
-/* The estimates of a class whose users all state half of what its tasks take are corrected; those of others are not. */
+/* Estimates are corrected for a job class whose users all state half of the actual run time, and for no other class. */
 static void
-test_leaning (void)
+test_estimate_bias (void)
 {
   Bench b;
   HzbJob *job, *next, *other;
@@ -313,10 +316,10 @@
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 200, 1, 10);
   for (guint i = 0; i < 200; i++)
     hzb_jobs_record_run_time (b.jobs, job, 20);
-  g_assert_cmpfloat (hzb_jobs_mean_s (b.jobs, job), ==, 10); /* one job proves nothing */
+  g_assert_cmpfloat (hzb_jobs_mean_s (b.jobs, job), ==, 10); /* one job is not enough for a correction */
   for (guint i = 0; i < 200 * 80; i++)
     hzb_jobs_record_run_time (b.jobs, job, 20);
-  hzb_jobs_record_run_time (b.jobs, job, -1); /* a negative time, from a clock or a peer, is ignored */
+  hzb_jobs_record_run_time (b.jobs, job, -1); /* a negative run time, from a clock or a peer, is ignored */
   next = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 5, 1, 40);
   other = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 5, 1, 40);
   g_free (other->spec->job_class);
@@ -326,14 +329,14 @@
   bench_down (&b);
 }
 
-/* ---- records that move while a controller reads them ---- */
+/* ---- full load while records move ---- */
 
 #define RECORDED_JOBS 12u
 
 typedef struct
 {
-  guint acceptance; /* the record of acceptance that names it; 0: the job was never submitted */
-  gboolean over, moved;
+  guint acceptance; /* the acceptance record that names it; 0: the job was never submitted */
+  gboolean terminal, archived;
 } RecordedJob;
 
 typedef struct
@@ -341,31 +344,34 @@
   gboolean exists;
 } RecordedAcceptance;
 
-/* The records as the key-value store has them, and what has changed since the reader last got the changes. */
+/* The records in the key-value store, and the changes since the last apply_changes(). */
 typedef struct
 {
   RecordedJob jobs[RECORDED_JOBS];
   RecordedAcceptance acceptances[RECORDED_JOBS + 1];
   guint n_jobs, n_acceptances;
-  GPtrArray *changes; /* char*: "+a3", "-a3" an acceptance, "+j5", "-j5" the record of an end */
+  GPtrArray
+      *changes; /* char *: "+a3", "-a3": acceptance record 3 is written or deleted; "+j5", "-j5": the completion record
+                         of job 5 is written or archived */
 } Recorded;
 
 static gboolean
-all_over (const Recorded *recorded, guint acceptance)
+all_terminal (const Recorded *recorded, guint acceptance)
 {
   for (guint i = 0; i < recorded->n_jobs; i++)
-    if (recorded->jobs[i].acceptance == acceptance && !recorded->jobs[i].over)
+    if (recorded->jobs[i].acceptance == acceptance && !recorded->jobs[i].terminal)
       return FALSE;
   return TRUE;
 }
 
-/* What leaders and other controllers do: a job is accepted; a job completes; an acceptance record is deleted once
- * all its jobs are terminal; the completion record moves to the archive once no acceptance record names the job. */
+/* Makes one random change that a leader or another controller may make: jobs are accepted; a job completes; an
+ * acceptance record is deleted once all its jobs are terminal; a completion record moves to the archive once no
+ * acceptance record names the job. */
 static void
 change_records (Recorded *recorded, GRand *rand)
 {
-  guint at = (guint) g_rand_int_range (rand, 0, RECORDED_JOBS);
-  RecordedJob *job = &recorded->jobs[at];
+  guint index = (guint) g_rand_int_range (rand, 0, RECORDED_JOBS);
+  RecordedJob *job = &recorded->jobs[index];
   if (recorded->n_jobs < RECORDED_JOBS && g_rand_int_range (rand, 0, 3) == 0)
     {
       guint named = (guint) g_rand_int_range (rand, 1, 4);
@@ -374,25 +380,25 @@
         recorded->jobs[recorded->n_jobs++].acceptance = recorded->n_acceptances;
       g_ptr_array_add (recorded->changes, g_strdup_printf ("+a%u", recorded->n_acceptances));
     }
-  else if (job->acceptance && !job->over)
+  else if (job->acceptance && !job->terminal)
     {
-      job->over = TRUE;
-      g_ptr_array_add (recorded->changes, g_strdup_printf ("+j%u", at));
+      job->terminal = TRUE;
+      g_ptr_array_add (recorded->changes, g_strdup_printf ("+j%u", index));
     }
-  else if (job->acceptance && recorded->acceptances[job->acceptance].exists && all_over (recorded, job->acceptance))
+  else if (job->acceptance && recorded->acceptances[job->acceptance].exists && all_terminal (recorded, job->acceptance))
     {
       recorded->acceptances[job->acceptance].exists = FALSE;
       g_ptr_array_add (recorded->changes, g_strdup_printf ("-a%u", job->acceptance));
     }
-  else if (job->over && !job->moved && !recorded->acceptances[job->acceptance].exists)
+  else if (job->terminal && !job->archived && !recorded->acceptances[job->acceptance].exists)
     {
-      job->moved = TRUE;
-      g_ptr_array_add (recorded->changes, g_strdup_printf ("-j%u", at));
+      job->archived = TRUE;
+      g_ptr_array_add (recorded->changes, g_strdup_printf ("-j%u", index));
     }
 }
 
 static void
-show_acceptance (Bench *b, const Recorded *recorded, guint acceptance)
+apply_acceptance (Bench *b, const Recorded *recorded, guint acceptance)
 {
   g_autofree char *key = g_strdup_printf (HZB_KEY_ACCEPTED "n-%u", acceptance);
   cJSON *record = cJSON_CreateObject ();
@@ -407,63 +413,64 @@
 }
 
 static void
-show_end (Bench *b, guint job)
+apply_completion (Bench *b, guint job)
 {
   g_autofree char *uid = g_strdup_printf ("run-%06u", job);
-  cJSON *value = hzb_job_end_encode (HZB_JOB_DONE, 1);
+  cJSON *value = hzb_job_completion_encode (HZB_JOB_DONE, 1);
   hzb_jobs_apply (b->jobs, uid, value, 100 + job);
   cJSON_Delete (value);
 }
 
-/* Brings the reader what has changed, as a watch would. */
+/* Applies the recorded changes, as a watch of the key-value store delivers them. */
 static void
-show_changes (Bench *b, Recorded *recorded)
+apply_changes (Bench *b, Recorded *recorded)
 {
   for (guint i = 0; i < recorded->changes->len; i++)
     {
       const char *change = recorded->changes->pdata[i];
-      guint at = (guint) g_ascii_strtoull (change + 2, NULL, 10);
-      g_autofree char *key = g_strdup_printf (HZB_KEY_ACCEPTED "n-%u", at), *uid = g_strdup_printf ("run-%06u", at);
+      guint index = (guint) g_ascii_strtoull (change + 2, NULL, 10);
+      g_autofree char *key = g_strdup_printf (HZB_KEY_ACCEPTED "n-%u", index),
+                      *uid = g_strdup_printf ("run-%06u", index);
       if (g_str_has_prefix (change, "+a"))
-        show_acceptance (b, recorded, at);
+        apply_acceptance (b, recorded, index);
       else if (g_str_has_prefix (change, "-a"))
         hzb_jobs_apply_acceptance (b->jobs, key, NULL);
       else if (g_str_has_prefix (change, "+j"))
-        show_end (b, at);
+        apply_completion (b, index);
       else
-        hzb_jobs_forget (b->jobs, uid);
+        hzb_jobs_remove (b->jobs, uid);
     }
   g_ptr_array_set_size (recorded->changes, 0);
 }
 
 static void
-expect_as_recorded (Bench *b, const Recorded *recorded, guint32 seed)
+assert_matches_records (Bench *b, const Recorded *recorded, guint32 seed)
 {
   for (guint i = 0; i < RECORDED_JOBS; i++)
     {
       g_autofree char *uid = g_strdup_printf ("run-%06u", i);
       const HzbJob *job = hzb_jobs_find (b->jobs, uid);
-      const RecordedJob *is = &recorded->jobs[i];
-      gboolean open = is->acceptance && !is->over, known_final = job && job->state == HZB_JOB_DONE;
-      /* A job whose end has moved to the archive is looked up there, unless its final state is still known here. */
-      if (open              ? !job || job->state != HZB_JOB_ACCEPTED
-          : !is->acceptance ? job != NULL
-          : is->moved       ? job && !known_final
-                            : !known_final)
+      const RecordedJob *expected = &recorded->jobs[i];
+      gboolean open = expected->acceptance && !expected->terminal, known_done = job && job->state == HZB_JOB_DONE;
+      /* The registry may drop a job whose completion record is in the archive. */
+      if (open                    ? !job || job->state != HZB_JOB_ACCEPTED
+          : !expected->acceptance ? job != NULL
+          : expected->archived    ? job && !known_done
+                                  : !known_done)
         g_error ("seed %u: job %u is %s, and here it is %s", seed, i,
-                 open        ? "open"
-                 : is->moved ? "moved"
-                 : is->over  ? "over"
-                             : "unknown",
-                 !job          ? "unknown"
-                 : known_final ? "done"
-                               : "accepted");
+                 open                 ? "open"
+                 : expected->archived ? "archived"
+                 : expected->terminal ? "terminal"
+                                      : "unknown",
+                 !job         ? "unknown"
+                 : known_done ? "done"
+                              : "accepted");
     }
 }
 
-/* A controller reads all records in pages, first acceptances and then completions, and between two pages the
- * changes since, while jobs are accepted and completed and their records move. Then it follows the changes, and may
- * read everything anew. */
+/* Guards against jobs that are lost, or that stay accepted after their end, when records move during a full load. The
+ * controller reads the records in pages, acceptances before completions, and may apply the changes between two pages.
+ * Then it follows the changes, misses some of them, and loads all records again. */
 static void
 test_read_while_records_move (void)
 {
@@ -476,30 +483,30 @@
       recorded.changes = g_ptr_array_new_with_free_func (g_free);
       for (gint32 i = g_rand_int_range (b.rand, 0, 60); i > 0; i--)
         change_records (&recorded, b.rand);
-      for (guint reading = 0; reading < 2; reading++)
+      for (guint load = 0; load < 2; load++)
         {
-          g_ptr_array_set_size (recorded.changes, 0); /* the reader missed these */
+          g_ptr_array_set_size (recorded.changes, 0); /* the controller missed these changes */
           hzb_jobs_load_begin (b.jobs);
           for (guint page = 0; page < 2 * RECORDED_JOBS; page++) /* one key on each page */
             {
               if (page < RECORDED_JOBS && recorded.acceptances[page + 1].exists)
-                show_acceptance (&b, &recorded, page + 1);
-              else if (page >= RECORDED_JOBS && recorded.jobs[page - RECORDED_JOBS].over
-                       && !recorded.jobs[page - RECORDED_JOBS].moved)
-                show_end (&b, page - RECORDED_JOBS);
+                apply_acceptance (&b, &recorded, page + 1);
+              else if (page >= RECORDED_JOBS && recorded.jobs[page - RECORDED_JOBS].terminal
+                       && !recorded.jobs[page - RECORDED_JOBS].archived)
+                apply_completion (&b, page - RECORDED_JOBS);
               for (gint32 i = g_rand_int_range (b.rand, 0, 4); i > 0; i--)
                 change_records (&recorded, b.rand);
               if (page + 1 == 2 * RECORDED_JOBS || g_rand_boolean (b.rand))
-                show_changes (&b, &recorded);
+                apply_changes (&b, &recorded);
             }
           hzb_jobs_load_end (b.jobs);
-          expect_as_recorded (&b, &recorded, seed);
+          assert_matches_records (&b, &recorded, seed);
           for (gint32 i = g_rand_int_range (b.rand, 0, 30); i > 0; i--)
             change_records (&recorded, b.rand);
-          show_changes (&b, &recorded);
-          expect_as_recorded (&b, &recorded, seed);
+          apply_changes (&b, &recorded);
+          assert_matches_records (&b, &recorded, seed);
           for (gint32 i = g_rand_int_range (b.rand, 0, 30); i > 0; i--)
-            change_records (&recorded, b.rand); /* the reader misses these before the next reading */
+            change_records (&recorded, b.rand); /* the controller misses these changes before the next load */
         }
       g_ptr_array_unref (recorded.changes);
       bench_down (&b);
@@ -510,14 +517,14 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/jobs/illegal-changes", test_illegal);
-  g_test_add_func ("/jobs/replica-books", test_replica_books);
-  g_test_add_func ("/jobs/parts-of-version-1", test_parts_of_version_1);
-  g_test_add_func ("/jobs/books", test_books);
+  g_test_add_func ("/jobs/illegal-transitions", test_illegal_transitions);
+  g_test_add_func ("/jobs/replica-accounting", test_replica_accounting);
+  g_test_add_func ("/jobs/schema-1-chunks", test_schema_1_chunks);
+  g_test_add_func ("/jobs/resource-accounting", test_resource_accounting);
   g_test_add_func ("/jobs/progress", test_progress);
   g_test_add_func ("/jobs/large", test_large_job);
-  g_test_add_func ("/jobs/old-record", test_old_record);
-  g_test_add_func ("/jobs/leaning", test_leaning);
+  g_test_add_func ("/jobs/late-record", test_late_record);
+  g_test_add_func ("/jobs/estimate-bias", test_estimate_bias);
   g_test_add_func ("/jobs/read-while-records-move", test_read_while_records_move);
   return g_test_run ();
 }
--- a/tests/test-kv-client.c
+++ b/tests/test-kv-client.c
@@ -1,5 +1,5 @@
-/* The client of the key-value store: no caller waits for ever, and none waits for a budget that its request does not
- * use. */
+/* The client of the key-value store: every request gets one callback in bounded time, and no request waits for a budget
+ * that it does not use. */
 #include "support.h"
 
 #include "fake-transport.h"
@@ -46,22 +46,22 @@
   hzb_kv_client_pump (fixture->kv);
 }
 
-/* The result that one caller got. */
+/* A request, and the result that its callback received. */
 typedef struct
 {
-  guint told;
+  guint callback_calls;
   HzbKvResult result;
-  struct timespec asked, at;
+  struct timespec requested_at, called_at;
   HzbClock *clock;
 } Caller;
 
 static void
-on_told (HzbKvResult result, const char *body, gpointer user)
+on_result (HzbKvResult result, const char *body, gpointer user)
 {
   Caller *caller = user;
-  caller->told++;
+  caller->callback_calls++;
   caller->result = result;
-  caller->at = hzb_clock_now (caller->clock);
+  caller->called_at = hzb_clock_now (caller->clock);
 }
 
 static Caller *
@@ -69,7 +69,7 @@
 {
   Caller *caller = g_new0 (Caller, 1);
   caller->clock = fixture->clock;
-  caller->asked = hzb_clock_now (fixture->clock);
+  caller->requested_at = hzb_clock_now (fixture->clock);
   g_ptr_array_add (callers, caller);
   return caller;
 }
@@ -79,7 +79,7 @@
 {
   HzbKvTransaction *transaction = hzb_kv_transaction_new ();
   hzb_kv_transaction_put (transaction, "a/b", cJSON_CreateObject (), 0);
-  hzb_kv_client_commit (fixture->kv, priority, transaction, on_told, caller);
+  hzb_kv_client_commit (fixture->kv, priority, transaction, on_result, caller);
 }
 
 static void
@@ -90,9 +90,10 @@
     fake_answer (&fixture->transport, call, 200, "{\"epoch\":5,\"news\":[]}");
 }
 
-/* Twice as many changes are requested as the budget allows, all the time: reads are answered as if there were none. */
+/* For 30 s, changes are requested at a higher rate than the write budget allows. Guards against reads that wait
+ * for the write budget. */
 static void
-test_reads_beside_changes (void)
+test_reads_during_write_backlog (void)
 {
   Fixture fixture;
   g_autoptr (GPtrArray) reads = g_ptr_array_new_with_free_func (g_free),
@@ -105,7 +106,7 @@
       if (i % 2)
         put (&fixture, HZB_KV_ACCEPT, caller_new (&fixture, writes));
       if (i % 10 == 0)
-        hzb_kv_client_changes (fixture.kv, "a/", 4, on_told, caller_new (&fixture, reads));
+        hzb_kv_client_changes (fixture.kv, "a/", 4, on_result, caller_new (&fixture, reads));
       answer_all (&fixture);
       step (&fixture);
     }
@@ -113,24 +114,26 @@
   for (guint i = 0; i < reads->len; i++)
     {
       const Caller *caller = reads->pdata[i];
-      g_assert_cmpuint (caller->told, ==, 1);
+      g_assert_cmpuint (caller->callback_calls, ==, 1);
       g_assert_cmpint (caller->result, ==, HZB_KV_OK);
-      g_assert_cmpfloat (hzb_time_between (caller->asked, caller->at), <, 0.3);
+      g_assert_cmpfloat (hzb_time_between (caller->requested_at, caller->called_at), <, 0.3);
     }
   for (guint i = 0; i < writes->len; i++)
     {
       const Caller *caller = writes->pdata[i];
-      changed += caller->told && caller->result == HZB_KV_OK;
+      changed += caller->callback_calls && caller->result == HZB_KV_OK;
     }
-  /* The changes use their budget, 0.6 of 10 a second for 30 s; the upper bound allows for what a full budget holds. */
+  /* The changes use the write budget: 0.6 of 10 per second, for 30 s. The upper bound adds the capacity of the
+   * budget. */
   g_assert_cmpuint (changed, >=, 170);
   g_assert_cmpuint (changed, <=, 180 + 24);
   fixture_down (&fixture);
 }
 
-/* The store takes fewer requests than there are acceptances: reads have their turn, and so have acceptances. */
+/* There are more acceptances than the store takes requests. Guards against reads that are starved by acceptances, and
+ * against acceptances that are starved by reads. */
 static void
-test_few_requests (void)
+test_low_request_rate (void)
 {
   Fixture fixture;
   g_autoptr (GPtrArray) reads = g_ptr_array_new_with_free_func (g_free),
@@ -142,14 +145,14 @@
     {
       put (&fixture, HZB_KV_ACCEPT, caller_new (&fixture, writes));
       if (i % 20 == 0)
-        hzb_kv_client_changes (fixture.kv, "a/", 4, on_told, caller_new (&fixture, reads));
+        hzb_kv_client_changes (fixture.kv, "a/", 4, on_result, caller_new (&fixture, reads));
       answer_all (&fixture);
       step (&fixture);
     }
   for (guint i = 0; i < reads->len; i++)
-    answered += ((Caller *) reads->pdata[i])->result == HZB_KV_OK && ((Caller *) reads->pdata[i])->told;
+    answered += ((Caller *) reads->pdata[i])->result == HZB_KV_OK && ((Caller *) reads->pdata[i])->callback_calls;
   for (guint i = 0; i < writes->len; i++)
-    changed += ((Caller *) writes->pdata[i])->result == HZB_KV_OK && ((Caller *) writes->pdata[i])->told;
+    changed += ((Caller *) writes->pdata[i])->result == HZB_KV_OK && ((Caller *) writes->pdata[i])->callback_calls;
   g_assert_cmpuint (answered, >=, reads->len - 2);
   g_assert_cmpuint (changed, >=, 100);
   fixture_down (&fixture);
@@ -162,13 +165,13 @@
   switch (g_rand_int_range (fixture->rand, 0, 4))
     {
     case 0:
-      hzb_kv_client_get (fixture->kv, priority, "a/b", on_told, caller_new (fixture, callers));
+      hzb_kv_client_get (fixture->kv, priority, "a/b", on_result, caller_new (fixture, callers));
       break;
     case 1:
-      hzb_kv_client_range (fixture->kv, "a/", NULL, on_told, caller_new (fixture, callers));
+      hzb_kv_client_range (fixture->kv, "a/", NULL, on_result, caller_new (fixture, callers));
       break;
     case 2:
-      hzb_kv_client_changes (fixture->kv, "a/", 4, on_told, caller_new (fixture, callers));
+      hzb_kv_client_changes (fixture->kv, "a/", 4, on_result, caller_new (fixture, callers));
       break;
     default:
       put (fixture, priority, caller_new (fixture, callers));
@@ -176,7 +179,7 @@
     }
 }
 
-/* Some requests are answered, in any order; one that is not answered by its deadline ends without an answer. */
+/* Answers some requests, in random order. A request that is still unanswered after its deadline ends with status 0. */
 static void
 random_answers (Fixture *fixture)
 {
@@ -201,10 +204,10 @@
     }
 }
 
-/* Whatever is requested, at whatever rates, and whatever becomes of it: each callback is called once, within twice the
- * request's time. */
+/* Random requests, rates and answers. Guards against callers that never get a result: each callback is called exactly
+ * once, within twice the request's timeout. */
 static void
-test_each_caller_is_told (void)
+test_each_caller_is_called_back (void)
 {
   for (guint32 seed = 10; seed < 40; seed++)
     {
@@ -226,8 +229,8 @@
       for (guint i = 0; i < callers->len; i++)
         {
           const Caller *caller = callers->pdata[i];
-          g_assert_cmpuint (caller->told, ==, 1);
-          g_assert_cmpfloat (hzb_time_between (caller->asked, caller->at), <, 2 * 4 + 2 * STEP_S);
+          g_assert_cmpuint (caller->callback_calls, ==, 1);
+          g_assert_cmpfloat (hzb_time_between (caller->requested_at, caller->called_at), <, 2 * 4 + 2 * STEP_S);
         }
       fixture_down (&fixture);
     }
@@ -237,8 +240,8 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/kv-client/reads-beside-changes", test_reads_beside_changes);
-  g_test_add_func ("/kv-client/few-requests", test_few_requests);
-  g_test_add_func ("/kv-client/each-caller-is-called-back", test_each_caller_is_told);
+  g_test_add_func ("/kv-client/reads-beside-changes", test_reads_during_write_backlog);
+  g_test_add_func ("/kv-client/few-requests", test_low_request_rate);
+  g_test_add_func ("/kv-client/each-caller-is-called-back", test_each_caller_is_called_back);
   return g_test_run ();
 }
--- a/tests/test-kv-replica.c
+++ b/tests/test-kv-replica.c
@@ -1,5 +1,5 @@
-/* The replica of the records against a plain model of the key-value store, whose answers come late, in any order, or
- * not at all. */
+/* The replica of the records against a model of the key-value store, whose answers arrive late, in random order, or not
+ * at all. */
 #include "support.h"
 
 #include "fake-transport.h"
@@ -11,7 +11,7 @@
 #define ROWS 8u
 #define STEP_S 0.05
 
-/* ---- the plain model ---- */
+/* ---- the model of the key-value store ---- */
 
 typedef struct
 {
@@ -25,7 +25,7 @@
   guint64 revision;
   guint64 versions[KEYS]; /* 0: the key does not exist */
   GArray *changes;        /* Change */
-  guint kept;             /* so many of the last changes can still be asked for */
+  guint n_kept_changes;   /* number of the latest changes that the store still keeps */
 } Model;
 
 static void
@@ -37,14 +37,14 @@
 }
 
 static char *
-query (const char *path, const char *name)
+query_parameter (const char *path, const char *name)
 {
-  g_autofree char *mark = g_strconcat (name, "=", NULL);
-  const char *at = strstr (path, mark);
+  g_autofree char *parameter = g_strconcat (name, "=", NULL);
+  const char *at = strstr (path, parameter);
   gsize length;
   if (!at)
     return NULL;
-  at += strlen (mark);
+  at += strlen (parameter);
   length = strcspn (at, "&");
   return g_strndup (at, length);
 }
@@ -52,7 +52,7 @@
 static char *
 model_range (const Model *model, const char *path)
 {
-  g_autofree char *since = query (path, "since");
+  g_autofree char *since = query_parameter (path, "since");
   GString *text = g_string_new ("{\"rows\":[");
   guint rows = 0, key = since ? (guint) g_ascii_strtoull (since + strlen (PREFIX), NULL, 10) + 1 : 0;
   for (; key < KEYS && rows < ROWS; key++)
@@ -66,37 +66,37 @@
   return g_string_free (text, FALSE);
 }
 
-/* Returns: NULL if the changes after that revision are not kept any more. */
+/* Returns: NULL if the store no longer keeps all changes after the revision in the path. */
 static char *
 model_changes (const Model *model, const char *path)
 {
-  g_autofree char *since = query (path, "since");
+  g_autofree char *since = query_parameter (path, "since");
   guint64 after = g_ascii_strtoull (since, NULL, 10);
   GString *text;
-  gboolean any = FALSE;
-  if (after + model->kept < model->revision)
+  gboolean has_changes = FALSE;
+  if (after + model->n_kept_changes < model->revision)
     return NULL;
   text = g_string_new ("{\"news\":[");
-  for (guint i = (guint) after; i < model->changes->len; i++) /* change i has the version i + 1 */
+  for (guint i = (guint) after; i < model->changes->len; i++) /* the change at index i has version i + 1 */
     {
       const Change *change = &g_array_index (model->changes, Change, i);
       g_string_append_printf (text, "%s{\"%s\":\"" PREFIX "%03u\",\"value\":{},\"stamp\":%" G_GUINT64_FORMAT "}",
-                              any ? "," : "", change->removed ? "remove" : "put", change->key, change->version);
-      any = TRUE;
+                              has_changes ? "," : "", change->removed ? "remove" : "put", change->key, change->version);
+      has_changes = TRUE;
     }
   g_string_append_printf (text, "],\"epoch\":%" G_GUINT64_FORMAT "}", model->revision);
   return g_string_free (text, FALSE);
 }
 
-/* ---- the replica of the records, and the module that made it ---- */
+/* ---- the replica and its callbacks ---- */
 
-/* A request that the key-value store has carried out, and whose answer is on its way. */
+/* The answer to a request that the model has carried out; the replica has not received it yet. */
 typedef struct
 {
   FakeCall *call;
   guint status;
   char *body;
-} Reply;
+} PendingReply;
 
 typedef struct
 {
@@ -108,8 +108,8 @@
   Model model;
   GRand *rand;
   GPtrArray *replies;
-  guint64 versions[KEYS]; /* as the replica of the records has handed them over */
-  guint loads[KEYS], load, pages, lost;
+  guint64 versions[KEYS]; /* of each key, as the replica has passed it on; 0: the key does not exist */
+  guint last_load[KEYS], load, pages, resets;
 } Fixture;
 
 static gboolean
@@ -130,7 +130,7 @@
   Fixture *fixture = user;
   guint key = (guint) g_ascii_strtoull (item->key + strlen (PREFIX), NULL, 10);
   fixture->versions[key] = item->value ? item->version : 0;
-  fixture->loads[key] = fixture->load;
+  fixture->last_load[key] = fixture->load;
 }
 
 static void
@@ -138,20 +138,20 @@
 {
   Fixture *fixture = user;
   for (guint key = 0; key < KEYS; key++)
-    if (fixture->loads[key] != fixture->load)
-      fixture->versions[key] = 0; /* the reading did not show it */
+    if (fixture->last_load[key] != fixture->load)
+      fixture->versions[key] = 0; /* the load did not pass the key on, so it does not exist */
 }
 
 static void
-lost (gpointer user)
+count_reset (gpointer user)
 {
-  ((Fixture *) user)->lost++;
+  ((Fixture *) user)->resets++;
 }
 
-static const HzbKvReplicaCallbacks funcs = { may_load, load_begin, apply, load_end, lost };
+static const HzbKvReplicaCallbacks callbacks = { may_load, load_begin, apply, load_end, count_reset };
 
 static void
-fixture_up (Fixture *fixture, guint32 seed, guint kept)
+fixture_up (Fixture *fixture, guint32 seed, guint n_kept_changes)
 {
   memset (fixture, 0, sizeof *fixture);
   fixture->settings = test_settings ();
@@ -159,9 +159,9 @@
   fixture->clock = hzb_clock_new_manual ();
   fake_transport_init (&fixture->transport, fixture->clock);
   fixture->kv = hzb_kv_client_new (&fixture->transport.parent, fixture->clock, fixture->settings);
-  fixture->kv_replica = hzb_kv_replica_new (fixture->kv, fixture->clock, PREFIX, 0, &funcs, fixture);
+  fixture->kv_replica = hzb_kv_replica_new (fixture->kv, fixture->clock, PREFIX, 0, &callbacks, fixture);
   fixture->model.changes = g_array_new (FALSE, FALSE, sizeof (Change));
-  fixture->model.kept = kept;
+  fixture->model.n_kept_changes = n_kept_changes;
   fixture->rand = g_rand_new_with_seed (seed);
   fixture->replies = g_ptr_array_new ();
   for (guint key = 0; key < KEYS; key++)
@@ -170,7 +170,7 @@
 }
 
 static void
-reply_free (Reply *reply)
+reply_free (PendingReply *reply)
 {
   g_free (reply->body);
   g_free (reply);
@@ -203,17 +203,17 @@
 is_carried_out (const Fixture *fixture, const FakeCall *call)
 {
   for (guint i = 0; i < fixture->replies->len; i++)
-    if (((const Reply *) fixture->replies->pdata[i])->call == call)
+    if (((const PendingReply *) fixture->replies->pdata[i])->call == call)
       return TRUE;
   return FALSE;
 }
 
-/* The store carries the request out now, and its answer is delivered later. A watch is answered without waiting for a
- * change. */
+/* The model carries out the request now, and deliver() delivers its answer later. The model answers a watch without
+ * waiting for a change. */
 static void
 carry_out (Fixture *fixture, FakeCall *call)
 {
-  Reply *reply = g_new0 (Reply, 1);
+  PendingReply *reply = g_new0 (PendingReply, 1);
   gboolean page = g_str_has_prefix (call->path, "/kv?");
   fixture->pages += page;
   reply->call = call;
@@ -225,30 +225,30 @@
 static void
 deliver (Fixture *fixture, guint at)
 {
-  Reply *reply = g_ptr_array_remove_index (fixture->replies, at);
+  PendingReply *reply = g_ptr_array_remove_index (fixture->replies, at);
   fake_answer (&fixture->transport, reply->call, reply->status, reply->body ? reply->body : "");
   reply_free (reply);
 }
 
-/* The answer never comes, whether the request was carried out or not. */
+/* Ends a request without the model's answer, whether the model has carried it out or not. */
 static void
-lose (Fixture *fixture, FakeCall *call, guint status)
+drop_answer (Fixture *fixture, FakeCall *call, guint status)
 {
   for (guint i = 0; i < fixture->replies->len; i++)
-    if (((Reply *) fixture->replies->pdata[i])->call == call)
+    if (((PendingReply *) fixture->replies->pdata[i])->call == call)
       reply_free (g_ptr_array_remove_index (fixture->replies, i--));
   fake_answer (&fixture->transport, call, status, "");
 }
 
 static void
-lose_expired (Fixture *fixture)
+drop_expired (Fixture *fixture)
 {
   struct timespec now = hzb_clock_now (fixture->clock);
   for (GList *l = fixture->transport.calls.head, *next; l; l = next)
     {
       next = l->next;
       if (hzb_time_before (((FakeCall *) l->data)->deadline, now))
-        lose (fixture, l->data, 0);
+        drop_answer (fixture, l->data, 0);
     }
 }
 
@@ -261,7 +261,7 @@
       if (!is_carried_out (fixture, call))
         carry_out (fixture, call);
       for (guint i = 0; i < fixture->replies->len; i++)
-        if (((Reply *) fixture->replies->pdata[i])->call == call)
+        if (((PendingReply *) fixture->replies->pdata[i])->call == call)
           {
             deliver (fixture, i);
             break;
@@ -270,40 +270,40 @@
 }
 
 static void
-expect_same (const Fixture *fixture, guint32 seed)
+expect_equal_state (const Fixture *fixture, guint32 seed)
 {
   g_assert_cmpint (hzb_kv_replica_state (fixture->kv_replica), ==, HZB_KV_REPLICA_FOLLOWING);
   for (guint key = 0; key < KEYS; key++)
     if (fixture->versions[key] != fixture->model.versions[key])
-      g_error ("seed %u: key %u is shown with version %u, and has %u", seed, key, (guint) fixture->versions[key],
-               (guint) fixture->model.versions[key]);
+      g_error ("seed %u: the replica shows key %u with version %u, but the store has version %u", seed, key,
+               (guint) fixture->versions[key], (guint) fixture->model.versions[key]);
 }
 
-#define SOON_TURNS 200u /* 10 s */
+#define CONVERGENCE_STEPS 200u /* of 0.05 s: 10 s */
 
-/* Once every request is answered at once, the replica of the records shows what the store has. */
+/* When every request is answered at once, the replica's state becomes equal to that of the model. */
 static void
-expect_same_soon (Fixture *fixture, guint32 seed)
+expect_convergence (Fixture *fixture, guint32 seed)
 {
-  for (guint i = 0; i < SOON_TURNS; i++)
+  for (guint i = 0; i < CONVERGENCE_STEPS; i++)
     {
       answer_all (fixture);
       tick (fixture);
     }
   answer_all (fixture);
-  expect_same (fixture, seed);
+  expect_equal_state (fixture, seed);
 }
 
-/* ---- at random ---- */
+/* ---- random faults ---- */
 
 typedef struct
 {
   Fixture *fixture;
   guint32 seed;
-  guint64 asked; /* the model's revision as the sync was asked for */
-} Question;
+  guint64 revision_before; /* the model's revision at the time of the request */
+} SyncRequest;
 
-/* Returns: the key's last change up to that revision; NULL if it had none. */
+/* Returns: the key's last change up to the revision; NULL if there is none. */
 static const Change *
 last_change (const Model *model, guint key, guint64 revision)
 {
@@ -322,22 +322,25 @@
   return FALSE;
 }
 
-/* After a sync that reports a fresh replica, the replica has all changes from before the sync was asked for, and no key
- * that had been deleted by then. */
+/* If a sync reports a fresh replica, the replica has all changes from before the sync was requested, and no key that
+ * had been deleted by then. */
 static void
 on_synced (gboolean fresh, gpointer user)
 {
-  g_autofree Question *question = user;
-  const Fixture *fixture = question->fixture;
+  g_autofree SyncRequest *sync_request = user;
+  const Fixture *fixture = sync_request->fixture;
   for (guint key = 0; fresh && key < KEYS; key++)
     {
-      const Change *change = last_change (&fixture->model, key, question->asked);
+      const Change *change = last_change (&fixture->model, key, sync_request->revision_before);
       guint64 shown = fixture->versions[key];
       if (!change)
         continue;
-      if (shown ? shown < change->version : !change->removed && !removed_since (&fixture->model, key, question->asked))
-        g_error ("seed %u: key %u is proven fresh with version %u, and was %s at %u when it was asked", question->seed,
-                 key, (guint) shown, change->removed ? "removed" : "written", (guint) change->version);
+      if (shown ? shown < change->version
+                : !change->removed && !removed_since (&fixture->model, key, sync_request->revision_before))
+        g_error ("seed %u: the sync reports a fresh replica, which shows key %u with version %u, but the key was %s "
+                 "at version %u before the sync was requested",
+                 sync_request->seed, key, (guint) shown, change->removed ? "removed" : "written",
+                 (guint) change->version);
     }
 }
 
@@ -363,14 +366,14 @@
       }
     case 3:
       {
-        Question *question = g_new0 (Question, 1);
-        *question = (Question){ fixture, seed, fixture->model.revision };
-        hzb_kv_replica_sync (fixture->kv_replica, on_synced, question);
+        SyncRequest *sync_request = g_new0 (SyncRequest, 1);
+        *sync_request = (SyncRequest){ fixture, seed, fixture->model.revision };
+        hzb_kv_replica_sync (fixture->kv_replica, on_synced, sync_request);
         break;
       }
     case 4:
       if (call && g_rand_int_range (fixture->rand, 0, 3) == 0)
-        lose (fixture, call, g_rand_boolean (fixture->rand) ? 0 : 503);
+        drop_answer (fixture, call, g_rand_boolean (fixture->rand) ? 0 : 503);
       break;
     case 5:
       if (g_rand_int_range (fixture->rand, 0, 40) == 0)
@@ -380,7 +383,7 @@
     case 7:
     case 8:
       tick (fixture);
-      lose_expired (fixture);
+      drop_expired (fixture);
       break;
     default:
       if (call && !is_carried_out (fixture, call) && g_rand_boolean (fixture->rand))
@@ -401,12 +404,12 @@
       fixture_up (&fixture, seed, seed % 3 ? 200 : 25);
       for (guint i = 0; i < 3000; i++)
         random_step (&fixture, seed);
-      expect_same_soon (&fixture, seed);
+      expect_convergence (&fixture, seed);
       fixture_down (&fixture);
     }
 }
 
-/* ---- one fault at a time ---- */
+/* ---- single faults ---- */
 
 static FakeCall *
 only_call (Fixture *fixture)
@@ -415,32 +418,34 @@
   return g_queue_peek_head (&fixture->transport.calls);
 }
 
-/* The replica is reset while a page is on its way: that page does not count for the reading that follows. */
+/* The replica is reset while the request for a page is in flight. Guards against a load that uses a page of the load
+ * before it. */
 static void
-test_page_of_before_reset (void)
+test_page_from_before_reset (void)
 {
   Fixture fixture;
-  FakeCall *old;
+  FakeCall *earlier_call;
   fixture_up (&fixture, 1, 1000);
   hzb_kv_replica_tick (fixture.kv_replica);
-  for (guint i = 0; i < 4; i++) /* two pages, and the changes after each */
+  for (guint i = 0; i < 4; i++) /* two pages, each followed by its changes */
     {
       carry_out (&fixture, only_call (&fixture));
       deliver (&fixture, 0);
     }
-  old = only_call (&fixture);
-  carry_out (&fixture, old);
+  earlier_call = only_call (&fixture);
+  carry_out (&fixture, earlier_call);
   hzb_kv_replica_reset (fixture.kv_replica);
   model_change (&fixture.model, 3, TRUE);
   tick (&fixture);
   deliver (&fixture, 0);
-  expect_same_soon (&fixture, 1);
+  expect_convergence (&fixture, 1);
   fixture_down (&fixture);
 }
 
-/* Every second page does not come: what has been read stays, and the reading ends. */
+/* The store refuses every second request of a load. The load keeps the records that it has read, repeats only the
+ * refused request, and ends. */
 static void
-test_pages_that_do_not_come (void)
+test_lost_pages (void)
 {
   Fixture fixture;
   guint calls = 0;
@@ -449,7 +454,7 @@
     {
       FakeCall *call = g_queue_peek_head (&fixture.transport.calls);
       if (call && ++calls % 2)
-        lose (&fixture, call, 503);
+        drop_answer (&fixture, call, 503);
       else if (call)
         {
           carry_out (&fixture, call);
@@ -463,9 +468,10 @@
   fixture_down (&fixture);
 }
 
-/* During a reading more changes are made than the store keeps, though not between two pages. */
+/* During a load more changes are made than the store keeps, but not between two pages. Guards against a load that reads
+ * the changes only at its end, when the store no longer keeps them. */
 static void
-test_more_changes_than_are_kept (void)
+test_more_changes_than_kept (void)
 {
   Fixture fixture;
   fixture_up (&fixture, 1, 20);
@@ -481,18 +487,18 @@
         model_change (&fixture.model, (guint) g_rand_int_range (fixture.rand, 0, KEYS), FALSE);
       tick (&fixture);
     }
-  expect_same_soon (&fixture, 1);
-  g_assert_cmpuint (fixture.lost, ==, 0);
+  expect_convergence (&fixture, 1);
+  g_assert_cmpuint (fixture.resets, ==, 0);
   fixture_down (&fixture);
 }
 
-/* A sync finds out before the watch does that changes are not kept any more: it reports that the replica is not fresh,
- * and all records are read anew. */
+/* A sync gets the answer that the store no longer keeps the changes before the watch gets that answer. The sync reports
+ * that the replica is not fresh, and the replica reads all records again. */
 static void
-test_question_after_too_much (void)
+test_sync_after_too_many_changes (void)
 {
   Fixture fixture;
-  Question *question = g_new0 (Question, 1);
+  SyncRequest *sync_request = g_new0 (SyncRequest, 1);
   FakeCall *call = NULL;
   fixture_up (&fixture, 1, 20);
   for (guint i = 0; i < 20; i++)
@@ -504,13 +510,13 @@
   g_assert_cmpint (hzb_kv_replica_state (fixture.kv_replica), ==, HZB_KV_REPLICA_FOLLOWING);
   for (guint i = 0; i < 30; i++)
     model_change (&fixture.model, i, TRUE);
-  *question = (Question){ &fixture, 1, fixture.model.revision };
-  hzb_kv_replica_sync (fixture.kv_replica, on_synced, question);
+  *sync_request = (SyncRequest){ &fixture, 1, fixture.model.revision };
+  hzb_kv_replica_sync (fixture.kv_replica, on_synced, sync_request);
   call = g_queue_peek_tail (&fixture.transport.calls);
   carry_out (&fixture, call);
   deliver (&fixture, 0);
-  g_assert_cmpuint (fixture.lost, ==, 1);
-  expect_same_soon (&fixture, 1);
+  g_assert_cmpuint (fixture.resets, ==, 1);
+  expect_convergence (&fixture, 1);
   fixture_down (&fixture);
 }
 
@@ -519,10 +525,10 @@
 {
 }
 
-/* The answers to watches never come in time, since there are too many changes, though the store answers all else: all
- * records are read anew in pages. */
+/* No watch is answered in time, since there are too many changes, while the store answers other requests. Guards
+ * against a replica that never catches up: it has to read all records again in pages. */
 static void
-test_news_too_large (void)
+test_changes_too_large (void)
 {
   Fixture fixture;
   fixture_up (&fixture, 1, 1000);
@@ -532,7 +538,7 @@
       if (!follows)
         answer_all (&fixture);
       else
-        lose_expired (&fixture);
+        drop_expired (&fixture);
       if (follows && i % 10 == 0)
         {
           hzb_kv_client_get (fixture.kv, HZB_KV_READ, "hzb/o/other", ignore_result, NULL);
@@ -541,7 +547,7 @@
       tick (&fixture);
     }
   g_assert_cmpuint (fixture.load, ==, 2);
-  expect_same_soon (&fixture, 1);
+  expect_convergence (&fixture, 1);
   fixture_down (&fixture);
 }
 
@@ -550,11 +556,11 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/kv-replica/page-from-before-reset", test_page_of_before_reset);
-  g_test_add_func ("/kv-replica/pages-that-do-not-come", test_pages_that_do_not_come);
-  g_test_add_func ("/kv-replica/more-changes-than-are-kept", test_more_changes_than_are_kept);
-  g_test_add_func ("/kv-replica/sync-after-too-many-changes", test_question_after_too_much);
-  g_test_add_func ("/kv-replica/changes-too-large", test_news_too_large);
+  g_test_add_func ("/kv-replica/page-from-before-reset", test_page_from_before_reset);
+  g_test_add_func ("/kv-replica/pages-that-do-not-come", test_lost_pages);
+  g_test_add_func ("/kv-replica/more-changes-than-are-kept", test_more_changes_than_kept);
+  g_test_add_func ("/kv-replica/sync-after-too-many-changes", test_sync_after_too_many_changes);
+  g_test_add_func ("/kv-replica/changes-too-large", test_changes_too_large);
   g_test_add_func ("/kv-replica/random", test_random);
   return g_test_run ();
 }
--- a/tests/test-peer-heartbeat.c
+++ b/tests/test-peer-heartbeat.c
@@ -1,10 +1,11 @@
-/* Heartbeats and the log of cancellations: compared with a plain model, and with malformed messages. */
+/* The log of cancellations, compared with a simple model; and the encoding of heartbeats, with malformed messages too.
+ * */
 #include "json.h"
 #include "peer-heartbeat.h"
 
 #define CAPACITY 20u
 
-/* The plain model: everything that was ever recorded. */
+/* The model of the log: an array of all cancellations that were ever recorded. */
 typedef struct
 {
   guint64 revision;
@@ -12,10 +13,10 @@
 } Recorded;
 
 static void
-check_read (const HzbCancellationLog *log, const GArray *recorded, guint64 after, guint64 upto, guint most)
+check_read (const HzbCancellationLog *log, const GArray *recorded, guint64 after, guint64 up_to, guint max_count)
 {
   g_autoptr (GArray) read = hzb_cancellations_array_new ();
-  guint64 complete = hzb_cancellation_log_read (log, after, upto, most, read);
+  guint64 complete = hzb_cancellation_log_read (log, after, up_to, max_count, read);
   guint expected = 0;
 
   if (!complete)
@@ -23,21 +24,22 @@
   g_assert_cmpuint (complete, >=, after);
   for (guint i = 0; i < recorded->len; i++)
     {
-      const Recorded *one = &g_array_index (recorded, Recorded, i);
-      g_autofree char *uid = g_strdup_printf ("run-%06u", one->number);
+      const Recorded *entry = &g_array_index (recorded, Recorded, i);
+      g_autofree char *uid = g_strdup_printf ("run-%06u", entry->number);
       const HzbCancellation *got;
-      if (one->revision <= after || one->revision > complete)
+      if (entry->revision <= after || entry->revision > complete)
         continue;
       g_assert_cmpuint (expected, <, read->len);
       got = &g_array_index (read, HzbCancellation, expected++);
       g_assert_cmpstr (got->uid, ==, uid);
-      g_assert_cmpuint (got->revision, ==, one->revision);
-      g_assert_cmpuint (got->n_tasks, ==, one->number % 7);
+      g_assert_cmpuint (got->revision, ==, entry->revision);
+      g_assert_cmpuint (got->n_tasks, ==, entry->number % 7);
     }
   g_assert_cmpuint (expected, ==, read->len);
 }
 
-/* What the log lists as complete is all that was recorded, for any order of adding, restarting and reading. */
+/* A list that the log claims to be complete has all recorded cancellations, for random sequences of add, restart and
+ * read. */
 static void
 test_log (void)
 {
@@ -54,13 +56,13 @@
       hzb_cancellation_log_restart (log, revision);
       for (guint i = 0; i < 120; i++)
         {
-          gboolean same = g_rand_double (rand) < 0.2; /* one transaction may cancel several */
-          Recorded one = { revision += same ? 0 : (guint64) g_rand_int_range (rand, 1, 9), i };
+          gboolean same_revision = g_rand_double (rand) < 0.2; /* one transaction may cancel several jobs */
+          Recorded added = { revision += same_revision ? 0 : (guint64) g_rand_int_range (rand, 1, 9), i };
           g_autofree char *uid = g_strdup_printf ("run-%06u", i);
-          if (same && recorded->len == 0)
+          if (same_revision && recorded->len == 0)
             continue;
-          hzb_cancellation_log_add (log, uid, one.revision, i % 7);
-          g_array_append_val (recorded, one);
+          hzb_cancellation_log_add (log, uid, added.revision, i % 7);
+          g_array_append_val (recorded, added);
           check_read (log, recorded, (guint64) g_rand_int_range (rand, 0, (gint32) revision + 3), revision + 1,
                       (guint) g_rand_int_range (rand, 1, 30));
           complete_reads += revision >= 8;
@@ -72,9 +74,10 @@
   g_assert_cmpuint (complete_reads, >, 1000);
 }
 
-/* The log does not claim to have what was recorded before its restart, or what it dropped because it was full. */
+/* The log does not claim to be complete for revisions before its restart, or for entries that it dropped because it was
+ * full. */
 static void
-test_log_is_not_complete_before (void)
+test_log_incomplete_before_restart (void)
 {
   HzbCancellationLog *log = hzb_cancellation_log_new (2);
   g_autoptr (GArray) read = hzb_cancellations_array_new ();
@@ -92,7 +95,7 @@
 }
 
 static HzbPeerHeartbeat *
-sent_and_received (const HzbPeerHeartbeat *heartbeat)
+encode_and_decode (const HzbPeerHeartbeat *heartbeat)
 {
   cJSON *message = cJSON_CreateObject (), *read;
   g_autofree char *text = NULL;
@@ -121,7 +124,7 @@
   heartbeat->cancellations_up_to = 4000000140;
   g_array_append_val (heartbeat->cancellations, cancellation);
   hzb_peer_heartbeat_add_counts (heartbeat, "run-000009", 3, 4);
-  received = sent_and_received (heartbeat);
+  received = encode_and_decode (heartbeat);
   g_assert_true (received->leads && received->self_fenced && received->lost_workers && received->lists_cancellations);
   g_assert_false (received->redirects_workers);
   g_assert_cmpuint (received->term, ==, 12);
@@ -136,7 +139,7 @@
 }
 
 static HzbPeerHeartbeat *
-decoded (const char *text)
+decode_text (const char *text)
 {
   cJSON *message = cJSON_Parse (text);
   HzbPeerHeartbeat *heartbeat = hzb_peer_heartbeat_decode (message);
@@ -144,16 +147,16 @@
   return heartbeat;
 }
 
-/* Malformed fields have their defaults, as have the fields that an older version does not send. */
+/* Malformed fields, and fields that an older version does not send, are decode_text as their defaults. */
 static void
 test_malformed (void)
 {
-  g_autoptr (HzbPeerHeartbeat) old = decoded ("{\"term\":3,\"leads\":true,\"jobs\":{\"run-000001\":[1,2]}}");
-  g_autoptr (HzbPeerHeartbeat) broken =
-      decoded ("{\"cancelledUpTo\":9,\"cancelled\":{\"run-000001\":{\"version\":3,\"n\":1},\"run-000002\":{\"n\":1}},"
-               "\"jobs\":{\"run-000003\":[1],\"run-000004\":[-1,2],\"run-000005\":\"x\"},\"cancelledKnown\":\"x\"}");
-  g_autoptr (HzbPeerHeartbeat) bad_name =
-      decoded ("{\"cancelledUpTo\":9,\"cancelled\":{\"../x\":{\"version\":3,\"n\":1}}}");
+  g_autoptr (HzbPeerHeartbeat) old = decode_text ("{\"term\":3,\"leads\":true,\"jobs\":{\"run-000001\":[1,2]}}");
+  g_autoptr (HzbPeerHeartbeat) broken = decode_text (
+      "{\"cancelledUpTo\":9,\"cancelled\":{\"run-000001\":{\"version\":3,\"n\":1},\"run-000002\":{\"n\":1}},"
+      "\"jobs\":{\"run-000003\":[1],\"run-000004\":[-1,2],\"run-000005\":\"x\"},\"cancelledKnown\":\"x\"}");
+  g_autoptr (HzbPeerHeartbeat) invalid_uid =
+      decode_text ("{\"cancelledUpTo\":9,\"cancelled\":{\"../x\":{\"version\":3,\"n\":1}}}");
 
   g_assert_false (old->lists_cancellations || old->self_fenced);
   g_assert_true (old->redirects_workers);
@@ -163,8 +166,8 @@
   g_assert_cmpuint (broken->cancellations_up_to, ==, 0);
   g_assert_cmpuint (broken->cancellations_known, ==, 0);
   g_assert_cmpuint (broken->counts->len, ==, 0);
-  g_assert_cmpuint (bad_name->cancellations_up_to, ==, 0);
-  g_assert_cmpuint (bad_name->cancellations->len, ==, 0);
+  g_assert_cmpuint (invalid_uid->cancellations_up_to, ==, 0);
+  g_assert_cmpuint (invalid_uid->cancellations->len, ==, 0);
 }
 
 int
@@ -172,7 +175,7 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/peer-heartbeat/cancellation-log", test_log);
-  g_test_add_func ("/peer-heartbeat/log-is-not-complete-before", test_log_is_not_complete_before);
+  g_test_add_func ("/peer-heartbeat/log-incomplete-before-restart", test_log_incomplete_before_restart);
   g_test_add_func ("/peer-heartbeat/round-trip", test_round_trip);
   g_test_add_func ("/peer-heartbeat/malformed", test_malformed);
   return g_test_run ();
--- a/tests/test-peers.c
+++ b/tests/test-peers.c
@@ -1,4 +1,4 @@
-/* Peers without a controller: two of them exchange messages, and copies of old messages change nothing. */
+/* HzbPeers without a controller: two instances exchange messages, and copies of old messages are refused. */
 #include "support.h"
 
 #include "fake-transport.h"
@@ -8,11 +8,11 @@
 #define HEARTBEAT_PATH "/peer/v1/word"
 #define SHARD_POLL_PATH "/peer/v1/block"
 
-/* One controller: its peers, and what they use. */
+/* The peers module of one controller, and its dependencies. */
 typedef struct
 {
   HzbNode node;
-  HzbPeer peer; /* the other controller, as the settings name it */
+  HzbPeer peer; /* the other controller in the settings */
   FakeTransport transport;
   HzbKvClient *kv;
   HzbKvReplica *kv_replica;
@@ -22,10 +22,10 @@
   HzbPeers *peers;
   GRand *rand;
 
-  guint64 known_revision;    /* what it states in heartbeats */
-  guint replies_filled;      /* how often it was asked what a peer lacks */
-  gboolean knows_all_listed; /* what it says of replies */
-  guint polls;               /* of leaseholders */
+  guint64 known_revision;    /* revision of known cancellations that heartbeats state */
+  guint replies_filled;      /* number of calls of fill_reply() */
+  gboolean knows_all_listed; /* result of apply_reply() */
+  guint polls;               /* number of polls of leaseholders */
 } Fixture;
 
 static void
@@ -68,7 +68,7 @@
 fixture_up (Fixture *fixture, HzbClock *clock, const char *name, const char *peer, const char *incarnation)
 {
   static const HzbPeersCallbacks callbacks = { fill_heartbeat, fill_reply, apply_reply, handle_shard_poll };
-  static const HzbKvReplicaCallbacks replica_funcs = { .lost = ignore };
+  static const HzbKvReplicaCallbacks replica_callbacks = { .reset = ignore };
 
   *fixture = (Fixture){ .node = { .settings = test_settings (),
                                   .clock = clock,
@@ -85,7 +85,7 @@
   fake_transport_init (&fixture->transport, clock);
   fixture->node.transport = &fixture->transport.parent;
   fixture->kv = hzb_kv_client_new (fixture->node.transport, clock, fixture->node.settings);
-  fixture->kv_replica = hzb_kv_replica_new (fixture->kv, clock, HZB_KEY_REPLICATED, 0.1, &replica_funcs, fixture);
+  fixture->kv_replica = hzb_kv_replica_new (fixture->kv, clock, HZB_KEY_REPLICATED, 0.1, &replica_callbacks, fixture);
   fixture->election = hzb_election_new (fixture->kv, clock, fixture->node.settings, fixture->rand);
   fixture->ownership = hzb_ownership_new (clock);
   fixture->jobs = hzb_jobs_new (clock, fixture->node.settings);
@@ -109,40 +109,40 @@
   g_rand_free (fixture->rand);
 }
 
-/* The answer to a request of a peer. */
+/* The response to a request of a peer. */
 typedef struct
 {
   guint status;
   char *body;
-} Answer;
+} Response;
 
 static void
-keep_answer (HzbHttpRequest *http_request, guint status, const char *body, guint retry_after_s)
+store_response (HzbHttpRequest *http_request, guint status, const char *body, guint retry_after_s)
 {
-  Answer *answer = http_request->impl;
-  answer->status = status;
-  answer->body = g_strdup (body);
+  Response *response = http_request->impl;
+  response->status = status;
+  response->body = g_strdup (body);
 }
 
-/* Returns: (transfer full): the answer, of this status */
+/* Delivers a request and checks the status of the response. Returns: (transfer full): the body of the response */
 static char *
 deliver (Fixture *to, const char *path, const char *body, guint expected_status)
 {
-  Answer answer = { 0 };
-  HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1); /* freed as it is answered */
+  Response response = { 0 };
+  HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1); /* freed when it is answered */
 
   http_request->method = g_strdup ("POST");
   http_request->path = g_strdup (path);
   http_request->body = g_strdup (body);
   http_request->length = strlen (body);
-  http_request->reply = keep_answer;
-  http_request->impl = &answer;
+  http_request->reply = store_response;
+  http_request->impl = &response;
   hzb_peers_handle_request (to->peers, http_request);
-  g_assert_cmpuint (answer.status, ==, expected_status);
-  return answer.body;
+  g_assert_cmpuint (response.status, ==, expected_status);
+  return response.body;
 }
 
-/* Returns: (transfer none): the heartbeat that the fixture has sent, which waits for its reply */
+/* Returns: (transfer none): the heartbeat that the fixture has sent; its reply is pending */
 static FakeCall *
 tick (Fixture *fixture)
 {
@@ -155,18 +155,18 @@
 exchange (Fixture *from, Fixture *to)
 {
   FakeCall *call = tick (from);
-  g_autofree char *answer = NULL;
+  g_autofree char *response = NULL;
   g_assert_cmpstr (call->path, ==, HEARTBEAT_PATH);
-  answer = deliver (to, call->path, call->body, 200);
-  fake_answer (&from->transport, call, 200, answer);
+  response = deliver (to, call->path, call->body, 200);
+  fake_answer (&from->transport, call, 200, response);
 }
 
-/* After one exchange each of the two knows of the other what it has stated. */
+/* After one exchange each controller knows what the other one has stated. */
 static void
 test_exchange (void)
 {
   HzbClock *clock = hzb_clock_new_manual ();
-  struct timespec began = hzb_clock_now (clock);
+  struct timespec start = hzb_clock_now (clock);
   Fixture a, b;
 
   fixture_up (&a, clock, "a", "b", "a1");
@@ -174,24 +174,24 @@
   a.known_revision = 7;
   b.known_revision = 9;
   a.knows_all_listed = TRUE;
-  g_assert_true (hzb_peers_unreachable (a.peers, "b"));
+  g_assert_true (hzb_peers_is_unreachable (a.peers, "b"));
   g_assert_cmpuint (hzb_peers_schema_version (a.peers, "b"), ==, 1);
   exchange (&a, &b);
   g_assert_cmpuint (b.replies_filled, ==, 1);
-  g_assert_false (hzb_peers_unreachable (a.peers, "b"));
+  g_assert_false (hzb_peers_is_unreachable (a.peers, "b"));
   g_assert_cmpuint (hzb_peers_schema_version (a.peers, "b"), ==, HZB_SCHEMA_VERSION);
   g_assert_cmpstr (hzb_peers_incarnation (b.peers, "a"), ==, "a1");
   g_assert_true (hzb_peers_all_know_cancellations (b.peers, 7));
   g_assert_false (hzb_peers_all_know_cancellations (b.peers, 8));
-  g_assert_cmpfloat (hzb_time_between (began, hzb_peers_current_as_of (a.peers)), ==, 0);
+  g_assert_cmpfloat (hzb_time_between (start, hzb_peers_current_as_of (a.peers)), ==, 0);
   hzb_clock_advance (clock, 4);
-  g_assert_true (hzb_peers_unreachable (a.peers, "b"));
+  g_assert_true (hzb_peers_is_unreachable (a.peers, "b"));
   fixture_down (&a);
   fixture_down (&b);
   hzb_clock_free (clock);
 }
 
-/* A reply whose cancellations the controller could not take all proves nothing. */
+/* A reply does not make the controller current if it could not apply all cancellations that the reply lists. */
 static void
 test_incomplete_reply (void)
 {
@@ -208,19 +208,20 @@
   hzb_clock_free (clock);
 }
 
-/* A second copy of a message is refused; each kind is counted by itself; unknown senders are refused. */
+/* A second copy of a message is refused, and so are older messages of the same kind, but not of another kind. Messages
+ * of unknown senders and malformed messages are refused. */
 static void
 test_copies_are_refused (void)
 {
   HzbClock *clock = hzb_clock_new_manual ();
   cJSON *first_poll, *second_poll;
-  g_autofree char *first = NULL, *second = NULL, *stranger = NULL;
+  g_autofree char *first = NULL, *second = NULL, *unidentified = NULL;
   Fixture a, b;
 
   fixture_up (&a, clock, "a", "b", "a1");
   fixture_up (&b, clock, "b", "a", "b1");
-  first_poll = hzb_peers_message (a.peers, HZB_PEER_SHARD_POLL);
-  second_poll = hzb_peers_message (a.peers, HZB_PEER_SHARD_POLL);
+  first_poll = hzb_peers_new_message (a.peers, HZB_PEER_SHARD_POLL);
+  second_poll = hzb_peers_new_message (a.peers, HZB_PEER_SHARD_POLL);
   first = cJSON_PrintUnformatted (first_poll);
   second = cJSON_PrintUnformatted (second_poll);
   g_free (deliver (&b, SHARD_POLL_PATH, second, 200));
@@ -229,8 +230,8 @@
   g_assert_cmpuint (b.polls, ==, 1);
   g_free (deliver (&b, HEARTBEAT_PATH, first, 200));
   g_free (deliver (&a, HEARTBEAT_PATH, first, 400)); /* the settings of a name no peer a */
-  stranger = g_strdup ("{\"node\":\"a\",\"number\":99}");
-  g_free (deliver (&b, HEARTBEAT_PATH, stranger, 400)); /* names no process */
+  unidentified = g_strdup ("{\"node\":\"a\",\"number\":99}");
+  g_free (deliver (&b, HEARTBEAT_PATH, unidentified, 400)); /* names no process */
   g_free (deliver (&b, HEARTBEAT_PATH, "not JSON", 400));
   cJSON_Delete (first_poll);
   cJSON_Delete (second_poll);
@@ -239,7 +240,7 @@
   hzb_clock_free (clock);
 }
 
-/* What a process sent is refused once a heartbeat of another process of the same controller has come. */
+/* Messages of an old process are refused after a heartbeat of a newer process of the same controller was received. */
 static void
 test_earlier_process (void)
 {
@@ -252,14 +253,14 @@
   fixture_up (&b, clock, "b", "a", "b1");
   before.known_revision = 7;
   exchange (&before, &b);
-  message = hzb_peers_message (before.peers, HZB_PEER_HEARTBEAT);
+  message = hzb_peers_new_message (before.peers, HZB_PEER_HEARTBEAT);
   late = cJSON_PrintUnformatted (message);
   cJSON_Delete (message);
   hzb_clock_advance (clock, 2);
   fixture_up (&after, clock, "a", "b", "a2");
   exchange (&after, &b);
   g_assert_cmpstr (hzb_peers_incarnation (b.peers, "a"), ==, "a2");
-  g_assert_false (hzb_peers_all_know_cancellations (b.peers, 7)); /* the new process has not said so */
+  g_assert_false (hzb_peers_all_know_cancellations (b.peers, 7)); /* the new process has not stated it */
   g_free (deliver (&b, HEARTBEAT_PATH, late, 400));
   g_assert_cmpstr (hzb_peers_incarnation (b.peers, "a"), ==, "a2");
   fixture_down (&before);
@@ -268,7 +269,7 @@
   hzb_clock_free (clock);
 }
 
-/* Once every controller reads schema version 2, a process that states none is refused. */
+/* When every controller reads schema version 2, messages of a process that states no version are refused. */
 static void
 test_old_schema (void)
 {
--- a/tests/test-reconciliation.c
+++ b/tests/test-reconciliation.c
@@ -401,7 +401,7 @@
               if (!hzb_start_pacing_allows (&pacing, class))
                 continue;
               g_assert_true (more_pressing);
-              hzb_start_pacing_take (&pacing);
+              hzb_start_pacing_take_token (&pacing);
               in_second[step / 20]++;
               urgent += class == HZB_START_PACING_URGENT;
               other += class == HZB_START_PACING_OTHER;
--- a/tests/test-record-flush.c
+++ b/tests/test-record-flush.c
@@ -1,32 +1,32 @@
-/* What the leader takes for durable is in the key-value store, whatever becomes of its transactions. */
+/* All that the leader treats as durable is in the key-value store, whatever the outcome of its transactions. */
 #include "record-keys.h"
 #include "records-codec.h"
 #include "sim-faults.h"
 
-/* What is on record, over all pages. */
+/* The contents of all pages in the key-value store. */
 typedef struct
 {
-  GHashTable *finished; /* "uid/task", set */
-  GHashTable *released; /* uid -> the highest released mark */
-  GHashTable *machines; /* name, set */
-} OnRecord;
+  GHashTable *finished; /* set of "uid/task" */
+  GHashTable *released; /* uid to its highest released mark */
+  GHashTable *machines; /* set of machine names */
+} StoredRecords;
 
 static void
 read_progress_page (const char *key, const cJSON *value, gpointer user)
 {
-  OnRecord *on_record = user;
+  StoredRecords *stored = user;
   g_autoptr (GArray) parts = hzb_progress_page_decode (value);
 
   for (guint i = 0; i < parts->len; i++)
     {
       const HzbProgressPart *part = &g_array_index (parts, HzbProgressPart, i);
       const HzbProgressRecord *progress = &part->progress;
-      guint released = GPOINTER_TO_UINT (g_hash_table_lookup (on_record->released, part->uid));
-      g_hash_table_insert (on_record->released, g_strdup (part->uid),
+      guint released = GPOINTER_TO_UINT (g_hash_table_lookup (stored->released, part->uid));
+      g_hash_table_insert (stored->released, g_strdup (part->uid),
                            GUINT_TO_POINTER (MAX (released, progress->released)));
       for (guint k = 0; k < 8 * progress->finished_bytes; k++)
         if (progress->finished[k / 8] & 1u << k % 8)
-          g_hash_table_add (on_record->finished,
+          g_hash_table_add (stored->finished,
                             g_strdup_printf ("%s/%u", part->uid, part->chunk * progress->chunk_tasks + k));
     }
 }
@@ -34,63 +34,63 @@
 static void
 read_machine_page (const char *key, const cJSON *value, gpointer user)
 {
-  OnRecord *on_record = user;
+  StoredRecords *stored = user;
   g_autoptr (GArray) machines = hzb_machine_page_decode (value);
 
   for (guint i = 0; i < machines->len; i++)
-    g_hash_table_add (on_record->machines, g_strdup (g_array_index (machines, HzbMachineRecord, i).name));
+    g_hash_table_add (stored->machines, g_strdup (g_array_index (machines, HzbMachineRecord, i).name));
 }
 
-/* Returns: how many tasks the leader takes for done whose jobs are not. */
+/* Checks a job that is not done. Returns: the number of its tasks that the leader treats as done. */
 static guint
-expect_job_on_record (const OnRecord *on_record, const HzbJob *job)
+expect_job_stored (const StoredRecords *stored, const HzbJob *job)
 {
   guint done = 0;
 
-  g_assert_cmpuint (job->released, <=, GPOINTER_TO_UINT (g_hash_table_lookup (on_record->released, job->uid)));
+  g_assert_cmpuint (job->released, <=, GPOINTER_TO_UINT (g_hash_table_lookup (stored->released, job->uid)));
   for (guint i = 0; i < job->n_tasks; i++)
     if (job->tasks[i].state == HZB_TASK_DONE)
       {
         g_autofree char *name = g_strdup_printf ("%s/%u", job->uid, i);
-        g_assert_true (g_hash_table_contains (on_record->finished, name));
+        g_assert_true (g_hash_table_contains (stored->finished, name));
         done++;
       }
   return done;
 }
 
-/* Returns: as expect_job_on_record() */
+/* Checks the leader's jobs and machines. Returns: the number of tasks that it treats as done, of jobs that are not. */
 static guint
-expect_on_record (Sim *sim, const HzbController *controller)
+expect_all_stored (Sim *sim, const HzbController *controller)
 {
-  OnRecord on_record = { g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
-                         g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
-                         g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL) };
+  StoredRecords stored = { g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
+                           g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL),
+                           g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL) };
   guint done = 0;
 
-  sim_each_record (sim, HZB_KEY_PROGRESS, read_progress_page, &on_record);
-  sim_each_record (sim, HZB_KEY_MACHINES, read_machine_page, &on_record);
+  sim_each_record (sim, HZB_KEY_PROGRESS, read_progress_page, &stored);
+  sim_each_record (sim, HZB_KEY_MACHINES, read_machine_page, &stored);
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
       const HzbJob *job = controller->jobs->active->pdata[i];
       if (job->state == HZB_JOB_ACCEPTED)
-        done += expect_job_on_record (&on_record, job);
+        done += expect_job_stored (&stored, job);
     }
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       const HzbMachine *machine = controller->machines->all->pdata[i];
       if (machine->recorded && machine->page)
-        g_assert_true (g_hash_table_contains (on_record.machines, machine->name));
+        g_assert_true (g_hash_table_contains (stored.machines, machine->name));
     }
-  g_hash_table_unref (on_record.finished);
-  g_hash_table_unref (on_record.released);
-  g_hash_table_unref (on_record.machines);
+  g_hash_table_unref (stored.finished);
+  g_hash_table_unref (stored.released);
+  g_hash_table_unref (stored.machines);
   return done;
 }
 
-/* Half of all transactions get no answer and are carried out seconds later, or never, since others came before them. Guards
- * against a leader that guesses what became of a flush. */
+/* Half of all transactions get no answer. They are carried out seconds later, or fail because other transactions were
+ * carried out before them. Guards against a leader that assumes an outcome of a flush that it does not know. */
 static void
-test_unanswered (void)
+test_unanswered_flushes (void)
 {
   for (guint32 seed = 800; seed < 806; seed++)
     {
@@ -107,9 +107,9 @@
           sim_run (sim, sim->now + 0.1);
           leader = sim_leader (sim);
           if (leader >= 0 && hzb_ownership_leader_loaded (sim->nodes[leader].controller->ownership))
-            done += expect_on_record (sim, sim->nodes[leader].controller);
+            done += expect_all_stored (sim, sim->nodes[leader].controller);
         }
-      g_assert_cmpuint (done, >, 0); /* else nothing was checked */
+      g_assert_cmpuint (done, >, 0); /* otherwise the test has checked no task */
       sim->late_transaction_chance = 0;
       sim_run (sim, 300);
       expect_all_finished (sim, "unanswered flushes", seed);
@@ -121,6 +121,6 @@
 main (int argc, char **argv)
 {
   g_test_init (&argc, &argv, NULL);
-  g_test_add_func ("/record-flush/unanswered", test_unanswered);
+  g_test_add_func ("/record-flush/unanswered", test_unanswered_flushes);
   return g_test_run ();
 }
--- a/tests/test-records-codec.c
+++ b/tests/test-records-codec.c
@@ -1,11 +1,11 @@
-/* The stored form of the leader's records: byte for byte what the versions before have written, and read back as it
- * was. */
+/* The stored form of the leader's records: it equals what earlier versions wrote, byte for byte, and is decoded to the
+ * same contents. */
 #include "records-codec.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Takes @value. */
+/* Takes ownership of @value. */
 static void
 expect_bytes (cJSON *value, const char *expected)
 {
@@ -19,22 +19,23 @@
 test_flush_record (void)
 {
   const HzbFlushRecord record = { 18446744073709551615u, 7, 4711 };
-  HzbFlushRecord read;
-  cJSON *value = cJSON_Parse ("{\"n\":12,\"term\":3,\"clear\":99,\"roster\":[]}"), *old = cJSON_Parse ("{\"n\":5}");
+  HzbFlushRecord decoded;
+  cJSON *value = cJSON_Parse ("{\"n\":12,\"term\":3,\"clear\":99,\"roster\":[]}"),
+        *schema_1_value = cJSON_Parse ("{\"n\":5}");
 
   expect_bytes (hzb_flush_record_encode (&record), "{\"n\":18446744073709551615,\"term\":7,\"clear\":4711}");
-  hzb_flush_record_decode (value, &read);
-  g_assert_cmpuint (read.number, ==, 12);
-  g_assert_cmpuint (read.term, ==, 3);
-  g_assert_cmpuint (read.acknowledged_revision, ==, 99);
-  hzb_flush_record_decode (old, &read); /* schema version 1 states the number only */
-  g_assert_cmpuint (read.number, ==, 5);
-  g_assert_cmpuint (read.term, ==, 0);
-  g_assert_cmpuint (read.acknowledged_revision, ==, 0);
-  hzb_flush_record_decode (NULL, &read);
-  g_assert_cmpuint (read.number, ==, 0);
+  hzb_flush_record_decode (value, &decoded);
+  g_assert_cmpuint (decoded.number, ==, 12);
+  g_assert_cmpuint (decoded.term, ==, 3);
+  g_assert_cmpuint (decoded.acknowledged_revision, ==, 99);
+  hzb_flush_record_decode (schema_1_value, &decoded); /* schema version 1 states only the number */
+  g_assert_cmpuint (decoded.number, ==, 5);
+  g_assert_cmpuint (decoded.term, ==, 0);
+  g_assert_cmpuint (decoded.acknowledged_revision, ==, 0);
+  hzb_flush_record_decode (NULL, &decoded);
+  g_assert_cmpuint (decoded.number, ==, 0);
   cJSON_Delete (value);
-  cJSON_Delete (old);
+  cJSON_Delete (schema_1_value);
 }
 
 static void
@@ -44,7 +45,7 @@
   g_array_append_val (parts, part);
 }
 
-/* Schema version 2, which states the size of the parts where there are several. */
+/* Schema version 2, which states the part size if the job has several parts. */
 static void
 test_progress_page (void)
 {
@@ -53,7 +54,7 @@
       "\"run-000002/3\":{\"released\":9000,\"of\":8192}}";
   static const guchar bits[] = { 1, 0, 0, 0x80 };
   g_autoptr (GArray) parts = hzb_progress_parts_new ();
-  g_autoptr (GArray) read = NULL;
+  g_autoptr (GArray) decoded = NULL;
   const HzbProgressPart *part;
   cJSON *page;
 
@@ -68,10 +69,10 @@
   expect_bytes (hzb_progress_page_encode (parts), stored);
 
   page = cJSON_Parse (stored);
-  read = hzb_progress_page_decode (page);
+  decoded = hzb_progress_page_decode (page);
   cJSON_Delete (page);
-  g_assert_cmpuint (read->len, ==, 2);
-  part = &g_array_index (read, HzbProgressPart, 0);
+  g_assert_cmpuint (decoded->len, ==, 2);
+  part = &g_array_index (decoded, HzbProgressPart, 0);
   g_assert_cmpstr (part->uid, ==, "run-000001");
   g_assert_cmpuint (part->chunk, ==, 0);
   g_assert_cmpuint (part->progress.released, ==, 64);
@@ -80,7 +81,7 @@
   g_assert_cmpfloat (part->progress.cpus, ==, 0.5);
   g_assert_cmpfloat (part->progress.gpus, ==, 1);
   g_assert_cmpmem (part->progress.finished, part->progress.finished_bytes, bits, sizeof bits);
-  part = &g_array_index (read, HzbProgressPart, 1);
+  part = &g_array_index (decoded, HzbProgressPart, 1);
   g_assert_cmpstr (part->uid, ==, "run-000002");
   g_assert_cmpuint (part->chunk, ==, 3);
   g_assert_cmpuint (part->progress.released, ==, 9000);
@@ -89,22 +90,22 @@
   g_assert_cmpuint (part->progress.finished_bytes, ==, 0);
 }
 
-/* What makes no sense is read as nothing, and never as a part of size 0. */
+/* Malformed progress is decoded as no progress. Guards against a decoded part size of 0. */
 static void
-test_odd_progress (void)
+test_malformed_progress (void)
 {
   cJSON *page =
       cJSON_Parse ("{\"no-chunk\":{},\"run/1\":7,\"run/2\":{\"of\":0,\"done\":\"\"},\"run/3\":{\"of\":1e300}}");
-  g_autoptr (GArray) read = hzb_progress_page_decode (page);
+  g_autoptr (GArray) decoded = hzb_progress_page_decode (page);
 
   cJSON_Delete (page);
-  g_assert_cmpuint (read->len, ==, 4);
-  g_assert_null (g_array_index (read, HzbProgressPart, 0).uid);
-  g_assert_cmpuint (g_array_index (read, HzbProgressPart, 1).chunk, ==, 1);
-  g_assert_cmpuint (g_array_index (read, HzbProgressPart, 1).progress.released, ==, 0);
-  g_assert_cmpuint (g_array_index (read, HzbProgressPart, 2).progress.chunk_tasks, ==, 1);
-  g_assert_cmpuint (g_array_index (read, HzbProgressPart, 2).progress.finished_bytes, ==, 0);
-  g_assert_cmpuint (g_array_index (read, HzbProgressPart, 3).progress.chunk_tasks, >, 0);
+  g_assert_cmpuint (decoded->len, ==, 4);
+  g_assert_null (g_array_index (decoded, HzbProgressPart, 0).uid);
+  g_assert_cmpuint (g_array_index (decoded, HzbProgressPart, 1).chunk, ==, 1);
+  g_assert_cmpuint (g_array_index (decoded, HzbProgressPart, 1).progress.released, ==, 0);
+  g_assert_cmpuint (g_array_index (decoded, HzbProgressPart, 2).progress.chunk_tasks, ==, 1);
+  g_assert_cmpuint (g_array_index (decoded, HzbProgressPart, 2).progress.finished_bytes, ==, 0);
+  g_assert_cmpuint (g_array_index (decoded, HzbProgressPart, 3).progress.chunk_tasks, >, 0);
 }
 
 static void
@@ -115,7 +116,7 @@
       "\"m-2\":{\"type\":\"small\",\"zone\":\"zb\",\"spot\":false,\"at\":1700000001,\"drain\":true}}";
   static const char schema_1[] =
       "{\"m-3\":{\"addr\":\"10.0.0.3:80\",\"type\":\"big\",\"zone\":\"za\",\"spot\":true},\"m-4\":{}}";
-  g_autoptr (GArray) machines = NULL, written = NULL, old = NULL;
+  g_autoptr (GArray) machines = NULL, empty = NULL, schema_1_machines = NULL;
   const HzbMachineRecord *record;
   cJSON *page = cJSON_Parse (stored);
 
@@ -133,17 +134,17 @@
   expect_bytes (hzb_machine_page_encode (machines), stored);
 
   page = cJSON_Parse (schema_1);
-  old = hzb_machine_page_decode (page);
+  schema_1_machines = hzb_machine_page_decode (page);
   cJSON_Delete (page);
-  record = &g_array_index (old, HzbMachineRecord, 0);
+  record = &g_array_index (schema_1_machines, HzbMachineRecord, 0);
   g_assert_cmpstr (record->address, ==, "10.0.0.3:80");
   g_assert_true (isnan (record->recorded_at));
-  record = &g_array_index (old, HzbMachineRecord, 1);
+  record = &g_array_index (schema_1_machines, HzbMachineRecord, 1);
   g_assert_null (record->type);
   g_assert_null (record->zone);
 
-  written = hzb_machine_records_new ();
-  expect_bytes (hzb_machine_page_encode (written), "{}");
+  empty = hzb_machine_records_new ();
+  expect_bytes (hzb_machine_page_encode (empty), "{}");
 }
 
 int
@@ -152,7 +153,7 @@
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/records-codec/flush-record", test_flush_record);
   g_test_add_func ("/records-codec/progress-page", test_progress_page);
-  g_test_add_func ("/records-codec/odd-progress", test_odd_progress);
+  g_test_add_func ("/records-codec/odd-progress", test_malformed_progress);
   g_test_add_func ("/records-codec/machine-page", test_machine_page);
   return g_test_run ();
 }
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -1,18 +1,18 @@
-/* Records: what is durable, and what users see of it. */
+/* The durability of progress and job records, and the responses to users about them. */
 #include "record-keys.h"
 #include "sim-faults.h"
 
 #include <string.h>
 
-/* In an outage of the key-value store a job whose tasks have all finished is not called done, and the workers keep its
- * results. */
+/* All tasks of a job finish during an outage of the key-value store. Guards against a leader that reports the job as
+ * done before its results are durable, and against workers that drop the results by then. */
 static void
 test_done_confirmed_after_durable (void)
 {
   Sim *sim = sim_new (14);
   SimJob *job = sim_add_job (sim, 1, "red", 4, 2, 15);
   SimMachine *machine;
-  guint ended = 0;
+  guint finished = 0;
   sim_run (sim, 15);
   g_assert_nonnull (machine_with_tasks (sim));
   sim->kv_outage = TRUE;
@@ -22,9 +22,9 @@
     {
       machine = sim->machines->pdata[i];
       for (guint k = 0; k < machine->tasks->len; k++)
-        ended += g_str_equal (((SimTask *) machine->tasks->pdata[k])->cause, "done");
+        finished += g_str_equal (((SimTask *) machine->tasks->pdata[k])->cause, "done");
     }
-  g_assert_cmpuint (ended, ==, 4);
+  g_assert_cmpuint (finished, ==, 4);
   sim->kv_outage = FALSE;
   sim_run (sim, 60);
   g_assert_true (job->confirmed_done);
@@ -32,8 +32,8 @@
   sim_free (sim);
 }
 
-/* Many transactions are carried out late. The fake key-value store checks that no record of progress goes back, as it
- * would if an older flush of the same term overwrote a newer one. */
+/* Many transactions are carried out late. Guards against an older flush that overwrites a newer one of the same term:
+ * the fake key-value store checks that no progress record loses progress. */
 static void
 test_late_transactions (void)
 {
@@ -52,8 +52,8 @@
     }
 }
 
-/* The key-value store takes few changes a second. A transaction that got 429 is sent again as a whole, and neither a
- * new job nor a new machine waits until the records of all others are written. */
+/* The key-value store takes few changes per second. A transaction that got 429 is sent again as a whole. Guards against
+ * a new job or machine that waits until the records of all others are written. */
 static void
 test_low_write_rate (void)
 {
@@ -95,7 +95,8 @@
   return n;
 }
 
-/* After a restart of all controllers with a day's records, each of them answers for every job. */
+/* After a restart of all controllers with the records of many jobs, every controller answers queries about every
+ * job. */
 static void
 test_full_restart_answers_for_every_job (void)
 {
@@ -114,9 +115,9 @@
   sim_free (sim);
 }
 
-/* Jobs that completed long ago are archived outside of the replicated records, and users still get responses about
- * them, to queries, repeated submissions and cancellations, while controllers crash and one has to read all records
- * again because the changes it missed were compacted. */
+/* Jobs that completed long ago are moved from the replicated records to the archive, while controllers crash, and
+ * one controller has to read all records again because the changes that it missed were compacted. Users still get
+ * responses about these jobs to queries, repeated submissions and cancellations. */
 static void
 test_archive_of_completed_jobs (void)
 {
@@ -125,7 +126,7 @@
   for (guint32 seed = 130; seed < 134; seed++)
     {
       Sim *sim = sim_new_with_config (seed, &config);
-      guint moved = 0;
+      guint archived = 0;
       GHashTableIter iter;
       gpointer key;
       for (guint i = 0; i < 40; i++)
@@ -138,7 +139,7 @@
       sim_run (sim, 60);
       if (seed % 2)
         {
-          sim->nodes[1].cut_off_from_kv = TRUE; /* long enough for many records to move to the archive */
+          sim->nodes[1].cut_off_from_kv = TRUE; /* until many records are in the archive */
           sim_run (sim, 85);
           sim->nodes[1].cut_off_from_kv = FALSE;
           if (sim->nodes[1].controller)
@@ -150,25 +151,25 @@
       g_hash_table_iter_init (&iter, sim->kv);
       while (g_hash_table_iter_next (&iter, &key, NULL))
         {
-          moved += g_str_has_prefix (key, HZB_KEY_ARCHIVED);
-          if (g_str_has_prefix (key, HZB_KEY_ARCHIVED)) /* each job has a record in one place only */
+          archived += g_str_has_prefix (key, HZB_KEY_ARCHIVED);
+          if (g_str_has_prefix (key, HZB_KEY_ARCHIVED)) /* each job has one record */
             {
-              g_autofree char *other = g_strconcat (HZB_KEY_JOBS, (char *) key + strlen (HZB_KEY_ARCHIVED), NULL);
-              g_assert_false (g_hash_table_contains (sim->kv, other));
+              g_autofree char *other_key = g_strconcat (HZB_KEY_JOBS, (char *) key + strlen (HZB_KEY_ARCHIVED), NULL);
+              g_assert_false (g_hash_table_contains (sim->kv, other_key));
             }
         }
-      g_assert_cmpuint (moved, ==, 40 - config.max_replicated_completed);
+      g_assert_cmpuint (archived, ==, 40 - config.max_replicated_completed);
       for (guint i = 0; i < SIM_NODES; i++)
         g_assert_cmpuint (g_hash_table_size (sim->nodes[i].controller->jobs->by_uid), ==,
                           config.max_replicated_completed);
-      /* Users return much later, and one asks about a job that was never submitted. */
+      /* Users query their jobs much later, and one of them queries a job that was never submitted. */
       sim_run (sim, 300);
       expect_all_finished (sim, "archive of completed jobs", seed);
       sim_free (sim);
     }
 }
 
-/* A submission whose texts take 2,400 bytes in a record. */
+/* Returns: (transfer full): a submission whose texts take 2,400 bytes in a record. */
 static char *
 long_submission (const char *uid)
 {
@@ -182,20 +183,21 @@
       uid, text->str, text->str);
 }
 
-/* A job with long texts was accepted when values could be larger, and is archived. Its repeated submission gets its
- * state; a new job with the same texts is refused. */
+/* A job with long texts, which was accepted when values could be larger, is archived. A repeated submission of the job
+ * gets the job's state; a new job with the same texts is rejected. */
 static void
 test_idempotent_request_with_long_texts (void)
 {
   Sim *sim = sim_new (70);
-  g_autofree char *known = long_submission ("run-700001"), *other = long_submission ("run-700002");
+  g_autofree char *archived_submission = long_submission ("run-700001"),
+                  *new_submission = long_submission ("run-700002");
   sim_put_record (sim, HZB_KEY_ARCHIVED "run-700001", "{\"state\":\"done\",\"n\":2}");
   sim_run (sim, 5);
   for (guint i = 0; i < SIM_NODES; i++)
     {
-      g_assert_cmpuint (user_request (sim, i, "POST", "/api/jobs", known, NULL), ==, 200);
+      g_assert_cmpuint (user_request (sim, i, "POST", "/api/jobs", archived_submission, NULL), ==, 200);
       g_assert_nonnull (strstr (last_response_body, "done"));
-      g_assert_cmpuint (user_request (sim, i, "POST", "/api/jobs", other, NULL), ==, 400);
+      g_assert_cmpuint (user_request (sim, i, "POST", "/api/jobs", new_submission, NULL), ==, 400);
     }
   sim_free (sim);
 }
--- a/tests/test-scale.c
+++ b/tests/test-scale.c
@@ -26,13 +26,13 @@
     bench_job (&b, i % 2 ? "red" : "blue", HZB_PRIORITY_NORMAL, 200, 1, 30);
   for (guint i = 0; i < 20; i++) /* until every run queue is full */
     hzb_dispatch_run (b.dispatch, now);
-  before = b.dispatch->examined;
+  before = b.dispatch->n_examined;
   hzb_dispatch_run (b.dispatch, now);
-  *of_a_run = b.dispatch->examined - before;
-  before = b.dispatch->examined;
+  *of_a_run = b.dispatch->n_examined - before;
+  before = b.dispatch->n_examined;
   for (guint i = 0; i < 20; i++)
     hzb_dispatch_start_tasks (b.dispatch, b.machines->all->pdata[i], now, commands);
-  before = b.dispatch->examined - before;
+  before = b.dispatch->n_examined - before;
   g_assert_cmpuint (commands->len, ==, 20 * 4);
   bench_down (&b);
   return before;
@@ -171,7 +171,7 @@
   sim_run (sim, sim->now + 22);
   sim_resume (sim, (guint) old);
   sim_run (sim, sim->now + 3);
-  g_assert_false (hzb_election_leading (sim->nodes[old].controller->election));
+  g_assert_false (hzb_election_is_leader (sim->nodes[old].controller->election));
   g_assert_cmpint (sim_leader (sim), !=, -1);
   /* The same with a leaseholder. */
   old = (sim_leader (sim) + 1) % SIM_NODES;
--- a/tests/test-scheduling-class.c
+++ b/tests/test-scheduling-class.c
@@ -1,4 +1,4 @@
-/* The order in which waiting work is served. */
+/* Tests of scheduling classes, slack, and the order of jobs. */
 #include "scheduling-class.h"
 
 #include "support.h"
@@ -15,12 +15,13 @@
 }
 
 static double
-slack (Bench *b, const HzbJob *job, double *aim)
+slack (Bench *b, const HzbJob *job, double *start_limit_s)
 {
-  return hzb_job_slack_s (b->settings, job, hzb_clock_now (b->clock), aim);
+  return hzb_job_slack_s (b->settings, job, hzb_clock_now (b->clock), start_limit_s);
 }
 
-/* Priority and guarantee decide. A team's jobs are within its guarantee (8 CPUs) in the order of their age. */
+/* The class follows from the priority and from the team's guarantee (8 CPUs), which the team's oldest jobs use
+ * first. */
 static void
 test_priority_and_guarantee (void)
 {
@@ -41,7 +42,7 @@
   bench_down (&b);
 }
 
-/* The first task of a job that has waited two minutes goes before all but urgent work. */
+/* A job that has waited for two minutes without a start moves to the urgent class until its first task is queued. */
 static void
 test_overdue (void)
 {
@@ -62,31 +63,31 @@
   bench_down (&b);
 }
 
-/* Of two objectives the nearest that is not yet missed counts. */
+/* Of two objectives, the nearest one that is not missed yet determines the slack. */
 static void
 test_slack (void)
 {
   Bench b;
   HzbJob *job;
-  double aim = 0;
+  double start_limit_s = 0;
   bench_up (&b, 1);
   job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 50, 1, 10);
-  g_assert_cmpfloat_with_epsilon (slack (&b, job, &aim), 120 - 1.3 * 10, 1e-9); /* without an objective */
-  g_assert_cmpfloat_with_epsilon (aim, 120, 1e-9);
+  g_assert_cmpfloat_with_epsilon (slack (&b, job, &start_limit_s), 120 - 1.3 * 10, 1e-9); /* without an objective */
+  g_assert_cmpfloat_with_epsilon (start_limit_s, 120, 1e-9);
   add_objective (&b, "wait", 30, 0);
   add_objective (&b, "finished", 100, 0);
   hzb_clock_advance (b.clock, 5);
-  g_assert_cmpfloat_with_epsilon (slack (&b, job, &aim), 25, 1e-9);
-  g_assert_cmpfloat_with_epsilon (aim, 30, 1e-9);
+  g_assert_cmpfloat_with_epsilon (slack (&b, job, &start_limit_s), 25, 1e-9);
+  g_assert_cmpfloat_with_epsilon (start_limit_s, 30, 1e-9);
   hzb_clock_advance (b.clock, 30);
-  g_assert_cmpfloat_with_epsilon (slack (&b, job, &aim), 100 - 1.3 * 10 - 35, 1e-9);
-  g_assert_cmpfloat_with_epsilon (aim, 100 - 1.3 * 10, 1e-9);
+  g_assert_cmpfloat_with_epsilon (slack (&b, job, &start_limit_s), 100 - 1.3 * 10 - 35, 1e-9);
+  g_assert_cmpfloat_with_epsilon (start_limit_s, 100 - 1.3 * 10, 1e-9);
   hzb_clock_advance (b.clock, 70); /* both are missed */
-  g_assert_cmpfloat_with_epsilon (slack (&b, job, &aim), 120 - 1.3 * 10, 1e-9);
+  g_assert_cmpfloat_with_epsilon (slack (&b, job, &start_limit_s), 120 - 1.3 * 10, 1e-9);
   bench_down (&b);
 }
 
-/* A job whose objective is at risk moves up, and stays there once the objective is missed. */
+/* A job whose objective is at risk moves to a higher class, and stays there after the objective is missed. */
 static void
 test_objective_at_risk (void)
 {
@@ -105,7 +106,8 @@
   bench_down (&b);
 }
 
-/* Within a class the job with the least work left goes first; of urgent work the oldest does. */
+/* Within the normal class, the job with the least remaining work goes first; within the urgent class, the oldest
+ * job. */
 static void
 test_order_within_class (void)
 {
--- a/tests/test-scheduling-records.c
+++ b/tests/test-scheduling-records.c
@@ -1,4 +1,4 @@
-/* The stored records of jobs and machines, byte for byte: other versions read them. */
+/* The stored records of jobs are compared byte for byte, since other versions read them. */
 #include "job-codec.h"
 #include "json.h"
 #include "support.h"
@@ -6,11 +6,11 @@
 static void
 assert_stored (cJSON *value, const char *expected)
 {
-  g_autofree char *text = hzb_json_print (value); /* takes the value */
+  g_autofree char *text = hzb_json_print (value); /* frees the value */
   g_assert_cmpstr (text, ==, expected);
 }
 
-/* The submission is in the record as the protocol codec encodes it; the time has whole milliseconds. */
+/* An acceptance contains the submission as the protocol codec encodes it, and the time in whole milliseconds. */
 static void
 test_acceptance (void)
 {
@@ -35,10 +35,10 @@
 }
 
 static void
-test_end (void)
+test_completion (void)
 {
-  assert_stored (hzb_job_end_encode (HZB_JOB_DONE, 3), "{\"state\":\"done\",\"n\":3}");
-  assert_stored (hzb_job_end_encode (HZB_JOB_CANCELLED, 100000), "{\"state\":\"cancelled\",\"n\":100000}");
+  assert_stored (hzb_job_completion_encode (HZB_JOB_DONE, 3), "{\"state\":\"done\",\"n\":3}");
+  assert_stored (hzb_job_completion_encode (HZB_JOB_CANCELLED, 100000), "{\"state\":\"cancelled\",\"n\":100000}");
 }
 
 static gboolean
@@ -50,9 +50,9 @@
   return decoded;
 }
 
-/* The record of an end says how many tasks there were; where it does not, the number that is known holds. */
+/* The number of tasks comes from the completion record, or from the caller if the record does not state it. */
 static void
-test_decode_end (void)
+test_decode_completion (void)
 {
   g_auto (HzbJobRecord) record = { 0 };
   g_assert_true (decode ("{\"state\":\"done\",\"n\":7}", 3, &record));
@@ -65,7 +65,7 @@
 }
 
 static void
-test_decode_nonsense (void)
+test_decode_malformed (void)
 {
   g_auto (HzbJobRecord) record = { 0 };
   g_assert_false (decode ("{\"state\":\"running\",\"n\":7}", 3, &record));
@@ -75,7 +75,7 @@
   g_assert_false (decode ("{\"state\":\"accepted\",\"at\":1,\"spec\":{}}", 3, &record));
 }
 
-/* An entry that was encoded says the same when it is decoded, and a record of acceptance keeps its order. */
+/* An encoded entry decodes to the same values, and an acceptance record keeps the order of its jobs. */
 static void
 test_round_trip (void)
 {
@@ -107,9 +107,9 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/scheduling-records/acceptance", test_acceptance);
-  g_test_add_func ("/scheduling-records/end", test_end);
-  g_test_add_func ("/scheduling-records/decode-end", test_decode_end);
-  g_test_add_func ("/scheduling-records/decode-nonsense", test_decode_nonsense);
+  g_test_add_func ("/scheduling-records/completion", test_completion);
+  g_test_add_func ("/scheduling-records/decode-completion", test_decode_completion);
+  g_test_add_func ("/scheduling-records/decode-malformed", test_decode_malformed);
   g_test_add_func ("/scheduling-records/round-trip", test_round_trip);
   return g_test_run ();
 }
--- a/tests/test-shard-leases.c
+++ b/tests/test-shard-leases.c
@@ -1,22 +1,23 @@
-/* Shards that the leader leases to other controllers, while these, the leader or the network fail. */
+/* Shards that the leader leases to other controllers, under failures of leaseholders, the leader, machines and the
+ * network. */
 #include "sim-faults.h"
 
 #include <string.h>
 
 static SimMachine *
-leased_machine_with_tasks (Sim *sim, HzbController *controller)
+find_leased_machine_with_tasks (Sim *sim, HzbController *controller)
 {
   for (guint i = 0; i < sim->machines->len; i++)
     {
       SimMachine *machine = sim->machines->pdata[i];
-      HzbMachine *known = machine->tasks->len ? hzb_machines_find (controller->machines, machine->name) : NULL;
-      if (known && known->state == HZB_MACHINE_LEASED)
+      HzbMachine *leader_view = machine->tasks->len ? hzb_machines_find (controller->machines, machine->name) : NULL;
+      if (leader_view && leader_view->state == HZB_MACHINE_LEASED)
         return machine;
     }
   return NULL;
 }
 
-/* Submits work for several machines. Returns: a leased machine with tasks. */
+/* Submits jobs for several machines, and runs until the leader has leased one. Returns: a leased machine with tasks. */
 static SimMachine *
 run_until_leased (Sim *sim)
 {
@@ -24,20 +25,20 @@
   for (guint i = 0; i < 10; i++)
     {
       SimJob *job = sim_add_job (sim, 1 + 0.3 * i, i % 2 ? "red" : "blue", 8, 3, 25);
-      job->type = "small"; /* a small type, so that there are many machines */
+      job->type = "small"; /* a small machine type, so that the jobs need many machines */
     }
   while (!machine && sim->now < 60)
     {
       sim_run (sim, sim->now + 0.5);
       if (sim_leader (sim) >= 0)
-        machine = leased_machine_with_tasks (sim, sim->nodes[sim_leader (sim)].controller);
+        machine = find_leased_machine_with_tasks (sim, sim->nodes[sim_leader (sim)].controller);
     }
   g_assert_nonnull (machine);
   return machine;
 }
 
 static guint
-node_of_leaseholder (Sim *sim, const SimMachine *machine)
+leaseholder_node_index (Sim *sim, const SimMachine *machine)
 {
   HzbController *controller = sim->nodes[sim_leader (sim)].controller;
   const char *name = hzb_shard_leases_leaseholder_name (controller->shard_leases,
@@ -45,7 +46,8 @@
   return (guint) (name[strlen (name) - 1] - '0');
 }
 
-/* A leaseholder crashes: the leader reclaims its shard, and the tasks on its machines run on. */
+/* A leaseholder crashes. The leader must reclaim its shard before the workers' leases expire, so that their tasks
+ * keep running. */
 static void
 test_leaseholder_crash (void)
 {
@@ -53,9 +55,9 @@
   SimMachine *machine = run_until_leased (sim);
   guint64 agent_epoch = machine->agent_epoch;
   guint tasks = machine->tasks->len;
-  sim_crash (sim, node_of_leaseholder (sim, machine));
+  sim_crash (sim, leaseholder_node_index (sim, machine));
   sim_run (sim, sim->now + 9);
-  g_assert_cmpuint (machine->agent_epoch, ==, agent_epoch); /* its lease did not expire */
+  g_assert_cmpuint (machine->agent_epoch, ==, agent_epoch); /* the worker's lease did not expire */
   g_assert_cmpuint (machine->tasks->len, >=, tasks > 0);
   start_all_controllers (sim, NULL);
   sim_run (sim, 600);
@@ -63,8 +65,9 @@
   sim_free (sim);
 }
 
-/* A leaseholder is cut off from its peers but not from its machines, and goes on under its fencing token, while the
- * leader reclaims the shard. No task of the shard starts elsewhere until every machine of it has answered the leader. */
+/* A leaseholder is partitioned from its peers but not from its machines, and keeps using its fencing token while the
+ * leader reclaims the shard. Guards against a task that starts twice: no task of the shard may start on another
+ * machine until every machine of the shard has sent a heartbeat to the leader. */
 static void
 test_leaseholder_cut_off_from_leader (void)
 {
@@ -72,18 +75,18 @@
     {
       Sim *sim = sim_new (seed);
       SimMachine *machine = run_until_leased (sim);
-      guint node_index = node_of_leaseholder (sim, machine);
+      guint node_index = leaseholder_node_index (sim, machine);
       HzbController *controller = sim->nodes[sim_leader (sim)].controller;
       guint64 fencing_token = hzb_machines_find (controller->machines, machine->name)->fencing_token,
-              seen = machine->fencing_token;
-      HzbMachine *known;
+              worker_fencing_token = machine->fencing_token;
+      HzbMachine *leader_view;
       sim->nodes[node_index].cut_off_from_peers = TRUE;
       sim_run (sim, sim->now + 6);
-      known = hzb_machines_find (controller->machines, machine->name);
-      g_assert_nonnull (known);
-      /* Once the worker has the leader's fencing token it obeys no command of the old leaseholder. */
-      g_assert_cmpint (known->state, !=, HZB_MACHINE_LEASED);
-      g_assert_cmpuint (known->fencing_token, >, MAX (fencing_token, seen));
+      leader_view = hzb_machines_find (controller->machines, machine->name);
+      g_assert_nonnull (leader_view);
+      /* A worker that has received the leader's higher fencing token rejects commands of the old leaseholder. */
+      g_assert_cmpint (leader_view->state, !=, HZB_MACHINE_LEASED);
+      g_assert_cmpuint (leader_view->fencing_token, >, MAX (fencing_token, worker_fencing_token));
       sim_run (sim, sim->now + 14);
       sim->nodes[node_index].cut_off_from_peers = FALSE;
       sim_run (sim, 600);
@@ -92,8 +95,8 @@
     }
 }
 
-/* The leader crashes: the next one receives a heartbeat of every machine, leased or not, before it starts a task that
- * may run there. */
+/* The leader crashes while machines are leased. Guards against a task that starts twice: the new leader must receive
+ * a heartbeat of every machine, leased or not, before it starts a task that may run on that machine. */
 static void
 test_leader_crash (void)
 {
@@ -110,8 +113,9 @@
     }
 }
 
-/* After a failover the new leader owns every machine, and none is idle, so it hands working machines over to
- * leaseholders, with their tasks, which run on. The leader or a leaseholder crashes in the midst of that. */
+/* After a failover the new leader owns every machine and none is idle, so it hands machines over to leaseholders
+ * with their running tasks. The leader or a leaseholder crashes during the hand-over. Guards against tasks that are
+ * lost or started twice. */
 static void
 test_hand_over_of_working_machines (void)
 {
@@ -135,9 +139,9 @@
           for (guint i = 0; i < sim->machines->len && sim_leader (sim) >= 0; i++)
             {
               const SimMachine *machine = sim->machines->pdata[i];
-              const HzbMachine *known = hzb_machines_find (controller->machines, machine->name);
-              handed_over +=
-                  known && known->state == HZB_MACHINE_LEASED && machine->tasks->len && machine->agent_epoch == 1;
+              const HzbMachine *leader_view = hzb_machines_find (controller->machines, machine->name);
+              handed_over += leader_view && leader_view->state == HZB_MACHINE_LEASED && machine->tasks->len
+                             && machine->agent_epoch == 1;
             }
           if (handed_over && k > 10 + seed % 4)
             break;
@@ -185,8 +189,8 @@
     }
 }
 
-/* While only work waits that the leader alone places, it leases no machine: the machine would be idle at the
- * leaseholder. */
+/* The leader must not lease machines while all waiting tasks have to run in its own shard: the machines would be
+ * idle in the leaseholder's shard. */
 static void
 test_no_lease_for_leader_only_work (void)
 {
@@ -206,9 +210,9 @@
   sim_free (sim);
 }
 
-/* A leader refuses connections for a while, and its response to a renewal then comes so late that the leaseholder has
- * released the shard. The late response must not make it a leaseholder again: it no longer has the tasks and machines
- * that it was sent before. */
+/* The leader refuses connections for a while, and its next response to a lease renewal is delayed until the
+ * leaseholder has released the shard. The late response must not make the node a leaseholder again, because it no
+ * longer has the tasks and machines that it was sent before. */
 static void
 test_late_renewal_after_release (void)
 {
--- a/tests/test-shard-messages.c
+++ b/tests/test-shard-messages.c
@@ -1,4 +1,5 @@
-/* Messages between the leader and its leaseholders: as the versions before wrote them, and back. */
+/* Encoding and decoding of the messages between the leader and its leaseholders. The wire format must stay the same
+ * as in earlier versions. */
 #include "json.h"
 #include "shard-messages.h"
 #include "shard-poll-messages.h"
@@ -9,7 +10,7 @@
 static const char lease_text[] =
     "{\"machine\":\"i-1\",\"addr\":\"10.1.0.1:1\",\"type\":\"small\",\"zone\":\"za\",\"spot\":true,\"session\":3,\"seq\":17,"
     "\"holds\":[{\"job\":\"run-000001\",\"task\":4,\"attempt\":18446744073709551615,\"runs\":true},{\"task\":2}]}";
-static const char idle_text[] =
+static const char idle_lease_text[] =
     "{\"machine\":\"i-1\",\"addr\":\"\",\"type\":\"small\",\"zone\":\"za\",\"spot\":false,\"session\":3,\"seq\":17}";
 static const char return_text[] =
     "{\"machine\":\"i-1\",\"why\":\"it is silent\",\"sick\":true,\"session\":3,\"seq\":18,"
@@ -26,68 +27,70 @@
 static void
 test_leases (void)
 {
-  cJSON *message = cJSON_Parse (lease_text), *idle = cJSON_Parse (idle_text);
-  g_autoptr (HzbMachineLease) lease = hzb_machine_lease_decode (message), of_idle = hzb_machine_lease_decode (idle);
+  cJSON *message = cJSON_Parse (lease_text), *idle_message = cJSON_Parse (idle_lease_text);
+  g_autoptr (HzbMachineLease) lease = hzb_machine_lease_decode (message),
+                              idle_lease = hzb_machine_lease_decode (idle_message);
   const HzbHeldTask *held;
   g_autofree char *text = NULL;
 
-  g_assert_cmpuint (lease->holds->len, ==, 2);
-  held = &g_array_index (lease->holds, HzbHeldTask, 0);
+  g_assert_cmpuint (lease->held_tasks->len, ==, 2);
+  held = &g_array_index (lease->held_tasks, HzbHeldTask, 0);
   g_assert_cmpstr (held->uid, ==, "run-000001");
-  g_assert_true (held->number == 4 && held->runs && lease->agent_epoch == 3 && lease->sequence == 17 && lease->spot);
-  /* One that names no job is not left out: the machine is not taken for one without it. */
-  g_assert_null (g_array_index (lease->holds, HzbHeldTask, 1).uid);
-  g_assert_null (of_idle->holds);
-  text = print_and_free (hzb_machine_lease_encode (of_idle));
-  g_assert_cmpstr (text, ==, idle_text);
+  g_assert_true (held->number == 4 && held->running && lease->agent_epoch == 3 && lease->sequence == 17 && lease->spot);
+  /* An entry that names no job is kept, so that the machine is not assumed to hold fewer tasks than it may hold. */
+  g_assert_null (g_array_index (lease->held_tasks, HzbHeldTask, 1).uid);
+  g_assert_null (idle_lease->held_tasks);
+  text = print_and_free (hzb_machine_lease_encode (idle_lease));
+  g_assert_cmpstr (text, ==, idle_lease_text);
   cJSON_DeleteItemFromObject (message, "zone");
   g_assert_null (hzb_machine_lease_decode (message));
   cJSON_Delete (message);
-  cJSON_Delete (idle);
+  cJSON_Delete (idle_message);
 }
 
 static void
 test_returns (void)
 {
-  cJSON *message = cJSON_Parse (return_text), *other = cJSON_Parse ("{\"finished\":{\"run-000001\":[3]}}");
+  cJSON *message = cJSON_Parse (return_text), *unrelated = cJSON_Parse ("{\"finished\":{\"run-000001\":[3]}}");
   g_autoptr (HzbMachineReturn) returned = hzb_machine_return_decode (message);
   g_autofree char *text = print_and_free (hzb_machine_return_encode (returned));
 
   g_assert_cmpstr (text, ==, return_text);
-  g_assert_null (hzb_machine_return_decode (other));
+  g_assert_null (hzb_machine_return_decode (unrelated));
   cJSON_Delete (message);
-  cJSON_Delete (other);
+  cJSON_Delete (unrelated);
 }
 
 static void
 test_recalls_and_answers (void)
 {
-  g_autoptr (HzbRecall) recall = hzb_recall_new ("i-1", FALSE, TRUE), back = NULL;
-  g_autofree char *keep = print_and_free (hzb_recall_encode (recall)), *now = NULL;
-  HzbShardAnswer answer = { .term = 4, .fencing_token = 9, .have = 2, .lease_s = 10 }, read;
+  g_autoptr (HzbRecall) recall = hzb_recall_new ("i-1", FALSE, TRUE), decoded_recall = NULL;
+  g_autofree char *withdrawal_text = print_and_free (hzb_recall_encode (recall)), *text = NULL;
+  HzbShardAnswer answer = { .term = 4, .fencing_token = 9, .last_event_applied = 2, .lease_s = 10 }, decoded;
   cJSON *message;
 
-  g_assert_cmpstr (keep, ==, "{\"keep\":\"i-1\"}");
-  recall->back = TRUE;
-  now = print_and_free (hzb_recall_encode (recall));
-  message = cJSON_Parse (now);
-  back = hzb_recall_decode (message);
-  g_assert_true (back && back->back && back->at_once);
+  g_assert_cmpstr (withdrawal_text, ==, "{\"keep\":\"i-1\"}");
+  recall->requested = TRUE;
+  text = print_and_free (hzb_recall_encode (recall));
+  message = cJSON_Parse (text);
+  decoded_recall = hzb_recall_decode (message);
+  g_assert_true (decoded_recall && decoded_recall->requested && decoded_recall->at_once);
   cJSON_Delete (message);
   message = cJSON_Parse ("{\"n\":4}");
   g_assert_null (hzb_recall_decode (message));
   cJSON_Delete (message);
   message = cJSON_Parse ("{\"term\":4,\"token\":9,\"have\":2,\"leaseS\":10,\"batches\":[]}");
-  hzb_shard_answer_decode (message, &read);
-  g_assert_true (read.term == 4 && read.fencing_token == 9 && read.have == 2 && read.lease_s == 10 && !read.end);
-  hzb_shard_answer_clear (&read);
+  hzb_shard_answer_decode (message, &decoded);
+  g_assert_true (decoded.term == 4 && decoded.fencing_token == 9 && decoded.last_event_applied == 2
+                 && decoded.lease_s == 10 && !decoded.reclaimed);
+  hzb_shard_answer_clear (&decoded);
   cJSON_Delete (message);
   message = cJSON_CreateObject ();
-  answer.end = TRUE;
+  answer.reclaimed = TRUE;
   hzb_shard_answer_encode (&answer, message);
-  g_free (now);
-  now = print_and_free (message);
-  g_assert_cmpstr (now, ==, "{\"term\":4,\"end\":true}");
+  g_free (text);
+  text = print_and_free (message);
+  g_assert_cmpstr (text, ==, "{\"term\":4,\"end\":true}");
 }
 
 /* ---- polls and answers ---- */
@@ -105,9 +108,9 @@
     "{\"back\":\"i-2\",\"now\":true,\"n\":7},{\"cancelled\":\"run-000002\",\"n\":8}],"
     "\"term\":4,\"token\":4194305,\"have\":3,\"leaseS\":10}";
 
-/* What hzb_peers_message() has begun. */
+/* Returns: (transfer full): a message as hzb_peers_new_message() creates it on node b */
 static cJSON *
-message_of_node_b (void)
+new_node_b_message (void)
 {
   cJSON *message = cJSON_CreateObject ();
   cJSON_AddStringToObject (message, "node", "b");
@@ -118,7 +121,7 @@
 static void
 test_polls (void)
 {
-  cJSON *message = cJSON_Parse (poll_text), *again = message_of_node_b ();
+  cJSON *message = cJSON_Parse (poll_text), *reencoded = new_node_b_message ();
   g_autoptr (HzbShardPoll) poll = hzb_shard_poll_decode (message);
   const HzbShardEvent *finished = poll->events->pdata[0], *returned = poll->events->pdata[1];
   const HzbTaskGroup *group = &g_array_index (returned->returned, HzbTaskGroup, 0);
@@ -126,36 +129,37 @@
 
   g_assert_cmpstr (poll->node, ==, "b");
   g_assert_cmpstr (poll->incarnation, ==, "0a1b");
-  g_assert_true (poll->fencing_token == 4194305 && poll->have == 2 && poll->room_cpus == 2.5 && poll->partial_counts);
+  g_assert_true (poll->fencing_token == 4194305 && poll->last_batch_applied == 2 && poll->requested_cpus == 2.5
+                 && poll->partial_counts);
   g_assert_cmpuint (poll->events->len, ==, 3);
   g_assert_true (finished->message.number == 1 && finished->ran_s == 1.5 && finished->finished && !finished->returned
                  && !finished->machine);
   g_assert_cmpstr (group->uid, ==, "run-000001");
   g_assert_true (group->numbers->len == 2 && g_array_index (group->numbers, gint, 1) == 5);
   g_assert_nonnull (((HzbShardEvent *) poll->events->pdata[2])->machine);
-  g_assert_true (poll->leaving->len == 0 && poll->running->len == 1
-                 && g_array_index (poll->running, HzbJobCount, 0).count == 7);
-  cJSON_Delete (message); /* a decoded poll keeps nothing of the message */
-  hzb_shard_poll_encode (poll, again);
-  text = print_and_free (again);
+  g_assert_true (poll->recalled_counts->len == 0 && poll->running_counts->len == 1
+                 && g_array_index (poll->running_counts, HzbJobCount, 0).count == 7);
+  cJSON_Delete (message); /* a decoded poll does not refer to the message */
+  hzb_shard_poll_encode (poll, reencoded);
+  text = print_and_free (reencoded);
   g_assert_cmpstr (text, ==, poll_text);
 }
 
-/* A node that holds no shard says nothing of one. */
+/* The poll of a node that holds no shard has no members of a shard, even if they are set. */
 static void
 test_polls_without_shard (void)
 {
   g_autoptr (HzbShardPoll) poll = hzb_shard_poll_new ();
-  cJSON *message = message_of_node_b ();
+  cJSON *message = new_node_b_message ();
   g_autofree char *text = NULL;
 
-  poll->have = 3;
+  poll->last_batch_applied = 3;
   hzb_shard_poll_encode (poll, message);
   text = print_and_free (message);
   g_assert_cmpstr (text, ==, "{\"node\":\"b\",\"incarnation\":\"0a1b\"}");
 }
 
-/* What makes no sense is left out, and the rest is taken. */
+/* Malformed values in a poll are ignored, and the valid ones are decoded. */
 static void
 test_malformed_polls (void)
 {
@@ -168,16 +172,16 @@
   g_assert_true (!poll->node && !poll->incarnation && !poll->cancellations && !poll->partial_counts);
   g_assert_cmpuint (poll->events->len, ==, 2);
   g_assert_cmpuint (g_array_index (event->finished, HzbTaskGroup, 0).numbers->len, ==, 1);
-  g_assert_cmpuint (poll->running->len, ==, 1);
-  g_assert_cmpstr (g_array_index (poll->running, HzbJobCount, 0).uid, ==, "run-000003");
-  g_assert_cmpuint (poll->leaving->len, ==, 0);
+  g_assert_cmpuint (poll->running_counts->len, ==, 1);
+  g_assert_cmpstr (g_array_index (poll->running_counts, HzbJobCount, 0).uid, ==, "run-000003");
+  g_assert_cmpuint (poll->recalled_counts->len, ==, 0);
   cJSON_Delete (message);
 }
 
 static void
 test_answers (void)
 {
-  cJSON *message = cJSON_Parse (answer_text), *again = cJSON_CreateObject ();
+  cJSON *message = cJSON_Parse (answer_text), *reencoded = cJSON_CreateObject ();
   HzbShardAnswer answer;
   const HzbShardBatch *batch;
   g_autofree char *text = NULL;
@@ -188,11 +192,11 @@
   batch = answer.batches->pdata[0];
   g_assert_true (batch->lease && !batch->delegated && !batch->durable && !batch->recall && !batch->cancelled_uid);
   batch = answer.batches->pdata[3];
-  g_assert_true (batch->recall->back && batch->recall->at_once && batch->message.number == 7);
+  g_assert_true (batch->recall->requested && batch->recall->at_once && batch->message.number == 7);
   batch = answer.batches->pdata[4];
   g_assert_cmpstr (batch->cancelled_uid, ==, "run-000002");
-  hzb_shard_answer_encode (&answer, again);
-  text = print_and_free (again);
+  hzb_shard_answer_encode (&answer, reencoded);
+  text = print_and_free (reencoded);
   g_assert_cmpstr (text, ==, answer_text);
   hzb_shard_answer_clear (&answer);
 }
@@ -225,14 +229,15 @@
   return batch;
 }
 
-/* As many as fit go at once, one at least; what is not acknowledged goes again. */
+/* The outbox sends as many messages as fit the size limit, at least one, and repeats messages that are not
+ * acknowledged. */
 static void
 test_outbox (void)
 {
-  static const char first[] = "{\"cancelled\":\"run-000001\",\"n\":1}";
+  static const char first_message[] = "{\"cancelled\":\"run-000001\",\"n\":1}";
   HzbOutbox outbox;
 
-  hzb_outbox_init (&outbox, 2 * sizeof first, (HzbOutboxEncode) hzb_shard_batch_encode,
+  hzb_outbox_init (&outbox, 2 * sizeof first_message, (HzbOutboxEncode) hzb_shard_batch_encode,
                    (GDestroyNotify) hzb_shard_batch_free);
   for (guint i = 0; i < 3; i++)
     hzb_outbox_push (&outbox, &cancellation_batch ("run-000001")->message);
@@ -244,7 +249,7 @@
       g_assert_true (((HzbOutboxMessage *) sent->pdata[0])->number == 1);
     }
   hzb_outbox_acknowledge (&outbox, 2);
-  g_assert_cmpuint (outbox.waiting.length, ==, 1);
+  g_assert_cmpuint (outbox.unacknowledged.length, ==, 1);
   outbox.max_bytes = 1;
   {
     g_autoptr (GPtrArray) sent = hzb_outbox_send (&outbox);
--- a/tests/test-unavailable-controller.c
+++ b/tests/test-unavailable-controller.c
@@ -1,10 +1,10 @@
-/* One controller is unavailable: down, stalled or cut off. Cancellations are confirmed all the same, but not before
- * that controller must have stopped acting without them. */
+/* One controller is unavailable: down, stalled or partitioned. Cancellations are confirmed nevertheless, but not before
+ * that controller must have fenced itself. */
 #include "sim-faults.h"
 
 #include <string.h>
 
-#define CONFIRMED_WITHIN_S 45.0 /* 15 s after all other controllers know, and users poll every 5 s */
+#define CONFIRMED_WITHIN_S 45.0 /* 15 s after all other controllers know the cancellations; users poll every 5 s */
 
 static guint
 other_node (guint node)
@@ -13,7 +13,7 @@
 }
 
 static Sim *
-cluster_at_work (guint32 seed)
+new_cluster_with_jobs (guint32 seed)
 {
   Sim *sim = sim_new (seed);
   for (guint i = 0; i < 10; i++)
@@ -22,7 +22,8 @@
   return sim;
 }
 
-/* Returns: when the last cancellation was confirmed; G_MAXDOUBLE if one was not. */
+/* Returns: when the last cancellation was confirmed; G_MAXDOUBLE if a cancellation is unconfirmed at the time `until`
+ * */
 static double
 run_until_all_confirmed (Sim *sim, double until)
 {
@@ -39,7 +40,8 @@
   return all_confirmed;
 }
 
-/* The available controllers follow one another as leaders, faster than an unresponsive machine is returned. */
+/* Restarts the leader unless it is the unavailable controller. Called repeatedly, so that the leader changes before an
+ * unresponsive machine is returned to the cloud. */
 static void
 restart_other_leader (Sim *sim, gpointer unavailable)
 {
@@ -52,13 +54,13 @@
 }
 
 static void
-play_unavailable (guint32 seed, gboolean leads, gboolean stalled)
+run_with_unavailable_controller (guint32 seed, gboolean leads, gboolean stalled)
 {
-  Sim *sim = cluster_at_work (seed);
+  Sim *sim = new_cluster_with_jobs (seed);
   guint leader = (guint) MAX (sim_leader (sim), 0), unavailable = leads ? leader : other_node (leader);
-  double began, confirmed_at;
+  double cancelled_at, confirmed_at;
 
-  /* Some machines are unresponsive all along, so that no leader can prove anything about their tasks. */
+  /* Some machines are unresponsive all the time, so that no leader can confirm that their tasks have stopped. */
   for (guint i = 0; i < sim->machines->len; i += 3)
     ((SimMachine *) sim->machines->pdata[i])->hung = TRUE;
   sim->nodes[unavailable].paused = stalled;
@@ -67,13 +69,13 @@
   for (guint i = 1; i < 12; i++)
     sim_schedule (sim, sim->now + 7.0 * i, restart_other_leader, GUINT_TO_POINTER (unavailable));
   cancel_all (sim);
-  began = sim->now;
-  confirmed_at = run_until_all_confirmed (sim, began + 90);
+  cancelled_at = sim->now;
+  confirmed_at = run_until_all_confirmed (sim, cancelled_at + 90);
   g_test_message ("seed %u, %s %s: all confirmed after %.1f s", seed, leads ? "leader" : "leaseholder",
-                  stalled ? "stalled" : "cut off", confirmed_at - began);
+                  stalled ? "stalled" : "partitioned", confirmed_at - cancelled_at);
   expect_no_violation (sim, "cancellation confirmed without it", seed);
-  g_assert_cmpfloat (confirmed_at - began, <, CONFIRMED_WITHIN_S);
-  sim_run (sim, began + 95);
+  g_assert_cmpfloat (confirmed_at - cancelled_at, <, CONFIRMED_WITHIN_S);
+  sim_run (sim, cancelled_at + 95);
   if (stalled)
     sim_resume (sim, unavailable);
   heal_controllers (sim, NULL);
@@ -86,30 +88,30 @@
 }
 
 static void
-test_cancellation_confirmed_without_it (void)
+test_cancellation_confirmed_without_controller (void)
 {
   for (guint32 seed = 700; seed < 706; seed++)
     {
-      play_unavailable (seed, FALSE, TRUE);
-      play_unavailable (seed, TRUE, TRUE);
-      play_unavailable (seed, FALSE, FALSE);
-      play_unavailable (seed, TRUE, FALSE);
+      run_with_unavailable_controller (seed, FALSE, TRUE);
+      run_with_unavailable_controller (seed, TRUE, TRUE);
+      run_with_unavailable_controller (seed, FALSE, FALSE);
+      run_with_unavailable_controller (seed, TRUE, FALSE);
     }
 }
 
-/* The key-value store refuses one controller alone: the controller learns of cancellations from its peers, so no
- * confirmation waits for it. */
+/* The key-value store refuses a single controller. That controller learns of cancellations from its peers, so no
+ * confirmation has to wait for it. */
 static void
 test_refused_by_kv_learns_from_peers (void)
 {
   for (guint32 seed = 710; seed < 716; seed++)
     {
-      Sim *sim = cluster_at_work (seed);
+      Sim *sim = new_cluster_with_jobs (seed);
       guint refused = other_node ((guint) MAX (sim_leader (sim), 0));
-      guint64 before;
+      guint64 replicated_revision;
       sim->nodes[refused].refused_by_kv = TRUE;
       sim_run (sim, 30);
-      before = hzb_kv_replica_revision (sim->nodes[refused].controller->kv_replica);
+      replicated_revision = hzb_kv_replica_revision (sim->nodes[refused].controller->kv_replica);
       cancel_all (sim);
       sim_run (sim, 48);
       for (guint i = 0; i < sim->jobs->len; i++)
@@ -117,7 +119,7 @@
           const SimJob *job = sim->jobs->pdata[i];
           const HzbJob *known = hzb_jobs_find (sim->nodes[refused].controller->jobs, job->uid);
           g_assert_cmpint (known->state, ==, HZB_JOB_CANCELLED);
-          g_assert_cmpuint (known->version, >, before); /* learned from a peer, not by its own replica of the records */
+          g_assert_cmpuint (known->version, >, replicated_revision); /* learned from a peer, not from the replica */
         }
       sim_run (sim, 300);
       expect_all_finished (sim, "refused by kv learns from peers", seed);
@@ -125,21 +127,21 @@
     }
 }
 
-/* Guards against a controller that was stalled: the first heartbeat after it resumes reaches it before its timers have
- * run. The other controllers rely on it that it renews no worker's lease any more. */
+/* Guards against a stalled leader that renews a worker's lease after it resumes: the first heartbeat of a worker
+ * arrives before the leader's timers have run. The other controllers rely on the leader having fenced itself. */
 static void
 test_resumed_leader_is_self_fenced (void)
 {
   for (guint32 seed = 720; seed < 726; seed++)
     {
-      Sim *sim = cluster_at_work (seed);
+      Sim *sim = new_cluster_with_jobs (seed);
       guint leader = (guint) MAX (sim_leader (sim), 0);
       SimMachine *machine = run_until_machine_is (sim, HZB_MACHINE_ACTIVE);
       g_assert_cmpuint (heartbeat_to (sim, leader, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 200);
-      machine->partitioned = TRUE; /* no other controller renews its lease */
+      machine->partitioned = TRUE; /* so that no other controller renews the machine's lease */
       sim->nodes[leader].paused = TRUE;
       sim_run (sim, sim->now + HZB_CANCELLATIONS_MAX_AGE_S + 1);
-      g_assert_true (hzb_election_leading (sim->nodes[leader].controller->election));
+      g_assert_true (hzb_election_is_leader (sim->nodes[leader].controller->election));
       machine->sequence += 2;
       g_assert_cmpuint (heartbeat_to (sim, leader, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 503);
       sim_resume (sim, leader);
@@ -149,17 +151,17 @@
     }
 }
 
-/* Guards against the first response of a new leader: the leader knows nothing of the machine yet, but the response
- * renews the machine's lease. Without a kill command a machine that sends one heartbeat between two partitions would
- * run cancelled tasks for another lease. */
+/* Guards against cancelled tasks that run on after the first response of a new leader. The leader has no state of the
+ * machine yet, but its response renews the machine's lease. If the response had no kill command, a machine that sends
+ * one heartbeat between two partitions would run cancelled tasks until the renewed lease expires. */
 static void
 test_first_response_stops_cancelled_work (void)
 {
   for (guint32 seed = 740; seed < 746; seed++)
     {
-      Sim *sim = cluster_at_work (seed);
+      Sim *sim = new_cluster_with_jobs (seed);
       SimMachine *machine = run_until_machine_is (sim, HZB_MACHINE_ACTIVE);
-      guint64 before = machine->fencing_token;
+      guint64 old_token = machine->fencing_token;
       guint leader;
       g_autofree char *uid = g_strdup (((SimTask *) machine->tasks->pdata[0])->uid);
       g_autofree char *task_status = g_strdup_printf ("{\"piece\":\"%s/0\",\"try\":1,\"status\":\"running\"}", uid);
@@ -172,7 +174,7 @@
       sim_start (sim, leader);
       sim_run (sim, sim->now + 8);
       g_assert_cmpint (sim_leader (sim), >=, 0);
-      g_assert_cmpuint (machine->fencing_token, ==, before);
+      g_assert_cmpuint (machine->fencing_token, ==, old_token);
       g_assert_cmpuint (heartbeat_to_leader (sim, machine, machine->agent_epoch, machine->sequence + 5, task_status),
                         ==, 200);
       g_assert_nonnull (strstr (last_response_body, "\"kill\""));
@@ -181,14 +183,15 @@
     }
 }
 
-/* In an outage of the key-value store for all controllers they prove to each other that none knows more. They go on
- * answering workers, so no agent epoch ends and no work is lost, however long the outage lasts. */
+/* The key-value store is down for all controllers. They exchange heartbeats that show that no controller knows further
+ * cancellations. So they keep answering workers, no agent epoch ends and no work is lost, however long the outage
+ * lasts. */
 static void
 test_kv_outage_keeps_agent_epochs (void)
 {
   for (guint32 seed = 730; seed < 734; seed++)
     {
-      Sim *sim = cluster_at_work (seed);
+      Sim *sim = new_cluster_with_jobs (seed);
       sim->kv_outage = TRUE;
       sim_run (sim, 25 + 4 * sim->config.lease_s);
       for (guint i = 0; i < sim->machines->len; i++)
@@ -205,7 +208,8 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  g_test_add_func ("/unavailable-controller/cancellation-confirmed-without-it", test_cancellation_confirmed_without_it);
+  g_test_add_func ("/unavailable-controller/cancellation-confirmed-without-it",
+                   test_cancellation_confirmed_without_controller);
   g_test_add_func ("/unavailable-controller/refused-by-kv-learns-from-peers", test_refused_by_kv_learns_from_peers);
   g_test_add_func ("/unavailable-controller/resumed-leader-is-self-fenced", test_resumed_leader_is_self_fenced);
   g_test_add_func ("/unavailable-controller/first-response-stops-cancelled-work",
--- a/tests/test-worker-heartbeats.c
+++ b/tests/test-worker-heartbeats.c
@@ -23,7 +23,7 @@
       sim_run (sim, began + 16);
       g_assert_cmpuint (machine->agent_epoch, >, 1);
       known = hzb_machines_find (sim->nodes[sim_leader (sim)].controller->machines, machine->name);
-      g_assert_true (!known || !hzb_machine_usable (known));
+      g_assert_true (!known || !hzb_machine_is_usable (known));
       sim_run (sim, began + 50);
       g_assert_true (machine->terminated);
       sim_run (sim, 500);
@@ -113,7 +113,7 @@
   g_assert_cmpint (hzb_machines_find (controller->machines, machine->name)->state, ==, HZB_MACHINE_LEASE_EXPIRED);
   g_assert_cmpuint (heartbeat_to_leader (sim, &terminated, 1, 1, ""), ==, 200);
   g_assert_nonnull (strstr (last_response_body, "\"orders\":[]"));
-  g_assert_false (hzb_machine_usable (hzb_machines_find (controller->machines, terminated.name)));
+  g_assert_false (hzb_machine_is_usable (hzb_machines_find (controller->machines, terminated.name)));
   machine->partitioned = FALSE;
   sim_run (sim, 600);
   expect_all_finished (sim, "late copy does not revive expired epoch", 86);
@@ -161,7 +161,7 @@
   controller = sim->nodes[sim_leader (sim)].controller;
   machine->fencing_token += hzb_fencing_token (7, 0);
   g_assert_cmpuint (heartbeat_to_leader (sim, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 503);
-  g_assert_false (hzb_election_leading (controller->election));
+  g_assert_false (hzb_election_is_leader (controller->election));
   machine->fencing_token -= hzb_fencing_token (7, 0);
   sim_run (sim, 120);
   expect_all_finished (sim, "newer fencing token", 12);
