--- a/src/api/admin-codec.c
+++ b/src/api/admin-codec.c
@@ -3,10 +3,10 @@
 #include "json.h"
 #include "reconciliation-admin.h"
 
-#define MAX_JOBS_LISTED 100u
-#define MAX_SHOWN_S 1e6 /* for a key-value store that never answered */
+#define MAX_LISTED_JOBS 100u
+#define MAX_UNRESPONSIVE_S 1e6 /* shown for a key-value store that has never answered */
 
-/* ---- what every controller knows ---- */
+/* ---- responses of every controller ---- */
 
 static void
 add_schema_versions (cJSON *root, const GArray *controllers)
@@ -29,13 +29,13 @@
   cJSON *root = cJSON_CreateObject ();
 
   cJSON_AddStringToObject (root, "node", leadership->node);
-  cJSON_AddBoolToObject (root, "leads", leadership->leads);
+  cJSON_AddBoolToObject (root, "leads", leadership->is_leader);
   if (leadership->leader)
     cJSON_AddStringToObject (root, "leader", leadership->leader);
   else
     cJSON_AddNullToObject (root, "leader");
   hzb_json_add_u64 (root, "term", leadership->term);
-  cJSON_AddNumberToObject (root, "stateServiceSilentS", MIN (leadership->kv_unresponsive_s, MAX_SHOWN_S));
+  cJSON_AddNumberToObject (root, "stateServiceSilentS", MIN (leadership->kv_unresponsive_s, MAX_UNRESPONSIVE_S));
   cJSON_AddNumberToObject (root, "format", leadership->schema_version);
   add_schema_versions (root, leadership->controllers);
   return hzb_json_print (root);
@@ -44,18 +44,18 @@
 char *
 hzb_admin_metrics_encode (const HzbAdminMetrics *metrics)
 {
-  cJSON *root = hzb_metrics_pack (metrics->metrics);
+  cJSON *root = hzb_metrics_encode (metrics->metrics);
 
   if (metrics->has_http_servers)
     {
       cJSON_AddNumberToObject (root, "connections", metrics->connections);
       hzb_json_add_u64 (root, "bodiesTooLarge", metrics->bodies_too_large);
     }
-  hzb_reconciliation_pack_metrics (metrics->reconciliation, root);
+  hzb_reconciliation_add_metrics (metrics->reconciliation, root);
   return hzb_json_print (root);
 }
 
-/* ---- what only the leader knows ---- */
+/* ---- responses of the leader only ---- */
 
 static cJSON *
 pack_machine (const HzbMachine *machine)
@@ -88,7 +88,7 @@
   return hzb_json_print (hzb_shard_leases_encode_status (shard_leases));
 }
 
-/* null: the team has no limit. */
+/* Adds the limit of a team, or null if the team has no limit. */
 static void
 add_limit (cJSON *item, const char *name, double limit)
 {
@@ -153,7 +153,7 @@
 hzb_admin_jobs_encode (const HzbJobs *jobs)
 {
   cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "jobs");
-  guint listed = MIN (jobs->active->len, MAX_JOBS_LISTED);
+  guint listed = MIN (jobs->active->len, MAX_LISTED_JOBS);
   for (guint i = 0; i < listed; i++)
     cJSON_AddItemToArray (list, pack_job (jobs->active->pdata[i]));
   cJSON_AddNumberToObject (root, "unfinished", jobs->active->len);
--- a/src/api/admin-settings.c
+++ b/src/api/admin-settings.c
@@ -1,5 +1,7 @@
-/* The operators' settings on this controller: applied when the replica of the records shows them, or when a change that was
- * made here is recorded. A change names the version that it was made on, so that of two changes at once one is refused. */
+/* The operators' settings on this controller. They are applied when the replica of the records delivers them, or when a
+ * change that was requested here has been recorded.
+ *
+ * A change names the version of the settings that it is based on, so that of two concurrent changes one is refused. */
 #include "admin-private.h"
 
 #include "kv-protocol.h"
@@ -8,32 +10,32 @@
 static void
 apply_settings (HzbAdmin *admin, const HzbOperatorSettings *settings)
 {
-  admin->with.dispatch->h = settings->dispatch_h;
-  admin->with.dispatch->sample_size = (guint) settings->dispatch_sample;
-  admin->with.dispatch->queue_ahead_s = settings->dispatch_queue_ahead_s;
-  admin->with.autoscaler->max_idle_s = settings->fleet_idle_s;
-  admin->with.autoscaler->start_slack_fraction = settings->fleet_patience;
-  *admin->with.lease_shards = settings->lease_shards >= 0.5;
+  admin->dependencies.dispatch->h = settings->dispatch_h;
+  admin->dependencies.dispatch->sample_size = (guint) settings->dispatch_sample;
+  admin->dependencies.dispatch->queue_ahead_s = settings->dispatch_queue_ahead_s;
+  admin->dependencies.autoscaler->max_idle_s = settings->fleet_idle_s;
+  admin->dependencies.autoscaler->start_slack_fraction = settings->fleet_slack_fraction;
+  *admin->dependencies.lease_shards = settings->lease_shards >= 0.5;
 }
 
 static HzbOperatorSettings
 current_settings (HzbAdmin *admin)
 {
   HzbOperatorSettings settings = {
-    .dispatch_h = admin->with.dispatch->h,
-    .dispatch_sample = admin->with.dispatch->sample_size,
-    .dispatch_queue_ahead_s = admin->with.dispatch->queue_ahead_s,
-    .fleet_idle_s = admin->with.autoscaler->max_idle_s,
-    .fleet_patience = admin->with.autoscaler->start_slack_fraction,
-    .lease_shards = *admin->with.lease_shards,
+    .dispatch_h = admin->dependencies.dispatch->h,
+    .dispatch_sample = admin->dependencies.dispatch->sample_size,
+    .dispatch_queue_ahead_s = admin->dependencies.dispatch->queue_ahead_s,
+    .fleet_idle_s = admin->dependencies.autoscaler->max_idle_s,
+    .fleet_slack_fraction = admin->dependencies.autoscaler->start_slack_fraction,
+    .lease_shards = *admin->dependencies.lease_shards,
   };
   return settings;
 }
 
 static void
-log_settings_apply (guint64 version)
+log_applied_settings (guint64 version)
 {
-  g_message ("the operators' settings of revision %" G_GUINT64_FORMAT " apply", version);
+  g_message ("applied the operators' settings of revision %" G_GUINT64_FORMAT, version);
 }
 
 void
@@ -47,14 +49,14 @@
   hzb_operator_settings_decode (entry->value, &settings);
   apply_settings (admin, &settings);
   if (entry->value)
-    log_settings_apply (entry->version);
+    log_applied_settings (entry->version);
 }
 
 char *
 hzb_admin_settings_encode (HzbAdmin *admin)
 {
   HzbOperatorSettings settings = current_settings (admin);
-  return hzb_operator_settings_encode_answer (&settings, admin->settings_version);
+  return hzb_operator_settings_encode_response (&settings, admin->settings_version);
 }
 
 /* ---- changes ---- */
@@ -72,7 +74,7 @@
   hzb_admin_refuse (http_request, statuses[error->code], "%s", error->message);
 }
 
-/* A change of the settings on its way to the key-value store. */
+/* A change of the settings that the key-value store has not answered yet. */
 typedef struct
 {
   HzbAdmin *admin;
@@ -81,21 +83,21 @@
 } PendingChange;
 
 static void
-settings_recorded (PendingChange *change, guint64 revision)
+apply_recorded_change (PendingChange *change, guint64 revision)
 {
   HzbAdmin *admin = change->admin;
 
-  /* The replica of the records may have shown this change, or a later one, before the answer came. */
+  /* The replica of the records may have delivered this change, or a later one, before the key-value store's answer. */
   if (revision <= admin->settings_version)
     return;
   admin->settings_version = revision;
   hzb_operator_settings_sanitize (&change->settings);
   apply_settings (admin, &change->settings);
-  log_settings_apply (revision);
+  log_applied_settings (revision);
 }
 
 static GError *
-error_of_transaction (HzbKvResult result)
+transaction_error (HzbKvResult result)
 {
   if (result == HZB_KV_CONFLICT)
     return g_error_new_literal (HZB_ADMIN_ERROR, HZB_ADMIN_ERROR_CONFLICT,
@@ -115,12 +117,12 @@
   if (result == HZB_KV_OK)
     {
       hzb_kv_commit_decode (body, &revision, NULL);
-      settings_recorded (change, revision);
+      apply_recorded_change (change, revision);
       hzb_admin_reply (change->http_request, hzb_admin_settings_encode (change->admin));
     }
   else
     {
-      g_autoptr (GError) error = error_of_transaction (result);
+      g_autoptr (GError) error = transaction_error (result);
       refuse_with_error (change->http_request, error);
     }
 }
@@ -136,7 +138,7 @@
   change->settings = *settings;
   hzb_kv_transaction_compare (transaction, HZB_KEY_SETTINGS, admin->settings_version);
   hzb_kv_transaction_put (transaction, HZB_KEY_SETTINGS, hzb_operator_settings_encode (settings), 0);
-  hzb_kv_client_commit (admin->with.kv, HZB_KV_ACCEPT, transaction, on_settings_committed, change);
+  hzb_kv_client_commit (admin->dependencies.kv, HZB_KV_ACCEPT, transaction, on_settings_committed, change);
 }
 
 static gboolean
--- a/src/api/admin.c
+++ b/src/api/admin.c
@@ -1,5 +1,5 @@
-/* The operators' side: what they may look at, and the drain of a machine. How an answer looks is the business of
- * admin-codec.c; changes of the settings are in admin-settings.c. */
+/* The administration API: the views that operators may read, and the drain of a machine. admin-codec.c encodes the
+ * responses; admin-settings.c changes the operators' settings. */
 #include "admin-private.h"
 
 #include "admin-codec.h"
@@ -17,7 +17,7 @@
 hzb_admin_new (const HzbAdminDependencies *dependencies, const HzbAdminCallbacks *callbacks, gpointer user)
 {
   HzbAdmin *admin = g_new0 (HzbAdmin, 1);
-  admin->with = *dependencies;
+  admin->dependencies = *dependencies;
   admin->callbacks = *callbacks;
   admin->callbacks_user = user;
   return admin;
@@ -36,7 +36,7 @@
   admin->peer_server = peer_server;
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 void
 hzb_admin_reply (HzbHttpRequest *http_request, char *body)
@@ -59,33 +59,34 @@
 static void
 redirect_to_leader (HzbAdmin *admin, HzbHttpRequest *http_request)
 {
-  hzb_http_request_respond (http_request, 421, hzb_worker_redirect_encode (hzb_election_leader (admin->with.election)),
-                            0);
+  hzb_http_request_respond (http_request, 421,
+                            hzb_worker_redirect_encode (hzb_election_leader (admin->dependencies.election)), 0);
 }
 
-/* Only the leader knows all machines and tasks, once it has read its records. */
+/* Only the leader has all machines and tasks, and only after it has read its records. */
 static gboolean
-leads (HzbAdmin *admin)
+is_loaded_leader (HzbAdmin *admin)
 {
-  return hzb_ownership_leader_loaded (admin->with.ownership) && hzb_election_is_leader (admin->with.election);
+  return hzb_ownership_leader_loaded (admin->dependencies.ownership)
+         && hzb_election_is_leader (admin->dependencies.election);
 }
 
 /* ---- views ---- */
 
 static GArray *
-stated_schema_versions (HzbAdmin *admin)
+collect_schema_versions (HzbAdmin *admin)
 {
-  const HzbSettings *settings = admin->with.node->settings;
+  const HzbSettings *settings = admin->dependencies.node->settings;
   GArray *controllers = g_array_new (FALSE, FALSE, sizeof (HzbAdminController));
-  HzbAdminController controller = { settings->node, admin->with.node->schema_version };
+  HzbAdminController controller = { settings->node, admin->dependencies.node->schema_version };
 
   g_array_append_val (controllers, controller);
   for (guint i = 0; i < settings->peers->len; i++)
     {
       controller.node = ((HzbPeer *) settings->peers->pdata[i])->node;
-      controller.schema_version = hzb_peers_is_unreachable (admin->with.peers, controller.node)
+      controller.schema_version = hzb_peers_is_unreachable (admin->dependencies.peers, controller.node)
                                       ? 0
-                                      : hzb_peers_schema_version (admin->with.peers, controller.node);
+                                      : hzb_peers_schema_version (admin->dependencies.peers, controller.node);
       g_array_append_val (controllers, controller);
     }
   return controllers;
@@ -94,14 +95,14 @@
 static char *
 encode_leadership (HzbAdmin *admin)
 {
-  g_autoptr (GArray) controllers = stated_schema_versions (admin);
+  g_autoptr (GArray) controllers = collect_schema_versions (admin);
   const HzbAdminLeadership leadership = {
-    .node = admin->with.node->settings->node,
-    .leads = hzb_election_is_leader (admin->with.election),
-    .leader = hzb_election_leader (admin->with.election),
-    .term = hzb_election_leader_term (admin->with.election),
-    .kv_unresponsive_s = hzb_kv_client_unresponsive_s (admin->with.kv),
-    .schema_version = hzb_election_schema_version (admin->with.election),
+    .node = admin->dependencies.node->settings->node,
+    .is_leader = hzb_election_is_leader (admin->dependencies.election),
+    .leader = hzb_election_leader (admin->dependencies.election),
+    .term = hzb_election_leader_term (admin->dependencies.election),
+    .kv_unresponsive_s = hzb_kv_client_unresponsive_s (admin->dependencies.kv),
+    .schema_version = hzb_election_schema_version (admin->dependencies.election),
     .controllers = controllers,
   };
   return hzb_admin_leadership_encode (&leadership);
@@ -110,14 +111,15 @@
 static char *
 encode_metrics (HzbAdmin *admin)
 {
-  HzbAdminMetrics metrics = { .metrics = admin->with.metrics, .reconciliation = admin->with.reconciliation };
+  HzbAdminMetrics metrics = { .metrics = admin->dependencies.metrics,
+                              .reconciliation = admin->dependencies.reconciliation };
 
   if (admin->api_server && admin->peer_server)
     {
       metrics.has_http_servers = TRUE;
-      metrics.connections = hzb_http_server_connections (admin->api_server);
+      metrics.connections = hzb_http_server_count_connections (admin->api_server);
       metrics.bodies_too_large =
-          hzb_http_server_too_large (admin->api_server) + hzb_http_server_too_large (admin->peer_server);
+          hzb_http_server_count_oversized (admin->api_server) + hzb_http_server_count_oversized (admin->peer_server);
     }
   return hzb_admin_metrics_encode (&metrics);
 }
@@ -125,25 +127,25 @@
 static char *
 encode_machines (HzbAdmin *admin)
 {
-  return hzb_admin_machines_encode (admin->with.machines);
+  return hzb_admin_machines_encode (admin->dependencies.machines);
 }
 
 static char *
 encode_shards (HzbAdmin *admin)
 {
-  return hzb_admin_shards_encode (admin->with.shard_leases);
+  return hzb_admin_shards_encode (admin->dependencies.shard_leases);
 }
 
 static char *
 encode_teams (HzbAdmin *admin)
 {
-  return hzb_admin_teams_encode (admin->with.node->settings, admin->with.jobs->shard);
+  return hzb_admin_teams_encode (admin->dependencies.node->settings, admin->dependencies.jobs->shard);
 }
 
 static char *
 encode_jobs (HzbAdmin *admin)
 {
-  return hzb_admin_jobs_encode (admin->with.jobs);
+  return hzb_admin_jobs_encode (admin->dependencies.jobs);
 }
 
 typedef struct
@@ -151,7 +153,7 @@
   const char *path;
   char *(*encode) (HzbAdmin *admin);
   gboolean leader_only;
-  void (*change) (HzbAdmin *admin, HzbHttpRequest *http_request); /* (nullable): what PUT does */
+  void (*change) (HzbAdmin *admin, HzbHttpRequest *http_request); /* (nullable): handles PUT; NULL: PUT is refused */
 } View;
 
 static const View views[] = {
@@ -171,13 +173,13 @@
     view->change (admin, http_request);
   else if (!g_str_equal (http_request->method, "GET"))
     hzb_admin_refuse (http_request, 405, view->change ? "GET or PUT here" : "GET here");
-  else if (view->leader_only && !leads (admin))
+  else if (view->leader_only && !is_loaded_leader (admin))
     redirect_to_leader (admin, http_request);
   else
     hzb_admin_reply (http_request, view->encode (admin));
 }
 
-/* Returns: (nullable) */
+/* Returns: (nullable): NULL if the path is not that of a view */
 static const View *
 find_view (const char *path)
 {
@@ -187,12 +189,12 @@
   return NULL;
 }
 
-/* ---- one job, one machine ---- */
+/* ---- single jobs and machines ---- */
 
 static void
 handle_job (HzbAdmin *admin, HzbHttpRequest *http_request, const char *uid)
 {
-  const HzbJob *job = hzb_jobs_find (admin->with.jobs, uid);
+  const HzbJob *job = hzb_jobs_find (admin->dependencies.jobs, uid);
 
   if (!g_str_equal (http_request->method, "GET"))
     hzb_admin_refuse (http_request, 405, "GET here");
@@ -202,16 +204,17 @@
     hzb_admin_reply (http_request, hzb_admin_job_encode (job));
 }
 
-/* The machine takes no new tasks and is returned to the cloud once it is empty. That is recorded, so that a new leader does
- * the same. */
+/* Drains the machine: it gets no new tasks and is returned to the cloud once it has no tasks. The drain is recorded, so
+ * that it continues after a failover. */
 static void
-drain (HzbAdmin *admin, HzbMachine *machine)
+drain_machine (HzbAdmin *admin, HzbMachine *machine)
 {
   machine->scale_in_requested = machine->drain = TRUE;
   machine->recorded = machine->recording = FALSE;
-  hzb_records_flush_if_due (admin->with.records);
+  hzb_records_flush_if_due (admin->dependencies.records);
   g_message (
-      "machine %s is being drained, as an operator asked: it takes no new tasks and is returned once it is empty",
+      "machine %s is drained at an operator's request: it gets no new tasks and is returned to the cloud once it has "
+      "no tasks",
       machine->name);
 }
 
@@ -222,31 +225,31 @@
 
   if (!g_str_equal (http_request->method, "POST"))
     hzb_admin_refuse (http_request, 405, "POST here");
-  else if (!leads (admin))
+  else if (!is_loaded_leader (admin))
     redirect_to_leader (admin, http_request);
-  else if (!(machine = hzb_machines_find (admin->with.machines, name)))
+  else if (!(machine = hzb_machines_find (admin->dependencies.machines, name)))
     hzb_admin_refuse (http_request, 404, "%s: no such machine", name);
   else
     {
-      drain (admin, machine);
+      drain_machine (admin, machine);
       hzb_admin_reply (http_request, hzb_admin_drain_encode (machine));
     }
 }
 
-/* Returns: (transfer full) (nullable): the machine's name, if the path is that of its drain */
+/* Returns: (transfer full) (nullable): the machine's name; NULL if the path is not that of a machine's drain */
 static char *
-drained_machine (const char *path)
+parse_drain_path (const char *path)
 {
   if (!g_str_has_prefix (path, MACHINES) || !g_str_has_suffix (path, DRAIN))
     return NULL;
   return g_strndup (path + strlen (MACHINES), strlen (path) - strlen (MACHINES DRAIN));
 }
 
-/* A path that is neither a view's nor about reconciliations. */
+/* Handles a request whose path is neither that of a view nor about reconciliations. */
 static void
-handle_path (HzbAdmin *admin, HzbHttpRequest *http_request, const char *path)
+handle_other_path (HzbAdmin *admin, HzbHttpRequest *http_request, const char *path)
 {
-  g_autofree char *machine = drained_machine (path);
+  g_autofree char *machine = parse_drain_path (path);
 
   if (g_str_has_prefix (path, JOBS))
     handle_job (admin, http_request, path + strlen (JOBS));
@@ -271,6 +274,6 @@
   if ((view = find_view (path)))
     handle_view (admin, http_request, view);
   else if (!admin->callbacks.reconciliation_request (http_request, path, admin->callbacks_user))
-    handle_path (admin, http_request, path);
+    handle_other_path (admin, http_request, path);
   return TRUE;
 }
--- a/src/api/admin.h
+++ b/src/api/admin.h
@@ -1,8 +1,9 @@
 /**
  * SECTION: admin
- * @short_description: the administration API, and the operators' settings on this controller
+ * @short_description: serves the administration API, and applies the operators' settings on this controller
  *
- * All paths are below one versioned prefix. What belongs to a tenant has the tenant in its path; so far there is one tenant.
+ * All paths begin with one versioned prefix. The path of a resource that belongs to a tenant names the tenant; there is
+ * one tenant, main.
  */
 #pragma once
 #include "autoscaler.h"
@@ -22,29 +23,34 @@
 /** HzbAdmin: the administration API; one for each controller. */
 typedef struct _HzbAdmin HzbAdmin;
 
-/** HzbAdminDependencies: the modules that operators look at and change. None is owned, all must outlive it. */
+/**
+ * HzbAdminDependencies: the modules that operators inspect and change. None is owned, all must outlive the #HzbAdmin.
+ */
 typedef struct
 {
   HzbNode *node;                     /**< settings, clock, and the schema version that this process states */
-  HzbKvClient *kv;                   /**< takes changes of the operators' settings */
-  HzbElection *election;             /**< who leads */
+  HzbKvClient *kv;                   /**< stores changes of the operators' settings */
+  HzbElection *election;             /**< the current leader and term */
   HzbOwnership *ownership;           /**< whether the leader has read its records */
-  HzbPeers *peers;                   /**< the schema versions that other controllers state */
-  HzbJobs *jobs;                     /**< shown */
-  HzbMachines *machines;             /**< shown, and drained */
-  HzbShardLeases *shard_leases;      /**< shown */
-  HzbRecords *records;               /**< makes a drain durable */
-  HzbReconciliation *reconciliation; /**< shown among the metrics */
-  HzbMetrics *metrics;               /**< shown */
-  HzbDispatch *dispatch;             /**< its settings are the operators' */
-  HzbAutoscaler *autoscaler;         /**< its settings are the operators' */
-  gboolean *lease_shards;            /**< an operators' setting: shards are leased to the other controllers */
+  HzbPeers *peers;                   /**< the schema versions that the other controllers state */
+  HzbJobs *jobs;                     /**< the jobs shown to operators */
+  HzbMachines *machines;             /**< the machines shown to operators, who may drain them */
+  HzbShardLeases *shard_leases;      /**< the shards shown to operators */
+  HzbRecords *records;               /**< makes the drain of a machine durable */
+  HzbReconciliation *reconciliation; /**< adds its metrics to those of the controller */
+  HzbMetrics *metrics;               /**< the metrics shown to operators */
+  HzbDispatch *dispatch;             /**< its parameters are set by the operators' settings */
+  HzbAutoscaler *autoscaler;         /**< its parameters are set by the operators' settings */
+  gboolean *lease_shards; /**< set by the operators' settings; TRUE: shards are leased to other controllers */
 } HzbAdminDependencies;
 
-/** HzbAdminCallbacks: what the administration API asks of the controller above it. */
+/** HzbAdminCallbacks: functions of the controller that the administration API calls. All must be set. */
 typedef struct
 {
-  /** Answers a request about reconciliations, by its path below the API's prefix. FALSE if the path is none of these. */
+  /**
+   * Handles a request about reconciliations; path is the part after the API's prefix. Returns FALSE, without a
+   * response, if the path is not about reconciliations.
+   */
   gboolean (*reconciliation_request) (HzbHttpRequest *http_request, const char *path, gpointer user);
 } HzbAdminCallbacks;
 
@@ -52,19 +58,22 @@
  * hzb_admin_new:
  * @param dependencies (transfer none) copied; the modules in it are not owned
  * @param callbacks (transfer none) copied
- * @param user (nullable) passed to the callbacks
+ * @param user (nullable) (not owned) passed to the callbacks
  *
- * @return (transfer full): to be freed with hzb_admin_free()
+ * @return (transfer full): free with hzb_admin_free()
  */
 HzbAdmin *hzb_admin_new (const HzbAdminDependencies *dependencies, const HzbAdminCallbacks *callbacks, gpointer user);
 
 /** hzb_admin_free: frees the module. */
 void hzb_admin_free (HzbAdmin *admin);
 
-/** hzb_admin_set_http_servers: (transfer none): their counts are shown among the metrics. */
+/** hzb_admin_set_http_servers: (transfer none): sets the servers whose counters the metrics include. */
 void hzb_admin_set_http_servers (HzbAdmin *admin, HzbHttpServer *api_server, HzbHttpServer *peer_server);
 
-/** hzb_admin_apply_settings: the replica of the records shows the operators' settings: they apply from now on. */
+/**
+ * hzb_admin_apply_settings: applies the operators' settings that the replica of the records has delivered, unless this
+ * version or a later one is in use already. An entry without a value restores the defaults.
+ */
 void hzb_admin_apply_settings (HzbAdmin *admin, const HzbKvEntry *entry);
 
 /**
@@ -72,6 +81,6 @@
  * @param admin the module
  * @param http_request (transfer full): answered now or later, unless the function returns FALSE
  *
- * @return FALSE if the path is not one of the administration API's
+ * @return FALSE if the request is not for the administration API; the request is left to the caller then
  */
 gboolean hzb_admin_request (HzbAdmin *admin, HzbHttpRequest *http_request);
--- a/src/api/cancel-requests.c
+++ b/src/api/cancel-requests.c
@@ -1,22 +1,23 @@
-/* Cancellations of users, and the moment from which a cancelled job may be called cancelled.
+/* Cancellations that users request, and when they are confirmed.
  *
- * A user whose cancellation is confirmed relies on it: none of the job's tasks may be started after that. So the answer
- * waits until no controller can act without the cancellation (cancellations.h); if that takes too long, the answer is
- * 503 with Retry-After. */
+ * A confirmed cancellation guarantees that none of the job's tasks is started afterwards. So the response waits until
+ * no controller can act without the cancellation (cancellations.h). If that takes too long, the user gets 503 with
+ * Retry-After. */
 #include "user-api-private.h"
 
-/* How long a request may wait for the acknowledgement of its cancellation before its user gets 503 with Retry-After. */
-#define ACKNOWLEDGE_WITHIN_S 1.2
-/* Requests that may wait on any node, and as part of the connections that the node may have: each holds one. */
-#define LEAST_WAITING 512u
-#define WAITING_PART 0.5
+/* A request whose cancellation is not acknowledged in this time is answered with 503 and Retry-After. */
+#define ACKNOWLEDGEMENT_TIMEOUT_S 1.2
+/* Each waiting request holds a connection. So the limit is a fraction of the connections that the node may have open,
+ * but no less than a minimum. */
+#define MIN_WAITING_LIMIT 512u
+#define MAX_WAITING_CONNECTION_FRACTION 0.5
 
 static const char not_acknowledged[] = "not every controller has acknowledged the cancellation";
 
 static void
-reply_status (HzbCheck *check, const HzbJob *job)
+send_job_status (HzbPendingRequest *request, const HzbJob *job)
 {
-  HzbUserApi *api = check->api;
+  HzbUserApi *api = request->api;
   guint done = job->done + job->finished, running = job->running + job->delegated_running;
   const char *status = hzb_job_status (job);
 
@@ -24,96 +25,97 @@
     done = job->n_tasks;
   if (job->state != HZB_JOB_ACCEPTED)
     running = 0;
-  else if (!job->tasks || api->with.jobs->leaseholder)
+  else if (!job->tasks || api->dependencies.jobs->leaseholder)
     {
-      /* This node does not own all tasks of the job. Only for display: the counts of the leader's last heartbeat. */
-      hzb_peers_task_counts (api->with.peers, job->uid, &done, &running);
+      /* This node does not own all tasks of the job, so it shows the counts of the leader's last heartbeat. */
+      hzb_peers_task_counts (api->dependencies.peers, job->uid, &done, &running);
       status = running ? "running" : "queued";
     }
   hzb_http_request_respond (
-      check->http_request, 200,
-      hzb_job_status_encode (job->uid, status, check->question == HZB_QUESTION_STATUS, done, running), 0);
+      request->http_request, 200,
+      hzb_job_status_encode (job->uid, status, request->kind == HZB_PENDING_REQUEST_STATUS, done, running), 0);
 }
 
 void
-hzb_check_reply_final (HzbCheck *check, HzbJob *job)
+hzb_pending_request_reply_job_status (HzbPendingRequest *request, HzbJob *job)
 {
-  HzbUserApi *api = check->api;
+  HzbUserApi *api = request->api;
 
-  if (job->state != HZB_JOB_CANCELLED || hzb_cancellations_is_acknowledged (api->with.cancellations, job))
+  if (job->state != HZB_JOB_CANCELLED || hzb_cancellations_is_acknowledged (api->dependencies.cancellations, job))
     {
-      reply_status (check, job);
-      hzb_check_free (check);
+      send_job_status (request, job);
+      hzb_pending_request_free (request);
     }
-  else if (!hzb_cancellations_request (api->with.cancellations, job)
-           || api->unacknowledged.length >= (guint) hzb_user_api_queue_limit (api, LEAST_WAITING, WAITING_PART))
-    hzb_check_give_up (check, not_acknowledged);
+  else if (!hzb_cancellations_request (api->dependencies.cancellations, job)
+           || api->unacknowledged_cancellations.length
+                  >= (guint) hzb_user_api_queue_limit (api, MIN_WAITING_LIMIT, MAX_WAITING_CONNECTION_FRACTION))
+    hzb_pending_request_reply_unavailable (request, not_acknowledged);
   else
     {
-      check->deadline = hzb_time_plus (hzb_clock_now (api->with.node->clock), ACKNOWLEDGE_WITHIN_S);
-      g_queue_push_tail (&api->unacknowledged, check);
+      request->deadline = hzb_time_plus (hzb_clock_now (api->dependencies.node->clock), ACKNOWLEDGEMENT_TIMEOUT_S);
+      g_queue_push_tail (&api->unacknowledged_cancellations, request);
     }
 }
 
 void
 hzb_cancel_requests_tick (HzbUserApi *api)
 {
-  struct timespec now = hzb_clock_now (api->with.node->clock);
+  struct timespec now = hzb_clock_now (api->dependencies.node->clock);
   GList *next;
 
-  for (GList *link = api->unacknowledged.head; link; link = next)
+  for (GList *link = api->unacknowledged_cancellations.head; link; link = next)
     {
-      HzbCheck *check = link->data;
-      HzbJob *job = hzb_jobs_find (api->with.jobs, check->uid);
-      gboolean acknowledged = job && hzb_cancellations_is_acknowledged (api->with.cancellations, job);
+      HzbPendingRequest *request = link->data;
+      HzbJob *job = hzb_jobs_find (api->dependencies.jobs, request->uid);
+      gboolean acknowledged = job && hzb_cancellations_is_acknowledged (api->dependencies.cancellations, job);
 
       next = link->next;
-      if (job && !acknowledged && hzb_time_before (now, check->deadline))
+      if (job && !acknowledged && hzb_time_before (now, request->deadline))
         continue;
-      g_queue_delete_link (&api->unacknowledged, link);
+      g_queue_delete_link (&api->unacknowledged_cancellations, link);
       if (!job)
-        hzb_check_give_up (check, "not decided"); /* the job's record has moved to the archive meanwhile */
+        hzb_pending_request_reply_unavailable (request, "not decided"); /* the job's record has been archived since */
       else if (acknowledged)
-        hzb_check_reply_final (check, job);
+        hzb_pending_request_reply_job_status (request, job);
       else
-        hzb_check_give_up (check, not_acknowledged);
+        hzb_pending_request_reply_unavailable (request, not_acknowledged);
     }
 }
 
 static void
-on_cancelled (HzbKvResult result, const char *body, gpointer user)
+on_cancellation_committed (HzbKvResult result, const char *body, gpointer user)
 {
-  HzbCheck *check = user;
-  HzbJobs *jobs = check->api->with.jobs;
-  HzbJob *job = hzb_jobs_find (jobs, check->uid);
+  HzbPendingRequest *request = user;
+  HzbJobs *jobs = request->api->dependencies.jobs;
+  HzbJob *job = hzb_jobs_find (jobs, request->uid);
 
   if (result == HZB_KV_OK && job)
     {
       guint64 revision = 0;
       hzb_kv_commit_decode (body, &revision, NULL);
-      hzb_jobs_apply_completion (jobs, check->uid, HZB_JOB_CANCELLED, job->n_tasks, revision);
-      hzb_check_settle (check);
+      hzb_jobs_apply_completion (jobs, request->uid, HZB_JOB_CANCELLED, job->n_tasks, revision);
+      hzb_pending_request_resolve (request);
     }
   else if (result == HZB_KV_REFUSED)
-    hzb_check_give_up (check, "the state service can't be asked");
+    hzb_pending_request_reply_unavailable (request, "the state service can't be asked");
   else
-    hzb_check_queue (check); /* what became of the cancellation shows once the replica is up to date */
+    hzb_pending_request_queue (request); /* the replica shows the outcome of the cancellation once it is up to date */
 }
 
 void
-hzb_cancel_request_send (HzbCheck *check)
+hzb_cancel_request_send (HzbPendingRequest *request)
 {
-  HzbUserApi *api = check->api;
-  HzbJob *job = hzb_jobs_find (api->with.jobs, check->uid);
+  HzbUserApi *api = request->api;
+  HzbJob *job = hzb_jobs_find (api->dependencies.jobs, request->uid);
   HzbKvTransaction *transaction;
 
-  if (!hzb_time_before (hzb_clock_now (api->with.node->clock), check->deadline))
+  if (!hzb_time_before (hzb_clock_now (api->dependencies.node->clock), request->deadline))
     {
-      hzb_check_give_up (check, "not decided in time");
+      hzb_pending_request_reply_unavailable (request, "not decided in time");
       return;
     }
   transaction = hzb_kv_transaction_new ();
-  hzb_jobs_compare_not_terminal (transaction, check->uid);
-  hzb_cancellation_record_put (check->uid, job->n_tasks, transaction);
-  hzb_kv_client_commit (api->with.kv, HZB_KV_ACCEPT, transaction, on_cancelled, check);
+  hzb_jobs_compare_not_terminal (transaction, request->uid);
+  hzb_cancellation_record_put (request->uid, job->n_tasks, transaction);
+  hzb_kv_client_commit (api->dependencies.kv, HZB_KV_ACCEPT, transaction, on_cancellation_committed, request);
 }
--- a/src/api/heartbeat-admission.c
+++ b/src/api/heartbeat-admission.c
@@ -1,13 +1,16 @@
-/* Whether this node may answer a heartbeat, and about which machine. Nothing is concluded about tasks here.
+/* Whether this node may respond to a heartbeat with authority, and from which machine the heartbeat is. The statuses of
+ * tasks are not examined here.
  *
- * A heartbeat is answered only by the node that decides about its sender: the leader, or the leaseholder of the machine's
- * shard. All others redirect the worker. */
+ * Only the node that owns the sender responds to a heartbeat: the leader, or the leaseholder of the machine's shard.
+ * All other nodes redirect the worker. */
 #include "worker-api-private.h"
 
-/* Whether the heartbeat is out of date: a network partition may delay heartbeats or bring copies of them. Once an agent
- * epoch has ended for certain, every heartbeat of that epoch is out of date, whatever its sequence number. */
+/* A network partition may delay or duplicate heartbeats. Once an agent epoch has certainly ended, every heartbeat of
+ * that epoch is out of date, whatever its sequence number.
+ *
+ * Returns: TRUE if the heartbeat is out of date */
 static gboolean
-is_late (const HzbMachine *machine, const HzbWorkerHeartbeat *heartbeat)
+is_stale (const HzbMachine *machine, const HzbWorkerHeartbeat *heartbeat)
 {
   return heartbeat->agent_epoch < machine->agent_epoch
          || (heartbeat->agent_epoch == machine->agent_epoch && heartbeat->sequence <= machine->sequence)
@@ -15,7 +18,7 @@
 }
 
 static void
-refuse_late (HzbHeartbeatExchange *exchange)
+refuse_stale (HzbHeartbeatExchange *exchange)
 {
   hzb_heartbeat_refuse (exchange, 503, "an older report", 0);
 }
@@ -23,12 +26,12 @@
 static void
 redirect_to_leader (HzbWorkerApi *api, HzbHeartbeatExchange *exchange)
 {
-  api->with.node->redirected_at = hzb_clock_now (api->with.node->clock);
-  hzb_heartbeat_redirect (exchange, hzb_election_leader (api->with.election));
+  api->dependencies.node->redirected_at = hzb_clock_now (api->dependencies.node->clock);
+  hzb_heartbeat_redirect (exchange, hzb_election_leader (api->dependencies.election));
 }
 
 static gboolean
-decode (HzbHeartbeatExchange *exchange)
+decode_heartbeat (HzbHeartbeatExchange *exchange)
 {
   g_autoptr (GError) error = NULL;
 
@@ -41,17 +44,17 @@
 
 /* ---- on a leaseholder ---- */
 
-/* Returns: (nullable): the machine, if it belongs to the shard and the lease on the shard has not expired. */
+/* Returns: (nullable): the machine; NULL if it does not belong to the shard or the lease on the shard has expired. */
 static HzbMachine *
 find_leased_machine (HzbWorkerApi *api, const HzbWorkerHeartbeat *heartbeat)
 {
-  HzbMachine *machine = hzb_leaseholder_lease_valid (api->with.leaseholder)
-                            ? hzb_machines_find (api->with.machines, heartbeat->host)
+  HzbMachine *machine = hzb_leaseholder_lease_valid (api->dependencies.leaseholder)
+                            ? hzb_machines_find (api->dependencies.machines, heartbeat->host)
                             : NULL;
   if (machine && heartbeat->fencing_token > machine->fencing_token)
     {
-      /* The reason is part of the message to the leader, so its text stays. */
-      hzb_leaseholder_return_machine (api->with.leaseholder, machine, "it has seen a newer token");
+      /* The reason is part of the message to the leader, so its text must not change. */
+      hzb_leaseholder_return_machine (api->dependencies.leaseholder, machine, "it has seen a newer token");
       return NULL;
     }
   return machine;
@@ -59,58 +62,64 @@
 
 /* ---- on the leader ---- */
 
-/* A worker that has seen the fencing token of a later term proves that another leader was elected. */
+/* If the worker has seen the fencing token of a later term, another leader was elected.
+ *
+ * Returns: TRUE if this node has stepped down and has refused the heartbeat */
 static gboolean
 step_down_if_superseded (HzbWorkerApi *api, HzbHeartbeatExchange *exchange)
 {
-  if (hzb_fencing_token_term (exchange->heartbeat->fencing_token) <= hzb_election_term (api->with.election))
+  if (hzb_fencing_token_term (exchange->heartbeat->fencing_token) <= hzb_election_term (api->dependencies.election))
     return FALSE;
-  hzb_election_step_down (api->with.election, "a worker has seen the fencing token of a later term");
+  hzb_election_step_down (api->dependencies.election, "a worker has seen the fencing token of a later term");
   hzb_heartbeat_refuse (exchange, 503, "superseded", 0);
   return TRUE;
 }
 
-/* The leader has not read its records yet. Its answer renews the machine's lease, so that running tasks survive for as long
- * as an outage of the key-value store keeps the leader from reading. */
+/* Responds while the leader has not read its records yet. The response renews the machine's lease, so that running
+ * tasks are not ended while an outage of the key-value store prevents the leader from reading its records. */
 static void
-answer_while_loading (HzbWorkerApi *api, HzbHeartbeatExchange *exchange)
+respond_while_loading (HzbWorkerApi *api, HzbHeartbeatExchange *exchange)
 {
-  guint64 fencing_token = hzb_fencing_token (hzb_election_term (api->with.election), 0);
+  guint64 fencing_token = hzb_fencing_token (hzb_election_term (api->dependencies.election), 0);
 
   hzb_heartbeat_stop_cancelled (api, exchange);
-  /* A fencing token that the worker has already seen is not lowered. */
+  /* The worker must not get a lower fencing token than it has already seen. */
   hzb_heartbeat_respond (exchange, MAX (fencing_token, exchange->heartbeat->fencing_token));
 }
 
-/* Returns: (nullable): the machine, added if it was not known; NULL if the cloud has confirmed that it is gone. */
+/* Returns: (nullable): the machine, added if it was not known; NULL if the cloud has confirmed that the machine is
+ * gone */
 static HzbMachine *
 find_or_add_machine (HzbWorkerApi *api, const HzbWorkerHeartbeat *heartbeat)
 {
-  HzbMachine *machine = hzb_machines_find (api->with.machines, heartbeat->host);
+  HzbMachine *machine = hzb_machines_find (api->dependencies.machines, heartbeat->host);
 
-  if (!machine && hzb_provisioning_was_scaled_in (api->with.provisioning, heartbeat->host))
+  if (!machine && hzb_provisioning_is_machine_gone (api->dependencies.provisioning, heartbeat->host))
     return NULL;
   if (!machine)
-    machine = hzb_machines_add (api->with.machines, heartbeat->host, heartbeat->addr, heartbeat->type, heartbeat->zone,
-                                heartbeat->spot, HZB_MACHINE_BOOTING);
+    machine = hzb_machines_add (api->dependencies.machines, heartbeat->host, heartbeat->addr, heartbeat->type,
+                                heartbeat->zone, heartbeat->spot, HZB_MACHINE_BOOTING);
   if (!machine->fencing_token)
-    hzb_machine_set_fencing_token (machine, api->with.jobs->shard->fencing_token);
+    hzb_machine_set_fencing_token (machine, api->dependencies.jobs->shard->fencing_token);
   return machine;
 }
 
-/* Returns: (nullable): the leaseholder that decides about the machine, by an earlier lease or by one that begins now. */
+/* A machine without tasks and without a reclaim notice may be leased to another controller now.
+ *
+ * Returns: (nullable): the leaseholder that owns the machine, by an earlier lease or a new one; NULL: the leader owns
+ * it */
 static const char *
-leaseholder_of (HzbWorkerApi *api, HzbMachine *machine, const HzbWorkerHeartbeat *heartbeat)
+find_or_assign_leaseholder (HzbWorkerApi *api, HzbMachine *machine, const HzbWorkerHeartbeat *heartbeat)
 {
   if (machine->state == HZB_MACHINE_LEASED)
-    return hzb_shard_leases_leaseholder_name (api->with.shard_leases, machine);
+    return hzb_shard_leases_leaseholder_name (api->dependencies.shard_leases, machine);
   if (heartbeat->task_statuses->len == 0 && heartbeat->notice_s < 0)
-    return hzb_shard_leases_lease_idle (api->with.shard_leases, machine);
+    return hzb_shard_leases_lease_idle (api->dependencies.shard_leases, machine);
   return NULL;
 }
 
-/* The leaseholder learns from the leader which heartbeat of the machine was the newest, and learns of the machine only once
- * the machine is on record. */
+/* The leader sends the leaseholder the agent epoch and sequence number of the machine's newest heartbeat, so both are
+ * updated here. The leader sends the machine itself only after the machine's record is durable. */
 static void
 redirect_to_leaseholder (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, HzbMachine *machine,
                          const char *leaseholder)
@@ -124,11 +133,11 @@
       machine->sequence = heartbeat->sequence;
     }
   if (!machine->recorded)
-    hzb_records_flush_if_due (api->with.records);
+    hzb_records_flush_if_due (api->dependencies.records);
   hzb_heartbeat_redirect (exchange, leaseholder);
 }
 
-/* Returns: (nullable): the sender, if the leader itself decides about it; NULL if the heartbeat has been answered. */
+/* Returns: (nullable): the sender, if the leader owns the machine itself; NULL if the heartbeat has been answered */
 static HzbMachine *
 admit_at_leader (HzbWorkerApi *api, HzbHeartbeatExchange *exchange)
 {
@@ -138,9 +147,9 @@
 
   if (step_down_if_superseded (api, exchange))
     return NULL;
-  if (!hzb_ownership_leader_loaded (api->with.ownership))
+  if (!hzb_ownership_leader_loaded (api->dependencies.ownership))
     {
-      answer_while_loading (api, exchange);
+      respond_while_loading (api, exchange);
       return NULL;
     }
   if (!(machine = find_or_add_machine (api, heartbeat)))
@@ -148,16 +157,16 @@
       hzb_heartbeat_refuse (exchange, 503, "this machine was returned", 0);
       return NULL;
     }
-  /* The worker of a leased machine is redirected to the leaseholder, whichever of its heartbeats this is. */
-  if (machine->state != HZB_MACHINE_LEASED && is_late (machine, heartbeat))
+  /* The worker of a leased machine is redirected to the leaseholder even if the heartbeat is out of date. */
+  if (machine->state != HZB_MACHINE_LEASED && is_stale (machine, heartbeat))
     {
-      refuse_late (exchange);
+      refuse_stale (exchange);
       return NULL;
     }
-  /* The worker has seen a fencing token of this term that the leader no longer knows of: the leader's must not be lower. */
+  /* The worker has seen a higher fencing token of this term than the leader has on record, so the token is raised. */
   if (machine->state != HZB_MACHINE_LEASED && heartbeat->fencing_token > machine->fencing_token)
-    hzb_machine_set_fencing_token (machine, hzb_shard_leases_next_fencing_token (api->with.shard_leases));
-  if ((leaseholder = leaseholder_of (api, machine, heartbeat)))
+    hzb_machine_set_fencing_token (machine, hzb_shard_leases_next_fencing_token (api->dependencies.shard_leases));
+  if ((leaseholder = find_or_assign_leaseholder (api, machine, heartbeat)))
     {
       redirect_to_leaseholder (api, exchange, machine, leaseholder);
       return NULL;
@@ -168,21 +177,21 @@
 gboolean
 hzb_heartbeat_admit (HzbWorkerApi *api, HzbHeartbeatExchange *exchange)
 {
-  if (!exchange->leads && !hzb_ownership_is_leaseholder (api->with.ownership))
+  if (!exchange->is_leader && !hzb_ownership_is_leaseholder (api->dependencies.ownership))
     {
       redirect_to_leader (api, exchange);
       return FALSE;
     }
-  if (!decode (exchange))
+  if (!decode_heartbeat (exchange))
     return FALSE;
-  /* A controller that was paused, or that reaches only its workers, may have missed a cancellation. The other
-   * controllers rely on it to renew no lease of cancelled work meanwhile. */
-  if (!hzb_cancellations_may_answer_workers (api->with.cancellations))
+  /* A controller that was paused, or that can reach only its workers, may have missed a cancellation. The other
+   * controllers rely on it not to renew the lease of a machine with cancelled tasks in that state. */
+  if (!hzb_cancellations_may_answer_workers (api->dependencies.cancellations))
     {
       hzb_heartbeat_refuse (exchange, 503, "cancellations may have been missed here", 1);
       return FALSE;
     }
-  if (exchange->leads)
+  if (exchange->is_leader)
     {
       if (!(exchange->machine = admit_at_leader (api, exchange)))
         return FALSE;
@@ -192,9 +201,9 @@
       redirect_to_leader (api, exchange);
       return FALSE;
     }
-  if (is_late (exchange->machine, exchange->heartbeat))
+  if (is_stale (exchange->machine, exchange->heartbeat))
     {
-      refuse_late (exchange);
+      refuse_stale (exchange);
       return FALSE;
     }
   return TRUE;
--- a/src/api/heartbeat-response.c
+++ b/src/api/heartbeat-response.c
@@ -1,4 +1,4 @@
-/* Commands and answers to a heartbeat. */
+/* The commands in the response to a heartbeat, and the responses themselves. */
 #include "worker-api-private.h"
 
 static void
@@ -21,8 +21,8 @@
   add_command (exchange, HZB_COMMAND_REAP, uid, task, attempt, 0);
 }
 
-/* The answer renews the machine's lease even where nothing is concluded from the heartbeat. Without these stops a task whose
- * cancellation has been confirmed to its user could run on for another lease. */
+/* The response renews the machine's lease, even if the statuses in the heartbeat are not applied. Without these stop
+ * commands a task could run for the duration of another lease after its cancellation was confirmed to the user. */
 void
 hzb_heartbeat_stop_cancelled (HzbWorkerApi *api, HzbHeartbeatExchange *exchange)
 {
@@ -31,7 +31,7 @@
   for (guint i = 0; i < task_statuses->len; i++)
     {
       const HzbTaskStatus *task_status = &g_array_index (task_statuses, HzbTaskStatus, i);
-      const HzbJob *job = hzb_jobs_find (api->with.jobs, task_status->uid);
+      const HzbJob *job = hzb_jobs_find (api->dependencies.jobs, task_status->uid);
       if (job && job->state == HZB_JOB_CANCELLED && task_status->state != HZB_TASK_STATUS_EXITED)
         hzb_heartbeat_add_stop (exchange, task_status->uid, task_status->task, task_status->attempt, 0);
     }
--- a/src/api/heartbeat-tasks.c
+++ b/src/api/heartbeat-tasks.c
@@ -1,18 +1,21 @@
-/* What a complete heartbeat says of the machine's tasks: those that it lists, and those that it does not list. */
+/* Applies a complete heartbeat to the machine's tasks, both to those that the heartbeat lists and to those that it does
+ * not. */
 #include "worker-api-private.h"
 
-/* Under a fencing token that no other owner has used for this machine, the worker obeys this node alone. */
+/* Returns: TRUE if the heartbeat has a fencing token that no other owner has used for this machine. With such a token,
+ * the worker accepts commands of this node alone. */
 static gboolean
-was_sent_under_our_fencing_token (const HzbHeartbeatExchange *exchange)
+has_exclusive_fencing_token (const HzbHeartbeatExchange *exchange)
 {
   return exchange->heartbeat->fencing_token >= exchange->machine->first_exclusive_fencing_token
          && exchange->heartbeat->fencing_token <= exchange->machine->fencing_token;
 }
 
-/* A booting machine was never recorded by any leader: after a failover every recorded machine is unverified, not booting. If
- * it has seen no fencing token either, it has obeyed no one and holds no task. */
+/* Returns: TRUE if the heartbeat is from a new machine. No leader has recorded a booting machine: after a failover
+ * every recorded machine is unverified, not booting. If the worker has seen no fencing token either, it has received no
+ * command and the machine has no task. */
 static gboolean
-is_of_new_machine (const HzbHeartbeatExchange *exchange)
+is_from_new_machine (const HzbHeartbeatExchange *exchange)
 {
   return exchange->heartbeat->fencing_token == 0 && exchange->machine->state == HZB_MACHINE_BOOTING
          && exchange->machine->known_to_cloud && !exchange->heartbeat->task_statuses->len;
@@ -21,7 +24,7 @@
 gboolean
 hzb_heartbeat_is_complete (const HzbHeartbeatExchange *exchange)
 {
-  return was_sent_under_our_fencing_token (exchange) || is_of_new_machine (exchange);
+  return has_exclusive_fencing_token (exchange) || is_from_new_machine (exchange);
 }
 
 static void
@@ -29,7 +32,8 @@
 {
   if (machine->state == HZB_MACHINE_BOOTING || machine->state == HZB_MACHINE_UNVERIFIED
       || machine->state == HZB_MACHINE_LEASE_EXPIRED)
-    hzb_machine_set_state (api->with.machines, machine, HZB_MACHINE_ACTIVE, "sends heartbeats under our fencing token");
+    hzb_machine_set_state (api->dependencies.machines, machine, HZB_MACHINE_ACTIVE,
+                           "its heartbeat has a fencing token of this controller");
   machine->verified = TRUE;
 }
 
@@ -42,10 +46,11 @@
   return starting;
 }
 
-/* A task that a newer heartbeat does not show is not on the machine: either the start command was lost, or the task is
- * gone. A reservation has not been sent to the machine yet, so it is not expected there.
+/* Makes the tasks pending that the heartbeat does not list. Such a task is not on the machine: either the start command
+ * was lost, or the task has ended. The start command of a reserved task has not been sent yet, so the heartbeat need
+ * not list it.
  *
- * Returns: for how many of those tasks the response before had a start command */
+ * Returns: the number of these tasks for which the previous response had a start command */
 static guint
 release_unreported (HzbWorkerApi *api, HzbMachine *machine)
 {
@@ -59,7 +64,8 @@
       if (task->state == HZB_TASK_RESERVED || task->last_heartbeat_round == machine->heartbeat_count)
         i++;
       else
-        hzb_task_set_state (api->with.jobs, task, HZB_TASK_PENDING, NULL); /* takes the task off machine->tasks */
+        /* This also removes the task from machine->tasks. */
+        hzb_task_set_state (api->dependencies.jobs, task, HZB_TASK_PENDING, NULL);
     }
   return never_started;
 }
@@ -84,5 +90,5 @@
     machine->idle_since = exchange->now;
   if (exchange->heartbeat->notice_s >= 0)
     hzb_reclaim_notice_apply (api, exchange);
-  hzb_dispatch_reset_estimates (api->with.dispatch, machine, exchange->now);
+  hzb_dispatch_reset_estimates (api->dependencies.dispatch, machine, exchange->now);
 }
--- a/src/api/job-admission.c
+++ b/src/api/job-admission.c
@@ -1,16 +1,16 @@
-/* Whether a submitted job could ever run, with the teams, zones and machine types that there are.
+/* Whether a submitted job can ever run, given the configured teams and zones and the machine types of the cloud.
  *
- * A refusal is sent only after it is proven that the job was not accepted earlier: a repeat of an accepted job must not
- * be refused, whatever has changed since (hzb_checks_add()). */
+ * A job that can never run is refused only after it is proven that it was not accepted earlier: a repeated submission
+ * of an accepted job must not be refused, whatever has changed since (hzb_pending_requests_add()). */
 #include "user-api-private.h"
 
-/* CPUs and GPUs are sums of decimal fractions: what exceeds a limit by less is rounding. */
-#define ROUNDING 1e-9
+/* CPUs and GPUs are sums of decimal fractions: an excess over a limit below this value is a rounding error. */
+#define ROUNDING_TOLERANCE 1e-9
 
 G_DEFINE_QUARK (hzb - admission - error - quark, hzb_admission_error)
 
 static gboolean
-runs_all_tasks_at_once (const HzbJobSpec *spec)
+runs_tasks_concurrently (const HzbJobSpec *spec)
 {
   return spec->kind == HZB_JOB_GANG || spec->kind == HZB_JOB_SERVICE;
 }
@@ -27,12 +27,13 @@
 static gboolean
 exceeds_limit (const HzbTeam *team, const HzbJobSpec *spec)
 {
-  double at_once = runs_all_tasks_at_once (spec) ? spec->tasks : 1;
-  return spec->cpus * at_once > team->cpus_max + ROUNDING || spec->gpus * at_once > team->gpus_max + ROUNDING;
+  double concurrent_tasks = runs_tasks_concurrently (spec) ? spec->tasks : 1;
+  return spec->cpus * concurrent_tasks > team->cpus_max + ROUNDING_TOLERANCE
+         || spec->gpus * concurrent_tasks > team->gpus_max + ROUNDING_TOLERANCE;
 }
 
 static gboolean
-fits_a_type (const HzbMachines *machines, const HzbJobSpec *spec)
+fits_any_machine_type (const HzbMachines *machines, const HzbJobSpec *spec)
 {
   for (guint i = 0; i < machines->types->len; i++)
     {
@@ -44,12 +45,12 @@
   return FALSE;
 }
 
-/* Returns: (nullable): the text of the answer; NULL if the job can run */
+/* Returns: (nullable): the text of the response; NULL if the job can run */
 static const char *
-reason_it_never_runs (const HzbUserApi *api, const HzbJobSpec *spec)
+find_unschedulable_reason (const HzbUserApi *api, const HzbJobSpec *spec)
 {
-  const HzbSettings *settings = api->with.node->settings;
-  int team = hzb_settings_team (settings, spec->team);
+  const HzbSettings *settings = api->dependencies.node->settings;
+  int team = hzb_settings_find_team (settings, spec->team);
 
   if (team < 0)
     return "owner: no such team";
@@ -61,7 +62,7 @@
     return "samePlace and spread exclude each other";
   if (spec->kind == HZB_JOB_GANG && spec->spread && spec->zone && spec->tasks > 1)
     return "a gang that is to be spread can't be in one zone";
-  if (!fits_a_type (api->with.machines, spec))
+  if (!fits_any_machine_type (api->dependencies.machines, spec))
     return "a task fits no allowed machine type";
   return NULL;
 }
@@ -77,9 +78,9 @@
                            "expectS: expected 0 for standing jobs");
       return FALSE;
     }
-  if ((reason = reason_it_never_runs (api, spec)))
+  if ((reason = find_unschedulable_reason (api, spec)))
     {
-      g_set_error_literal (error, HZB_ADMISSION_ERROR, HZB_ADMISSION_ERROR_NEVER_RUNS, reason);
+      g_set_error_literal (error, HZB_ADMISSION_ERROR, HZB_ADMISSION_ERROR_UNSCHEDULABLE, reason);
       return FALSE;
     }
   return TRUE;
@@ -88,7 +89,7 @@
 void
 hzb_job_admission_drop_unknown_types (const HzbUserApi *api, HzbJobSpec *spec)
 {
-  const GPtrArray *types = api->with.machines->types;
+  const GPtrArray *types = api->dependencies.machines->types;
   g_autoptr (GStrvBuilder) known = g_strv_builder_new ();
 
   if (!spec->types)
--- a/src/api/reclaim-notice.c
+++ b/src/api/reclaim-notice.c
@@ -1,23 +1,24 @@
-/* The cloud takes a machine back soon. The machine gets no new tasks, tasks with checkpoints save one in time, and a task that
- * can neither save a checkpoint nor end before then is stopped, so that it starts elsewhere at once. */
+/* Reclaim notices: the cloud reclaims the machine soon. The machine gets no new tasks. A task with checkpoints is
+ * stopped early enough to save one. A task that can neither save a checkpoint nor end before the machine is reclaimed
+ * is stopped, so that it starts on another machine at once. */
 #include "worker-api-private.h"
 
 #include <math.h>
 
-/* Run time estimates are often wrong: a task without checkpoints is given up only if its estimate exceeds the notice by
- * this factor. */
-#define HOPELESS_FACTOR 1.3
-/* A task that saves checkpoints runs on only if it should end this long before the last moment at which a checkpoint could
- * begin. */
-#define CHECKPOINT_SLACK_S 1
+/* Run time estimates are often wrong. A task without checkpoints is stopped only if its estimated remaining run time
+ * exceeds the time until the machine is reclaimed, multiplied by this factor. */
+#define ESTIMATE_ERROR_FACTOR 1.3
+/* A task that saves checkpoints is stopped unless it should end at least this long before the last moment at which
+ * saving a checkpoint can begin. */
+#define CHECKPOINT_MARGIN_S 1
 
 static void
-drain (HzbWorkerApi *api, HzbMachine *machine)
+drain_machine (HzbWorkerApi *api, HzbMachine *machine)
 {
   if (machine->state != HZB_MACHINE_ACTIVE)
     return;
-  hzb_machine_set_state (api->with.machines, machine, HZB_MACHINE_DRAINING, "the cloud takes it back");
-  hzb_machine_clear_run_queues (api->with.jobs, machine);
+  hzb_machine_set_state (api->dependencies.machines, machine, HZB_MACHINE_DRAINING, "the cloud sent a reclaim notice");
+  hzb_machine_clear_run_queues (api->dependencies.jobs, machine);
 }
 
 static double
@@ -29,7 +30,7 @@
 }
 
 static gboolean
-may_be_stopped (const HzbTask *task)
+is_stoppable (const HzbTask *task)
 {
   return !task->stopping && (task->state == HZB_TASK_RUNNING || task->state == HZB_TASK_FETCHING)
          && task->job->state == HZB_JOB_ACCEPTED && !task->job->awaits_verdict;
@@ -44,14 +45,15 @@
 static gboolean
 ends_in_time (const HzbTask *task, double notice_s, struct timespec now)
 {
-  double left_s = remaining_s (task, now);
+  double remaining = remaining_s (task, now);
 
   if (saves_checkpoints (task))
-    return left_s <= notice_s - task->job->spec->checkpoint_duration_s - CHECKPOINT_SLACK_S;
-  return left_s <= HOPELESS_FACTOR * notice_s;
+    return remaining <= notice_s - task->job->spec->checkpoint_duration_s - CHECKPOINT_MARGIN_S;
+  return remaining <= ESTIMATE_ERROR_FACTOR * notice_s;
 }
 
-/* The tasks of a gang end together, so all are stopped, each with the answer to the next heartbeat of its own machine. */
+/* The tasks of a gang end together, so all are stopped. The worker of each task gets the stop command in the response
+ * to its next heartbeat. */
 static void
 stop_gang (HzbJob *job)
 {
@@ -66,13 +68,13 @@
   HzbMachine *machine = exchange->machine;
   double notice_s = exchange->heartbeat->notice_s;
 
-  drain (api, machine);
+  drain_machine (api, machine);
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       HzbTask *task = machine->tasks->pdata[i];
       const HzbJobSpec *spec = task->job->spec;
 
-      if (!may_be_stopped (task))
+      if (!is_stoppable (task))
         continue;
       if (spec->kind == HZB_JOB_GANG)
         {
--- a/src/api/submissions.c
+++ b/src/api/submissions.c
@@ -1,5 +1,8 @@
-/* Submissions of users and their acceptance. Submissions that come at about the same time are accepted by one record, on
- * condition that none of their jobs is terminal. A user gets 201 only after the transaction that creates the record. */
+/* Submissions of users and their acceptance.
+ *
+ * Submissions that arrive at about the same time are accepted together by one record. The transaction that creates the
+ * record is conditional on none of their jobs being terminal. A user gets 201 only after that transaction has
+ * succeeded. */
 #include "user-api-private.h"
 
 #include "record-keys.h"
@@ -7,25 +10,26 @@
 
 #include <string.h>
 
-/* Submissions that may wait on any node, and as part of the connections that the node may have: each holds one. */
-#define LEAST_WAITING 256u
-#define WAITING_PART 0.25
+/* Each waiting submission holds a connection. So the limit is a fraction of the connections that the node may have
+ * open, but no less than a minimum. */
+#define MIN_WAITING_LIMIT 256u
+#define MAX_WAITING_CONNECTION_FRACTION 0.25
 #define MAX_ACCEPTANCES_IN_FLIGHT 2u
-#define ACCEPT_WITHIN_S 2.5   /* or the user gets 503 with Retry-After */
-#define RECORD_SLACK_BYTES 64 /* braces and names around the jobs in a record */
-#define JOB_SLACK_BYTES 8     /* and around each job */
-/* The key-value store takes so many comparisons in a transaction for each change that it takes. */
+#define ACCEPTANCE_TIMEOUT_S 2.5 /* after this time in the queue the user gets 503 with Retry-After */
+#define RECORD_OVERHEAD_BYTES 64 /* braces and names around the jobs in a record */
+#define JOB_OVERHEAD_BYTES 8     /* quotes and separators around each job in a record */
+/* The key-value store allows this many comparisons in a transaction for each change that it allows. */
 #define COMPARISONS_PER_CHANGE 4
-#define MIN_COMPARISONS 3u   /* for a record with one job */
-#define MAX_COMPARISONS 256u /* however many the key-value store takes */
+#define MIN_COMPARISONS 3u   /* needed for a record with one job */
+#define MAX_COMPARISONS 256u /* limit of this program, also if the key-value store allows more */
 
-/* Submissions that one record accepts, on its way to the key-value store. */
+/* One acceptance record with its submissions, from its creation until the key-value store has answered. */
 typedef struct
 {
   HzbUserApi *api;
-  GPtrArray *submissions; /* HzbSubmission */
+  GPtrArray *submissions; /* (element-type HzbSubmission) */
   HzbAcceptanceRecord *record;
-  HzbKvTransaction *transaction; /* NULL once it was sent */
+  HzbKvTransaction *transaction; /* NULL once it has been sent */
 } Acceptance;
 
 /* ---- one submission ---- */
@@ -33,13 +37,13 @@
 static HzbSubmission *
 submission_new (HzbUserApi *api, HzbHttpRequest *http_request, HzbJobSpec *spec)
 {
-  HzbClock *clock = api->with.node->clock;
+  HzbClock *clock = api->dependencies.node->clock;
   HzbSubmission *submission = g_new0 (HzbSubmission, 1);
 
   submission->http_request = http_request;
   submission->spec = spec;
   submission->encoded = hzb_accepted_job_encode (spec, hzb_clock_wall (clock));
-  submission->deadline = hzb_time_plus (hzb_clock_now (clock), ACCEPT_WITHIN_S);
+  submission->deadline = hzb_time_plus (hzb_clock_now (clock), ACCEPTANCE_TIMEOUT_S);
   return submission;
 }
 
@@ -56,15 +60,15 @@
 static double
 max_record_bytes (const HzbUserApi *api)
 {
-  return api->with.node->settings->kv_value_kb * 1024 - RECORD_SLACK_BYTES;
+  return api->dependencies.node->settings->kv_value_kb * 1024 - RECORD_OVERHEAD_BYTES;
 }
 
-/* Each job needs two comparisons, and the record one. */
+/* Each job needs two comparisons, and the record needs one. */
 static guint
 max_jobs_in_record (const HzbUserApi *api)
 {
   guint comparisons =
-      CLAMP (api->with.node->settings->kv_txn_ops * COMPARISONS_PER_CHANGE, MIN_COMPARISONS, MAX_COMPARISONS);
+      CLAMP (api->dependencies.node->settings->kv_txn_ops * COMPARISONS_PER_CHANGE, MIN_COMPARISONS, MAX_COMPARISONS);
   return (comparisons - 1) / 2;
 }
 
@@ -74,8 +78,8 @@
 acceptance_new (HzbUserApi *api)
 {
   Acceptance *acceptance = g_new0 (Acceptance, 1);
-  g_autofree char *key = g_strdup_printf ("%s%s-%s-%u", HZB_KEY_ACCEPTED, api->with.node->settings->node,
-                                          api->with.node->incarnation, api->acceptances_sent + 1);
+  g_autofree char *key = g_strdup_printf ("%s%s-%s-%u", HZB_KEY_ACCEPTED, api->dependencies.node->settings->node,
+                                          api->dependencies.node->incarnation, api->acceptances_sent + 1);
   acceptance->api = api;
   acceptance->submissions = g_ptr_array_new ();
   acceptance->record = hzb_acceptance_record_new (key);
@@ -96,30 +100,33 @@
 reply_accepted (HzbUserApi *api, HzbSubmission *submission)
 {
   const char *uid = submission->spec->uid;
-  HzbJob *job = hzb_jobs_find (api->with.jobs, uid);
+  HzbJob *job = hzb_jobs_find (api->dependencies.jobs, uid);
 
   if (job && job->state == HZB_JOB_CANCELLED)
-    hzb_check_reply_final (hzb_check_new (api, submission->http_request, uid, HZB_QUESTION_SUBMISSION), job);
+    hzb_pending_request_reply_job_status (
+        hzb_pending_request_new (api, submission->http_request, uid, HZB_PENDING_REQUEST_SUBMISSION), job);
   else
     hzb_http_request_respond (submission->http_request, 201,
                               hzb_job_status_encode (uid, job ? hzb_job_status (job) : "queued", FALSE, 0, 0), 0);
 }
 
-/* Either the job is terminal, or what became of the transaction is not known. In the second case the key-value store may still
- * carry out the transaction, so the user gets 503 with Retry-After if the job does not show. */
+/* Resolves a submission whose transaction failed because the job is terminal, or whose transaction has an unknown
+ * outcome. In the second case the key-value store may still apply the transaction, so the user gets 503 with
+ * Retry-After if the replica does not have the job. */
 static void
-check_undecided (HzbUserApi *api, HzbSubmission *submission, gboolean terminal)
+resolve_undecided (HzbUserApi *api, HzbSubmission *submission, gboolean terminal)
 {
-  HzbCheck *check = hzb_check_new (api, submission->http_request, submission->spec->uid, HZB_QUESTION_SUBMISSION);
+  HzbPendingRequest *request =
+      hzb_pending_request_new (api, submission->http_request, submission->spec->uid, HZB_PENDING_REQUEST_SUBMISSION);
   if (terminal)
-    hzb_check_read (check);
+    hzb_pending_request_read_completion (request);
   else
-    hzb_check_queue (check);
+    hzb_pending_request_queue (request);
 }
 
-/* A transaction failed because of the record of this job's completion. */
+/* Returns: TRUE if the completion record of this job is among the keys whose comparison failed */
 static gboolean
-is_terminal_by (const GPtrArray *failed_keys, const char *uid)
+has_completion_key (const GPtrArray *failed_keys, const char *uid)
 {
   for (guint i = 0; failed_keys && i < failed_keys->len; i++)
     {
@@ -130,30 +137,33 @@
   return FALSE;
 }
 
-/* @submission: (transfer full) */
+/* Answers a submission by the outcome of its transaction, or puts the submission back into the queue.
+ *
+ * @submission: (transfer full) */
 static void
-settle_submission (Acceptance *acceptance, HzbSubmission *submission, HzbKvResult result, const GPtrArray *failed_keys)
+complete_submission (Acceptance *acceptance, HzbSubmission *submission, HzbKvResult result,
+                     const GPtrArray *failed_keys)
 {
   HzbUserApi *api = acceptance->api;
-  gboolean terminal = is_terminal_by (failed_keys, submission->spec->uid);
+  gboolean terminal = has_completion_key (failed_keys, submission->spec->uid);
 
   if (result == HZB_KV_CONFLICT && !terminal && acceptance->submissions->len > 1)
     {
-      /* Another job of the record was the cause: this one goes with the next record. */
+      /* Another job of the record made the transaction fail: this submission goes into the next record. */
       g_queue_push_head (&api->submissions, submission);
       return;
     }
   if (result == HZB_KV_OK)
     reply_accepted (api, submission);
   else if (result == HZB_KV_CONFLICT || result == HZB_KV_UNKNOWN)
-    check_undecided (api, submission, terminal);
+    resolve_undecided (api, submission, terminal);
   else
     hzb_user_api_reply_unavailable (submission->http_request, "the state service can't be asked");
   hzb_submission_free (submission);
 }
 
 static void
-on_accepted (HzbKvResult result, const char *body, gpointer user)
+on_acceptance_committed (HzbKvResult result, const char *body, gpointer user)
 {
   Acceptance *acceptance = user;
   HzbUserApi *api = acceptance->api;
@@ -163,13 +173,13 @@
   api->acceptances_in_flight--;
   if (result == HZB_KV_CONFLICT)
     hzb_kv_commit_decode (body, NULL, &failed_keys);
-  /* The answer may come after the replica has shown the record and its removal. Applying the record then would bring it, and
-   * its jobs, back for good. */
+  /* The key-value store's answer may arrive after the replica has delivered the record and its removal. If the record
+   * were applied then, the record and its jobs would stay in the registry permanently. */
   if (result == HZB_KV_OK && hzb_kv_commit_decode (body, &revision, NULL)
-      && !hzb_kv_replica_covers (api->with.kv_replica, revision))
-    hzb_acceptance_record_apply (acceptance->record, api->with.jobs);
+      && !hzb_kv_replica_covers (api->dependencies.kv_replica, revision))
+    hzb_acceptance_record_apply (acceptance->record, api->dependencies.jobs);
   for (guint i = 0; i < acceptance->submissions->len; i++)
-    settle_submission (acceptance, acceptance->submissions->pdata[i], result, failed_keys);
+    complete_submission (acceptance, acceptance->submissions->pdata[i], result, failed_keys);
   acceptance_free (acceptance);
   hzb_submissions_flush (api);
 }
@@ -177,25 +187,25 @@
 static void
 add_submission (Acceptance *acceptance, HzbSubmission *submission)
 {
-  hzb_jobs_compare_not_terminal (acceptance->transaction,
-                                 submission->spec->uid); /* it may have been accepted long ago */
+  /* The job may have been accepted long ago and have completed since. */
+  hzb_jobs_compare_not_terminal (acceptance->transaction, submission->spec->uid);
   hzb_acceptance_record_add (acceptance->record, submission->spec->uid, submission->encoded);
   g_ptr_array_add (acceptance->submissions, submission);
 }
 
-/* Takes submissions that wait, as many as a transaction and a record hold. */
+/* Moves queued submissions into the acceptance, as many as a transaction and a record can hold. */
 static void
 fill_acceptance (HzbUserApi *api, Acceptance *acceptance)
 {
-  struct timespec now = hzb_clock_now (api->with.node->clock);
-  guint most = max_jobs_in_record (api);
+  struct timespec now = hzb_clock_now (api->dependencies.node->clock);
+  guint max_jobs = max_jobs_in_record (api);
   gsize bytes = 0;
   HzbSubmission *submission;
 
-  while (acceptance->submissions->len < most && (submission = g_queue_peek_head (&api->submissions)))
+  while (acceptance->submissions->len < max_jobs && (submission = g_queue_peek_head (&api->submissions)))
     {
       const char *uid = submission->spec->uid;
-      gsize length = strlen (submission->encoded) + strlen (uid) + JOB_SLACK_BYTES;
+      gsize length = strlen (submission->encoded) + strlen (uid) + JOB_OVERHEAD_BYTES;
 
       if (hzb_time_before (submission->deadline, now))
         {
@@ -213,7 +223,7 @@
     }
 }
 
-/* Returns: FALSE if no submission is left to be sent */
+/* Returns: FALSE if no submission is left to send */
 static gboolean
 send_acceptance (HzbUserApi *api)
 {
@@ -228,8 +238,8 @@
   hzb_acceptance_record_put (acceptance->record, acceptance->transaction);
   api->acceptances_sent++;
   api->acceptances_in_flight++;
-  hzb_kv_client_commit (api->with.kv, HZB_KV_ACCEPT, g_steal_pointer (&acceptance->transaction), on_accepted,
-                        acceptance);
+  hzb_kv_client_commit (api->dependencies.kv, HZB_KV_ACCEPT, g_steal_pointer (&acceptance->transaction),
+                        on_acceptance_committed, acceptance);
   return TRUE;
 }
 
@@ -241,36 +251,37 @@
     more = send_acceptance (api);
 }
 
-/* ---- a submission comes ---- */
+/* ---- new submissions ---- */
 
-/* An idempotent request: the job is known already, whatever has become of it. */
+/* Submissions are idempotent: a repeated submission is answered with the status of the known job. */
 static void
-answer_repeat (HzbUserApi *api, HzbHttpRequest *http_request, HzbJob *job)
+reply_to_repeated_submission (HzbUserApi *api, HzbHttpRequest *http_request, HzbJob *job)
 {
   if (job->state != HZB_JOB_ACCEPTED)
-    hzb_check_reply_final (hzb_check_new (api, http_request, job->uid, HZB_QUESTION_SUBMISSION), job);
+    hzb_pending_request_reply_job_status (
+        hzb_pending_request_new (api, http_request, job->uid, HZB_PENDING_REQUEST_SUBMISSION), job);
   else
-    hzb_checks_add (api, http_request, job->uid, HZB_QUESTION_SUBMISSION, NULL);
+    hzb_pending_requests_add (api, http_request, job->uid, HZB_PENDING_REQUEST_SUBMISSION, NULL);
 }
 
 static gboolean
 is_ready (const HzbUserApi *api)
 {
-  return api->callbacks.is_ready (api->callbacks_user) && api->with.machines->types
-         && !hzb_kv_replica_store_unresponsive (api->with.kv_replica);
+  return api->callbacks.is_ready (api->callbacks_user) && api->dependencies.machines->types
+         && !hzb_kv_replica_store_unresponsive (api->dependencies.kv_replica);
 }
 
-/* Returns: TRUE if the request was answered: the job could be accepted, but not now */
+/* Returns: TRUE if the request was answered with an error, since the job cannot be accepted now but may be later */
 static gboolean
-refuse_for_now (HzbUserApi *api, HzbHttpRequest *http_request, const HzbJobSpec *spec)
+refuse_temporarily (HzbUserApi *api, HzbHttpRequest *http_request, const HzbJobSpec *spec)
 {
-  /* A controller of schema version 1 would take a replica of a service that exits for a task that is done. */
-  if (spec->kind == HZB_JOB_SERVICE && hzb_election_schema_version (api->with.election) < HZB_SCHEMA_VERSION)
+  /* A controller of schema version 1 would treat the exit of a service replica as the completion of a task. */
+  if (spec->kind == HZB_JOB_SERVICE && hzb_election_schema_version (api->dependencies.election) < HZB_SCHEMA_VERSION)
     {
       hzb_user_api_reply_error (http_request, 503, "services are taken once every controller runs this version", 2);
       return TRUE;
     }
-  if (api->submissions.length >= hzb_user_api_queue_limit (api, LEAST_WAITING, WAITING_PART))
+  if (api->submissions.length >= hzb_user_api_queue_limit (api, MIN_WAITING_LIMIT, MAX_WAITING_CONNECTION_FRACTION))
     {
       hzb_user_api_reply_error (http_request, 429, "more submissions than can be taken", 2);
       return TRUE;
@@ -285,13 +296,13 @@
   HzbSubmission *submission;
 
   hzb_job_admission_drop_unknown_types (api, spec);
-  g_clear_pointer (&http_request->body, g_free); /* up to 64 KiB, for as long as the submission waits */
+  g_clear_pointer (&http_request->body, g_free); /* up to 64 KiB, not needed while the submission waits */
   submission = submission_new (api, http_request, spec);
   if ((double) strlen (submission->encoded) > max_record_bytes (api))
     {
-      /* A check, since the job may have been accepted when the key-value store took larger values. */
-      hzb_checks_add (
-          api, http_request, spec->uid, HZB_QUESTION_SUBMISSION,
+      /* The job may have been accepted when the key-value store allowed larger values, so it is looked up first. */
+      hzb_pending_requests_add (
+          api, http_request, spec->uid, HZB_PENDING_REQUEST_SUBMISSION,
           g_error_new_literal (HZB_ADMISSION_ERROR, HZB_ADMISSION_ERROR_MALFORMED, "the job's texts are too long"));
       hzb_submission_free (submission);
       return;
@@ -309,15 +320,15 @@
 
   if (!spec)
     {
-      g_message ("a submission was refused with 400, its sender has to correct it: %s", error->message);
+      g_message ("submission refused with status 400; the user has to correct the request: %s", error->message);
       hzb_user_api_reply_error (http_request, 400, error->message, 0);
     }
-  else if ((job = hzb_jobs_find (api->with.jobs, spec->uid)))
-    answer_repeat (api, http_request, job);
+  else if ((job = hzb_jobs_find (api->dependencies.jobs, spec->uid)))
+    reply_to_repeated_submission (api, http_request, job);
   else if (!is_ready (api))
     hzb_user_api_reply_unavailable (http_request, "not ready yet");
   else if (!hzb_job_admission_check (api, spec, &error))
-    hzb_checks_add (api, http_request, spec->uid, HZB_QUESTION_SUBMISSION, g_steal_pointer (&error));
-  else if (!refuse_for_now (api, http_request, spec))
+    hzb_pending_requests_add (api, http_request, spec->uid, HZB_PENDING_REQUEST_SUBMISSION, g_steal_pointer (&error));
+  else if (!refuse_temporarily (api, http_request, spec))
     queue_submission (api, http_request, g_steal_pointer (&spec));
 }
--- a/src/api/task-status.c
+++ b/src/api/task-status.c
@@ -1,14 +1,15 @@
-/* One line of a complete heartbeat: the status of one task.
+/* Applies the status of one task in a complete heartbeat.
  *
- * A task that no record names may still get a record by a late write, or by an operator's decision; a task of a job whose
- * verdict after a cold start is not durable gets no command. Both are left alone. */
+ * Two kinds of tasks get no command for the time being. A task that no record names may still get a record, by a
+ * delayed write or by an operator's decision. After a cold start, the verdict on a task's job may not be durable
+ * yet. */
 #include "worker-api-private.h"
 
-/* A task that runs for so long shows that it can run. */
-#define RUNS_WELL_AFTER_S 5.0
-/* The replica of the records may lag behind the key-value store: so long after a leader or leaseholder began to decide, a
- * task that no record names is stopped. */
-#define STOP_UNRECORDED_AFTER_S 15.0
+/* A task that has run for longer than this has started successfully. */
+#define SUCCESSFUL_START_S 5.0
+/* The replica of the records may lag behind the key-value store. A task that no record names is stopped only after the
+ * leader or leaseholder has owned its shard for this long. */
+#define UNRECORDED_TASK_GRACE_S 15.0
 
 gboolean
 hzb_task_status_is_current (const HzbHeartbeatExchange *exchange, const HzbTask *task, const HzbTaskStatus *task_status)
@@ -17,9 +18,9 @@
 }
 
 gboolean
-hzb_task_ran_well (const HzbTask *task, struct timespec now)
+hzb_task_started_successfully (const HzbTask *task, struct timespec now)
 {
-  return hzb_time_between (task->since, now) > RUNS_WELL_AFTER_S;
+  return hzb_time_between (task->since, now) > SUCCESSFUL_START_S;
 }
 
 static HzbTaskState
@@ -28,13 +29,13 @@
   static const HzbTaskState states[] = {
     [HZB_TASK_STATUS_FETCHING] = HZB_TASK_FETCHING, [HZB_TASK_STATUS_WAITING] = HZB_TASK_WAITING,
     [HZB_TASK_STATUS_RUNNING] = HZB_TASK_RUNNING,   [HZB_TASK_STATUS_CHECKPOINTING] = HZB_TASK_CHECKPOINTING,
-    [HZB_TASK_STATUS_EXITED] = HZB_TASK_RUNNING, /* not used: an exit has no state on the machine */
+    [HZB_TASK_STATUS_EXITED] = HZB_TASK_RUNNING, /* not used: an exited task has no state on the machine */
   };
   return states[reported];
 }
 
 static HzbTask *
-reported_task (const HzbJob *job, const HzbTaskStatus *task_status)
+find_reported_task (const HzbJob *job, const HzbTaskStatus *task_status)
 {
   return job && job->tasks && task_status->task < job->n_tasks ? &job->tasks[task_status->task] : NULL;
 }
@@ -44,13 +45,14 @@
 static void
 apply_unrecorded (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, const HzbTaskStatus *task_status)
 {
-  gboolean stop =
-      hzb_time_between (hzb_ownership_start_time (api->with.ownership), exchange->now) > STOP_UNRECORDED_AFTER_S;
+  gboolean stop = hzb_time_between (hzb_ownership_start_time (api->dependencies.ownership), exchange->now)
+                  > UNRECORDED_TASK_GRACE_S;
 
-  if (api->with.node->settings->reconciliation.enabled && !hzb_ownership_is_leaseholder (api->with.ownership))
+  if (api->dependencies.node->settings->reconciliation.enabled
+      && !hzb_ownership_is_leaseholder (api->dependencies.ownership))
     {
-      HzbTaskVerdict verdict =
-          hzb_reconciliation_judge_unrecorded (api->with.reconciliation, exchange->machine, task_status, exchange->now);
+      HzbTaskVerdict verdict = hzb_reconciliation_decide_unrecorded_task (
+          api->dependencies.reconciliation, exchange->machine, task_status, exchange->now);
       stop = verdict == HZB_TASK_VERDICT_STOP || verdict == HZB_TASK_VERDICT_REAP;
       exchange->machine->quarantined += !stop;
     }
@@ -74,64 +76,66 @@
       return;
     }
   if (task && hzb_task_status_is_current (exchange, task, task_status))
-    hzb_task_set_state (api->with.jobs, task, HZB_TASK_PENDING, NULL);
+    hzb_task_set_state (api->dependencies.jobs, task, HZB_TASK_PENDING, NULL);
   hzb_heartbeat_add_reap (exchange, job->uid, task_status->task, task_status->attempt);
 }
 
-/* An earlier owner had started the task on this machine. */
+/* Adopts a task that an earlier owner of the shard has started on this machine. */
 static void
-take_over_task (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, HzbTask *task, const HzbTaskStatus *task_status)
+adopt_task (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, HzbTask *task, const HzbTaskStatus *task_status)
 {
   HzbJob *job = task->job;
 
   if (task->state == HZB_TASK_QUEUED)
-    hzb_task_set_state (api->with.jobs, task, HZB_TASK_PENDING, NULL);
+    hzb_task_set_state (api->dependencies.jobs, task, HZB_TASK_PENDING, NULL);
   task->attempt = task_status->attempt;
   job->last_attempt = MAX (job->last_attempt, task_status->attempt);
-  hzb_task_set_state (api->with.jobs, task, task_state_of (task_status->state), exchange->machine);
+  hzb_task_set_state (api->dependencies.jobs, task, task_state_of (task_status->state), exchange->machine);
   task->last_heartbeat_round = exchange->machine->heartbeat_count;
 }
 
-/* The task is on this machine by what this node knows, perhaps by another attempt. */
+/* Updates a task that this node has on this machine, possibly with another attempt. */
 static void
 update_task (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, HzbTask *task, const HzbTaskStatus *task_status)
 {
   HzbMachine *machine = exchange->machine;
 
   if (task->attempt != task_status->attempt && task->last_heartbeat_round != machine->heartbeat_count)
-    task->attempt = task_status->attempt; /* the worker refused this node's attempt: the earlier attempt still runs */
+    task->attempt = task_status->attempt; /* an earlier attempt still runs, so the worker refused the newer one */
   task->last_heartbeat_round = machine->heartbeat_count;
   if (task->attempt == task_status->attempt)
-    hzb_task_set_state (api->with.jobs, task, task_state_of (task_status->state), machine);
+    hzb_task_set_state (api->dependencies.jobs, task, task_state_of (task_status->state), machine);
 }
 
 static void
 stop_misplaced (HzbHeartbeatExchange *exchange, const HzbTask *task, const HzbTaskStatus *task_status)
 {
   g_critical (
-      "task %s/%u runs on %s, but this node has it as %s%s%s: the attempt on %s is stopped; a task may run twice, "
-      "report this with the logs of all controllers",
+      "task %s/%u runs on machine %s, but this node has it in state %s%s%s: stopping the attempt on machine %s; the "
+      "task may run twice at the same time: report this with the logs of all controllers",
       task->job->uid, task->index, exchange->machine->name, hzb_task_state_name (task->state),
-      task->machine ? " on " : "", task->machine ? task->machine->name : "", exchange->machine->name);
+      task->machine ? " on machine " : "", task->machine ? task->machine->name : "", exchange->machine->name);
   hzb_heartbeat_add_stop (exchange, task->job->uid, task->index, task_status->attempt, 0);
 }
 
-/* Returns: FALSE if the task must not be on this machine */
+/* Updates the task from the status, if the task may be on this machine.
+ *
+ * Returns: FALSE if the task must not be on this machine */
 static gboolean
-place_task (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, HzbTask *task, const HzbTaskStatus *task_status)
+apply_placement (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, HzbTask *task, const HzbTaskStatus *task_status)
 {
   switch ((HzbTaskState) task->state)
     {
     case HZB_TASK_UNCONFIRMED:
     case HZB_TASK_PENDING:
     case HZB_TASK_QUEUED:
-      take_over_task (api, exchange, task, task_status);
+      adopt_task (api, exchange, task, task_status);
       return TRUE;
     case HZB_TASK_OTHER_OWNER:
     case HZB_TASK_DELEGATED:
       g_critical (
-          "task %s/%u runs on %s, but it belongs to another controller's shard: a task may run twice, report this "
-          "with the logs of all controllers",
+          "task %s/%u runs on machine %s, but it belongs to another controller's shard: the task may run twice at the "
+          "same time: report this with the logs of all controllers",
           task->job->uid, task->index, exchange->machine->name);
       return FALSE;
     default:
@@ -146,7 +150,7 @@
 }
 
 static void
-note_image (HzbMachine *machine, const HzbJob *job, const HzbTaskStatus *task_status)
+record_image (HzbMachine *machine, const HzbJob *job, const HzbTaskStatus *task_status)
 {
   if (job->spec && task_status->state != HZB_TASK_STATUS_FETCHING
       && !g_hash_table_contains (machine->images, job->spec->image))
@@ -154,9 +158,10 @@
 }
 
 static void
-note_running_well (HzbMachine *machine, const HzbTask *task, const HzbTaskStatus *task_status, struct timespec now)
+record_successful_start (HzbMachine *machine, const HzbTask *task, const HzbTaskStatus *task_status,
+                         struct timespec now)
 {
-  if (task_status->state != HZB_TASK_STATUS_RUNNING || !hzb_task_ran_well (task, now))
+  if (task_status->state != HZB_TASK_STATUS_RUNNING || !hzb_task_started_successfully (task, now))
     return;
   task->job->proven_runnable = TRUE;
   task->job->failures = 0;
@@ -167,7 +172,7 @@
 apply_recorded (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, HzbJob *job, const HzbTaskStatus *task_status)
 {
   HzbMachine *machine = exchange->machine;
-  HzbTask *task = reported_task (job, task_status);
+  HzbTask *task = find_reported_task (job, task_status);
 
   if (task && hzb_task_status_is_current (exchange, task, task_status))
     task->last_heartbeat_round = machine->heartbeat_count;
@@ -176,11 +181,11 @@
       apply_exit (api, exchange, job, task, task_status);
       return;
     }
-  if (task && !place_task (api, exchange, task, task_status))
+  if (task && !apply_placement (api, exchange, task, task_status))
     return;
-  note_image (machine, job, task_status);
+  record_image (machine, job, task_status);
   if (task)
-    note_running_well (machine, task, task_status, exchange->now);
+    record_successful_start (machine, task, task_status, exchange->now);
   if (job->state != HZB_JOB_ACCEPTED)
     hzb_heartbeat_add_stop (exchange, job->uid, task_status->task, task_status->attempt, 0);
   else if (task && task->stopping && task_status->state != HZB_TASK_STATUS_CHECKPOINTING)
@@ -188,14 +193,15 @@
                             hzb_job_spec_grace_s (job->spec));
 }
 
-/* After a cold start the job's verdict is not durable yet. No command is given before that: the worker lists the task again
- * with its next heartbeat. */
+/* Applies the status of a task whose job waits for its verdict after a cold start. Until the verdict is durable, no
+ * command is sent; the worker lists the task again in its next heartbeat. */
 static void
-apply_undecided (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, HzbJob *job, const HzbTaskStatus *task_status)
+apply_awaiting_verdict (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, HzbJob *job,
+                        const HzbTaskStatus *task_status)
 {
   guint commands_before = exchange->commands->len;
-  HzbTaskVerdict verdict = hzb_reconciliation_judge (api->with.reconciliation, exchange->machine, job,
-                                                     reported_task (job, task_status), task_status);
+  HzbTaskVerdict verdict = hzb_reconciliation_decide_task (api->dependencies.reconciliation, exchange->machine, job,
+                                                           find_reported_task (job, task_status), task_status);
 
   apply_recorded (api, exchange, job, task_status);
   if (verdict != HZB_TASK_VERDICT_STOP && verdict != HZB_TASK_VERDICT_REAP)
@@ -205,16 +211,17 @@
 void
 hzb_task_status_apply (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, const HzbTaskStatus *task_status)
 {
-  HzbJob *job = hzb_jobs_find (api->with.jobs, task_status->uid);
+  HzbJob *job = hzb_jobs_find (api->dependencies.jobs, task_status->uid);
   gboolean terminal = job && job->state != HZB_JOB_ACCEPTED;
 
-  /* A machine that was handed over with its tasks may bring a result of a job that this leaseholder has no task of. */
-  if (job && !terminal && !job->tasks && hzb_ownership_is_leaseholder (api->with.ownership))
-    hzb_jobs_activate (api->with.jobs, job);
-  if (!job || (!terminal && !reported_task (job, task_status)))
+  /* A machine that was handed over with its tasks may report a result of a job of which this leaseholder has no
+   * task. */
+  if (job && !terminal && !job->tasks && hzb_ownership_is_leaseholder (api->dependencies.ownership))
+    hzb_jobs_activate (api->dependencies.jobs, job);
+  if (!job || (!terminal && !find_reported_task (job, task_status)))
     apply_unrecorded (api, exchange, task_status);
   else if (job->awaits_verdict)
-    apply_undecided (api, exchange, job, task_status);
+    apply_awaiting_verdict (api, exchange, job, task_status);
   else
     apply_recorded (api, exchange, job, task_status);
 }
--- a/src/api/user-api-private.h
+++ b/src/api/user-api-private.h
@@ -1,142 +1,170 @@
 /**
  * SECTION: user-api-private
- * @short_description: what the files of the user API share
+ * @short_description: declarations shared by the source files of the user API
  */
 #pragma once
 #include "user-api.h"
 #include "user-records-codec.h"
 
-/** HzbQuestion: what a request that waits for an up-to-date replica of the records asks. */
+/** HzbPendingRequestKind: the kinds of user requests that may have to wait for their response. */
 typedef enum
 {
-  HZB_QUESTION_STATUS,      /**< the job's status */
-  HZB_QUESTION_SUBMISSION,  /**< a submission of a job that seems known, or that can never run */
-  HZB_QUESTION_CANCELLATION /**< the job's cancellation */
-} HzbQuestion;
+  HZB_PENDING_REQUEST_STATUS,      /**< requests the job's status */
+  HZB_PENDING_REQUEST_SUBMISSION,  /**< submits a job that is known, can never run, or has an undecided acceptance */
+  HZB_PENDING_REQUEST_CANCELLATION /**< requests the job's cancellation */
+} HzbPendingRequestKind;
 
-/** HZB_ADMISSION_ERROR: domain of the errors for which a submission is refused for good. */
+/** HZB_ADMISSION_ERROR: domain of the errors for which a submission is refused permanently. */
 #define HZB_ADMISSION_ERROR (hzb_admission_error_quark ())
 /** hzb_admission_error_quark: Returns: the quark of #HZB_ADMISSION_ERROR */
 GQuark hzb_admission_error_quark (void);
 
-/** HzbAdmissionError: why a submission is refused for good, unless its job was accepted earlier. */
+/** HzbAdmissionError: why a submission is refused permanently, unless its job was accepted earlier. */
 typedef enum
 {
-  HZB_ADMISSION_ERROR_MALFORMED, /**< answered with 400 */
-  HZB_ADMISSION_ERROR_NEVER_RUNS /**< answered with 422: no machine or limit could ever take the job */
+  HZB_ADMISSION_ERROR_MALFORMED,    /**< status 400: the submission is invalid */
+  HZB_ADMISSION_ERROR_UNSCHEDULABLE /**< status 422: no team, zone or machine type allows the job to run */
 } HzbAdmissionError;
 
-/** HzbCheck: a request that waits for an up-to-date replica of the records, or for the acknowledgement of a cancellation. */
+/**
+ * HzbPendingRequest: a request about one job that waits until the replica of the records is proven to be up to date, or
+ * until every controller has acknowledged a cancellation.
+ */
 typedef struct
 {
   HzbUserApi *api;              /**< (not owned) */
-  HzbHttpRequest *http_request; /**< (not owned): to be answered once */
-  char *uid;                    /**< the job */
-  HzbQuestion question;         /**< what is asked */
-  GError *refusal;              /**< (nullable): why a submission is refused if its job is not known */
-  struct timespec deadline;     /**< when the user gets 503 with Retry-After */
-} HzbCheck;
-
-/** HzbSubmission: a job that waits for its acceptance. */
+  HzbHttpRequest *http_request; /**< (not owned): must be answered exactly once */
+  char *uid;                    /**< (owned): the job's id */
+  HzbPendingRequestKind kind;   /**< what the user requests */
+  GError *admission_error;      /**< (owned) (nullable): why the submission is refused unless its job is known */
+  struct timespec deadline;     /**< a cancellation not sent, or later not acknowledged, by then is answered with 503 */
+} HzbPendingRequest;
+
+/** HzbSubmission: a submitted job that waits for its acceptance. */
 typedef struct
 {
-  HzbHttpRequest *http_request; /**< (not owned): to be answered once */
-  HzbJobSpec *spec;             /**< the job */
-  char *encoded;                /**< its part of the acceptance record */
-  struct timespec deadline;     /**< when the user gets 503 with Retry-After */
+  HzbHttpRequest *http_request; /**< (not owned): must be answered exactly once */
+  HzbJobSpec *spec;             /**< (owned): the job */
+  char *encoded;                /**< (owned): the job's entry in the acceptance record, as JSON text */
+  struct timespec deadline;     /**< monotonic time after which the user gets 503 with Retry-After */
 } HzbSubmission;
 
-/** _HzbUserApi: requests in their queues, and the calls on their way to the key-value store. */
+/** _HzbUserApi: the queues of requests, and the calls to the key-value store that are in flight. */
 struct _HzbUserApi
 {
-  HzbUserApiDependencies with;          /**< the modules that the user API calls */
-  HzbUserApiCallbacks callbacks;        /**< the controller above */
-  gpointer callbacks_user;              /**< passed to them */
-  GQueue checks;                        /**< HzbCheck that wait for the next synchronisation of the replica */
-  gboolean synchronising;               /**< the replica is being brought up to date for the checks before those */
-  struct timespec next_synchronisation; /**< not before this time */
-  GQueue unacknowledged;       /**< HzbCheck of cancelled jobs, until every controller knows the cancellation */
-  GQueue submissions;          /**< HzbSubmission that wait to be sent */
-  guint acceptances_in_flight; /**< transactions without an answer yet */
-  guint acceptances_sent;      /**< by this process; part of the next record's name */
+  HzbUserApiDependencies dependencies; /**< the modules that the user API calls */
+  HzbUserApiCallbacks callbacks;       /**< functions of the controller */
+  gpointer callbacks_user;             /**< (not owned) (nullable): user data passed to the callbacks */
+  GQueue pending_requests; /**< (element-type HzbPendingRequest): wait for the next synchronisation of the replica */
+  gboolean synchronising;  /**< a synchronisation of the replica is in flight, for requests taken from the queue */
+  struct timespec next_synchronisation; /**< earliest time of the next synchronisation */
+  GQueue unacknowledged_cancellations;  /**< (element-type HzbPendingRequest): wait until every controller has
+                                             acknowledged the cancellation of their job */
+  GQueue submissions;                   /**< (element-type HzbSubmission): wait to be sent to the key-value store */
+  guint acceptances_in_flight;          /**< acceptance transactions that the key-value store has not answered yet */
+  guint acceptances_sent;               /**< acceptance transactions sent by this process; numbers the record keys */
 };
 
-/* ---- user-api.c: answers ---- */
+/* ---- user-api.c: responses ---- */
 
-/** hzb_user_api_reply_error: an error; retry_after_s is in seconds, 0: the answer names none. */
+/** hzb_user_api_reply_error: responds with an error. retry_after_s: seconds; 0: no Retry-After header */
 void hzb_user_api_reply_error (HzbHttpRequest *http_request, guint status, const char *text, guint retry_after_s);
 
-/** hzb_user_api_reply_unavailable: 503 with Retry-After. */
-void hzb_user_api_reply_unavailable (HzbHttpRequest *http_request, const char *why);
+/** hzb_user_api_reply_unavailable: responds with 503, a Retry-After header of 1 s, and the reason as its text. */
+void hzb_user_api_reply_unavailable (HzbHttpRequest *http_request, const char *reason);
 
-/** hzb_user_api_queue_limit: how many requests of a kind may wait: a part of the connections, but at least so many. */
-double hzb_user_api_queue_limit (const HzbUserApi *api, guint least, double part);
+/**
+ * hzb_user_api_queue_limit: Returns: how many requests of a kind may wait on this node: connection_fraction of the
+ * connections that the node may have open, but no fewer than min_limit
+ */
+double hzb_user_api_queue_limit (const HzbUserApi *api, guint min_limit, double connection_fraction);
 
-/* ---- checks.c: answers that rest on an up-to-date replica of the records ---- */
+/* ---- pending-requests.c: responses that depend on an up-to-date replica of the records ---- */
 
-/** hzb_check_new: Returns: (transfer full): a check that waits nowhere yet */
-HzbCheck *hzb_check_new (HzbUserApi *api, HzbHttpRequest *http_request, const char *uid, HzbQuestion question);
+/** hzb_pending_request_new: Returns: (transfer full): a pending request that is in no queue yet, without a deadline */
+HzbPendingRequest *
+hzb_pending_request_new (HzbUserApi *api, HzbHttpRequest *http_request, const char *uid, HzbPendingRequestKind kind);
 
-/** hzb_check_free: frees a check whose request has been answered. */
-void hzb_check_free (HzbCheck *check);
+/** hzb_pending_request_free: frees a pending request whose HTTP request has been answered. */
+void hzb_pending_request_free (HzbPendingRequest *request);
 
-/** hzb_check_give_up: answers with 503 and Retry-After. Takes the check. */
-void hzb_check_give_up (HzbCheck *check, const char *why);
+/** hzb_pending_request_reply_unavailable: responds with 503 and Retry-After. Takes ownership of the request. */
+void hzb_pending_request_reply_unavailable (HzbPendingRequest *request, const char *reason);
 
 /**
- * hzb_checks_add:
- * Queues a check for the request, or refuses the request at once if it could not be answered in time.
+ * hzb_pending_requests_add:
+ * Queues the request until the replica of the records is up to date, or refuses the request at once if the key-value
+ * store does not answer or too many requests wait already.
  *
  * @param api the module
- * @param http_request (transfer full): to be answered
- * @param uid the job
- * @param question what is asked
- * @param refusal (transfer full) (nullable): why a submission is refused, if its job is not known
+ * @param http_request (transfer full): answered now or later
+ * @param uid the job's id
+ * @param kind what the user requests
+ * @param admission_error (transfer full) (nullable): why a submission is refused unless its job is known
  */
-void
-hzb_checks_add (HzbUserApi *api, HzbHttpRequest *http_request, const char *uid, HzbQuestion question, GError *refusal);
+void hzb_pending_requests_add (HzbUserApi *api, HzbHttpRequest *http_request, const char *uid,
+                               HzbPendingRequestKind kind, GError *admission_error);
 
-/** hzb_check_queue: answers once the replica of the records is proven to be up to date. Takes the check. */
-void hzb_check_queue (HzbCheck *check);
+/**
+ * hzb_pending_request_queue: queues the request; it is resolved once the replica of the records is proven to be up to
+ * date. Takes ownership of the request.
+ */
+void hzb_pending_request_queue (HzbPendingRequest *request);
 
-/** hzb_check_read: answers from the record of the job's completion. Takes the check. */
-void hzb_check_read (HzbCheck *check);
+/**
+ * hzb_pending_request_read_completion: reads the job's completion record from the key-value store, then resolves the
+ * request. Takes ownership of the request.
+ */
+void hzb_pending_request_read_completion (HzbPendingRequest *request);
 
-/** hzb_check_settle: answers by what the replica says; the replica must be up to date. Takes the check. */
-void hzb_check_settle (HzbCheck *check);
+/**
+ * hzb_pending_request_resolve: responds with what the replica of the records says of the job, or begins its
+ * cancellation if that is requested; reads the archive if the replica does not have the job. The replica must be up to
+ * date. Takes ownership of the request.
+ */
+void hzb_pending_request_resolve (HzbPendingRequest *request);
 
-/** hzb_checks_flush: brings the replica of the records up to date for all checks that wait. */
-void hzb_checks_flush (HzbUserApi *api);
+/** hzb_pending_requests_flush: starts a synchronisation of the replica for all queued requests, if one is due. */
+void hzb_pending_requests_flush (HzbUserApi *api);
 
 /* ---- cancel-requests.c ---- */
 
-/** hzb_cancel_request_send: records the cancellation of an accepted job. Takes the check. */
-void hzb_cancel_request_send (HzbCheck *check);
+/** hzb_cancel_request_send: records the cancellation of an accepted job. Takes ownership of the request. */
+void hzb_cancel_request_send (HzbPendingRequest *request);
 
 /**
- * hzb_check_reply_final: answers with the job's state, which is final or proven to be up to date; that of a cancelled job once
- * no controller can act without the cancellation. Takes the check.
+ * hzb_pending_request_reply_job_status: responds with the job's status, which must be terminal or proven to be up to
+ * date. For a cancelled job, the response waits until every controller has acknowledged the cancellation. Takes
+ * ownership of the request.
  */
-void hzb_check_reply_final (HzbCheck *check, HzbJob *job);
+void hzb_pending_request_reply_job_status (HzbPendingRequest *request, HzbJob *job);
 
-/** hzb_cancel_requests_tick: answers those whose cancellation is acknowledged by now, or whose time is over. */
+/**
+ * hzb_cancel_requests_tick: answers the requests whose cancellation is acknowledged by now, or whose deadline has
+ * passed.
+ */
 void hzb_cancel_requests_tick (HzbUserApi *api);
 
 /* ---- job-admission.c ---- */
 
-/** hzb_job_admission_check: Returns: FALSE, with #HZB_ADMISSION_ERROR, if the job could never be accepted as it is */
+/** hzb_job_admission_check: Returns: FALSE, with #HZB_ADMISSION_ERROR, if the job is invalid or can never run */
 gboolean hzb_job_admission_check (const HzbUserApi *api, const HzbJobSpec *spec, GError **error);
 
-/** hzb_job_admission_drop_unknown_types: machine types that do not exist never fit: the record need not hold them. */
+/**
+ * hzb_job_admission_drop_unknown_types: removes machine types that do not exist from the job's allowed types, since no
+ * task could run on them and the job's record need not name them.
+ */
 void hzb_job_admission_drop_unknown_types (const HzbUserApi *api, HzbJobSpec *spec);
 
 /* ---- submissions.c ---- */
 
-/** hzb_submissions_submit: answers the submission now or later. */
+/** hzb_submissions_submit: handles a submission; the request is answered now or later. */
 void hzb_submissions_submit (HzbUserApi *api, HzbHttpRequest *http_request);
 
-/** hzb_submissions_flush: sends submissions that wait to be accepted. */
+/** hzb_submissions_flush: sends queued submissions to the key-value store, as many as may be in flight. */
 void hzb_submissions_flush (HzbUserApi *api);
 
-/** hzb_submission_free: frees a submission whose request has been answered, or is answered by a check. */
+/**
+ * hzb_submission_free: frees a submission whose HTTP request has been answered, or belongs to a pending request now.
+ */
 void hzb_submission_free (HzbSubmission *submission);
--- a/src/api/user-api.c
+++ b/src/api/user-api.c
@@ -1,4 +1,4 @@
-/* Requests of users: the life of the module, and which function answers which path. */
+/* The user API: its creation and destruction, and the routing of requests by path. */
 #include "user-api-private.h"
 
 #include <string.h>
@@ -7,7 +7,7 @@
 hzb_user_api_new (const HzbUserApiDependencies *dependencies, const HzbUserApiCallbacks *callbacks, gpointer user)
 {
   HzbUserApi *api = g_new0 (HzbUserApi, 1);
-  api->with = *dependencies;
+  api->dependencies = *dependencies;
   api->callbacks = *callbacks;
   api->callbacks_user = user;
   return api;
@@ -16,13 +16,14 @@
 void
 hzb_user_api_free (HzbUserApi *api)
 {
-  HzbCheck *check;
+  HzbPendingRequest *request;
   HzbSubmission *submission;
 
-  while ((check = g_queue_pop_head (&api->checks)) || (check = g_queue_pop_head (&api->unacknowledged)))
+  while ((request = g_queue_pop_head (&api->pending_requests))
+         || (request = g_queue_pop_head (&api->unacknowledged_cancellations)))
     {
-      hzb_http_request_respond (check->http_request, 503, NULL, 1);
-      hzb_check_free (check);
+      hzb_http_request_respond (request->http_request, 503, NULL, 1);
+      hzb_pending_request_free (request);
     }
   while ((submission = g_queue_pop_head (&api->submissions)))
     {
@@ -36,11 +37,11 @@
 hzb_user_api_tick (HzbUserApi *api)
 {
   hzb_submissions_flush (api);
-  hzb_checks_flush (api);
+  hzb_pending_requests_flush (api);
   hzb_cancel_requests_tick (api);
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 void
 hzb_user_api_reply_error (HzbHttpRequest *http_request, guint status, const char *text, guint retry_after_s)
@@ -49,34 +50,34 @@
 }
 
 void
-hzb_user_api_reply_unavailable (HzbHttpRequest *http_request, const char *why)
+hzb_user_api_reply_unavailable (HzbHttpRequest *http_request, const char *reason)
 {
-  hzb_user_api_reply_error (http_request, 503, why, 1);
+  hzb_user_api_reply_error (http_request, 503, reason, 1);
 }
 
 double
-hzb_user_api_queue_limit (const HzbUserApi *api, guint least, double part)
+hzb_user_api_queue_limit (const HzbUserApi *api, guint min_limit, double connection_fraction)
 {
-  return MAX (least, part * api->with.node->settings->sockets);
+  return MAX (min_limit, connection_fraction * api->dependencies.node->settings->sockets);
 }
 
 /* ---- paths ---- */
 
 static void
-handle_job (HzbUserApi *api, HzbHttpRequest *http_request, const char *uid, HzbQuestion question)
+handle_job (HzbUserApi *api, HzbHttpRequest *http_request, const char *uid, HzbPendingRequestKind kind)
 {
-  HzbJob *job = hzb_jobs_find (api->with.jobs, uid);
+  HzbJob *job = hzb_jobs_find (api->dependencies.jobs, uid);
 
   if (!hzb_job_uid_is_valid (uid))
     hzb_user_api_reply_error (http_request, 404, "no such job", 0);
   else if (job && job->state != HZB_JOB_ACCEPTED)
-    hzb_check_reply_final (hzb_check_new (api, http_request, uid, question), job);
+    hzb_pending_request_reply_job_status (hzb_pending_request_new (api, http_request, uid, kind), job);
   else
-    hzb_checks_add (api, http_request, uid, question, NULL);
+    hzb_pending_requests_add (api, http_request, uid, kind, NULL);
 }
 
 static void
-handle_all_jobs (HzbUserApi *api, HzbHttpRequest *http_request)
+handle_jobs (HzbUserApi *api, HzbHttpRequest *http_request)
 {
   if (g_str_equal (http_request->method, "POST"))
     hzb_submissions_submit (api, http_request);
@@ -84,21 +85,21 @@
     hzb_user_api_reply_error (http_request, 405, "POST a job here", 0);
 }
 
-/* @rest: what follows the path of all jobs and a slash: a job, or a job and what to do with it */
+/* @job_path: the part of the path after "/api/jobs/": the id of a job, which a slash and an action may follow */
 static void
-handle_below_jobs (HzbUserApi *api, HzbHttpRequest *http_request, const char *rest)
+handle_job_path (HzbUserApi *api, HzbHttpRequest *http_request, const char *job_path)
 {
-  const char *action = strchr (rest, '/');
-  g_autofree char *uid = action ? g_strndup (rest, (gsize) (action - rest)) : g_strdup (rest);
+  const char *action = strchr (job_path, '/');
+  g_autofree char *uid = action ? g_strndup (job_path, (gsize) (action - job_path)) : g_strdup (job_path);
 
   if (!action && g_str_equal (http_request->method, "GET"))
-    handle_job (api, http_request, uid, HZB_QUESTION_STATUS);
+    handle_job (api, http_request, uid, HZB_PENDING_REQUEST_STATUS);
   else if (!action)
     hzb_user_api_reply_error (http_request, 405, "GET a job here", 0);
   else if (!g_str_equal (action, hzb_path_cancel))
     hzb_user_api_reply_error (http_request, 404, "no such path", 0);
   else if (g_str_equal (http_request->method, "POST"))
-    handle_job (api, http_request, uid, HZB_QUESTION_CANCELLATION);
+    handle_job (api, http_request, uid, HZB_PENDING_REQUEST_CANCELLATION);
   else
     hzb_user_api_reply_error (http_request, 405, "POST here", 0);
 }
@@ -107,12 +108,12 @@
 hzb_user_api_request (HzbUserApi *api, HzbHttpRequest *http_request)
 {
   const char *path = http_request->path;
-  gboolean below = g_str_has_prefix (path, hzb_path_jobs) && path[strlen (hzb_path_jobs)] == '/';
+  gboolean is_job_path = g_str_has_prefix (path, hzb_path_jobs) && path[strlen (hzb_path_jobs)] == '/';
 
   if (g_str_equal (path, hzb_path_jobs))
-    handle_all_jobs (api, http_request);
-  else if (below)
-    handle_below_jobs (api, http_request, path + strlen (hzb_path_jobs) + 1);
+    handle_jobs (api, http_request);
+  else if (is_job_path)
+    handle_job_path (api, http_request, path + strlen (hzb_path_jobs) + 1);
   else
     hzb_user_api_reply_error (http_request, 404, "no such path", 0);
 }
--- a/src/api/user-api.h
+++ b/src/api/user-api.h
@@ -1,9 +1,10 @@
 /**
  * SECTION: user-api
- * @short_description: submissions, status requests and cancellations of users, on every node
+ * @short_description: handles submissions, status requests and cancellations of users, on every node
  *
- * Every controller serves users, whether it leads or not. An answer that is not final rests on a replica of the records that is
- * proven to be up to date at the moment of the request. See README.md for the order in which to read the files.
+ * Every controller serves users, whether it is the leader or not. The status of a job that is not terminal is taken
+ * from the replica of the records, once the replica is proven to have everything that was recorded before the request
+ * arrived. See README.md for the order in which to read the files.
  */
 #pragma once
 #include "cancellations.h"
@@ -16,28 +17,28 @@
 #include "node.h"
 #include "peers.h"
 
-/** HzbUserApi: the requests of users that wait for an answer; one for each controller. */
+/** HzbUserApi: the requests of users that wait for a response; one for each controller. */
 typedef struct _HzbUserApi HzbUserApi;
 
 /** HzbUserApiDependencies: the modules that the user API calls. None is owned, all must outlive it. */
 typedef struct
 {
-  HzbNode *node;                   /**< settings, clock, and the name of this process */
-  HzbKvClient *kv;                 /**< takes acceptances and cancellations */
-  HzbKvReplica *kv_replica;        /**< proves that the replica of the records is up to date */
+  HzbNode *node;                   /**< settings, clock, and the incarnation of this process */
+  HzbKvClient *kv;                 /**< stores acceptances and cancellations */
+  HzbKvReplica *kv_replica;        /**< synchronises the replica of the records with the key-value store */
   HzbElection *election;           /**< the schema version that every controller reads */
-  HzbPeers *peers;                 /**< the leader's counts of tasks, for display only */
-  HzbCancellations *cancellations; /**< whether every controller knows a cancellation */
+  HzbPeers *peers;                 /**< the leader's task counts, for display only */
+  HzbCancellations *cancellations; /**< whether every controller has acknowledged a cancellation */
   HzbJobs *jobs;                   /**< the jobs in the replica of the records */
   HzbMachines *machines;           /**< the machine types that a job may run on */
 } HzbUserApiDependencies;
 
-/** HzbUserApiCallbacks: what the user API asks of the controller above it. */
+/** HzbUserApiCallbacks: functions of the controller that the user API calls. All must be set. */
 typedef struct
 {
-  /** Whether users are served here as well as at any other node. */
+  /** Returns TRUE if this node is ready to accept submissions. */
   gboolean (*is_ready) (gpointer user);
-  /** Takes a record that was read from the key-value store, as if the replica had shown it. */
+  /** Applies a record that was read from the key-value store, as if the replica had delivered it. */
   void (*apply_record) (const HzbKvEntry *entry, gpointer user);
 } HzbUserApiCallbacks;
 
@@ -45,24 +46,27 @@
  * hzb_user_api_new:
  * @param dependencies (transfer none) copied; the modules in it are not owned
  * @param callbacks (transfer none) copied
- * @param user (nullable) passed to the callbacks
+ * @param user (nullable) (not owned) passed to the callbacks
  *
- * @return (transfer full): to be freed with hzb_user_api_free()
+ * @return (transfer full): free with hzb_user_api_free()
  */
 HzbUserApi *
 hzb_user_api_new (const HzbUserApiDependencies *dependencies, const HzbUserApiCallbacks *callbacks, gpointer user);
 
-/** hzb_user_api_free: answers all requests that wait with 503, and frees the module. */
+/** hzb_user_api_free: responds with 503 to all queued requests, and frees the module. */
 void hzb_user_api_free (HzbUserApi *api);
 
-/** hzb_user_api_tick: sends what waits to be sent, and answers requests whose time is over. */
+/**
+ * hzb_user_api_tick: sends queued submissions, synchronises the replica for queued requests, and answers cancellations
+ * that are acknowledged by now or whose deadline has passed.
+ */
 void hzb_user_api_tick (HzbUserApi *api);
 
 /**
  * hzb_user_api_request:
- * Answers one request of a user.
+ * Handles one request of a user.
  *
  * @param api the module
- * @param http_request (transfer full): answered now or later, never left without an answer
+ * @param http_request (transfer full): answered now or later, in every case
  */
 void hzb_user_api_request (HzbUserApi *api, HzbHttpRequest *http_request);
--- a/src/api/user-records-codec.c
+++ b/src/api/user-records-codec.c
@@ -6,7 +6,7 @@
 struct _HzbAcceptanceRecord
 {
   char *key;
-  cJSON *value; /* uid -> job */
+  cJSON *value; /* id of a job -> its entry */
 };
 
 HzbArchivedJob *
--- a/src/api/user-records-codec.h
+++ b/src/api/user-records-codec.h
@@ -1,49 +1,58 @@
 /**
  * SECTION: user-records-codec
- * @short_description: stored records that the user API reads and writes
+ * @short_description: encodes and decodes the stored records that the user API reads and writes
  *
- * The one place of the user API that knows their form. The names in them are part of the stored format: they never change.
+ * Only this codec of the user API knows the format of these records. The names in them are part of the stored format,
+ * so they never change.
  */
 #pragma once
 #include "jobs.h"
 #include "kv-protocol.h"
 
-/** HzbArchivedJob: a job that completed long ago, as its archived record has it. */
+/** HzbArchivedJob: a completed job whose record has moved to the archive. */
 typedef struct
 {
-  char *status;     /**< (nullable): as users see it */
+  char *status;     /**< (owned) (nullable): the status that users see; NULL if the record has none */
   guint done_tasks; /**< 0 unless the job is done */
 } HzbArchivedJob;
 
-/** hzb_archived_job_decode: Returns: (transfer full) (nullable): NULL if the body is not the answer to a read of one key */
+/**
+ * hzb_archived_job_decode: Returns: (transfer full) (nullable): NULL if the body is not the response to a read of one
+ * key
+ */
 HzbArchivedJob *hzb_archived_job_decode (const char *body);
 
-/** hzb_archived_job_free: frees it. */
+/** hzb_archived_job_free: frees the archived job. */
 void hzb_archived_job_free (HzbArchivedJob *job);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbArchivedJob, hzb_archived_job_free)
 
 /** HzbAcceptanceRecord: one record that accepts several jobs together. */
 typedef struct _HzbAcceptanceRecord HzbAcceptanceRecord;
 
-/** hzb_acceptance_record_new: Returns: (transfer full): a record of no job, under this key */
+/** hzb_acceptance_record_new: Returns: (transfer full): a record without jobs, to be stored under this key */
 HzbAcceptanceRecord *hzb_acceptance_record_new (const char *key);
 
-/** hzb_acceptance_record_free: frees it. */
+/** hzb_acceptance_record_free: frees the record. */
 void hzb_acceptance_record_free (HzbAcceptanceRecord *record);
 
-/** hzb_acceptance_record_contains: the record accepts this job already. */
+/** hzb_acceptance_record_contains: Returns: TRUE if the record accepts this job already */
 gboolean hzb_acceptance_record_contains (const HzbAcceptanceRecord *record, const char *uid);
 
-/** hzb_acceptance_record_add: accepts one more job, as hzb_accepted_job_encode() has encoded it. */
+/**
+ * hzb_acceptance_record_add: adds a job to the record. encoded is the result of hzb_accepted_job_encode() for the job.
+ */
 void hzb_acceptance_record_add (HzbAcceptanceRecord *record, const char *uid, const char *encoded);
 
 /** hzb_acceptance_record_put: adds the record to a transaction, on condition that its key does not exist. */
 void hzb_acceptance_record_put (const HzbAcceptanceRecord *record, HzbKvTransaction *transaction);
 
-/** hzb_acceptance_record_apply: the record is durable: the jobs in it are accepted. */
+/** hzb_acceptance_record_apply: enters the jobs of a durable record into the job registry as accepted. */
 void hzb_acceptance_record_apply (const HzbAcceptanceRecord *record, HzbJobs *jobs);
 
-/** hzb_accepted_job_encode: Returns: (transfer full): a job's part of the record; accepted is the time of day */
+/**
+ * hzb_accepted_job_encode: Returns: (transfer full): the entry of one job in an acceptance record, as JSON text;
+ * accepted is the wall-clock time of the acceptance
+ */
 char *hzb_accepted_job_encode (const HzbJobSpec *spec, struct timespec accepted);
 
 /** hzb_cancellation_record_put: adds the record that completes a job as cancelled to a transaction. */
--- a/src/api/worker-api.c
+++ b/src/api/worker-api.c
@@ -1,11 +1,12 @@
-/* Answers heartbeats of workers: the table of contents. Each step is in the file that worker-api-private.h names. */
+/* Handles heartbeats of workers. This file calls the steps in their order; worker-api-private.h names the file of each
+ * step. */
 #include "worker-api-private.h"
 
 HzbWorkerApi *
 hzb_worker_api_new (const HzbWorkerApiDependencies *dependencies)
 {
   HzbWorkerApi *api = g_new0 (HzbWorkerApi, 1);
-  api->with = *dependencies;
+  api->dependencies = *dependencies;
   return api;
 }
 
@@ -15,54 +16,56 @@
   g_free (api);
 }
 
-/* Returns: (nullable): the leaseholder that decides about the machine, tasks and all, from now on. */
+/* An overloaded leader may lease the machine, with its tasks, to another controller.
+ *
+ * Returns: (nullable): the leaseholder that owns the machine from now on; NULL: the leader keeps it */
 static const char *
-hand_over (HzbWorkerApi *api, const HzbHeartbeatExchange *exchange)
+hand_over_machine (HzbWorkerApi *api, const HzbHeartbeatExchange *exchange)
 {
   const HzbWorkerHeartbeat *heartbeat = exchange->heartbeat;
 
-  if (!exchange->leads || heartbeat->notice_s >= 0 || heartbeat->fencing_token != exchange->machine->fencing_token)
+  if (!exchange->is_leader || heartbeat->notice_s >= 0 || heartbeat->fencing_token != exchange->machine->fencing_token)
     return NULL;
-  return hzb_shard_leases_hand_over (api->with.shard_leases, exchange->machine);
+  return hzb_shard_leases_hand_over (api->dependencies.shard_leases, exchange->machine);
 }
 
-/* No other node can have been elected, or leased the shard, up to this moment: only then may tasks be started, see
- * docs/safety.md. */
+/* Returns: TRUE if this node holds a valid lease, so that no other node can have been elected or have leased the shard
+ * until now. Tasks may be started only then, see docs/safety.md. */
 static gboolean
-authority_is_certain (HzbWorkerApi *api, const HzbHeartbeatExchange *exchange)
+holds_valid_lease (HzbWorkerApi *api, const HzbHeartbeatExchange *exchange)
 {
-  return exchange->leads ? hzb_election_is_lease_valid (api->with.election)
-                         : hzb_leaseholder_lease_valid (api->with.leaseholder);
+  return exchange->is_leader ? hzb_election_is_lease_valid (api->dependencies.election)
+                             : hzb_leaseholder_lease_valid (api->dependencies.leaseholder);
 }
 
 static void
 start_tasks (HzbWorkerApi *api, HzbHeartbeatExchange *exchange)
 {
-  if (!hzb_reachability_is_suspect (exchange->machine) && authority_is_certain (api, exchange))
-    hzb_dispatch_start_tasks (api->with.dispatch, exchange->machine, exchange->now, exchange->commands);
+  if (!hzb_reachability_is_suspect (exchange->machine) && holds_valid_lease (api, exchange))
+    hzb_dispatch_start_tasks (api->dependencies.dispatch, exchange->machine, exchange->now, exchange->commands);
 }
 
-/* The worker may still obey an earlier owner, so nothing about its tasks is concluded from this heartbeat. */
+/* The worker may still accept commands of an earlier owner, so the task statuses in this heartbeat are not applied. */
 static void
 apply_incomplete (HzbWorkerApi *api, HzbHeartbeatExchange *exchange)
 {
   hzb_heartbeat_stop_cancelled (api, exchange);
   if (exchange->machine->state == HZB_MACHINE_ACTIVE)
-    exchange->machine->ignored_responses++; /* the worker has not seen the fencing token that it was answered under */
+    exchange->machine->ignored_responses++; /* the worker has not seen the fencing token of the last response */
 }
 
 static void
-answer_heartbeat (HzbWorkerApi *api, HzbHeartbeatExchange *exchange)
+handle_heartbeat (HzbWorkerApi *api, HzbHeartbeatExchange *exchange)
 {
   const char *leaseholder;
 
   if (!hzb_heartbeat_admit (api, exchange))
     return;
-  hzb_reachability_note_heartbeat (api, exchange);
+  hzb_reachability_record_heartbeat (api, exchange);
   if (hzb_heartbeat_is_complete (exchange))
     {
       hzb_heartbeat_apply (api, exchange);
-      if ((leaseholder = hand_over (api, exchange)))
+      if ((leaseholder = hand_over_machine (api, exchange)))
         {
           hzb_heartbeat_redirect (exchange, leaseholder);
           return;
@@ -72,7 +75,7 @@
   else
     apply_incomplete (api, exchange);
   hzb_reachability_check (api, exchange);
-  hzb_reconciliation_note_commands (api->with.reconciliation, exchange->commands);
+  hzb_reconciliation_count_commands (api->dependencies.reconciliation, exchange->commands);
   hzb_heartbeat_respond (exchange, exchange->machine->fencing_token);
 }
 
@@ -82,10 +85,10 @@
   HzbHeartbeatExchange exchange = { 0 };
 
   exchange.http_request = http_request;
-  exchange.now = hzb_clock_now (api->with.node->clock);
-  exchange.leads = hzb_election_is_leader (api->with.election);
+  exchange.now = hzb_clock_now (api->dependencies.node->clock);
+  exchange.is_leader = hzb_election_is_leader (api->dependencies.election);
   exchange.commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
-  answer_heartbeat (api, &exchange);
+  handle_heartbeat (api, &exchange);
   g_array_unref (exchange.commands);
   g_clear_pointer (&exchange.heartbeat, hzb_worker_heartbeat_free);
 }
--- a/src/api/worker-api.h
+++ b/src/api/worker-api.h
@@ -1,9 +1,9 @@
 /**
  * SECTION: worker-api
- * @short_description: heartbeats of workers in, commands out
+ * @short_description: handles the heartbeats of workers and sends them commands
  *
- * Answers the heartbeats of the machines that this node decides about, as the leader or as the leaseholder of a shard. The
- * answer to a heartbeat is the only place from which commands are sent to a worker. worker-api.c is the table of contents;
+ * This node responds to the heartbeats of the machines that it owns, as the leader or as the leaseholder of a shard.
+ * Workers get commands only in the responses to their heartbeats. worker-api.c calls the steps in their order;
  * README.md names the file of each step.
  */
 #pragma once
@@ -19,41 +19,42 @@
 #include "records.h"
 #include "shard-leases.h"
 
-/** HzbWorkerApi: answers heartbeats; one for each controller. */
+/** HzbWorkerApi: handles heartbeats; one for each controller. */
 typedef struct _HzbWorkerApi HzbWorkerApi;
 
 /** HzbWorkerApiDependencies: the modules that the worker API calls. None is owned, all must outlive it. */
 typedef struct
 {
   HzbNode *node;                   /**< settings, clock, and the time of the last redirect, which the worker API sets */
-  HzbElection *election;           /**< whether this node leads, and who does */
-  HzbOwnership *ownership;         /**< whether this node decides as leader or as leaseholder */
+  HzbElection *election;           /**< whether this node is the leader, and the name of the leader */
+  HzbOwnership *ownership;         /**< whether this node owns a shard, as leader or as leaseholder */
   HzbCancellations *cancellations; /**< whether this node is self-fenced */
-  HzbJobs *jobs;                   /**< the jobs that heartbeats name */
+  HzbJobs *jobs;                   /**< the jobs of the tasks that heartbeats list */
   HzbMachines *machines;           /**< the machines that send heartbeats */
   HzbDispatch *dispatch;           /**< chooses the tasks to start */
   HzbRecords *records;             /**< makes results and new machines durable */
-  HzbReconciliation *reconciliation; /**< judges tasks that no record names, after a cold start */
-  HzbShardLeases *shard_leases;      /**< the leader's side of shards leased to other controllers */
-  HzbLeaseholder *leaseholder;       /**< the shard that this node holds a lease on */
-  HzbProvisioning *provisioning;     /**< which machines the cloud has taken back */
+  HzbReconciliation *reconciliation; /**< decides about tasks that no record names, after a cold start */
+  HzbShardLeases *shard_leases;      /**< on the leader: the shards leased to other controllers */
+  HzbLeaseholder *leaseholder;       /**< on a leaseholder: the shard that is leased to this node */
+  HzbProvisioning *provisioning;     /**< which machines were returned to the cloud */
 } HzbWorkerApiDependencies;
 
 /**
  * hzb_worker_api_new:
  * @param dependencies (transfer none) copied; the modules in it are not owned
  *
- * @return (transfer full): to be freed with hzb_worker_api_free()
+ * @return (transfer full): free with hzb_worker_api_free()
  */
 HzbWorkerApi *hzb_worker_api_new (const HzbWorkerApiDependencies *dependencies);
 
-/** hzb_worker_api_free: frees the module; no heartbeat is ever left unanswered, so nothing is cut short. */
+/** hzb_worker_api_free: frees the module. Every heartbeat is answered synchronously, so no request can be pending. */
 void hzb_worker_api_free (HzbWorkerApi *api);
 
 /**
  * hzb_worker_api_heartbeat:
- * Answers one heartbeat: 200 with the machine's fencing token and commands; 421 with the name of the node that decides about
- * the machine; 400 if the body is malformed; 503 if this node must not answer now or the heartbeat is an old one.
+ * Responds to one heartbeat: 200 with the machine's fencing token and commands; 421 with the name of the node that owns
+ * the machine; 400 if the body is malformed; 503 if the heartbeat is out of date, if the machine was returned to the
+ * cloud, or if this node must not respond with authority now.
  *
  * @param api the module
  * @param http_request (transfer full): answered before the function returns
--- a/src/base/address.c
+++ b/src/base/address.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 gboolean
-hzb_split_addr (const char *addr, char **host, guint16 *port)
+hzb_address_split (const char *addr, char **host, guint16 *port)
 {
   const char *colon = strrchr (addr, ':');
   g_autofree char *front = NULL;
--- a/src/base/clock.c
+++ b/src/base/clock.c
@@ -3,12 +3,12 @@
 #include <math.h>
 
 #define NSEC_PER_SEC 1000000000L
-#define MANUAL_CLOCK_BEGIN_S 1000 /* not 0, which would stand for an instant that was never set */
+#define MANUAL_CLOCK_START_S 1000 /* not 0, which means that an instant was never set */
 
 struct _HzbClock
 {
   gboolean manual;
-  struct timespec now; /* of a manual clock the time; otherwise the last instant that was read */
+  struct timespec now; /* current time of a manual clock; otherwise the last monotonic time that was read */
 };
 
 HzbClock *
@@ -22,7 +22,7 @@
 {
   HzbClock *clock = g_new0 (HzbClock, 1);
   clock->manual = TRUE;
-  clock->now.tv_sec = MANUAL_CLOCK_BEGIN_S;
+  clock->now.tv_sec = MANUAL_CLOCK_START_S;
   return clock;
 }
 
--- a/src/base/features-codec.c
+++ b/src/base/features-codec.c
@@ -1,14 +1,14 @@
-/* The operator's features file. */
+/* Decodes the operator's features file. */
 #include "json.h"
 #include "settings-table-codec.h"
 
-#define LONGEST_OPERATOR_S 86400.0
-#define LONGEST_PACE_S 300.0
-#define MOST_STARTS 1e5
-#define MOST_ARCHIVES 24.0
+#define MAX_OPERATOR_TIMEOUT_S 86400.0
+#define MAX_PACE_S 300.0
+#define MAX_STARTS 1e5
+#define MAX_ARCHIVES 24.0
 
-static const HzbReconciliationSettings usual_reconciliation = {
-  .operator_s = 120, .pace_s = 60, .starts_per_heartbeat = 4, .keep = 8
+static const HzbReconciliationSettings default_reconciliation = {
+  .operator_timeout_s = 120, .pace_s = 60, .starts_per_heartbeat = 4, .max_archives = 8
 };
 
 static void
@@ -16,17 +16,19 @@
 {
   static const char *const known[] = { "enabled",      "barrier",           "operator_s", "pace_s",
                                        "starts_per_s", "starts_per_report", "keep",       NULL };
-  const HzbReconciliationSettings *usual = &usual_reconciliation;
+  const HzbReconciliationSettings *defaults = &default_reconciliation;
 
   hzb_settings_refuse_unknown_keys (table, known);
   reconciliation->enabled = hzb_settings_get_flag (table, "enabled");
   reconciliation->barrier = hzb_settings_get_flag (table, "barrier");
-  reconciliation->operator_s = hzb_settings_get_bounded (table, "operator_s", LONGEST_OPERATOR_S, usual->operator_s);
-  reconciliation->pace_s = hzb_settings_get_bounded (table, "pace_s", LONGEST_PACE_S, usual->pace_s);
-  reconciliation->starts_per_s = hzb_settings_get_bounded (table, "starts_per_s", MOST_STARTS, 0);
+  reconciliation->operator_timeout_s =
+      hzb_settings_get_bounded_number (table, "operator_s", MAX_OPERATOR_TIMEOUT_S, defaults->operator_timeout_s);
+  reconciliation->pace_s = hzb_settings_get_bounded_number (table, "pace_s", MAX_PACE_S, defaults->pace_s);
+  reconciliation->starts_per_s = hzb_settings_get_bounded_number (table, "starts_per_s", MAX_STARTS, 0);
   reconciliation->starts_per_heartbeat =
-      (guint) hzb_settings_get_bounded (table, "starts_per_report", MOST_STARTS, usual->starts_per_heartbeat);
-  reconciliation->keep = (guint) hzb_settings_get_bounded (table, "keep", MOST_ARCHIVES, usual->keep);
+      (guint) hzb_settings_get_bounded_number (table, "starts_per_report", MAX_STARTS, defaults->starts_per_heartbeat);
+  reconciliation->max_archives =
+      (guint) hzb_settings_get_bounded_number (table, "keep", MAX_ARCHIVES, defaults->max_archives);
 }
 
 gboolean
--- a/src/base/json.c
+++ b/src/base/json.c
@@ -29,7 +29,7 @@
   return cJSON_IsString (item) ? item->valuestring : NULL;
 }
 
-/* As raw text, since cJSON would print a large number with an exponent. */
+/* The number is added as raw text, because cJSON would print a large number with an exponent. */
 void
 hzb_json_add_u64 (cJSON *object, const char *name, guint64 value)
 {
--- a/src/base/json.h
+++ b/src/base/json.h
@@ -1,6 +1,6 @@
 /**
  * SECTION: json
- * @short_description: what the codecs need beyond cJSON
+ * @short_description: helper functions for codecs that use cJSON
  */
 #pragma once
 #include <cjson/cJSON.h>
@@ -9,65 +9,65 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (cJSON, cJSON_Delete)
 
 /**
- * Reads a count, version, token or attempt.
+ * Reads an unsigned integer, such as a count, a version, a fencing token or the number of an attempt.
  * @param object (nullable) the object
- * @param name of the member
- * @return the number, cut to a whole one; 0 if there is none, or if it is negative or not below 2^64
+ * @param name name of the member
+ * @return the number, truncated to an integer; 0 if the member is missing, not a number, negative or not below 2^64
  */
 guint64 hzb_json_u64 (const cJSON *object, const char *name);
 
 /**
  * Reads a number.
  * @param object (nullable) the object
- * @param name of the member
- * @param fallback what is returned if there is no such number
- * @return the number
+ * @param name name of the member
+ * @param fallback value if the member is missing or not a number
+ * @return the number or the fallback
  */
 double hzb_json_number (const cJSON *object, const char *name, double fallback);
 
 /**
- * Reads a truth value.
+ * Reads a boolean.
  * @param object (nullable) the object
- * @param name of the member
- * @return TRUE if it is true; FALSE if it is false, something else or absent
+ * @param name name of the member
+ * @return TRUE if the member is true; FALSE if it is false, missing or not a boolean
  */
 gboolean hzb_json_flag (const cJSON *object, const char *name);
 
 /**
  * Reads a string.
- * @param object (nullable) the object, which keeps the string
- * @param name of the member
- * @return (transfer none) (nullable): the string; NULL if there is none
+ * @param object (nullable) the object, which owns the string
+ * @param name name of the member
+ * @return (transfer none) (nullable): the string; NULL if the member is missing or not a string
  */
 const char *hzb_json_text (const cJSON *object, const char *name);
 
 /**
- * Adds a number of up to 64 bits, in digits only.
+ * Adds an unsigned integer. It is printed with all its digits, without an exponent.
  * @param object the object
- * @param name of the new member
+ * @param name name of the new member
  * @param value the number
  */
 void hzb_json_add_u64 (cJSON *object, const char *name, guint64 value);
 
 /**
- * Prints a value without white space.
- * @param root (transfer full)
- * @return (transfer full): its text
+ * Prints a value without white space, and frees the value.
+ * @param root (transfer full) the value
+ * @return (transfer full): the text
  */
 char *hzb_json_print (cJSON *root);
 
 /**
- * Copies the strings of an array. What is not a string is left out.
+ * Copies the strings of an array. Elements that are not strings are left out.
  * @param array (nullable) the array
- * @return (transfer full): the strings, ends with NULL
+ * @return (transfer full): the strings, ends with NULL; empty if the array is NULL
  */
 char **hzb_json_string_list (const cJSON *array);
 
 /**
- * Looks up a name, such as that of an enum constant in the enum's table.
+ * Looks up a name in a table, such as the table of the names of an enum's constants.
  * @param text (nullable) the name
  * @param names the table
- * @param n length of the table
+ * @param n number of names in the table
  * @return the index of the name; -1 if it is not in the table
  */
 int hzb_json_index_of (const char *text, const char *const *names, guint n);
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -6,14 +6,14 @@
 #include <cjson/cJSON.h>
 #include <glib.h>
 
-/** HzbMetricKind: what requests are counted by. */
+/** HzbMetricKind: the kinds of requests that are counted separately. */
 typedef enum
 {
   HZB_METRIC_HEARTBEAT, /**< heartbeats of workers */
-  HZB_METRIC_SUBMIT,    /**< submissions */
-  HZB_METRIC_STATUS,    /**< questions for a job's state */
-  HZB_METRIC_CANCEL,    /**< cancellations */
-  HZB_METRIC_OTHER,     /**< all others */
+  HZB_METRIC_SUBMIT,    /**< submissions of jobs */
+  HZB_METRIC_STATUS,    /**< requests for a job's state */
+  HZB_METRIC_CANCEL,    /**< cancellations of jobs */
+  HZB_METRIC_OTHER,     /**< all other requests */
   HZB_METRIC_N_KINDS    /**< number of kinds */
 } HzbMetricKind;
 
@@ -28,22 +28,22 @@
 
 /**
  * Frees metrics.
- * @param metrics (transfer full)
+ * @param metrics (transfer full) the metrics
  */
 void hzb_metrics_free (HzbMetrics *metrics);
 
 /**
- * Counts a request that was answered.
+ * Counts a response and its latency.
  * @param metrics the metrics
- * @param kind of the request
- * @param status of the response
- * @param seconds from the request to the response
+ * @param kind kind of the request
+ * @param status HTTP status of the response
+ * @param seconds time from the request to the response, in seconds
  */
-void hzb_metrics_answered (HzbMetrics *metrics, HzbMetricKind kind, guint status, double seconds);
+void hzb_metrics_record_response (HzbMetrics *metrics, HzbMetricKind kind, guint status, double seconds);
 
 /**
  * Encodes the metrics for the administration API.
  * @param metrics the metrics
- * @return (transfer full): an object with a member for each kind
+ * @return (transfer full): an object with a member for each kind of request
  */
-cJSON *hzb_metrics_pack (const HzbMetrics *metrics);
+cJSON *hzb_metrics_encode (const HzbMetrics *metrics);
--- a/src/base/settings-codec.c
+++ b/src/base/settings-codec.c
@@ -1,14 +1,14 @@
-/* The platform's settings file. */
+/* Decodes the platform's settings file. */
 #include "json.h"
 #include "settings-table-codec.h"
 
 #include <math.h>
 
-#define MOST_PEERS 250u   /* a controller is told apart by a byte */
-#define OTHER_SOCKETS 16u /* to the key-value store and the cloud, and from the load balancer */
-#define MOST_TXN_OPS 1e6  /* no transaction of this service comes near */
+#define MAX_PEERS 250u       /* the id of a controller is one byte */
+#define RESERVED_SOCKETS 16u /* to the key-value store and the cloud, and from the load balancer */
+#define MAX_TXN_OPS 1e6      /* far above the size of any transaction of this service */
 #define DEFAULT_SOCKETS 1024
-#define REQUIRED NAN
+#define REQUIRED NAN /* fallback of a required number */
 
 static void
 peer_free (gpointer data)
@@ -48,7 +48,7 @@
   return settings;
 }
 
-/* ---- lists: each function decodes one entry ---- */
+/* ---- list entries: each function decodes one entry ---- */
 
 static gpointer
 decode_peer (const HzbSettingsTable *entry)
@@ -60,7 +60,7 @@
   return peer;
 }
 
-/* A team's limit; 0, or none named, means that the team has none. */
+/* Decodes a limit of a team. A missing limit and 0 mean that the team has no limit. */
 static double
 decode_limit (const HzbSettingsTable *team, const char *key)
 {
@@ -87,8 +87,8 @@
   objective->kind = hzb_settings_get_text (entry, "kind");
   objective->job_class = hzb_settings_get_optional_text (entry, "class");
   objective->within_s = hzb_settings_get_number (entry, "within_s", 0, 0);
-  objective->share = hzb_settings_get_number (entry, "share", 0, 0);
-  objective->times = hzb_settings_get_number (entry, "times", 0, 0);
+  objective->required_ratio = hzb_settings_get_number (entry, "share", 0, 0);
+  objective->deadline_factor = hzb_settings_get_number (entry, "times", 0, 0);
   return objective;
 }
 
@@ -112,7 +112,7 @@
     if (cJSON_IsString (item))
       g_ptr_array_add (zones, g_strdup (item->valuestring));
     else
-      hzb_settings_fault (cluster, "zones", "a list of texts");
+      hzb_settings_add_fault (cluster, "zones", "a list of texts");
 }
 
 /* ---- tables: each function decodes one table ---- */
@@ -127,8 +127,8 @@
   settings->cancel_s = hzb_settings_get_number (workers, "cancel_s", 1, REQUIRED);
 }
 
-/* The key-value store's limits fall to these without notice, some time after the start: the service keeps to the lesser
- * of both from the beginning. A key that is missing does not change.
+/* The limits of the key-value store fall to the announced ones without notice, some time after the start. The service
+ * therefore keeps to the lower limit from the start. A limit whose key is missing does not change.
  * MIN evaluates its argument twice, so an invalid value is listed as two faults. */
 static void
 decode_announced_limits (HzbSettings *settings, const HzbSettingsTable *kv)
@@ -153,7 +153,7 @@
   settings->kv_rps = hzb_settings_get_number (kv, "rps", 1, REQUIRED);
   settings->kv_write_rps = hzb_settings_get_number (kv, "write_rps", 1, REQUIRED);
   settings->kv_value_kb = hzb_settings_get_number (kv, "value_kb", 1, REQUIRED);
-  settings->kv_txn_ops = (guint) MIN (hzb_settings_get_number (kv, "txn_ops", 3, REQUIRED), MOST_TXN_OPS);
+  settings->kv_txn_ops = (guint) MIN (hzb_settings_get_number (kv, "txn_ops", 3, REQUIRED), MAX_TXN_OPS);
   decode_announced_limits (settings, kv);
 }
 
@@ -164,7 +164,7 @@
   settings->list_lag_s = hzb_settings_get_number (cloud, "list_lag_s", 0, 5);
 }
 
-/* The table may be missing. */
+/* The table is optional. */
 static void
 decode_resources (HzbSettings *settings, const HzbSettingsTable *cluster)
 {
@@ -183,12 +183,12 @@
 {
   HzbSettingsTable table;
 
-  settings->size = (guint) MIN (hzb_settings_get_number (cluster, "size", 1, REQUIRED), G_MAXUINT16);
+  settings->cluster_size = (guint) MIN (hzb_settings_get_number (cluster, "size", 1, REQUIRED), G_MAXUINT16);
   settings->skew_ms = hzb_settings_get_number (cluster, "skew_ms", 0, 0);
   decode_zones (settings->zones, cluster);
   decode_list (settings->teams, cluster, "teams", "cluster.teams", decode_team);
   if (settings->teams->len == 0)
-    hzb_settings_fault (cluster, "teams", "at least one team");
+    hzb_settings_add_fault (cluster, "teams", "at least one team");
   decode_list (settings->objectives, cluster, "objectives", "cluster.objectives", decode_objective);
   if (hzb_settings_open_table (cluster, "workers", "cluster.workers", &table))
     decode_workers (settings, &table);
@@ -221,47 +221,47 @@
 /* ---- checks across tables ---- */
 
 static void
-check_that_peer_is_unique (const HzbSettings *settings, guint index, const HzbSettingsTable *peers)
+check_peer_is_unique (const HzbSettings *settings, guint index, const HzbSettingsTable *peers)
 {
   const HzbPeer *peer = settings->peers->pdata[index];
 
   if (g_strcmp0 (peer->node, settings->node) == 0)
-    hzb_settings_fault (peers, "node", "another name than this node's own");
+    hzb_settings_add_fault (peers, "node", "another name than this node's own");
   for (guint i = 0; i < index; i++)
     {
       const HzbPeer *other = settings->peers->pdata[i];
       if (g_strcmp0 (peer->node, other->node) == 0)
-        hzb_settings_fault (peers, "node", "a name that no other peer has");
+        hzb_settings_add_fault (peers, "node", "a name that no other peer has");
       if (g_strcmp0 (peer->address, other->address) == 0)
-        hzb_settings_fault (peers, "address", "an address that no other peer has");
+        hzb_settings_add_fault (peers, "address", "an address that no other peer has");
     }
 }
 
-/* This controller exchanges messages with every peer once, and not with itself. */
+/* Each peer must be listed once, and this controller must not be among its peers. */
 static void
 check_peers (const HzbSettings *settings, const HzbSettingsTable *file)
 {
   HzbSettingsTable peers = { .path = "peers", .faults = file->faults };
 
-  if (settings->peers->len > MOST_PEERS)
-    hzb_settings_fault (file, "peers", "at most 250 other controllers");
+  if (settings->peers->len > MAX_PEERS)
+    hzb_settings_add_fault (file, "peers", "at most 250 other controllers");
   for (guint i = 0; i < settings->peers->len; i++)
-    check_that_peer_is_unique (settings, i, &peers);
+    check_peer_is_unique (settings, i, &peers);
 }
 
-/* Beside those of the workers there are connections to and from each other controller, to the key-value store and the
- * cloud, and from the load balancer. */
+/* Besides the connections of the workers, the controller needs one connection to and one from each peer, and
+ * RESERVED_SOCKETS others. */
 static void
 check_sockets (const HzbSettings *settings, const HzbSettingsTable *file)
 {
   HzbSettingsTable resources = { .path = "cluster.resources", .faults = file->faults };
-  guint least = OTHER_SOCKETS + 2 * settings->peers->len;
+  guint min = RESERVED_SOCKETS + 2 * settings->peers->len;
   char expected[96];
 
-  if (!settings->sockets || settings->sockets >= least)
+  if (!settings->sockets || settings->sockets >= min)
     return;
-  g_snprintf (expected, sizeof expected, "at least %u, and one more for each machine that reports here", least);
-  hzb_settings_fault (&resources, "sockets", expected);
+  g_snprintf (expected, sizeof expected, "at least %u, and one more for each machine that reports here", min);
+  hzb_settings_add_fault (&resources, "sockets", expected);
 }
 
 HzbSettings *
--- a/src/base/settings-table-codec.c
+++ b/src/base/settings-table-codec.c
@@ -28,7 +28,7 @@
 }
 
 void
-hzb_settings_fault (const HzbSettingsTable *table, const char *key, const char *expected)
+hzb_settings_add_fault (const HzbSettingsTable *table, const char *key, const char *expected)
 {
   g_string_append_printf (table->faults, "%s%s%s: expected %s\n", table->path, *table->path ? "." : "", key, expected);
 }
@@ -39,7 +39,7 @@
   const cJSON *item = cJSON_GetObjectItemCaseSensitive (parent->json, key);
   if (!cJSON_IsObject (item))
     {
-      hzb_settings_fault (parent, key, "a table");
+      hzb_settings_add_fault (parent, key, "a table");
       return FALSE;
     }
   *table = (HzbSettingsTable){ .json = item, .path = path, .faults = parent->faults };
@@ -58,7 +58,7 @@
   const char *text = hzb_json_text (table->json, key);
   if (text && *text)
     return g_strdup (text);
-  hzb_settings_fault (table, key, "a text that is not empty");
+  hzb_settings_add_fault (table, key, "a text that is not empty");
   return NULL;
 }
 
@@ -66,37 +66,37 @@
 hzb_settings_get_address (const HzbSettingsTable *table, const char *key)
 {
   const char *text = hzb_json_text (table->json, key);
-  if (text && hzb_split_addr (text, NULL, NULL))
+  if (text && hzb_address_split (text, NULL, NULL))
     return g_strdup (text);
-  hzb_settings_fault (table, key, "an address such as \"10.0.0.1:8080\"");
+  hzb_settings_add_fault (table, key, "an address such as \"10.0.0.1:8080\"");
   return NULL;
 }
 
 double
-hzb_settings_get_number (const HzbSettingsTable *table, const char *key, double least, double fallback)
+hzb_settings_get_number (const HzbSettingsTable *table, const char *key, double min, double fallback)
 {
   const cJSON *item = cJSON_GetObjectItemCaseSensitive (table->json, key);
   char expected[64];
 
   if (!item && !isnan (fallback))
     return fallback;
-  if (cJSON_IsNumber (item) && isfinite (item->valuedouble) && item->valuedouble >= least)
+  if (cJSON_IsNumber (item) && isfinite (item->valuedouble) && item->valuedouble >= min)
     return item->valuedouble;
-  g_snprintf (expected, sizeof expected, "a number of at least %g", least);
-  hzb_settings_fault (table, key, expected);
+  g_snprintf (expected, sizeof expected, "a number of at least %g", min);
+  hzb_settings_add_fault (table, key, expected);
   return 0;
 }
 
 double
-hzb_settings_get_bounded (const HzbSettingsTable *table, const char *key, double most, double fallback)
+hzb_settings_get_bounded_number (const HzbSettingsTable *table, const char *key, double max, double fallback)
 {
   double number = hzb_settings_get_number (table, key, 0, fallback);
   char expected[64];
 
-  if (number <= most)
+  if (number <= max)
     return number;
-  g_snprintf (expected, sizeof expected, "a number of at most %g", most);
-  hzb_settings_fault (table, key, expected);
+  g_snprintf (expected, sizeof expected, "a number of at most %g", max);
+  hzb_settings_add_fault (table, key, expected);
   return 0;
 }
 
@@ -105,7 +105,7 @@
 {
   const cJSON *item = cJSON_GetObjectItemCaseSensitive (table->json, key);
   if (item && !cJSON_IsBool (item))
-    hzb_settings_fault (table, key, "true or false");
+    hzb_settings_add_fault (table, key, "true or false");
   return cJSON_IsTrue (item);
 }
 
@@ -115,5 +115,5 @@
   const cJSON *item;
   cJSON_ArrayForEach (item, table->json)
     if (!g_strv_contains (known, item->string))
-      hzb_settings_fault (table, item->string, "no such key");
+      hzb_settings_add_fault (table, item->string, "no such key");
 }
--- a/src/base/settings-table-codec.h
+++ b/src/base/settings-table-codec.h
@@ -2,8 +2,8 @@
  * SECTION: settings-table-codec
  * @short_description: reads the keys of one table of a TOML file; private to src/base
  *
- * A key that is missing or has an invalid value adds a line to the faults, and reading goes on: whoever wrote the file
- * gets all faults at once. What the functions return then is not to be used.
+ * For each missing key and each invalid value, the functions add a line to the list of faults and continue, so that the
+ * author of the file sees all faults at once. If there are any faults, the values that were read must not be used.
  */
 #pragma once
 #include "settings.h"
@@ -13,68 +13,68 @@
 /** HzbSettingsTable: a table that is being read. */
 typedef struct
 {
-  const cJSON *json; /**< its keys (not owned) (nullable) */
-  const char *path;  /**< names the table in faults, such as cluster.workers; "": the file itself (not owned) */
-  GString *faults;   /**< a line for each fault so far (not owned) */
+  const cJSON *json; /**< keys and values of the table (not owned) (nullable) */
+  const char *path;  /**< name of the table in faults, such as cluster.workers; "": the top-level table (not owned) */
+  GString *faults;   /**< the list of faults, one on each line (not owned) */
 } HzbSettingsTable;
 
 /**
  * Parses a file.
- * @param text the TOML
- * @param name of the file, for the message
- * @param error (out) (optional) #HZB_SETTINGS_ERROR_SYNTAX
- * @return (transfer full) (nullable): NULL on an error
+ * @param text the TOML text
+ * @param name name of the file, for the error message
+ * @param error (out) (optional) #HZB_SETTINGS_ERROR_SYNTAX if the text is not TOML
+ * @return (transfer full) (nullable): the top-level table; NULL on an error
  */
 cJSON *hzb_settings_file_parse (const char *text, const char *name, GError **error);
 
 /**
- * Ends the reading of a file.
- * @param faults the lines that its tables collected
- * @param error (out) (optional) #HZB_SETTINGS_ERROR_INVALID if there are any
- * @return whether there are none
+ * Checks that no faults were found. To be called when all tables of a file have been read.
+ * @param faults the list of faults of the file
+ * @param error (out) (optional) #HZB_SETTINGS_ERROR_INVALID if there are faults; the message is the list
+ * @return whether there are no faults
  */
 gboolean hzb_settings_file_check (const GString *faults, GError **error);
 
 /**
- * Adds a fault.
- * @param table in which
- * @param key of which
- * @param expected what the key should have been
+ * Adds a fault to the list.
+ * @param table the table that contains the key
+ * @param key the key that is missing or has an invalid value
+ * @param expected the expected value, for the text of the fault
  */
-void hzb_settings_fault (const HzbSettingsTable *table, const char *key, const char *expected);
+void hzb_settings_add_fault (const HzbSettingsTable *table, const char *key, const char *expected);
 
 /**
- * Opens a table that has to be there.
- * @param parent the table around it
- * @param key its key
- * @param path its name in faults
- * @param table (out) the table
- * @return FALSE, with a fault, if it is missing
+ * Opens a required table.
+ * @param parent the table that contains it
+ * @param key key of the table in its parent
+ * @param path name of the table in faults (not copied)
+ * @param table (out) the table; set only on success
+ * @return FALSE, with a fault, if the table is missing
  */
 gboolean
 hzb_settings_open_table (const HzbSettingsTable *parent, const char *key, const char *path, HzbSettingsTable *table);
 
 /**
- * Reads a text that has to be there and is not empty.
+ * Reads a required string, which must not be empty.
  * @param table the table
  * @param key the key
- * @return (transfer full) (nullable): NULL, with a fault, if it is invalid
+ * @return (transfer full) (nullable): the string; NULL, with a fault, if it is missing or invalid
  */
 char *hzb_settings_get_text (const HzbSettingsTable *table, const char *key);
 
 /**
- * Reads a text that may be missing.
+ * Reads an optional string.
  * @param table the table
  * @param key the key
- * @return (transfer full) (nullable): NULL if it is no text
+ * @return (transfer full) (nullable): the string; NULL if it is missing or not a string
  */
 char *hzb_settings_get_optional_text (const HzbSettingsTable *table, const char *key);
 
 /**
- * Reads an address with a port that has to be there, see hzb_split_addr().
+ * Reads a required address with a port, see hzb_address_split().
  * @param table the table
  * @param key the key
- * @return (transfer full) (nullable): NULL, with a fault, if it is invalid
+ * @return (transfer full) (nullable): the address; NULL, with a fault, if it is missing or invalid
  */
 char *hzb_settings_get_address (const HzbSettingsTable *table, const char *key);
 
@@ -82,33 +82,33 @@
  * Reads a number.
  * @param table the table
  * @param key the key
- * @param least a lower number is a fault
- * @param fallback what is returned if the key is missing; NAN: the key has to be there
+ * @param min the lowest valid number
+ * @param fallback value if the key is missing; NAN: the key is required
  * @return the number; 0, with a fault, if it is invalid
  */
-double hzb_settings_get_number (const HzbSettingsTable *table, const char *key, double least, double fallback);
+double hzb_settings_get_number (const HzbSettingsTable *table, const char *key, double min, double fallback);
 
 /**
- * Reads a number from 0 on.
+ * Reads an optional number that must be at least 0 and has an upper bound.
  * @param table the table
  * @param key the key
- * @param most a higher number is a fault
- * @param fallback what is returned if the key is missing
+ * @param max the highest valid number
+ * @param fallback value if the key is missing
  * @return the number; 0, with a fault, if it is invalid
  */
-double hzb_settings_get_bounded (const HzbSettingsTable *table, const char *key, double most, double fallback);
+double hzb_settings_get_bounded_number (const HzbSettingsTable *table, const char *key, double max, double fallback);
 
 /**
- * Reads a truth value.
+ * Reads an optional boolean.
  * @param table the table
  * @param key the key
- * @return the value; FALSE if it is missing or, with a fault, if it is invalid
+ * @return the value; FALSE if it is missing, and, with a fault, if it is not a boolean
  */
 gboolean hzb_settings_get_flag (const HzbSettingsTable *table, const char *key);
 
 /**
- * Adds a fault for each key that is not known.
+ * Adds a fault for each unknown key of a table.
  * @param table the table
- * @param known the keys that are, ends with NULL
+ * @param known names of the known keys, ends with NULL
  */
 void hzb_settings_refuse_unknown_keys (const HzbSettingsTable *table, const char *const *known);
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -41,7 +41,7 @@
 }
 
 int
-hzb_settings_team (const HzbSettings *settings, const char *name)
+hzb_settings_find_team (const HzbSettings *settings, const char *name)
 {
   for (guint i = 0; i < settings->teams->len; i++)
     if (g_str_equal (((HzbTeam *) settings->teams->pdata[i])->name, name))
--- a/src/base/toml-bridge.cpp
+++ b/src/base/toml-bridge.cpp
@@ -45,10 +45,10 @@
     {
       return convert (toml::parse (std::string_view (text), std::string_view (name)));
     }
-  catch (const toml::parse_error &fault)
+  catch (const toml::parse_error &error)
     {
       std::ostringstream out;
-      out << name << ":" << fault.source ().begin.line << ": " << fault.description ();
+      out << name << ":" << error.source ().begin.line << ": " << error.description ();
       *message = strdup (out.str ().c_str ());
       return nullptr;
     }
--- a/src/base/toml-bridge.h
+++ b/src/base/toml-bridge.h
@@ -1,6 +1,6 @@
 /**
  * SECTION: toml-bridge
- * @short_description: the TOML parser, which is C++, for C
+ * @short_description: makes a TOML parser that is written in C++ available to C
  */
 #pragma once
 #include <cjson/cJSON.h>
@@ -10,10 +10,11 @@
 #endif
   /**
    * Parses TOML. Dates and times become null.
-   * @param text the TOML
-   * @param name of the file, for the message
-   * @param message (out) (transfer full) set on a syntax error only: which, and in which line; to be freed with free()
-   * @return (transfer full) (nullable): an object; NULL on a syntax error
+   * @param text the TOML text
+   * @param name name of the file, for the error message
+   * @param message (out) (transfer full) set only on a syntax error: the error message with the line number, to be
+   * freed with free()
+   * @return (transfer full) (nullable): a JSON object; NULL on a syntax error
    */
   cJSON *hzb_toml_parse (const char *text, const char *name, char **message);
 #ifdef __cplusplus
--- a/src/cluster/peer-table.c
+++ b/src/cluster/peer-table.c
@@ -48,5 +48,5 @@
 gboolean
 hzb_peer_table_covers_cluster (const HzbPeerTable *table)
 {
-  return table->n_entries + 1 >= table->node->settings->size;
+  return table->n_entries + 1 >= table->node->settings->cluster_size;
 }
--- a/src/cluster/peers.c
+++ b/src/cluster/peers.c
@@ -168,8 +168,8 @@
   call->receiver = receiver;
   call->sent = current_time (peers);
   hzb_peer_heartbeat_encode (heartbeat, message);
-  hzb_send (peers->deps.node->transport, "POST", receiver->peer->address, HEARTBEAT_PATH,
-            cJSON_PrintUnformatted (message), HEARTBEAT_TIMEOUT_MS, on_heartbeat_reply, call);
+  hzb_transport_send (peers->deps.node->transport, "POST", receiver->peer->address, HEARTBEAT_PATH,
+                      cJSON_PrintUnformatted (message), HEARTBEAT_TIMEOUT_MS, on_heartbeat_reply, call);
   cJSON_Delete (message);
 }
 
--- a/src/controller/controller-lifecycle.c
+++ b/src/controller/controller-lifecycle.c
@@ -1,8 +1,8 @@
-/* Builds the modules of a controller from the ground up, and frees them. */
+/* Creates the modules of a controller, each after the modules that it calls, and frees them. */
 #include "controller-private.h"
 #include "controller-wiring.h"
 
-/* Names this process: another one of the same node has another. */
+/* Returns: (transfer full): a name for this process; each process of a node has its own */
 static char *
 new_incarnation (GRand *rand)
 {
@@ -47,7 +47,7 @@
   controller->leaseholder = hzb_controller_new_leaseholder (controller);
   controller->provisioning = hzb_controller_new_provisioning (controller);
   controller->worker_api = hzb_controller_new_worker_api (controller);
-  controller->api = hzb_controller_new_user_api (controller);
+  controller->user_api = hzb_controller_new_user_api (controller);
   controller->admin = hzb_controller_new_admin (controller);
   return controller;
 }
@@ -56,7 +56,7 @@
 hzb_controller_free (HzbController *controller)
 {
   hzb_admin_free (controller->admin);
-  hzb_user_api_free (controller->api);
+  hzb_user_api_free (controller->user_api);
   hzb_worker_api_free (controller->worker_api);
   hzb_cancellations_free (controller->cancellations);
   hzb_shard_leases_free (controller->shard_leases);
--- a/src/controller/controller-private.h
+++ b/src/controller/controller-private.h
@@ -1,9 +1,9 @@
 /**
  * SECTION: controller-private
- * @short_description: the modules of a controller
+ * @short_description: the modules of a controller, and the functions that the files of this folder share
  *
- * Included by the files of this folder, and by tests that look at a module of a running controller. Other modules are given
- * what they need when they are built, see controller-wiring.c.
+ * Included by the files of this folder, and by tests that examine a module of a running controller. The modules
+ * themselves do not include this header: controller-wiring.c passes them the modules that they call.
  */
 #pragma once
 #include "admin.h"
@@ -30,79 +30,98 @@
 #include "user-api.h"
 #include "worker-api.h"
 
-/** HzbController: the modules are built and freed in controller-wiring.c. */
+/** HzbController: all modules of a controller. controller-lifecycle.c creates and frees them. */
 struct _HzbController
 {
-  HzbNode *node;           /**< what this process says of itself */
+  HzbNode *node;           /**< this process: its settings, its incarnation and its schema version */
   HzbSettings *settings;   /**< not owned */
   HzbClock *clock;         /**< not owned */
   HzbTransport *transport; /**< not owned */
-  GRand *rand;             /**< seeded, so that tests repeat */
-  HzbMetrics *metrics;     /**< counts of requests and answers */
+  GRand *rand;             /**< random numbers; its seed is an argument, so that tests are reproducible */
+  HzbMetrics *metrics;     /**< counters and latencies of received requests */
 
   HzbKvClient *kv;          /**< the client of the key-value store */
-  HzbKvReplica *kv_replica; /**< the records that every controller follows */
+  HzbKvReplica *kv_replica; /**< the replica of the records that every controller follows */
   HzbCloudClient *cloud;    /**< the client of the cloud */
 
-  HzbJobs *jobs;             /**< all jobs that are replicated, and tasks of those owned here */
-  HzbMachines *machines;     /**< of the shard owned here */
-  HzbDispatch *dispatch;     /**< which task runs where */
-  HzbAutoscaler *autoscaler; /**< how many machines there should be */
-  HzbShard *shard;           /**< the shard owned here, NULL: none; the same as jobs->shard */
-
-  HzbOwnership *ownership;                       /**< whether this node owns a shard, and in which role */
-  HzbElection *election;                         /**< who leads */
-  HzbPeers *peers;                               /**< what is known of the other controllers */
-  HzbCancellations *cancellations;               /**< when a cancellation may be confirmed */
-  HzbReconciliation *reconciliation;             /**< verdicts after a cold start */
-  HzbRecords *records;                           /**< what the leader keeps for the next one */
-  HzbCompletedJobArchive *completed_job_archive; /**< moves records of jobs that completed long ago */
-  HzbShardLeases *shard_leases;                  /**< the leader's side of leased shards */
-  HzbLeaseholder *leaseholder;                   /**< the leaseholder's side */
-  HzbProvisioning *provisioning;                 /**< scales the fleet out and in */
+  HzbJobs *jobs;             /**< all replicated jobs, and the tasks that this controller owns */
+  HzbMachines *machines;     /**< the machines of the shard that this controller owns */
+  HzbDispatch *dispatch;     /**< decides which task starts on which machine */
+  HzbAutoscaler *autoscaler; /**< decides how many machines of which kinds to rent */
+  HzbShard *shard;           /**< (nullable) the shard that this controller owns, as jobs->shard; NULL: none */
+
+  HzbOwnership *ownership;                       /**< whether this node owns a shard, as leader or as leaseholder */
+  HzbElection *election;                         /**< which controller leads, and in which term */
+  HzbPeers *peers;                               /**< messages from and to the other controllers */
+  HzbCancellations *cancellations;               /**< whether a cancellation may be confirmed to its user */
+  HzbReconciliation *reconciliation;             /**< verdicts about jobs after a cold start */
+  HzbRecords *records;                           /**< the leader's durable records, which the next leader reads */
+  HzbCompletedJobArchive *completed_job_archive; /**< moves records of old completed jobs to the archive */
+  HzbShardLeases *shard_leases;                  /**< leased shards, on the leader */
+  HzbLeaseholder *leaseholder;                   /**< the leased shard, on a leaseholder */
+  HzbProvisioning *provisioning;                 /**< rents machines from the cloud and returns them */
 
   HzbWorkerApi *worker_api; /**< answers workers */
-  HzbUserApi *api;          /**< answers users */
+  HzbUserApi *user_api;     /**< answers users */
   HzbAdmin *admin;          /**< answers operators */
 
-  gboolean lease_shards; /**< operators' setting: FALSE keeps all machines with the leader */
+  gboolean lease_shards; /**< setting of the admin API; FALSE: the leader leases no shards and keeps all machines */
 
-  gboolean load_saw_leader;        /**< the reading of all records under way has shown who leads */
-  char *owner_load_cursor;         /**< the last key read of the leader's records; NULL: none yet */
-  gboolean owner_page_requested;   /**< a page of the leader's records is on its way */
-  struct timespec next_owner_page; /**< not before then is a page asked for again */
+  gboolean load_shows_leader;      /**< the load of the replica that is under way has shown a record of the leader */
+  char *owner_load_cursor;         /**< last key that was read of the leader's records; NULL: none was read yet */
+  gboolean owner_page_requested;   /**< a request for a page of the leader's records is in flight */
+  struct timespec next_owner_page; /**< after a failure: a page is not requested again before this time */
 
-  struct timespec last_tick;          /**< when the timer last fired */
-  struct timespec next_consolidation; /**< of tasks, off machines that are to be scaled in */
-  struct timespec next_summary;       /**< of the fleet, in the log */
+  struct timespec last_tick;          /**< when hzb_controller_tick() was last called */
+  struct timespec next_consolidation; /**< when hzb_dispatch_consolidate() is called next */
+  struct timespec next_summary;       /**< when the summary of the fleet is logged next */
 };
 
-/** The functions by which the replica of the records hands over what it shows; user data: the controller. */
+/** hzb_controller_replica_callbacks: callbacks of the replica of the records; their user data is the controller. */
 extern const HzbKvReplicaCallbacks hzb_controller_replica_callbacks;
 
-/** hzb_controller_apply_record: takes a record that is replicated, as the key-value store has it. */
+/**
+ * hzb_controller_apply_record: passes a replicated record to the module that keeps it.
+ * `entry`: (transfer none): the record as the key-value store has it; without a value if it was deleted
+ */
 void hzb_controller_apply_record (HzbController *controller, const HzbKvEntry *entry);
 
-/** hzb_controller_check_connectivity: a leader that another node could replace with profit steps down. */
+/** hzb_controller_check_connectivity: makes the leader step down if another node can serve the cluster better. */
 void hzb_controller_check_connectivity (HzbController *controller);
 
-/** hzb_controller_update_ownership: begins or ends the ownership of the leader's shard, as the election says. */
+/**
+ * hzb_controller_update_ownership: begins the ownership of the leader's shard after this node was elected, and ends it
+ * after this node lost the leadership.
+ */
 void hzb_controller_update_ownership (HzbController *controller, struct timespec now);
 
-/** hzb_controller_dispatch: places tasks now. */
+/** hzb_controller_dispatch: runs the dispatcher now, and schedules its next run. */
 void hzb_controller_dispatch (HzbController *controller, struct timespec now);
 
-/** hzb_controller_consolidate_when_due: moves tasks off machines that are to be scaled in, once a second. */
+/** hzb_controller_consolidate_when_due: moves tasks off half-empty scale-in candidates, once a second. */
 void hzb_controller_consolidate_when_due (HzbController *controller, struct timespec now);
 
-/** hzb_controller_begin_leased: this node owns a shard that the leader leased to it. */
-void hzb_controller_begin_leased (HzbController *controller, guint64 fencing_token);
+/**
+ * hzb_controller_begin_shard_lease: makes this node the leaseholder of a shard that the leader has leased to it.
+ * `fencing_token`: of the shard
+ */
+void hzb_controller_begin_shard_lease (HzbController *controller, guint64 fencing_token);
 
-/** hzb_controller_end_leased: no more. Does nothing if it was not a leaseholder. */
-void hzb_controller_end_leased (HzbController *controller, const char *why);
+/**
+ * hzb_controller_end_shard_lease: ends the ownership of the leased shard. Does nothing if this node is not a
+ * leaseholder.
+ * `why`: for the log
+ */
+void hzb_controller_end_shard_lease (HzbController *controller, const char *why);
 
-/** hzb_controller_recovered: every machine on record has answered the new leader, or is gone. */
-void hzb_controller_recovered (HzbController *controller);
+/**
+ * hzb_controller_finish_recovery: ends the leader's recovery. Called once every machine on record has sent a heartbeat
+ * under this leader's term, or is gone.
+ */
+void hzb_controller_finish_recovery (HzbController *controller);
 
-/** hzb_leader_maintenance_tick: expires workers' leases, resolves unconfirmed tasks, ends jobs, places tasks and writes records. */
+/**
+ * hzb_leader_maintenance_tick: the leader's periodic work on its jobs and machines: expires workers' leases, resolves
+ * unconfirmed tasks, completes jobs, places tasks and writes records.
+ */
 void hzb_leader_maintenance_tick (HzbController *controller, struct timespec now);
--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -1,18 +1,20 @@
-/* Gives each module of a controller what it needs: the modules below it, and callbacks for the modules above it. */
+/* Creates the modules of a controller. Each gets the modules that it calls, and callbacks to modules that are created
+ * after it. */
 #include "controller-wiring.h"
 
 #include "controller-private.h"
 #include "reconciliation-admin.h"
 #include "record-keys.h"
 
-/* Guards against watches that use up the requests of the key-value store: each change ends the watch of every node, and
- * opening the next one counts as a request. */
-#define WATCH_PART 0.25 /* of the requests that the key-value store takes, for the watches of all nodes */
+/* The share of the key-value store's request rate that the watches of all nodes together may use. Without this limit
+ * the watches could use up the rate: each change ends the watch of every node, and opening the next one counts as a
+ * request. */
+#define WATCH_REQUEST_FRACTION 0.25
 
 static double
 watch_interval_s (const HzbSettings *settings)
 {
-  return settings->size / (WATCH_PART * settings->kv_rps);
+  return settings->cluster_size / (WATCH_REQUEST_FRACTION * settings->kv_rps);
 }
 
 HzbNode *
@@ -144,7 +146,7 @@
   return hzb_completed_job_archive_new (&dependencies);
 }
 
-/* The shard leases are built after the records, and exist by the time of the first flush. */
+/* The records module is created before the shard leases, which exist by the time of the first flush. */
 static void
 announce_durable_task (HzbTask *task, gpointer user)
 {
@@ -191,13 +193,13 @@
 static void
 begin_lease (guint64 fencing_token, gpointer controller)
 {
-  hzb_controller_begin_leased (controller, fencing_token);
+  hzb_controller_begin_shard_lease (controller, fencing_token);
 }
 
 static void
 end_lease (const char *why, gpointer controller)
 {
-  hzb_controller_end_leased (controller, why);
+  hzb_controller_end_shard_lease (controller, why);
 }
 
 HzbLeaseholder *
@@ -258,7 +260,7 @@
 static gboolean
 user_api_is_ready (gpointer user)
 {
-  return hzb_controller_ready (user);
+  return hzb_controller_is_ready (user);
 }
 
 static void
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -1,10 +1,10 @@
-/* What a controller does at each tick, in order. */
+/* The periodic work of a controller, in the order in which each tick does it. */
 #include "controller-private.h"
 
 #define DISPATCH_INTERVAL_S 0.2
 #define CONSOLIDATION_INTERVAL_S 1.0
 
-/* How late the timer fires shows first that a node has too little processor time. */
+/* A timer that fires late is the first sign that this node has too little processor time. */
 static void
 note_timer_lag (HzbController *controller, struct timespec now)
 {
@@ -13,9 +13,10 @@
   controller->last_tick = now;
 }
 
-/* While a rollout replaces the controllers of an older version, a new one should lead: the others are about to be replaced. */
+/* During a rolling upgrade a controller of the new version should lead, since those of the old version are about to be
+ * replaced. */
 static gboolean
-is_ahead_of_rollout (const HzbController *controller)
+is_upgraded_before_peers (const HzbController *controller)
 {
   return controller->node->schema_version == HZB_SCHEMA_VERSION
          && hzb_election_schema_version (controller->election) < HZB_SCHEMA_VERSION
@@ -65,7 +66,7 @@
   hzb_cloud_client_pump (controller->cloud);
   hzb_kv_replica_tick (controller->kv_replica);
 
-  hzb_election_set_preferred (controller->election, is_ahead_of_rollout (controller));
+  hzb_election_set_preferred (controller->election, is_upgraded_before_peers (controller));
   hzb_election_tick (controller->election, hzb_kv_replica_is_fresh (controller->kv_replica));
   hzb_controller_check_connectivity (controller);
   hzb_controller_update_ownership (controller, now);
@@ -84,5 +85,5 @@
   hzb_provisioning_tick (controller->provisioning, now);
   hzb_peers_tick (controller->peers, now);
   hzb_cancellations_tick (controller->cancellations, now);
-  hzb_user_api_tick (controller->api);
+  hzb_user_api_tick (controller->user_api);
 }
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,9 +1,9 @@
 /**
  * SECTION: controller
- * @short_description: one controller of the cluster: all modules of a node, tied together
+ * @short_description: one controller of the cluster, which consists of all modules of a node
  *
- * hzb_controller_tick() has to be called every HZB_TICK_MS. Requests come by hzb_controller_request() (users, workers,
- * operators) and hzb_controller_peer_request() (other controllers).
+ * The caller calls hzb_controller_tick() every HZB_TICK_MS milliseconds. It passes requests of users, workers and
+ * operators to hzb_controller_handle_request(), and those of other controllers to hzb_controller_handle_peer_request().
  */
 #pragma once
 #include "clock.h"
@@ -11,7 +11,7 @@
 #include "settings.h"
 #include "transport.h"
 
-/** HZB_TICK_MS: how often hzb_controller_tick() is to be called. */
+/** HZB_TICK_MS: interval between calls of hzb_controller_tick(), in milliseconds. */
 #define HZB_TICK_MS 50
 
 /** HzbController: one controller; opaque. */
@@ -19,27 +19,45 @@
 
 /**
  * hzb_controller_new:
- * `settings`: (transfer none): must outlive the controller, like `clock` and `transport`
- * `seed`: of its random numbers
+ * `settings`: (transfer none): must outlive the controller
+ * `clock`: (transfer none): must outlive the controller
+ * `transport`: (transfer none): sends the controller's requests; must outlive the controller
+ * `seed`: of the controller's random numbers
  *
- * Returns: (transfer full): a controller that follows
+ * Returns: (transfer full): a controller that does not lead; free it with hzb_controller_free()
  */
 HzbController *hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed);
 
 /** hzb_controller_free: must not be called while a request of the controller is in flight. */
 void hzb_controller_free (HzbController *controller);
 
-/** hzb_controller_set_http_servers: (not owned): their counts are shown to operators. */
+/**
+ * hzb_controller_set_http_servers: sets the servers whose connections and refused requests the admin API shows.
+ * `api_server`: (transfer none): receives requests of users, workers and operators
+ * `peer_server`: (transfer none): receives requests of other controllers
+ */
 void hzb_controller_set_http_servers (HzbController *controller, HzbHttpServer *api_server, HzbHttpServer *peer_server);
 
-/** hzb_controller_tick: does what is due. */
+/** hzb_controller_tick: does all periodic work that is due. */
 void hzb_controller_tick (HzbController *controller);
 
-/** hzb_controller_request: HzbHandler of the address that users, workers and operators use; `data`: the controller. */
-void hzb_controller_request (HzbHttpRequest *http_request, gpointer data);
+/**
+ * hzb_controller_handle_request: the HzbHttpHandler for requests of users, workers and operators.
+ * `http_request`: (transfer full)
+ * `data`: the #HzbController
+ */
+void hzb_controller_handle_request (HzbHttpRequest *http_request, gpointer data);
 
-/** hzb_controller_peer_request: HzbHandler of the address that other controllers use; `data`: the controller. */
-void hzb_controller_peer_request (HzbHttpRequest *http_request, gpointer data);
+/**
+ * hzb_controller_handle_peer_request: the HzbHttpHandler for requests of other controllers.
+ * `http_request`: (transfer full)
+ * `data`: the #HzbController
+ */
+void hzb_controller_handle_peer_request (HzbHttpRequest *http_request, gpointer data);
 
-/** hzb_controller_ready: users are served here as well as at any other node, see GET /ready. */
-gboolean hzb_controller_ready (HzbController *controller);
+/**
+ * hzb_controller_is_ready:
+ *
+ * Returns: whether this node serves users as well as any other node does; the answer to GET /ready
+ */
+gboolean hzb_controller_is_ready (HzbController *controller);
--- a/src/controller/fleet-summary.c
+++ b/src/controller/fleet-summary.c
@@ -1,12 +1,12 @@
 #include "fleet-summary.h"
 
-/* Of a node's sockets: when more of them are in use for machines, the log warns. */
-#define SOCKETS_PART 0.9
+/* A warning is logged once workers use more than this fraction of the connections that this node may have open. */
+#define SOCKET_WARNING_FRACTION 0.9
 
-/* Sums of machines, of machines' CPUs and of tasks' CPUs. */
+/* Numbers of machines, and sums of the CPUs of machines and tasks. */
 typedef struct
 {
-  guint up, leased, booting, other;
+  guint up, leased, booting, other; /* machines; up includes leased */
   double up_cpus, scale_in_candidate_cpus, booting_cpus;
   double held_cpus, running_cpus, waiting_cpus;
 } FleetSummary;
@@ -40,15 +40,17 @@
   summary->running_cpus += (job->running + job->delegated_running) * job->spec->cpus;
 }
 
-/* Guards against connections that are refused for want of sockets, which looks like machines that do not respond. */
+/* A node without free sockets refuses connections of workers, which then look like unresponsive machines. The warning
+ * names the real cause before that happens. */
 static void
-warn_of_few_sockets (const HzbSettings *settings, const FleetSummary *summary)
+warn_if_sockets_run_short (const HzbSettings *settings, const FleetSummary *summary)
 {
   guint machines_here = summary->up - summary->leased + summary->booting + summary->other;
-  if (machines_here > SOCKETS_PART * settings->sockets)
-    g_warning ("%u machines send their heartbeats to this node, and cluster.resources.sockets is %u: raise it, or add "
-               "controllers",
-               machines_here, settings->sockets);
+  if (machines_here > SOCKET_WARNING_FRACTION * settings->sockets)
+    g_warning (
+        "%u machines send heartbeats to this node, which may open %u connections (cluster.resources.sockets): raise "
+        "this limit or add controllers, or connections of workers will be refused",
+        machines_here, settings->sockets);
 }
 
 void
@@ -68,5 +70,5 @@
       summary.scale_in_candidate_cpus, summary.booting, summary.booting_cpus, summary.other, summary.waiting_cpus,
       dispatch->lag_s * 1e3);
   if (settings->sockets)
-    warn_of_few_sockets (settings, &summary);
+    warn_if_sockets_run_short (settings, &summary);
 }
--- a/src/controller/leader-maintenance.c
+++ b/src/controller/leader-maintenance.c
@@ -1,39 +1,41 @@
-/* What the leader does over time with the jobs and machines that it owns. */
+/* The leader's periodic work on the jobs and machines that it owns. */
 #include "controller-private.h"
 #include "fleet-summary.h"
 
-#define LEASE_SLACK_S 1.0   /* beyond a worker's lease and the drift of clocks */
-#define CLOCK_DRIFT 1.002   /* how much faster a worker's clock may run */
-#define MISSED_HEARTBEATS 3 /* after so many, others may take what waits in a machine's run queues */
+#define LEASE_MARGIN_S 1.0       /* added to a worker's lease and the drift of clocks */
+#define CLOCK_DRIFT_FACTOR 1.002 /* the controller's clock may run faster than a worker's by this factor */
+#define MAX_MISSED_HEARTBEATS 3  /* after that the tasks in a machine's run queues are placed on other machines */
 #define SUMMARY_INTERVAL_S 10.0
 
 /* ---- leases of workers ---- */
 
-/* The worker's lease has expired for certain: all its tasks have ended, whichever messages did not reach it. */
+/* The worker's lease has certainly expired, so the worker has ended all its tasks, even if it has missed messages of
+ * the leader. */
 static void
 expire_lease (HzbController *controller, HzbMachine *machine)
 {
   hzb_machine_requeue_tasks (controller->jobs, machine);
   machine->expired_agent_epoch = machine->agent_epoch;
-  hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_LEASE_EXPIRED, "its lease has expired");
+  hzb_machine_set_state (controller->machines, machine, HZB_MACHINE_LEASE_EXPIRED, "its worker's lease has expired");
 }
 
 static void
 check_worker_leases (HzbController *controller, struct timespec now)
 {
   const HzbSettings *settings = controller->settings;
-  double expires_after_s = settings->lease_s * CLOCK_DRIFT + LEASE_SLACK_S;
+  double expires_after_s = settings->lease_s * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_S;
 
   if (!hzb_election_is_lease_valid (controller->election))
-    return; /* a newer leader could have renewed them */
+    return; /* a newer leader may have renewed the workers' leases */
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       HzbMachine *machine = controller->machines->all->pdata[i];
-      gboolean works = machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_DRAINING;
-      if (works && machine->verified && hzb_time_between (machine->last_response, now) > expires_after_s)
+      gboolean may_run_tasks = machine->state == HZB_MACHINE_ACTIVE || machine->state == HZB_MACHINE_DRAINING;
+      if (may_run_tasks && machine->verified && hzb_time_between (machine->last_response, now) > expires_after_s)
         expire_lease (controller, machine);
       else if (machine->state == HZB_MACHINE_ACTIVE
-               && hzb_time_between (machine->last_heartbeat, now) > MISSED_HEARTBEATS * settings->heartbeat_interval_s
+               && hzb_time_between (machine->last_heartbeat, now)
+                      > MAX_MISSED_HEARTBEATS * settings->heartbeat_interval_s
                && hzb_machine_count_queued_tasks (machine))
         hzb_machine_clear_run_queues (controller->jobs, machine);
     }
@@ -41,15 +43,15 @@
 
 /* ---- unconfirmed tasks ---- */
 
-/* A task waits only for machines that could have received the command to start it: a replica that may not run on spot
- * machines, for instance, waits for none of these. */
+/* An unconfirmed task stays unconfirmed only as long as an unverified machine could have received the command to start
+ * it. For example, a replica that may not run on spot machines does not wait for unverified spot machines. */
 static void
 resolve_unconfirmed_of_shard (HzbController *controller, guint shard, const GPtrArray *unverified_kinds)
 {
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
       HzbJob *job = controller->jobs->active->pdata[i];
-      if (job->unconfirmed && hzb_reconciliation_may_resolve (controller->reconciliation, job)
+      if (job->unconfirmed && hzb_reconciliation_may_resolve_unconfirmed (controller->reconciliation, job)
           && !hzb_job_may_run_on_unverified (job, unverified_kinds))
         hzb_job_resolve_unconfirmed (controller->jobs, job, shard);
     }
@@ -58,25 +60,25 @@
 static void
 resolve_unconfirmed (HzbController *controller)
 {
-  g_autoptr (GPtrArray) of_shards = NULL;
+  g_autoptr (GPtrArray) kinds_by_shard = NULL;
 
   if (hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_RECOVERING
       && !hzb_jobs_any_unconfirmed (controller->jobs))
     return;
-  of_shards = hzb_machines_list_unverified_kinds (controller->machines, controller->settings->peers->len + 1);
-  for (guint shard = 0; shard < of_shards->len; shard++)
+  kinds_by_shard = hzb_machines_list_unverified_kinds (controller->machines, controller->settings->peers->len + 1);
+  for (guint shard = 0; shard < kinds_by_shard->len; shard++)
     {
-      const GPtrArray *unverified_kinds = of_shards->pdata[shard];
+      const GPtrArray *unverified_kinds = kinds_by_shard->pdata[shard];
       resolve_unconfirmed_of_shard (controller, shard, unverified_kinds);
       if (shard == HZB_UNCONFIRMED_TASKS_OF_LEADER && !unverified_kinds->len
           && hzb_ownership_state (controller->ownership) == HZB_OWNERSHIP_RECOVERING)
-        hzb_controller_recovered (controller);
+        hzb_controller_finish_recovery (controller);
     }
 }
 
 /* ---- jobs ---- */
 
-/* Takes back all tasks of the job that are in this state and have not been started. */
+/* Makes all tasks of the job that are in this state pending. `state`: HZB_TASK_QUEUED or HZB_TASK_RESERVED */
 static void
 withdraw_tasks (HzbController *controller, HzbJob *job, HzbTaskState state)
 {
@@ -85,10 +87,10 @@
       hzb_task_set_state (controller->jobs, &job->tasks[i], HZB_TASK_PENDING, NULL);
 }
 
-/* Guards against a gang that waits for ever: a machine that takes no new tasks any more, since it is to be returned,
- * gets no start commands for the reservations on it. */
+/* A machine that is to be returned takes no new tasks, so it gets no start commands for the reservations on it. Without
+ * this function a gang with such a reservation would wait forever. */
 static void
-release_useless_reservations (HzbController *controller, HzbJob *job)
+release_unusable_reservations (HzbController *controller, HzbJob *job)
 {
   for (guint i = 0; job->placed > job->running && i < job->n_tasks; i++)
     {
@@ -98,14 +100,15 @@
     }
 }
 
-/* A gang that has lost a task starts anew once all its tasks are gone. Tasks that wait for the others are stopped; those that run
- * notice the loss themselves. Once one task of a gang is done all are, even one whose machine is lost. */
+/* A gang that has lost a task starts again once none of its tasks is on a machine. Tasks that wait for the others are
+ * stopped; running tasks notice the loss themselves. Once one task of a gang has finished, all tasks count as finished,
+ * even a task whose machine was lost. */
 static void
 maintain_gang (HzbController *controller, HzbJob *job)
 {
   gboolean any_done = job->finished + job->done > 0;
 
-  release_useless_reservations (controller, job);
+  release_unusable_reservations (controller, job);
   if (!job->pending || job->pending == job->n_tasks)
     return;
   for (guint i = 0; i < job->n_tasks; i++)
@@ -129,7 +132,7 @@
     hzb_records_complete_job (controller->records, job);
 }
 
-/* Returns: TRUE once no task of the cancelled job is on any machine, and the job is retired */
+/* Returns: TRUE if the job was retired, since none of its tasks is on a machine any more */
 static gboolean
 maintain_cancelled_job (HzbController *controller, HzbJob *job)
 {
@@ -158,7 +161,7 @@
         maintain_accepted_job (controller, job);
       else
         retired = maintain_cancelled_job (controller, job);
-      i += !retired; /* a job that is retired leaves the array */
+      i += !retired; /* hzb_jobs_deactivate() removes the job from the array */
     }
 }
 
@@ -194,7 +197,8 @@
   if (!hzb_time_before (now, controller->dispatch->next_run))
     {
       hzb_controller_dispatch (controller, now);
-      hzb_records_flush_if_due (controller->records); /* releases tasks of jobs that could start now */
+      /* The flush releases tasks that the dispatcher could start now. */
+      hzb_records_flush_if_due (controller->records);
     }
   hzb_records_flush_if_due (controller->records);
 }
--- a/src/controller/ownership-transitions.c
+++ b/src/controller/ownership-transitions.c
@@ -1,10 +1,10 @@
-/* How this node comes to own a shard, and how it gives it up. */
+/* Begins and ends this node's ownership of a shard, as leader or as leaseholder. */
 #include "controller-private.h"
 #include "record-keys.h"
 
-#define OWNER_PAGE_PAUSE_S 0.4 /* after a page of the leader's records that did not come */
+#define OWNER_PAGE_RETRY_S 0.4 /* pause before the next request for a page that could not be read */
 
-/* ---- reading the records of the leader before ---- */
+/* ---- load of the previous leader's records ---- */
 
 static void on_owner_page (HzbKvResult result, const char *body, gpointer user);
 
@@ -12,7 +12,7 @@
 request_owner_page (HzbController *controller)
 {
   controller->owner_page_requested = TRUE;
-  hzb_kv_client_range (controller->kv, HZB_KEY_OWNER, controller->owner_load_cursor, on_owner_page,
+  hzb_kv_client_range (controller->kv, HZB_KEY_LEADER_RECORDS, controller->owner_load_cursor, on_owner_page,
                        hzb_epoch_call_new (controller->ownership, controller, NULL));
 }
 
@@ -33,8 +33,9 @@
 finish_owner_load (HzbController *controller)
 {
   hzb_records_load_finished (controller->records);
-  hzb_reconciliation_loaded (controller->reconciliation);
-  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_RECOVERING, "the records have been read");
+  hzb_reconciliation_finish_loading (controller->reconciliation);
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_RECOVERING,
+                           "the records of the previous leader have been read");
 }
 
 static void
@@ -52,8 +53,8 @@
   entries = result == HZB_KV_OK ? hzb_kv_range_decode (body, &more, &revision) : NULL;
   if (!entries)
     {
-      /* Guards against a leader that asks again at once, all the time, while the key-value store refuses it. */
-      controller->next_owner_page = hzb_time_plus (hzb_clock_now (controller->clock), OWNER_PAGE_PAUSE_S);
+      /* The pause keeps this node from repeating the request continuously while the key-value store refuses it. */
+      controller->next_owner_page = hzb_time_plus (hzb_clock_now (controller->clock), OWNER_PAGE_RETRY_S);
       return;
     }
   apply_owner_page (controller, entries);
@@ -63,7 +64,7 @@
     finish_owner_load (controller);
 }
 
-/* ---- as leader ---- */
+/* ---- ownership as leader ---- */
 
 static void
 begin_leadership (HzbController *controller)
@@ -87,7 +88,7 @@
 end_leadership (HzbController *controller)
 {
   hzb_ownership_begin_epoch (controller->ownership);
-  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_NONE, "not the leader any more");
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_NONE, "this node is no longer the leader");
   hzb_records_reset (controller->records);
   hzb_reconciliation_reset (controller->reconciliation);
   hzb_completed_job_archive_reset (controller->completed_job_archive);
@@ -96,7 +97,8 @@
   g_clear_pointer (&controller->shard, hzb_shard_free);
 }
 
-/* The shard is still that of an earlier term: this node was elected anew before it noticed that it had lost its leadership. */
+/* Returns: whether the shard still belongs to an earlier term, since this node was elected again before it noticed that
+ * it had lost the leadership. */
 static gboolean
 shard_is_of_earlier_term (const HzbController *controller)
 {
@@ -104,8 +106,8 @@
          && hzb_fencing_token_term (controller->shard->fencing_token) != hzb_election_term (controller->election);
 }
 
-/* Between its election and reading the leader's records, the replica of the records must have caught up with the record of the
- * term: it then shows every job that the leader before could have started. */
+/* After its election, this node must not read the previous leader's records until its replica has caught up with the
+ * record of the new term: the replica then shows every job that the previous leader could have started. */
 static gboolean
 may_begin_leadership (const HzbController *controller)
 {
@@ -120,7 +122,7 @@
   gboolean leading = hzb_election_is_leader (controller->election);
 
   if (leading)
-    hzb_controller_end_leased (controller, "this node leads now");
+    hzb_controller_end_shard_lease (controller, "this node was elected leader");
   if (leading && shard_is_of_earlier_term (controller))
     end_leadership (controller);
   if (leading && may_begin_leadership (controller))
@@ -133,15 +135,16 @@
 }
 
 void
-hzb_controller_recovered (HzbController *controller)
+hzb_controller_finish_recovery (HzbController *controller)
 {
-  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_READY, "every machine has answered or is gone");
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_READY,
+                           "every machine on record has sent a heartbeat under this term or is gone");
 }
 
-/* ---- as leaseholder ---- */
+/* ---- ownership as leaseholder ---- */
 
 void
-hzb_controller_begin_leased (HzbController *controller, guint64 fencing_token)
+hzb_controller_begin_shard_lease (HzbController *controller, guint64 fencing_token)
 {
   hzb_ownership_begin_epoch (controller->ownership);
   controller->shard = hzb_shard_new_leased (controller->settings, fencing_token);
@@ -154,7 +157,7 @@
 }
 
 void
-hzb_controller_end_leased (HzbController *controller, const char *why)
+hzb_controller_end_shard_lease (HzbController *controller, const char *why)
 {
   if (!hzb_ownership_is_leaseholder (controller->ownership))
     return;
--- a/src/controller/replica-records.c
+++ b/src/controller/replica-records.c
@@ -1,4 +1,4 @@
-/* What the replica of the records shows, handed to the modules that keep it. */
+/* Passes the records that the replica shows to the modules that keep them. */
 #include "controller-private.h"
 #include "json.h"
 #include "record-keys.h"
@@ -15,7 +15,7 @@
   else
     {
       hzb_dispatch_clear_indexes (controller->dispatch);
-      hzb_jobs_remove (controller->jobs, uid); /* the leader has moved the record to the archive */
+      hzb_jobs_remove (controller->jobs, uid); /* the leader has moved the job's record to the archive */
     }
 }
 
@@ -35,8 +35,8 @@
     hzb_election_apply_record (controller->election, entry);
 }
 
-/* Guards against a job that completed and is taken for an unfinished one: while the records are read anew, a job without a record
- * of its completion may be one that this node owns. So the node gives up its shard before it reads. */
+/* While all records are read again, a job that this node owns may have a completion record that was not read yet. This
+ * node would then treat a completed job as unfinished. So the load must wait until this node has given up its shard. */
 static gboolean
 may_load (gpointer user)
 {
@@ -48,7 +48,7 @@
 begin_load (gpointer user)
 {
   HzbController *controller = user;
-  controller->load_saw_leader = FALSE;
+  controller->load_shows_leader = FALSE;
   hzb_jobs_load_begin (controller->jobs);
 }
 
@@ -58,9 +58,9 @@
   return g_str_equal (entry->key, HZB_KEY_LEADER_SCHEMA_1) || g_str_equal (entry->key, HZB_KEY_LEADER_SCHEMA_2);
 }
 
-/* Cancellations are logged for controllers that have not seen their records. */
+/* Cancellations are kept in a log, from which peers learn of those whose records they have not read. */
 static void
-log_cancellation (HzbController *controller, const HzbKvEntry *entry)
+note_cancellation_record (HzbController *controller, const HzbKvEntry *entry)
 {
   const HzbJob *job = NULL;
 
@@ -76,9 +76,9 @@
   HzbController *controller = user;
 
   if (is_leader_record (entry) && hzb_json_u64 (entry->value, "lease"))
-    controller->load_saw_leader = TRUE;
+    controller->load_shows_leader = TRUE;
   hzb_controller_apply_record (controller, entry);
-  log_cancellation (controller, entry);
+  note_cancellation_record (controller, entry);
 }
 
 static void
@@ -86,7 +86,7 @@
 {
   HzbController *controller = user;
 
-  if (!controller->load_saw_leader)
+  if (!controller->load_shows_leader)
     {
       HzbKvEntry no_leader = { (char *) HZB_KEY_LEADER_SCHEMA_1, NULL, revision };
       hzb_election_apply_record (controller->election, &no_leader);
@@ -96,16 +96,17 @@
   hzb_cancellations_note_load (controller->cancellations, revision);
 }
 
-/* A node that has missed too many changes can't tell which of the jobs that it owns have completed. */
+/* The replica has missed changes, so this node does not know which of the jobs that it owns have completed. It gives up
+ * its shard. */
 static void
-lost_changes (gpointer user)
+handle_lost_changes (gpointer user)
 {
   HzbController *controller = user;
-  static const char *const why = "its replica of the records is too far behind";
+  static const char *const why = "the replica of the records has missed changes and must be loaded again";
 
   hzb_election_step_down (controller->election, why);
-  hzb_controller_end_leased (controller, why);
+  hzb_controller_end_shard_lease (controller, why);
 }
 
 const HzbKvReplicaCallbacks hzb_controller_replica_callbacks = { may_load, begin_load, apply_entry, end_load,
-                                                                 lost_changes };
+                                                                 handle_lost_changes };
