--- a/src/reconciliation/reconciliation-admin.h
+++ b/src/reconciliation/reconciliation-admin.h
@@ -1,9 +1,9 @@
 /**
  * SECTION: reconciliation-admin
- * @short_description: the operators' requests about reconciliations
+ * @short_description: the administration API's requests about reconciliations
  *
- * `GET reconciliation`, `POST reconciliation/quarantine/JOB/NUMBER`, `GET reconciliations` and `GET reconciliations/ID`
- * of the administration API; docs/operating-cold-start.md describes them.
+ * Handles `GET reconciliation`, `POST reconciliation/quarantine/JOB/NUMBER`, `GET reconciliations` and `GET
+ * reconciliations/ID`; docs/operating-cold-start.md describes them.
  */
 #pragma once
 #include "http-request.h"
@@ -11,14 +11,16 @@
 
 #include <cjson/cJSON.h>
 
-/** hzb_reconciliation_pack_metrics: adds what `GET metrics` says of reconciliation, while it is switched on. */
-void hzb_reconciliation_pack_metrics (HzbReconciliation *reconciliation, cJSON *metrics);
+/** hzb_reconciliation_add_metrics: adds the reconciliation's part of the response to `GET metrics`, if reconciliation
+ * is enabled. */
+void hzb_reconciliation_add_metrics (HzbReconciliation *reconciliation, cJSON *metrics);
 
 /**
- * hzb_reconciliation_admin_request:
- * `path`: below the administration API's prefix
+ * hzb_reconciliation_admin_request: handles a request if its path is about reconciliations.
+ * `path`: the request's path without the administration API's prefix
  *
- * Returns: %FALSE if the path is none of these; else the request is answered, now or later
+ * Returns: %FALSE, without a response, if the path is not about reconciliations; else %TRUE: the request gets its
+ * response before or after this function returns
  */
 gboolean
 hzb_reconciliation_admin_request (HzbReconciliation *reconciliation, HzbHttpRequest *http_request, const char *path);
--- a/src/reconciliation/reconciliation-codec.c
+++ b/src/reconciliation/reconciliation-codec.c
@@ -3,9 +3,10 @@
 #include "json.h"
 #include "user-protocol.h"
 
-#define ENTRY_BYTES 48u /* of a verdict on a page, beside the job's id */
+#define MAX_ENTRY_BYTES 48u /* of a verdict on a page, without the job's id */
 
-/* A verdict is an array on its page, so that more of them fit; these are the positions in it. */
+/* Positions in the array that encodes a verdict on a page. An array is shorter than an object, so a page holds more
+ * verdicts. */
 enum
 {
   ROW_VERDICT,
@@ -22,8 +23,9 @@
   return g_quark_from_static_string ("hzb-reconciliation-error");
 }
 
+/* Returns: FALSE, with an error */
 static gboolean
-malformed (GError **error, const char *what)
+set_malformed (GError **error, const char *what)
 {
   g_set_error (error, HZB_RECONCILIATION_ERROR, HZB_RECONCILIATION_ERROR_MALFORMED, "%s", what);
   return FALSE;
@@ -37,10 +39,11 @@
   if (format > HZB_RECONCILIATION_FORMAT)
     {
       g_set_error (error, HZB_RECONCILIATION_ERROR, HZB_RECONCILIATION_ERROR_FUTURE_FORMAT,
-                   "format %g is of a later version; this one reads up to %u", format, HZB_RECONCILIATION_FORMAT);
+                   "a later version wrote it, in format %g; this version reads formats up to %u", format,
+                   HZB_RECONCILIATION_FORMAT);
       return FALSE;
     }
-  return format == HZB_RECONCILIATION_FORMAT || malformed (error, "no format is stated");
+  return format == HZB_RECONCILIATION_FORMAT || set_malformed (error, "it states no valid format");
 }
 
 guint64
@@ -49,7 +52,7 @@
   return hzb_json_u64 (value, "term");
 }
 
-/* ---- the record ---- */
+/* ---- the reconciliation record ---- */
 
 cJSON *
 hzb_reconciliation_record_encode (const HzbReconciliationRecord *record)
@@ -73,7 +76,7 @@
   record->starts = (guint) CLAMP (hzb_json_number (value, "starts", 0), 0, G_MAXINT32);
   record->began = hzb_json_number (value, "began", 0);
   if (!record->id || record->term < record->id || !record->starts)
-    return malformed (error, "the id, the term or the number of starts makes no sense");
+    return set_malformed (error, "its id, its term or its number of starts is missing or invalid");
   return TRUE;
 }
 
@@ -96,7 +99,7 @@
 gsize
 hzb_verdict_entry_bytes (const HzbVerdictEntry *entry)
 {
-  return strlen (entry->uid) + ENTRY_BYTES;
+  return strlen (entry->uid) + MAX_ENTRY_BYTES;
 }
 
 static void
@@ -125,12 +128,12 @@
 }
 
 static gboolean
-row_number (const cJSON *row, int at, double most, guint *number)
+decode_row_integer (const cJSON *row, int position, double max, guint *integer)
 {
-  const cJSON *item = cJSON_GetArrayItem (row, at);
-  if (!cJSON_IsNumber (item) || !(item->valuedouble >= 0 && item->valuedouble <= most))
+  const cJSON *item = cJSON_GetArrayItem (row, position);
+  if (!cJSON_IsNumber (item) || !(item->valuedouble >= 0 && item->valuedouble <= max))
     return FALSE;
-  *number = (guint) item->valuedouble;
+  *integer = (guint) item->valuedouble;
   return TRUE;
 }
 
@@ -141,10 +144,10 @@
 
   if (cJSON_GetArraySize (row) != ROW_LENGTH
       || !hzb_job_verdict_from_name (cJSON_GetStringValue (cJSON_GetArrayItem (row, ROW_VERDICT)), &entry->verdict)
-      || entry->verdict == HZB_JOB_VERDICT_HOLD || !row_number (row, ROW_REASON, HZB_JOB_N_REASONS - 1, &reason)
-      || !row_number (row, ROW_FOUND, HZB_MAX_TASKS, &entry->found)
-      || !row_number (row, ROW_RESULTS, HZB_MAX_TASKS, &entry->results)
-      || !row_number (row, ROW_RESTARTED, HZB_MAX_TASKS, &entry->restarted))
+      || entry->verdict == HZB_JOB_VERDICT_HOLD || !decode_row_integer (row, ROW_REASON, HZB_JOB_N_REASONS - 1, &reason)
+      || !decode_row_integer (row, ROW_FOUND, HZB_MAX_TASKS, &entry->found)
+      || !decode_row_integer (row, ROW_RESULTS, HZB_MAX_TASKS, &entry->results)
+      || !decode_row_integer (row, ROW_RESTARTED, HZB_MAX_TASKS, &entry->restarted))
     return FALSE;
   entry->reason = (HzbJobReason) reason;
   entry->uid = g_strdup (row->string);
@@ -162,7 +165,7 @@
   *id = hzb_json_u64 (page, "id");
   if (!*id || !cJSON_IsObject (jobs))
     {
-      malformed (error, "the id or the list of jobs is missing");
+      set_malformed (error, "its id or its list of jobs is missing");
       return NULL;
     }
   entries = hzb_verdict_entries_new ();
@@ -171,7 +174,7 @@
       HzbVerdictEntry entry = { 0 };
       if (!decode_entry (row, &entry))
         {
-          malformed (error, "a verdict makes no sense");
+          set_malformed (error, "one of its verdicts is invalid");
           return NULL;
         }
       g_array_append_val (entries, entry);
@@ -205,10 +208,10 @@
   return processes;
 }
 
-/* ---- kept tasks ---- */
+/* ---- tasks that operators keep ---- */
 
 cJSON *
-hzb_kept_encode (GHashTable *kept)
+hzb_kept_tasks_encode (GHashTable *kept)
 {
   cJSON *value = cJSON_CreateObject (), *list;
   g_autoptr (GList) names = g_list_sort (g_hash_table_get_keys (kept), (GCompareFunc) strcmp);
@@ -220,14 +223,14 @@
 }
 
 gboolean
-hzb_kept_decode (const cJSON *value, GHashTable *kept, GError **error)
+hzb_kept_tasks_decode (const cJSON *value, GHashTable *kept, GError **error)
 {
   const cJSON *item, *list = cJSON_GetObjectItemCaseSensitive (value, "tasks");
 
   if (!hzb_reconciliation_check_format (value, error))
     return FALSE;
   if (!cJSON_IsArray (list))
-    return malformed (error, "the list of tasks is missing");
+    return set_malformed (error, "its list of tasks is missing");
   cJSON_ArrayForEach (item, list)
     if (cJSON_IsString (item))
       g_hash_table_add (kept, g_strdup (item->valuestring));
--- a/src/reconciliation/reconciliation-load.c
+++ b/src/reconciliation/reconciliation-load.c
@@ -1,23 +1,23 @@
-/* Reading: what the leaders before have recorded, and which jobs wait for a verdict. */
+/* Reads the records that earlier leaders wrote, and determines which jobs wait for a verdict. */
 #include "kv-protocol.h"
 #include "reconciliation-private.h"
 #include "record-keys.h"
 
 #include <string.h>
 
-/* ---- records ---- */
+/* ---- reading records ---- */
 
 static void
-take_verdict (HzbReconciliation *reconciliation, const HzbVerdictEntry *entry)
+load_verdict (HzbReconciliation *reconciliation, const HzbVerdictEntry *entry)
 {
-  HzbTrackedJob *tracked = hzb_reconciliation_track (reconciliation, entry->uid);
+  HzbTrackedJob *tracked = hzb_reconciliation_track_job (reconciliation, entry->uid);
   char *uid = tracked->entry.uid;
 
-  if (tracked->phase == HZB_PHASE_RECORDED)
-    return; /* a durable verdict does not change: the first page that names the job counts */
+  if (tracked->phase == HZB_JOB_PHASE_RECORDED)
+    return; /* a durable verdict does not change: the first page that names the job is used */
   tracked->entry = *entry;
   tracked->entry.uid = uid;
-  hzb_reconciliation_set_phase (reconciliation, tracked, HZB_PHASE_RECORDED);
+  hzb_reconciliation_set_phase (reconciliation, tracked, HZB_JOB_PHASE_RECORDED);
 }
 
 static void
@@ -34,17 +34,17 @@
   if (!entries)
     {
       g_warning (
-          "reconciliation: %s can't be read; its verdicts count for nothing, and its jobs wait for their machines "
-          "and are decided anew: %s. Keep a copy of the record and report it",
+          "reconciliation: can't read the page of verdicts %s: %s. Its verdicts are ignored: its jobs wait for their "
+          "machines and are decided again. Keep a copy of the record and report it",
           item->key, error->message);
       return;
     }
-  /* The key-value store lists the record before its pages. Pages without a record, or of another reconciliation, are
-   * only removed. */
+  /* The key-value store lists the record before its pages, so the record has been read by now. A page without a record,
+   * or of another reconciliation, is not used; its key is kept so that the page is removed. */
   if (reconciliation->record_state == HZB_RECORD_STATE_NONE || id != reconciliation->record.id)
     return;
   for (guint i = 0; i < entries->len; i++)
-    take_verdict (reconciliation, &g_array_index (entries, HzbVerdictEntry, i));
+    load_verdict (reconciliation, &g_array_index (entries, HzbVerdictEntry, i));
 }
 
 static void
@@ -55,13 +55,13 @@
   reconciliation->record_version = item->version;
   if (hzb_reconciliation_record_decode (item->value, &reconciliation->record, &error))
     {
-      hzb_reconciliation_set_record_state (reconciliation, HZB_RECORD_STATE_FOUND);
+      hzb_reconciliation_set_record_state (reconciliation, HZB_RECORD_STATE_UNFINISHED);
       return;
     }
   hzb_reconciliation_set_record_state (reconciliation, HZB_RECORD_STATE_NONE);
   g_warning (
-      "reconciliation: %s can't be read; it and its verdicts count for nothing, and jobs are decided anew: %s. Keep a "
-      "copy of the record and report it",
+      "reconciliation: can't read the record %s: %s. The record and its verdicts are ignored, and jobs are decided "
+      "again. Keep a copy of the record and report it",
       item->key, error->message);
 }
 
@@ -72,7 +72,7 @@
     return;
   if (g_str_equal (item->key, HZB_KEY_FLUSH))
     hzb_roster_load (&reconciliation->roster, item->value);
-  else if (g_str_equal (item->key, HZB_KEY_RECONCILIATION_KEPT))
+  else if (g_str_equal (item->key, HZB_KEY_RECONCILIATION_ARCHIVES))
     hzb_quarantine_load (reconciliation->quarantine, item);
   else if (g_str_has_prefix (item->key, HZB_KEY_RECONCILIATION_VERDICTS))
     load_page (reconciliation, item);
@@ -80,10 +80,10 @@
     load_record (reconciliation, item);
 }
 
-/* ---- all records were read ---- */
+/* ---- end of loading ---- */
 
-/* A leader without reconciliation (an earlier version, or switched off) writes flush records without a roster. If
- * such a leader has led since, the recorded verdicts are about another state of the jobs. */
+/* A leader without reconciliation (an earlier version, or switched off) writes flush records without a roster. If such
+ * a leader has led since the record was written, the recorded verdicts no longer match the state of the jobs. */
 static gboolean
 is_outdated (const HzbReconciliation *reconciliation)
 {
@@ -94,14 +94,16 @@
 static void
 drop_outdated_record (HzbReconciliation *reconciliation)
 {
-  if (reconciliation->record_state == HZB_RECORD_STATE_FOUND && is_outdated (reconciliation))
+  if (reconciliation->record_state == HZB_RECORD_STATE_UNFINISHED && is_outdated (reconciliation))
     {
-      g_message ("reconciliation %" G_GUINT64_FORMAT " is given up: a leader without it has led since",
+      g_message ("reconciliation %" G_GUINT64_FORMAT
+                 ": discarded the record and its verdicts: a leader of an earlier version, or with reconciliation "
+                 "switched off, has led since the record was written",
                  reconciliation->record.id);
       hzb_reconciliation_set_record_state (reconciliation, HZB_RECORD_STATE_NONE);
     }
   if (reconciliation->record_state == HZB_RECORD_STATE_NONE)
-    hzb_reconciliation_forget_jobs (reconciliation);
+    hzb_reconciliation_clear_tracked_jobs (reconciliation);
 }
 
 static void
@@ -112,21 +114,21 @@
   for (guint i = 0; i < active->len; i++)
     {
       HzbJob *job = active->pdata[i];
-      HzbTrackedJob *tracked = hzb_reconciliation_track (reconciliation, job->uid);
+      HzbTrackedJob *tracked = hzb_reconciliation_track_job (reconciliation, job->uid);
       tracked->tasks = job->n_tasks;
       tracked->released = job->released;
-      job->awaits_verdict = tracked->phase != HZB_PHASE_RECORDED;
+      job->awaits_verdict = tracked->phase != HZB_JOB_PHASE_RECORDED;
     }
 }
 
 void
-hzb_reconciliation_loaded (HzbReconciliation *reconciliation)
+hzb_reconciliation_finish_loading (HzbReconciliation *reconciliation)
 {
   if (!hzb_reconciliation_enabled (reconciliation))
     return;
   reconciliation->began = hzb_clock_now (reconciliation->dependencies.node->clock);
   reconciliation->next_scan = reconciliation->next_write = reconciliation->began;
   drop_outdated_record (reconciliation);
-  hzb_reconciliation_set_state (reconciliation, HZB_RECONCILIATION_DETECTING, "the records have been read");
+  hzb_reconciliation_set_state (reconciliation, HZB_RECONCILIATION_DETECTING, "the leader has read all records");
   track_active_jobs (reconciliation);
 }
--- a/src/reconciliation/reconciliation-private.h
+++ b/src/reconciliation/reconciliation-private.h
@@ -2,9 +2,9 @@
  * SECTION: reconciliation-private
  * @short_description: the state that the source files of reconciliation share
  *
- * reconciliation.c owns the state machines and calls the other files when they are due: reconciliation-load.c reads
- * records, cold-start.c tells a cold start from a change of leader, job-scan.c decides, recorder.c makes the
- * decisions durable, command-gate.c holds commands back, reconciliation-admin.c shows the state to operators.
+ * reconciliation.c owns the state machines and calls the other files: reconciliation-load.c reads records, cold-start.c
+ * tells a cold start from a failover, job-scan.c decides about jobs, recorder.c writes the verdicts, command-gate.c
+ * withholds commands, reconciliation-admin.c shows the state to operators.
  */
 #pragma once
 #include "reconciliation-codec.h"
@@ -12,52 +12,52 @@
 #include "roster.h"
 
 /**
- * HzbJobPhase: how far the verdict on a job is.
+ * HzbJobPhase: the progress of the verdict on a job.
  *
- * Allowed: open -> decided -> sent -> recorded, and decided -> recorded and open -> recorded where the verdict rests on
- * what is durable anyway, or was read from a page.
+ * Allowed: open -> decided -> sent -> recorded. Also decided -> recorded and open -> recorded, for a verdict that rests
+ * on durable evidence only or that was read from a page.
  */
 typedef enum
 {
-  HZB_PHASE_OPEN,    /**< no verdict yet: the job is held */
-  HZB_PHASE_DECIDED, /**< a verdict that is not on any page yet */
-  HZB_PHASE_SENT,    /**< on a page that was sent to the key-value store at least once */
-  HZB_PHASE_RECORDED /**< durable: commands for the job may be given */
+  HZB_JOB_PHASE_OPEN,    /**< no verdict yet: commands for the job are withheld */
+  HZB_JOB_PHASE_DECIDED, /**< the verdict is not on any page yet */
+  HZB_JOB_PHASE_SENT,    /**< the verdict is on a page that was sent to the key-value store at least once */
+  HZB_JOB_PHASE_RECORDED /**< the verdict is durable: commands for the job may be sent */
 } HzbJobPhase;
 
 /** HzbTrackedJob: a job that was active when the cold start began. */
 typedef struct
 {
-  HzbVerdictEntry entry; /**< the verdict, once the phase is beyond open */
-  guint tasks;           /**< how many the job has */
-  guint released;        /**< only tasks below this mark can have been started */
+  HzbVerdictEntry entry; /**< the verdict; only its uid is valid while the phase is open */
+  guint tasks;           /**< number of tasks of the job */
+  guint released;        /**< only tasks below this number can have been started */
   HzbJobPhase phase;     /**< changed by hzb_reconciliation_set_phase() only */
-  double at_s;           /**< when the verdict became durable, in seconds after the beginning */
+  double recorded_s;     /**< when the verdict became durable, in seconds since the reconciliation began */
 } HzbTrackedJob;
 
-/** HzbVerdictPage: a page of verdicts in flight. */
+/** HzbVerdictPage: a page of verdicts whose write is not known to be durable. */
 typedef struct
 {
-  char *key;       /**< used for this page only */
-  GPtrArray *jobs; /**< (element-type HzbTrackedJob), not owned */
+  char *key;       /**< (owned): key of the page, never used for another page */
+  GPtrArray *jobs; /**< (element-type HzbTrackedJob): the jobs on the page, not owned */
 } HzbVerdictPage;
 
-/** HzbRecordState: the record of the reconciliation, which says that a cold start has begun. */
+/** HzbRecordState: the state of the record which says that a cold start has begun. */
 typedef enum
 {
-  HZB_RECORD_STATE_NONE,      /**< there is none */
-  HZB_RECORD_STATE_FOUND,     /**< an earlier leader wrote one and did not complete */
-  HZB_RECORD_STATE_UNWRITTEN, /**< this leader's is not durable yet: nothing may be decided */
-  HZB_RECORD_STATE_DURABLE,   /**< this leader's is durable */
-  HZB_RECORD_N_STATES         /**< how many states there are */
+  HZB_RECORD_STATE_NONE,       /**< there is no record */
+  HZB_RECORD_STATE_UNFINISHED, /**< an earlier leader wrote a record and did not complete its reconciliation */
+  HZB_RECORD_STATE_UNWRITTEN,  /**< this leader's record is not durable yet: no job may be decided */
+  HZB_RECORD_STATE_DURABLE,    /**< this leader's record is durable */
+  HZB_RECORD_N_STATES          /**< number of states */
 } HzbRecordState;
 
-/** HzbArchiveProgress: the archive, written once all verdicts are durable. */
+/** HzbArchiveProgress: the progress of the archive, which is written once all verdicts are durable. */
 typedef enum
 {
-  HZB_ARCHIVE_UNWRITTEN, /**< not written, or the last attempt failed */
+  HZB_ARCHIVE_UNWRITTEN, /**< not written yet, or the last attempt failed */
   HZB_ARCHIVE_WRITING,   /**< an attempt is in flight */
-  HZB_ARCHIVE_WRITTEN    /**< durable: the verdicts may be removed */
+  HZB_ARCHIVE_WRITTEN    /**< the archive is durable: the verdicts may be removed */
 } HzbArchiveProgress;
 
 /** hzb_reconciliation_enabled: Returns: whether the settings switch reconciliation on */
@@ -66,79 +66,84 @@
 /** hzb_reconciliation_elapsed_s: Returns: seconds since the reconciliation began under this leader */
 double hzb_reconciliation_elapsed_s (const HzbReconciliation *reconciliation);
 
-/** hzb_reconciliation_set_state: the only place where the state changes; refuses what is not allowed. */
-void hzb_reconciliation_set_state (HzbReconciliation *reconciliation, HzbReconciliationState to, const char *why);
+/** hzb_reconciliation_set_state: changes and logs the state; the only function that does. An illegal transition is
+ * logged and refused. `reason`: for the log */
+void hzb_reconciliation_set_state (HzbReconciliation *reconciliation, HzbReconciliationState to, const char *reason);
 
-/** hzb_reconciliation_set_record_state: the only place where the state of the record changes; refuses what is not
- * allowed. */
+/** hzb_reconciliation_set_record_state: changes the state of the record; the only function that does. An illegal
+ * transition is logged and refused. */
 void hzb_reconciliation_set_record_state (HzbReconciliation *reconciliation, HzbRecordState to);
 
-/** hzb_reconciliation_set_phase: the only place where a job's phase changes. Once recorded, commands may be given. */
+/** hzb_reconciliation_set_phase: changes a job's phase; the only function that does. An illegal transition is logged
+ * and refused. From the phase "recorded" on, commands for the job may be sent. */
 void hzb_reconciliation_set_phase (HzbReconciliation *reconciliation, HzbTrackedJob *tracked, HzbJobPhase to);
 
-/** hzb_reconciliation_track: Returns: (transfer none): the tracked job of this id, added with an open verdict if it
- * is new */
-HzbTrackedJob *hzb_reconciliation_track (HzbReconciliation *reconciliation, const char *uid);
+/** hzb_reconciliation_track_job: Returns: (transfer none): the tracked job with this uid; a new one, with an open
+ * verdict, if the job is not tracked yet */
+HzbTrackedJob *hzb_reconciliation_track_job (HzbReconciliation *reconciliation, const char *uid);
 
-/** hzb_reconciliation_forget_jobs: tracks no job any more. */
-void hzb_reconciliation_forget_jobs (HzbReconciliation *reconciliation);
+/** hzb_reconciliation_clear_tracked_jobs: stops tracking all jobs. */
+void hzb_reconciliation_clear_tracked_jobs (HzbReconciliation *reconciliation);
 
-/** hzb_reconciliation_wake_scheduling: what a verdict has released is looked at in this turn of the loop. */
+/** hzb_reconciliation_wake_scheduling: makes the machine scan and the dispatcher due at once, for the jobs whose
+ * commands are no longer withheld. */
 void hzb_reconciliation_wake_scheduling (HzbReconciliation *reconciliation);
 
 /** hzb_reconciliation_detect: decides whether this is a cold start, as soon as the evidence suffices. */
 void hzb_reconciliation_detect (HzbReconciliation *reconciliation, struct timespec now);
 
-/** hzb_reconciliation_scan_machines: notes which machines are accounted for by now. */
+/** hzb_reconciliation_scan_machines: updates which machines are accounted for. */
 void hzb_reconciliation_scan_machines (HzbReconciliation *reconciliation, struct timespec now);
 
-/** hzb_reconciliation_scan: decides about the jobs whose machines are accounted for, once the record is durable. */
-void hzb_reconciliation_scan (HzbReconciliation *reconciliation, struct timespec now);
+/** hzb_reconciliation_scan_jobs: scans the machines, then decides the jobs whose machines are accounted for. Decides
+ * no job before the record is durable. Does nothing until the next scan is due. */
+void hzb_reconciliation_scan_jobs (HzbReconciliation *reconciliation, struct timespec now);
 
-/** hzb_recorder_reset: forgets what is written and what is in flight. */
+/** hzb_recorder_reset: drops the recorder's state, including what is in flight. */
 void hzb_recorder_reset (HzbReconciliation *reconciliation);
 
-/** hzb_recorder_write_verdicts: makes decisions durable, one transaction at a time. */
+/** hzb_recorder_write_verdicts: writes the record and new verdicts, one transaction at a time. */
 void hzb_recorder_write_verdicts (HzbReconciliation *reconciliation, struct timespec now);
 
-/** hzb_recorder_finish: writes the archive once commands are not paced any more, then removes the verdicts. */
+/** hzb_recorder_finish: writes the archive once commands are no longer paced, then removes the verdicts. */
 void hzb_recorder_finish (HzbReconciliation *reconciliation, struct timespec now);
 
-/** hzb_recorder_clean_up: removes the pages of verdicts, and the record last. */
+/** hzb_recorder_clean_up: removes the pages of verdicts, and the record with the last of them. */
 void hzb_recorder_clean_up (HzbReconciliation *reconciliation, struct timespec now);
 
-/** HzbReconciliation: the shared state. */
+/** HzbReconciliation: the state shared by the source files. */
 struct _HzbReconciliation
 {
   HzbReconciliationDependencies dependencies; /**< copied */
   HzbReconciliationState state;               /**< changed by hzb_reconciliation_set_state() only */
-  HzbStartReason start_reason;                /**< why it was taken for a cold start, or not */
-  struct timespec began;                      /**< when the records had been read */
-  HzbRoster roster;                           /**< which processes were alive */
-  HzbQuarantine *quarantine;                  /**< tasks that no record names */
-  HzbArchiveStore *archives;                  /**< of completed reconciliations */
-  HzbStartPacing pacing;                      /**< of commands after a cold start */
-
-  /* The record and what is decided. */
+  HzbStartReason start_reason;                /**< why this start is a cold start, or is none */
+  struct timespec began;                      /**< when all records had been read; in a cold start, when collecting
+                                                   began */
+  HzbRoster roster;                           /**< the controller processes that are alive */
+  HzbQuarantine *quarantine;                  /**< (owned): tasks that no record names */
+  HzbArchiveStore *archives;                  /**< (owned): archives of completed reconciliations */
+  HzbStartPacing pacing;                      /**< pacing of commands after a cold start */
+
+  /* The record and the verdicts. */
   HzbReconciliationRecord record; /**< valid unless its state is NONE */
   HzbRecordState record_state;    /**< changed by hzb_reconciliation_set_record_state() only */
-  GHashTable *tracked;            /**< uid -> HzbTrackedJob */
-  guint open;                     /**< tracked jobs without a verdict */
-  guint unrecorded;               /**< tracked jobs whose verdict is not durable */
-  GArray *machines;               /**< (element-type HzbArchivedMachine): may have held tasks */
-  struct timespec next_scan;      /**< when machines and open jobs are examined again */
-
-  /* What was done, for operators. */
-  guint verdicts[HZB_TASK_N_VERDICTS][HZB_TASK_N_REASONS];  /**< on tasks */
-  guint commands[HZB_ARCHIVE_N_KINDS][HZB_ARCHIVE_SECONDS]; /**< given in each of the first seconds */
-
-  /* recorder.c */
-  guint64 record_version; /**< of the record in the key-value store; 0: it is not there */
-  GPtrArray *page_keys;   /**< (element-type utf8): pages of verdicts in the key-value store */
-  guint next_page;        /**< the number of the next page */
-  GPtrArray *in_flight;   /**< (element-type HzbVerdictPage): sent, with unknown outcome, or to be sent again */
-  gboolean sending;       /**< a transaction is in flight */
+  GHashTable *tracked_jobs;       /**< uid -> HzbTrackedJob */
+  guint open_jobs;                /**< number of tracked jobs without a verdict */
+  guint unrecorded_jobs;          /**< number of tracked jobs whose verdict is not durable */
+  GArray *machines;               /**< (element-type HzbArchivedMachine): machines that may hold tasks */
+  struct timespec next_scan;      /**< when machines and open jobs are scanned again */
+
+  /* Counts for operators. */
+  guint verdict_counts[HZB_TASK_N_VERDICTS][HZB_TASK_N_REASONS];          /**< verdicts on tasks */
+  guint command_counts[HZB_ARCHIVE_N_COMMAND_KINDS][HZB_ARCHIVE_SECONDS]; /**< commands in each of the first seconds */
+
+  /* State of recorder.c. */
+  guint64 record_version; /**< version of the record in the key-value store; 0: it has no record */
+  GPtrArray *page_keys;   /**< (element-type utf8): keys of the pages of verdicts in the key-value store */
+  guint next_page;        /**< number of the next page */
+  GPtrArray *in_flight; /**< (element-type HzbVerdictPage): pages in flight, of unknown outcome, or to be sent again */
+  gboolean sending;     /**< a transaction, or the read of its outcome, is in flight */
   HzbArchiveProgress archive_progress; /**< changed by recorder.c only */
-  GBytes *archive;                     /**< (nullable): packed, until it is durable */
+  GBytes *archive;                     /**< (nullable): the packed archive, kept until it is durable */
   struct timespec next_write;          /**< when the next transaction may be sent */
 };
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -1,11 +1,10 @@
-/* The state machines of a reconciliation. One reconciliation spans as many leaderships as it takes: its record and
- * the pages of verdicts lie below HZB_KEY_OWNER, and the next leader goes on from them. A durable verdict is
- * never made anew. */
+/* The state machines of a reconciliation. A reconciliation can span several leaderships: its record and its pages of
+ * verdicts are stored below HZB_KEY_LEADER_RECORDS, and the next leader continues from them. A durable verdict never changes. */
 #include "reconciliation-private.h"
 
 #include <string.h>
 
-/* ---- the state ---- */
+/* ---- states ---- */
 
 static const char *const state_names[HZB_RECONCILIATION_N_STATES] = {
   [HZB_RECONCILIATION_NONE] = "none",
@@ -26,22 +25,23 @@
 static gboolean
 counts_are_consistent (const HzbReconciliation *reconciliation)
 {
-  return reconciliation->open <= reconciliation->unrecorded
-         && reconciliation->unrecorded <= g_hash_table_size (reconciliation->tracked);
+  return reconciliation->open_jobs <= reconciliation->unrecorded_jobs
+         && reconciliation->unrecorded_jobs <= g_hash_table_size (reconciliation->tracked_jobs);
 }
 
-/* From deciding on the record of the cold start is durable and every job is decided; after that every verdict is durable. */
+/* While collecting, this leader has a record. From "deciding" on, the record is durable and every job is decided. From
+ * "recorded" on, every verdict is durable. */
 static gboolean
-is_as_far_as_its_state_says (const HzbReconciliation *reconciliation)
+progress_matches_state (const HzbReconciliation *reconciliation)
 {
   HzbReconciliationState state = reconciliation->state;
 
   if (state < HZB_RECONCILIATION_COLLECTING || state > HZB_RECONCILIATION_COMPLETE)
-    return TRUE; /* not of a cold start */
+    return TRUE; /* no cold start is being reconciled */
   if (state == HZB_RECONCILIATION_COLLECTING)
     return reconciliation->record_state >= HZB_RECORD_STATE_UNWRITTEN;
-  return reconciliation->record_state == HZB_RECORD_STATE_DURABLE && !reconciliation->open
-         && (state == HZB_RECONCILIATION_DECIDING || !reconciliation->unrecorded);
+  return reconciliation->record_state == HZB_RECORD_STATE_DURABLE && !reconciliation->open_jobs
+         && (state == HZB_RECONCILIATION_DECIDING || !reconciliation->unrecorded_jobs);
 }
 
 /* Called after each change of the state. */
@@ -49,13 +49,13 @@
 check_invariants (const HzbReconciliation *reconciliation)
 {
   g_return_if_fail (counts_are_consistent (reconciliation));
-  g_return_if_fail (is_as_far_as_its_state_says (reconciliation));
+  g_return_if_fail (progress_matches_state (reconciliation));
 }
 
 #define TO(state) (1u << HZB_RECONCILIATION_##state)
 
 void
-hzb_reconciliation_set_state (HzbReconciliation *reconciliation, HzbReconciliationState to, const char *why)
+hzb_reconciliation_set_state (HzbReconciliation *reconciliation, HzbReconciliationState to, const char *reason)
 {
   static const guint legal[HZB_RECONCILIATION_N_STATES] = {
     [HZB_RECONCILIATION_NONE] = TO (DETECTING),
@@ -73,7 +73,7 @@
                   state_names[reconciliation->state], state_names[to]);
       return;
     }
-  g_message ("reconciliation: %s -> %s: %s", state_names[reconciliation->state], state_names[to], why);
+  g_message ("reconciliation: %s -> %s: %s", state_names[reconciliation->state], state_names[to], reason);
   reconciliation->state = to;
   check_invariants (reconciliation);
 }
@@ -92,8 +92,8 @@
 hzb_reconciliation_set_record_state (HzbReconciliation *reconciliation, HzbRecordState to)
 {
   static const guint legal[HZB_RECORD_N_STATES] = {
-    [HZB_RECORD_STATE_NONE] = TO (NONE) | TO (FOUND) | TO (UNWRITTEN),
-    [HZB_RECORD_STATE_FOUND] = TO (FOUND) | TO (NONE) | TO (UNWRITTEN),
+    [HZB_RECORD_STATE_NONE] = TO (NONE) | TO (UNFINISHED) | TO (UNWRITTEN),
+    [HZB_RECORD_STATE_UNFINISHED] = TO (UNFINISHED) | TO (NONE) | TO (UNWRITTEN),
     [HZB_RECORD_STATE_UNWRITTEN] = TO (DURABLE) | TO (NONE),
     [HZB_RECORD_STATE_DURABLE] = TO (DURABLE) | TO (NONE),
   };
@@ -126,25 +126,25 @@
 }
 
 HzbTrackedJob *
-hzb_reconciliation_track (HzbReconciliation *reconciliation, const char *uid)
+hzb_reconciliation_track_job (HzbReconciliation *reconciliation, const char *uid)
 {
-  HzbTrackedJob *tracked = g_hash_table_lookup (reconciliation->tracked, uid);
+  HzbTrackedJob *tracked = g_hash_table_lookup (reconciliation->tracked_jobs, uid);
 
   if (tracked)
     return tracked;
   tracked = g_new0 (HzbTrackedJob, 1);
   tracked->entry.uid = g_strdup (uid);
-  g_hash_table_insert (reconciliation->tracked, tracked->entry.uid, tracked);
-  reconciliation->open++;
-  reconciliation->unrecorded++;
+  g_hash_table_insert (reconciliation->tracked_jobs, tracked->entry.uid, tracked);
+  reconciliation->open_jobs++;
+  reconciliation->unrecorded_jobs++;
   return tracked;
 }
 
 void
-hzb_reconciliation_forget_jobs (HzbReconciliation *reconciliation)
+hzb_reconciliation_clear_tracked_jobs (HzbReconciliation *reconciliation)
 {
-  g_hash_table_remove_all (reconciliation->tracked);
-  reconciliation->open = reconciliation->unrecorded = 0;
+  g_hash_table_remove_all (reconciliation->tracked_jobs);
+  reconciliation->open_jobs = reconciliation->unrecorded_jobs = 0;
 }
 
 void
@@ -166,44 +166,44 @@
                   tracked->entry.uid);
       return;
     }
-  if (tracked->phase == HZB_PHASE_OPEN)
-    reconciliation->open--;
+  if (tracked->phase == HZB_JOB_PHASE_OPEN)
+    reconciliation->open_jobs--;
   tracked->phase = to;
-  if (to != HZB_PHASE_RECORDED)
+  if (to != HZB_JOB_PHASE_RECORDED)
     return;
-  reconciliation->unrecorded--;
-  tracked->at_s = hzb_reconciliation_elapsed_s (reconciliation);
+  reconciliation->unrecorded_jobs--;
+  tracked->recorded_s = hzb_reconciliation_elapsed_s (reconciliation);
   job = hzb_jobs_find (reconciliation->dependencies.jobs, tracked->entry.uid);
   if (job)
     job->awaits_verdict = FALSE;
   hzb_reconciliation_wake_scheduling (reconciliation);
 }
 
-/* ---- life ---- */
+/* ---- creation, release and reset ---- */
 
 static HzbQuarantine *
-new_quarantine (const HzbReconciliationDependencies *uses)
+new_quarantine (const HzbReconciliationDependencies *modules)
 {
   HzbQuarantineDependencies dependencies = {
-    .node = uses->node,
-    .kv = uses->kv,
-    .kv_replica = uses->kv_replica,
-    .election = uses->election,
-    .ownership = uses->ownership,
-    .jobs = uses->jobs,
-    .machines = uses->machines,
+    .node = modules->node,
+    .kv = modules->kv,
+    .kv_replica = modules->kv_replica,
+    .election = modules->election,
+    .ownership = modules->ownership,
+    .jobs = modules->jobs,
+    .machines = modules->machines,
   };
   return hzb_quarantine_new (&dependencies);
 }
 
 static HzbArchiveStore *
-new_archive_store (const HzbReconciliationDependencies *uses)
+new_archive_store (const HzbReconciliationDependencies *modules)
 {
   HzbArchiveStoreDependencies dependencies = {
-    .node = uses->node,
-    .kv = uses->kv,
-    .election = uses->election,
-    .ownership = uses->ownership,
+    .node = modules->node,
+    .kv = modules->kv,
+    .election = modules->election,
+    .ownership = modules->ownership,
   };
   return hzb_archive_store_new (&dependencies);
 }
@@ -226,7 +226,7 @@
   reconciliation->quarantine = new_quarantine (dependencies);
   reconciliation->archives = new_archive_store (dependencies);
   reconciliation->page_keys = g_ptr_array_new_with_free_func (g_free);
-  reconciliation->tracked = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, tracked_job_free);
+  reconciliation->tracked_jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, tracked_job_free);
   reconciliation->machines = hzb_archived_machines_new ();
   reconciliation->in_flight = g_ptr_array_new_with_free_func (verdict_page_free);
   return reconciliation;
@@ -239,7 +239,7 @@
   hzb_quarantine_free (reconciliation->quarantine);
   hzb_archive_store_free (reconciliation->archives);
   g_ptr_array_unref (reconciliation->page_keys);
-  g_hash_table_unref (reconciliation->tracked);
+  g_hash_table_unref (reconciliation->tracked_jobs);
   g_array_unref (reconciliation->machines);
   g_ptr_array_unref (reconciliation->in_flight);
   g_clear_pointer (&reconciliation->archive, g_bytes_unref);
@@ -251,36 +251,36 @@
 {
   if (reconciliation->state > HZB_RECONCILIATION_NONE && reconciliation->state < HZB_RECONCILIATION_COMPLETE)
     hzb_reconciliation_set_state (reconciliation, HZB_RECONCILIATION_ABANDONED,
-                                  "the leadership ended, the next leader goes on");
+                                  "this leadership ended; the next leader continues the reconciliation");
   if (reconciliation->state != HZB_RECONCILIATION_NONE)
-    hzb_reconciliation_set_state (reconciliation, HZB_RECONCILIATION_NONE, "another leadership");
+    hzb_reconciliation_set_state (reconciliation, HZB_RECONCILIATION_NONE, "a leadership of this node began or ended");
   hzb_roster_clear (&reconciliation->roster);
   hzb_quarantine_reset (reconciliation->quarantine);
   hzb_start_pacing_end (&reconciliation->pacing);
   reconciliation->record = (HzbReconciliationRecord){ 0 };
   hzb_reconciliation_set_record_state (reconciliation, HZB_RECORD_STATE_NONE);
-  hzb_reconciliation_forget_jobs (reconciliation);
+  hzb_reconciliation_clear_tracked_jobs (reconciliation);
   g_array_set_size (reconciliation->machines, 0);
-  memset (reconciliation->verdicts, 0, sizeof reconciliation->verdicts);
-  memset (reconciliation->commands, 0, sizeof reconciliation->commands);
+  memset (reconciliation->verdict_counts, 0, sizeof reconciliation->verdict_counts);
+  memset (reconciliation->command_counts, 0, sizeof reconciliation->command_counts);
   hzb_recorder_reset (reconciliation);
 }
 
-/* ---- over time ---- */
+/* ---- periodic work ---- */
 
 static void
-advance (HzbReconciliation *reconciliation)
+advance_state (HzbReconciliation *reconciliation)
 {
   if (reconciliation->state == HZB_RECONCILIATION_COLLECTING && reconciliation->record_state == HZB_RECORD_STATE_DURABLE
-      && !reconciliation->open)
+      && !reconciliation->open_jobs)
     hzb_reconciliation_set_state (reconciliation, HZB_RECONCILIATION_DECIDING,
-                                  "every machine that mattered is accounted for");
-  if (reconciliation->state == HZB_RECONCILIATION_DECIDING && !reconciliation->unrecorded)
+                                  "every machine that can affect a verdict is accounted for");
+  if (reconciliation->state == HZB_RECONCILIATION_DECIDING && !reconciliation->unrecorded_jobs)
     hzb_reconciliation_set_state (reconciliation, HZB_RECONCILIATION_RECORDED, "every verdict is durable");
 }
 
-/* Records of an earlier reconciliation may be left although none is under way: one that was given up, or an
- * unreadable one. */
+/* Records of an earlier reconciliation may be left in the key-value store although no reconciliation is running: that
+ * reconciliation was discarded as outdated, or its records are unreadable. */
 static void
 remove_leftovers (HzbReconciliation *reconciliation, struct timespec now)
 {
@@ -305,9 +305,9 @@
       break;
     case HZB_RECONCILIATION_COLLECTING:
     case HZB_RECONCILIATION_DECIDING:
-      hzb_reconciliation_scan (reconciliation, now);
+      hzb_reconciliation_scan_jobs (reconciliation, now);
       hzb_recorder_write_verdicts (reconciliation, now);
-      advance (reconciliation);
+      advance_state (reconciliation);
       break;
     case HZB_RECONCILIATION_RECORDED:
       hzb_reconciliation_scan_machines (reconciliation, now);
@@ -318,7 +318,7 @@
     }
 }
 
-/* ---- parts that others use ---- */
+/* ---- pacing and roster for other modules ---- */
 
 HzbStartPacing *
 hzb_reconciliation_pacing (HzbReconciliation *reconciliation)
@@ -326,8 +326,9 @@
   return &reconciliation->pacing;
 }
 
-/* A leader puts itself on the roster only once it is durable that it began a cold start. If it ended before that, the
- * next leader would take it for a controller that survived, and would see a change of leader. */
+/* In a cold start, the leader puts itself on the roster only once the record of the cold start is durable. If it put
+ * itself on the roster earlier and then ended, the next leader would take it for a controller that survived the last
+ * leadership, and would see a failover instead of a cold start. */
 static gboolean
 may_change_roster (const HzbReconciliation *reconciliation)
 {
@@ -337,10 +338,10 @@
 }
 
 gboolean
-hzb_reconciliation_roster_due (HzbReconciliation *reconciliation)
+hzb_reconciliation_is_roster_due (HzbReconciliation *reconciliation)
 {
   return hzb_reconciliation_enabled (reconciliation) && may_change_roster (reconciliation)
-         && hzb_roster_due (&reconciliation->roster);
+         && hzb_roster_is_due (&reconciliation->roster);
 }
 
 void
@@ -349,13 +350,13 @@
   if (!hzb_reconciliation_enabled (reconciliation))
     return;
   if (may_change_roster (reconciliation))
-    hzb_roster_add_to (&reconciliation->roster, flush_record);
+    hzb_roster_add_alive (&reconciliation->roster, flush_record);
   else
-    hzb_roster_repeat (&reconciliation->roster, flush_record);
+    hzb_roster_add_recorded (&reconciliation->roster, flush_record);
 }
 
 void
-hzb_reconciliation_roster_written (HzbReconciliation *reconciliation, gboolean applied)
+hzb_reconciliation_complete_roster_write (HzbReconciliation *reconciliation, gboolean applied)
 {
-  hzb_roster_written (&reconciliation->roster, applied);
+  hzb_roster_complete_write (&reconciliation->roster, applied);
 }
--- a/src/reconciliation/recorder.c
+++ b/src/reconciliation/recorder.c
@@ -1,7 +1,7 @@
 /* Makes verdicts durable, and removes them once they are archived.
  *
- * Each page of verdicts is written once, under a number of its own, on condition of the leader's term and that the
- * page is not there yet. So a transaction that is carried out late, or twice, changes nothing. */
+ * Each page of verdicts has a number of its own. The transaction that writes a page is conditional on the leader's term
+ * and on the page not existing yet, so that it changes nothing if it is carried out late or twice. */
 #include "archive-packing.h"
 #include "kv-protocol.h"
 #include "reconciliation-private.h"
@@ -9,11 +9,11 @@
 
 #include <string.h>
 
-#define WRITE_INTERVAL_S 0.2 /* verdicts made within it share a transaction */
-#define RETRY_S 0.5          /* after the key-value store refused, or gave no answer */
-#define ARCHIVE_RETRY_S 5.0  /* the archive is not urgent */
-#define PART_OF_VALUE 0.9    /* how much of the largest value a page may fill */
-#define TRANSACTION_BYTES 40000u
+#define WRITE_INTERVAL_S 0.2   /* verdicts that are made within this time share a transaction */
+#define RETRY_S 0.5            /* after the key-value store refused a transaction or did not respond */
+#define ARCHIVE_RETRY_S 5.0    /* longer than RETRY_S: the archive is not urgent */
+#define PAGE_FILL_FRACTION 0.9 /* of the largest allowed value */
+#define MAX_TRANSACTION_BYTES 40000u
 
 void
 hzb_recorder_reset (HzbReconciliation *reconciliation)
@@ -35,10 +35,10 @@
 
 /* ---- pages ---- */
 
-/* The verdicts on a page do not change while their jobs are in the phase "sent", so each attempt writes the same
- * bytes. */
+/* The verdicts on a page do not change while their jobs are in the phase "sent", so each attempt to write the page
+ * writes the same bytes. */
 static cJSON *
-page_encode (const HzbReconciliation *reconciliation, const HzbVerdictPage *page)
+encode_page (const HzbReconciliation *reconciliation, const HzbVerdictPage *page)
 {
   g_autoptr (GPtrArray) entries = g_ptr_array_new ();
 
@@ -47,7 +47,7 @@
   return hzb_verdict_page_encode (reconciliation->record.id, reconciliation->record.term, entries);
 }
 
-/* The number of a page is used once. */
+/* Adds an empty page to those in flight, under a number that no other page has had. */
 static HzbVerdictPage *
 add_page (HzbReconciliation *reconciliation)
 {
@@ -58,49 +58,50 @@
   return page;
 }
 
-/* Puts decided jobs on as many pages as one transaction takes. */
+/* Puts decided jobs on new pages, up to the limits of one transaction. */
 static void
 fill_pages (HzbReconciliation *reconciliation)
 {
   const HzbSettings *settings = reconciliation->dependencies.node->settings;
-  gsize most_on_page = (gsize) (PART_OF_VALUE * settings->kv_value_kb * 1024), on_page = 0, in_transaction = 0;
-  guint most_pages = MAX (1, settings->kv_txn_ops - 1);
+  gsize max_page_bytes = (gsize) (PAGE_FILL_FRACTION * settings->kv_value_kb * 1024), page_bytes = 0,
+        transaction_bytes = 0;
+  guint max_pages = MAX (1, settings->kv_txn_ops - 1);
   HzbVerdictPage *page = NULL;
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, reconciliation->tracked);
+  g_hash_table_iter_init (&iter, reconciliation->tracked_jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       HzbTrackedJob *tracked = value;
       gsize bytes = hzb_verdict_entry_bytes (&tracked->entry);
-      if (tracked->phase != HZB_PHASE_DECIDED)
+      if (tracked->phase != HZB_JOB_PHASE_DECIDED)
         continue;
-      if (!page || on_page + bytes > most_on_page)
+      if (!page || page_bytes + bytes > max_page_bytes)
         {
-          if (reconciliation->in_flight->len >= most_pages || in_transaction + bytes > TRANSACTION_BYTES)
+          if (reconciliation->in_flight->len >= max_pages || transaction_bytes + bytes > MAX_TRANSACTION_BYTES)
             return;
           page = add_page (reconciliation);
-          on_page = 0;
+          page_bytes = 0;
         }
       g_ptr_array_add (page->jobs, tracked);
-      hzb_reconciliation_set_phase (reconciliation, tracked, HZB_PHASE_SENT);
-      on_page += bytes;
-      in_transaction += bytes;
+      hzb_reconciliation_set_phase (reconciliation, tracked, HZB_JOB_PHASE_SENT);
+      page_bytes += bytes;
+      transaction_bytes += bytes;
     }
 }
 
 /* ---- writing ---- */
 
 static void
-note_written (HzbReconciliation *reconciliation)
+mark_written (HzbReconciliation *reconciliation)
 {
   for (guint i = 0; i < reconciliation->in_flight->len; i++)
     {
       HzbVerdictPage *page = reconciliation->in_flight->pdata[i];
       g_ptr_array_add (reconciliation->page_keys, g_strdup (page->key));
       for (guint k = 0; k < page->jobs->len; k++)
-        hzb_reconciliation_set_phase (reconciliation, page->jobs->pdata[k], HZB_PHASE_RECORDED);
+        hzb_reconciliation_set_phase (reconciliation, page->jobs->pdata[k], HZB_JOB_PHASE_RECORDED);
     }
   g_ptr_array_set_size (reconciliation->in_flight, 0);
   hzb_reconciliation_set_record_state (reconciliation, HZB_RECORD_STATE_DURABLE);
@@ -108,16 +109,16 @@
 }
 
 static void
-try_again_later (HzbReconciliation *reconciliation)
+schedule_retry (HzbReconciliation *reconciliation)
 {
   reconciliation->sending = FALSE;
   reconciliation->next_write = hzb_time_plus (hzb_clock_now (reconciliation->dependencies.node->clock), RETRY_S);
 }
 
-/* The outcome of a transaction is read from the first thing that it wrote: the record and pages name the term that
- * wrote them. */
+/* Determines the outcome of a transaction from one value that it writes: its first page, or the record if it has no
+ * page. Either value contains the term of the leader that wrote it. */
 static void
-on_written_read (HzbKvResult result, const char *body, gpointer user)
+on_outcome_read (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
   HzbReconciliation *reconciliation = epoch_call->module;
@@ -127,25 +128,25 @@
   if (!hzb_epoch_call_is_current (epoch_call))
     return;
   known = result == HZB_KV_NOT_FOUND || (result == HZB_KV_OK && hzb_kv_entry_decode (body, &item));
-  /* While the record is not durable it is what was read: the next attempt is conditional on the version that is
-   * there now. */
+  /* While the record is not durable, no page is in flight, so the value that was read is the record. The next attempt
+   * to write the record is conditional on the version that was read. */
   if (known && !record_is_durable (reconciliation))
     reconciliation->record_version = item.version;
   if (known && item.value && hzb_reconciliation_value_term (item.value) == reconciliation->record.term)
-    note_written (reconciliation);
+    mark_written (reconciliation);
   else
-    try_again_later (reconciliation);
+    schedule_retry (reconciliation);
   hzb_kv_entry_clear (&item);
 }
 
 static void
 read_outcome (HzbReconciliation *reconciliation)
 {
-  const HzbReconciliationDependencies *uses = &reconciliation->dependencies;
+  const HzbReconciliationDependencies *modules = &reconciliation->dependencies;
   const HzbVerdictPage *page = reconciliation->in_flight->len ? reconciliation->in_flight->pdata[0] : NULL;
 
-  hzb_kv_client_get (uses->kv, HZB_KV_RECORD, page ? page->key : HZB_KEY_RECONCILIATION_STATE, on_written_read,
-                     hzb_epoch_call_new (uses->ownership, reconciliation, NULL));
+  hzb_kv_client_get (modules->kv, HZB_KV_RECORD, page ? page->key : HZB_KEY_RECONCILIATION_STATE, on_outcome_read,
+                     hzb_epoch_call_new (modules->ownership, reconciliation, NULL));
 }
 
 static void
@@ -160,12 +161,12 @@
     {
       if (!record_is_durable (reconciliation))
         hzb_kv_commit_decode (body, &reconciliation->record_version, NULL);
-      note_written (reconciliation);
+      mark_written (reconciliation);
     }
   else if (result == HZB_KV_UNKNOWN || result == HZB_KV_CONFLICT)
     read_outcome (reconciliation);
   else
-    try_again_later (reconciliation);
+    schedule_retry (reconciliation);
 }
 
 static void
@@ -183,24 +184,24 @@
     {
       const HzbVerdictPage *page = reconciliation->in_flight->pdata[i];
       hzb_kv_transaction_compare (transaction, page->key, 0);
-      hzb_kv_transaction_put (transaction, page->key, page_encode (reconciliation, page), 0);
+      hzb_kv_transaction_put (transaction, page->key, encode_page (reconciliation, page), 0);
     }
 }
 
-/* Commits on condition of the leader's term. */
+/* Sends the transaction. The caller has made it conditional on the leader's term. */
 static void
 commit (HzbReconciliation *reconciliation, HzbKvTransaction *transaction, HzbKvFunc done, gpointer data,
         struct timespec now)
 {
-  const HzbReconciliationDependencies *uses = &reconciliation->dependencies;
+  const HzbReconciliationDependencies *modules = &reconciliation->dependencies;
 
   reconciliation->sending = TRUE;
   reconciliation->next_write = hzb_time_plus (now, WRITE_INTERVAL_S);
-  hzb_kv_client_commit (uses->kv, HZB_KV_RECORD, transaction, done,
-                        hzb_epoch_call_new (uses->ownership, reconciliation, data));
+  hzb_kv_client_commit (modules->kv, HZB_KV_RECORD, transaction, done,
+                        hzb_epoch_call_new (modules->ownership, reconciliation, data));
 }
 
-/* Pages in flight stay as they are until their outcome is known. */
+/* Pages in flight are sent again unchanged until they are known to be durable; only then are new pages filled. */
 void
 hzb_recorder_write_verdicts (HzbReconciliation *reconciliation, struct timespec now)
 {
@@ -220,48 +221,50 @@
   commit (reconciliation, transaction, on_written, NULL, now);
 }
 
-/* ---- removing the verdicts ---- */
+/* ---- removal of the record and its pages ---- */
 
 static void
-on_cleaned (HzbKvResult result, const char *body, gpointer user)
+on_removed (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
   HzbReconciliation *reconciliation = epoch_call->module;
-  guint removed = GPOINTER_TO_UINT (epoch_call->data);
+  guint n_removed = GPOINTER_TO_UINT (epoch_call->data);
 
   if (!hzb_epoch_call_is_current (epoch_call))
     return;
   if (result != HZB_KV_OK)
     {
-      try_again_later (reconciliation);
+      schedule_retry (reconciliation);
       return;
     }
   reconciliation->sending = FALSE;
-  g_ptr_array_set_size (reconciliation->page_keys, (gint) (reconciliation->page_keys->len - removed));
+  g_ptr_array_set_size (reconciliation->page_keys, (gint) (reconciliation->page_keys->len - n_removed));
   if (reconciliation->page_keys->len)
     return;
   reconciliation->record_version = 0;
   if (reconciliation->state == HZB_RECONCILIATION_RECORDED)
-    hzb_reconciliation_set_state (reconciliation, HZB_RECONCILIATION_COMPLETE, "the archive is written");
+    hzb_reconciliation_set_state (reconciliation, HZB_RECONCILIATION_COMPLETE,
+                                  "the archive is written and the verdicts are removed");
 }
 
-/* The last pages go first, and the record goes with the rest: as long as the record is there, a next leader goes on. */
+/* Removes the last pages first, and the record together with the first ones: as long as the record exists, the next
+ * leader continues the reconciliation. */
 void
 hzb_recorder_clean_up (HzbReconciliation *reconciliation, struct timespec now)
 {
-  const HzbReconciliationDependencies *uses = &reconciliation->dependencies;
-  guint left = reconciliation->page_keys->len, removed = MIN (left, uses->node->settings->kv_txn_ops - 1);
+  const HzbReconciliationDependencies *modules = &reconciliation->dependencies;
+  guint n_pages = reconciliation->page_keys->len, n_removed = MIN (n_pages, modules->node->settings->kv_txn_ops - 1);
   HzbKvTransaction *transaction;
 
   if (reconciliation->sending || hzb_time_before (now, reconciliation->next_write))
     return;
   transaction = hzb_kv_transaction_new ();
-  hzb_election_add_condition (uses->election, transaction);
-  for (guint i = 0; i < removed; i++)
-    hzb_kv_transaction_delete (transaction, reconciliation->page_keys->pdata[left - 1 - i]);
-  if (removed == left)
+  hzb_election_add_condition (modules->election, transaction);
+  for (guint i = 0; i < n_removed; i++)
+    hzb_kv_transaction_delete (transaction, reconciliation->page_keys->pdata[n_pages - 1 - i]);
+  if (n_removed == n_pages)
     hzb_kv_transaction_delete (transaction, HZB_KEY_RECONCILIATION_STATE);
-  commit (reconciliation, transaction, on_cleaned, GUINT_TO_POINTER (removed), now);
+  commit (reconciliation, transaction, on_removed, GUINT_TO_POINTER (n_removed), now);
 }
 
 /* ---- the archive ---- */
@@ -272,11 +275,11 @@
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, reconciliation->tracked);
+  g_hash_table_iter_init (&iter, reconciliation->tracked_jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const HzbTrackedJob *tracked = value;
-      HzbArchivedJob job = { tracked->entry, tracked->tasks, tracked->released, tracked->at_s };
+      HzbArchivedJobVerdict job = { tracked->entry, tracked->tasks, tracked->released, tracked->recorded_s };
       hzb_archive_add_job (archive, &job);
     }
 }
@@ -288,7 +291,7 @@
 
   for (guint i = 0; i < quarantined->len; i++)
     {
-      const HzbQuarantined *entry = quarantined->pdata[i];
+      const HzbQuarantinedTask *entry = quarantined->pdata[i];
       g_autofree char *name = g_strdup_printf ("%s/%u", entry->uid, entry->task);
       hzb_archive_add_task (archive, name, entry->machine, hzb_task_verdict_name (entry->verdict),
                             hzb_task_reason_name (entry->reason));
@@ -296,7 +299,7 @@
 }
 
 static GBytes *
-make_archive (const HzbReconciliation *reconciliation, struct timespec now)
+build_archive (const HzbReconciliation *reconciliation, struct timespec now)
 {
   const HzbReconciliationRecord *record = &reconciliation->record;
   g_autoptr (HzbArchive) archive = hzb_archive_new ();
@@ -314,7 +317,7 @@
       hzb_archive_add_machine (archive, machine->name, machine->fate, machine->at_s);
     }
   archive_quarantine (reconciliation, archive);
-  memcpy (archive->commands, reconciliation->commands, sizeof archive->commands);
+  memcpy (archive->commands, reconciliation->command_counts, sizeof archive->commands);
   return hzb_archive_pack (archive);
 }
 
@@ -331,7 +334,8 @@
         hzb_time_plus (hzb_clock_now (reconciliation->dependencies.node->clock), ARCHIVE_RETRY_S);
 }
 
-/* The archive waits for the counts of commands in the first minute, and for the end of pacing. */
+/* The archive is built once pacing has ended and the counts of commands in the first HZB_ARCHIVE_SECONDS seconds are
+ * complete. */
 static void
 write_archive (HzbReconciliation *reconciliation, struct timespec now)
 {
@@ -339,7 +343,7 @@
       || hzb_time_between (reconciliation->began, now) < HZB_ARCHIVE_SECONDS)
     return;
   if (!reconciliation->archive)
-    reconciliation->archive = make_archive (reconciliation, now);
+    reconciliation->archive = build_archive (reconciliation, now);
   reconciliation->archive_progress = HZB_ARCHIVE_WRITING;
   hzb_archive_store_write (reconciliation->archives, reconciliation->record.id, reconciliation->archive, on_archived,
                            reconciliation);
--- a/src/reconciliation/report.c
+++ b/src/reconciliation/report.c
@@ -5,19 +5,19 @@
 #define PLOT_WIDTH 720
 #define PLOT_HEIGHT 140
 #define BAR_WIDTH (PLOT_WIDTH / (int) HZB_ARCHIVE_SECONDS)
-#define LONGEST_LIST 200u /* rows of a table; the archive has all jobs */
+#define MAX_TABLE_ROWS 200u /* of the table of jobs; further jobs are in the archive only */
 
-/* ---- what both show ---- */
+/* ---- contents of both reports ---- */
 
 static char *
-began_text (const HzbArchive *archive)
+format_began (const HzbArchive *archive)
 {
   g_autoptr (GDateTime) at = g_date_time_new_from_unix_utc ((gint64) archive->began);
   return at ? g_date_time_format (at, "%Y-%m-%d %H:%M:%S UTC") : g_strdup ("at no known time");
 }
 
 static guint
-total_of (const HzbArchive *archive, HzbArchiveKind kind)
+count_commands (const HzbArchive *archive, HzbArchiveCommandKind kind)
 {
   guint total = 0;
   for (guint second = 0; second < HZB_ARCHIVE_SECONDS; second++)
@@ -26,7 +26,7 @@
 }
 
 static guint
-highest_of (const HzbArchive *archive, HzbArchiveKind kind)
+max_commands_per_second (const HzbArchive *archive, HzbArchiveCommandKind kind)
 {
   guint highest = 0;
   for (guint second = 0; second < HZB_ARCHIVE_SECONDS; second++)
@@ -34,54 +34,57 @@
   return highest;
 }
 
-/* When the first and the last verdict became durable, in seconds after the beginning; below 0 if there is none. */
+/* @first_s, @last_s: (out): when the first and the last verdict became durable, in seconds after the beginning;
+ * negative if there is no verdict */
 static void
-verdict_times (const HzbArchive *archive, double *first_s, double *last_s)
+find_verdict_times (const HzbArchive *archive, double *first_s, double *last_s)
 {
   *first_s = *last_s = -1;
   for (guint i = 0; i < archive->jobs->len; i++)
     {
-      double at_s = g_array_index (archive->jobs, HzbArchivedJob, i).at_s;
+      double at_s = g_array_index (archive->jobs, HzbArchivedJobVerdict, i).at_s;
       *first_s = *first_s < 0 ? at_s : MIN (*first_s, at_s);
       *last_s = MAX (*last_s, at_s);
     }
 }
 
-typedef void (*VerdictRow) (GString *out, const char *verdict, const char *reason, guint jobs);
+/* Appends a row to a table of verdicts. @jobs: number of jobs with this verdict and reason */
+typedef void (*AppendRowFunc) (GString *out, const char *verdict, const char *reason, guint jobs);
 
 static void
-each_verdict (const HzbArchive *archive, VerdictRow row, GString *out)
+append_verdict_counts (const HzbArchive *archive, AppendRowFunc append_row, GString *out)
 {
   guint counts[HZB_JOB_N_VERDICTS][HZB_JOB_N_REASONS] = { { 0 } };
   for (guint i = 0; i < archive->jobs->len; i++)
     {
-      const HzbVerdictEntry *entry = &g_array_index (archive->jobs, HzbArchivedJob, i).entry;
+      const HzbVerdictEntry *entry = &g_array_index (archive->jobs, HzbArchivedJobVerdict, i).entry;
       counts[entry->verdict][entry->reason]++;
     }
   for (guint verdict = 0; verdict < HZB_JOB_N_VERDICTS; verdict++)
     for (guint reason = 0; reason < HZB_JOB_N_REASONS; reason++)
       if (counts[verdict][reason])
-        row (out, hzb_job_verdict_name ((HzbJobVerdict) verdict), hzb_job_reason_name ((HzbJobReason) reason),
-             counts[verdict][reason]);
+        append_row (out, hzb_job_verdict_name ((HzbJobVerdict) verdict), hzb_job_reason_name ((HzbJobReason) reason),
+                    counts[verdict][reason]);
 }
 
-/* ---- as text ---- */
+/* ---- the text report ---- */
 
 static void
-text_row (GString *out, const char *verdict, const char *reason, guint jobs)
+append_text_row (GString *out, const char *verdict, const char *reason, guint jobs)
 {
   g_string_append_printf (out, "  %-8s %-18s %6u\n", verdict, reason, jobs);
 }
 
+/* Appends what operators still have to examine: machines that were not accounted for, and quarantined tasks. */
 static void
-text_lists (GString *out, const HzbArchive *archive)
+append_open_items (GString *out, const HzbArchive *archive)
 {
-  guint awaited = 0;
+  guint n_unaccounted = 0;
   for (guint i = 0; i < archive->machines->len; i++)
     {
       const HzbArchivedMachine *machine = &g_array_index (archive->machines, HzbArchivedMachine, i);
       if (machine->at_s < 0)
-        g_string_append_printf (out, "%s  %s\n", awaited++ ? "" : "machines that were never accounted for:\n",
+        g_string_append_printf (out, "%s  %s\n", n_unaccounted++ ? "" : "machines that were never accounted for:\n",
                                 machine->name);
     }
   if (archive->quarantine->len)
@@ -97,10 +100,10 @@
 hzb_archive_report_text (const HzbArchive *archive)
 {
   GString *out = g_string_new (NULL);
-  g_autofree char *began = began_text (archive);
+  g_autofree char *began = format_began (archive);
   double first_s, last_s;
 
-  verdict_times (archive, &first_s, &last_s);
+  find_verdict_times (archive, &first_s, &last_s);
   g_string_append_printf (out, "reconciliation %" G_GUINT64_FORMAT ", %s (%s)\n", archive->id, began, archive->reason);
   g_string_append_printf (out, "cold starts: %u; archived after %.1f s, under term %" G_GUINT64_FORMAT "\n",
                           archive->starts, archive->complete_s, archive->term);
@@ -108,18 +111,19 @@
                           archive->jobs->len, archive->omitted_jobs, archive->machines->len, archive->omitted_machines);
   if (last_s >= 0)
     g_string_append_printf (out, "first verdict durable after %.1f s, the last after %.1f s\n", first_s, last_s);
-  each_verdict (archive, text_row, out);
+  append_verdict_counts (archive, append_text_row, out);
   g_string_append (out, "commands in the first minute, and in the busiest second:\n");
-  for (guint kind = 0; kind < HZB_ARCHIVE_N_KINDS; kind++)
-    g_string_append_printf (out, "  %-8s %6u %6u\n", hzb_archive_kind_name ((HzbArchiveKind) kind),
-                            total_of (archive, (HzbArchiveKind) kind), highest_of (archive, (HzbArchiveKind) kind));
-  text_lists (out, archive);
+  for (guint kind = 0; kind < HZB_ARCHIVE_N_COMMAND_KINDS; kind++)
+    g_string_append_printf (out, "  %-8s %6u %6u\n", hzb_archive_command_kind_name ((HzbArchiveCommandKind) kind),
+                            count_commands (archive, (HzbArchiveCommandKind) kind),
+                            max_commands_per_second (archive, (HzbArchiveCommandKind) kind));
+  append_open_items (out, archive);
   return g_string_free (out, FALSE);
 }
 
-/* ---- as a page ---- */
+/* ---- the HTML report ---- */
 
-/* Names of jobs and machines come from outside and may hold markup. */
+/* Users and the cloud choose the names of jobs and machines, which may contain markup. */
 static void
 append_escaped (GString *out, const char *text)
 {
@@ -128,12 +132,12 @@
 }
 
 static void
-html_row (GString *out, const char *verdict, const char *reason, guint jobs)
+append_html_row (GString *out, const char *verdict, const char *reason, guint jobs)
 {
   g_string_append_printf (out, "<tr><td>%s</td><td>%s</td><td>%u</td></tr>\n", verdict, reason, jobs);
 }
 
-/* A plot of one value for each second. */
+/* @values: one for each of HZB_ARCHIVE_SECONDS seconds; @highest: the largest of them */
 static void
 append_plot (GString *out, const char *title, const guint *values, guint highest)
 {
@@ -160,7 +164,7 @@
   guint values[HZB_ARCHIVE_SECONDS] = { 0 }, highest = 0;
   for (guint i = 0; i < archive->jobs->len; i++)
     {
-      double at_s = g_array_index (archive->jobs, HzbArchivedJob, i).at_s;
+      double at_s = g_array_index (archive->jobs, HzbArchivedJobVerdict, i).at_s;
       if (at_s >= 0 && at_s < HZB_ARCHIVE_SECONDS)
         {
           guint *value = &values[(guint) at_s];
@@ -176,9 +180,9 @@
 {
   g_string_append (out, "<h2>Jobs</h2>\n<table>\n<tr><th>job</th><th>verdict</th><th>reason</th><th>tasks</th>"
                         "<th>released</th><th>found</th><th>results</th><th>restarted</th><th>after</th></tr>\n");
-  for (guint i = 0; i < MIN (archive->jobs->len, LONGEST_LIST); i++)
+  for (guint i = 0; i < MIN (archive->jobs->len, MAX_TABLE_ROWS); i++)
     {
-      const HzbArchivedJob *job = &g_array_index (archive->jobs, HzbArchivedJob, i);
+      const HzbArchivedJobVerdict *job = &g_array_index (archive->jobs, HzbArchivedJobVerdict, i);
       g_string_append (out, "<tr><td>");
       append_escaped (out, job->entry.uid);
       g_string_append_printf (out,
@@ -192,10 +196,10 @@
 }
 
 static void
-append_text_lists (GString *out, const HzbArchive *archive)
+append_html_open_items (GString *out, const HzbArchive *archive)
 {
   g_autoptr (GString) lists = g_string_new (NULL);
-  text_lists (lists, archive);
+  append_open_items (lists, archive);
   if (!lists->len)
     return;
   g_string_append (out, "<h2>What is left to look at</h2>\n<pre>");
@@ -210,7 +214,7 @@
                                "<title>Reconciliation</title><style>body{font-family:sans-serif;margin:2em}"
                                "table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:2px 8px;"
                                "text-align:left}</style></head><body>\n");
-  g_autofree char *began = began_text (archive);
+  g_autofree char *began = format_began (archive);
 
   g_string_append_printf (out, "<h1>Reconciliation %" G_GUINT64_FORMAT "</h1>\n<p>%s, ", archive->id, began);
   append_escaped (out, archive->reason);
@@ -218,14 +222,14 @@
                           archive->jobs->len + archive->omitted_jobs,
                           archive->machines->len + archive->omitted_machines, archive->complete_s);
   g_string_append (out, "<h2>Verdicts</h2>\n<table>\n<tr><th>verdict</th><th>reason</th><th>jobs</th></tr>\n");
-  each_verdict (archive, html_row, out);
+  append_verdict_counts (archive, append_html_row, out);
   g_string_append (out, "</table>\n<h2>The first minute</h2>\n");
   append_verdict_plot (out, archive);
-  for (guint kind = 0; kind < HZB_ARCHIVE_N_KINDS; kind++)
-    append_plot (out, hzb_archive_kind_name ((HzbArchiveKind) kind), archive->commands[kind],
-                 highest_of (archive, (HzbArchiveKind) kind));
+  for (guint kind = 0; kind < HZB_ARCHIVE_N_COMMAND_KINDS; kind++)
+    append_plot (out, hzb_archive_command_kind_name ((HzbArchiveCommandKind) kind), archive->commands[kind],
+                 max_commands_per_second (archive, (HzbArchiveCommandKind) kind));
   append_jobs (out, archive);
-  append_text_lists (out, archive);
+  append_html_open_items (out, archive);
   g_string_append (out, "</body></html>\n");
   return g_string_free (out, FALSE);
 }
--- a/src/reconciliation/roster.c
+++ b/src/reconciliation/roster.c
@@ -18,7 +18,7 @@
   roster->flush_term = 0;
 }
 
-/* Rosters name processes by the first characters of their incarnations. */
+/* A roster names each process by the first HZB_ROSTER_NAME_CHARS characters of its incarnation. */
 static gboolean
 has_process (const GPtrArray *processes, const char *incarnation)
 {
@@ -40,46 +40,46 @@
   roster->recorded = recorded;
 }
 
-/* How many peers the roster has room for, beside this process. */
+/* Returns: the number of peers that the roster has room for, besides this process. */
 static guint
 n_peers (const HzbRoster *roster)
 {
-  return MIN (roster->node->settings->peers->len, HZB_ROSTER_MOST_PROCESSES - 1);
+  return MIN (roster->node->settings->peers->len, HZB_ROSTER_MAX_PROCESSES - 1);
 }
 
-/* Returns: (nullable): NULL if no heartbeat of the peer came lately. */
+/* Returns: (nullable): NULL if the peer sent no heartbeat recently. */
 static const char *
-peer_incarnation (const HzbRoster *roster, guint at)
+peer_incarnation (const HzbRoster *roster, guint index)
 {
-  const HzbPeer *peer = roster->node->settings->peers->pdata[at];
+  const HzbPeer *peer = roster->node->settings->peers->pdata[index];
   return hzb_peers_incarnation (roster->peers, peer->node);
 }
 
 gboolean
-hzb_roster_due (const HzbRoster *roster)
+hzb_roster_is_due (const HzbRoster *roster)
 {
-  const GPtrArray *known = roster->sent ? roster->sent : roster->recorded;
+  const GPtrArray *named = roster->sent ? roster->sent : roster->recorded;
 
-  if (!has_process (known, roster->node->incarnation))
+  if (!has_process (named, roster->node->incarnation))
     return TRUE;
   for (guint i = 0; i < n_peers (roster); i++)
     {
       const char *incarnation = peer_incarnation (roster, i);
-      if (incarnation && !has_process (known, incarnation))
+      if (incarnation && !has_process (named, incarnation))
         return TRUE;
     }
   return FALSE;
 }
 
 void
-hzb_roster_repeat (const HzbRoster *roster, cJSON *flush_record)
+hzb_roster_add_recorded (const HzbRoster *roster, cJSON *flush_record)
 {
   if (roster->recorded)
     hzb_roster_encode (roster->recorded, flush_record);
 }
 
 void
-hzb_roster_add_to (HzbRoster *roster, cJSON *flush_record)
+hzb_roster_add_alive (HzbRoster *roster, cJSON *flush_record)
 {
   g_clear_pointer (&roster->sent, g_ptr_array_unref);
   roster->sent = g_ptr_array_new_with_free_func (g_free);
@@ -94,7 +94,7 @@
 }
 
 void
-hzb_roster_written (HzbRoster *roster, gboolean applied)
+hzb_roster_complete_write (HzbRoster *roster, gboolean applied)
 {
   if (applied && roster->sent)
     {
@@ -105,7 +105,7 @@
 }
 
 void
-hzb_roster_collect (const HzbRoster *roster, HzbStartEvidence *evidence)
+hzb_roster_collect_evidence (const HzbRoster *roster, HzbStartEvidence *evidence)
 {
   evidence->has_flush_record = roster->has_flush_record;
   evidence->has_roster = roster->recorded != NULL;
--- a/src/reconciliation/roster.h
+++ b/src/reconciliation/roster.h
@@ -1,9 +1,9 @@
 /**
  * SECTION: roster
- * @short_description: which controller processes are alive, as the leader last recorded it
+ * @short_description: the controller processes that are alive, as the leader last recorded them
  *
- * The durable evidence by which a cold start is told from a change of leader. The roster travels in the flush record,
- * so that it costs a change of its own only when a process is alive that the recorded roster does not name.
+ * The roster is the durable evidence that tells a cold start from a failover. It is a field of the flush record, so
+ * that it needs a write of its own only when a process is alive that the recorded roster does not name.
  */
 #pragma once
 #include "node.h"
@@ -13,44 +13,47 @@
 #include <cjson/cJSON.h>
 
 /**
- * HZB_ROSTER_MOST_PROCESSES: how many processes a roster names, so that the flush record fits the smallest value.
- * Larger clusters lose nothing: one survivor among so many names is evidence enough.
+ * HZB_ROSTER_MAX_PROCESSES: maximum number of processes on a roster, so that the flush record fits the smallest
+ * allowed value of the key-value store. Larger clusters lose nothing: one survivor among so many processes is evidence
+ * enough.
  */
-#define HZB_ROSTER_MOST_PROCESSES 90u
+#define HZB_ROSTER_MAX_PROCESSES 90u
 
-/** HzbRoster: the roster as recorded, and as it is about to be. */
+/** HzbRoster: the recorded roster, and the roster of the flush record in flight. */
 typedef struct
 {
-  const HzbNode *node; /**< (not owned): this process */
-  HzbPeers *peers;     /**< (not owned): which other processes sent a heartbeat lately */
-  GPtrArray
-      *recorded; /**< (nullable) (element-type utf8): processes as the key-value store has them; %NULL: none recorded */
-  GPtrArray *sent;           /**< (nullable) (element-type utf8): the same, in flight */
+  const HzbNode *node;       /**< (not owned): this process */
+  HzbPeers *peers;           /**< (not owned): the other controllers, and which of them sent a heartbeat recently */
+  GPtrArray *recorded;       /**< (nullable) (element-type utf8): processes on the roster in the key-value store; %NULL:
+                                no roster is recorded */
+  GPtrArray *sent;           /**< (nullable) (element-type utf8): processes on the roster in flight; %NULL: none is */
   gboolean has_flush_record; /**< the key-value store has a flush record */
-  guint64 flush_term;        /**< of the leader that wrote the flush record */
+  guint64 flush_term;        /**< term of the leader that wrote the flush record; 0: no flush record was loaded */
 } HzbRoster;
 
-/** hzb_roster_init: an empty roster. `node` and `peers` have to outlive it. */
+/** hzb_roster_init: sets up an empty roster. `node` and `peers` are not owned and have to outlive it. */
 void hzb_roster_init (HzbRoster *roster, const HzbNode *node, HzbPeers *peers);
 
-/** hzb_roster_clear: forgets what is recorded and in flight, and frees it. */
+/** hzb_roster_clear: drops and frees the recorded roster and the roster in flight. */
 void hzb_roster_clear (HzbRoster *roster);
 
-/** hzb_roster_load: `flush_record`: the value of the flush record */
+/** hzb_roster_load: reads the recorded roster. `flush_record`: the value of the flush record */
 void hzb_roster_load (HzbRoster *roster, const cJSON *flush_record);
 
-/** hzb_roster_due: Returns: whether this process, or a peer that sent a heartbeat lately, is missing from the recorded
- * roster */
-gboolean hzb_roster_due (const HzbRoster *roster);
+/** hzb_roster_is_due: Returns: whether this process, or a peer that sent a heartbeat recently, is missing from the
+ * roster in flight, or from the recorded roster if none is in flight */
+gboolean hzb_roster_is_due (const HzbRoster *roster);
 
-/** hzb_roster_add_to: puts the processes that are alive into a flush record that is about to be written. */
-void hzb_roster_add_to (HzbRoster *roster, cJSON *flush_record);
+/** hzb_roster_add_alive: puts the processes that are alive into a flush record that is about to be written. */
+void hzb_roster_add_alive (HzbRoster *roster, cJSON *flush_record);
 
-/** hzb_roster_repeat: puts the recorded roster, if there is one, into a flush record that is about to be written. */
-void hzb_roster_repeat (const HzbRoster *roster, cJSON *flush_record);
+/** hzb_roster_add_recorded: puts the recorded roster, if there is one, into a flush record that is about to be
+ * written. */
+void hzb_roster_add_recorded (const HzbRoster *roster, cJSON *flush_record);
 
-/** hzb_roster_written: `applied`: whether the flush record in flight is durable */
-void hzb_roster_written (HzbRoster *roster, gboolean applied);
+/** hzb_roster_complete_write: ends the write of a flush record. `applied`: whether it is durable; if so, its roster
+ * becomes the recorded one; if not, the roster in flight is dropped */
+void hzb_roster_complete_write (HzbRoster *roster, gboolean applied);
 
-/** hzb_roster_collect: fills in what the roster says of the processes that are alive. */
-void hzb_roster_collect (const HzbRoster *roster, HzbStartEvidence *evidence);
+/** hzb_roster_collect_evidence: sets what the roster says about the processes that are alive. `evidence`: zeroed */
+void hzb_roster_collect_evidence (const HzbRoster *roster, HzbStartEvidence *evidence);
--- a/src/reconciliation/verdicts.c
+++ b/src/reconciliation/verdicts.c
@@ -1,35 +1,35 @@
 #include "verdicts.h"
 
-/* ---- how the leadership began ---- */
+/* ---- the kind of start ---- */
 
 static HzbStartKind
-start (HzbStartReason *reason, HzbStartKind kind, HzbStartReason why)
+start_kind (HzbStartReason *reason, HzbStartKind kind, HzbStartReason deciding_reason)
 {
-  *reason = why;
+  *reason = deciding_reason;
   return kind;
 }
 
-/* A roster that names a process which is alive proves that not all controllers have ended. That all have ended can't
- * be proven while a peer is unresponsive: the peer may be alive behind a partition. A change of leader that is taken
- * for a cold start costs time and breaks no rule, since in a cold start the leader only holds commands back. */
+/* A living process that is on the roster proves that not all controllers have ended. While a peer is unresponsive, it
+ * can't be proven that all have ended: the peer may be alive behind a partition. Treating a failover as a cold start
+ * breaks no rule and costs only time, since the leader only delays commands in a cold start. */
 HzbStartKind
 hzb_start_decide (const HzbStartEvidence *evidence, HzbStartReason *reason)
 {
   if (evidence->unfinished)
-    return start (reason, HZB_START_COLD, HZB_START_REASON_UNFINISHED);
+    return start_kind (reason, HZB_START_COLD, HZB_START_REASON_UNFINISHED);
   if (!evidence->has_flush_record)
-    return start (reason, HZB_START_CHANGE_OF_LEADER, HZB_START_REASON_NO_EARLIER_LEADER);
+    return start_kind (reason, HZB_START_FAILOVER, HZB_START_REASON_NO_EARLIER_LEADER);
   if (!evidence->has_roster)
-    return start (reason, HZB_START_CHANGE_OF_LEADER, HZB_START_REASON_NO_ROSTER);
+    return start_kind (reason, HZB_START_FAILOVER, HZB_START_REASON_NO_ROSTER);
   if (evidence->self_on_roster)
-    return start (reason, HZB_START_CHANGE_OF_LEADER, HZB_START_REASON_SELF_SURVIVED);
+    return start_kind (reason, HZB_START_FAILOVER, HZB_START_REASON_SELF_SURVIVED);
   if (evidence->peer_on_roster)
-    return start (reason, HZB_START_CHANGE_OF_LEADER, HZB_START_REASON_PEER_SURVIVED);
+    return start_kind (reason, HZB_START_FAILOVER, HZB_START_REASON_PEER_SURVIVED);
   if (evidence->all_peers_contacted)
-    return start (reason, HZB_START_COLD, HZB_START_REASON_ALL_ENDED);
-  if (evidence->patience_over)
-    return start (reason, HZB_START_COLD, HZB_START_REASON_ALL_REACHABLE_ENDED);
-  return start (reason, HZB_START_UNDECIDED, HZB_START_REASON_PEERS_AWAITED);
+    return start_kind (reason, HZB_START_COLD, HZB_START_REASON_ALL_ENDED);
+  if (evidence->peer_wait_over)
+    return start_kind (reason, HZB_START_COLD, HZB_START_REASON_ALL_REACHABLE_ENDED);
+  return start_kind (reason, HZB_START_UNDECIDED, HZB_START_REASON_PEERS_AWAITED);
 }
 
 const char *
@@ -48,12 +48,12 @@
   return names[reason];
 }
 
-/* ---- jobs ---- */
+/* ---- verdicts on jobs ---- */
 
 static HzbJobVerdict
-job_verdict (HzbJobReason *reason, HzbJobVerdict verdict, HzbJobReason why)
+job_verdict (HzbJobReason *reason, HzbJobVerdict verdict, HzbJobReason deciding_reason)
 {
-  *reason = why;
+  *reason = deciding_reason;
   return verdict;
 }
 
@@ -75,8 +75,8 @@
   return job_verdict (reason, HZB_JOB_VERDICT_RESUME, HZB_JOB_REASON_ACCOUNTED);
 }
 
-/* The released mark, a cancellation and the results are on record themselves. What machines have answered is not:
- * the next leader could not decide the same from it. */
+/* The released mark, a cancellation and the results are on record themselves, so the next leader reaches the same
+ * verdict from them. The answers of the machines are not on record: the next leader could reach another verdict. */
 gboolean
 hzb_job_reason_needs_record (HzbJobReason reason)
 {
@@ -123,57 +123,59 @@
   return names[reason];
 }
 
-/* ---- tasks ---- */
+/* ---- verdicts on tasks ---- */
 
 static HzbTaskVerdict
-task_verdict (HzbTaskReason *reason, HzbTaskVerdict verdict, HzbTaskReason why)
+task_verdict (HzbTaskReason *reason, HzbTaskVerdict verdict, HzbTaskReason deciding_reason)
 {
-  *reason = why;
+  *reason = deciding_reason;
   return verdict;
 }
 
-/* A running task is stopped, an exited one is reaped. */
+/* Returns: stop for a running task, reap for an exited one. */
 static HzbTaskVerdict
-dispose (const HzbTaskEvidence *evidence, HzbTaskReason *reason, HzbTaskReason why)
+decide_removal (const HzbTaskEvidence *evidence, HzbTaskReason *reason, HzbTaskReason deciding_reason)
 {
-  return task_verdict (reason, evidence->shown == HZB_SHOWN_ALIVE ? HZB_TASK_VERDICT_STOP : HZB_TASK_VERDICT_REAP, why);
+  return task_verdict (reason, evidence->reported == HZB_REPORTED_ALIVE ? HZB_TASK_VERDICT_STOP : HZB_TASK_VERDICT_REAP,
+                       deciding_reason);
 }
 
-/* A task is not stopped only because this node knows no record of its job: the transaction that accepts the job may
- * be carried out late, and the completion record of an old job is in the archive. */
+/* The lack of a job record on this node alone is no reason to stop a task: the transaction that accepts the job may be
+ * carried out late, and the completion record of an old job is in the archive. */
 static HzbTaskVerdict
 decide_unrecorded (const HzbTaskEvidence *evidence, HzbTaskReason *reason)
 {
   if (evidence->record == HZB_RECORD_ABSENT_UNPROVEN)
-    return task_verdict (reason, HZB_TASK_VERDICT_QUARANTINE, HZB_TASK_REASON_RECORD_MAY_COME);
-  if (evidence->operator_decision == HZB_OPERATOR_KEEPS)
+    return task_verdict (reason, HZB_TASK_VERDICT_QUARANTINE, HZB_TASK_REASON_ABSENCE_UNPROVEN);
+  if (evidence->operator_decision == HZB_OPERATOR_KEEP)
     return task_verdict (reason, HZB_TASK_VERDICT_QUARANTINE, HZB_TASK_REASON_KEPT_BY_OPERATOR);
-  if (evidence->operator_decision == HZB_OPERATOR_UNDECIDED && !evidence->operator_time_over)
+  if (evidence->operator_decision == HZB_OPERATOR_UNDECIDED && !evidence->operator_wait_over)
     return task_verdict (reason, HZB_TASK_VERDICT_QUARANTINE, HZB_TASK_REASON_OPERATOR_AWAITED);
-  return dispose (evidence, reason, HZB_TASK_REASON_NO_RECORD);
+  return decide_removal (evidence, reason, HZB_TASK_REASON_NO_RECORD);
 }
 
 static HzbTaskVerdict
-decide_unshown (const HzbTaskEvidence *evidence, HzbTaskReason *reason)
+decide_unreported (const HzbTaskEvidence *evidence, HzbTaskReason *reason)
 {
-  if (evidence->standing == HZB_STANDING_DURABLE || evidence->standing == HZB_STANDING_RESULT)
+  if (evidence->known == HZB_KNOWN_RESULT_DURABLE || evidence->known == HZB_KNOWN_RESULT)
     return task_verdict (reason, HZB_TASK_VERDICT_ADOPT, HZB_TASK_REASON_RESULT_DURABLE);
   if (evidence->machines_awaited)
     return task_verdict (reason, HZB_TASK_VERDICT_AWAIT, HZB_TASK_REASON_MACHINE_UNRESPONSIVE);
-  if (evidence->record == HZB_RECORD_OVER)
-    return task_verdict (reason, HZB_TASK_VERDICT_AWAIT, HZB_TASK_REASON_JOB_OVER);
+  if (evidence->record == HZB_RECORD_TERMINAL)
+    return task_verdict (reason, HZB_TASK_VERDICT_AWAIT, HZB_TASK_REASON_JOB_TERMINAL);
   if (!evidence->job_decided)
     return task_verdict (reason, HZB_TASK_VERDICT_AWAIT, HZB_TASK_REASON_JOB_UNDECIDED);
   return task_verdict (reason, HZB_TASK_VERDICT_RESTART, HZB_TASK_REASON_NOWHERE);
 }
 
-/* A command that is not given now costs nothing: the worker shows the task again with its next heartbeat. */
+/* Withholding the command until the job is decided loses nothing: the worker reports the task again with its next
+ * heartbeat. */
 static HzbTaskVerdict
-once_decided (const HzbTaskEvidence *evidence, HzbTaskReason *reason, HzbTaskReason why)
+decide_removal_once_job_decided (const HzbTaskEvidence *evidence, HzbTaskReason *reason, HzbTaskReason deciding_reason)
 {
   if (!evidence->job_decided)
     return task_verdict (reason, HZB_TASK_VERDICT_AWAIT, HZB_TASK_REASON_JOB_UNDECIDED);
-  return dispose (evidence, reason, why);
+  return decide_removal (evidence, reason, deciding_reason);
 }
 
 HzbTaskVerdict
@@ -181,24 +183,25 @@
 {
   if (evidence->record == HZB_RECORD_ABSENT_UNPROVEN || evidence->record == HZB_RECORD_ABSENT)
     return decide_unrecorded (evidence, reason);
-  if (evidence->shown == HZB_SHOWN_NOT)
-    return decide_unshown (evidence, reason);
-  /* This does not wait for the job's verdict: its completion is durable, and cancelled work has to stop in time. */
-  if (evidence->record == HZB_RECORD_OVER)
-    return dispose (evidence, reason, HZB_TASK_REASON_JOB_OVER);
-  if (evidence->standing == HZB_STANDING_DURABLE)
-    return once_decided (evidence, reason, HZB_TASK_REASON_RESULT_DURABLE);
-  if (evidence->standing == HZB_STANDING_RESULT)
+  if (evidence->reported == HZB_NOT_REPORTED)
+    return decide_unreported (evidence, reason);
+  /* Tasks of a terminal job are removed without waiting for the job's verdict: the job's completion is durable, and
+   * cancelled work has to stop in time. */
+  if (evidence->record == HZB_RECORD_TERMINAL)
+    return decide_removal (evidence, reason, HZB_TASK_REASON_JOB_TERMINAL);
+  if (evidence->known == HZB_KNOWN_RESULT_DURABLE)
+    return decide_removal_once_job_decided (evidence, reason, HZB_TASK_REASON_RESULT_DURABLE);
+  if (evidence->known == HZB_KNOWN_RESULT)
     return task_verdict (reason, HZB_TASK_VERDICT_AWAIT, HZB_TASK_REASON_RESULT_FOUND);
-  if (evidence->standing == HZB_STANDING_ELSEWHERE)
-    return once_decided (evidence, reason, HZB_TASK_REASON_SUPERSEDED);
-  if (evidence->shown == HZB_SHOWN_RESULT)
+  if (evidence->known == HZB_KNOWN_PLACED_ELSEWHERE)
+    return decide_removal_once_job_decided (evidence, reason, HZB_TASK_REASON_SUPERSEDED);
+  if (evidence->reported == HZB_REPORTED_RESULT)
     return task_verdict (reason, HZB_TASK_VERDICT_ADOPT, HZB_TASK_REASON_RESULT_FOUND);
-  if (evidence->shown == HZB_SHOWN_ALIVE)
+  if (evidence->reported == HZB_REPORTED_ALIVE)
     return task_verdict (reason, HZB_TASK_VERDICT_ADOPT, HZB_TASK_REASON_FOUND_RUNNING);
-  if (evidence->standing == HZB_STANDING_HERE)
+  if (evidence->known == HZB_KNOWN_PLACED_HERE)
     return task_verdict (reason, HZB_TASK_VERDICT_RESTART, HZB_TASK_REASON_ENDED_WITHOUT_RESULT);
-  return once_decided (evidence, reason, HZB_TASK_REASON_ENDED_WITHOUT_RESULT);
+  return decide_removal_once_job_decided (evidence, reason, HZB_TASK_REASON_ENDED_WITHOUT_RESULT);
 }
 
 const char *
@@ -223,9 +226,9 @@
     [HZB_TASK_REASON_NOWHERE] = "nowhere",
     [HZB_TASK_REASON_ENDED_WITHOUT_RESULT] = "ended-without-result",
     [HZB_TASK_REASON_SUPERSEDED] = "superseded",
-    [HZB_TASK_REASON_JOB_OVER] = "job-over",
+    [HZB_TASK_REASON_JOB_TERMINAL] = "job-over",
     [HZB_TASK_REASON_JOB_UNDECIDED] = "job-undecided",
-    [HZB_TASK_REASON_RECORD_MAY_COME] = "record-may-come",
+    [HZB_TASK_REASON_ABSENCE_UNPROVEN] = "record-may-come",
     [HZB_TASK_REASON_OPERATOR_AWAITED] = "operator-awaited",
     [HZB_TASK_REASON_KEPT_BY_OPERATOR] = "kept-by-operator",
     [HZB_TASK_REASON_NO_RECORD] = "no-record",
--- a/src/records/record-flush-outcome.c
+++ b/src/records/record-flush-outcome.c
@@ -37,7 +37,7 @@
 {
   const HzbRecordsDependencies *modules = &records->modules;
 
-  hzb_reconciliation_roster_written (modules->reconciliation, TRUE);
+  hzb_reconciliation_complete_roster_write (modules->reconciliation, TRUE);
   for (guint i = 0; i < flush->parts->len; i++)
     apply_part (records, flush->parts->pdata[i]);
   for (guint i = 0; i < flush->machines->len; i++)
@@ -71,7 +71,7 @@
 {
   const HzbRecordsDependencies *modules = &records->modules;
 
-  hzb_reconciliation_roster_written (modules->reconciliation, FALSE);
+  hzb_reconciliation_complete_roster_write (modules->reconciliation, FALSE);
   for (guint i = 0; i < flush->parts->len; i++)
     {
       HzbJob *job = hzb_jobs_find (modules->jobs, ((const HzbFlushedPart *) flush->parts->pdata[i])->uid);
--- a/src/records/record-flush.c
+++ b/src/records/record-flush.c
@@ -245,7 +245,7 @@
   HzbFlush *flush;
   guint remaining_changes;
 
-  if (!due->len && !remove_acceptances && !hzb_reconciliation_roster_due (records->modules.reconciliation))
+  if (!due->len && !remove_acceptances && !hzb_reconciliation_is_roster_due (records->modules.reconciliation))
     return;
   flush = hzb_flush_new (++records->flush_number);
   transaction = begin_transaction (records, flush);
--- a/src/records/records.c
+++ b/src/records/records.c
@@ -91,7 +91,7 @@
   if (job->state == HZB_JOB_CANCELLED && !job->spec && part->progress.team)
     {
       job->spec = cancelled_job_spec_new (part->uid, &part->progress, job->n_tasks);
-      job->team = hzb_settings_team (records->modules.node->settings, job->spec->team);
+      job->team = hzb_settings_find_team (records->modules.node->settings, job->spec->team);
     }
   hzb_jobs_activate (jobs, job);
   if (!job->tasks)
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -66,7 +66,7 @@
 /**
  * hzb_records_load: loads one record from the key-value store, while a new leader loads the records of the previous
  * one.
- * - `item`: a record below %HZB_KEY_OWNER; records of other modules are ignored
+ * - `item`: a record below %HZB_KEY_LEADER_RECORDS; records of other modules are ignored
  */
 void hzb_records_load (HzbRecords *records, const HzbKvEntry *item);
 
--- a/src/scheduling/jobs.c
+++ b/src/scheduling/jobs.c
@@ -216,7 +216,7 @@
   job->accepted = record->accepted;
   job->spec = g_steal_pointer (&record->spec);
   job->n_tasks = record->n_tasks;
-  job->team = hzb_settings_team (jobs->settings, job->spec->team);
+  job->team = hzb_settings_find_team (jobs->settings, job->spec->team);
   if (jobs->shard && !jobs->leaseholder)
     hzb_jobs_activate (jobs, job);
 }
--- a/src/scheduling/scheduling-class.c
+++ b/src/scheduling/scheduling-class.c
@@ -44,7 +44,7 @@
   if (g_str_equal (objective->kind, "wait"))
     return objective->within_s;
   if (g_str_equal (objective->kind, "deadline") && job->spec->deadline_s > 0)
-    return job->spec->deadline_s * MAX (objective->times, 1) - RUN_TIME_SAFETY_FACTOR * hzb_job_mean_s (job);
+    return job->spec->deadline_s * MAX (objective->deadline_factor, 1) - RUN_TIME_SAFETY_FACTOR * hzb_job_mean_s (job);
   return -INFINITY;
 }
 
--- a/src/shards/leaseholder-poll.c
+++ b/src/shards/leaseholder-poll.c
@@ -148,8 +148,8 @@
   leaseholder->last_poll = now;
   hzb_epoch_call_init (&leaseholder->poll_call, leaseholder->modules.ownership, leaseholder, NULL);
   hzb_shard_poll_encode (poll, message);
-  hzb_send (leaseholder->modules.node->transport, "POST", address, "/peer/v1/block", hzb_json_print (message),
-            POLL_TIMEOUT_MS, on_answer, leaseholder);
+  hzb_transport_send (leaseholder->modules.node->transport, "POST", address, "/peer/v1/block", hzb_json_print (message),
+                      POLL_TIMEOUT_MS, on_answer, leaseholder);
 }
 
 void
--- a/tests/sim-cluster.c
+++ b/tests/sim-cluster.c
@@ -97,7 +97,7 @@
                                .method = http_request->method,
                                .path = http_request->path,
                                .body = http_request->body });
-  hzb_controller_request (http_request, sim->nodes[node].controller);
+  hzb_controller_handle_request (http_request, sim->nodes[node].controller);
 }
 
 static void
--- a/tests/sim-faults.c
+++ b/tests/sim-faults.c
@@ -183,7 +183,7 @@
   http_request->length = strlen (http_request->body);
   http_request->reply = capture_status;
   http_request->impl = &status;
-  hzb_controller_request (http_request, sim->nodes[node].controller);
+  hzb_controller_handle_request (http_request, sim->nodes[node].controller);
   return status;
 }
 
@@ -237,7 +237,7 @@
   http_request->length = strlen (body);
   http_request->reply = answered;
   http_request->impl = out;
-  hzb_controller_request (http_request, sim->nodes[node].controller);
+  hzb_controller_handle_request (http_request, sim->nodes[node].controller);
   sim_run (sim, sim->now + 3);
   if (retry)
     *retry = out[1];
--- a/tests/sim-network.c
+++ b/tests/sim-network.c
@@ -169,7 +169,7 @@
         }
       if (sim_node_paused (target, on_arrival, call))
         return;
-      if (call->body && strlen (call->body) > HZB_MAX_BODY)
+      if (call->body && strlen (call->body) > HZB_MAX_BODY_BYTES)
         {
           sim->oversized_requests++;
           sim_respond (sim, call, 400, NULL); /* as the HTTP server does */
@@ -187,7 +187,7 @@
       http_request->impl = pair;
       sim->largest_request = MAX (sim->largest_request, http_request->length);
       sim_measure_begin (sim);
-      hzb_controller_peer_request (http_request, target->controller);
+      hzb_controller_handle_peer_request (http_request, target->controller);
       sim_measure_end (sim, SIM_PART_PEERS);
     }
 }
--- a/tests/test-cancellations.c
+++ b/tests/test-cancellations.c
@@ -95,7 +95,7 @@
                                     { .node = (char *) "n2", .address = (char *) "10.0.0.3:1" } } };
   bench_up (&fixture->bench, 1);
   settings = fixture->bench.settings;
-  settings->size = 3;
+  settings->cluster_size = 3;
   g_ptr_array_unref (settings->peers);
   settings->peers = g_ptr_array_new ();
   for (guint i = 0; i < G_N_ELEMENTS (fixture->others); i++)
--- a/tests/test-cloud-client.c
+++ b/tests/test-cloud-client.c
@@ -1,4 +1,4 @@
-/* The client of the cloud: its request rate, and what goes first. */
+/* The client of the cloud: its request rate and the priorities of requests. */
 #include "support.h"
 
 #include "cloud-client.h"
@@ -16,7 +16,7 @@
 } Fixture;
 
 static void
-fixture_up (Fixture *fixture, double rps)
+fixture_set_up (Fixture *fixture, double rps)
 {
   *fixture = (Fixture){ 0 };
   fixture->settings = test_settings ();
@@ -27,7 +27,7 @@
 }
 
 static void
-fixture_down (Fixture *fixture)
+fixture_tear_down (Fixture *fixture)
 {
   FakeCall *call;
   while ((call = g_queue_peek_head (&fixture->transport.calls)))
@@ -62,17 +62,18 @@
   return call->path;
 }
 
-/* What waits goes by priority, not in the order in which it was asked for. */
+/* Waiting requests are sent by priority, not in the order of the calls. */
 static void
 test_urgent_first (void)
 {
   Fixture fixture;
   g_autoptr (GPtrArray) names = g_ptr_array_new ();
 
-  fixture_up (&fixture, 1);
+  fixture_set_up (&fixture, 1);
   g_ptr_array_add (names, (gpointer) "i-1");
   hzb_cloud_client_list_types (fixture.cloud, on_response, &fixture);
-  g_assert_cmpuint (fixture.transport.sent, ==, 1); /* the first request of a second need not wait */
+  /* The token bucket is full at first, so the first request does not wait. */
+  g_assert_cmpuint (fixture.transport.sent, ==, 1);
   hzb_cloud_client_list_types (fixture.cloud, on_response, &fixture);
   hzb_cloud_client_scale_out (fixture.cloud, "r-1-1", "small", "za", FALSE, 2, on_response, &fixture);
   hzb_cloud_client_scale_in (fixture.cloud, names, on_response, &fixture);
@@ -82,50 +83,51 @@
   g_assert_cmpstr (nth_path (&fixture, 1), ==, hzb_path_return);
   g_assert_cmpstr (nth_path (&fixture, 2), ==, hzb_path_rent);
   g_assert_cmpstr (nth_path (&fixture, 3), ==, hzb_path_types);
-  fixture_down (&fixture);
+  fixture_tear_down (&fixture);
 }
 
-/* A tenth of the rate is left to the leader before; what the leader may use is used. */
+/* A tenth of the cloud's rate is left to the previous leader. A leader with enough requests uses all the rest. */
 static void
 test_rate (void)
 {
   Fixture fixture;
 
-  fixture_up (&fixture, 4);
+  fixture_set_up (&fixture, 4);
   for (guint i = 0; i < 400; i++)
     hzb_cloud_client_list_types (fixture.cloud, on_response, &fixture);
   pump_for (&fixture, 60);
   g_assert_cmpuint (fixture.transport.sent, <=, 60 * 4 * 9 / 10 + 4);
   g_assert_cmpuint (fixture.transport.sent, >=, 60 * 4 * 9 / 10 - 1);
-  fixture_down (&fixture);
+  fixture_tear_down (&fixture);
 }
 
-/* An idle client saves up for one second, not for longer. */
+/* The token bucket of an idle client holds the requests of one second, not more. */
 static void
 test_burst (void)
 {
   Fixture fixture;
 
-  fixture_up (&fixture, 4);
+  fixture_set_up (&fixture, 4);
   pump_for (&fixture, 60);
   for (guint i = 0; i < 100; i++)
     hzb_cloud_client_list_types (fixture.cloud, on_response, &fixture);
   g_assert_cmpuint (fixture.transport.sent, ==, 3);
-  fixture_down (&fixture);
+  fixture_tear_down (&fixture);
 }
 
+/* A freed client does not call the callbacks of waiting requests. */
 static void
 test_freed (void)
 {
   Fixture fixture;
 
-  fixture_up (&fixture, 1);
+  fixture_set_up (&fixture, 1);
   hzb_cloud_client_list_types (fixture.cloud, on_response, &fixture);
   hzb_cloud_client_list_instances (fixture.cloud, NULL, on_response, &fixture);
   hzb_cloud_client_free (g_steal_pointer (&fixture.cloud));
   g_assert_cmpuint (fixture.transport.sent, ==, 1);
   g_assert_cmpuint (fixture.responses, ==, 0);
-  fixture_down (&fixture);
+  fixture_tear_down (&fixture);
 }
 
 int
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -1,9 +1,11 @@
-/* The simulated cluster: seeded schedules of failures around real controllers, with the rules checked after every
- * event. */
+/* Tests of whole controllers on the simulated cluster: seeded schedules of faults around three real controllers. The
+ * simulator checks the rules of the protocol after every event (sim-rules.c). */
 #include "sim-faults.h"
 
 #include <string.h>
 
+/* Ten jobs of two teams, of random size. Users cancel some of them; some are limited to one zone, to one machine type
+ * or to on-demand machines. */
 static void
 add_jobs (Sim *sim)
 {
@@ -19,6 +21,7 @@
     }
 }
 
+/* Guards against jobs that don't complete, and against violations of the rules, when there is no fault at all. */
 static void
 test_fault_free (void)
 {
@@ -36,6 +39,9 @@
   sim_add_machine (sim, "big", "za", FALSE, 0.5);
 }
 
+/* Guards against lost, repeated or stuck jobs under random faults: controllers crash, machines fail or never boot,
+ * messages are lost or delayed, the key-value store has an outage, and the leader is cut off. All controllers are back
+ * at 85 s and messages are reliable from 100 s on; every job has to finish after that. */
 static void
 test_random_failures (void)
 {
@@ -78,8 +84,9 @@
     }
 }
 
-/* A machine with tasks is unresponsive after a failover. The new leader starts these tasks on no other machine,
- * although some are free, until the cloud has confirmed that the machine is terminated. */
+/* Guards against tasks that run twice: a machine with tasks is partitioned as the leader crashes. The next leader must
+ * not start these tasks on another machine, although some machines are free, until the cloud has confirmed that the
+ * unresponsive machine is terminated. */
 static void
 test_unresponsive_machine_after_failover (void)
 {
@@ -107,8 +114,8 @@
   sim_free (sim);
 }
 
-/* A leader that restarts within its lease is a new incarnation: it revokes the lease of its predecessor and leads with
- * a higher term. */
+/* Guards against a restarted leader that goes on under the lease of its earlier process. A leader that restarts before
+ * its lease expires is a new incarnation: it revokes that lease, and the next leader has a higher term. */
 static void
 test_leader_restart_is_new_incarnation (void)
 {
@@ -129,76 +136,79 @@
   sim_free (sim);
 }
 
-/* In an outage of the key-value store controllers go on renewing the workers' leases, and running tasks are kept. */
+/* Guards against running tasks that are lost in an outage of the key-value store: controllers have to go on renewing
+ * the workers' leases. */
 static void
 test_kv_outage_keeps_running_tasks (void)
 {
   Sim *sim = sim_new (8);
-  guint started;
-  SimJob *kept = sim_add_job (sim, 1, "red", 6, 2, 60);
+  guint n_started;
+  SimJob *running_job = sim_add_job (sim, 1, "red", 6, 2, 60);
   sim_add_job (sim, 1, "blue", 60, 2, 6);
   sim_run (sim, 20);
   g_assert_cmpuint (sim->tasks_started, >=, 6);
   sim->kv_outage = TRUE;
   sim_run (sim, 27);
-  started = sim->tasks_started;
+  n_started = sim->tasks_started;
   sim_run (sim, 45);
-  /* Nothing starts once the leader can't prove that its lease is valid. */
-  g_assert_cmpuint (sim->tasks_started, ==, started);
+  /* The leader can't prove that its lease is valid, so it must not start tasks. */
+  g_assert_cmpuint (sim->tasks_started, ==, n_started);
   for (guint i = 0; i < sim->machines->len; i++)
     g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
   sim->kv_outage = FALSE;
   sim_run (sim, 200);
-  g_assert_true (kept->confirmed_done);
-  expect_all_finished (sim, "outage", 8);
+  g_assert_true (running_job->confirmed_done);
+  expect_all_finished (sim, "kv outage keeps running tasks", 8);
   sim_free (sim);
 }
 
-/* The cloud announces that it reclaims a spot machine. A task that can neither checkpoint nor end in time is stopped
- * and starts elsewhere at once; a task that ends in time runs on; the machine is returned as soon as it is empty. */
+/* Guards against work lost with a spot machine that the cloud reclaims with notice. A task that can neither checkpoint
+ * nor end in time has to be stopped and started elsewhere at once; a task that ends in time has to run on; the machine
+ * has to be returned as soon as it is empty. */
 static void
 test_spot_reclaim_notice (void)
 {
   Sim *sim = sim_new (87);
-  SimJob *brief = sim_add_job (sim, 1, "red", 1, 3, 10), *lengthy = sim_add_job (sim, 1, "red", 1, 3, 200);
+  SimJob *short_job = sim_add_job (sim, 1, "red", 1, 3, 10), *long_job = sim_add_job (sim, 1, "red", 1, 3, 200);
   SimMachine *machine;
-  double at;
-  brief->type = lengthy->type = "big"; /* 8 CPUs: they share one */
+  double notice_at;
+  short_job->type = long_job->type = "big"; /* 8 CPUs: both tasks run on one machine */
   machine = run_until_machine_is (sim, HZB_MACHINE_ACTIVE);
   while (machine->tasks->len < 2 && sim->now < 30)
     sim_run (sim, sim->now + 0.5);
   g_assert_cmpuint (machine->tasks->len, ==, 2);
   sim_run (sim, sim->now + 3);
   machine->reclaim_at = sim->now + 40;
-  at = sim->now;
-  sim_run (sim, at + 4);
+  notice_at = sim->now;
+  sim_run (sim, notice_at + 4);
   g_assert_cmpuint (machine->tasks->len, ==, 1);
-  g_assert_cmpstr (((SimTask *) machine->tasks->pdata[0])->uid, ==, brief->uid);
-  sim_run (sim, at + 25);
-  g_assert_true (brief->confirmed_done);
+  g_assert_cmpstr (((SimTask *) machine->tasks->pdata[0])->uid, ==, short_job->uid);
+  sim_run (sim, notice_at + 25);
+  g_assert_true (short_job->confirmed_done);
   g_assert_true (machine->terminated);
   sim_run (sim, 500);
   expect_all_finished (sim, "spot reclaim notice", 87);
   sim_free (sim);
 }
 
-/* A job that fails on every machine is retried with a growing back-off, and other jobs go on. */
+/* Guards against a tight loop of retries: a job that fails on every machine has to be retried with an increasing
+ * back-off, and other jobs have to complete. */
 static void
 test_failing_job_backs_off (void)
 {
   Sim *sim = sim_new (9);
-  SimJob *bad = sim_add_job (sim, 1, "red", 10, 1, 5), *good;
-  bad->always_fails = TRUE;
-  good = sim_add_job (sim, 5, "blue", 10, 2, 5);
+  SimJob *failing_job = sim_add_job (sim, 1, "red", 10, 1, 5), *other_job;
+  failing_job->always_fails = TRUE;
+  other_job = sim_add_job (sim, 5, "blue", 10, 2, 5);
   sim_run (sim, 120);
-  g_assert_true (good->confirmed_done);
+  g_assert_true (other_job->confirmed_done);
   g_assert_cmpuint (sim->tasks_started, <, 120);
   expect_no_violation (sim, "failing job backs off", 9);
   sim_free (sim);
 }
 
-/* A job that failed on every machine for a while starts again after that, although other work never leaves these
- * machines empty. */
+/* Guards against a job that is never retried: for a while it failed on every machine, and since then these machines
+ * have always run other work as well. The job has to complete once its tasks can succeed. */
 static void
 test_transient_failure_on_every_machine (void)
 {
@@ -222,25 +232,26 @@
     }
 }
 
-/* A team without guarantee and limit uses what the others leave, also more than the limit of any other team, and gives
- * way to teams with a guarantee. It submits one huge array and many single tasks. */
+/* A team without guarantee and limit submits a large array and many jobs of one task. Guards against two faults: the
+ * team can't use all capacity that the other teams leave, which is more than the limit of any other team; or its work
+ * delays work of teams with a guarantee. */
 static void
 test_team_without_guarantee (void)
 {
   for (guint32 seed = 64; seed < 68; seed++)
     {
       Sim *sim = sim_new (seed);
-      SimJob *huge = sim_add_job (sim, 2, "guest", 200, 0.5, 40), *late;
-      huge->job_class = "sweep";
+      SimJob *large_array = sim_add_job (sim, 2, "guest", 200, 0.5, 40), *urgent_job;
+      large_array->job_class = "sweep";
       for (guint i = 0; i < 30; i++)
         sim_add_job (sim, 10 + 0.3 * i, "guest", 1, 0.5, 4)->job_class = "single";
       sim_run (sim, 30);
-      g_assert_cmpfloat (0.5 * sim_running (sim, huge, NULL), >, sim->config.team_max);
-      late = sim_add_job (sim, 30, "red", 6, 1, 5); /* urgent, within its team's guarantee */
+      g_assert_cmpfloat (0.5 * sim_running (sim, large_array, NULL), >, sim->config.team_max);
+      urgent_job = sim_add_job (sim, 30, "red", 6, 1, 5); /* urgent, within the guarantee of its team */
       for (guint i = 0; i < 4; i++)
         sim_add_job (sim, 32 + i, i % 2 ? "red" : "blue", 4, 1, 8);
-      sim_run (sim, 80); /* lower work is preempted once part of the time that the objective allows has passed */
-      g_assert_true (late->confirmed_done);
+      sim_run (sim, 80); /* lower classes are preempted after a fraction of the time that the objective allows */
+      g_assert_true (urgent_job->confirmed_done);
       sim->faults_over_at = 60;
       sim_run (sim, 300);
       expect_all_finished (sim, "team without guarantee", seed);
@@ -248,8 +259,8 @@
     }
 }
 
-/* A job is cancelled while starts of its tasks are in flight: the cancellation is confirmed only once it is durable,
- * and soon no task of the job is left. */
+/* A user cancels a job while commands that start its tasks are in flight, some of them delayed or lost. Guards against
+ * a cancellation that is confirmed before it is durable, and against tasks of the job that run on. */
 static void
 test_cancellation_during_starts (void)
 {
@@ -269,8 +280,8 @@
   sim_free (sim);
 }
 
-/* A machine that no controller knows to have requested, such as one of a rental that was carried out late, is used or
- * returned. */
+/* Guards against a machine that stays rented without use: no controller has a record of having requested it, for
+ * example because the cloud carried out a rental late. The machine has to be used or returned. */
 static void
 test_unrequested_machine (void)
 {
@@ -278,10 +289,11 @@
   SimMachine *idle = sim_add_machine (sim, "small", "za", FALSE, 1);
   sim_run (sim, 150);
   g_assert_true (idle->terminated);
-  expect_no_violation (sim, "surprise", 16);
+  expect_no_violation (sim, "unrequested machine", 16);
   sim_free (sim);
 }
 
+/* Guards against a gang that never completes after the cloud has reclaimed one of its machines without notice. */
 static void
 test_gang_loses_machine (void)
 {
@@ -296,12 +308,14 @@
   machine->terminated_at = sim->now;
   g_ptr_array_set_size (machine->tasks, 0);
   sim_run (sim, 260);
-  expect_all_finished (sim, "gang", 17);
+  expect_all_finished (sim, "gang loses machine", 17);
   sim_free (sim);
 }
 
+/* Sends a request to the admin API of one node, and runs the cluster for 0.3 s. @path: below /admin/v1/. Returns: the
+ * status of the response; 0: no response has arrived */
 static guint
-ask_admin (Sim *sim, guint node_index, const char *method, const char *path, const char *body)
+send_admin_request (Sim *sim, guint node_index, const char *method, const char *path, const char *body)
 {
   HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
   static guint status;
@@ -312,13 +326,14 @@
   http_request->length = strlen (body);
   http_request->reply = capture_status;
   http_request->impl = &status;
-  hzb_controller_request (http_request, sim->nodes[node_index].controller);
+  hzb_controller_handle_request (http_request, sim->nodes[node_index].controller);
   sim_run (sim, sim->now + 0.3);
   return status;
 }
 
+/* Queries the status of the first job at one node. @status: set to the HTTP status when the response arrives */
 static void
-query_status_at (Sim *sim, guint node_index, guint *status)
+send_status_query (Sim *sim, guint node_index, guint *status)
 {
   HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
   http_request->method = g_strdup ("GET");
@@ -326,11 +341,12 @@
   http_request->body = g_strdup ("");
   http_request->reply = capture_status;
   http_request->impl = status;
-  hzb_controller_request (http_request, sim->nodes[node_index].controller);
+  hzb_controller_handle_request (http_request, sim->nodes[node_index].controller);
 }
 
-/* A controller is cut off from the key-value store and from its peers, but not from its workers. It stops answering
- * workers early enough that other controllers renew their leases, and answers users 503 at once. */
+/* A controller is cut off from the key-value store and from its peers, but not from its workers. Guards against worker
+ * leases that expire because workers stay with this controller: it has to stop answering workers early enough that
+ * other controllers renew their leases. Users have to get 503 from it at once. */
 static void
 test_controller_reaches_workers_only (void)
 {
@@ -344,11 +360,11 @@
       node_index = seed % 2 ? (guint) sim_leader (sim) : machine->node;
       sim->nodes[node_index].cut_off_from_kv = sim->nodes[node_index].cut_off_from_peers = TRUE;
       sim_run (sim, sim->now + 5);
-      query_status_at (sim, node_index, &status);
-      g_assert_cmpuint (status, ==, 503); /* without waiting for a timeout */
+      send_status_query (sim, node_index, &status);
+      g_assert_cmpuint (status, ==, 503); /* at once, and not after a timeout */
       sim_run (sim, sim->now + 4);
       g_assert_cmpint (hzb_ownership_state (sim->nodes[node_index].controller->ownership), ==, HZB_OWNERSHIP_NONE);
-      g_assert_false (hzb_controller_ready (sim->nodes[node_index].controller));
+      g_assert_false (hzb_controller_is_ready (sim->nodes[node_index].controller));
       sim_run (sim, sim->now + 8);
       for (guint i = 0; i < sim->machines->len; i++)
         g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
@@ -367,8 +383,9 @@
   sim_start (sim, node_index);
 }
 
-/* Controllers restart within a fraction of a second, again and again, in the midst of elections, leases and flushes,
- * while copies of what their earlier processes sent arrive late. */
+/* Guards against messages of an earlier process of a controller that are taken for messages of the present one:
+ * controllers restart at once, many times, also during elections, leases and flushes, while copies of messages of their
+ * earlier processes arrive late. */
 static void
 test_rapid_restarts (void)
 {
@@ -389,46 +406,49 @@
     }
 }
 
-/* The leader refuses messages of an earlier incarnation of a controller, and reclaims no shard because of one. */
+/* Guards against a shard that the leader reclaims because of a late message of an earlier incarnation of a
+ * controller. The leader has to refuse such a message, an earlier message of the present incarnation, and one of
+ * an unknown node. */
 static void
 test_messages_of_earlier_incarnation (void)
 {
   Sim *sim = sim_new (57);
   HzbController *controller, *leader;
   HzbHttpRequest *http_request;
-  guint status[3] = { 0 }, at;
-  g_autofree char *old = NULL, *text[3] = { NULL };
+  guint statuses[3] = { 0 }, node_index;
+  g_autofree char *earlier_incarnation = NULL, *bodies[3] = { NULL };
   add_arrays (sim, 4);
   sim_run (sim, 12);
-  at = (guint) (sim_leader (sim) + 1) % SIM_NODES;
-  old = g_strdup (sim->nodes[at].controller->node->incarnation);
-  restart_controller (sim, GUINT_TO_POINTER (at));
+  node_index = (guint) (sim_leader (sim) + 1) % SIM_NODES;
+  earlier_incarnation = g_strdup (sim->nodes[node_index].controller->node->incarnation);
+  restart_controller (sim, GUINT_TO_POINTER (node_index));
   sim_run (sim, 20);
-  controller = sim->nodes[at].controller;
+  controller = sim->nodes[node_index].controller;
   leader = sim->nodes[sim_leader (sim)].controller;
-  text[0] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":99999,\"format\":2}",
-                             at, old);
-  text[1] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":1,\"format\":2}", at,
-                             controller->node->incarnation);
-  text[2] = g_strdup ("{\"node\":\"node-9\",\"incarnation\":\"x\",\"born\":1,\"number\":1,\"format\":2}");
+  bodies[0] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":99999,\"format\":2}",
+                               node_index, earlier_incarnation);
+  bodies[1] = g_strdup_printf ("{\"node\":\"node-%u\",\"incarnation\":\"%s\",\"born\":1,\"number\":1,\"format\":2}",
+                               node_index, controller->node->incarnation);
+  bodies[2] = g_strdup ("{\"node\":\"node-9\",\"incarnation\":\"x\",\"born\":1,\"number\":1,\"format\":2}");
   for (guint i = 0; i < 3; i++)
     {
       http_request = g_new0 (HzbHttpRequest, 1);
       http_request->method = g_strdup ("POST");
       http_request->path = g_strdup ("/peer/v1/block");
-      http_request->body = g_strdup (text[i]);
-      http_request->length = strlen (text[i]);
+      http_request->body = g_strdup (bodies[i]);
+      http_request->length = strlen (bodies[i]);
       http_request->reply = capture_status;
-      http_request->impl = &status[i];
-      hzb_controller_peer_request (http_request, leader);
-      g_assert_cmpuint (status[i], ==, 400);
+      http_request->impl = &statuses[i];
+      hzb_controller_handle_peer_request (http_request, leader);
+      g_assert_cmpuint (statuses[i], ==, 400);
     }
   sim_run (sim, 300);
   expect_all_finished (sim, "messages of earlier incarnation", 57);
   sim_free (sim);
 }
 
-/* The leader is cut off from the workers only: another controller leads before the workers' leases expire. */
+/* Guards against worker leases that expire because the leader is cut off from the workers only: another controller has
+ * to lead before that. */
 static void
 test_leader_cut_off_from_workers (void)
 {
@@ -449,7 +469,8 @@
   sim_free (sim);
 }
 
-/* All machines of a small fleet hang, again and again: the leader resigns at most once for that. */
+/* Guards against needless failovers: all machines of a small fleet hang four times, and the leader may resign at most
+ * once because of that. */
 static void
 test_all_machines_hang_repeatedly (void)
 {
@@ -459,7 +480,7 @@
     sim_add_job (sim, 1, i % 2 ? "red" : "blue", 6, 3, 60)->type = "small";
   sim_run (sim, 25);
   term = hzb_election_term (sim->nodes[sim_leader (sim)].controller->election);
-  for (guint k = 0; k < 4; k++)
+  for (guint round = 0; round < 4; round++)
     {
       for (guint i = 0; i < sim->machines->len; i++)
         ((SimMachine *) sim->machines->pdata[i])->hung = TRUE;
@@ -475,8 +496,8 @@
   sim_free (sim);
 }
 
-/* The admin API checks settings, refuses a change that is based on an older version, and applies it on all nodes. A
- * drain of a machine is carried on by the next leader. */
+/* The admin API has to refuse invalid settings and changes that are based on an older version, and to apply a change on
+ * all nodes. Guards also against a drain of a machine that is lost when the leader crashes. */
 static void
 test_admin_api (void)
 {
@@ -487,40 +508,43 @@
   sim_add_job (sim, 1, "red", 6, 2, 60);
   sim_run (sim, 20);
   leader = sim_leader (sim);
-  g_assert_cmpuint (ask_admin (sim, 0, "GET", "settings", ""), ==, 200);
+  g_assert_cmpuint (send_admin_request (sim, 0, "GET", "settings", ""), ==, 200);
   g_assert_nonnull (strstr (last_response_body, "\"version\":0"));
-  g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":1.5}}"), ==, 400);
+  g_assert_cmpuint (send_admin_request (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":1.5}}"),
+                    ==, 400);
   g_assert_nonnull (strstr (last_response_body, "dispatchH: expected a number from 0 to 1"));
-  g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"speed\":1}}"), ==, 400);
-  g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"settings\":{}}"), ==, 400);
-  g_assert_cmpuint (ask_admin (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":0.25}}"), ==,
-                    200);
+  g_assert_cmpuint (send_admin_request (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"speed\":1}}"), ==,
+                    400);
+  g_assert_cmpuint (send_admin_request (sim, 0, "PUT", "settings", "{\"settings\":{}}"), ==, 400);
+  g_assert_cmpuint (send_admin_request (sim, 0, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":0.25}}"),
+                    ==, 200);
   for (guint i = 0; i < SIM_NODES; i++)
     g_assert_cmpfloat (sim->nodes[i].controller->dispatch->h, ==, 0.25);
-  g_assert_cmpuint (ask_admin (sim, 1, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":0.75}}"), ==,
-                    409);
-  g_assert_cmpuint (ask_admin (sim, 1, "DELETE", "settings", ""), ==, 405);
-  g_assert_cmpuint (ask_admin (sim, 1, "GET", "nonsense", ""), ==, 404);
-  g_assert_cmpuint (ask_admin (sim, 1, "GET", "metrics", ""), ==, 200);
-  g_assert_cmpuint (ask_admin (sim, (guint) leader, "GET", "blocks", ""), ==, 200);
-  g_assert_cmpuint (ask_admin (sim, (guint) leader, "GET", "tenants/main/teams", ""), ==, 200);
-  g_assert_cmpuint (ask_admin (sim, (guint) leader, "GET", "tenants/main/jobs/run-100000", ""), ==, 200);
-  g_assert_cmpuint (ask_admin (sim, ((guint) leader + 1) % SIM_NODES, "GET", "machines", ""), ==, 421);
+  g_assert_cmpuint (send_admin_request (sim, 1, "PUT", "settings", "{\"version\":0,\"settings\":{\"dispatchH\":0.75}}"),
+                    ==, 409);
+  g_assert_cmpuint (send_admin_request (sim, 1, "DELETE", "settings", ""), ==, 405);
+  g_assert_cmpuint (send_admin_request (sim, 1, "GET", "nonsense", ""), ==, 404);
+  g_assert_cmpuint (send_admin_request (sim, 1, "GET", "metrics", ""), ==, 200);
+  g_assert_cmpuint (send_admin_request (sim, (guint) leader, "GET", "blocks", ""), ==, 200);
+  g_assert_cmpuint (send_admin_request (sim, (guint) leader, "GET", "tenants/main/teams", ""), ==, 200);
+  g_assert_cmpuint (send_admin_request (sim, (guint) leader, "GET", "tenants/main/jobs/run-100000", ""), ==, 200);
+  g_assert_cmpuint (send_admin_request (sim, ((guint) leader + 1) % SIM_NODES, "GET", "machines", ""), ==, 421);
   machine = machine_with_tasks (sim);
   path = g_strdup_printf ("machines/%s/drain", machine->name);
-  g_assert_cmpuint (ask_admin (sim, (guint) leader, "POST", "machines/i-777777/drain", ""), ==, 404);
-  g_assert_cmpuint (ask_admin (sim, (guint) leader, "POST", path, ""), ==, 200);
+  g_assert_cmpuint (send_admin_request (sim, (guint) leader, "POST", "machines/i-777777/drain", ""), ==, 404);
+  g_assert_cmpuint (send_admin_request (sim, (guint) leader, "POST", path, ""), ==, 200);
   sim_run (sim, sim->now + 2);
   sim_crash (sim, (guint) leader);
   sim_start (sim, (guint) leader);
   sim_run (sim, 250);
   g_assert_true (machine->terminated);
-  for (guint i = 0; i < SIM_NODES; i++) /* a restarted controller has the settings too */
+  for (guint i = 0; i < SIM_NODES; i++) /* the restarted controller has the changed settings too */
     g_assert_cmpfloat (sim->nodes[i].controller->dispatch->h, ==, 0.25);
   expect_all_finished (sim, "admin api", 50);
   sim_free (sim);
 }
 
+/* Gives the job's user this response, and expects that it violates this rule and no other. Clears the violations. */
 static void
 expect_violation (Sim *sim, const char *rule, SimJob *job, guint status, const char *state)
 {
@@ -530,6 +554,7 @@
   g_ptr_array_set_size (sim->violations, 0);
 }
 
+/* Returns: whether there is a violation of this rule whose description contains the text */
 static gboolean
 has_violation (Sim *sim, const char *rule, const char *text)
 {
@@ -539,27 +564,29 @@
   return FALSE;
 }
 
-/* Each check of the simulated cluster can fail. */
+/* Guards against checks of the simulator that can't fail: each rule is violated on purpose, and the violation has to be
+ * reported. Cases that a rule still allows must not be reported. */
 static void
 test_checks_can_fail (void)
 {
   Sim *sim = sim_new (10);
   SimJob *job = sim_add_job (sim, 1e6, "red", 30, 2, 50);
-  SimMachine *a = sim_add_machine (sim, "big", "za", FALSE, 1e6), *b = sim_add_machine (sim, "big", "za", FALSE, 1e6);
-  sim_put_task (sim, a, job, 0, 1)->state = SIM_TASK_RUNNING;
+  SimMachine *machine = sim_add_machine (sim, "big", "za", FALSE, 1e6),
+             *other_machine = sim_add_machine (sim, "big", "za", FALSE, 1e6);
+  sim_put_task (sim, machine, job, 0, 1)->state = SIM_TASK_RUNNING;
   sim_check (sim);
   g_assert_cmpuint (sim->violations->len, ==, 0);
-  sim_put_task (sim, b, job, 0, 2)->state = SIM_TASK_RUNNING;
+  sim_put_task (sim, other_machine, job, 0, 2)->state = SIM_TASK_RUNNING;
   sim_check (sim);
   g_assert_true (g_str_has_prefix (sim->violations->pdata[0], "ran_twice"));
   g_ptr_array_set_size (sim->violations, 0);
-  g_ptr_array_set_size (b->tasks, 0);
+  g_ptr_array_set_size (other_machine->tasks, 0);
   for (guint i = 1; i < 13; i++)
-    sim_put_task (sim, a, job, i, 1)->state = SIM_TASK_RUNNING;
+    sim_put_task (sim, machine, job, i, 1)->state = SIM_TASK_RUNNING;
   sim_check (sim);
   g_assert_true (g_str_has_prefix (sim->violations->pdata[0], "quota"));
   g_ptr_array_set_size (sim->violations, 0);
-  g_ptr_array_set_size (a->tasks, 1);
+  g_ptr_array_set_size (machine->tasks, 1);
   job->confirmed_cancelled = TRUE;
   sim_check (sim);
   g_assert_cmpuint (sim->violations->len, ==, 0);
@@ -567,7 +594,7 @@
   sim_check (sim);
   g_assert_true (g_str_has_prefix (sim->violations->pdata[0], "ran_cancelled"));
   g_ptr_array_set_size (sim->violations, 0);
-  g_ptr_array_set_size (a->tasks, 0);
+  g_ptr_array_set_size (machine->tasks, 0);
   expect_violation (sim, "invented", sim_add_job (sim, 1e6, "red", 1, 1, 1), 200, "queued");
   job = sim_add_job (sim, 1e6, "red", 2, 1, 1);
   job->submitted = TRUE;
@@ -575,20 +602,20 @@
   g_assert_cmpuint (sim->violations->len, ==, 0);
   expect_violation (sim, "forgotten", job, 404, NULL);
   expect_violation (sim, "not_done", job, 200, "done");
-  expect_violation (sim, "went_back", job, 200, "running"); /* it was confirmed done before */
+  expect_violation (sim, "went_back", job, 200, "running"); /* its user was told that it is done */
   job = sim_add_job (sim, 1e6, "red", 2, 1, 1);
   job->submitted = TRUE;
-  expect_violation (sim, "went_back", job, 200, "cancelled"); /* its user has not cancelled it */
+  expect_violation (sim, "went_back", job, 200, "cancelled"); /* its user has not asked to cancel it */
   job = sim_add_job (sim, 1e6, "red", 2, 1, 1);
   job->zone = "zb";
   {
-    g_autofree char *task_status = g_strdup_printf ("%s/0", job->uid);
-    sim_start_task (sim, a, task_status, 9); /* a is in za */
+    g_autofree char *task_name = g_strdup_printf ("%s/0", job->uid);
+    sim_start_task (sim, machine, task_name, 9); /* this machine is in za */
     g_assert_true (g_str_has_prefix (sim->violations->pdata[0], "wrong_place"));
   }
   job->zone = NULL;
   g_ptr_array_set_size (sim->violations, 0);
-  /* The checks at the end of a run. */
+  /* the checks at the end of a run */
   for (guint i = 0; i < sim->jobs->len; i++)
     ((SimJob *) sim->jobs->pdata[i])->team = g_strdup ("blue");
   job = sim_add_job (sim, 1e6, "red", 4, 1, 1);
@@ -613,24 +640,25 @@
   sim_free (sim);
 }
 
-/* Returns: a task of the job for which the leader holds a reservation, once there is one. */
+/* Runs until the leader holds a reservation for a task of the gang. Returns: the task; NULL: there is none by 60 s */
 static HzbTask *
-run_until_reserved (Sim *sim, const SimJob *gang)
+run_until_task_reserved (Sim *sim, const SimJob *gang)
 {
   while (sim->now < 60)
     {
       int leader = sim_leader (sim);
-      const HzbJob *job = leader >= 0 ? hzb_jobs_find (sim->nodes[leader].controller->jobs, gang->uid) : NULL;
-      for (guint k = 0; job && job->tasks && k < job->n_tasks; k++)
-        if (job->tasks[k].state == HZB_TASK_RESERVED)
-          return &job->tasks[k];
+      const HzbJob *controller_job =
+          leader >= 0 ? hzb_jobs_find (sim->nodes[leader].controller->jobs, gang->uid) : NULL;
+      for (guint k = 0; controller_job && controller_job->tasks && k < controller_job->n_tasks; k++)
+        if (controller_job->tasks[k].state == HZB_TASK_RESERVED)
+          return &controller_job->tasks[k];
       sim_run (sim, sim->now + 0.02);
     }
   return NULL;
 }
 
-/* Reservations on a machine that is then to be returned are released: the gang would wait for ever for a machine that
- * takes no new tasks. */
+/* Guards against a gang that waits without end: the leader holds a reservation for it on a machine that is then chosen
+ * for scale-in, and so takes no new tasks. The reservation has to be released. */
 static void
 test_gang_reservation_on_scale_in_candidate (void)
 {
@@ -640,7 +668,7 @@
       SimJob *gang = sim_add_job (sim, 3, "red", 4, 1, 10);
       HzbTask *task;
       gang->gang = TRUE;
-      task = run_until_reserved (sim, gang);
+      task = run_until_task_reserved (sim, gang);
       g_assert_nonnull (task);
       if (seed % 2)
         task->machine->scale_in_candidate = TRUE;
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -1,5 +1,6 @@
-/* Cold starts: all controllers crash under load and restart. No task runs twice, none is lost, and no command for a
- * job is sent before its verdict is durable. -m slow plays larger fleets and more seeds, -m perf measures. */
+/* Cold starts: all controllers crash under load and restart. The tests guard against tasks that run twice, tasks that
+ * are lost, and commands for a job that are sent before the verdict on the job is durable. -m slow adds larger fleets
+ * and more seeds, -m perf runs the measurement. */
 #include "archive-packing.h"
 #include "json.h"
 #include "record-keys.h"
@@ -9,105 +10,111 @@
 #include <string.h>
 
 #define FEATURES "[reconciliation]\nenabled = true\noperator_s = 10\n"
-#define BARRIER FEATURES "barrier = true\n"
-#define VERDICTS "hzb/x/reconciliation/verdicts/"
-#define STATE "hzb/x/reconciliation/state"
-#define LEAST_VALUE 2048u /* bytes; the limit that cluster.state.next names */
-#define LATE_ACCEPTANCE_S 11.0
+#define FEATURES_WITH_BARRIER FEATURES "barrier = true\n"
+#define VERDICTS_PREFIX "hzb/x/reconciliation/verdicts/"
+#define STATE_KEY "hzb/x/reconciliation/state"
+#define SMALLEST_VALUE_LIMIT_BYTES 2048u /* the limit that cluster.state.next names */
+#define LATE_ACCEPTANCE_S 11.0           /* after the start of collecting; the late acceptance is written then */
 
-/* ---- the witness ---- */
+/* ---- the observer ---- */
 
-/* Observes the records and the workers from outside of the controllers, from the crash of all controllers on. */
+/* Checks the records and the workers, not the memory of the controllers, after each step from the crash of all
+ * controllers on. */
 typedef struct
 {
   Sim *sim;
-  guint64 term;        /* of the last leader before the crash */
-  GHashTable *begun;   /* uids of jobs that had a task on a machine at the crash */
-  GHashTable *decided; /* uid -> its verdict's row */
-  GHashTable *ended;   /* tasks that had ended as of the last step, by machine, agent epoch, name and attempt -> uid */
-  double ended_at, first_command, first_verdict, last_verdict;
-  guint starts[60]; /* by second after the crash */
-} Witness;
-
-static Witness *
-witness_new (Sim *sim)
-{
-  Witness *witness = g_new0 (Witness, 1);
+  guint64 term;                 /* of the last leader before the crash */
+  GHashTable *jobs_on_machines; /* uids of jobs that had a task on a machine at the crash */
+  GHashTable *verdicts;         /* uid -> text of the job's row on a page of verdicts */
+  GHashTable *ended_tasks;      /* tasks that had ended as of the last step, by machine, agent epoch, name and attempt
+                                   -> uid */
+  double crashed_at;            /* in seconds of simulated time, as sim->now */
+  double first_verdict;         /* seconds from the crash until the first verdict was durable; below 0: none is */
+  double last_verdict;          /* seconds from the crash until the last verdict was durable */
+  guint starts_per_second[60];  /* number of task starts in each second after the crash */
+} Observer;
+
+static Observer *
+observer_new (Sim *sim)
+{
+  Observer *observer = g_new0 (Observer, 1);
   int leader = sim_leader (sim);
-  witness->sim = sim;
-  witness->ended_at = sim->now;
-  witness->first_verdict = -1;
-  witness->term = leader >= 0 ? hzb_election_term (sim->nodes[leader].controller->election) : 0;
-  witness->begun = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  witness->decided = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  witness->ended = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  observer->sim = sim;
+  observer->crashed_at = sim->now;
+  observer->first_verdict = -1;
+  observer->term = leader >= 0 ? hzb_election_term (sim->nodes[leader].controller->election) : 0;
+  observer->jobs_on_machines = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  observer->verdicts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  observer->ended_tasks = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   for (guint i = 0; i < sim->machines->len; i++)
     {
       const SimMachine *machine = sim->machines->pdata[i];
       for (guint k = 0; k < machine->tasks->len && !machine->terminated; k++)
-        g_hash_table_add (witness->begun, g_strdup (((SimTask *) machine->tasks->pdata[k])->uid));
+        g_hash_table_add (observer->jobs_on_machines, g_strdup (((SimTask *) machine->tasks->pdata[k])->uid));
     }
-  return witness;
+  return observer;
 }
 
 static void
-witness_free (Witness *witness)
+observer_free (Observer *observer)
 {
-  g_hash_table_unref (witness->begun);
-  g_hash_table_unref (witness->decided);
-  g_hash_table_unref (witness->ended);
-  g_free (witness);
+  g_hash_table_unref (observer->jobs_on_machines);
+  g_hash_table_unref (observer->verdicts);
+  g_hash_table_unref (observer->ended_tasks);
+  g_free (observer);
 }
 
-/* Checks that a durable verdict never changes, whoever leads. */
+/* Checks that a durable verdict never changes, also under later leaders. @page: a page of verdicts */
 static void
-witness_verdicts (const char *key, const cJSON *page, gpointer user)
+check_verdicts_unchanged (const char *key, const cJSON *page, gpointer user)
 {
-  Witness *witness = user;
+  Observer *observer = user;
   const cJSON *row;
   cJSON_ArrayForEach (row, cJSON_GetObjectItemCaseSensitive (page, "jobs"))
     {
       char *text = cJSON_PrintUnformatted (row);
-      const char *before = g_hash_table_lookup (witness->decided, row->string);
-      if (before && !g_str_equal (before, text))
-        g_error ("the verdict on %s changed from %s to %s", row->string, before, text);
-      if (!before)
+      const char *previous = g_hash_table_lookup (observer->verdicts, row->string);
+      if (previous && !g_str_equal (previous, text))
+        g_error ("the durable verdict on job %s changed from %s to %s", row->string, previous, text);
+      if (!previous)
         {
-          g_hash_table_insert (witness->decided, g_strdup (row->string), g_strdup (text));
-          witness->last_verdict = witness->sim->now - witness->ended_at;
-          if (witness->first_verdict < 0)
-            witness->first_verdict = witness->last_verdict;
+          g_hash_table_insert (observer->verdicts, g_strdup (row->string), g_strdup (text));
+          observer->last_verdict = observer->sim->now - observer->crashed_at;
+          if (observer->first_verdict < 0)
+            observer->first_verdict = observer->last_verdict;
         }
       cJSON_free (text);
     }
 }
 
-/* Checks that a leader after the crash started only tasks whose verdict is durable. */
+/* Checks that leaders after the crash started tasks only of jobs whose verdict is durable. Jobs that had no task on a
+ * machine at the crash are not checked. */
 static void
-witness_starts (Witness *witness, const SimMachine *machine)
+check_starts (Observer *observer, const SimMachine *machine)
 {
   for (guint k = 0; k < machine->tasks->len && !machine->terminated; k++)
     {
       const SimTask *task = machine->tasks->pdata[k];
-      if (hzb_fencing_token_term (task->attempt >> 17) <= witness->term
-          || !g_hash_table_contains (witness->begun, task->uid))
+      if (hzb_fencing_token_term (task->attempt >> 17) <= observer->term
+          || !g_hash_table_contains (observer->jobs_on_machines, task->uid))
         continue;
-      if (!g_hash_table_contains (witness->decided, task->uid))
-        g_error ("%s/%u was started on %s before its job's verdict was durable", task->uid, task->task, machine->name);
+      if (!g_hash_table_contains (observer->verdicts, task->uid))
+        g_error ("task %s/%u was started on machine %s before its job's verdict was durable", task->uid, task->task,
+                 machine->name);
     }
 }
 
-/* Whether the job's completion is on record, or its user has cancelled it. */
+/* Returns: whether the job's completion is on record, or its user has requested its cancellation. */
 static gboolean
-is_terminal (Witness *witness, const char *uid)
+is_terminal (Observer *observer, const char *uid)
 {
   g_autofree char *key = g_strconcat (HZB_KEY_JOBS, uid, NULL);
-  SimJob *job = g_hash_table_lookup (witness->sim->by_uid, uid);
-  return job->cancel_requested || sim_largest_record (witness->sim, key) > 0;
+  SimJob *job = g_hash_table_lookup (observer->sim->by_uid, uid);
+  return job->cancel_requested || sim_largest_record (observer->sim, key) > 0;
 }
 
 static GHashTable *
-ended_tasks (const Sim *sim)
+list_ended_tasks (const Sim *sim)
 {
   GHashTable *ended = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   for (guint i = 0; i < sim->machines->len; i++)
@@ -126,63 +133,66 @@
   return ended;
 }
 
-/* Checks that results were reaped only after their job's verdict is durable. A worker that began another agent epoch
- * has dropped its tasks by itself. */
+/* Checks that ended tasks were reaped only after the verdict on their job was durable. A worker that began another
+ * agent epoch has dropped its tasks without a command, so its tasks are not checked. */
 static void
-witness_reaped (Witness *witness)
+check_reaps (Observer *observer)
 {
-  Sim *sim = witness->sim;
-  GHashTable *ended = ended_tasks (sim);
+  Sim *sim = observer->sim;
+  GHashTable *ended_now = list_ended_tasks (sim);
   GHashTableIter iter;
   gpointer key, uid;
 
-  g_hash_table_iter_init (&iter, witness->ended);
+  g_hash_table_iter_init (&iter, observer->ended_tasks);
   while (g_hash_table_iter_next (&iter, &key, &uid))
     {
-      g_auto (GStrv) words = g_strsplit (key, " ", 3);
+      g_auto (GStrv) fields = g_strsplit (key, " ", 3);
       gboolean same_agent_epoch = FALSE;
       for (guint i = 0; i < sim->machines->len; i++)
         {
           const SimMachine *machine = sim->machines->pdata[i];
           same_agent_epoch = same_agent_epoch
-                             || (g_str_equal (machine->name, words[0]) && !machine->terminated && !machine->crashed
-                                 && machine->agent_epoch == g_ascii_strtoull (words[1], NULL, 10));
+                             || (g_str_equal (machine->name, fields[0]) && !machine->terminated && !machine->crashed
+                                 && machine->agent_epoch == g_ascii_strtoull (fields[1], NULL, 10));
         }
-      if (same_agent_epoch && !g_hash_table_contains (ended, key) && g_hash_table_contains (witness->begun, uid)
-          && !g_hash_table_contains (witness->decided, uid) && !is_terminal (witness, uid))
-        g_error ("%s was reaped before its job's verdict was durable", (char *) key);
+      if (same_agent_epoch && !g_hash_table_contains (ended_now, key)
+          && g_hash_table_contains (observer->jobs_on_machines, uid) && !g_hash_table_contains (observer->verdicts, uid)
+          && !is_terminal (observer, uid))
+        g_error ("ended task (machine, agent epoch, task, attempt) %s was reaped before its job's verdict was durable",
+                 (char *) key);
     }
-  g_hash_table_unref (witness->ended);
-  witness->ended = ended;
+  g_hash_table_unref (observer->ended_tasks);
+  observer->ended_tasks = ended_now;
 }
 
 static void
-witness_run (Witness *witness, double seconds)
+observer_run (Observer *observer, double seconds)
 {
-  Sim *sim = witness->sim;
+  Sim *sim = observer->sim;
   double until = sim->now + seconds;
   while (sim->now < until)
     {
       guint started = sim->tasks_started, second;
       sim_run (sim, sim->now + 0.1);
-      second = (guint) (sim->now - witness->ended_at);
-      if (second < G_N_ELEMENTS (witness->starts))
-        witness->starts[second] += sim->tasks_started - started;
-      sim_each_record (sim, VERDICTS, witness_verdicts, witness);
+      second = (guint) (sim->now - observer->crashed_at);
+      if (second < G_N_ELEMENTS (observer->starts_per_second))
+        observer->starts_per_second[second] += sim->tasks_started - started;
+      sim_each_record (sim, VERDICTS_PREFIX, check_verdicts_unchanged, observer);
       for (guint i = 0; i < sim->machines->len; i++)
-        witness_starts (witness, sim->machines->pdata[i]);
-      witness_reaped (witness);
+        check_starts (observer, sim->machines->pdata[i]);
+      check_reaps (observer);
     }
 }
 
 /* ---- the cluster ---- */
 
 static SimConfig
-small_config (guint machines)
+cluster_config (guint machines)
 {
   SimConfig config = machines > 100 ? sim_config_large : sim_config_small;
   config.machines = machines + machines / 10;
-  config.team_max = 12 * machines; /* unconfirmed tasks count too: pending ones could start in spite of them */
+  /* Unconfirmed tasks count against a team's limit, too: this limit leaves room for pending tasks to start. */
+  config.team_max = 12 * machines;
   config.check_interval_s = 0.2;
   config.features = FEATURES;
   return config;
@@ -195,10 +205,10 @@
     sim_add_machine (sim, i % 3 ? "small" : "big", i % 2 ? "za" : "zb", TRUE, g_rand_double_range (sim->rand, 1, 5));
 }
 
-/* A cluster at work: arrays of all teams, one so large that some of its tasks are not released when all controllers
- * crash, and a service. */
+/* Returns: a cluster under load: job arrays of all teams, one of them so large that some of its tasks are not released
+ * when all controllers crash, and a service. */
 static Sim *
-cluster_at_work (guint32 seed, const SimConfig *config, guint machines, double run_s)
+new_busy_cluster (guint32 seed, const SimConfig *config, guint machines, double run_s)
 {
   Sim *sim = sim_new_with_config (seed, config);
   add_machines (sim, machines);
@@ -209,22 +219,22 @@
       job->spot = TRUE;
     }
   sim_add_job (sim, 1.5, "blue", MAX (80, machines * 5), 1, run_s);
-  /* Not spread: there are too few machines that are not spot for two zones. */
+  /* The service is not spread: there are too few non-spot machines for two zones. */
   add_service (sim, 2, "red", 3, 2, 200)->spread = FALSE;
   sim_run (sim, 20 + config->heartbeat_interval_s * 2);
-  expect_no_violation (sim, "at work", seed);
+  expect_no_violation (sim, "busy cluster", seed);
   g_assert_cmpint (sim_leader (sim), >=, 0);
   g_assert_cmpuint (tasks_running (sim), >, machines / 2);
   return sim;
 }
 
-static Witness *
-crash_all_under_witness (Sim *sim)
+static Observer *
+crash_all_and_observe (Sim *sim)
 {
-  Witness *witness = witness_new (sim);
+  Observer *observer = observer_new (sim);
   for (guint i = 0; i < SIM_NODES; i++)
     sim_crash (sim, i);
-  return witness;
+  return observer;
 }
 
 static HzbReconciliation *
@@ -235,103 +245,106 @@
 }
 
 static HzbReconciliationState
-state_of (Sim *sim)
+reconciliation_state (Sim *sim)
 {
   HzbReconciliation *reconciliation = reconciliation_of_leader (sim);
   return reconciliation ? hzb_reconciliation_state (reconciliation) : HZB_RECONCILIATION_NONE;
 }
 
 static gboolean
-witness_run_until (Witness *witness, HzbReconciliationState state, double most_s)
+observer_run_until (Observer *observer, HzbReconciliationState state, double timeout_s)
 {
-  double until = witness->sim->now + most_s;
-  while (state_of (witness->sim) != state && witness->sim->now < until)
-    witness_run (witness, 0.1);
-  return state_of (witness->sim) == state;
+  double until = observer->sim->now + timeout_s;
+  while (reconciliation_state (observer->sim) != state && observer->sim->now < until)
+    observer_run (observer, 0.1);
+  return reconciliation_state (observer->sim) == state;
 }
 
-/* Ends all faults, and expects that all jobs finish. @witness: (nullable): of the cold start, if there was one lately */
+/* Ends all faults, expects that all jobs finish, and frees the cluster. @observer: (nullable) (transfer full): of the
+ * last cold start; NULL if it is no longer observed */
 static void
-finish (Sim *sim, Witness *witness, const char *what, guint32 seed)
+heal_and_finish (Sim *sim, Observer *observer, const char *test_name, guint32 seed)
 {
   heal_controllers (sim, NULL);
   sim->kv_outage = FALSE;
   sim->late_transaction_chance = 0;
   start_all_controllers (sim, NULL);
   sim->faults_over_at = sim->now + 40;
-  if (witness)
+  if (observer)
     {
-      witness_run (witness, 60);
-      witness_free (witness);
+      observer_run (observer, 60);
+      observer_free (observer);
     }
-  sim_run (sim, sim->now + (witness ? 400 : 460));
-  expect_all_finished (sim, what, seed);
+  sim_run (sim, sim->now + (observer ? 400 : 460));
+  expect_all_finished (sim, test_name, seed);
   sim_free (sim);
 }
 
 /* ---- under load ---- */
 
 static void
-play_under_load (guint32 seed, guint machines, const char *features, double away_s)
+run_under_load (guint32 seed, guint machines, const char *features, double downtime_s)
 {
-  SimConfig config = small_config (machines);
+  SimConfig config = cluster_config (machines);
   Sim *sim;
-  Witness *witness;
-  guint busiest = 0, written;
+  Observer *observer;
+  guint max_starts_per_second = 0, writes_before;
 
   config.features = features;
-  sim = cluster_at_work (seed, &config, machines, 60);
-  sim->kv_max_value_bytes = LEAST_VALUE;
+  sim = new_busy_cluster (seed, &config, machines, 60);
+  sim->kv_max_value_bytes = SMALLEST_VALUE_LIMIT_BYTES;
   sim->kv_max_changes = config.txn_ops;
-  witness = crash_all_under_witness (sim);
-  written = sim->kv_writes;
-  sim_run (sim, sim->now + away_s);
+  observer = crash_all_and_observe (sim);
+  writes_before = sim->kv_writes;
+  sim_run (sim, sim->now + downtime_s);
   start_all_controllers (sim, NULL);
-  witness_run (witness, 59 - away_s);
-  for (guint i = 0; i < G_N_ELEMENTS (witness->starts); i++)
-    busiest = MAX (busiest, witness->starts[i]);
+  observer_run (observer, 59 - downtime_s);
+  for (guint i = 0; i < G_N_ELEMENTS (observer->starts_per_second); i++)
+    max_starts_per_second = MAX (max_starts_per_second, observer->starts_per_second[i]);
   g_test_message (
       "%u machines, seed %u, down for %.1f s: verdicts durable %.1f to %.1f s after the crash, at most %u starts "
       "a second, %u changes in the first minute",
-      machines, seed, away_s, witness->first_verdict, witness->last_verdict, busiest, sim->kv_writes - written);
-  g_assert_cmpuint (g_hash_table_size (witness->decided), >, 0);
-  g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COMPLETE, 120));
-  sim_each_record (sim, VERDICTS, witness_verdicts, witness);
-  g_assert_cmpuint (sim_largest_record (sim, STATE), ==,
-                    0); /* no record of the reconciliation is left for the next leader */
-  g_assert_cmpuint (sim_largest_record (sim, VERDICTS), ==, 0);
-  finish (sim, witness, "under load", seed);
+      machines, seed, downtime_s, observer->first_verdict, observer->last_verdict, max_starts_per_second,
+      sim->kv_writes - writes_before);
+  g_assert_cmpuint (g_hash_table_size (observer->verdicts), >, 0);
+  g_assert_true (observer_run_until (observer, HZB_RECONCILIATION_COMPLETE, 120));
+  sim_each_record (sim, VERDICTS_PREFIX, check_verdicts_unchanged, observer);
+  /* The next leader finds no record of the reconciliation. */
+  g_assert_cmpuint (sim_largest_record (sim, STATE_KEY), ==, 0);
+  g_assert_cmpuint (sim_largest_record (sim, VERDICTS_PREFIX), ==, 0);
+  heal_and_finish (sim, observer, "under load", seed);
 }
 
 static void
 test_under_load (void)
 {
   for (guint32 seed = 1000; seed < 1010; seed++)
-    play_under_load (seed, 50, seed % 5 ? FEATURES : BARRIER, seed % 2 ? 1 : 14);
+    run_under_load (seed, 50, seed % 5 ? FEATURES : FEATURES_WITH_BARRIER, seed % 2 ? 1 : 14);
   for (guint32 seed = 1010; g_test_slow () && seed < 1020; seed++)
     {
-      play_under_load (seed, 600, FEATURES, seed % 2 ? 1 : 30);
-      play_under_load (seed, 1500, FEATURES, seed % 2 ? 1 : 30);
+      run_under_load (seed, 600, FEATURES, seed % 2 ? 1 : 30);
+      run_under_load (seed, 1500, FEATURES, seed % 2 ? 1 : 30);
     }
 }
 
-/* Half of the machines are unresponsive through the restart, and return before or after their leases expire. Some are
- * one-way partitioned, some are missing from the cloud's inventory, some have begun another agent epoch. */
+/* Half of the machines are unresponsive during the restart, and respond again before or after their leases expire. Some
+ * machines are partitioned in one direction, some are missing from the cloud's inventory, and some have begun another
+ * agent epoch. */
 static void
 test_unresponsive_machines (void)
 {
-  static const double back_s[] = { 4, 9.8, 25 };
+  static const double reconnect_after_s[] = { 4, 9.8, 25 };
   for (guint32 seed = 1030; seed < 1036; seed++)
     {
-      SimConfig config = small_config (30);
-      Sim *sim = cluster_at_work (seed, &config, 30, 60);
-      Witness *witness = crash_all_under_witness (sim);
+      SimConfig config = cluster_config (30);
+      Sim *sim = new_busy_cluster (seed, &config, 30, 60);
+      Observer *observer = crash_all_and_observe (sim);
       for (guint i = 0; i < sim->machines->len; i++)
         {
           SimMachine *machine = sim->machines->pdata[i];
           machine->partitioned = i % 2 == 0;
           machine->one_way_partitioned = i % 7 == 1;
-          machine->missing_from_inventory = i % 5 == 3; /* missing from the cloud's inventory, yet sends heartbeats */
+          machine->missing_from_inventory = i % 5 == 3; /* although it sends heartbeats */
           if (i % 9 == 5)
             {
               machine->agent_epoch++; /* its lease expired, and it has begun another agent epoch */
@@ -339,30 +352,30 @@
               g_ptr_array_set_size (machine->tasks, 0);
             }
         }
-      sim->heartbeat_copy_chance = 0.1; /* heartbeats from before the crash arrive after the verdicts */
+      sim->heartbeat_copy_chance = 0.1; /* some heartbeats from before the crash arrive after the verdicts */
       sim_run (sim, sim->now + 2);
       start_all_controllers (sim, NULL);
-      witness_run (witness, back_s[seed % G_N_ELEMENTS (back_s)]);
+      observer_run (observer, reconnect_after_s[seed % G_N_ELEMENTS (reconnect_after_s)]);
       for (guint i = 0; i < sim->machines->len; i++)
         {
           SimMachine *machine = sim->machines->pdata[i];
           machine->partitioned = machine->one_way_partitioned = machine->missing_from_inventory = FALSE;
         }
-      finish (sim, witness, "unresponsive machines", seed);
+      heal_and_finish (sim, observer, "unresponsive machines", seed);
     }
 }
 
-/* Events while all controllers are down: cancellations that were recorded but not confirmed, a gang of which half the
- * tasks have ended, and results that no controller has seen. */
+/* Events around the time when all controllers are down: cancellations that were recorded but not confirmed, a gang of
+ * which half the tasks have ended, and results that no controller has received. */
 static void
 test_events_during_downtime (void)
 {
   for (guint32 seed = 1040; seed < 1046; seed++)
     {
-      SimConfig config = small_config (20);
-      Sim *sim = cluster_at_work (seed, &config, 20, 25);
+      SimConfig config = cluster_config (20);
+      Sim *sim = new_busy_cluster (seed, &config, 20, 25);
       SimJob *gang = sim_add_job (sim, sim->now + 0.1, "red", 4, 1, 12);
-      Witness *witness;
+      Observer *observer;
       gang->gang = TRUE;
       sim_run (sim, sim->now + 12);
       for (guint i = 0; i < sim->jobs->len; i += 4)
@@ -372,148 +385,149 @@
           job->cancel_at = sim->now;
         }
       sim_run (sim, sim->now + 0.3 * (seed % 4));
-      witness = crash_all_under_witness (sim);
+      observer = crash_all_and_observe (sim);
       sim_run (sim, sim->now + 8); /* many tasks end while the leases of their machines are valid */
-      sim->loss_chance = 0.5;      /* also the first heartbeats that show results */
+      sim->loss_chance = 0.5;      /* the first heartbeats that report results may be lost too */
       start_all_controllers (sim, NULL);
-      witness_run (witness, 5);
+      observer_run (observer, 5);
       sim->loss_chance = 0;
-      finish (sim, witness, "events during downtime", seed);
+      heal_and_finish (sim, observer, "events during downtime", seed);
     }
 }
 
 /* ---- controllers and the key-value store ---- */
 
-/* All controllers, or the leader only, crash again in each state of the reconciliation, and the next leader goes on
- * from what is durable. */
+/* All controllers, or only the leader, crash again in each state of the reconciliation. The next leader must continue
+ * from the durable record and verdicts. */
 static void
 test_crash_in_each_state (void)
 {
   for (guint32 seed = 1050; seed < 1054; seed++)
     for (int state = HZB_RECONCILIATION_DETECTING; state <= HZB_RECONCILIATION_RECORDED; state++)
       {
-        SimConfig config = small_config (20);
-        Sim *sim = cluster_at_work (seed, &config, 20, 60);
-        Witness *witness = crash_all_under_witness (sim);
-        ((SimMachine *) sim->machines->pdata[0])->hung =
-            TRUE; /* an unresponsive machine, so that deciding takes a while */
+        SimConfig config = cluster_config (20);
+        Sim *sim = new_busy_cluster (seed, &config, 20, 60);
+        Observer *observer = crash_all_and_observe (sim);
+        ((SimMachine *) sim->machines->pdata[0])->hung = TRUE; /* one unresponsive machine prolongs collecting */
         sim_run (sim, sim->now + 1);
         start_all_controllers (sim, NULL);
-        while (state_of (sim) != (HzbReconciliationState) state && sim->now < witness->ended_at + 60)
+        while (reconciliation_state (sim) != (HzbReconciliationState) state && sim->now < observer->crashed_at + 60)
           {
             sim_run (sim, sim->now + 0.02);
-            sim_each_record (sim, VERDICTS, witness_verdicts, witness);
+            sim_each_record (sim, VERDICTS_PREFIX, check_verdicts_unchanged, observer);
           }
-        g_assert_cmpint (state_of (sim), ==, state);
+        g_assert_cmpint (reconciliation_state (sim), ==, state);
         sim_run (sim, sim->now + g_rand_double_range (sim->rand, 0, 1));
         if (seed % 2)
-          sim_crash (sim, (guint) MAX (sim_leader (sim), 0)); /* after a failover the reconciliation goes on, too */
+          sim_crash (sim, (guint) MAX (sim_leader (sim), 0)); /* the reconciliation continues after a failover, too */
         else
           for (guint i = 0; i < SIM_NODES; i++)
             sim_crash (sim, i);
         sim_run (sim, sim->now + 1);
         start_all_controllers (sim, NULL);
-        g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COMPLETE, 200)
+        g_assert_true (observer_run_until (observer, HZB_RECONCILIATION_COMPLETE, 200)
                        || state == HZB_RECONCILIATION_DETECTING);
-        finish (sim, witness, "crash in each state", seed);
+        heal_and_finish (sim, observer, "crash in each state", seed);
       }
 }
 
-/* Two controllers that both believe to lead; a key-value store that refuses one controller, has an outage, or carries
- * transactions out without a response. */
+/* Faults during a reconciliation: two controllers that both act as leader, and a key-value store that refuses one
+ * controller, has an outage, or carries out transactions without a response. */
 static void
 test_kv_faults_and_two_leaders (void)
 {
   for (guint32 seed = 1060; seed < 1072; seed++)
     {
-      SimConfig config = small_config (20);
-      Sim *sim = cluster_at_work (seed, &config, 20, 60);
-      Witness *witness = crash_all_under_witness (sim);
+      SimConfig config = cluster_config (20);
+      Sim *sim = new_busy_cluster (seed, &config, 20, 60);
+      Observer *observer = crash_all_and_observe (sim);
       sim_run (sim, sim->now + 1);
       start_all_controllers (sim, NULL);
       sim->kv_max_changes = config.txn_ops;
       sim->late_transaction_chance = seed % 4 == 0 ? 0.4 : 0;
-      witness_run_until (witness, HZB_RECONCILIATION_COLLECTING, 30);
-      witness_run (witness, g_rand_double_range (sim->rand, 0, 2));
+      observer_run_until (observer, HZB_RECONCILIATION_COLLECTING, 30);
+      observer_run (observer, g_rand_double_range (sim->rand, 0, 2));
       if (seed % 4 == 1)
         cut_off_leader_at_random (sim, NULL);
       else if (seed % 4 == 2)
         sim->kv_outage = TRUE;
       else if (seed % 4 == 3)
         sim->nodes[MAX (sim_leader (sim), 0)].paused = TRUE;
-      witness_run (witness, 9);
+      observer_run (observer, 9);
       for (guint i = 0; i < SIM_NODES; i++)
         if (sim->nodes[i].paused)
           sim_resume (sim, i);
-      witness_run (witness, 20);
-      finish (sim, witness, "kv faults and two leaders", seed);
+      observer_run (observer, 20);
+      heal_and_finish (sim, observer, "kv faults and two leaders", seed);
     }
 }
 
-/* A leader without the feature leads in between: the verdicts decided before are discarded, and no rule is broken. */
+/* A leader without reconciliation leads before the verdicts are complete: the next leader with reconciliation must
+ * discard the earlier verdicts, and no rule may be broken. */
 static void
 test_leader_without_reconciliation (void)
 {
   for (guint32 seed = 1080; seed < 1084; seed++)
     {
-      SimConfig config = small_config (20);
-      Sim *sim = cluster_at_work (seed, &config, 20, 60);
-      Witness *witness = crash_all_under_witness (sim);
+      SimConfig config = cluster_config (20);
+      Sim *sim = new_busy_cluster (seed, &config, 20, 60);
+      Observer *observer = crash_all_and_observe (sim);
       ((SimMachine *) sim->machines->pdata[0])->hung = TRUE;
       sim_run (sim, sim->now + 1);
       start_all_controllers (sim, NULL);
-      g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COLLECTING, 30));
-      witness_run (witness, 2);
-      g_hash_table_remove_all (witness->begun); /* a leader without the feature records no verdicts */
-      for (guint with = 0; with < 2; with++)
+      g_assert_true (observer_run_until (observer, HZB_RECONCILIATION_COLLECTING, 30));
+      observer_run (observer, 2);
+      g_hash_table_remove_all (observer->jobs_on_machines); /* a leader without reconciliation records no verdicts */
+      for (guint with_features = 0; with_features < 2; with_features++)
         {
           for (guint i = 0; i < SIM_NODES; i++)
             {
               sim_crash (sim, i);
-              sim->nodes[i].without_features = !with;
+              sim->nodes[i].without_features = !with_features;
               sim_start (sim, i);
             }
           sim_run (sim, sim->now + 15);
-          expect_no_violation (sim, "a leader without it", seed);
+          expect_no_violation (sim, "a leader without reconciliation", seed);
         }
-      g_assert_cmpint (state_of (sim), ==, HZB_RECONCILIATION_NONE);
-      g_assert_cmpuint (sim_largest_record (sim, STATE), ==, 0);
-      g_assert_cmpuint (sim_largest_record (sim, VERDICTS), ==, 0);
-      finish (sim, witness, "a leader without it", seed);
+      g_assert_cmpint (reconciliation_state (sim), ==, HZB_RECONCILIATION_NONE);
+      g_assert_cmpuint (sim_largest_record (sim, STATE_KEY), ==, 0);
+      g_assert_cmpuint (sim_largest_record (sim, VERDICTS_PREFIX), ==, 0);
+      heal_and_finish (sim, observer, "a leader without reconciliation", seed);
     }
 }
 
-/* An unreadable page is ignored: its jobs wait for their machines, and the verdicts of other pages hold. */
+/* Unreadable records are ignored: the jobs of an unreadable page wait for their machines, and the verdicts on other
+ * pages stay valid. */
 static void
 test_unreadable_records (void)
 {
   static const char *const pages[] = { "{\"format\":9,\"id\":1,\"jobs\":{}}", "[]", "{\"format\":1,\"id\":1}" };
   for (guint i = 0; i < G_N_ELEMENTS (pages); i++)
     {
-      SimConfig config = small_config (20);
-      Sim *sim = cluster_at_work (1090 + i, &config, 20, 60);
-      Witness *witness = crash_all_under_witness (sim);
-      sim_put_record (sim, VERDICTS "000007", pages[i]);
-      sim_put_record (sim, STATE, i ? "{\"format\":1,\"id\":2,\"term\":1,\"starts\":1}" : pages[0]);
+      SimConfig config = cluster_config (20);
+      Sim *sim = new_busy_cluster (1090 + i, &config, 20, 60);
+      Observer *observer = crash_all_and_observe (sim);
+      sim_put_record (sim, VERDICTS_PREFIX "000007", pages[i]);
+      sim_put_record (sim, STATE_KEY, i ? "{\"format\":1,\"id\":2,\"term\":1,\"starts\":1}" : pages[0]);
       sim_put_record (sim, "hzb/x/reconciliation/kept", pages[i]);
       start_all_controllers (sim, NULL);
-      g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COMPLETE, 200));
-      g_assert_cmpuint (sim_largest_record (sim, VERDICTS), ==, 0);
-      finish (sim, witness, "unreadable records", 1090 + i);
+      g_assert_true (observer_run_until (observer, HZB_RECONCILIATION_COMPLETE, 200));
+      g_assert_cmpuint (sim_largest_record (sim, VERDICTS_PREFIX), ==, 0);
+      heal_and_finish (sim, observer, "unreadable records", 1090 + i);
     }
 }
 
 /* ---- tasks that no record names ---- */
 
 static guint
-decide (Sim *sim, const SimJob *job, const char *body)
+post_decision (Sim *sim, const SimJob *job, const char *body)
 {
   g_autofree char *path = g_strdup_printf ("/admin/v1/reconciliation/quarantine/%s/0", job->uid);
   return user_request (sim, (guint) MAX (sim_leader (sim), 0), "POST", path, body, NULL);
 }
 
 static gboolean
-runs (const SimMachine *machine, const SimJob *job)
+machine_runs (const SimMachine *machine, const SimJob *job)
 {
   for (guint i = 0; i < machine->tasks->len; i++)
     {
@@ -525,7 +539,7 @@
 }
 
 static void
-accept_late (Sim *sim, const SimJob *job)
+write_late_acceptance (Sim *sim, const SimJob *job)
 {
   g_autofree char *body = g_strdup_printf (
       "{\"uid\":\"%s\",\"lane\":\"try\",\"owner\":\"guest\",\"shape\":\"sweep\",\"urgency\":\"normal\",\"pieces\":1,\"cpus\":1,"
@@ -551,72 +565,75 @@
   UNRECORDED_COMPLETED_LONG_AGO,
   UNRECORDED_KEPT_BY_OPERATOR,
   N_UNRECORDED
-} Unrecorded;
+} UnrecordedCase;
 
+/* A worker reports a task that no record names. The task must run until this is proven and operators have had time to
+ * decide. Then it must be stopped, unless its job's acceptance was written late or an operator keeps it. */
 static void
-play_unrecorded (guint32 seed, Unrecorded kind)
+run_unrecorded (guint32 seed, UnrecordedCase unrecorded_case)
 {
-  SimConfig config = small_config (12);
-  Sim *sim = cluster_at_work (seed, &config, 12, 100);
+  SimConfig config = cluster_config (12);
+  Sim *sim = new_busy_cluster (seed, &config, 12, 100);
   SimJob *job = sim_add_job (sim, 1e8, "guest", 1, 1, 500);
   SimMachine *machine = machine_with_tasks (sim);
-  Witness *witness = crash_all_under_witness (sim);
-  g_autofree char *old_end = g_strconcat (HZB_KEY_ARCHIVED, job->uid, NULL);
-  double seen;
+  Observer *observer = crash_all_and_observe (sim);
+  g_autofree char *archived_key = g_strconcat (HZB_KEY_ARCHIVED, job->uid, NULL);
+  double collecting_since;
 
-  job->always_fails = TRUE; /* no user polls it */
-  if (kind == UNRECORDED_KEPT_BY_OPERATOR)
+  job->always_fails = TRUE; /* the simulated users do not poll this job */
+  if (unrecorded_case == UNRECORDED_KEPT_BY_OPERATOR)
     {
-      /* Without other tasks, only the operator's decision keeps the machine from being returned as idle. */
+      /* Without other tasks on the machine, only the operator's decision prevents its return as idle. */
       g_ptr_array_set_size (machine->tasks, 0);
       cancel_all (sim);
     }
   sim_put_task (sim, machine, job, 0, 7)->state = SIM_TASK_RUNNING;
   ((SimTask *) machine->tasks->pdata[machine->tasks->len - 1])->end_at = 1e9;
   start_all_controllers (sim, NULL);
-  g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COLLECTING, 30));
-  seen = sim->now;
-  if (kind == UNRECORDED_COMPLETED_LONG_AGO)
-    sim_put_record (sim, old_end, "{\"state\":\"done\",\"n\":1}");
-  if (kind == UNRECORDED_KEPT_BY_OPERATOR)
+  g_assert_true (observer_run_until (observer, HZB_RECONCILIATION_COLLECTING, 30));
+  collecting_since = sim->now;
+  if (unrecorded_case == UNRECORDED_COMPLETED_LONG_AGO)
+    sim_put_record (sim, archived_key, "{\"state\":\"done\",\"n\":1}");
+  if (unrecorded_case == UNRECORDED_KEPT_BY_OPERATOR)
     {
       guint status;
       do
-        status = decide (sim, job, "{\"decision\":\"stop\"}");
-      while (status == 404 && sim->now < seen + LATE_ACCEPTANCE_S); /* no heartbeat has shown the task yet */
-      g_assert_cmpuint (status, ==, 409);                           /* not yet proven to be in no record */
-      g_assert_cmpuint (decide (sim, job, "{\"decision\":\"maybe\"}"), ==, 400);
-      g_assert_cmpuint (decide (sim, job, "{\"decision\":\"keep\"}"), ==, 200);
+        status = post_decision (sim, job, "{\"decision\":\"stop\"}");
+      while (status == 404
+             && sim->now < collecting_since + LATE_ACCEPTANCE_S); /* no heartbeat has reported the task yet */
+      g_assert_cmpuint (status, ==, 409); /* it is not proven yet that no record names the task */
+      g_assert_cmpuint (post_decision (sim, job, "{\"decision\":\"maybe\"}"), ==, 400);
+      g_assert_cmpuint (post_decision (sim, job, "{\"decision\":\"keep\"}"), ==, 200);
     }
-  witness_run (witness, MAX (0, seen + LATE_ACCEPTANCE_S - sim->now));
-  g_assert_true (runs (machine, job));
-  if (kind == UNRECORDED_ACCEPTED_LATE)
-    accept_late (sim, job);
-  witness_run (witness, 25);
-  if (kind == UNRECORDED_KEPT_BY_OPERATOR)
+  observer_run (observer, MAX (0, collecting_since + LATE_ACCEPTANCE_S - sim->now));
+  g_assert_true (machine_runs (machine, job));
+  if (unrecorded_case == UNRECORDED_ACCEPTED_LATE)
+    write_late_acceptance (sim, job);
+  observer_run (observer, 25);
+  if (unrecorded_case == UNRECORDED_KEPT_BY_OPERATOR)
     {
-      sim_crash (sim, (guint) MAX (sim_leader (sim), 0)); /* the decision holds under the next leader */
-      witness_run (witness, 40);
+      sim_crash (sim, (guint) MAX (sim_leader (sim), 0)); /* the decision stays valid under the next leader */
+      observer_run (observer, 40);
       start_all_controllers (sim, NULL);
-      g_assert_true (runs (machine, job));
-      g_assert_cmpuint (decide (sim, job, "{\"decision\":\"stop\"}"), ==, 200);
-      witness_run (witness, 5);
+      g_assert_true (machine_runs (machine, job));
+      g_assert_cmpuint (post_decision (sim, job, "{\"decision\":\"stop\"}"), ==, 200);
+      observer_run (observer, 5);
     }
-  g_assert_true (runs (machine, job) == (kind == UNRECORDED_ACCEPTED_LATE));
-  g_assert_cmpuint (decide (sim, sim->jobs->pdata[0], "{\"decision\":\"stop\"}"), ==, 404);
+  g_assert_true (machine_runs (machine, job) == (unrecorded_case == UNRECORDED_ACCEPTED_LATE));
+  g_assert_cmpuint (post_decision (sim, sim->jobs->pdata[0], "{\"decision\":\"stop\"}"), ==, 404);
   g_assert_cmpuint (user_request (sim, (guint) (MAX (sim_leader (sim), 0) + 1) % SIM_NODES, "GET",
                                   "/admin/v1/reconciliation", "", NULL),
                     ==, 421);
   g_ptr_array_remove (sim->jobs, job);
-  finish (sim, witness, "unrecorded tasks", seed);
+  heal_and_finish (sim, observer, "unrecorded tasks", seed);
 }
 
 static void
 test_unrecorded_tasks (void)
 {
-  for (int kind = 0; kind < N_UNRECORDED; kind++)
+  for (int unrecorded_case = 0; unrecorded_case < N_UNRECORDED; unrecorded_case++)
     for (guint32 seed = 1100; seed < 1103; seed++)
-      play_unrecorded (seed, (Unrecorded) kind);
+      run_unrecorded (seed, (UnrecordedCase) unrecorded_case);
 }
 
 /* ---- operators ---- */
@@ -628,7 +645,7 @@
 }
 
 static char *
-get (Sim *sim, const char *path)
+get_as_operator (Sim *sim, const char *path)
 {
   HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
   char *body = NULL;
@@ -637,42 +654,42 @@
   http_request->body = g_strdup ("");
   http_request->reply = capture_body;
   http_request->impl = &body;
-  hzb_controller_request (http_request, sim->nodes[MAX (sim_leader (sim), 0)].controller);
+  hzb_controller_handle_request (http_request, sim->nodes[MAX (sim_leader (sim), 0)].controller);
   sim_run (sim, sim->now + 3);
   g_assert_nonnull (body);
   return body;
 }
 
-/* The archive of reconciliations can be read through the admin API, and its size is bounded. */
+/* Archives of reconciliations can be read through the admin API, and only as many are kept as the settings say. */
 static void
 test_archives (void)
 {
-  SimConfig config = small_config (12);
+  SimConfig config = cluster_config (12);
   Sim *sim;
-  Witness *witness;
+  Observer *observer;
   g_autofree char *list = NULL;
   cJSON *root;
   guint64 newest = 0;
 
   config.features = FEATURES "keep = 2\npace_s = 5\n";
-  sim = cluster_at_work (1120, &config, 12, 120);
-  sim->kv_max_value_bytes = LEAST_VALUE;
+  sim = new_busy_cluster (1120, &config, 12, 120);
+  sim->kv_max_value_bytes = SMALLEST_VALUE_LIMIT_BYTES;
   for (guint round = 0; round < 3; round++)
     {
-      witness = crash_all_under_witness (sim);
+      observer = crash_all_and_observe (sim);
       sim_run (sim, sim->now + 1);
       start_all_controllers (sim, NULL);
-      g_assert_true (witness_run_until (witness, HZB_RECONCILIATION_COMPLETE, 200));
-      witness_free (witness);
+      g_assert_true (observer_run_until (observer, HZB_RECONCILIATION_COMPLETE, 200));
+      observer_free (observer);
     }
-  list = get (sim, "/admin/v1/reconciliations");
+  list = get_as_operator (sim, "/admin/v1/reconciliations");
   root = cJSON_Parse (list);
   g_assert_cmpint (cJSON_GetArraySize (cJSON_GetObjectItem (root, "archives")), ==, 2);
   newest = hzb_json_u64 (cJSON_GetArrayItem (cJSON_GetObjectItem (root, "archives"), 1), "id");
   cJSON_Delete (root);
   {
     g_autofree char *path = g_strdup_printf ("/admin/v1/reconciliations/%" G_GUINT64_FORMAT, newest);
-    g_autofree char *body = get (sim, path);
+    g_autofree char *body = get_as_operator (sim, path);
     gsize length;
     guchar *packed;
     g_autoptr (GBytes) bytes = NULL;
@@ -687,15 +704,15 @@
     g_assert_cmpuint (archive->jobs->len, >, 0);
     g_assert_cmpuint (archive->machines->len, >, 0);
   }
-  finish (sim, NULL, "archives", 1120);
+  heal_and_finish (sim, NULL, "archives", 1120);
 }
 
-/* Neither a failover nor the restart of one controller is a cold start. */
+/* Neither a failover nor the restart of one controller may be taken for a cold start. */
 static void
 test_failover_is_no_cold_start (void)
 {
-  SimConfig config = small_config (12);
-  Sim *sim = cluster_at_work (1130, &config, 12, 100);
+  SimConfig config = cluster_config (12);
+  Sim *sim = new_busy_cluster (1130, &config, 12, 100);
   for (guint i = 0; i < 6; i++)
     {
       guint leader = (guint) MAX (sim_leader (sim), 0);
@@ -705,10 +722,10 @@
       for (double until = sim->now + 9; sim->now < until;)
         {
           sim_run (sim, sim->now + 0.05);
-          g_assert_cmpint (state_of (sim), <=, HZB_RECONCILIATION_DETECTING);
+          g_assert_cmpint (reconciliation_state (sim), <=, HZB_RECONCILIATION_DETECTING);
         }
     }
-  finish (sim, NULL, "failover is no cold start", 1130);
+  heal_and_finish (sim, NULL, "failover is no cold start", 1130);
 }
 
 /* ---- measurement ---- */
@@ -718,35 +735,36 @@
 {
   static const guint fleets[] = { 50, 600, 1500 };
   for (guint i = 0; g_test_perf () && i < G_N_ELEMENTS (fleets); i++)
-    for (guint on = 0; on < 2; on++)
+    for (guint enabled = 0; enabled < 2; enabled++)
       for (guint32 seed = 1200; seed < 1220; seed++)
         {
-          double away_s = seed < 1210 ? 2 : 1.2 * (fleets[i] > 100 ? sim_config_large : sim_config_small).lease_s;
-          SimConfig config = small_config (fleets[i]);
+          double downtime_s = seed < 1210 ? 2 : 1.2 * (fleets[i] > 100 ? sim_config_large : sim_config_small).lease_s;
+          SimConfig config = cluster_config (fleets[i]);
           Sim *sim;
-          Witness *witness;
-          guint written, busiest = 0, first = 0, rentals;
-          config.features = on ? FEATURES : "";
-          sim = cluster_at_work (seed, &config, fleets[i], 60);
-          witness = crash_all_under_witness (sim);
-          if (!on)
-            g_hash_table_remove_all (witness->begun); /* no verdicts are needed there */
-          written = sim->kv_writes;
-          rentals = sim->rental_calls;
-          sim_run (sim, sim->now + away_s);
+          Observer *observer;
+          guint writes_before, max_starts_per_second = 0, starts_in_first_minute = 0, rental_calls_before;
+          config.features = enabled ? FEATURES : "";
+          sim = new_busy_cluster (seed, &config, fleets[i], 60);
+          observer = crash_all_and_observe (sim);
+          if (!enabled)
+            g_hash_table_remove_all (observer->jobs_on_machines); /* tasks start without verdicts then */
+          writes_before = sim->kv_writes;
+          rental_calls_before = sim->rental_calls;
+          sim_run (sim, sim->now + downtime_s);
           start_all_controllers (sim, NULL);
-          witness_run (witness, 60 - away_s);
-          for (guint k = 0; k < G_N_ELEMENTS (witness->starts); k++)
+          observer_run (observer, 60 - downtime_s);
+          for (guint k = 0; k < G_N_ELEMENTS (observer->starts_per_second); k++)
             {
-              busiest = MAX (busiest, witness->starts[k]);
-              first += witness->starts[k];
+              max_starts_per_second = MAX (max_starts_per_second, observer->starts_per_second[k]);
+              starts_in_first_minute += observer->starts_per_second[k];
             }
           g_test_message (
               "%u machines, seed %u, down %.0f s, %s: verdicts %.1f to %.1f s; %u starts in the first minute, %u in the "
               "busiest second; %u rental calls; %u changes; %u rules broken",
-              fleets[i], seed, away_s, on ? "on" : "off", witness->first_verdict, witness->last_verdict, first, busiest,
-              sim->rental_calls - rentals, sim->kv_writes - written, sim->violations->len);
-          finish (sim, witness, "measure", seed);
+              fleets[i], seed, downtime_s, enabled ? "on" : "off", observer->first_verdict, observer->last_verdict,
+              starts_in_first_minute, max_starts_per_second, sim->rental_calls - rental_calls_before,
+              sim->kv_writes - writes_before, sim->violations->len);
+          heal_and_finish (sim, observer, "measure", seed);
         }
 }
 
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -1,26 +1,27 @@
-/* Combinations of faults: most violations of rules that were ever found took two faults at the same time. */
+/* Combinations of faults. Most violations of the rules that were found so far needed two faults at the same time. */
 #include "sim-faults.h"
 
 #include <string.h>
 
-/* ---- the key-value store refuses the leader alone, then all controllers ---- */
+/* ---- cancellations while the key-value store refuses some or all controllers ---- */
 
+/* What happens besides the two faults of test_leader_refused_then_kv_outage(). */
 typedef enum
 {
-  REFUSED_PLAIN,                /* nothing else happens */
-  REFUSED_CANCEL_BEFORE_OUTAGE, /* the users cancel in the second between the two */
-  REFUSED_CONFIRMER_CRASHES,    /* the controllers that confirmed cancellations crash */
-  REFUSED_RESTART_IN_OUTAGE,    /* a follower restarts in the outage */
-  REFUSED_TWO_CONTROLLERS,      /* a follower is refused together with the leader */
-  REFUSED_LATE_TRANSACTIONS,    /* transactions get no response and are carried out late */
-  REFUSED_STATUS_QUERY,         /* the users learn of the cancellation by polling the status */
-  REFUSED_SECOND_LEADER,        /* a failover has taken place before */
-  REFUSED_AND_CUT_FROM_PEERS,   /* the leader is cut off from its peers as well */
-  N_REFUSED
+  REFUSED_PLAIN,              /* nothing */
+  REFUSED_LATE_CANCELLATION,  /* users cancel 0.9 s after the refusal of the leader has begun, instead of 0.05 s */
+  REFUSED_FOLLOWERS_CRASH,    /* all other controllers crash, and with them those that confirmed cancellations */
+  REFUSED_RESTART_IN_OUTAGE,  /* a follower restarts in the outage */
+  REFUSED_TWO_CONTROLLERS,    /* the key-value store refuses a follower together with the leader */
+  REFUSED_LATE_TRANSACTIONS,  /* some transactions get no response and are carried out late */
+  REFUSED_STATUS_QUERIES,     /* users request the cancellation once, and then only query the status */
+  REFUSED_AFTER_FAILOVER,     /* a failover has taken place before */
+  REFUSED_CUT_OFF_FROM_PEERS, /* the leader is cut off from its peers as well */
+  N_REFUSED_VARIANTS
 } RefusedVariant;
 
 static void
-cancel_some (Sim *sim, gpointer data)
+cancel_every_second_job (Sim *sim, gpointer data)
 {
   for (guint i = 0; i < sim->jobs->len; i += 2)
     ((SimJob *) sim->jobs->pdata[i])->wants_cancel = TRUE;
@@ -35,7 +36,7 @@
 }
 
 static guint
-confirmed_cancelled (Sim *sim)
+count_confirmed_cancellations (Sim *sim)
 {
   guint n = 0;
   for (guint i = 0; i < sim->jobs->len; i++)
@@ -43,20 +44,21 @@
   return n;
 }
 
-/* Cancellations are confirmed as long as peers can reach the leader; and no cancelled task runs on, although the
- * outage is longer than cancel_s. Returns: how many were confirmed before the end of the outage. */
+/* The key-value store refuses the leader, users cancel jobs, and then the store refuses all controllers for longer than
+ * cancel_s. Guards against tasks that run on after the cancellation of their job was confirmed. Returns: the number of
+ * cancellations that were confirmed by 6 s after the start of the outage */
 static guint
-play_leader_refused (guint32 seed, RefusedVariant variant)
+run_leader_refused (guint32 seed, RefusedVariant variant)
 {
   Sim *sim = sim_new (seed);
-  guint leader, confirmed;
+  guint leader, n_confirmed;
   for (guint i = 0; i < 8; i++)
     {
       SimJob *job = sim_add_job (sim, 1 + 0.2 * i, i % 4 < 2 ? "red" : "blue", 4, 1.5, 70);
-      job->polls_only = variant == REFUSED_STATUS_QUERY;
+      job->polls_only = variant == REFUSED_STATUS_QUERIES;
     }
   sim_run (sim, 25);
-  if (variant == REFUSED_SECOND_LEADER)
+  if (variant == REFUSED_AFTER_FAILOVER)
     {
       leader = (guint) MAX (sim_leader (sim), 0);
       sim_crash (sim, leader);
@@ -67,76 +69,81 @@
   g_assert_cmpint (sim_leader (sim), !=, -1);
   leader = (guint) sim_leader (sim);
   sim->nodes[leader].refused_by_kv = TRUE;
-  sim->nodes[leader].cut_off_from_peers = variant == REFUSED_AND_CUT_FROM_PEERS;
+  sim->nodes[leader].cut_off_from_peers = variant == REFUSED_CUT_OFF_FROM_PEERS;
   if (variant == REFUSED_TWO_CONTROLLERS)
     sim->nodes[(leader + 1) % SIM_NODES].refused_by_kv = TRUE;
   if (variant == REFUSED_LATE_TRANSACTIONS)
     sim->late_transaction_chance = 0.4;
-  sim_run (sim, sim->now + (variant == REFUSED_CANCEL_BEFORE_OUTAGE ? 0.9 : 0.05));
-  cancel_some (sim, NULL);
+  sim_run (sim, sim->now + (variant == REFUSED_LATE_CANCELLATION ? 0.9 : 0.05));
+  cancel_every_second_job (sim, NULL);
   sim_run (sim, sim->now + 1.8);
   sim->kv_outage = TRUE;
   sim->late_transaction_chance = 0;
-  if (variant == REFUSED_CONFIRMER_CRASHES)
+  if (variant == REFUSED_FOLLOWERS_CRASH)
     for (guint i = 0; i < SIM_NODES; i++)
       if (i != leader)
         sim_crash (sim, i);
   sim_run (sim, sim->now + 6);
   if (variant == REFUSED_RESTART_IN_OUTAGE)
     restart_follower (sim, NULL);
-  confirmed = confirmed_cancelled (sim);
+  n_confirmed = count_confirmed_cancellations (sim);
   sim_run (sim, sim->now + 6);
   heal_controllers (sim, NULL);
-  sim_run (sim, sim->now + 34); /* cancel_s is 30 */
+  sim_run (sim, sim->now + 34); /* longer than cancel_s, which is 30 s */
   sim->kv_outage = FALSE;
   start_all_controllers (sim, NULL);
   sim->faults_over_at = sim->now + 5;
   sim_run (sim, sim->now + 250);
   expect_all_finished (sim, "leader refused then kv outage", seed);
   sim_free (sim);
-  return confirmed;
+  return n_confirmed;
 }
 
+/* Guards against two faults while the key-value store refuses first the leader and then all controllers: tasks of a job
+ * run on after its cancellation was confirmed, or cancellations are not confirmed although peers can reach the
+ * leader. */
 static void
 test_leader_refused_then_kv_outage (void)
 {
-  guint confirmed[N_REFUSED] = { 0 };
-  for (guint variant = 0; variant < N_REFUSED; variant++)
+  guint n_confirmed[N_REFUSED_VARIANTS] = { 0 };
+  for (guint variant = 0; variant < N_REFUSED_VARIANTS; variant++)
     for (guint32 seed = 200; seed < 210; seed++)
-      confirmed[variant] += play_leader_refused (seed, variant);
-  /* The rule must not hold merely because no cancellation is confirmed: peers can reach the leader though the
-   * key-value store refuses it. */
-  g_assert_cmpuint (confirmed[REFUSED_PLAIN], >, 20);
-  g_assert_cmpuint (confirmed[REFUSED_STATUS_QUERY], >, 15);
-  g_assert_cmpuint (confirmed[REFUSED_AND_CUT_FROM_PEERS], ==, 0);
+      n_confirmed[variant] += run_leader_refused (seed, variant);
+  /* Without confirmed cancellations the runs would prove nothing. The leader can confirm some as long as peers reach
+   * it, although the key-value store refuses it. */
+  g_assert_cmpuint (n_confirmed[REFUSED_PLAIN], >, 20);
+  g_assert_cmpuint (n_confirmed[REFUSED_STATUS_QUERIES], >, 15);
+  g_assert_cmpuint (n_confirmed[REFUSED_CUT_OFF_FROM_PEERS], ==, 0);
 }
 
-/* Without faults a cancellation is confirmed about as soon as it is recorded, by any controller. */
+/* Guards against late confirmations: without faults any controller has to confirm a cancellation about as soon as it is
+ * recorded. */
 static void
 test_cancellation_confirmed_at_once (void)
 {
   for (guint32 seed = 220; seed < 224; seed++)
     {
       Sim *sim = sim_new (seed);
-      double cancelled_at, last = 0;
+      double cancelled_at, last_confirmed_at = 0;
       for (guint i = 0; i < 8; i++)
         sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 6, 1.5, 60);
       sim_run (sim, 20);
       cancelled_at = sim->now;
-      cancel_some (sim, NULL);
+      cancel_every_second_job (sim, NULL);
       sim_run (sim, 27);
-      g_assert_cmpuint (confirmed_cancelled (sim), ==, 4);
+      g_assert_cmpuint (count_confirmed_cancellations (sim), ==, 4);
       for (guint i = 0; i < sim->jobs->len; i += 2)
-        last = MAX (last, ((SimJob *) sim->jobs->pdata[i])->cancel_confirmed_at);
-      g_assert_cmpfloat (last - cancelled_at, <, 5); /* users poll every 1 to 3 s */
+        last_confirmed_at = MAX (last_confirmed_at, ((SimJob *) sim->jobs->pdata[i])->cancel_confirmed_at);
+      g_assert_cmpfloat (last_confirmed_at - cancelled_at, <, 5); /* users query the status every 1 to 3 s */
       sim_run (sim, 300);
       expect_all_finished (sim, "cancellation confirmed at once", seed);
       sim_free (sim);
     }
 }
 
+/* Returns: the first node whose controller is a leaseholder and has a machine; -1: none */
 static int
-a_leaseholder (Sim *sim)
+find_leaseholder (Sim *sim)
 {
   for (guint i = 0; i < SIM_NODES; i++)
     if (sim->nodes[i].controller && hzb_ownership_is_leaseholder (sim->nodes[i].controller->ownership)
@@ -145,64 +152,68 @@
   return -1;
 }
 
+/* Eight jobs, each of 40 tasks of 10 s, so that tasks start all the time. */
 static void
-add_short_tasks (Sim *sim)
+add_jobs_with_short_tasks (Sim *sim)
 {
   for (guint i = 0; i < 8; i++)
     sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 40, 1, 10)->type = "small";
 }
 
-/* For so many seconds from now: no owner holds tasks of a job whose cancellation is confirmed without knowing of the
- * cancellation. */
+/* Runs the cluster for duration_s. Fails if an owner (the leader or a leaseholder) that does not know of a confirmed
+ * cancellation holds tasks of the cancelled job. */
 static void
-expect_no_unaware_owner (Sim *sim, double seconds)
+expect_owners_know_cancellations (Sim *sim, double duration_s)
 {
-  for (double until = sim->now + seconds; sim->now < until; sim_run (sim, sim->now + 0.02))
+  for (double end = sim->now + duration_s; sim->now < end; sim_run (sim, sim->now + 0.02))
     for (guint i = 0; i < sim->jobs->len; i++)
       for (guint node = 0; node < SIM_NODES; node++)
         {
           const SimJob *job = sim->jobs->pdata[i];
           HzbController *controller = sim->nodes[node].controller;
-          const HzbJob *known = controller && job->confirmed_cancelled
-                                        && hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_NONE
-                                    ? hzb_jobs_find (controller->jobs, job->uid)
-                                    : NULL;
-          if (known && known->tasks && known->state == HZB_JOB_ACCEPTED
-              && known->pending + known->queued + known->placed)
-            g_error ("%s is called cancelled, and node-%u holds %u tasks of it at %.2f", job->uid, node,
-                     known->pending + known->queued + known->placed, sim->now);
+          const HzbJob *controller_job = controller && job->confirmed_cancelled
+                                                 && hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_NONE
+                                             ? hzb_jobs_find (controller->jobs, job->uid)
+                                             : NULL;
+          if (controller_job && controller_job->tasks && controller_job->state == HZB_JOB_ACCEPTED
+              && controller_job->pending + controller_job->queued + controller_job->placed)
+            g_error ("%s: the cancellation is confirmed, but node-%u does not know of it and holds %u tasks at %.2f s",
+                     job->uid, node, controller_job->pending + controller_job->queued + controller_job->placed,
+                     sim->now);
         }
 }
 
-/* A leaseholder that the key-value store refuses does not see a cancellation in its replica. The cancellation is
- * confirmed only after the leader has passed it on to the leaseholder, so no task starts afterwards. */
+/* Guards against tasks that start after the cancellation of their job was confirmed: the key-value store refuses a
+ * leaseholder, so that its replica lacks the cancellation. The cancellation may be confirmed only after the leader has
+ * passed it on to the leaseholder. */
 static void
 test_leaseholder_misses_cancellation (void)
 {
-  guint confirmed = 0;
+  guint n_confirmed = 0;
   for (guint32 seed = 230; seed < 242; seed++)
     {
       Sim *sim = sim_new (seed);
       int leaseholder;
-      add_short_tasks (sim);
-      while ((leaseholder = a_leaseholder (sim)) < 0 && sim->now < 40)
+      add_jobs_with_short_tasks (sim);
+      while ((leaseholder = find_leaseholder (sim)) < 0 && sim->now < 40)
         sim_run (sim, sim->now + 0.5);
       g_assert_cmpint (leaseholder, !=, -1);
       sim->nodes[leaseholder].refused_by_kv = TRUE;
       sim_run (sim, sim->now + 0.3);
       cancel_all (sim);
-      expect_no_unaware_owner (sim, 5);
-      confirmed += confirmed_cancelled (sim);
+      expect_owners_know_cancellations (sim, 5);
+      n_confirmed += count_confirmed_cancellations (sim);
       heal_controllers (sim, NULL);
       sim_run (sim, sim->now + 200);
       expect_all_finished (sim, "leaseholder misses cancellation", seed);
       sim_free (sim);
     }
-  g_assert_cmpuint (confirmed, >, 24); /* of 96 jobs, some of which are done before */
+  g_assert_cmpuint (n_confirmed, >, 24); /* of 96 jobs, some of which complete before they are cancelled */
 }
 
-/* The leader crashes while a leaseholder is isolated from everything but its machines, and goes on for a while. A
- * cancellation is not confirmed while the next leader can't rule out that the leaseholder starts tasks of the job. */
+/* The leader crashes while a leaseholder reaches nothing but its machines, on which it goes on starting tasks for a
+ * while. Guards against a cancellation that is confirmed although the next leader can't rule out that this leaseholder
+ * starts tasks of the job. */
 static void
 test_isolated_leaseholder_after_leader_crash (void)
 {
@@ -210,15 +221,15 @@
     {
       Sim *sim = sim_new (seed);
       int leaseholder, leader;
-      add_short_tasks (sim);
-      while ((leaseholder = a_leaseholder (sim)) < 0 && sim->now < 40)
+      add_jobs_with_short_tasks (sim);
+      while ((leaseholder = find_leaseholder (sim)) < 0 && sim->now < 40)
         sim_run (sim, sim->now + 0.5);
       g_assert_cmpint (leaseholder, !=, -1);
       leader = sim_leader (sim);
       sim->nodes[leaseholder].refused_by_kv = sim->nodes[leaseholder].cut_off_from_peers = TRUE;
       sim_crash (sim, (guint) leader);
       cancel_all (sim);
-      expect_no_unaware_owner (sim, 15);
+      expect_owners_know_cancellations (sim, 15);
       heal_controllers (sim, NULL);
       start_all_controllers (sim, NULL);
       sim_run (sim, sim->now + 200);
@@ -227,7 +238,7 @@
     }
 }
 
-/* ---- two or three random faults, within seconds of each other ---- */
+/* ---- random combinations of two or three faults ---- */
 
 static void
 cut_off_leader (Sim *sim, gpointer data)
@@ -237,7 +248,7 @@
 }
 
 static void
-refuse_leader_by_kv (Sim *sim, gpointer data)
+begin_kv_refusal_of_leader (Sim *sim, gpointer data)
 {
   sim->nodes[MAX (sim_leader (sim), 0)].refused_by_kv = TRUE;
 }
@@ -255,20 +266,20 @@
 }
 
 static void
-copy_heartbeats (Sim *sim, gpointer data)
+duplicate_heartbeats (Sim *sim, gpointer data)
 {
   sim->heartbeat_copy_chance = 0.4;
 }
 
 static void
-slow_links (Sim *sim, gpointer data)
+delay_and_drop_messages (Sim *sim, gpointer data)
 {
   sim->delay_chance = 0.05;
   sim->loss_chance = 0.03;
 }
 
 static void
-partition_some_one_way (Sim *sim, gpointer data)
+partition_some_workers_one_way (Sim *sim, gpointer data)
 {
   for (guint i = 0; i < sim->machines->len; i++)
     ((SimMachine *) sim->machines->pdata[i])->one_way_partitioned = g_rand_int_range (sim->rand, 0, 4) == 0;
@@ -281,23 +292,25 @@
     ((SimMachine *) sim->machines->pdata[i])->partitioned = g_rand_int_range (sim->rand, 0, 4) == 0;
 }
 
-/* Users cancel jobs that run, and machines hang. */
+/* Users cancel every second job, and some machines hang. */
 static void
 cancel_and_hang_machines (Sim *sim, gpointer data)
 {
-  cancel_some (sim, NULL);
+  cancel_every_second_job (sim, NULL);
   for (guint i = 0; i < sim->machines->len; i++)
     ((SimMachine *) sim->machines->pdata[i])->hung = g_rand_int_range (sim->rand, 0, 3) == 0;
 }
 
+/* Starts a random controller if its process is down. */
 static void
-start_one (Sim *sim, gpointer data)
+start_random_controller (Sim *sim, gpointer data)
 {
   guint node_index = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
   if (!sim->nodes[node_index].controller)
     sim_start (sim, node_index);
 }
 
+/* Crashes the leader; in half of the cases its process restarts at once. */
 static void
 crash_leader (Sim *sim, gpointer data)
 {
@@ -307,34 +320,35 @@
     sim_start (sim, node_index);
 }
 
+/* Crashes the leader now and then again, 3 to 8 s apart. @data: the number of further crashes */
 static void
-crash_leader_again (Sim *sim, gpointer data)
+crash_leader_repeatedly (Sim *sim, gpointer data)
 {
-  guint left = GPOINTER_TO_UINT (data);
+  guint n_remaining = GPOINTER_TO_UINT (data);
   start_all_controllers (sim, NULL);
   crash_leader (sim, NULL);
-  if (left)
-    sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 3, 8), crash_leader_again,
-                  GUINT_TO_POINTER (left - 1));
+  if (n_remaining)
+    sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 3, 8), crash_leader_repeatedly,
+                  GUINT_TO_POINTER (n_remaining - 1));
 }
 
 static void
-stop_all_beyond_lease (Sim *sim, gpointer data)
+stop_all_controllers_beyond_lease (Sim *sim, gpointer data)
 {
   for (guint i = 0; i < SIM_NODES; i++)
     sim_crash (sim, i);
-  /* The controllers are down for longer than a lease; one starts first. */
-  sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 11, 16), start_one, NULL);
+  /* All controllers are down for longer than a lease (10 s), and then one starts before the others. */
+  sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 11, 16), start_random_controller, NULL);
   sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 17, 22), start_all_controllers, NULL);
 }
 
 static void
 fail_over_ten_times (Sim *sim, gpointer data)
 {
-  crash_leader_again (sim, GUINT_TO_POINTER (9)); /* ten failovers in all */
+  crash_leader_repeatedly (sim, GUINT_TO_POINTER (9)); /* nine further crashes: ten failovers in all */
 }
 
-/* A zone with a controller is partitioned: its workers reach that controller only, and the controller reaches its
+/* A zone with one controller is partitioned: its workers reach this controller only, and the controller reaches these
  * workers and the key-value store only. */
 static void
 partition_zone (Sim *sim, gpointer data)
@@ -364,14 +378,14 @@
 
 static void (*const faults[]) (Sim *sim, gpointer data) = {
   cut_off_leader,
-  refuse_leader_by_kv,
+  begin_kv_refusal_of_leader,
   begin_kv_outage,
   delay_transactions,
-  copy_heartbeats,
-  slow_links,
-  partition_some_one_way,
+  duplicate_heartbeats,
+  delay_and_drop_messages,
+  partition_some_workers_one_way,
   partition_some_workers,
-  cancel_some,
+  cancel_every_second_job,
   crash_leader,
   crash_all_controllers,
   fail_over_ten_times,
@@ -379,17 +393,19 @@
   partition_zone,
   crash_random_controller,
   cut_off_leader_at_random,
-  stop_all_beyond_lease,
+  stop_all_controllers_beyond_lease,
 };
 
+/* Guards against violations and stuck jobs that only several faults together cause: two or three random faults begin
+ * within 4 s and end together, after 122 s at the latest. Every job has to finish afterwards. */
 static void
 test_random_combinations (void)
 {
   for (guint32 seed = 300; seed < 348; seed++)
     {
       Sim *sim = sim_new (seed);
-      double at = g_rand_double_range (sim->rand, 18, 30);
-      guint n = 2 + seed % 2;
+      double faults_at = g_rand_double_range (sim->rand, 18, 30);
+      guint n_faults = 2 + seed % 2;
       for (guint i = 0; i < 12; i++)
         {
           SimJob *job =
@@ -399,10 +415,10 @@
           job->type = i % 3 ? "small" : NULL;
           job->polls_only = i % 4 == 2;
         }
-      for (guint i = 0; i < n; i++)
-        sim_schedule (sim, at + g_rand_double_range (sim->rand, 0, 4),
+      for (guint i = 0; i < n_faults; i++)
+        sim_schedule (sim, faults_at + g_rand_double_range (sim->rand, 0, 4),
                       faults[g_rand_int_range (sim->rand, 0, G_N_ELEMENTS (faults))], NULL);
-      sim_schedule (sim, at + g_rand_double_range (sim->rand, 4, 45), end_all_faults, NULL);
+      sim_schedule (sim, faults_at + g_rand_double_range (sim->rand, 4, 45), end_all_faults, NULL);
       sim_schedule (sim, 122, end_all_faults, NULL);
       sim_run (sim, 125);
       sim->faults_over_at = sim->now;
@@ -412,15 +428,17 @@
     }
 }
 
-/* Users cancel a job just as its last task ends, and the transactions of both are delayed: a job has one completion
- * only, and no user ever gets another answer. */
+/* ---- race of cancellation and completion ---- */
+
+/* Guards against jobs with two outcomes: users cancel a job just as its last task ends, and messages are delayed. A job
+ * has to have one outcome, and its user must never be told another one. */
 static void
 test_cancellation_races_completion (void)
 {
   for (guint32 seed = 700; seed < 708; seed++)
     {
       Sim *sim = sim_new (seed);
-      guint done = 0, cancelled = 0;
+      guint n_done = 0, n_cancelled = 0;
       for (guint i = 0; i < 30; i++)
         sim_add_job (sim, 1 + 1.5 * i, i % 2 ? "red" : "blue", 2, 1, 6);
       sim_run (sim, 20);
@@ -439,16 +457,16 @@
             }
         }
       sim->delay_chance = 0;
-      sim_schedule (sim, 100, crash_all_controllers, NULL); /* the records are read again */
+      sim_schedule (sim, 100, crash_all_controllers, NULL); /* the new processes read the records again */
       sim->faults_over_at = 120;
       sim_run (sim, 300);
       for (guint i = 0; i < sim->jobs->len; i++)
         {
-          done += ((SimJob *) sim->jobs->pdata[i])->confirmed_done;
-          cancelled += ((SimJob *) sim->jobs->pdata[i])->confirmed_cancelled;
+          n_done += ((SimJob *) sim->jobs->pdata[i])->confirmed_done;
+          n_cancelled += ((SimJob *) sim->jobs->pdata[i])->confirmed_cancelled;
         }
-      g_assert_cmpuint (done, >, 0);
-      g_assert_cmpuint (cancelled, >, 0);
+      g_assert_cmpuint (n_done, >, 0);
+      g_assert_cmpuint (n_cancelled, >, 0);
       expect_all_finished (sim, "cancellation races completion", seed);
       sim_free (sim);
     }
