--- a/tests/test-job-admission.c
+++ b/tests/test-job-admission.c
@@ -1,4 +1,4 @@
-/* Which submissions can never run, and the texts that users get. */
+/* Admission of jobs: which submissions are refused because they can never run, and the texts of the responses. */
 #include "support.h"
 #include "user-api-private.h"
 
@@ -8,28 +8,28 @@
   HzbMachines *machines;
   HzbNode node;
   HzbUserApi api;
-} Admission;
+} AdmissionFixture;
 
 static void
-admission_up (Admission *admission)
+fixture_set_up (AdmissionFixture *fixture)
 {
   GPtrArray *types = g_ptr_array_new_with_free_func ((GDestroyNotify) hzb_machine_type_free);
 
-  memset (admission, 0, sizeof *admission);
-  admission->settings = test_settings ();
-  admission->machines = hzb_machines_new (NULL, admission->settings);
+  memset (fixture, 0, sizeof *fixture);
+  fixture->settings = test_settings ();
+  fixture->machines = hzb_machines_new (NULL, fixture->settings);
   g_ptr_array_add (types, test_type ("big", 8, 32));
-  hzb_machines_set_types (admission->machines, types);
-  admission->node.settings = admission->settings;
-  admission->api.with.node = &admission->node;
-  admission->api.with.machines = admission->machines;
+  hzb_machines_set_types (fixture->machines, types);
+  fixture->node.settings = fixture->settings;
+  fixture->api.dependencies.node = &fixture->node;
+  fixture->api.dependencies.machines = fixture->machines;
 }
 
 static void
-admission_down (Admission *admission)
+fixture_tear_down (AdmissionFixture *fixture)
 {
-  hzb_machines_free (admission->machines);
-  hzb_settings_free (admission->settings);
+  hzb_machines_free (fixture->machines);
+  hzb_settings_free (fixture->settings);
 }
 
 static HzbJobSpec *
@@ -47,14 +47,15 @@
   return spec;
 }
 
-/* Takes the spec; @message NULL: it is admitted. */
+/* Checks one job. Takes ownership of the spec. @code and @message: the expected error; @message NULL: the job is
+ * admitted */
 static void
-assert_admission (const Admission *admission, HzbJobSpec *spec, HzbAdmissionError code, const char *message)
+assert_admission (const AdmissionFixture *fixture, HzbJobSpec *spec, HzbAdmissionError code, const char *message)
 {
   g_autoptr (HzbJobSpec) owned = spec;
   g_autoptr (GError) error = NULL;
 
-  g_assert_true (hzb_job_admission_check (&admission->api, owned, &error) == (message == NULL));
+  g_assert_true (hzb_job_admission_check (&fixture->api, owned, &error) == (message == NULL));
   if (!message)
     {
       g_assert_no_error (error);
@@ -67,17 +68,18 @@
 static void
 test_limits (void)
 {
-  static const char too_much[] = "the job needs more than its team's limit";
-  Admission admission;
-  admission_up (&admission);
-  /* The limit is 40 CPUs: an array's tasks may run one after the other, all others at once. */
-  assert_admission (&admission, new_spec (HZB_JOB_ARRAY, 100, 8), 0, NULL);
-  assert_admission (&admission, new_spec (HZB_JOB_GANG, 5, 8), 0, NULL);
-  assert_admission (&admission, new_spec (HZB_JOB_GANG, 6, 8), HZB_ADMISSION_ERROR_NEVER_RUNS, too_much);
-  assert_admission (&admission, new_spec (HZB_JOB_SERVICE, 6, 8), HZB_ADMISSION_ERROR_NEVER_RUNS, too_much);
-  assert_admission (&admission, new_spec (HZB_JOB_ARRAY, 1, 9), HZB_ADMISSION_ERROR_NEVER_RUNS,
+  static const char limit_exceeded[] = "the job needs more than its team's limit";
+  AdmissionFixture fixture;
+  fixture_set_up (&fixture);
+  /* The team's limit is 40 CPUs. The tasks of an array may run one after the other; those of other jobs run at the same
+   * time. */
+  assert_admission (&fixture, new_spec (HZB_JOB_ARRAY, 100, 8), 0, NULL);
+  assert_admission (&fixture, new_spec (HZB_JOB_GANG, 5, 8), 0, NULL);
+  assert_admission (&fixture, new_spec (HZB_JOB_GANG, 6, 8), HZB_ADMISSION_ERROR_UNSCHEDULABLE, limit_exceeded);
+  assert_admission (&fixture, new_spec (HZB_JOB_SERVICE, 6, 8), HZB_ADMISSION_ERROR_UNSCHEDULABLE, limit_exceeded);
+  assert_admission (&fixture, new_spec (HZB_JOB_ARRAY, 1, 9), HZB_ADMISSION_ERROR_UNSCHEDULABLE,
                     "a task fits no allowed machine type");
-  admission_down (&admission);
+  fixture_tear_down (&fixture);
 }
 
 static void
@@ -85,16 +87,16 @@
 {
   HzbJobSpec *other_team = new_spec (HZB_JOB_ARRAY, 1, 1), *other_zone = new_spec (HZB_JOB_ARRAY, 1, 1);
   HzbJobSpec *known_zone = new_spec (HZB_JOB_ARRAY, 1, 1);
-  Admission admission;
-  admission_up (&admission);
+  AdmissionFixture fixture;
+  fixture_set_up (&fixture);
   g_free (other_team->team);
   other_team->team = g_strdup ("green");
   other_zone->zone = g_strdup ("zx");
   known_zone->zone = g_strdup ("zb");
-  assert_admission (&admission, other_team, HZB_ADMISSION_ERROR_NEVER_RUNS, "owner: no such team");
-  assert_admission (&admission, other_zone, HZB_ADMISSION_ERROR_NEVER_RUNS, "yard: no such zone");
-  assert_admission (&admission, known_zone, 0, NULL);
-  admission_down (&admission);
+  assert_admission (&fixture, other_team, HZB_ADMISSION_ERROR_UNSCHEDULABLE, "owner: no such team");
+  assert_admission (&fixture, other_zone, HZB_ADMISSION_ERROR_UNSCHEDULABLE, "yard: no such zone");
+  assert_admission (&fixture, known_zone, 0, NULL);
+  fixture_tear_down (&fixture);
 }
 
 static void
@@ -102,32 +104,32 @@
 {
   HzbJobSpec *both = new_spec (HZB_JOB_ARRAY, 2, 1), *one_task = new_spec (HZB_JOB_ARRAY, 1, 1);
   HzbJobSpec *gang = new_spec (HZB_JOB_GANG, 2, 1), *service = new_spec (HZB_JOB_SERVICE, 2, 1);
-  Admission admission;
-  admission_up (&admission);
+  AdmissionFixture fixture;
+  fixture_set_up (&fixture);
   both->same_zone = both->spread = one_task->same_zone = one_task->spread = gang->spread = TRUE;
   gang->zone = g_strdup ("za");
   service->estimate_s = 1;
-  assert_admission (&admission, both, HZB_ADMISSION_ERROR_NEVER_RUNS, "samePlace and spread exclude each other");
-  assert_admission (&admission, one_task, 0, NULL);
-  assert_admission (&admission, gang, HZB_ADMISSION_ERROR_NEVER_RUNS,
+  assert_admission (&fixture, both, HZB_ADMISSION_ERROR_UNSCHEDULABLE, "samePlace and spread exclude each other");
+  assert_admission (&fixture, one_task, 0, NULL);
+  assert_admission (&fixture, gang, HZB_ADMISSION_ERROR_UNSCHEDULABLE,
                     "a gang that is to be spread can't be in one zone");
-  assert_admission (&admission, service, HZB_ADMISSION_ERROR_MALFORMED, "expectS: expected 0 for standing jobs");
-  admission_down (&admission);
+  assert_admission (&fixture, service, HZB_ADMISSION_ERROR_MALFORMED, "expectS: expected 0 for standing jobs");
+  fixture_tear_down (&fixture);
 }
 
 static void
 test_unknown_types (void)
 {
   g_autoptr (HzbJobSpec) spec = new_spec (HZB_JOB_ARRAY, 1, 1);
-  Admission admission;
-  admission_up (&admission);
-  hzb_job_admission_drop_unknown_types (&admission.api, spec);
-  g_assert_null (spec->types); /* any */
+  AdmissionFixture fixture;
+  fixture_set_up (&fixture);
+  hzb_job_admission_drop_unknown_types (&fixture.api, spec);
+  g_assert_null (spec->types); /* NULL: any machine type */
   spec->types = g_strsplit ("gone,big", ",", 0);
-  hzb_job_admission_drop_unknown_types (&admission.api, spec);
+  hzb_job_admission_drop_unknown_types (&fixture.api, spec);
   g_assert_cmpuint (g_strv_length (spec->types), ==, 1);
   g_assert_cmpstr (spec->types[0], ==, "big");
-  admission_down (&admission);
+  fixture_tear_down (&fixture);
 }
 
 int
--- a/tests/test-liveness.c
+++ b/tests/test-liveness.c
@@ -1,13 +1,15 @@
-/* Liveness under faults: no accepted job is forgotten. A status query about it never gets 404, and some query gets a
- * conclusive response within 75 s once the faults are over, and within 90 s while most other users get theirs. */
+/* Liveness under faults: users keep getting responses about each accepted job. A status query about it never gets 404.
+ * Some query gets a conclusive response within 75 s once the faults are over, and within 90 s while most other users
+ * get conclusive responses. */
 #include "sim-faults.h"
 
-/* While leaders crash one after another: a failover takes some 5 s, and a third of the queries go to a node that is
- * down. */
-#define LONGEST_RESPONSE_GAP_S 45.0
+/* The bound while leaders crash one after another: a failover takes some 5 s, and a third of the queries go to a node
+ * that is down. */
+#define MAX_RESPONSE_GAP_S 45.0
 
+/* `longest_job`: (out): the job with the longest gap; unchanged if no job has a gap */
 static double
-longest_response_gap_s (const Sim *sim, const SimJob **of)
+longest_response_gap_s (const Sim *sim, const SimJob **longest_job)
 {
   double longest = 0;
   for (guint i = 0; i < sim->jobs->len; i++)
@@ -16,14 +18,14 @@
       if (job->longest_response_gap_s > longest)
         {
           longest = job->longest_response_gap_s;
-          *of = job;
+          *longest_job = job;
         }
     }
   return longest;
 }
 
 static void
-crash_leader_for_a_while (Sim *sim, gpointer data)
+crash_and_restart_leader (Sim *sim, gpointer data)
 {
   int leader = sim_leader (sim);
   if (leader >= 0)
@@ -37,26 +39,26 @@
   ((SimMachine *) machine)->hung = FALSE;
 }
 
-/* As happens to some machine of a large fleet every second or two. */
+/* In a large fleet some machine hangs every second or two. */
 static void
-hang_machine (Sim *sim, gpointer data)
+hang_random_machine (Sim *sim, gpointer data)
 {
   SimMachine *machine = sim->machines->pdata[g_rand_int_range (sim->rand, 0, (gint32) sim->machines->len)];
   machine->hung = TRUE;
   sim_schedule (sim, sim->now + 34.5, resume_machine, machine);
 }
 
-/* Leaders crash one after another; machines hang meanwhile, and users cancel a third of the jobs. */
+/* Leaders crash one after another. Meanwhile machines hang, and users cancel a third of the jobs. */
 static void
-play_repeated_failover (guint32 seed, guint machines)
+run_repeated_failover (guint32 seed, guint machines)
 {
   Sim *sim = large_fleet (seed, machines, machines / 12, 150);
   const SimJob *job = NULL;
   double until = 150, longest;
   for (double at = 26; at < until; at += g_rand_double_range (sim->rand, 9, 16))
-    sim_schedule (sim, at, crash_leader_for_a_while, NULL);
+    sim_schedule (sim, at, crash_and_restart_leader, NULL);
   for (double at = 25; at < until; at += 1.5)
-    sim_schedule (sim, at, hang_machine, NULL);
+    sim_schedule (sim, at, hang_random_machine, NULL);
   for (guint i = 0; i < sim->jobs->len; i += 3)
     {
       SimJob *cancelled = sim->jobs->pdata[i];
@@ -68,7 +70,7 @@
   g_test_message ("%u machines, seed %u: the longest time without a response is %.1f s, about %s:\n%s", machines, seed,
                   longest, job ? job->uid : "none", job ? job->response_history->str : "");
   expect_no_violation (sim, "repeated failover", seed);
-  g_assert_cmpfloat (longest, <, LONGEST_RESPONSE_GAP_S);
+  g_assert_cmpfloat (longest, <, MAX_RESPONSE_GAP_S);
   start_all_controllers (sim, NULL);
   sim_run (sim, 700);
   expect_all_finished (sim, "repeated failover", seed);
@@ -79,12 +81,12 @@
 test_repeated_failover (void)
 {
   for (guint32 seed = 300; seed < 303; seed++)
-    play_repeated_failover (seed, 600);
-  play_repeated_failover (303, 1500);
+    run_repeated_failover (seed, 600);
+  run_repeated_failover (303, 1500);
 }
 
 static gboolean
-a_leader_is_loading (const Sim *sim)
+any_leader_is_loading (const Sim *sim)
 {
   for (guint i = 0; i < SIM_NODES; i++)
     if (sim->nodes[i].controller && hzb_ownership_state (sim->nodes[i].controller->ownership) == HZB_OWNERSHIP_LOADING)
@@ -92,8 +94,9 @@
   return FALSE;
 }
 
-/* Jobs are cancelled while no controller leads, and the next leader can't load its records for longer than cancel_s.
- * The cancellations are confirmed, since every controller knows of them, and no task of these jobs runs on. */
+/* Jobs are cancelled while no controller leads, and an outage of the key-value store keeps the next leader from loading
+ * its records for longer than cancel_s. The cancellations are confirmed, since every controller knows them, and no task
+ * of these jobs keeps running. */
 static void
 test_cancellation_while_leader_loads (void)
 {
@@ -109,15 +112,15 @@
       sim_crash (sim, leader);
       sim_start (sim, leader);
       cancel_all (sim);
-      while (!a_leader_is_loading (sim) && sim->now < 40)
+      while (!any_leader_is_loading (sim) && sim->now < 40)
         sim_run (sim, sim->now + 0.001);
-      g_assert_true (a_leader_is_loading (sim));
+      g_assert_true (any_leader_is_loading (sim));
       sim->kv_outage = TRUE;
       sim_run (sim, sim->now + sim->config.cancel_s + 15);
-      g_assert_true (a_leader_is_loading (sim));
+      g_assert_true (any_leader_is_loading (sim));
       for (guint i = 0; i < sim->jobs->len; i++)
         confirmed += ((SimJob *) sim->jobs->pdata[i])->confirmed_cancelled;
-      g_test_message ("seed %u: %u confirmed", seed, confirmed);
+      g_test_message ("seed %u: %u cancellations confirmed up to this seed", seed, confirmed);
       sim->kv_outage = FALSE;
       sim_run (sim, sim->now + 500);
       expect_all_finished (sim, "cancellation while leader loads", seed);
@@ -126,8 +129,8 @@
   g_assert_cmpuint (confirmed, >, 8);
 }
 
-/* More cancellations than fit one message can't be acknowledged, since one controller is down and no machine answers.
- * A cancellation that can be acknowledged does not wait behind them. */
+/* One controller is down and no machine is reachable, so more cancellations than fit into one message cannot be
+ * acknowledged. A cancellation that can be acknowledged must not wait behind them. */
 static void
 test_more_cancellations_than_one_message (void)
 {
@@ -159,7 +162,8 @@
       status = user_request (sim, follower, "POST", path, "", NULL);
       for (guint i = 0; i < 90; i++)
         confirmed += ((SimJob *) sim->jobs->pdata[i])->confirmed_cancelled;
-      g_test_message ("seed %u: %u at %.1f, %u others confirmed", seed, status, sim->now, confirmed);
+      g_test_message ("seed %u: status %u at %.1f s, %u other cancellations confirmed", seed, status, sim->now,
+                      confirmed);
       g_assert_cmpuint (confirmed, <, 90 - 64);
       g_assert_cmpuint (status, ==, 200);
       start_all_controllers (sim, NULL);
@@ -174,7 +178,7 @@
 /* ---- messages between controllers ---- */
 
 static guint
-leaseholders (const Sim *sim)
+count_leaseholders (const Sim *sim)
 {
   guint n = 0;
   for (guint i = 0; i < SIM_NODES; i++)
@@ -183,13 +187,14 @@
 }
 
 static void
-cut_leader_from_peers (Sim *sim, gboolean cut)
+set_leader_cut_off_from_peers (Sim *sim, gboolean cut)
 {
   sim->nodes[MAX (sim_leader (sim), 0)].cut_off_from_peers = cut;
 }
 
-/* Hundreds of machines with dozens of tasks each become unresponsive together while the leader refuses connections for
- * a moment. The events of their leaseholders then fit no single request, and no shard is lost because of that. */
+/* Hundreds of machines with dozens of tasks each become unresponsive at the same time, while the leader is repeatedly
+ * cut off from the leaseholders for 2.5 s. The events of a leaseholder then do not fit into one request, and no
+ * shard may be lost because of that. */
 static void
 test_more_events_than_one_message (void)
 {
@@ -199,16 +204,16 @@
   for (guint i = 0; i < 60; i++)
     sim_add_job (sim, 1 + 0.1 * i, i % 2 ? "red" : "blue", 150, 0.25, 300);
   sim_run (sim, 40);
-  g_assert_cmpuint (leaseholders (sim), ==, SIM_NODES - 1);
+  g_assert_cmpuint (count_leaseholders (sim), ==, SIM_NODES - 1);
   for (guint i = 0; i < sim->machines->len; i++)
     ((SimMachine *) sim->machines->pdata[i])->partitioned = i % 3 > 0;
   for (guint i = 0; i < 60; i++) /* unresponsive after three missed heartbeats of 5 s */
     {
-      cut_leader_from_peers (sim, i % 8 < 5);
+      set_leader_cut_off_from_peers (sim, i % 8 < 5);
       sim_run (sim, sim->now + 0.5);
     }
-  cut_leader_from_peers (sim, FALSE);
-  g_assert_cmpuint (leaseholders (sim), ==, SIM_NODES - 1);
+  set_leader_cut_off_from_peers (sim, FALSE);
+  g_assert_cmpuint (count_leaseholders (sim), ==, SIM_NODES - 1);
   g_assert_cmpuint (sim->oversized_requests, ==, 0);
   expect_no_violation (sim, "more events than one message", 350);
   sim_free (sim);
@@ -217,7 +222,7 @@
 /* ---- random faults ---- */
 
 static void
-pause_node (Sim *sim, gpointer data)
+pause_random_node (Sim *sim, gpointer data)
 {
   guint node_index = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
   if (sim->nodes[node_index].controller)
@@ -225,7 +230,7 @@
 }
 
 static void
-resume_all (Sim *sim, gpointer data)
+resume_all_nodes (Sim *sim, gpointer data)
 {
   for (guint i = 0; i < SIM_NODES; i++)
     if (sim->nodes[i].paused)
@@ -233,7 +238,7 @@
 }
 
 static void
-partition_zone (Sim *sim, gpointer data)
+partition_random_zone (Sim *sim, gpointer data)
 {
   const char *zone = g_rand_boolean (sim->rand) ? "za" : "zb";
   for (guint i = 0; i < sim->machines->len; i++)
@@ -252,7 +257,7 @@
 }
 
 static void
-cancel_burst (Sim *sim, gpointer data)
+cancel_random_jobs (Sim *sim, gpointer data)
 {
   for (guint i = 0; i < sim->jobs->len; i++)
     {
@@ -265,8 +270,8 @@
     }
 }
 
-/* Outages that overlap end with the first end: in an outage no response can be proven fresh, so a longer one would
- * break the time limit of the test. */
+/* Overlapping outages of the key-value store all end with the first end. During an outage no response can be proven
+ * fresh, so a longer outage would exceed the test's bound on the time without a conclusive response. */
 static void
 begin_kv_outage (Sim *sim, gpointer data)
 {
@@ -285,21 +290,21 @@
   sim->late_transaction_chance = sim->late_transaction_chance > 0 ? 0 : 0.2;
 }
 
-/* Schedules one fault and its end. Returns: when it ends. */
+/* Schedules one random fault at the time `at`, and its end. Returns: the time of the end. */
 static double
-random_fault (Sim *sim, double at)
+schedule_random_fault (Sim *sim, double at)
 {
   double until = at + g_rand_double_range (sim->rand, 4, 45);
   switch (g_rand_int_range (sim->rand, 0, 8))
     {
     case 0:
     case 1:
-      sim_schedule (sim, at, crash_leader_for_a_while, NULL);
+      sim_schedule (sim, at, crash_and_restart_leader, NULL);
       break;
     case 2:
       until = at + g_rand_double_range (sim->rand, 10, 75);
-      sim_schedule (sim, at, pause_node, NULL);
-      sim_schedule (sim, until, resume_all, NULL);
+      sim_schedule (sim, at, pause_random_node, NULL);
+      sim_schedule (sim, until, resume_all_nodes, NULL);
       break;
     case 3:
       sim_schedule (sim, at, cut_off_leader_at_random, NULL);
@@ -310,7 +315,7 @@
       sim_schedule (sim, until, end_kv_outage, NULL);
       break;
     case 5:
-      sim_schedule (sim, at, partition_zone, NULL);
+      sim_schedule (sim, at, partition_random_zone, NULL);
       sim_schedule (sim, until, heal_network, NULL);
       break;
     case 6:
@@ -325,7 +330,7 @@
 }
 
 static void
-play_faults (guint32 seed, guint machines)
+run_random_faults (guint32 seed, guint machines)
 {
   SimConfig config = sim_config_large;
   Sim *sim;
@@ -343,17 +348,17 @@
   for (guint i = 0; i < 500; i++) /* one task each, four jobs a second, a quarter of them cancelled */
     sim_add_job (sim, 5 + 0.25 * i, i % 2 ? "red" : "blue", 1, 1, 8)->wants_cancel = i % 4 == 0;
   for (guint i = 0; i < 9; i++)
-    end = MAX (end, random_fault (sim, g_rand_double_range (sim->rand, 20, 140)));
+    end = MAX (end, schedule_random_fault (sim, g_rand_double_range (sim->rand, 20, 140)));
   for (guint i = 0; i < 3; i++)
-    sim_schedule (sim, g_rand_double_range (sim->rand, 20, 140), cancel_burst, NULL);
+    sim_schedule (sim, g_rand_double_range (sim->rand, 20, 140), cancel_random_jobs, NULL);
   for (double at = 20; at < 150; at += 600.0 / machines)
-    sim_schedule (sim, at, hang_machine, NULL);
+    sim_schedule (sim, at, hang_random_machine, NULL);
   end = MAX (end, 190);
   sim_run (sim, end + 1);
   sim->kv_outage = FALSE;
   sim->late_transaction_chance = 0;
   heal_network (sim, NULL);
-  resume_all (sim, NULL);
+  resume_all_nodes (sim, NULL);
   start_all_controllers (sim, NULL);
   sim_run (sim, end + 90);
   longest = longest_response_gap_s (sim, &job);
@@ -369,9 +374,9 @@
 static void
 test_random_faults (void)
 {
-  /* With -m slow, by hand: 40 schedules. */
+  /* With -m slow, which is run by hand: 40 schedules. */
   for (guint32 seed = 360; seed < (g_test_slow () ? 400 : 363); seed++)
-    play_faults (seed, 600);
+    run_random_faults (seed, 600);
 }
 
 int
--- a/tests/test-operator-settings-codec.c
+++ b/tests/test-operator-settings-codec.c
@@ -1,4 +1,5 @@
-/* The operators' settings: the stored form, the answer that shows them, and changes that are refused. */
+/* Codec of the operators' settings: the stored form, the response that shows the settings, and the changes that
+ * operators request. */
 #include "json.h"
 #include "operator-settings-codec.h"
 
@@ -7,7 +8,7 @@
 static const char stored_text[] =
     "{\"dispatchH\":0.25,\"dispatchSample\":16,\"dispatchListAheadS\":8,\"fleetIdleS\":40,"
     "\"fleetPatience\":0.6,\"leaseBlocks\":1}";
-static const HzbOperatorSettings usual = { 0.5, 8, 8, 40, 0.6, 1 };
+static const HzbOperatorSettings default_settings = { 0.5, 8, 8, 40, 0.6, 1 };
 
 static void
 assert_equal (const HzbOperatorSettings *a, const HzbOperatorSettings *b)
@@ -16,7 +17,7 @@
   g_assert_cmpfloat (a->dispatch_sample, ==, b->dispatch_sample);
   g_assert_cmpfloat (a->dispatch_queue_ahead_s, ==, b->dispatch_queue_ahead_s);
   g_assert_cmpfloat (a->fleet_idle_s, ==, b->fleet_idle_s);
-  g_assert_cmpfloat (a->fleet_patience, ==, b->fleet_patience);
+  g_assert_cmpfloat (a->fleet_slack_fraction, ==, b->fleet_slack_fraction);
   g_assert_cmpfloat (a->lease_shards, ==, b->lease_shards);
 }
 
@@ -35,7 +36,7 @@
   g_assert_cmpstr (text, ==, stored_text);
 }
 
-/* No record, and records of another version. */
+/* A missing record, and a record of another version with invalid values and an unknown name, decode to the defaults. */
 static void
 test_fallback (void)
 {
@@ -43,16 +44,16 @@
   cJSON *value = cJSON_Parse ("{\"dispatchH\":2,\"fleetPatience\":\"much\",\"unheardOf\":1}");
 
   hzb_operator_settings_decode (NULL, &settings);
-  assert_equal (&settings, &usual);
+  assert_equal (&settings, &default_settings);
   hzb_operator_settings_decode (value, &settings);
   cJSON_Delete (value);
-  assert_equal (&settings, &usual);
+  assert_equal (&settings, &default_settings);
 }
 
 static void
 test_answer (void)
 {
-  g_autofree char *text = hzb_operator_settings_encode_answer (&usual, G_MAXUINT64);
+  g_autofree char *text = hzb_operator_settings_encode_response (&default_settings, G_MAXUINT64);
 
   g_assert_true (g_str_has_prefix (text, "{\"version\":18446744073709551615,\"settings\":{\"dispatchH\":0.5,"));
   g_assert_nonnull (strstr (text,
@@ -64,11 +65,11 @@
 test_change (void)
 {
   static const char text[] = "{\"version\":7,\"settings\":{\"leaseBlocks\":0,\"fleetIdleS\":60}}";
-  HzbOperatorSettings expected = usual;
+  HzbOperatorSettings expected = default_settings;
   HzbSettingsChange change;
   g_autoptr (GError) error = NULL;
 
-  g_assert_true (hzb_settings_change_decode (text, strlen (text), &usual, &change, &error));
+  g_assert_true (hzb_settings_change_decode (text, strlen (text), &default_settings, &change, &error));
   g_assert_no_error (error);
   g_assert_cmpuint (change.version, ==, 7);
   expected.lease_shards = 0;
@@ -100,7 +101,8 @@
     {
       g_autoptr (GError) error = NULL;
       HzbSettingsChange change;
-      g_assert_false (hzb_settings_change_decode (cases[i].text, strlen (cases[i].text), &usual, &change, &error));
+      g_assert_false (
+          hzb_settings_change_decode (cases[i].text, strlen (cases[i].text), &default_settings, &change, &error));
       g_assert_error (error, HZB_ADMIN_ERROR, (int) cases[i].code);
       g_assert_cmpstr (error->message, ==, cases[i].message);
     }
--- a/tests/test-overload.c
+++ b/tests/test-overload.c
@@ -1,4 +1,5 @@
-/* Stalled controllers, bursts of status queries, large loads of teams without a guarantee, and jobs that always fail. */
+/* Overload of the cluster: stalled controllers, bursts of status queries, many jobs of teams without a guarantee, jobs
+ * that always fail, and an outage of the key-value store. */
 #include "json.h"
 #include "sim-faults.h"
 
@@ -6,28 +7,28 @@
 
 /* ---- stalled controllers ---- */
 
-/* One or two controllers stall: they accept connections and answer nothing. The others go on, and a resumed controller
- * does nothing that a later leader has not allowed. */
+/* One or two controllers stall: they accept connections and answer nothing. Guards against jobs that wait for the
+ * stalled controllers, and against a resumed controller that does what a later leader has not allowed. */
 static void
 test_stalled_controllers (void)
 {
   for (guint32 seed = 600; seed < 612; seed++)
     {
       Sim *sim = sim_new (seed);
-      guint leader, other, n_stalled = 1 + seed % 2;
-      SimJob *meanwhile;
+      guint leader, follower, n_stalled = 1 + seed % 2;
+      SimJob *job_during_stall;
       for (guint i = 0; i < 10; i++)
         sim_add_job (sim, 1 + 2 * i, i % 2 ? "red" : "blue", 1 + i % 6, 1.5, 15)->wants_cancel = i % 4 == 3;
       sim_run (sim, 20);
       leader = (guint) MAX (sim_leader (sim), 0);
-      other = (leader + 1) % SIM_NODES;
-      sim->nodes[seed % 3 ? leader : other].paused = TRUE;
+      follower = (leader + 1) % SIM_NODES;
+      sim->nodes[seed % 3 ? leader : follower].paused = TRUE;
       if (n_stalled > 1)
-        sim->nodes[seed % 3 ? other : leader].paused = TRUE;
+        sim->nodes[seed % 3 ? follower : leader].paused = TRUE;
       sim_run (sim, 40);
-      meanwhile = sim_add_job (sim, 40, "red", 3, 1, 5);
+      job_during_stall = sim_add_job (sim, 40, "red", 3, 1, 5);
       sim_run (sim, 85);
-      g_assert_true (meanwhile->confirmed_done);
+      g_assert_true (job_during_stall->confirmed_done);
       for (guint i = 0; i < SIM_NODES; i++)
         if (sim->nodes[i].paused)
           {
@@ -51,31 +52,33 @@
 {
   Sim *sim;
   SimJob *job;
-  guint *responses, *refusals;
+  guint *n_responses, *n_refusals;
   double sent_at;
-  double *slowest;
+  double *longest_response_s; /* longest time so far from a query to its response */
 } StatusQuery;
 
 static void
-on_response (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
+on_status_response (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
   StatusQuery *query = http_request->impl;
   cJSON *root = cJSON_Parse (body ? body : "");
   sim_user_response (query->sim, query->job, status, hzb_json_text (root, "status"));
-  *query->responses += 1;
-  *query->refusals += status == 503;
-  *query->slowest = MAX (*query->slowest, query->sim->now - query->sent_at);
+  *query->n_responses += 1;
+  *query->n_refusals += status == 503;
+  *query->longest_response_s = MAX (*query->longest_response_s, query->sim->now - query->sent_at);
   if (status == 503)
     g_assert_cmpuint (retry, >, 0);
   cJSON_Delete (root);
   g_free (query);
 }
 
-static guint responses, refusals;
-static double slowest;
+/* Counts of all responses to status queries and of those with status 503, and the longest response time. */
+static guint n_responses, n_refusals;
+static double longest_response_s;
 
+/* Queries the status of a job at one node, unless the node's process is down or stalled. */
 static void
-query_status (Sim *sim, guint node, SimJob *job)
+send_status_query (Sim *sim, guint node, SimJob *job)
 {
   HzbHttpRequest *http_request;
   StatusQuery *query;
@@ -83,71 +86,75 @@
     return;
   http_request = g_new0 (HzbHttpRequest, 1);
   query = g_new0 (StatusQuery, 1);
-  *query = (StatusQuery){ sim, job, &responses, &refusals, sim->now, &slowest };
+  *query = (StatusQuery){ sim, job, &n_responses, &n_refusals, sim->now, &longest_response_s };
   http_request->method = g_strdup ("GET");
   http_request->path = g_strdup_printf ("/api/jobs/%s", job->uid);
   http_request->body = g_strdup ("");
-  http_request->reply = on_response;
+  http_request->reply = on_status_response;
   http_request->impl = query;
-  hzb_controller_request (http_request, sim->nodes[node].controller);
+  hzb_controller_handle_request (http_request, sim->nodes[node].controller);
 }
 
-/* Sends so many status queries about each accepted job within one second, spread over all nodes. */
+/* Runs the cluster for 1 s, and meanwhile sends this many status queries about each accepted job, to all nodes in turn.
+ * Returns: the number of queries, including those to nodes that are down or stalled */
 static guint
-query_for_a_second (Sim *sim, guint each)
+send_status_queries_for_1_s (Sim *sim, guint n_per_job)
 {
-  guint sent = 0;
-  double until = sim->now + 1;
-  for (guint k = 0; k < each; k++)
+  guint n_sent = 0;
+  double end = sim->now + 1;
+  for (guint k = 0; k < n_per_job; k++)
     {
       for (guint i = 0; i < sim->jobs->len; i++)
         {
           SimJob *job = sim->jobs->pdata[i];
           if (!job->accepted)
             continue;
-          query_status (sim, (i + k) % SIM_NODES, job);
-          sent++;
+          send_status_query (sim, (i + k) % SIM_NODES, job);
+          n_sent++;
         }
-      sim_run (sim, sim->now + 1.0 / each);
+      sim_run (sim, sim->now + 1.0 / n_per_job);
     }
-  sim_run (sim, until);
-  return sent;
+  sim_run (sim, end);
+  return n_sent;
 }
 
-/* Ten times as many status queries cost hardly more requests to the key-value store, since one read proves freshness
- * for all queries that wait. Each is answered within the user's timeout, no response is older than an earlier one, and
- * submissions go on. */
+/* Guards against a load on the key-value store that grows with the rate of status queries: one read proves
+ * freshness for all queries that wait, so ten times as many queries must not cost four times as many requests.
+ * Each query has to be answered within the user's timeout, no response may be older than an earlier one, and
+ * submissions have to go on. */
 static void
 test_status_query_burst (void)
 {
   for (guint32 seed = 620; seed < 624; seed++)
     {
       Sim *sim = sim_new (seed);
-      guint before, few, many, sent_few = 0, sent_many = 0;
-      SimJob *meanwhile;
+      guint requests_before, requests_at_low_rate, requests_at_high_rate;
+      guint queries_at_low_rate = 0, queries_at_high_rate = 0;
+      SimJob *job_during_burst;
       for (guint i = 0; i < 40; i++)
         sim_add_job (sim, 1 + 0.2 * i, i % 2 ? "red" : "blue", 2, 1, 20)->wants_cancel = i % 5 == 0;
       sim_run (sim, 20);
-      responses = refusals = 0;
-      slowest = 0;
-      before = sim->kv_requests;
+      n_responses = n_refusals = 0;
+      longest_response_s = 0;
+      requests_before = sim->kv_requests;
       for (guint s = 0; s < 8; s++)
-        sent_few += query_for_a_second (sim, 2);
-      few = sim->kv_requests - before;
-      before = sim->kv_requests;
+        queries_at_low_rate += send_status_queries_for_1_s (sim, 2);
+      requests_at_low_rate = sim->kv_requests - requests_before;
+      requests_before = sim->kv_requests;
       if (seed % 2)
         sim->nodes[(sim_leader (sim) + 1) % SIM_NODES].paused = TRUE;
-      meanwhile = sim_add_job (sim, sim->now, "red", 1, 1, 3);
+      job_during_burst = sim_add_job (sim, sim->now, "red", 1, 1, 3);
       for (guint s = 0; s < 8; s++)
-        sent_many += query_for_a_second (sim, 20);
-      many = sim->kv_requests - before;
-      g_assert_cmpuint (sent_many, >, 8 * sent_few);
-      g_assert_cmpuint (many, <, 8 * (guint) (0.5 * sim->config.kv_rps)); /* paced, and shared: */
-      g_assert_cmpuint (8 * many, <, sent_many);
-      g_assert_cmpuint (many, <, 4 * few);
-      g_assert_cmpfloat (slowest, <, 2);
-      g_assert_cmpuint (refusals, <, responses / 10);
-      g_assert_true (meanwhile->accepted && meanwhile->accepted_at < 32);
+        queries_at_high_rate += send_status_queries_for_1_s (sim, 20);
+      requests_at_high_rate = sim->kv_requests - requests_before;
+      g_assert_cmpuint (queries_at_high_rate, >, 8 * queries_at_low_rate);
+      /* The reads are paced, and one read serves many queries. */
+      g_assert_cmpuint (requests_at_high_rate, <, 8 * (guint) (0.5 * sim->config.kv_rps));
+      g_assert_cmpuint (8 * requests_at_high_rate, <, queries_at_high_rate);
+      g_assert_cmpuint (requests_at_high_rate, <, 4 * requests_at_low_rate);
+      g_assert_cmpfloat (longest_response_s, <, 2);
+      g_assert_cmpuint (n_refusals, <, n_responses / 10);
+      g_assert_true (job_during_burst->accepted && job_during_burst->accepted_at < 32);
       for (guint i = 0; i < SIM_NODES; i++)
         if (sim->nodes[i].paused)
           sim_resume (sim, i);
@@ -158,7 +165,7 @@
     }
 }
 
-/* In an outage of the key-value store each of many status queries is refused at once. */
+/* Guards against status queries that wait in an outage of the key-value store: each has to be refused at once. */
 static void
 test_status_query_burst_in_kv_outage (void)
 {
@@ -168,13 +175,13 @@
   sim_run (sim, 20);
   sim->kv_outage = TRUE;
   sim_run (sim, 26);
-  responses = refusals = 0;
-  slowest = 0;
+  n_responses = n_refusals = 0;
+  longest_response_s = 0;
   for (guint s = 0; s < 5; s++)
-    query_for_a_second (sim, 10);
-  g_assert_cmpuint (responses, >, 1000);
-  g_assert_cmpuint (refusals, ==, responses);
-  g_assert_cmpfloat (slowest, <, 0.1);
+    send_status_queries_for_1_s (sim, 10);
+  g_assert_cmpuint (n_responses, >, 1000);
+  g_assert_cmpuint (n_refusals, ==, n_responses);
+  g_assert_cmpfloat (longest_response_s, <, 0.1);
   sim->kv_outage = FALSE;
   sim_run (sim, 330);
   expect_all_finished (sim, "status query burst in kv outage", 626);
@@ -183,114 +190,116 @@
 
 /* ---- teams without a guarantee ---- */
 
-/* Many jobs of one task each, of a team without a guarantee, cost few changes in the key-value store and take no
- * capacity from others: work of teams with a guarantee completes as early as without them. */
+/* Guards against a team without a guarantee that slows down others by many jobs of one task each: these jobs must cost
+ * only few changes in the key-value store, and work of teams with a guarantee has to complete about as early as without
+ * them. */
 static void
 test_many_small_jobs_without_guarantee (void)
 {
   for (guint32 seed = 630; seed < 634; seed++)
     {
-      double over[2] = { 0 };
-      for (guint guests = 0; guests < 2; guests++)
+      double completed_at[2] = { 0 };
+      for (guint with_guests = 0; with_guests < 2; with_guests++)
         {
           Sim *sim = sim_new (seed);
-          GPtrArray *own = g_ptr_array_new ();
-          for (guint i = 0; i < 80 * guests; i++)
+          GPtrArray *guaranteed_jobs = g_ptr_array_new ();
+          for (guint i = 0; i < 80 * with_guests; i++)
             sim_add_job (sim, 15 + 0.25 * i, "guest", 1, 0.5, 8)->job_class = "single";
-          if (guests)
+          if (with_guests)
             sim_add_job (sim, 12, "guest", 150, 0.5, 10)->job_class = "sweep";
           for (guint i = 0; i < 8; i++)
-            g_ptr_array_add (own, sim_add_job (sim, 20 + i, i % 2 ? "red" : "blue", 8, 1, 12));
+            g_ptr_array_add (guaranteed_jobs, sim_add_job (sim, 20 + i, i % 2 ? "red" : "blue", 8, 1, 12));
           sim->faults_over_at = 60;
-          while (sim->now < 400 && over[guests] <= 0)
+          while (sim->now < 400 && completed_at[with_guests] <= 0)
             {
-              gboolean all = TRUE;
+              gboolean all_done = TRUE;
               sim_run (sim, sim->now + 1);
-              for (guint i = 0; i < own->len; i++)
-                all = all && ((SimJob *) own->pdata[i])->confirmed_done;
-              if (all)
-                over[guests] = sim->now;
+              for (guint i = 0; i < guaranteed_jobs->len; i++)
+                all_done = all_done && ((SimJob *) guaranteed_jobs->pdata[i])->confirmed_done;
+              if (all_done)
+                completed_at[with_guests] = sim->now;
             }
           sim_run (sim, 420);
           g_assert_cmpuint (sim->kv_writes, <, 8 * sim->jobs->len + 200);
           expect_all_finished (sim, "many small jobs without guarantee", seed);
-          g_ptr_array_unref (own);
+          g_ptr_array_unref (guaranteed_jobs);
           sim_free (sim);
         }
-      g_assert_cmpfloat (over[1], <, over[0] + 30);
+      g_assert_cmpfloat (completed_at[1], <, completed_at[0] + 30);
     }
 }
 
 /* ---- jobs that always fail ---- */
 
-static guint quarantined; /* machines */
+static guint n_quarantined; /* machines that a controller has quarantined, as its log says */
 
 static void
-count_quarantined (const gchar *domain, GLogLevelFlags level, const gchar *message, gpointer user)
+count_quarantined_machines (const gchar *domain, GLogLevelFlags level, const gchar *message, gpointer user)
 {
-  quarantined += strstr (message, "is set aside") != NULL;
+  n_quarantined += strstr (message, "is quarantined because") != NULL;
 }
 
-/* Jobs that fail on every machine: no machine is quarantined, returned or rented because of them, a machine that is
- * really faulty is still found, other work goes on, and the failing jobs stay known and can be cancelled. */
+/* Guards against machines that are blamed for jobs that fail everywhere: no machine may be quarantined, returned or
+ * rented because of such jobs, while a machine that is really faulty has to be recognised. Other work has to go on, and
+ * the failing jobs have to stay known so that they can be cancelled. */
 static void
 test_jobs_that_always_fail (void)
 {
   for (guint32 seed = 640; seed < 646; seed++)
     {
       Sim *sim = sim_new (seed);
-      SimMachine *faulty;
-      SimJob *failing[3];
-      guint rented, handler;
-      quarantined = 0;
-      handler = g_log_set_handler ("hazelbank", G_LOG_LEVEL_MESSAGE, count_quarantined, NULL);
+      SimMachine *faulty_machine;
+      SimJob *failing_jobs[3];
+      guint rented_before, handler;
+      n_quarantined = 0;
+      handler = g_log_set_handler ("hazelbank", G_LOG_LEVEL_MESSAGE, count_quarantined_machines, NULL);
       for (guint i = 0; i < 3; i++)
         {
-          failing[i] = sim_add_job (sim, 18 + i, i == 2 ? "guest" : i ? "red" : "blue", 6, 1, 10);
-          failing[i]->always_fails = failing[i]->wants_cancel = TRUE;
-          failing[i]->cancel_at = 150;
+          failing_jobs[i] = sim_add_job (sim, 18 + i, i == 2 ? "guest" : i ? "red" : "blue", 6, 1, 10);
+          failing_jobs[i]->always_fails = failing_jobs[i]->wants_cancel = TRUE;
+          failing_jobs[i]->cancel_at = 150;
         }
       for (guint i = 0; i < 14; i++)
         sim_add_job (sim, 1 + 5 * i, i % 2 ? "red" : "blue", 4, 1.5, 12);
       sim_run (sim, 25);
-      while (!(faulty = machine_with_tasks (sim)) || faulty->terminated)
+      while (!(faulty_machine = machine_with_tasks (sim)) || faulty_machine->terminated)
         sim_run (sim, sim->now + 0.5);
-      faulty->faulty = TRUE;
+      faulty_machine->faulty = TRUE;
       if (seed % 2)
         crash_random_controller (sim, NULL);
       sim_run (sim, sim->now + 7);
       start_all_controllers (sim, NULL);
       sim_run (sim, 110);
-      g_assert_true (faulty->terminated);
-      g_assert_cmpuint (quarantined, <=, 1); /* at most the faulty machine, and no sound one */
-      rented = sim->machine_number;
+      g_assert_true (faulty_machine->terminated);
+      g_assert_cmpuint (n_quarantined, <=, 1); /* the faulty machine at most */
+      rented_before = sim->machine_number;
       sim_run (sim, 148);
-      g_assert_cmpuint (sim->machine_number - rented, <=, 2); /* only failing jobs are left */
+      g_assert_cmpuint (sim->machine_number - rented_before, <=, 2); /* the failing jobs are the only ones left */
       g_assert_cmpuint (sim->tasks_started, <, 14 * 4 + 120);
       for (guint i = 0; i < 3; i++)
         {
-          g_autofree char *path = g_strdup_printf ("/api/jobs/%s", failing[i]->uid);
+          g_autofree char *path = g_strdup_printf ("/api/jobs/%s", failing_jobs[i]->uid);
           g_assert_cmpuint (user_request (sim, i, "GET", path, "", NULL), ==, 200);
         }
       sim->faults_over_at = 150;
       sim_run (sim, 330);
       for (guint i = 0; i < 3; i++)
-        g_assert_true (failing[i]->confirmed_cancelled);
+        g_assert_true (failing_jobs[i]->confirmed_cancelled);
       g_log_remove_handler ("hazelbank", handler);
       expect_all_finished (sim, "jobs that always fail", seed);
       sim_free (sim);
     }
 }
 
-/* In an outage no controller calls the key-value store in a tight loop: neither a leader that can't read its records,
- * nor one that does not know the outcome of its last transaction. */
+/* Guards against a controller that calls the key-value store in a tight loop during its outage: a leader that can't
+ * read its records, or one that does not know the outcome of its last transaction. */
 static void
 test_kv_request_rate_in_kv_outage (void)
 {
   for (guint32 seed = 650; seed < 654; seed++)
     {
       Sim *sim = sim_new (seed);
-      guint before;
+      guint requests_before;
       for (guint i = 0; i < 10; i++)
         sim_add_job (sim, 1 + i, i % 2 ? "red" : "blue", 6, 1.5, 25);
       sim_run (sim, 20);
@@ -305,11 +314,12 @@
       sim_run (sim, sim->now + (seed % 2 ? 2 : 0.01));
       sim->kv_outage = TRUE;
       sim_run (sim, sim->now + 1);
-      before = sim->kv_requests;
+      requests_before = sim->kv_requests;
       sim_run (sim, sim->now + 20);
-      g_test_message ("seed %u: %u requests in 20 s", seed, sim->kv_requests - before);
-      /* For each node: a watch and a lease renewal now and then, and two retries a second of whatever failed. */
-      g_assert_cmpuint (sim->kv_requests - before, <, SIM_NODES * 20 * 6);
+      g_test_message ("seed %u: %u requests to the key-value store in 20 s of outage", seed,
+                      sim->kv_requests - requests_before);
+      /* Each node sends a watch and a lease renewal now and then, and retries each failed request twice a second. */
+      g_assert_cmpuint (sim->kv_requests - requests_before, <, SIM_NODES * 20 * 6);
       sim->kv_outage = FALSE;
       sim->late_transaction_chance = 0;
       start_all_controllers (sim, NULL);
--- a/tests/test-peers.c
+++ b/tests/test-peers.c
@@ -78,7 +78,7 @@
                         .rand = g_rand_new_with_seed (1) };
   g_free (fixture->node.settings->node);
   fixture->node.settings->node = g_strdup (name);
-  fixture->node.settings->size = 2;
+  fixture->node.settings->cluster_size = 2;
   g_ptr_array_unref (fixture->node.settings->peers);
   fixture->node.settings->peers = g_ptr_array_new ();
   g_ptr_array_add (fixture->node.settings->peers, &fixture->peer);
--- a/tests/test-processes.c
+++ b/tests/test-processes.c
@@ -39,8 +39,8 @@
 send_to_process (Sim *sim, guint node, HzbHttpRequest *http_request)
 {
   g_autofree char *addr = g_strdup_printf ("127.0.0.1:%u", API_PORT + 2 * node);
-  hzb_send (client, http_request->method, addr, http_request->path, g_steal_pointer (&http_request->body), 4000,
-            on_reply, http_request);
+  hzb_transport_send (client, http_request->method, addr, http_request->path, g_steal_pointer (&http_request->body),
+                      4000, on_reply, http_request);
 }
 
 /* ---- controllers ---- */
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -1,18 +1,21 @@
+/* Tests of the decoders of submissions, heartbeats, the settings file and the features file. */
 #include "json.h"
 #include "support.h"
 #include "user-protocol.h"
 #include "worker-protocol.h"
 
-static const char good[] =
+static const char valid_submission[] =
     "{\"uid\":\"run-000412\",\"lane\":\"train\",\"owner\":\"red\",\"shape\":\"ensemble\",\"urgency\":\"urgent\",\"pieces\":16,"
     "\"cpus\":8.0,\"gpus\":1.0,\"ramGb\":64.0,\"bundle\":\"img-07\",\"sizeGb\":6.2,\"flavors\":[\"g8\"],\"yard\":null,"
     "\"samePlace\":true,\"spread\":false,\"loaners\":true,\"expectS\":240.0,\"snapshotEveryS\":30.0,\"snapshotS\":4.0,"
     "\"dueS\":900.0,\"unheardOf\":{}}";
 
+/* Returns: whether the valid submission is accepted with this value of a field, or, if the value is NULL, without the
+ * field */
 static gboolean
-accepted_with (const char *field, const char *value)
+is_accepted_with (const char *field, const char *value)
 {
-  cJSON *root = cJSON_Parse (good);
+  cJSON *root = cJSON_Parse (valid_submission);
   g_autofree char *text = NULL;
   g_autoptr (HzbJobSpec) spec = NULL;
   cJSON_DeleteItemFromObject (root, field);
@@ -30,7 +33,7 @@
   static const struct
   {
     const char *field, *value;
-    gboolean ok;
+    gboolean accepted;
   } table[] = {
     { "uid", NULL, FALSE },
     { "uid", "\"run-12\"", FALSE },
@@ -76,11 +79,12 @@
     { "dueS", "\"soon\"", FALSE },
   };
   for (guint i = 0; i < G_N_ELEMENTS (table); i++)
-    if (accepted_with (table[i].field, table[i].value) != table[i].ok)
-      g_error ("%s = %s should be %s", table[i].field, table[i].value, table[i].ok ? "taken" : "refused");
+    if (is_accepted_with (table[i].field, table[i].value) != table[i].accepted)
+      g_error ("%s = %s should be %s", table[i].field, table[i].value, table[i].accepted ? "accepted" : "rejected");
 }
 
-/* Users are told of the first fault; which one that is must not change. Fields are added one by one. */
+/* The response to an invalid submission names the first missing or invalid field. Which field that is must not change.
+ * The test adds the fields one by one. */
 static void
 test_job_first_fault (void)
 {
@@ -107,7 +111,7 @@
     { "yard", "3" },
     { "dueS", "0" },
   };
-  const guint required = 17;
+  const guint n_required = 17; /* the fields that follow them are added with invalid values */
   g_autoptr (GString) body = g_string_new ("{\"unknown\":1");
 
   for (guint i = 0; i < G_N_ELEMENTS (table); i++)
@@ -115,15 +119,16 @@
       g_autofree char *expected = g_strconcat (table[i][0], ": expected ", NULL), *whole = NULL;
       g_autoptr (GError) error = NULL;
       g_autoptr (HzbJobSpec) spec = NULL;
-      if (i < required)
+      if (i < n_required)
         {
-          /* All fields before this one. */
+          /* The body has all fields before this one. */
           whole = g_strconcat (body->str, "}", NULL);
           g_string_append_printf (body, ",\"%s\":%s", table[i][0], table[i][1]);
         }
       else
         {
-          /* Of two fields with one name the first counts, so the invalid ones from this one on stand in front. */
+          /* The decoder uses the first of two fields with the same name, so this field and the following ones, which
+           * are invalid, precede the valid ones. */
           g_autoptr (GString) front = g_string_new ("{");
           for (guint k = i; k < G_N_ELEMENTS (table); k++)
             g_string_append_printf (front, "\"%s\":%s,", table[k][0], table[k][1]);
@@ -139,42 +144,42 @@
 static void
 test_job_bodies (void)
 {
-  static const char *const bad[] = { "", "null", "[]", "\"x\"", "{", "{}", "{\"uid\":", "\xff\xfe" };
-  g_autofree char *large = g_strnfill (HZB_MAX_BODY + 1, ' ');
-  for (guint i = 0; i < G_N_ELEMENTS (bad); i++)
+  static const char *const malformed[] = { "", "null", "[]", "\"x\"", "{", "{}", "{\"uid\":", "\xff\xfe" };
+  g_autofree char *large = g_strnfill (HZB_MAX_BODY_BYTES + 1, ' ');
+  for (guint i = 0; i < G_N_ELEMENTS (malformed); i++)
     {
       g_autoptr (GError) error = NULL;
-      g_assert_null (hzb_job_spec_parse (bad[i], strlen (bad[i]), &error));
+      g_assert_null (hzb_job_spec_parse (malformed[i], strlen (malformed[i]), &error));
       g_assert_error (error, HZB_PROTOCOL_ERROR, HZB_PROTOCOL_ERROR_MALFORMED);
     }
   g_assert_null (hzb_job_spec_parse (large, strlen (large), NULL));
-  /* Every way to cut a good one short is refused and harmless. */
-  for (gsize n = 0; n + 1 < sizeof good; n++)
+  /* Every truncation of a valid submission is rejected. */
+  for (gsize n = 0; n + 1 < sizeof valid_submission; n++)
     {
-      g_autofree char *part = g_strndup (good, n);
-      g_assert_null (hzb_job_spec_parse (part, n, NULL));
+      g_autofree char *truncated = g_strndup (valid_submission, n);
+      g_assert_null (hzb_job_spec_parse (truncated, n, NULL));
     }
 }
 
 static void
-test_durable_form (void)
+test_stored_form (void)
 {
-  g_autoptr (HzbJobSpec) spec = hzb_job_spec_parse (good, strlen (good), NULL);
-  cJSON *packed = hzb_job_spec_encode (spec);
-  g_autoptr (HzbJobSpec) back = hzb_job_spec_decode ("run-000412", packed);
-  g_assert_nonnull (back);
-  g_assert_cmpuint (back->tasks, ==, 16);
-  g_assert_true (back->kind == HZB_JOB_GANG && back->same_zone && back->spot && !back->spread);
-  g_assert_cmpfloat (back->image_gb, ==, 6.2);
-  g_assert_cmpfloat (back->deadline_s, ==, 900);
-  g_assert_cmpstr (back->types[0], ==, "g8");
-  g_assert_null (back->zone);
-  g_assert_null (hzb_job_spec_decode ("run-000413", packed));
-  cJSON_Delete (packed);
+  g_autoptr (HzbJobSpec) spec = hzb_job_spec_parse (valid_submission, strlen (valid_submission), NULL);
+  cJSON *stored = hzb_job_spec_encode (spec);
+  g_autoptr (HzbJobSpec) decoded = hzb_job_spec_decode ("run-000412", stored);
+  g_assert_nonnull (decoded);
+  g_assert_cmpuint (decoded->tasks, ==, 16);
+  g_assert_true (decoded->kind == HZB_JOB_GANG && decoded->same_zone && decoded->spot && !decoded->spread);
+  g_assert_cmpfloat (decoded->image_gb, ==, 6.2);
+  g_assert_cmpfloat (decoded->deadline_s, ==, 900);
+  g_assert_cmpstr (decoded->types[0], ==, "g8");
+  g_assert_null (decoded->zone);
+  g_assert_null (hzb_job_spec_decode ("run-000413", stored));
+  cJSON_Delete (stored);
 }
 
 static void
-test_report (void)
+test_worker_heartbeat (void)
 {
   static const char text[] =
       "{\"host\":\"i-1\",\"addr\":\"10.1.0.1:9000\",\"flavor\":\"g8\",\"yard\":\"a\",\"loaners\":true,\"tenure\":2,"
@@ -184,7 +189,7 @@
   g_autoptr (HzbWorkerHeartbeat) heartbeat = hzb_worker_heartbeat_decode (text, strlen (text), NULL);
   HzbTaskStatus *task_status;
   g_assert_nonnull (heartbeat);
-  g_assert_cmpuint (heartbeat->task_statuses->len, ==, 2); /* what makes no sense is left out */
+  g_assert_cmpuint (heartbeat->task_statuses->len, ==, 2); /* items with an invalid task name are left out */
   g_assert_cmpuint (heartbeat->sequence, ==, G_GUINT64_CONSTANT (9007199254740991));
   g_assert_cmpfloat (heartbeat->notice_s, <, 0);
   task_status = &g_array_index (heartbeat->task_statuses, HzbTaskStatus, 0);
@@ -203,7 +208,7 @@
   g_assert_cmpstr (text, ==, "{\"baton\":18446744073709551615,\"orders\":[]}");
 }
 
-/* Callers tell a file that is not TOML from one with invalid values, and from one that can't be read. */
+/* Error codes tell a file that is not TOML from one with invalid values and from one that can't be read. */
 static void
 test_settings_error_codes (void)
 {
@@ -241,7 +246,7 @@
   g_assert_nonnull (strstr (error->message, "x.toml:2"));
 }
 
-/* What would be found out only under load, or never. */
+/* Faults that would otherwise show only under load, or never: duplicate peers and too low a limit of sockets. */
 static void
 test_cluster_faults (void)
 {
@@ -260,18 +265,18 @@
 static void
 test_unknown_fields (void)
 {
-  g_autoptr (HzbSettings) s = test_settings (); /* has a field that nobody knows */
-  g_assert_cmpint (hzb_settings_team (s, "blue"), ==, 1);
-  g_assert_cmpint (hzb_settings_team (s, "green"), ==, -1);
+  g_autoptr (HzbSettings) settings = test_settings (); /* has an unknown field */
+  g_assert_cmpint (hzb_settings_find_team (settings, "blue"), ==, 1);
+  g_assert_cmpint (hzb_settings_find_team (settings, "green"), ==, -1);
 }
 
-/* 0 means none: neither a guarantee nor a limit. */
+/* A team whose limit is 0 or missing has no limit; a team whose guarantee is missing has none. */
 static void
 test_team_without_limit (void)
 {
   g_autoptr (GError) error = NULL;
   g_autofree char *text = NULL;
-  g_autoptr (HzbSettings) s = NULL;
+  g_autoptr (HzbSettings) settings = NULL;
   const HzbTeam *team;
   text = g_strdup (
       "node = \"n0\"\nsite = \"za\"\napi_addr = \"10.0.0.1:80\"\ncluster_listen = \"10.0.0.1:81\"\n"
@@ -279,18 +284,18 @@
       "[[cluster.teams]]\nname = \"red\"\ncpus = 10\ncpus_max = 20\ngpus_max = 0.0\n[[cluster.teams]]\nname = \"guest\"\n"
       "[cluster.workers]\nreport_s = 2\nlease_s = 16\ncancel_s = 41\n[cluster.cloud]\nrps = 4\n"
       "[cluster.state]\nrps = 80\nwrite_rps = 30\nvalue_kb = 16\ntxn_ops = 24\n");
-  s = hzb_settings_parse (text, "test", &error);
+  settings = hzb_settings_parse (text, "test", &error);
   g_assert_no_error (error);
-  team = s->teams->pdata[0];
+  team = settings->teams->pdata[0];
   g_assert_cmpfloat (team->cpus_max, ==, 20);
   g_assert_cmpfloat (team->gpus_max, ==, HZB_NO_LIMIT);
-  team = s->teams->pdata[1];
+  team = settings->teams->pdata[1];
   g_assert_cmpfloat (team->cpus, ==, 0);
   g_assert_cmpfloat (team->cpus_max, ==, HZB_NO_LIMIT);
 }
 
 static HzbSettings *
-settings_with_next (const char *next, GError **error)
+settings_with_next_limits (const char *next, GError **error)
 {
   g_autofree char *text = g_strdup_printf (
       "node = \"n0\"\nsite = \"za\"\napi_addr = \"10.0.0.1:80\"\ncluster_listen = \"10.0.0.1:81\"\n"
@@ -301,14 +306,15 @@
   return hzb_settings_parse (text, "test", error);
 }
 
-/* Limits that come later: the lesser of both holds from the start, an absent key changes nothing, a wrong one is named. */
+/* Announced limits of the key-value store: the lower limit applies from the start, a missing key changes nothing, and
+ * an invalid key is reported by name. */
 static void
 test_next_limits (void)
 {
   g_autoptr (GError) error = NULL;
   static const struct
   {
-    const char *line, *named;
+    const char *line, *fault;
   } malformed[] = {
     { "txn_ops = 2", "cluster.state.next.txn_ops: expected a number of at least 3" },
     { "txn_ops = -5", "cluster.state.next.txn_ops" },
@@ -317,39 +323,40 @@
     { "write_rps = nan", "cluster.state.next.write_rps" },
     { "rps = [1]", "cluster.state.next.rps" },
   };
-  g_autoptr (HzbSettings) none = settings_with_next ("", &error), some = NULL, higher = NULL, all = NULL;
+  g_autoptr (HzbSettings) without_next = settings_with_next_limits ("", &error), one_lower = NULL, higher = NULL,
+                          all_lower = NULL;
   g_assert_no_error (error);
-  g_assert_cmpfloat (none->kv_value_kb, ==, 16);
-  some = settings_with_next ("[cluster.state.next]\nvalue_kb = 2.0\n", &error);
+  g_assert_cmpfloat (without_next->kv_value_kb, ==, 16);
+  one_lower = settings_with_next_limits ("[cluster.state.next]\nvalue_kb = 2.0\n", &error);
   g_assert_no_error (error);
-  g_assert_cmpfloat (some->kv_value_kb, ==, 2);
-  g_assert_cmpuint (some->kv_txn_ops, ==, 24);
-  g_assert_cmpfloat (some->kv_write_rps, ==, 30);
-  all = settings_with_next ("[cluster.state.next]\nvalue_kb = 2\ntxn_ops = 5\nwrite_rps = 15\nrps = 40\nnew = 1\n",
-                            &error);
+  g_assert_cmpfloat (one_lower->kv_value_kb, ==, 2);
+  g_assert_cmpuint (one_lower->kv_txn_ops, ==, 24);
+  g_assert_cmpfloat (one_lower->kv_write_rps, ==, 30);
+  all_lower = settings_with_next_limits (
+      "[cluster.state.next]\nvalue_kb = 2\ntxn_ops = 5\nwrite_rps = 15\nrps = 40\nnew = 1\n", &error);
   g_assert_no_error (error);
-  g_assert_cmpuint (all->kv_txn_ops, ==, 5);
-  g_assert_cmpfloat (all->kv_write_rps, ==, 15);
-  g_assert_cmpfloat (all->kv_rps, ==, 40);
-  higher = settings_with_next ("[cluster.state.next]\ntxn_ops = 50\n", &error);
+  g_assert_cmpuint (all_lower->kv_txn_ops, ==, 5);
+  g_assert_cmpfloat (all_lower->kv_write_rps, ==, 15);
+  g_assert_cmpfloat (all_lower->kv_rps, ==, 40);
+  higher = settings_with_next_limits ("[cluster.state.next]\ntxn_ops = 50\n", &error);
   g_assert_no_error (error);
   g_assert_cmpuint (higher->kv_txn_ops, ==, 24);
-  g_assert_null (settings_with_next ("[cluster.state.next]\nvalue_kb = \"small\"\n", &error));
+  g_assert_null (settings_with_next_limits ("[cluster.state.next]\nvalue_kb = \"small\"\n", &error));
   g_assert_nonnull (strstr (error->message, "cluster.state.next.value_kb"));
   g_clear_error (&error);
-  g_assert_null (settings_with_next ("next = 5\n", &error));
+  g_assert_null (settings_with_next_limits ("next = 5\n", &error));
   g_assert_nonnull (strstr (error->message, "cluster.state.next: expected a table"));
   for (guint i = 0; i < G_N_ELEMENTS (malformed); i++)
     {
       g_autofree char *table = g_strdup_printf ("[cluster.state.next]\n%s\n", malformed[i].line);
       g_clear_error (&error);
-      g_assert_null (settings_with_next (table, &error));
-      g_assert_nonnull (strstr (error->message, malformed[i].named));
+      g_assert_null (settings_with_next_limits (table, &error));
+      g_assert_nonnull (strstr (error->message, malformed[i].fault));
     }
-  /* What no machine counts to is as good as no limit. */
+  /* An announced limit that does not fit into 32 bits does not lower the current limit. */
   g_clear_pointer (&higher, hzb_settings_free);
   g_clear_error (&error);
-  higher = settings_with_next ("[cluster.state.next]\ntxn_ops = 1e15\nrps = 1e15\n", &error);
+  higher = settings_with_next_limits ("[cluster.state.next]\ntxn_ops = 1e15\nrps = 1e15\n", &error);
   g_assert_no_error (error);
   g_assert_cmpuint (higher->kv_txn_ops, ==, 24);
   g_assert_cmpfloat (higher->kv_rps, ==, 80);
@@ -362,8 +369,8 @@
   g_test_add_func ("/protocol/job-table", test_job_table);
   g_test_add_func ("/protocol/job-first-fault", test_job_first_fault);
   g_test_add_func ("/protocol/job-bodies", test_job_bodies);
-  g_test_add_func ("/protocol/durable-form", test_durable_form);
-  g_test_add_func ("/protocol/worker-heartbeat", test_report);
+  g_test_add_func ("/protocol/durable-form", test_stored_form);
+  g_test_add_func ("/protocol/worker-heartbeat", test_worker_heartbeat);
   g_test_add_func ("/protocol/large-numbers", test_large_numbers);
   g_test_add_func ("/settings/error-codes", test_settings_error_codes);
   g_test_add_func ("/settings/faults", test_settings_faults);
--- a/tests/test-quarantine.c
+++ b/tests/test-quarantine.c
@@ -1,5 +1,5 @@
-/* The quarantine by itself: what it tracks, and operators' decisions. Proofs are played in the simulated cluster
- * (/cold-start/unrecorded-tasks). */
+/* Unit tests of the quarantine: the tasks that it tracks, and operators' decisions. The simulated cluster tests the
+ * proofs (/cold-start/unrecorded-tasks). */
 #include "support.h"
 
 #include "fake-transport.h"
@@ -23,7 +23,7 @@
 } Fixture;
 
 static void
-fixture_up (Fixture *fixture)
+fixture_init (Fixture *fixture)
 {
   HzbQuarantineDependencies dependencies;
 
@@ -51,7 +51,7 @@
 }
 
 static void
-fixture_down (Fixture *fixture)
+fixture_clear (Fixture *fixture)
 {
   fake_transport_end (&fixture->transport, fixture->kv);
   hzb_quarantine_free (fixture->quarantine);
@@ -67,11 +67,11 @@
 }
 
 static HzbTaskVerdict
-judge (Fixture *fixture, guint64 attempt, HzbTaskReason *reason)
+decide_task (Fixture *fixture, guint64 attempt, HzbTaskReason *reason)
 {
   HzbTaskStatus task_status = { .uid = (char *) "run-000001", .attempt = attempt };
-  return hzb_quarantine_judge (fixture->quarantine, fixture->machine, &task_status, hzb_clock_now (fixture->clock),
-                               reason);
+  return hzb_quarantine_decide_task (fixture->quarantine, fixture->machine, &task_status,
+                                     hzb_clock_now (fixture->clock), reason);
 }
 
 static guint
@@ -84,148 +84,151 @@
 static gboolean
 is_kept (Fixture *fixture)
 {
-  HzbQuarantined entry = { .uid = (char *) "run-000001" };
+  HzbQuarantinedTask entry = { .uid = (char *) "run-000001" };
   return hzb_quarantine_is_kept (fixture->quarantine, &entry);
 }
 
-/* The answer that the operator got. */
+/* The calls of the function that receives the result of a decision. */
 typedef struct
 {
-  guint n;
-  HzbKeepResult result;
-} Outcome;
+  guint n_calls;
+  HzbDecisionResult result; /* of the last call */
+} DecisionOutcome;
 
 static void
-on_decided (HzbKeepResult result, gpointer user)
+on_decision_applied (HzbDecisionResult result, gpointer user)
 {
-  Outcome *outcome = user;
-  outcome->n++;
+  DecisionOutcome *outcome = user;
+  outcome->n_calls++;
   outcome->result = result;
 }
 
-static Outcome *
-decide (Fixture *fixture, HzbOperatorDecision decision, Outcome *outcome)
+static DecisionOutcome *
+apply_decision (Fixture *fixture, HzbOperatorDecision decision, DecisionOutcome *outcome)
 {
-  *outcome = (Outcome){ 0 };
-  hzb_quarantine_decide (fixture->quarantine, "run-000001", 0, decision, on_decided, outcome);
+  *outcome = (DecisionOutcome){ 0 };
+  hzb_quarantine_apply_decision (fixture->quarantine, "run-000001", 0, decision, on_decision_applied, outcome);
   return outcome;
 }
 
+/* Without a proof that no record names it, a task stays quarantined: a record may still arrive. */
 static void
 test_left_alone (void)
 {
   Fixture fixture;
   HzbTaskReason reason;
 
-  fixture_up (&fixture);
-  g_assert_cmpint (judge (&fixture, 1, &reason), ==, HZB_TASK_VERDICT_QUARANTINE);
-  g_assert_cmpint (reason, ==, HZB_TASK_REASON_RECORD_MAY_COME);
-  judge (&fixture, 1, &reason);
+  fixture_init (&fixture);
+  g_assert_cmpint (decide_task (&fixture, 1, &reason), ==, HZB_TASK_VERDICT_QUARANTINE);
+  g_assert_cmpint (reason, ==, HZB_TASK_REASON_ABSENCE_UNPROVEN);
+  decide_task (&fixture, 1, &reason);
   g_assert_cmpuint (n_tracked (&fixture), ==, 1);
-  judge (&fixture, 2, &reason);
-  g_assert_cmpuint (n_tracked (&fixture), ==, 2); /* each attempt by itself */
-  /* However long it lasts: without a proof no operator's time runs out. */
+  decide_task (&fixture, 2, &reason);
+  g_assert_cmpuint (n_tracked (&fixture), ==, 2); /* each attempt is tracked separately */
+  /* The time for an operator's decision has no effect before the proof is complete. */
   hzb_clock_advance (fixture.clock, 1e6);
-  g_assert_cmpint (judge (&fixture, 1, &reason), ==, HZB_TASK_VERDICT_QUARANTINE);
-  g_assert_cmpint (reason, ==, HZB_TASK_REASON_RECORD_MAY_COME);
-  fixture_down (&fixture);
+  g_assert_cmpint (decide_task (&fixture, 1, &reason), ==, HZB_TASK_VERDICT_QUARANTINE);
+  g_assert_cmpint (reason, ==, HZB_TASK_REASON_ABSENCE_UNPROVEN);
+  fixture_clear (&fixture);
 }
 
+/* A task that heartbeats no longer list is dropped once the lease time is over. */
 static void
-test_forgotten (void)
+test_expiry (void)
 {
   Fixture fixture;
   HzbTaskReason reason;
 
-  fixture_up (&fixture);
-  judge (&fixture, 1, &reason);
+  fixture_init (&fixture);
+  decide_task (&fixture, 1, &reason);
   hzb_clock_advance (fixture.clock, fixture.settings->lease_s - 2);
   hzb_quarantine_tick (fixture.quarantine, hzb_clock_now (fixture.clock));
   g_assert_cmpuint (n_tracked (&fixture), ==, 1);
   hzb_clock_advance (fixture.clock, 3);
   hzb_quarantine_tick (fixture.quarantine, hzb_clock_now (fixture.clock));
   g_assert_cmpuint (n_tracked (&fixture), ==, 0);
-  fixture_down (&fixture);
+  fixture_clear (&fixture);
 }
 
+/* A decision about an unknown task, or to stop a task without a proof, is refused and writes nothing. */
 static void
 test_refused (void)
 {
   Fixture fixture;
   HzbTaskReason reason;
-  Outcome outcome;
-
-  fixture_up (&fixture);
-  decide (&fixture, HZB_OPERATOR_KEEPS, &outcome);
-  g_assert_true (outcome.n == 1 && outcome.result == HZB_KEEP_NOT_FOUND);
-  judge (&fixture, 1, &reason);
-  decide (&fixture, HZB_OPERATOR_STOPS, &outcome);
-  g_assert_true (outcome.n == 1 && outcome.result == HZB_KEEP_NOT_PROVEN);
-  judge (&fixture, 1, &reason);
-  g_assert_cmpint (reason, ==, HZB_TASK_REASON_RECORD_MAY_COME);
+  DecisionOutcome outcome;
+
+  fixture_init (&fixture);
+  apply_decision (&fixture, HZB_OPERATOR_KEEP, &outcome);
+  g_assert_true (outcome.n_calls == 1 && outcome.result == HZB_DECISION_NOT_FOUND);
+  decide_task (&fixture, 1, &reason);
+  apply_decision (&fixture, HZB_OPERATOR_STOP, &outcome);
+  g_assert_true (outcome.n_calls == 1 && outcome.result == HZB_DECISION_NOT_PROVEN);
+  decide_task (&fixture, 1, &reason);
+  g_assert_cmpint (reason, ==, HZB_TASK_REASON_ABSENCE_UNPROVEN);
   g_assert_cmpuint (fixture.transport.sent, ==, 0);
-  fixture_down (&fixture);
+  fixture_clear (&fixture);
 }
 
-/* Nothing is kept before the decision is durable, and one decision is recorded at a time. */
+/* A task is kept only once the decision is durable. While a decision is being written, another one is refused. */
 static void
 test_kept (void)
 {
   static const struct
   {
     guint status;
-    HzbKeepResult result;
+    HzbDecisionResult result;
     gboolean kept;
   } cases[] = {
-    { 409, HZB_KEEP_CONFLICT, FALSE },
-    { 500, HZB_KEEP_UNAVAILABLE, FALSE },
-    { 200, HZB_KEEP_DONE, TRUE },
+    { 409, HZB_DECISION_CONFLICT, FALSE },
+    { 500, HZB_DECISION_UNAVAILABLE, FALSE },
+    { 200, HZB_DECISION_DONE, TRUE },
   };
   Fixture fixture;
   HzbTaskReason reason;
-  Outcome outcome, second;
+  DecisionOutcome outcome, second_outcome;
 
-  fixture_up (&fixture);
-  judge (&fixture, 1, &reason);
+  fixture_init (&fixture);
+  decide_task (&fixture, 1, &reason);
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       FakeCall *call;
-      decide (&fixture, HZB_OPERATOR_KEEPS, &outcome);
+      apply_decision (&fixture, HZB_OPERATOR_KEEP, &outcome);
       hzb_clock_advance (fixture.clock, 0.1);
       hzb_kv_client_pump (fixture.kv);
-      g_assert_true (outcome.n == 0 && !is_kept (&fixture));
-      decide (&fixture, HZB_OPERATOR_KEEPS, &second);
-      g_assert_true (second.n == 1 && second.result == HZB_KEEP_BUSY);
+      g_assert_true (outcome.n_calls == 0 && !is_kept (&fixture));
+      apply_decision (&fixture, HZB_OPERATOR_KEEP, &second_outcome);
+      g_assert_true (second_outcome.n_calls == 1 && second_outcome.result == HZB_DECISION_BUSY);
       call = g_queue_peek_head (&fixture.transport.calls);
       g_assert_nonnull (call);
-      g_assert_nonnull (strstr (call->body, HZB_KEY_RECONCILIATION_KEPT));
+      g_assert_nonnull (strstr (call->body, HZB_KEY_RECONCILIATION_ARCHIVES));
       fake_answer (&fixture.transport, call, cases[i].status, "{\"epoch\":7}");
-      g_assert_true (outcome.n == 1 && outcome.result == cases[i].result);
+      g_assert_true (outcome.n_calls == 1 && outcome.result == cases[i].result);
       g_assert_cmpint (is_kept (&fixture), ==, cases[i].kept);
     }
-  decide (&fixture, HZB_OPERATOR_KEEPS, &outcome);
-  g_assert_true (outcome.n == 1 && outcome.result == HZB_KEEP_DONE); /* as it is already */
-  fixture_down (&fixture);
+  apply_decision (&fixture, HZB_OPERATOR_KEEP, &outcome);
+  g_assert_true (outcome.n_calls == 1 && outcome.result == HZB_DECISION_DONE); /* the task is kept already */
+  fixture_clear (&fixture);
 }
 
-/* The answer of an earlier leadership changes nothing; the operator is answered all the same. */
+/* A response to a write of an earlier leadership must not change the kept tasks, but the operator gets a result. */
 static void
 test_earlier_epoch (void)
 {
   Fixture fixture;
   HzbTaskReason reason;
-  Outcome outcome;
+  DecisionOutcome outcome;
 
-  fixture_up (&fixture);
-  judge (&fixture, 1, &reason);
-  decide (&fixture, HZB_OPERATOR_KEEPS, &outcome);
+  fixture_init (&fixture);
+  decide_task (&fixture, 1, &reason);
+  apply_decision (&fixture, HZB_OPERATOR_KEEP, &outcome);
   hzb_clock_advance (fixture.clock, 0.1);
   hzb_kv_client_pump (fixture.kv);
   hzb_ownership_begin_epoch (fixture.ownership);
   hzb_quarantine_reset (fixture.quarantine);
   fake_answer (&fixture.transport, g_queue_peek_head (&fixture.transport.calls), 200, "{\"epoch\":7}");
-  g_assert_true (outcome.n == 1 && !is_kept (&fixture));
-  fixture_down (&fixture);
+  g_assert_true (outcome.n_calls == 1 && !is_kept (&fixture));
+  fixture_clear (&fixture);
 }
 
 int
@@ -233,7 +236,7 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_test_add_func ("/quarantine/left-alone", test_left_alone);
-  g_test_add_func ("/quarantine/forgotten", test_forgotten);
+  g_test_add_func ("/quarantine/unlisted-task-expires", test_expiry);
   g_test_add_func ("/quarantine/refused", test_refused);
   g_test_add_func ("/quarantine/kept", test_kept);
   g_test_add_func ("/quarantine/earlier-epoch", test_earlier_epoch);
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -87,7 +87,7 @@
       http_request->body = g_strdup ("");
       http_request->reply = capture_status;
       http_request->impl = &status[i];
-      hzb_controller_request (http_request, sim->nodes[node_index].controller);
+      hzb_controller_handle_request (http_request, sim->nodes[node_index].controller);
     }
   sim_run (sim, sim->now + 2);
   for (guint i = 0; i < sim->jobs->len; i++)
--- a/tests/test-scheduling-class.c
+++ b/tests/test-scheduling-class.c
@@ -10,7 +10,7 @@
   objective->kind = g_strdup (kind);
   objective->job_class = g_strdup ("lane"); /* the class of bench_job() */
   objective->within_s = within_s;
-  objective->times = times;
+  objective->deadline_factor = times;
   g_ptr_array_add (b->settings->objectives, objective);
 }
 
--- a/tests/test-services.c
+++ b/tests/test-services.c
@@ -1,24 +1,25 @@
-/* Services: replicas that run until their job is cancelled, wherever their machines go. */
+/* Services: jobs whose replicas run until the job is cancelled, on other machines if theirs fail or are reclaimed. */
 #include "sim-faults.h"
 
 #include <string.h>
 
-/* Replicas are restarted until their job is cancelled, through crashes of machines, reclaim notices and replicas that
- * end by themselves; a service is never done. */
+/* Guards against services that lose replicas or are taken for done: replicas have to be restarted until their job is
+ * cancelled, after crashes of machines, after reclaim notices and when they end by themselves. */
 static void
 test_replicas_restart_until_cancelled (void)
 {
   for (guint32 seed = 400; seed < 406; seed++)
     {
       Sim *sim = sim_new (seed);
-      SimJob *steady = add_service (sim, 3, "red", 4, 1, 120), *restarting = add_service (sim, 4, "blue", 3, 1, 120);
+      SimJob *steady_service = add_service (sim, 3, "red", 4, 1, 120),
+             *restarting_service = add_service (sim, 4, "blue", 3, 1, 120);
       SimMachine *machine;
-      restarting->run_s = 9;
+      restarting_service->run_s = 9;
       for (guint i = 0; i < 6; i++)
         sim_add_job (sim, 1 + i, i % 2 ? "red" : "blue", 5, 2, 12);
       sim_run (sim, 50);
-      g_assert_cmpfloat (steady->replica_missed_s, <, 0.1 * steady->replica_wanted_s);
-      g_assert_cmpfloat (restarting->replica_missed_s, <, 0.6 * restarting->replica_wanted_s);
+      g_assert_cmpfloat (steady_service->replica_missed_s, <, 0.1 * steady_service->replica_wanted_s);
+      g_assert_cmpfloat (restarting_service->replica_missed_s, <, 0.6 * restarting_service->replica_wanted_s);
       machine = machine_with_tasks (sim);
       if (seed % 2)
         {
@@ -29,17 +30,17 @@
         machine->reclaim_at = sim->now + 8;
       sim->faults_over_at = sim->now + 15;
       sim_run (sim, 118);
-      g_assert_false (steady->confirmed_done || restarting->confirmed_done);
-      g_assert_cmpfloat (steady->replica_missed_s, <, 0.4 * steady->replica_wanted_s);
+      g_assert_false (steady_service->confirmed_done || restarting_service->confirmed_done);
+      g_assert_cmpfloat (steady_service->replica_missed_s, <, 0.4 * steady_service->replica_wanted_s);
       sim_run (sim, 300);
-      g_assert_true (steady->confirmed_cancelled && restarting->confirmed_cancelled);
+      g_assert_true (steady_service->confirmed_cancelled && restarting_service->confirmed_cancelled);
       expect_all_finished (sim, "replicas restart until cancelled", seed);
       sim_free (sim);
     }
 }
 
-/* A production service preempts lower classes at once on a full fleet, and also within its own team if that is at its
- * limit. */
+/* Guards against a production service that waits on a full fleet: it has to preempt lower classes at once, and also
+ * work of its own team if the team is at its limit. */
 static void
 test_service_preempts_lower_classes (void)
 {
@@ -55,7 +56,8 @@
   sim_free (sim);
 }
 
-/* Headroom for replicas is given up while other work has waited for long. */
+/* Guards against work that waits without end because capacity is kept free as headroom for replicas: the headroom has
+ * to be given up while other work has waited for long. */
 static void
 test_headroom_yields_to_waiting_work (void)
 {
@@ -74,8 +76,8 @@
   sim_free (sim);
 }
 
-/* The only machines that suit a service are leased out and full of long work: the leader recalls them, and the work on
- * them is preempted. */
+/* Guards against a service that waits because the only eligible machines are leased to other controllers and full of
+ * long work: the leader has to recall them, and the work on them has to be preempted. */
 static void
 test_leased_machine_recalled_for_service (void)
 {
@@ -83,7 +85,7 @@
     {
       Sim *sim = sim_new (seed);
       SimJob *service;
-      guint leased = 0;
+      guint n_leased = 0;
       HzbController *controller;
       for (guint i = 0; i < 8; i++)
         {
@@ -94,8 +96,8 @@
       sim_run (sim, 30);
       controller = sim->nodes[sim_leader (sim)].controller;
       for (guint i = 0; i < controller->machines->all->len; i++)
-        leased += ((HzbMachine *) controller->machines->all->pdata[i])->state == HZB_MACHINE_LEASED;
-      g_assert_cmpuint (leased, >, 0);
+        n_leased += ((HzbMachine *) controller->machines->all->pdata[i])->state == HZB_MACHINE_LEASED;
+      g_assert_cmpuint (n_leased, >, 0);
       sim->config.machines = 0; /* the cloud has no capacity left */
       service = add_service (sim, 30, "red", 4, 1, 120);
       sim_run (sim, 110);
@@ -105,15 +107,16 @@
     }
 }
 
-/* Each invalid submission gets its documented status at this node and is not accepted. */
+/* Submits each invalid service to this node, under ids from uid on. Each has to get its documented status, and must not
+ * be accepted. */
 static void
-expect_refusals (Sim *sim, guint node, guint uid)
+expect_invalid_services_refused (Sim *sim, guint node, guint uid)
 {
   static const struct
   {
     const char *field, *value;
     guint status;
-  } wrong[] = {
+  } invalid_fields[] = {
     { "expectS", "5", 400 },
     { "expectS", NULL, 400 },
     { "pieces", "0", 400 },
@@ -129,33 +132,35 @@
     { "cpus", "9", 422 },
     { "gpus", "1", 422 },
   };
-  for (guint i = 0; i < G_N_ELEMENTS (wrong); i++, uid++)
+  for (guint i = 0; i < G_N_ELEMENTS (invalid_fields); i++, uid++)
     {
       g_autofree char *path = g_strdup_printf ("/api/jobs/run-%06u", uid);
-      g_assert_cmpuint (submit_service_with (sim, node, uid, wrong[i].field, wrong[i].value), ==, wrong[i].status);
+      g_assert_cmpuint (submit_service_with (sim, node, uid, invalid_fields[i].field, invalid_fields[i].value), ==,
+                        invalid_fields[i].status);
       g_assert_nonnull (strstr (last_response_body, "\"error\""));
       g_assert_cmpuint (user_request (sim, (node + 1) % SIM_NODES, "GET", path, "", NULL), ==, 404);
     }
 }
 
-/* Invalid requests get their documented status and are not accepted, at every node. */
+/* Guards against invalid requests that a node accepts, or answers with another status than the documented one. */
 static void
 test_invalid_requests (void)
 {
   Sim *sim = sim_new (411);
   SimJob *job = sim_add_job (sim, 1, "red", 4, 2, 8);
-  guint retry = 0;
+  guint retry_after_s = 0;
   g_autofree char *path = NULL;
-  /* Right after a start a controller can refuse only what is malformed. */
+  /* A controller that has just started can refuse malformed requests only. */
   g_assert_cmpuint (submit_service (sim, 0, 1, "red", 0, 1, "0", NULL), ==, 400);
   sim_run (sim, 25);
   for (guint node = 0; node < SIM_NODES; node++)
     {
       guint uid = 10 * (node + 1);
-      expect_refusals (sim, node, 200 + 100 * node);
+      expect_invalid_services_refused (sim, node, 200 + 100 * node);
       g_assert_cmpuint (submit_service (sim, node, uid, "red", 30, 1, "0", NULL), ==,
-                        422); /* all replicas: over the limit of 24 */
-      g_assert_cmpuint (submit_service (sim, node, uid + 1, "red", 2, 20, "0", NULL), ==, 422); /* fits no machine */
+                        422); /* the replicas together exceed the team's limit of 24 CPUs */
+      g_assert_cmpuint (submit_service (sim, node, uid + 1, "red", 2, 20, "0", NULL), ==,
+                        422); /* no machine type has 20 CPUs */
       g_assert_cmpuint (submit_service (sim, node, uid + 2, "nobody", 2, 1, "0", NULL), ==, 422);
       g_assert_cmpuint (submit_service (sim, node, uid + 3, "red", 2, 1, "\"long\"", NULL), ==, 400);
       g_assert_cmpuint (submit_service (sim, node, uid + 4, "red", 2, 1, "-1", NULL), ==, 400);
@@ -172,16 +177,17 @@
   sim_run (sim, sim->now + 6);
   for (guint node = 0; node < SIM_NODES; node++)
     {
-      g_assert_cmpuint (submit_service (sim, node, 90, "red", 30, 1, "0", &retry), ==, 503);
-      g_assert_cmpuint (retry, >, 0);
-      g_assert_cmpuint (submit_service (sim, node, 91, "red", 2, 1, "0", &retry), ==, 503);
-      g_assert_cmpuint (user_request (sim, node, "POST", path, "", NULL), ==, 200); /* done, as was confirmed before */
+      g_assert_cmpuint (submit_service (sim, node, 90, "red", 30, 1, "0", &retry_after_s), ==, 503);
+      g_assert_cmpuint (retry_after_s, >, 0);
+      g_assert_cmpuint (submit_service (sim, node, 91, "red", 2, 1, "0", &retry_after_s), ==, 503);
+      g_assert_cmpuint (user_request (sim, node, "POST", path, "", NULL), ==,
+                        200); /* the job is done, as its user was told before */
     }
   sim_free (sim);
 }
 
 static gboolean
-alive (const SimMachine *machine)
+is_alive (const SimMachine *machine)
 {
   return !machine->terminated && !machine->crashed;
 }
@@ -189,14 +195,14 @@
 static double
 cpus_rented (Sim *sim)
 {
-  double cpus = 0;
+  double total = 0;
   for (guint i = 0; i < sim->machines->len; i++)
-    cpus += alive (sim->machines->pdata[i]) ? ((SimMachine *) sim->machines->pdata[i])->cpus : 0;
-  return cpus;
+    total += is_alive (sim->machines->pdata[i]) ? ((SimMachine *) sim->machines->pdata[i])->cpus : 0;
+  return total;
 }
 
-/* Only services run: they get as many machines as their replicas and their headroom need, and no more; afterwards the
- * leader's records name none of them. */
+/* Only services run. Guards against surplus machines: replicas and their headroom have to get the machines that they
+ * need, and no more. Guards also against progress records that still name services after their end. */
 static void
 test_services_only (void)
 {
@@ -210,7 +216,7 @@
       for (guint t = 60; t < 150; t += 10)
         {
           sim_run (sim, t);
-          /* the replicas, the headroom in two zones, and a machine in each that is partly used */
+          /* 9 replicas of 1 CPU, headroom of 5 CPUs in each of two zones, and one partly used machine in each */
           g_assert_cmpfloat (cpus_rented (sim), <=, 9 + 2 * 5 + 2 * 8);
         }
       for (guint i = 0; i < 3; i++)
@@ -224,7 +230,8 @@
     }
 }
 
-/* More services than the fleet can hold: those that fit run, and a cancelled one makes room for others. */
+/* Guards against unused capacity and starved jobs when there are more services than the fleet can hold: those that fit
+ * have to run, and a cancelled one has to make room for others. */
 static void
 test_more_services_than_capacity (void)
 {
@@ -232,14 +239,14 @@
     {
       Sim *sim = sim_new (seed);
       SimJob *first, *second, *batch = sim_add_job (sim, 1, "blue", 4, 1, 30);
-      double cpus;
+      double cpus_in_use;
       sim->config.machines = 3;
       first = add_service (sim, 3, "red", 10, 2, 120);
       second = add_service (sim, 4, "blue", 10, 2, 260);
       first->spread = second->spread = FALSE;
       sim_run (sim, 110);
-      cpus = 2 * (sim_running (sim, first, NULL) + sim_running (sim, second, NULL));
-      g_assert_cmpfloat (cpus, >=, cpus_rented (sim) - 2);
+      cpus_in_use = 2 * (sim_running (sim, first, NULL) + sim_running (sim, second, NULL));
+      g_assert_cmpfloat (cpus_in_use, >=, cpus_rented (sim) - 2);
       sim_run (sim, 160);
       g_assert_true (first->confirmed_cancelled);
       g_assert_cmpuint (2 * sim_running (sim, second, NULL), >=, MIN (20, cpus_rented (sim) - 2));
@@ -253,14 +260,15 @@
     }
 }
 
-/* Many services come and go, as over months: completed ones move from the replicated records to the archive, each node
- * still answers for all of them, and the leader's progress pages name none. */
+/* Guards against records that grow with the number of completed services. Many services are submitted and cancelled, as
+ * over months: completed ones have to move from the replicated records to the archive, every node has to answer status
+ * queries about them, and the leader's pages of progress must not name any of them. */
 static void
 test_months_of_services (void)
 {
   SimConfig config = sim_config_small;
   Sim *sim;
-  guint kept = 0;
+  guint n_replicated = 0;
   config.max_replicated_completed = 4;
   sim = sim_new_with_config (490, &config);
   for (guint i = 0; i < 80; i++)
@@ -272,8 +280,8 @@
   sim_run (sim, 400);
   for (guint node = 0; node < SIM_NODES; node++)
     {
-      kept = g_hash_table_size (sim->nodes[node].controller->jobs->by_uid);
-      g_assert_cmpuint (kept, ==, config.max_replicated_completed);
+      n_replicated = g_hash_table_size (sim->nodes[node].controller->jobs->by_uid);
+      g_assert_cmpuint (n_replicated, ==, config.max_replicated_completed);
     }
   for (guint i = 0; i < sim->jobs->len; i += 7)
     {
@@ -286,8 +294,9 @@
   sim_free (sim);
 }
 
-/* A service is cancelled while a replica of it moves, or while one of its machines hangs and resumes later; sometimes
- * a controller crashes as well. */
+/* Guards against replicas that run on after the cancellation of their service: the service is cancelled while one of
+ * its replicas moves to another machine, or while one of its machines hangs and resumes later. In some runs a
+ * controller crashes as well. */
 static void
 test_cancelled_while_replica_moves (void)
 {
@@ -306,7 +315,7 @@
       if (seed % 3 == 0)
         sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 0, 3), crash_random_controller, NULL);
       sim_run (sim, 60 + g_rand_double_range (sim->rand, 2, 14));
-      machine->hung = FALSE; /* it resumes, before or after its lease has expired */
+      machine->hung = FALSE; /* the worker resumes, before or after its lease has expired */
       start_all_controllers (sim, NULL);
       sim_run (sim, 120);
       g_assert_true (service->confirmed_cancelled);
@@ -318,8 +327,9 @@
     }
 }
 
-/* One of two zones is lost: half of the replicas run on, and the others wait, as spread demands, until the zone is
- * back. */
+/* One of two zones is lost. Guards against interrupted replicas in the other zone, and against replicas that move
+ * there although the job is spread: half of the replicas have to run on, and the others have to wait until the
+ * zone is back. */
 static void
 test_zone_loss (void)
 {
@@ -349,13 +359,14 @@
       g_assert_cmpuint (sim_running (sim, service, "za"), ==, 2);
       sim->faults_over_at = 190;
       sim_run (sim, 330);
-      expect_all_finished (sim, "zone of a service goes", seed);
+      expect_all_finished (sim, "zone loss", seed);
       sim_free (sim);
     }
 }
 
-/* All replicas must be in one zone: a replica whose machine crashed restarts in the zone of the others; if all
- * crashed, in any zone. */
+/* Guards against a service that is split between zones, or that can't restart, although its replicas have to be in
+ * one zone: a replica whose machine crashed restarts in the zone of the others; if all crashed, they restart in
+ * any zone. */
 static void
 test_same_zone_service (void)
 {
@@ -388,37 +399,40 @@
     }
 }
 
-/* Replicas that end as soon as they start are restarted with a growing back-off. No machine is returned because of
- * them, other work goes on, and the service stays known and can be cancelled. */
+/* Guards against a tight loop of restarts: replicas that end or fail as soon as they start have to be restarted with an
+ * increasing back-off. No machine may be returned because of them, other work has to go on, and the service has to stay
+ * known so that it can be cancelled. */
 static void
 test_crash_looping_replicas (void)
 {
   for (guint32 seed = 540; seed < 544; seed++)
     {
       Sim *sim = sim_new (seed);
-      SimJob *restarting = add_service (sim, 3, "red", 3, 1, 150), *sound = add_service (sim, 4, "blue", 3, 1, 150);
-      guint before;
-      restarting->run_s = seed % 2 ? 0.01 : 1e9;
-      restarting->always_fails = seed % 2 == 0;
+      SimJob *restarting_service = add_service (sim, 3, "red", 3, 1, 150),
+             *healthy_service = add_service (sim, 4, "blue", 3, 1, 150);
+      guint started_before;
+      restarting_service->run_s = seed % 2 ? 0.01 : 1e9;
+      restarting_service->always_fails = seed % 2 == 0;
       for (guint i = 0; i < 6; i++)
         sim_add_job (sim, 5 + 4 * i, i % 2 ? "red" : "blue", 4, 1, 10);
       sim_run (sim, 60);
-      before = sim->tasks_started;
+      started_before = sim->tasks_started;
       sim_run (sim, 120);
-      g_test_message ("%u starts in a minute", sim->tasks_started - before);
-      g_assert_cmpuint (sim->tasks_started - before, <=, 3 * 60 / 8);
+      g_test_message ("seed %u: %u task starts within 60 s", seed, sim->tasks_started - started_before);
+      g_assert_cmpuint (sim->tasks_started - started_before, <=, 3 * 60 / 8);
       sim_run (sim, 148);
-      g_assert_cmpuint (sim->tasks_started - before, >=, 1);
-      g_assert_cmpfloat (sound->replica_missed_s, <, 0.05 * sound->replica_wanted_s);
+      g_assert_cmpuint (sim->tasks_started - started_before, >=, 1);
+      g_assert_cmpfloat (healthy_service->replica_missed_s, <, 0.05 * healthy_service->replica_wanted_s);
       sim_run (sim, 300);
       expect_all_finished (sim, "crash looping replicas", seed);
       sim_free (sim);
     }
 }
 
-/* The leader crashes just after it has released the replicas of a service, and spot machines are partitioned from then
- * on. The next leader starts the service as soon as the other machines have answered, since the service may not run on
- * spot machines; a job that may run there waits for them. */
+/* Guards against a next leader that starts nothing until all machines have sent heartbeats. The leader crashes just
+ * after it has released the replicas of a service, and spot machines are partitioned from then on. The service may not
+ * run on spot machines, so the next leader has to start it as soon as the on-demand machines have sent heartbeats; a
+ * job that may run on spot machines waits for them. */
 static void
 test_failover_waits_for_eligible_machines_only (void)
 {
@@ -427,18 +441,18 @@
       Sim *sim = sim_new (seed);
       SimJob *service, *batch = sim_add_job (sim, 1, "blue", 10, 1, 200);
       HzbController *controller;
-      HzbJob *known = NULL;
+      HzbJob *controller_job = NULL;
       guint leader;
-      double since;
-      add_service (sim, 2, "red", 3, 1, 400); /* so that there are machines that are not spot */
+      double loaded_at;
+      add_service (sim, 2, "red", 3, 1, 400); /* makes the leader rent on-demand machines */
       sim_run (sim, 40);
       service = add_service (sim, 40, "red", 4, 1, 400);
       leader = (guint) sim_leader (sim);
       controller = sim->nodes[leader].controller;
-      while (!known || !known->released)
+      while (!controller_job || !controller_job->released)
         {
           sim_run (sim, sim->now + 0.05);
-          known = hzb_jobs_find (controller->jobs, service->uid);
+          controller_job = hzb_jobs_find (controller->jobs, service->uid);
         }
       sim_crash (sim, leader);
       for (guint i = 0; i < sim->machines->len; i++)
@@ -446,11 +460,11 @@
           SimMachine *machine = sim->machines->pdata[i];
           machine->partitioned = machine->spot;
         }
-      since = sim->now;
       while (sim_leader (sim) < 0 || !hzb_ownership_leader_loaded (sim->nodes[sim_leader (sim)].controller->ownership))
         sim_run (sim, sim->now + 0.1);
-      since = sim->now;
-      sim_run (sim, since + 8); /* workers time out after 4 s and turn to another controller */
+      loaded_at = sim->now;
+      sim_run (sim,
+               loaded_at + 8); /* a worker's heartbeat times out after 4 s; the worker then tries another controller */
       g_assert_cmpuint (sim_running (sim, service, NULL), ==, 4);
       controller = sim->nodes[sim_leader (sim)].controller;
       g_assert_cmpint (hzb_ownership_state (controller->ownership), ==, HZB_OWNERSHIP_RECOVERING);
--- a/tests/test-worker-heartbeats.c
+++ b/tests/test-worker-heartbeats.c
@@ -1,11 +1,11 @@
-/* Heartbeats of workers that arrive late or twice, one-way partitions, and fencing tokens. */
+/* Delayed and duplicated heartbeats of workers, one-way partitions, and fencing tokens, in a simulated cluster. */
 #include "sim-faults.h"
 
 #include <string.h>
 
-/* The heartbeats of a machine arrive while no response reaches it. Its lease expires although every heartbeat was
- * answered; it gets no further work, its tasks run elsewhere, and it is returned. Played with a machine of the leader
- * and with a leased one. */
+/* A machine is partitioned one way: its heartbeats arrive, but no response reaches it. Its lease expires although every
+ * heartbeat was answered. The machine must get no further work and be returned to the cloud, and its tasks must run on
+ * other machines. Even seeds use a machine of the leader, odd seeds a leased machine. */
 static void
 test_one_way_partition (void)
 {
@@ -32,7 +32,7 @@
     }
 }
 
-/* A one-way partition that is shorter than a lease costs no machine and no task. */
+/* During a one-way partition that is shorter than a lease, the machine is not returned and its tasks are not lost. */
 static void
 test_short_one_way_partition (void)
 {
@@ -51,8 +51,8 @@
   sim_free (sim);
 }
 
-/* A failover does not wait for ever for a machine that sends heartbeats but never shows the new leader's fencing
- * token. */
+/* A machine is partitioned one way when the leader crashes: it sends heartbeats, but never with the new leader's
+ * fencing token. The new leader must not wait for it indefinitely. */
 static void
 test_one_way_partition_during_failover (void)
 {
@@ -74,7 +74,8 @@
   sim_free (sim);
 }
 
-/* A heartbeat that arrives late or twice is refused: its empty list of tasks does not free tasks that run. */
+/* Delayed and duplicated heartbeats are refused. If they were applied, their empty task lists would make running tasks
+ * pending, and the tasks would be started a second time. */
 static void
 test_late_heartbeat (void)
 {
@@ -94,9 +95,9 @@
   sim_free (sim);
 }
 
-/* Once a machine's lease has certainly expired, no heartbeat of that agent epoch revives the machine, whatever its
- * sequence number. And a heartbeat of an unknown machine, which may be a late copy from a terminated one, makes no
- * machine that gets work. */
+/* Once a machine's lease has certainly expired, a heartbeat of the same agent epoch must not make the machine active
+ * again, whatever its sequence number. A heartbeat from an unknown machine may be a delayed copy from a terminated
+ * machine, so an unknown machine must get no work. */
 static void
 test_late_copy_does_not_revive_expired_epoch (void)
 {
@@ -120,8 +121,8 @@
   sim_free (sim);
 }
 
-/* Late copies of heartbeats and of messages between controllers arrive at any controller, while controllers and
- * machines fail. */
+/* Delayed copies of heartbeats, and with odd seeds also of messages between controllers, arrive at any controller while
+ * controllers and machines fail. */
 static void
 test_late_copies_under_failures (void)
 {
@@ -148,7 +149,8 @@
     }
 }
 
-/* A worker shows a higher fencing token than the leader's: the leader has been replaced and steps down. */
+/* A worker's heartbeat has a fencing token of a later term than the leader's, so another leader was elected: the leader
+ * must step down. */
 static void
 test_newer_fencing_token (void)
 {
@@ -168,8 +170,9 @@
   sim_free (sim);
 }
 
-/* A heartbeat under an older fencing token may be followed by commands under that token which are still in flight. The
- * leader answers it, which renews the lease, but concludes nothing from it and sends no commands. */
+/* Commands with an older fencing token may still be in flight to a worker whose heartbeat has that token. The leader
+ * responds to the heartbeat, which renews the lease, but does not apply the task statuses in it and sends no
+ * commands. */
 static void
 test_older_fencing_token (void)
 {
