--- a/src/api/heartbeat-admission.c
+++ b/src/api/heartbeat-admission.c
@@ -1,4 +1,4 @@
-/* Whether this node may respond to a heartbeat with authority, and from which machine the heartbeat is. The statuses of
+/* Whether this node owns the sender of a heartbeat and may answer it, and which machine the sender is. The statuses of
  * tasks are not examined here.
  *
  * Only the node that owns the sender responds to a heartbeat: the leader, or the leaseholder of the machine's shard.
--- a/src/api/job-admission.c
+++ b/src/api/job-admission.c
@@ -1,10 +1,12 @@
 /* Whether a submitted job can ever run, given the configured teams and zones and the machine types of the cloud.
  *
- * A job that can never run is refused only after it is proven that it was not accepted earlier: a repeated submission
- * of an accepted job must not be refused, whatever has changed since (hzb_pending_requests_add()). */
+ * This file only finds the reason for a refusal. The caller passes the reason to hzb_pending_requests_add(), which
+ * refuses the job only after up-to-date records show that the job was not accepted earlier: a repeated submission of an
+ * accepted job must not be refused, whatever has changed since. */
 #include "user-api-private.h"
 
-/* CPUs and GPUs are sums of decimal fractions: an excess over a limit below this value is a rounding error. */
+/* CPUs and GPUs are sums of decimal fractions. If a job exceeds a limit by less than this value, the excess is a
+ * rounding error. */
 #define ROUNDING_TOLERANCE 1e-9
 
 G_DEFINE_QUARK (hzb - admission - error - quark, hzb_admission_error)
@@ -60,6 +62,8 @@
     return "the job needs more than its team's limit";
   if (spec->same_zone && spec->spread && spec->tasks > 1)
     return "samePlace and spread exclude each other";
+  /* A job that is to be spread may have at most half of its tasks, rounded up, in one zone at a time, and the tasks of
+   * a gang start together. */
   if (spec->kind == HZB_JOB_GANG && spec->spread && spec->zone && spec->tasks > 1)
     return "a gang that is to be spread can't be in one zone";
   if (!fits_any_machine_type (api->dependencies.machines, spec))
--- a/src/api/submissions.c
+++ b/src/api/submissions.c
@@ -315,7 +315,7 @@
 hzb_submissions_submit (HzbUserApi *api, HzbHttpRequest *http_request)
 {
   g_autoptr (GError) error = NULL;
-  g_autoptr (HzbJobSpec) spec = hzb_job_spec_parse (http_request->body, http_request->length, &error);
+  g_autoptr (HzbJobSpec) spec = hzb_job_submission_decode (http_request->body, http_request->length, &error);
   HzbJob *job;
 
   if (!spec)
--- a/src/api/task-exit.c
+++ b/src/api/task-exit.c
@@ -2,14 +2,14 @@
  * jobs, and the scale-in of faulty machines. */
 #include "worker-api-private.h"
 
-#define MAX_COUNTED_TRIES 10          /* consecutive failed attempts are counted up to this number */
-#define MAX_BACKOFF_S 60              /* longest back-off of a job; of a task: multiplied by TASK_BACKOFF_S */
-#define MAX_DOUBLINGS 6               /* a back-off doubles up to this many times */
-#define TASK_BACKOFF_S 0.5            /* unit of the back-off of a failed task, which doubles with each failure */
-#define REPLICA_BACKOFF_S 0.2         /* back-off of a failed replica of a service */
-#define REFUSED_START_BACKOFF_S 1     /* back-off of a task that a worker refused to start */
-#define QUICK_EXIT_BACKOFF_S 0.5      /* unit of the back-off of a replica that exits soon after its start; doubles */
-#define MAX_QUICK_EXIT_BACKOFF_S 30.0 /* longest back-off of a replica that exits soon after its start */
+#define MAX_COUNTED_FAILED_ATTEMPTS 10 /* limit of the count of a task's consecutive failed attempts */
+#define MAX_BACKOFF_S 60               /* longest back-off of a job; a failed task's is TASK_BACKOFF_S times this */
+#define MAX_DOUBLINGS 6                /* a back-off doubles up to this many times */
+#define TASK_BACKOFF_S 0.5             /* back-off of a failed task, doubled for each consecutive failed attempt */
+#define REPLICA_BACKOFF_S 0.2          /* back-off of a failed replica of a service */
+#define REFUSED_START_BACKOFF_S 1      /* back-off of a task that a worker refused to start */
+#define QUICK_EXIT_BACKOFF_S 0.5       /* back-off after a quick exit of a replica, doubled for each failed attempt */
+#define MAX_QUICK_EXIT_BACKOFF_S 30.0  /* longest back-off of a replica that exits soon after its start */
 
 static gboolean
 is_service (const HzbJob *job)
@@ -18,9 +18,9 @@
 }
 
 static guint8
-incremented_tries (const HzbTask *task)
+incremented_failed_attempts (const HzbTask *task)
 {
-  return (guint8) MIN (task->failed_attempts + 1, MAX_COUNTED_TRIES);
+  return (guint8) MIN (task->failed_attempts + 1, MAX_COUNTED_FAILED_ATTEMPTS);
 }
 
 /* ---- failures ---- */
@@ -52,33 +52,36 @@
   job->not_before = hzb_time_plus (now, MIN (MAX_BACKOFF_S, 1 << MIN (job->failures, MAX_DOUBLINGS)));
 }
 
-/* Handles the exit of a task with an error. */
+/* Handles the exit of a task with an error. started_successfully: before the exit, the task had run long enough for
+ * hzb_task_started_successfully(). */
 static void
 handle_error_exit (HzbWorkerApi *api, HzbMachine *machine, HzbTask *task, gboolean started_successfully,
                    struct timespec now)
 {
   HzbJob *job = task->job;
-  gboolean failed_here_last = g_strcmp0 (machine->last_failed_job, job->uid) == 0;
+  gboolean is_last_failed_job = g_strcmp0 (machine->last_failed_job, job->uid) == 0;
 
-  task->failed_attempts = incremented_tries (task);
+  task->failed_attempts = incremented_failed_attempts (task);
   record_failed_machine (job, machine);
-  /* The task started successfully and failed later, so a successful start alone no longer proves that the job can
-   * succeed; only a completed task does. */
+  /* If the task failed after a successful start, a successful start no longer proves that the job can succeed; only a
+   * completed task does. */
   job->proven_runnable = job->proven_runnable && (!started_successfully || job->done + job->finished > 0);
   hzb_machine_note_failure (machine, job, now);
   if (hzb_machine_is_faulty (machine, api->dependencies.jobs))
     request_scale_in (machine);
   /* Several failed replicas on one machine say no more about the service than a single one, so only the first of them
    * puts the service into back-off. */
-  else if (!job->proven_runnable && !(is_service (job) && failed_here_last))
+  else if (!job->proven_runnable && !(is_service (job) && is_last_failed_job))
     back_off_job (job, now);
-  /* A replica counts as sound until its service has failed on several machines, so it is retried on another machine
-   * after a short back-off. */
+  /* Until a service has failed on several machines, its replicas count as sound, so a failed replica is retried on
+   * another machine after a short back-off. The back-off of the replica stays short after that, too: only
+   * back_off_job() delays a service that fails on every machine. */
   task->not_before = hzb_time_plus (
       now, is_service (job) ? REPLICA_BACKOFF_S
                             : MIN (MAX_BACKOFF_S, 1 << MIN (task->failed_attempts, MAX_DOUBLINGS)) * TASK_BACKOFF_S);
 }
 
+/* Applies the failure of a task, or the refusal of its start. With any other cause, the function does nothing. */
 static void
 apply_failure (HzbWorkerApi *api, HzbMachine *machine, HzbTask *task, HzbExitCause cause, gboolean started_successfully,
                struct timespec now)
@@ -94,13 +97,13 @@
 }
 
 /* Without a back-off, a replica that exits soon after its start would be started again at every heartbeat. A replica
- * that had started successfully is started again at once. */
+ * that had run long enough for hzb_task_started_successfully() is started again at once. */
 static void
 back_off_exited_replica (HzbTask *replica, gboolean started_successfully, struct timespec now)
 {
   double backoff_s = 0;
 
-  replica->failed_attempts = started_successfully ? 0 : incremented_tries (replica);
+  replica->failed_attempts = started_successfully ? 0 : incremented_failed_attempts (replica);
   if (!started_successfully)
     backoff_s =
         MIN (MAX_QUICK_EXIT_BACKOFF_S, QUICK_EXIT_BACKOFF_S * (1 << MIN (replica->failed_attempts, MAX_DOUBLINGS)));
@@ -109,6 +112,8 @@
 
 /* ---- results ---- */
 
+/* The result of the current attempt is accepted. The result of another attempt is accepted only while this node has no
+ * attempt of the task on a machine and has not delegated the task. */
 static gboolean
 accepts_result (const HzbTask *task, gboolean is_current)
 {
@@ -116,7 +121,9 @@
          || task->state == HZB_TASK_QUEUED || task->state == HZB_TASK_OTHER_OWNER;
 }
 
-/* On the leader, queues the result to be recorded. A leaseholder sends it to the leader, which records it. */
+/* The leader records the completion of the job if this was the job's last missing result. Otherwise the leader records
+ * the progress of the job, which accept_result() has marked as dirty, when its page is due. A leaseholder sends the
+ * result to the leader, which records it. */
 static void
 persist_result (HzbWorkerApi *api, HzbTask *task, double ran_s)
 {
@@ -134,8 +141,10 @@
 accept_result (HzbWorkerApi *api, HzbMachine *machine, HzbTask *task, gboolean is_current, struct timespec now)
 {
   HzbJob *job = task->job;
+  /* 0: the run time is not known; hzb_jobs_record_run_time() ignores it. */
   double ran_s = is_current && task->state == HZB_TASK_RUNNING ? hzb_time_between (task->since, now) : 0;
 
+  /* hzb_task_set_state() allows no direct change from these two states to HZB_TASK_FINISHED. */
   if (task->state == HZB_TASK_QUEUED || task->state == HZB_TASK_OTHER_OWNER)
     hzb_task_set_state (api->dependencies.jobs, task, HZB_TASK_PENDING, NULL);
   hzb_jobs_record_run_time (api->dependencies.jobs, job, ran_s);
@@ -147,8 +156,9 @@
   persist_result (api, task, ran_s);
 }
 
-/* The worker keeps the result until it gets a reap command for the task. The command is sent only once the result is
- * durable. While another attempt at the task runs, this result is neither accepted nor reaped. */
+/* The worker keeps the result until it gets a reap command for the task. The command is sent only after the result is
+ * durable. While this node has another attempt of the task on a machine, the result of this attempt is not accepted and
+ * gets no reap command. */
 static void
 handle_result (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, HzbTask *task, const HzbTaskStatus *task_status,
                gboolean is_current)
--- a/src/api/task-status.c
+++ b/src/api/task-status.c
@@ -1,13 +1,12 @@
 /* Applies the status of one task in a complete heartbeat.
  *
- * Two kinds of tasks get no command for the time being. A task that no record names may still get a record, by a
- * delayed write or by an operator's decision. After a cold start, the verdict on a task's job may not be durable
- * yet. */
+ * Two kinds of tasks get no command for the time being. A task without a record may still get a record, by a delayed
+ * write or by an operator's decision. After a cold start, the verdict on a task's job may not be durable yet. */
 #include "worker-api-private.h"
 
 /* A task that has run for longer than this has started successfully. */
 #define SUCCESSFUL_START_S 5.0
-/* The replica of the records may lag behind the key-value store. A task that no record names is stopped only after the
+/* The replica of the records may lag behind the key-value store. A task without a record is stopped only after the
  * leader or leaseholder has owned its shard for this long. */
 #define UNRECORDED_TASK_GRACE_S 15.0
 
@@ -40,7 +39,7 @@
   return job && job->tasks && task_status->task < job->n_tasks ? &job->tasks[task_status->task] : NULL;
 }
 
-/* ---- a task that no record names ---- */
+/* ---- a task without a record ---- */
 
 static void
 apply_unrecorded (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, const HzbTaskStatus *task_status)
--- a/src/api/user-api-private.h
+++ b/src/api/user-api-private.h
@@ -152,7 +152,8 @@
 
 /**
  * hzb_job_admission_drop_unknown_types: removes machine types that do not exist from the job's allowed types, since no
- * task could run on them and the job's record need not name them.
+ * task could run on them and the job's record need not name them. If no allowed type exists, the list becomes empty and
+ * allows no machine; a list that is NULL allows all types and stays NULL.
  */
 void hzb_job_admission_drop_unknown_types (const HzbUserApi *api, HzbJobSpec *spec);
 
--- a/src/api/worker-api-private.h
+++ b/src/api/worker-api-private.h
@@ -23,10 +23,11 @@
   GArray *commands;    /**< (owned) (element-type HzbCommand): the commands in the response */
 } HzbHeartbeatExchange;
 
-/* ---- heartbeat-admission.c: authority over the sender ---- */
+/* ---- heartbeat-admission.c: ownership of the sender ---- */
 
 /**
- * hzb_heartbeat_admit: decodes the heartbeat, checks this node's authority over the sender, and finds the machine.
+ * hzb_heartbeat_admit: decodes the heartbeat, checks that this node owns the sender and may answer it, and finds the
+ * machine.
  *
  * Returns: FALSE if the heartbeat is not to be processed further; the function has responded to it then
  */
@@ -43,8 +44,8 @@
  */
 gboolean hzb_reachability_is_suspect (const HzbMachine *machine);
 
-/** hzb_reachability_check: marks the machine as partitioned one way if responses do not seem to reach it. */
-void hzb_reachability_check (HzbWorkerApi *api, HzbHeartbeatExchange *exchange);
+/** hzb_reachability_mark_if_suspect: marks the machine as partitioned one way if responses do not seem to reach it. */
+void hzb_reachability_mark_if_suspect (HzbWorkerApi *api, HzbHeartbeatExchange *exchange);
 
 /* ---- heartbeat-tasks.c: the tasks in a complete heartbeat ---- */
 
@@ -59,7 +60,7 @@
 
 /* ---- task-status.c: the status of one task ---- */
 
-/** hzb_task_status_apply: applies the status of one task, whether or not a record names the task. */
+/** hzb_task_status_apply: applies the status of one task, which may be without a record. */
 void hzb_task_status_apply (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, const HzbTaskStatus *task_status);
 
 /** hzb_task_status_is_current: Returns: TRUE if the status is that of the attempt that this node has on this machine */
--- a/src/api/worker-api.c
+++ b/src/api/worker-api.c
@@ -1,5 +1,5 @@
-/* Handles heartbeats of workers. This file calls the steps in their order; worker-api-private.h names the file of each
- * step. */
+/* Handles heartbeats of workers in steps, from the admission of a heartbeat to the response. worker-api-private.h lists
+ * the steps with their source files. */
 #include "worker-api-private.h"
 
 HzbWorkerApi *
@@ -74,7 +74,7 @@
     }
   else
     apply_incomplete (api, exchange);
-  hzb_reachability_check (api, exchange);
+  hzb_reachability_mark_if_suspect (api, exchange);
   hzb_reconciliation_count_commands (api->dependencies.reconciliation, exchange->commands);
   hzb_heartbeat_respond (exchange, exchange->machine->fencing_token);
 }
--- a/src/api/worker-api.h
+++ b/src/api/worker-api.h
@@ -3,8 +3,8 @@
  * @short_description: handles the heartbeats of workers and sends them commands
  *
  * This node responds to the heartbeats of the machines that it owns, as the leader or as the leaseholder of a shard.
- * Workers get commands only in the responses to their heartbeats. worker-api.c calls the steps in their order;
- * README.md names the file of each step.
+ * Workers get commands only in the responses to their heartbeats. worker-api.c handles each heartbeat in steps, from
+ * its admission to its response; worker-api-private.h lists the steps with their source files.
  */
 #pragma once
 #include "cancellations.h"
@@ -28,12 +28,12 @@
   HzbNode *node;                   /**< settings, clock, and the time of the last redirect, which the worker API sets */
   HzbElection *election;           /**< whether this node is the leader, and the name of the leader */
   HzbOwnership *ownership;         /**< whether this node owns a shard, as leader or as leaseholder */
-  HzbCancellations *cancellations; /**< whether this node is self-fenced */
+  HzbCancellations *cancellations; /**< whether this node is self-fenced, since it may have missed a cancellation */
   HzbJobs *jobs;                   /**< the jobs of the tasks that heartbeats list */
   HzbMachines *machines;           /**< the machines that send heartbeats */
   HzbDispatch *dispatch;           /**< chooses the tasks to start */
   HzbRecords *records;             /**< makes results and new machines durable */
-  HzbReconciliation *reconciliation; /**< decides about tasks that no record names, after a cold start */
+  HzbReconciliation *reconciliation; /**< after a cold start, and for tasks without a record: whether to stop or reap */
   HzbShardLeases *shard_leases;      /**< on the leader: the shards leased to other controllers */
   HzbLeaseholder *leaseholder;       /**< on a leaseholder: the shard that is leased to this node */
   HzbProvisioning *provisioning;     /**< which machines were returned to the cloud */
@@ -53,8 +53,9 @@
 /**
  * hzb_worker_api_heartbeat:
  * Responds to one heartbeat: 200 with the machine's fencing token and commands; 421 with the name of the node that owns
- * the machine; 400 if the body is malformed; 503 if the heartbeat is out of date, if the machine was returned to the
- * cloud, or if this node must not respond with authority now.
+ * the machine; 400 if the body is malformed; 503 if the heartbeat is not newer than the last one from the machine, if
+ * its agent epoch has ended, if the machine was returned to the cloud, if this node is self-fenced, or if the worker
+ * has seen the fencing token of a later term than this leader's.
  *
  * @param api the module
  * @param http_request (transfer full): answered before the function returns
--- a/src/base/features-codec.c
+++ b/src/base/features-codec.c
@@ -37,7 +37,7 @@
   static const char *const known[] = { "reconciliation", NULL };
   g_autoptr (cJSON) root = hzb_settings_file_parse (text, name, error);
   g_autoptr (GString) faults = g_string_new (NULL);
-  HzbSettingsTable file = { .json = root, .path = "", .faults = faults }, table;
+  HzbSettingsTable file = { .json = root, .dotted_key = "", .faults = faults }, table;
 
   if (!root)
     return FALSE;
@@ -45,5 +45,5 @@
   if (cJSON_GetObjectItemCaseSensitive (root, "reconciliation")
       && hzb_settings_open_table (&file, "reconciliation", "reconciliation", &table))
     decode_reconciliation (&settings->reconciliation, &table);
-  return hzb_settings_file_check (faults, error);
+  return hzb_settings_check_no_faults (faults, error);
 }
--- a/src/base/json.c
+++ b/src/base/json.c
@@ -58,10 +58,10 @@
 }
 
 int
-hzb_json_index_of (const char *text, const char *const *names, guint n)
+hzb_json_index_of (const char *name, const char *const *names, guint n)
 {
   for (guint i = 0; i < n; i++)
-    if (g_strcmp0 (text, names[i]) == 0)
+    if (g_strcmp0 (name, names[i]) == 0)
       return (int) i;
   return -1;
 }
--- a/src/base/json.h
+++ b/src/base/json.h
@@ -59,15 +59,16 @@
 /**
  * Copies the strings of an array. Elements that are not strings are left out.
  * @param array (nullable) the array
- * @return (transfer full): the strings, ends with NULL; empty if the array is NULL
+ * @return (transfer full): the strings, in an array that ends with NULL; no strings if `array` is NULL
  */
 char **hzb_json_string_list (const cJSON *array);
 
 /**
- * Looks up a name in a table, such as the table of the names of an enum's constants.
- * @param text (nullable) the name
- * @param names the table
- * @param n number of names in the table
- * @return the index of the name; -1 if it is not in the table
+ * Finds the index of a name in an array of names. Codecs use it to decode the constants of an enum, whose values are
+ * the indices of their names.
+ * @param name (nullable) the name
+ * @param names the array
+ * @param n number of names in the array
+ * @return the index of the name; -1 if it is not in the array
  */
-int hzb_json_index_of (const char *text, const char *const *names, guint n);
+int hzb_json_index_of (const char *name, const char *const *names, guint n);
--- a/src/base/settings-codec.c
+++ b/src/base/settings-codec.c
@@ -93,13 +93,13 @@
 }
 
 static void
-decode_list (GPtrArray *list, const HzbSettingsTable *parent, const char *key, const char *path,
+decode_list (GPtrArray *list, const HzbSettingsTable *parent, const char *key, const char *dotted_key,
              gpointer (*decode) (const HzbSettingsTable *entry))
 {
   const cJSON *item;
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (parent->json, key))
     {
-      HzbSettingsTable entry = { .json = item, .path = path, .faults = parent->faults };
+      HzbSettingsTable entry = { .json = item, .dotted_key = dotted_key, .faults = parent->faults };
       g_ptr_array_add (list, decode (&entry));
     }
 }
@@ -169,7 +169,7 @@
 decode_resources (HzbSettings *settings, const HzbSettingsTable *cluster)
 {
   HzbSettingsTable resources = { .json = cJSON_GetObjectItemCaseSensitive (cluster->json, "resources"),
-                                 .path = "cluster.resources",
+                                 .dotted_key = "cluster.resources",
                                  .faults = cluster->faults };
   if (!resources.json)
     return;
@@ -241,7 +241,7 @@
 static void
 check_peers (const HzbSettings *settings, const HzbSettingsTable *file)
 {
-  HzbSettingsTable peers = { .path = "peers", .faults = file->faults };
+  HzbSettingsTable peers = { .dotted_key = "peers", .faults = file->faults };
 
   if (settings->peers->len > MAX_PEERS)
     hzb_settings_add_fault (file, "peers", "at most 250 other controllers");
@@ -254,7 +254,7 @@
 static void
 check_sockets (const HzbSettings *settings, const HzbSettingsTable *file)
 {
-  HzbSettingsTable resources = { .path = "cluster.resources", .faults = file->faults };
+  HzbSettingsTable resources = { .dotted_key = "cluster.resources", .faults = file->faults };
   guint min = RESERVED_SOCKETS + 2 * settings->peers->len;
   char expected[96];
 
@@ -270,12 +270,12 @@
   g_autoptr (cJSON) root = hzb_settings_file_parse (text, name, error);
   g_autoptr (HzbSettings) settings = settings_new ();
   g_autoptr (GString) faults = g_string_new (NULL);
-  HzbSettingsTable file = { .json = root, .path = "", .faults = faults };
+  HzbSettingsTable file = { .json = root, .dotted_key = "", .faults = faults };
 
   if (!root)
     return NULL;
   decode_file (settings, &file);
   check_peers (settings, &file);
   check_sockets (settings, &file);
-  return hzb_settings_file_check (faults, error) ? g_steal_pointer (&settings) : NULL;
+  return hzb_settings_check_no_faults (faults, error) ? g_steal_pointer (&settings) : NULL;
 }
--- a/src/base/settings-table-codec.c
+++ b/src/base/settings-table-codec.c
@@ -20,7 +20,7 @@
 }
 
 gboolean
-hzb_settings_file_check (const GString *faults, GError **error)
+hzb_settings_check_no_faults (const GString *faults, GError **error)
 {
   if (faults->len)
     g_set_error (error, HZB_SETTINGS_ERROR, HZB_SETTINGS_ERROR_INVALID, "%s", faults->str);
@@ -30,11 +30,13 @@
 void
 hzb_settings_add_fault (const HzbSettingsTable *table, const char *key, const char *expected)
 {
-  g_string_append_printf (table->faults, "%s%s%s: expected %s\n", table->path, *table->path ? "." : "", key, expected);
+  g_string_append_printf (table->faults, "%s%s%s: expected %s\n", table->dotted_key, *table->dotted_key ? "." : "", key,
+                          expected);
 }
 
 gboolean
-hzb_settings_open_table (const HzbSettingsTable *parent, const char *key, const char *path, HzbSettingsTable *table)
+hzb_settings_open_table (const HzbSettingsTable *parent, const char *key, const char *dotted_key,
+                         HzbSettingsTable *table)
 {
   const cJSON *item = cJSON_GetObjectItemCaseSensitive (parent->json, key);
   if (!cJSON_IsObject (item))
@@ -42,7 +44,7 @@
       hzb_settings_add_fault (parent, key, "a table");
       return FALSE;
     }
-  *table = (HzbSettingsTable){ .json = item, .path = path, .faults = parent->faults };
+  *table = (HzbSettingsTable){ .json = item, .dotted_key = dotted_key, .faults = parent->faults };
   return TRUE;
 }
 
@@ -78,7 +80,7 @@
   const cJSON *item = cJSON_GetObjectItemCaseSensitive (table->json, key);
   char expected[64];
 
-  if (!item && !isnan (fallback))
+  if (!item && !isnan (fallback)) /* NAN: the key is required */
     return fallback;
   if (cJSON_IsNumber (item) && isfinite (item->valuedouble) && item->valuedouble >= min)
     return item->valuedouble;
--- a/src/base/settings-table-codec.h
+++ b/src/base/settings-table-codec.h
@@ -13,9 +13,9 @@
 /** HzbSettingsTable: a table that is being read. */
 typedef struct
 {
-  const cJSON *json; /**< keys and values of the table (not owned) (nullable) */
-  const char *path;  /**< name of the table in faults, such as cluster.workers; "": the top-level table (not owned) */
-  GString *faults;   /**< the list of faults, one on each line (not owned) */
+  const cJSON *json;      /**< keys and values of the table (not owned) (nullable) */
+  const char *dotted_key; /**< such as cluster.workers, for faults; "": the top-level table (not owned) */
+  GString *faults;        /**< the list of faults, one on each line (not owned) */
 } HzbSettingsTable;
 
 /**
@@ -28,18 +28,19 @@
 cJSON *hzb_settings_file_parse (const char *text, const char *name, GError **error);
 
 /**
- * Checks that no faults were found. To be called when all tables of a file have been read.
+ * Checks that the list of faults is empty, and otherwise makes an error of it. Must be called when all tables of a file
+ * have been read.
  * @param faults the list of faults of the file
- * @param error (out) (optional) #HZB_SETTINGS_ERROR_INVALID if there are faults; the message is the list
- * @return whether there are no faults
+ * @param error (out) (optional) #HZB_SETTINGS_ERROR_INVALID if the list is not empty; the message is the list
+ * @return TRUE if the list is empty
  */
-gboolean hzb_settings_file_check (const GString *faults, GError **error);
+gboolean hzb_settings_check_no_faults (const GString *faults, GError **error);
 
 /**
  * Adds a fault to the list.
  * @param table the table that contains the key
- * @param key the key that is missing or has an invalid value
- * @param expected the expected value, for the text of the fault
+ * @param key the key that is missing, unknown or has an invalid value
+ * @param expected the expected value, or "no such key" for an unknown key; the fault is "KEY: expected EXPECTED"
  */
 void hzb_settings_add_fault (const HzbSettingsTable *table, const char *key, const char *expected);
 
@@ -47,12 +48,12 @@
  * Opens a required table.
  * @param parent the table that contains it
  * @param key key of the table in its parent
- * @param path name of the table in faults (not copied)
+ * @param dotted_key dotted key of the table in the file, such as cluster.workers, for faults (not copied)
  * @param table (out) the table; set only on success
- * @return FALSE, with a fault, if the table is missing
+ * @return FALSE, with a fault, if the table is missing or the value is not a table
  */
-gboolean
-hzb_settings_open_table (const HzbSettingsTable *parent, const char *key, const char *path, HzbSettingsTable *table);
+gboolean hzb_settings_open_table (const HzbSettingsTable *parent, const char *key, const char *dotted_key,
+                                  HzbSettingsTable *table);
 
 /**
  * Reads a required string, which must not be empty.
@@ -89,11 +90,11 @@
 double hzb_settings_get_number (const HzbSettingsTable *table, const char *key, double min, double fallback);
 
 /**
- * Reads an optional number that must be at least 0 and has an upper bound.
+ * Reads an optional number that must be between 0 and an upper bound.
  * @param table the table
  * @param key the key
  * @param max the highest valid number
- * @param fallback value if the key is missing
+ * @param fallback value if the key is missing, from 0 to max
  * @return the number; 0, with a fault, if it is invalid
  */
 double hzb_settings_get_bounded_number (const HzbSettingsTable *table, const char *key, double max, double fallback);
@@ -109,6 +110,6 @@
 /**
  * Adds a fault for each unknown key of a table.
  * @param table the table
- * @param known names of the known keys, ends with NULL
+ * @param known the known keys, in an array that ends with NULL
  */
 void hzb_settings_refuse_unknown_keys (const HzbSettingsTable *table, const char *const *known);
--- a/src/base/toml-bridge.h
+++ b/src/base/toml-bridge.h
@@ -1,6 +1,6 @@
 /**
  * SECTION: toml-bridge
- * @short_description: makes a TOML parser that is written in C++ available to C
+ * @short_description: C interface to the TOML parser toml++, which is a C++ library
  */
 #pragma once
 #include <cjson/cJSON.h>
@@ -9,7 +9,8 @@
 {
 #endif
   /**
-   * Parses TOML. Dates and times become null.
+   * Parses TOML and converts it to JSON. Integers become JSON numbers, which cJSON stores as doubles. JSON has no dates
+   * and times: they become JSON null.
    * @param text the TOML text
    * @param name name of the file, for the error message
    * @param message (out) (transfer full) set only on a syntax error: the error message with the line number, to be
--- a/src/cluster/cancellation-knowledge.c
+++ b/src/cluster/cancellation-knowledge.c
@@ -22,13 +22,13 @@
 static guint64
 known_revision (const HzbCancellations *cancellations)
 {
-  return MAX (hzb_kv_replica_revision (cancellations->deps.kv_replica), cancellations->peer_listed_revision);
+  return MAX (hzb_kv_replica_revision (cancellations->dependencies.kv_replica), cancellations->peer_listed_revision);
 }
 
 static gboolean
 replica_follows (const HzbCancellations *cancellations)
 {
-  return hzb_kv_replica_state (cancellations->deps.kv_replica) == HZB_KV_REPLICA_FOLLOWING;
+  return hzb_kv_replica_state (cancellations->dependencies.kv_replica) == HZB_KV_REPLICA_FOLLOWING;
 }
 
 /* Returns: whether this controller has promised its peers to fence itself. Peers rely on the promise while they can't
@@ -38,15 +38,15 @@
 static gboolean
 update_self_fencing (HzbCancellations *cancellations)
 {
-  if (!cancellations->self_fencing && cancellations->deps.node->settings->peers->len)
-    cancellations->self_fencing = hzb_peers_all_list_cancellations (cancellations->deps.peers);
+  if (!cancellations->self_fencing && cancellations->dependencies.node->settings->peers->len)
+    cancellations->self_fencing = hzb_peers_all_list_cancellations (cancellations->dependencies.peers);
   return cancellations->self_fencing;
 }
 
 void
 hzb_cancellations_fill_heartbeat (HzbCancellations *cancellations, HzbPeerHeartbeat *heartbeat)
 {
-  heartbeat->cancellations_known = known_revision (cancellations);
+  heartbeat->known_cancellations_revision = known_revision (cancellations);
   heartbeat->self_fenced = update_self_fencing (cancellations);
 }
 
@@ -55,18 +55,18 @@
 {
   if (!request->lists_cancellations || !replica_follows (cancellations))
     return; /* a version that lists no cancellations does not read listed ones either */
-  reply->cancellations_up_to = hzb_cancellation_log_read (cancellations->log, request->cancellations_known,
-                                                          hzb_kv_replica_revision (cancellations->deps.kv_replica),
-                                                          MAX_LISTED_PER_REPLY, reply->cancellations);
+  reply->cancellations_up_to = hzb_cancellation_log_read (
+      cancellations->log, request->known_cancellations_revision,
+      hzb_kv_replica_revision (cancellations->dependencies.kv_replica), MAX_LISTED_PER_REPLY, reply->cancellations);
 }
 
 static void
 apply_listed (HzbCancellations *cancellations, const GArray *listed, guint64 up_to)
 {
-  guint64 replicated_revision = hzb_kv_replica_revision (cancellations->deps.kv_replica);
+  guint64 replicated_revision = hzb_kv_replica_revision (cancellations->dependencies.kv_replica);
 
-  /* While the replica reloads all records, this controller owns nothing, and a listed job that the reload does not show
-   * has moved to the archive of completed jobs. */
+  /* While the replica reloads all records, this controller owns no shard, and a listed job that the reload does not
+   * show has moved to the archive of completed jobs. */
   if (!replica_follows (cancellations))
     return;
   for (guint i = 0; i < listed->len; i++)
@@ -99,7 +99,7 @@
 gboolean
 hzb_cancellations_may_answer_workers (HzbCancellations *cancellations)
 {
-  const HzbCancellationsDependencies *deps = &cancellations->deps;
+  const HzbCancellationsDependencies *deps = &cancellations->dependencies;
   struct timespec current_as_of;
 
   /* A controller that has received no heartbeat yet fences itself too, because peers may rely on the promise of this
--- a/src/cluster/cancellation-requests.c
+++ b/src/cluster/cancellation-requests.c
@@ -53,7 +53,7 @@
 gboolean
 hzb_cancellations_request (HzbCancellations *cancellations, HzbJob *job)
 {
-  const HzbCancellationsDependencies *deps = &cancellations->deps;
+  const HzbCancellationsDependencies *deps = &cancellations->dependencies;
   struct timespec now = hzb_clock_now (deps->node->clock);
   PendingRequest *request;
 
@@ -73,14 +73,14 @@
 GArray *
 hzb_cancellations_next_requests (HzbCancellations *cancellations)
 {
-  struct timespec now = hzb_clock_now (cancellations->deps.node->clock);
+  struct timespec now = hzb_clock_now (cancellations->dependencies.node->clock);
   GArray *requested = hzb_cancellations_array_new ();
 
   for (guint remaining = cancellations->requests.length; remaining && requested->len < MAX_REQUESTS_PER_MESSAGE;
        remaining--)
     {
       PendingRequest *request = g_queue_pop_head (&cancellations->requests);
-      const HzbJob *job = hzb_jobs_find (cancellations->deps.jobs, request->uid);
+      const HzbJob *job = hzb_jobs_find (cancellations->dependencies.jobs, request->uid);
       if (!job || job->cancel_acknowledged || hzb_time_before (request->expires, now))
         {
           pending_request_free (request);
@@ -100,7 +100,7 @@
 static HzbJob *
 find_or_apply (HzbCancellations *cancellations, const HzbCancellation *cancellation)
 {
-  HzbJob *job = hzb_jobs_find (cancellations->deps.jobs, cancellation->uid);
+  HzbJob *job = hzb_jobs_find (cancellations->dependencies.jobs, cancellation->uid);
   return job && job->version ? job : hzb_cancellations_apply (cancellations, cancellation);
 }
 
@@ -123,7 +123,7 @@
 static void
 set_acknowledged (HzbCancellations *cancellations, const char *uid)
 {
-  HzbJob *job = hzb_jobs_find (cancellations->deps.jobs, uid);
+  HzbJob *job = hzb_jobs_find (cancellations->dependencies.jobs, uid);
   if (job && job->state == HZB_JOB_CANCELLED && hzb_cancellations_is_replicated (cancellations, job))
     job->cancel_acknowledged = TRUE;
 }
@@ -133,7 +133,7 @@
 static gboolean
 is_from_current_leader (const HzbCancellations *cancellations, guint64 term)
 {
-  HzbElection *election = cancellations->deps.election;
+  HzbElection *election = cancellations->dependencies.election;
   return !hzb_election_is_leader (election) && term >= hzb_election_leader_term (election);
 }
 
@@ -156,7 +156,7 @@
   for (GList *l = cancellations->requests.head; l; l = l->next)
     {
       const PendingRequest *request = l->data;
-      const HzbJob *job = hzb_jobs_find (cancellations->deps.jobs, request->uid);
+      const HzbJob *job = hzb_jobs_find (cancellations->dependencies.jobs, request->uid);
       if (job && job->version <= flushed.acknowledged_revision)
         set_acknowledged (cancellations, request->uid);
     }
@@ -179,7 +179,7 @@
 static void
 read_flush_record (HzbCancellations *cancellations)
 {
-  const HzbCancellationsDependencies *deps = &cancellations->deps;
+  const HzbCancellationsDependencies *deps = &cancellations->dependencies;
   const char *leader = hzb_election_leader (deps->election);
 
   if (cancellations->reading_flush_record || !leader || !hzb_peers_is_unreachable (deps->peers, leader)
@@ -195,7 +195,7 @@
 static void
 check_schema_1_leader (HzbCancellations *cancellations)
 {
-  const HzbCancellationsDependencies *deps = &cancellations->deps;
+  const HzbCancellationsDependencies *deps = &cancellations->dependencies;
   const char *leader = hzb_election_leader (deps->election);
   struct timespec served;
 
@@ -214,7 +214,7 @@
 void
 hzb_cancellations_tick (HzbCancellations *cancellations, struct timespec now)
 {
-  if (!cancellations->requests.length || hzb_election_is_leader (cancellations->deps.election)
+  if (!cancellations->requests.length || hzb_election_is_leader (cancellations->dependencies.election)
       || hzb_time_before (now, cancellations->next_attempt))
     return;
   cancellations->next_attempt = hzb_time_plus (now, ATTEMPT_INTERVAL_S);
--- a/src/cluster/cancellations-private.h
+++ b/src/cluster/cancellations-private.h
@@ -8,9 +8,9 @@
 /** _HzbCancellations: the state behind cancellations.h. */
 struct _HzbCancellations
 {
-  HzbCancellationsDependencies deps;   /**< modules that are used, none owned */
-  HzbCancellationsCallbacks callbacks; /**< functions of the caller */
-  gpointer user;                       /**< passed to the callbacks */
+  HzbCancellationsDependencies dependencies; /**< modules that are used, none owned */
+  HzbCancellationsCallbacks callbacks;       /**< functions of the caller */
+  gpointer user;                             /**< passed to the callbacks */
 
   /* cancellation-requests.c */
   GQueue requests;               /**< PendingRequest, least recently sent first */
--- a/src/cluster/cancellations.c
+++ b/src/cluster/cancellations.c
@@ -11,7 +11,7 @@
  *
  * The leader's response is valid if there is no later leader. So the replica of the controller that asks must have all
  * records up to the job's, and the term of the leader that answers must be the highest term in that replica. A later
- * leader reads the record of the cancellation before it owns anything.
+ * leader reads the record of the cancellation before it owns a shard.
  *
  * If the leader can't be reached, its acknowledgements are read from its flush record, which the leader writes anyway.
  *
@@ -31,7 +31,7 @@
                        gpointer user)
 {
   HzbCancellations *cancellations = g_new0 (HzbCancellations, 1);
-  cancellations->deps = *dependencies;
+  cancellations->dependencies = *dependencies;
   cancellations->callbacks = *callbacks;
   cancellations->user = user;
   cancellations->log = hzb_cancellation_log_new (LOG_CAPACITY);
@@ -49,13 +49,13 @@
 gboolean
 hzb_cancellations_is_replicated (const HzbCancellations *cancellations, const HzbJob *job)
 {
-  return job->version && hzb_kv_replica_revision (cancellations->deps.kv_replica) >= job->version;
+  return job->version && hzb_kv_replica_revision (cancellations->dependencies.kv_replica) >= job->version;
 }
 
 HzbJob *
 hzb_cancellations_apply (HzbCancellations *cancellations, const HzbCancellation *cancellation)
 {
-  return hzb_jobs_apply_completion (cancellations->deps.jobs, cancellation->uid, HZB_JOB_CANCELLED,
+  return hzb_jobs_apply_completion (cancellations->dependencies.jobs, cancellation->uid, HZB_JOB_CANCELLED,
                                     cancellation->n_tasks, cancellation->revision);
 }
 
@@ -67,7 +67,7 @@
 static gboolean
 is_known_to_every_controller (const HzbCancellations *cancellations, const HzbJob *job)
 {
-  HzbPeers *peers = cancellations->deps.peers;
+  HzbPeers *peers = cancellations->dependencies.peers;
   return job->state == HZB_JOB_CANCELLED && job->version
          && (hzb_peers_all_know_cancellations (peers, job->version)
              || job->version <= hzb_peers_fenced_revision (peers));
@@ -78,7 +78,7 @@
 {
   if (is_known_to_every_controller (cancellations, job))
     return TRUE;
-  if (!hzb_ownership_leader_loaded (cancellations->deps.ownership) || job->state != HZB_JOB_CANCELLED)
+  if (!hzb_ownership_leader_loaded (cancellations->dependencies.ownership) || job->state != HZB_JOB_CANCELLED)
     return FALSE;
   if (!job->tasks)
     return TRUE; /* no task of the job was ever released to a machine, or all tasks have ended */
@@ -91,7 +91,7 @@
 {
   if (!job->cancel_acknowledged
       && (is_known_to_every_controller (cancellations, job)
-          || (hzb_election_is_leader (cancellations->deps.election)
+          || (hzb_election_is_leader (cancellations->dependencies.election)
               && hzb_cancellations_is_replicated (cancellations, job)
               && hzb_cancellations_leader_acknowledges (cancellations, job))))
     job->cancel_acknowledged = TRUE;
@@ -101,10 +101,10 @@
 guint64
 hzb_cancellations_acknowledged_revision (HzbCancellations *cancellations)
 {
-  const GPtrArray *active = cancellations->deps.jobs->active;
-  guint64 acknowledged = hzb_kv_replica_revision (cancellations->deps.kv_replica);
+  const GPtrArray *active = cancellations->dependencies.jobs->active;
+  guint64 acknowledged = hzb_kv_replica_revision (cancellations->dependencies.kv_replica);
 
-  if (!hzb_ownership_leader_loaded (cancellations->deps.ownership))
+  if (!hzb_ownership_leader_loaded (cancellations->dependencies.ownership))
     return 0;
   for (guint i = 0; i < active->len; i++)
     {
--- a/src/cluster/cancellations.h
+++ b/src/cluster/cancellations.h
@@ -5,9 +5,9 @@
  * A cancellation is confirmed only when no controller can act without knowing it: no controller can start a task of the
  * job, or renew the lease of a worker without stopping the job's tasks there. cancellations.c gives the argument.
  *
- * The module has four source files: the rules of acknowledgement (cancellations.c), requests to the leader
- * (cancellation-requests.c), what this controller knows and tells its peers (cancellation-knowledge.c), and the
- * messages (cancellation-messages.h).
+ * The module has three source files: the rules of acknowledgement (cancellations.c), requests to the leader
+ * (cancellation-requests.c), and the cancellations that this controller knows and lists to its peers
+ * (cancellation-knowledge.c). cancellation-messages.h encodes the messages.
  */
 #pragma once
 #include "cancellation-messages.h"
@@ -26,18 +26,21 @@
 typedef struct
 {
   const HzbNode *node;            /**< this controller */
-  HzbKvClient *kv;                /**< to read the leader's flush record */
+  HzbKvClient *kv;                /**< to read the flush record; see hzb_cancellations_tick() */
   const HzbKvReplica *kv_replica; /**< provides its revision and how old its state is */
   HzbElection *election;          /**< provides the leader and the term */
   const HzbOwnership *ownership;  /**< tells whether this controller leads and has loaded the records */
-  HzbJobs *jobs;                  /**< jobs that cancellations listed by peers are applied to */
+  HzbJobs *jobs;                  /**< the jobs; cancellations that peers list or request are applied to them */
   HzbPeers *peers;                /**< tells which cancellations other controllers know */
 } HzbCancellationsDependencies;
 
 /** HzbCancellationsCallbacks: functions that the caller provides. None may be NULL. */
 typedef struct
 {
-  /** On the leader: queues the cancellation for every leaseholder, once for each job. */
+  /**
+   * On the leader: queues the cancellation of the job for every leaseholder. Called repeatedly for the same job; the
+   * callback queues only at the first call.
+   */
   void (*announce) (HzbJob *job, gpointer user);
 
   /**
@@ -62,8 +65,11 @@
 void hzb_cancellations_free (HzbCancellations *cancellations);
 
 /**
- * hzb_cancellations_tick: looks for acknowledgements of a leader that can't be asked: one that is unreachable, or of
- * schema version 1. Does so for pending requests, once a second at most.
+ * hzb_cancellations_tick: looks for other evidence if the leader can't be asked to acknowledge the cancellations of
+ * pending requests. If the leader is unreachable, this controller reads the leader's flush record: the leader writes it
+ * together with other records, and it states the revision up to which the leader acknowledges cancellations. If the
+ * leader is of schema version 1, which sends no acknowledgements, this controller determines whether the leader has
+ * received the cancellations. Does nothing on the leader, or if the last search was less than 1 s ago.
  */
 void hzb_cancellations_tick (HzbCancellations *cancellations, struct timespec now);
 
@@ -72,16 +78,16 @@
 /**
  * hzb_cancellations_is_acknowledged:
  *
- * Returns: TRUE if no controller can act without the cancellation of this job any more. The result of a job never
- * changes from TRUE to FALSE.
+ * Returns: TRUE if no controller can act any more without knowing the cancellation of this job. Once this function has
+ * returned TRUE for a job, it never returns FALSE for that job again.
  */
 gboolean hzb_cancellations_is_acknowledged (HzbCancellations *cancellations, HzbJob *job);
 
 /**
- * hzb_cancellations_acknowledged_revision: on the leader.
+ * hzb_cancellations_acknowledged_revision:
  *
- * Returns: the revision up to which the leader acknowledges all recorded cancellations; 0 if this controller is not a
- * leader that has loaded the records, or if a cancelled job has no record yet
+ * Returns: on a leader that has loaded the records: the revision up to which it acknowledges all recorded
+ * cancellations, or 0 if a cancelled job has no record yet. On any other controller: 0
  */
 guint64 hzb_cancellations_acknowledged_revision (HzbCancellations *cancellations);
 
@@ -112,7 +118,8 @@
 char **hzb_cancellations_acknowledge (HzbCancellations *cancellations, const GArray *requested);
 
 /**
- * hzb_cancellations_handle_response: applies the acknowledgements in a response of the leader of this term.
+ * hzb_cancellations_handle_response: applies the acknowledgements in a response. `term` is the term of the leader that
+ * sent the response; the response is ignored if there is a later leader, or if this controller leads.
  * `acknowledged_uids` is a NULL-terminated array of job uids.
  */
 void hzb_cancellations_handle_response (HzbCancellations *cancellations, guint64 term, char *const *acknowledged_uids);
@@ -121,7 +128,8 @@
 
 /**
  * hzb_cancellations_note_record: called when the replica of the records has received the record of a completed job,
- * which was written at this revision. Cancelled jobs are added to the log of cancellations.
+ * which was written at this revision. If the job was cancelled, adds its cancellation to the #HzbCancellationLog, from
+ * which this controller lists cancellations to its peers.
  */
 void hzb_cancellations_note_record (HzbCancellations *cancellations, const HzbJob *job, guint64 revision);
 
@@ -141,7 +149,7 @@
 /**
  * hzb_cancellations_may_answer_workers:
  *
- * Returns: FALSE if this controller may have missed a cancellation that other controllers rely on it to know. It is
- * self-fenced then and must not answer workers.
+ * Returns: FALSE if this controller must not answer workers, because it may have missed a cancellation and other
+ * controllers may rely on its promise to fence itself in this case
  */
 gboolean hzb_cancellations_may_answer_workers (HzbCancellations *cancellations);
--- a/src/cluster/election-campaign.c
+++ b/src/cluster/election-campaign.c
@@ -107,7 +107,7 @@
 
   if (election->state != HZB_ELECTION_LEASING)
     return;
-  election->lease = result == HZB_KV_OK ? hzb_kv_lease_decode (body) : 0;
+  election->lease = result == HZB_KV_OK ? hzb_kv_lease_grant_decode (body) : 0;
   if (election->leader)
     hzb_election_become_follower (election, "another controller leads");
   else if (!election->lease)
--- a/src/cluster/election-codec.h
+++ b/src/cluster/election-codec.h
@@ -14,7 +14,7 @@
 {
   const char *node;        /**< (nullable): name of the controller */
   const char *incarnation; /**< (nullable): identifies the controller's process */
-  guint64 lease;           /**< lease of the key-value store that holds the leadership */
+  guint64 lease;           /**< lease in the key-value store that the record is attached to */
   guint64 term;            /**< term of the leadership */
 } HzbLeaderRecord;
 
@@ -30,8 +30,8 @@
 
 /**
  * hzb_leader_record_encode_placeholder: encodes a record of a leader that does not exist. From schema version 2 on the
- * placeholder occupies the key that processes of version 1 campaign for, so that none of them is elected: such a
- * process would misread newer records.
+ * placeholder occupies the key that processes of schema version 1 campaign for, so that none of them is elected: such a
+ * process would misread newer records. `term` is the term of the leader that writes the placeholder.
  *
  * Returns: (transfer full)
  */
--- a/src/cluster/election-private.h
+++ b/src/cluster/election-private.h
@@ -21,7 +21,7 @@
   HzbElectionState state; /**< changed by hzb_election_set_state() only */
   char *incarnation;      /**< (owned): identifies this process in the record of leadership */
   gboolean preferred;     /**< this controller waits for a shorter time before it campaigns than others do */
-  gboolean backing_off;   /**< hzb_election_back_off() has set `ref` next_campaign */
+  gboolean backing_off;   /**< hzb_election_back_off() has set `next_campaign`; FALSE from the next campaign on */
   struct timespec next_campaign; /**< earliest time of the next campaign */
 
   guint64 lease;                     /**< lease of the current campaign or leadership; 0: none */
@@ -39,7 +39,7 @@
   char *leader;                    /**< (nullable) (owned): name of the leader; NULL: none */
   guint64 leader_lease;            /**< lease of the last leader; kept after its record was deleted */
   guint64 leader_term;             /**< term of the last leader; kept after its record was deleted */
-  guint64 leader_version;          /**< version of the record of leadership */
+  guint64 leader_version;          /**< version of the last record of leadership, under either of its two keys */
   guint schema_version;            /**< schema version that every controller can read */
 };
 
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -5,13 +5,14 @@
 #include "node.h"
 #include "record-keys.h"
 
-#define RENEW_INTERVAL_S 0.9
-#define STEP_DOWN_PAUSE_S 2.0
+#define LEASE_RENEWAL_INTERVAL_S 0.9
+#define STEP_DOWN_CAMPAIGN_DELAY_S 2.0 /* from stepping down to the next campaign of this controller */
 
-/* Bounds of campaign_delay_s(). */
+/* Bounds of campaign_delay_s(): a preferred controller waits for at most PREFERRED_MAX_DELAY_S, any other controller
+ * for at least OTHER_MIN_DELAY_S and at most OTHER_MAX_DELAY_S. */
 #define PREFERRED_MAX_DELAY_S 0.03
-#define MIN_DELAY_S 0.05
-#define MAX_DELAY_S 0.4
+#define OTHER_MIN_DELAY_S 0.05
+#define OTHER_MAX_DELAY_S 0.4
 
 static const char *const state_names[HZB_ELECTION_N_STATES] = {
   [HZB_ELECTION_FOLLOWING] = "following", [HZB_ELECTION_REVOKING_OLD_LEASE] = "revoking-old-lease",
@@ -136,7 +137,7 @@
 campaign_delay_s (HzbElection *election)
 {
   return election->preferred ? g_rand_double_range (election->rand, 0, PREFERRED_MAX_DELAY_S)
-                             : g_rand_double_range (election->rand, MIN_DELAY_S, MAX_DELAY_S);
+                             : g_rand_double_range (election->rand, OTHER_MIN_DELAY_S, OTHER_MAX_DELAY_S);
 }
 
 static void
@@ -164,7 +165,7 @@
   if (election->state == HZB_ELECTION_LEADING)
     {
       hzb_election_become_follower (election, reason);
-      election->next_campaign = hzb_time_plus (hzb_clock_now (election->clock), STEP_DOWN_PAUSE_S);
+      election->next_campaign = hzb_time_plus (hzb_clock_now (election->clock), STEP_DOWN_CAMPAIGN_DELAY_S);
     }
 }
 
@@ -203,7 +204,9 @@
              election->schema_version);
 }
 
-/* TRUE if the record of leadership shows that this controller's leadership has ended. */
+/* Returns: TRUE if the record of leadership shows that this controller's leadership has ended: a record of a later term
+ * has replaced the record of this leadership, or the record was deleted and its last value had the term of this
+ * leadership. A record of an earlier term does not end this leadership: the replica of the records may lag. */
 static gboolean
 has_lost_leadership (const HzbElection *election)
 {
@@ -212,6 +215,8 @@
   return election->leader ? election->leader_term > election->term : election->leader_term == election->term;
 }
 
+/* Applies the record of leadership from either of its two keys. A version is the revision of a key's last change, and
+ * the revision is one counter for all keys, so the versions of the two keys can be compared. */
 static void
 apply_leader (HzbElection *election, const HzbKvEntry *entry)
 {
@@ -231,7 +236,7 @@
     election->next_campaign = hzb_time_plus (hzb_clock_now (election->clock), campaign_delay_s (election));
   if (has_lost_leadership (election))
     {
-      election->lease = 0;
+      election->lease = 0; /* the record was attached to this lease, so the lease has ended and needs no revocation */
       hzb_election_become_follower (election, "the record of this leadership was deleted or replaced");
     }
 }
@@ -254,7 +259,7 @@
 
   if (election->state == HZB_ELECTION_LEADING)
     {
-      if (!election->renewing && hzb_time_between (election->renewal_sent, now) >= RENEW_INTERVAL_S)
+      if (!election->renewing && hzb_time_between (election->renewal_sent, now) >= LEASE_RENEWAL_INTERVAL_S)
         hzb_election_renew (election, now);
     }
   else if (election->state == HZB_ELECTION_FOLLOWING && kv_replica_fresh
--- a/src/cluster/node.h
+++ b/src/cluster/node.h
@@ -21,7 +21,7 @@
 /** HZB_SCHEMA_VERSION: the version of records and messages that this program reads and writes. */
 #define HZB_SCHEMA_VERSION HZB_SCHEMA_VERSION_2
 
-/** HzbNode: this controller's process. Of the members only `ref` incarnation is owned. */
+/** HzbNode: this controller's process. Of the members only `incarnation` is owned. */
 typedef struct
 {
   HzbSettings *settings;   /**< name of the node, its peers, limits */
--- a/src/cluster/peer-heartbeat.c
+++ b/src/cluster/peer-heartbeat.c
@@ -51,9 +51,9 @@
 
 void
 hzb_peer_heartbeat_add_peer_state (HzbPeerHeartbeat *heartbeat, const char *node, guint64 started_ms,
-                                   guint64 cancellations_known, gboolean self_fenced)
+                                   guint64 known_cancellations_revision, gboolean self_fenced)
 {
-  HzbPeerState state = { g_strdup (node), started_ms, cancellations_known, self_fenced };
+  HzbPeerState state = { g_strdup (node), started_ms, known_cancellations_revision, self_fenced };
   g_array_append_val (heartbeat->peer_states, state);
 }
 
@@ -67,7 +67,7 @@
       cJSON *item = cJSON_CreateObject ();
       cJSON_AddStringToObject (item, "node", state->node);
       hzb_json_add_u64 (item, "born", state->started_ms);
-      hzb_json_add_u64 (item, "cancelledKnown", state->cancellations_known);
+      hzb_json_add_u64 (item, "cancelledKnown", state->known_cancellations_revision);
       cJSON_AddBoolToObject (item, "withholds", state->self_fenced);
       cJSON_AddItemToArray (list, item);
     }
@@ -118,7 +118,7 @@
   cJSON_AddBoolToObject (message, "lostWorkers", heartbeat->lost_workers);
   cJSON_AddNumberToObject (message, "storeSilenceS", MIN (heartbeat->kv_unresponsive_s, HZB_KV_NEVER_SERVED_S));
   hzb_json_add_u64 (message, "mirrored", heartbeat->replicated_revision);
-  hzb_json_add_u64 (message, "cancelledKnown", heartbeat->cancellations_known);
+  hzb_json_add_u64 (message, "cancelledKnown", heartbeat->known_cancellations_revision);
   cJSON_AddBoolToObject (message, "withholds", heartbeat->self_fenced);
   encode_peer_states (heartbeat, message);
   encode_watermarks (heartbeat, message);
@@ -192,7 +192,7 @@
   heartbeat->lost_workers = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "lostWorkers"));
   heartbeat->kv_unresponsive_s = hzb_json_number (message, "storeSilenceS", HZB_KV_NEVER_SERVED_S);
   heartbeat->replicated_revision = hzb_json_u64 (message, "mirrored");
-  heartbeat->cancellations_known = hzb_json_u64 (message, "cancelledKnown");
+  heartbeat->known_cancellations_revision = hzb_json_u64 (message, "cancelledKnown");
   heartbeat->lists_cancellations = cJSON_HasObjectItem (message, "cancelledKnown");
   heartbeat->self_fenced = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "withholds"));
   decode_peer_states (heartbeat, cJSON_GetObjectItemCaseSensitive (message, "about"));
--- a/src/cluster/peer-heartbeat.h
+++ b/src/cluster/peer-heartbeat.h
@@ -12,7 +12,7 @@
 #include <glib.h>
 
 /**
- * HZB_KV_NEVER_SERVED_S: value of `ref` kv_unresponsive_s, in seconds, if the key-value store never served the sender.
+ * HZB_KV_NEVER_SERVED_S: value of `kv_unresponsive_s`, in seconds, if the key-value store never served the sender.
  */
 #define HZB_KV_NEVER_SERVED_S 1e6
 
@@ -27,10 +27,10 @@
 /** HzbPeerState: what the sender knows of a third controller, as that controller has stated about itself. */
 typedef struct
 {
-  char *node;                  /**< name of the third controller (owned) */
-  guint64 started_ms;          /**< when the process that stated it started, in milliseconds of the time of day */
-  guint64 cancellations_known; /**< that process knows all cancellations up to this revision */
-  gboolean self_fenced;        /**< see #HzbPeerHeartbeat */
+  char *node;         /**< name of the third controller (owned) */
+  guint64 started_ms; /**< when the process that stated it started, in milliseconds of the time of day */
+  guint64 known_cancellations_revision; /**< that process knows all cancellations up to this revision */
+  gboolean self_fenced;                 /**< see #HzbPeerHeartbeat */
 } HzbPeerState;
 
 /** HzbWatermarkAge: a watermark in a heartbeat, with its age in place of a local time; see watermarks.h. */
@@ -58,14 +58,15 @@
   /** The sender's replica of the records has all changes up to this revision. Default 0. */
   guint64 replicated_revision;
   /** The sender knows all cancellations up to this revision, from its replica or from peers. Default 0. */
-  guint64 cancellations_known;
+  guint64 known_cancellations_revision;
   /**
-   * The sender's replies list cancellations that the requester lacks. FALSE if `ref` cancellations_known is missing.
+   * The sender's replies list cancellations that the requester lacks. FALSE if `known_cancellations_revision` is
+   * missing.
    */
   gboolean lists_cancellations;
   /** The sender promises to answer no worker while it could have missed a cancellation. Default FALSE. */
   gboolean self_fenced;
-  /** `ref` counts covers only some of the jobs; other heartbeats cover the rest. Default FALSE. */
+  /** `counts` covers only some of the jobs; other heartbeats cover the rest. Default FALSE. */
   gboolean partial_counts;
   /** HzbTaskCounts of the leader's unfinished jobs; may be empty. */
   GArray *counts;
@@ -77,9 +78,9 @@
   /** The sender's result of hzb_peers_fenced_revision(). Default 0. */
   guint64 fenced_revision;
 
-  /** In replies: HzbCancellation of the cancellations after the `ref` cancellations_known of the request. */
+  /** In replies: HzbCancellation of the cancellations after the `known_cancellations_revision` of the request. */
   GArray *cancellations;
-  /** In replies: `ref` cancellations is complete up to this revision; 0: the reply lists none. Default 0. */
+  /** In replies: `cancellations` is complete up to this revision; 0: the reply lists none. Default 0. */
   guint64 cancellations_up_to;
 } HzbPeerHeartbeat;
 
@@ -95,7 +96,7 @@
 
 /** hzb_peer_heartbeat_add_peer_state: appends what the sender knows of a third controller. */
 void hzb_peer_heartbeat_add_peer_state (HzbPeerHeartbeat *heartbeat, const char *node, guint64 started_ms,
-                                        guint64 cancellations_known, gboolean self_fenced);
+                                        guint64 known_cancellations_revision, gboolean self_fenced);
 
 /** hzb_peer_heartbeat_encode: adds the heartbeat's fields to a message. */
 void hzb_peer_heartbeat_encode (const HzbPeerHeartbeat *heartbeat, cJSON *message);
--- a/src/cluster/peer-knowledge.h
+++ b/src/cluster/peer-knowledge.h
@@ -16,7 +16,7 @@
 typedef struct
 {
   HzbPeerTable *table;      /**< (not owned) */
-  HzbWatermarks watermarks; /**< watermarks that this controller and its peers have found */
+  HzbWatermarks watermarks; /**< watermarks of this controller, and those that its peers have sent */
 } HzbPeerKnowledge;
 
 /** hzb_peer_knowledge_init: starts without watermarks. The table is not owned and must outlive the structure. */
@@ -29,8 +29,8 @@
 gboolean hzb_peer_knowledge_all_know (const HzbPeerKnowledge *knowledge, guint64 revision);
 
 /**
- * hzb_peer_knowledge_advance: to be called once a second. Adds the current watermark and applies those that have
- * reached the minimum age. This controller's own replica of the records has all changes up to `replicated_revision`.
+ * hzb_peer_knowledge_advance: to be called once a second. Adds the current watermark and applies those that are
+ * older than the minimum age. This controller's own replica of the records has all changes up to `replicated_revision`.
  */
 void hzb_peer_knowledge_advance (HzbPeerKnowledge *knowledge, struct timespec now, guint64 replicated_revision);
 
--- a/src/cluster/peer-queries.c
+++ b/src/cluster/peer-queries.c
@@ -27,13 +27,13 @@
 gboolean
 hzb_peers_is_recent (const HzbPeers *peers, struct timespec at, double seconds)
 {
-  return hzb_time_is_set (at) && hzb_time_between (at, hzb_clock_now (peers->deps.node->clock)) < seconds;
+  return hzb_time_is_set (at) && hzb_time_between (at, hzb_clock_now (peers->dependencies.node->clock)) < seconds;
 }
 
 gboolean
 hzb_peers_this_node_lost_workers (const HzbPeers *peers)
 {
-  return hzb_peers_is_recent (peers, peers->deps.node->workers_lost_at, RECENT_WORKER_LOSS_S);
+  return hzb_peers_is_recent (peers, peers->dependencies.node->workers_lost_at, RECENT_WORKER_LOSS_S);
 }
 
 gboolean
@@ -109,7 +109,7 @@
   for (guint i = 0; i < peers->table.n_entries; i++)
     {
       const HzbPeerEntry *entry = &peers->table.entries[i];
-      if (is_reachable (peers, entry) && entry->schema_version < peers->deps.node->schema_version)
+      if (is_reachable (peers, entry) && entry->schema_version < peers->dependencies.node->schema_version)
         return TRUE;
     }
   return FALSE;
--- a/src/cluster/peer-senders.c
+++ b/src/cluster/peer-senders.c
@@ -17,8 +17,8 @@
   g_clear_pointer (&senders->replaced_incarnations, g_hash_table_unref);
 }
 
-/* After the schema version was raised, a process of version 1 would misread newer records, so its requests are refused.
- * */
+/* After the schema version was raised, a process of schema version 1 would misread newer records, so its requests are
+ * refused. */
 static gboolean
 supports_schema (HzbPeerEntry *entry, const HzbPeerEnvelope *envelope, guint min_schema_version)
 {
--- a/src/cluster/peer-table.h
+++ b/src/cluster/peer-table.h
@@ -25,8 +25,8 @@
   gboolean self_fenced;         /**< see #HzbPeerHeartbeat */
 
   guint64 relayed_started_ms;     /**< start of the process that stated the relayed state; 0: none was relayed */
-  guint64 relayed_known_revision; /**< as `ref` known_revision, relayed by third controllers */
-  gboolean relayed_self_fenced;   /**< as `ref` self_fenced, relayed by third controllers */
+  guint64 relayed_known_revision; /**< as `known_revision`, relayed by third controllers */
+  gboolean relayed_self_fenced;   /**< as `self_fenced`, relayed by third controllers */
 
   char *incarnation;  /**< (nullable) (owned): the process that sent the last accepted request; NULL: none */
   guint64 started_ms; /**< when that process started, in milliseconds of the time of day */
--- a/src/cluster/peers-private.h
+++ b/src/cluster/peers-private.h
@@ -12,18 +12,18 @@
 /** _HzbPeers: the state behind peers.h. */
 struct _HzbPeers
 {
-  HzbPeersDependencies deps;      /**< modules that are used, none owned */
-  HzbPeersCallbacks callbacks;    /**< functions of the caller */
-  gpointer user;                  /**< passed to the callbacks */
-  HzbPeerTable table;             /**< the state of each peer */
-  HzbPeerSenders senders;         /**< decides which requests are accepted */
-  HzbPeerKnowledge knowledge;     /**< tracks which cancellations the peers know */
-  HzbTaskCountTable *task_counts; /**< (owned): from the leader's heartbeats */
-  guint64 highest_known_term;     /**< highest term in the heartbeats of all peers */
-  guint64 started_ms;             /**< when this process started, in milliseconds of the time of day */
-  guint64 last_message_number;    /**< number of this process's last message to a peer */
-  struct timespec next_heartbeat; /**< when the next heartbeats are due */
-  struct timespec current_as_of;  /**< see hzb_peers_current_as_of() */
+  HzbPeersDependencies dependencies; /**< modules that are used, none owned */
+  HzbPeersCallbacks callbacks;       /**< functions of the caller */
+  gpointer user;                     /**< passed to the callbacks */
+  HzbPeerTable table;                /**< the state of each peer */
+  HzbPeerSenders senders;            /**< decides which requests are accepted */
+  HzbPeerKnowledge knowledge;        /**< tracks which cancellations the peers know */
+  HzbTaskCountTable *task_counts;    /**< (owned): from the leader's heartbeats */
+  guint64 highest_known_term;        /**< highest term in the heartbeats of all peers */
+  guint64 started_ms;                /**< when this process started, in milliseconds of the time of day */
+  guint64 last_message_number;       /**< number of this process's last message to a peer */
+  struct timespec next_heartbeat;    /**< when the next heartbeats are due */
+  struct timespec current_as_of;     /**< see hzb_peers_current_as_of() */
 };
 
 /** hzb_peers_is_recent: Returns: TRUE if `at` is set and less than the given seconds ago */
--- a/src/cluster/peers.c
+++ b/src/cluster/peers.c
@@ -25,7 +25,7 @@
 hzb_peers_new (const HzbPeersDependencies *dependencies, const HzbPeersCallbacks *callbacks, gpointer user)
 {
   HzbPeers *peers = g_new0 (HzbPeers, 1);
-  peers->deps = *dependencies;
+  peers->dependencies = *dependencies;
   peers->callbacks = *callbacks;
   peers->user = user;
   peers->started_ms = wall_clock_ms (dependencies->node->clock);
@@ -49,7 +49,7 @@
 static struct timespec
 current_time (const HzbPeers *peers)
 {
-  return hzb_clock_now (peers->deps.node->clock);
+  return hzb_clock_now (peers->dependencies.node->clock);
 }
 
 /* ---- heartbeats ---- */
@@ -57,7 +57,7 @@
 cJSON *
 hzb_peers_new_message (HzbPeers *peers, HzbPeerMessageKind kind)
 {
-  const HzbNode *node = peers->deps.node;
+  const HzbNode *node = peers->dependencies.node;
   const HzbPeerEnvelope envelope = { .node = node->settings->node,
                                      .incarnation = node->incarnation,
                                      .started_ms = peers->started_ms,
@@ -70,7 +70,7 @@
 static HzbPeerHeartbeat *
 new_heartbeat (HzbPeers *peers)
 {
-  const HzbPeersDependencies *deps = &peers->deps;
+  const HzbPeersDependencies *deps = &peers->dependencies;
   HzbPeerHeartbeat *heartbeat = hzb_peer_heartbeat_new ();
 
   heartbeat->schema_version = deps->node->schema_version;
@@ -98,7 +98,7 @@
   entry->lost_workers = heartbeat->lost_workers;
   entry->schema_version = heartbeat->schema_version;
   entry->known_revision =
-      MAX (entry->known_revision, MAX (heartbeat->replicated_revision, heartbeat->cancellations_known));
+      MAX (entry->known_revision, MAX (heartbeat->replicated_revision, heartbeat->known_cancellations_revision));
   entry->lists_cancellations = heartbeat->lists_cancellations;
   entry->self_fenced = heartbeat->self_fenced;
 }
@@ -115,8 +115,8 @@
     hzb_task_count_table_apply_heartbeat (peers->task_counts, heartbeat, now);
   peers->highest_known_term = MAX (peers->highest_known_term, heartbeat->term);
   /* This is how a leader that can't reach the key-value store learns that another leader has replaced it. */
-  if (heartbeat->term > hzb_election_term (peers->deps.election))
-    hzb_election_step_down (peers->deps.election, "a peer knows a newer term");
+  if (heartbeat->term > hzb_election_term (peers->dependencies.election))
+    hzb_election_step_down (peers->dependencies.election, "a peer knows a newer term");
 }
 
 /* A heartbeat in flight. */
@@ -168,7 +168,7 @@
   call->receiver = receiver;
   call->sent = current_time (peers);
   hzb_peer_heartbeat_encode (heartbeat, message);
-  hzb_transport_send (peers->deps.node->transport, "POST", receiver->peer->address, HEARTBEAT_PATH,
+  hzb_transport_send (peers->dependencies.node->transport, "POST", receiver->peer->address, HEARTBEAT_PATH,
                       cJSON_PrintUnformatted (message), HEARTBEAT_TIMEOUT_MS, on_heartbeat_reply, call);
   cJSON_Delete (message);
 }
@@ -188,7 +188,7 @@
   if (hzb_time_before (now, peers->next_heartbeat))
     return;
   peers->next_heartbeat = hzb_time_plus (now, HEARTBEAT_INTERVAL_S);
-  hzb_peer_knowledge_advance (&peers->knowledge, now, hzb_kv_replica_revision (peers->deps.kv_replica));
+  hzb_peer_knowledge_advance (&peers->knowledge, now, hzb_kv_replica_revision (peers->dependencies.kv_replica));
   hzb_task_count_table_advance (peers->task_counts);
   for (guint i = 0; i < peers->table.n_entries; i++)
     if (needs_heartbeat (peers, &peers->table.entries[i], now))
@@ -218,7 +218,7 @@
       g_str_equal (http_request->path, SHARD_POLL_PATH) ? HZB_PEER_SHARD_POLL : HZB_PEER_HEARTBEAT;
   cJSON *message = cJSON_ParseWithLength (http_request->body, http_request->length);
   HzbPeerEnvelope envelope = hzb_peer_envelope_decode (message);
-  guint min_schema_version = MIN (hzb_election_schema_version (peers->deps.election), HZB_SCHEMA_VERSION_2);
+  guint min_schema_version = MIN (hzb_election_schema_version (peers->dependencies.election), HZB_SCHEMA_VERSION_2);
   HzbPeerEntry *sender = hzb_peer_senders_admit (&peers->senders, &peers->table, &envelope, kind, min_schema_version);
 
   if (!sender)
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -111,7 +111,7 @@
 
 /**
  * hzb_peers_all_know_cancellations: if TRUE, the other controllers apply these cancellations to everything that they
- * own. A process that replaces one of them reads the records before it owns anything.
+ * own. A process that replaces one of them reads the records before it owns a shard.
  *
  * Returns: TRUE if every other controller has stated that it knows all cancellations up to this revision
  */
--- a/src/controller/controller-lifecycle.c
+++ b/src/controller/controller-lifecycle.c
@@ -20,7 +20,7 @@
   controller->clock = clock;
   controller->transport = transport;
   controller->rand = g_rand_new_with_seed (seed);
-  controller->lease_shards = TRUE;
+  controller->leasing_enabled = TRUE;
   controller->metrics = hzb_metrics_new ();
   controller->node = hzb_controller_new_node (controller);
 
--- a/src/controller/controller-private.h
+++ b/src/controller/controller-private.h
@@ -65,7 +65,7 @@
   HzbUserApi *user_api;     /**< answers users */
   HzbAdmin *admin;          /**< answers operators */
 
-  gboolean lease_shards; /**< setting of the admin API; FALSE: the leader leases no shards and keeps all machines */
+  gboolean leasing_enabled; /**< setting of the admin API; FALSE: the leader leases no shards and keeps all machines */
 
   gboolean load_shows_leader;      /**< the load of the replica that is under way has shown a record of the leader */
   char *owner_load_cursor;         /**< last key that was read of the leader's records; NULL: none was read yet */
--- a/src/controller/controller-wiring.c
+++ b/src/controller/controller-wiring.c
@@ -146,7 +146,8 @@
   return hzb_completed_job_archive_new (&dependencies);
 }
 
-/* The records module is created before the shard leases, which exist by the time of the first flush. */
+/* Called when a flush of the records module has made the result of a task durable. The shard leases are created after
+ * the records module, but before its first flush. */
 static void
 announce_durable_task (HzbTask *task, gpointer user)
 {
@@ -185,7 +186,7 @@
     .machines = controller->machines,
     .dispatch = controller->dispatch,
     .records = controller->records,
-    .leasing_enabled = &controller->lease_shards,
+    .leasing_enabled = &controller->leasing_enabled,
   };
   return hzb_shard_leases_new (&dependencies);
 }
@@ -311,7 +312,7 @@
     .metrics = controller->metrics,
     .dispatch = controller->dispatch,
     .autoscaler = controller->autoscaler,
-    .lease_shards = &controller->lease_shards,
+    .lease_shards = &controller->leasing_enabled,
   };
   return hzb_admin_new (&dependencies, &callbacks, controller);
 }
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -14,7 +14,7 @@
 }
 
 /* During a rolling upgrade a controller of the new version should lead, since those of the old version are about to be
- * replaced. */
+ * replaced. In tests of upgrades a node may state an older schema version than HZB_SCHEMA_VERSION. */
 static gboolean
 is_upgraded_before_peers (const HzbController *controller)
 {
--- a/src/controller/leader-maintenance.c
+++ b/src/controller/leader-maintenance.c
@@ -43,34 +43,37 @@
 
 /* ---- unconfirmed tasks ---- */
 
-/* An unconfirmed task stays unconfirmed only as long as an unverified machine could have received the command to start
- * it. For example, a replica that may not run on spot machines does not wait for unverified spot machines. */
+/* An earlier owner may have started an unconfirmed task. The task becomes pending once no unverified machine can have
+ * received the command to start it. For example, a task that may not run on spot machines does not wait for unverified
+ * spot machines.
+ * `owner`: HZB_UNCONFIRMED_TASKS_OF_LEADER, or the number (1 and up) of the leaseholder whose shard was reclaimed */
 static void
-resolve_unconfirmed_of_shard (HzbController *controller, guint shard, const GPtrArray *unverified_kinds)
+resolve_unconfirmed_of_owner (HzbController *controller, guint owner, const GPtrArray *unverified_kinds)
 {
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
       HzbJob *job = controller->jobs->active->pdata[i];
       if (job->unconfirmed && hzb_reconciliation_may_resolve_unconfirmed (controller->reconciliation, job)
           && !hzb_job_may_run_on_unverified (job, unverified_kinds))
-        hzb_job_resolve_unconfirmed (controller->jobs, job, shard);
+        hzb_job_resolve_unconfirmed (controller->jobs, job, owner);
     }
 }
 
 static void
 resolve_unconfirmed (HzbController *controller)
 {
-  g_autoptr (GPtrArray) kinds_by_shard = NULL;
+  g_autoptr (GPtrArray) kinds_by_owner = NULL;
 
   if (hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_RECOVERING
       && !hzb_jobs_any_unconfirmed (controller->jobs))
     return;
-  kinds_by_shard = hzb_machines_list_unverified_kinds (controller->machines, controller->settings->peers->len + 1);
-  for (guint shard = 0; shard < kinds_by_shard->len; shard++)
+  /* The possible owners are the leader and one leaseholder for each peer. */
+  kinds_by_owner = hzb_machines_list_unverified_kinds (controller->machines, controller->settings->peers->len + 1);
+  for (guint owner = 0; owner < kinds_by_owner->len; owner++)
     {
-      const GPtrArray *unverified_kinds = kinds_by_shard->pdata[shard];
-      resolve_unconfirmed_of_shard (controller, shard, unverified_kinds);
-      if (shard == HZB_UNCONFIRMED_TASKS_OF_LEADER && !unverified_kinds->len
+      const GPtrArray *unverified_kinds = kinds_by_owner->pdata[owner];
+      resolve_unconfirmed_of_owner (controller, owner, unverified_kinds);
+      if (owner == HZB_UNCONFIRMED_TASKS_OF_LEADER && !unverified_kinds->len
           && hzb_ownership_state (controller->ownership) == HZB_OWNERSHIP_RECOVERING)
         hzb_controller_finish_recovery (controller);
     }
@@ -101,12 +104,12 @@
 }
 
 /* A gang that has lost a task starts again once none of its tasks is on a machine. Tasks that wait for the others are
- * stopped; running tasks notice the loss themselves. Once one task of a gang has finished, all tasks count as finished,
- * even a task whose machine was lost. */
+ * stopped; running tasks notice the loss themselves. Once the result of one task is known (HZB_TASK_FINISHED) or also
+ * durable (HZB_TASK_DONE), all tasks count as finished, even a task whose machine was lost. */
 static void
 maintain_gang (HzbController *controller, HzbJob *job)
 {
-  gboolean any_done = job->finished + job->done > 0;
+  gboolean any_result_known = job->finished + job->done > 0;
 
   release_unusable_reservations (controller, job);
   if (!job->pending || job->pending == job->n_tasks)
@@ -114,11 +117,11 @@
   for (guint i = 0; i < job->n_tasks; i++)
     {
       HzbTask *task = &job->tasks[i];
-      if (any_done && task->state == HZB_TASK_PENDING && !job->placed)
+      if (any_result_known && task->state == HZB_TASK_PENDING && !job->placed)
         hzb_task_set_state (controller->jobs, task, HZB_TASK_FINISHED, NULL);
       else if (task->state == HZB_TASK_RESERVED)
         hzb_task_set_state (controller->jobs, task, HZB_TASK_PENDING, NULL);
-      else if (!any_done && (task->state == HZB_TASK_FETCHING || task->state == HZB_TASK_WAITING))
+      else if (!any_result_known && (task->state == HZB_TASK_FETCHING || task->state == HZB_TASK_WAITING))
         task->stopping = TRUE;
     }
 }
@@ -132,7 +135,7 @@
     hzb_records_complete_job (controller->records, job);
 }
 
-/* Returns: TRUE if the job was retired, since none of its tasks is on a machine any more */
+/* Returns: TRUE if the job was deactivated, since none of its tasks is on a machine any more */
 static gboolean
 maintain_cancelled_job (HzbController *controller, HzbJob *job)
 {
@@ -156,12 +159,12 @@
   for (guint i = 0; i < active->len;)
     {
       HzbJob *job = active->pdata[i];
-      gboolean retired = FALSE;
+      gboolean deactivated = FALSE;
       if (job->state == HZB_JOB_ACCEPTED)
         maintain_accepted_job (controller, job);
       else
-        retired = maintain_cancelled_job (controller, job);
-      i += !retired; /* hzb_jobs_deactivate() removes the job from the array */
+        deactivated = maintain_cancelled_job (controller, job);
+      i += !deactivated; /* hzb_jobs_deactivate() removes the job from the array */
     }
 }
 
@@ -197,7 +200,8 @@
   if (!hzb_time_before (now, controller->dispatch->next_run))
     {
       hzb_controller_dispatch (controller, now);
-      /* The flush releases tasks that the dispatcher could start now. */
+      /* The dispatcher may have requested the release of tasks (HzbJob.release_requested). The tasks can start once a
+       * flush has written the released marks of their jobs. */
       hzb_records_flush_if_due (controller->records);
     }
   hzb_records_flush_if_due (controller->records);
--- a/src/controller/replica-records.c
+++ b/src/controller/replica-records.c
@@ -1,4 +1,4 @@
-/* Passes the records that the replica shows to the modules that keep them. */
+/* Passes the records that this node replicates from the key-value store to the modules that keep them. */
 #include "controller-private.h"
 #include "json.h"
 #include "record-keys.h"
@@ -14,8 +14,10 @@
     hzb_jobs_apply (controller->jobs, uid, entry->value, entry->version);
   else
     {
+      /* The leader has moved the job's record to the archive. The dispatcher's indexes may refer to the job, which may
+       * be freed here. */
       hzb_dispatch_clear_indexes (controller->dispatch);
-      hzb_jobs_remove (controller->jobs, uid); /* the leader has moved the job's record to the archive */
+      hzb_jobs_remove (controller->jobs, uid);
     }
 }
 
@@ -35,8 +37,9 @@
     hzb_election_apply_record (controller->election, entry);
 }
 
-/* While all records are read again, a job that this node owns may have a completion record that was not read yet. This
- * node would then treat a completed job as unfinished. So the load must wait until this node has given up its shard. */
+/* A load reads all records again. Until it ends, a job that this node owns may have a completion record that the load
+ * has not read yet, and this node would treat the completed job as unfinished. So a load must wait until this node has
+ * given up its shard. */
 static gboolean
 may_load (gpointer user)
 {
@@ -58,9 +61,10 @@
   return g_str_equal (entry->key, HZB_KEY_LEADER_SCHEMA_1) || g_str_equal (entry->key, HZB_KEY_LEADER_SCHEMA_2);
 }
 
-/* Cancellations are kept in a log, from which peers learn of those whose records they have not read. */
+/* Passes the job of a record to the cancellations module, which adds a cancelled job to its log. From the log, peers
+ * learn of cancellations whose records they have not read. */
 static void
-note_cancellation_record (HzbController *controller, const HzbKvEntry *entry)
+note_job_record (HzbController *controller, const HzbKvEntry *entry)
 {
   const HzbJob *job = NULL;
 
@@ -78,7 +82,7 @@
   if (is_leader_record (entry) && hzb_json_u64 (entry->value, "lease"))
     controller->load_shows_leader = TRUE;
   hzb_controller_apply_record (controller, entry);
-  note_cancellation_record (controller, entry);
+  note_job_record (controller, entry);
 }
 
 static void
@@ -88,10 +92,11 @@
 
   if (!controller->load_shows_leader)
     {
+      /* The election treats the leader records of both schema versions alike when they are deleted. */
       HzbKvEntry no_leader = { (char *) HZB_KEY_LEADER_SCHEMA_1, NULL, revision };
       hzb_election_apply_record (controller->election, &no_leader);
     }
-  hzb_dispatch_clear_indexes (controller->dispatch);
+  hzb_dispatch_clear_indexes (controller->dispatch); /* they may refer to jobs that the end of the load frees */
   hzb_jobs_load_end (controller->jobs);
   hzb_cancellations_note_load (controller->cancellations, revision);
 }
--- a/src/http/http-connections.c
+++ b/src/http/http-connections.c
@@ -10,7 +10,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A sweep closes connections that occupy a socket without making progress. The limits count sweeps without progress. */
+/* A sweep closes idle connections and incomplete requests that occupy a socket without making progress. Progress is a
+ * change of state or the arrival of the headers of a request; the limits count the sweeps since the last progress. */
 #define SWEEP_S 3
 #define MAX_REQUEST_SWEEPS 5
 #define MAX_IDLE_SWEEPS 30
@@ -22,9 +23,9 @@
 typedef enum
 {
   CONNECTION_IDLE,       /* no byte has arrived since the last response */
-  CONNECTION_RECEIVING,  /* handed over; the request has not arrived completely */
-  CONNECTION_RESPONDING, /* handed over; the response has not been written completely */
-  CONNECTION_ENDED       /* closed */
+  CONNECTION_RECEIVING,  /* handed over to libsoup; the request has not arrived completely */
+  CONNECTION_RESPONDING, /* handed over to libsoup; the response has not been written completely */
+  CONNECTION_ENDED       /* closed by close_connection (); when libsoup closes a connection, its state stays */
 } ConnectionState;
 
 static const char *const state_names[] = {
@@ -42,8 +43,8 @@
   GSocketAddress *remote;
   guint64 remote_key; /* see address_key () */
   ConnectionState state;
-  guint sweeps; /* number of sweeps since the last progress */
-  gboolean aborted;
+  guint sweeps;     /* number of sweeps since the last progress, see SWEEP_S */
+  gboolean aborted; /* set by hzb_http_connection_abort (), which shuts the socket down but does not change the state */
 };
 
 struct _HzbHttpConnections
@@ -51,7 +52,7 @@
   HzbHttpHandOver hand_over;
   gpointer user;
   GSocket *listener;
-  int idle_epoll; /* epoll descriptor that watches the idle connections */
+  int idle_epoll; /* epoll descriptor that watches the idle connections; the reason is in http-connections.h */
   guint idle_source, accept_source, sweep_source;
   GHashTable *table;       /* HzbHttpConnection by remote_key */
   guint crowded_threshold; /* with more open connections than this, idle ones are closed sooner */
@@ -104,7 +105,7 @@
   return TRUE;
 }
 
-/* Closes a connection, but leaves it in the table. */
+/* Closes a connection. The caller removes it from the table. */
 static void
 close_connection (HzbHttpConnection *connection)
 {
@@ -112,10 +113,10 @@
   g_io_stream_close (G_IO_STREAM (connection->stream), NULL, NULL);
 }
 
-/* Closes a connection and removes it from the table, unless a later connection from the same address has replaced it
- * there. */
+/* Closes a connection and removes it from the table. If a later connection from the same address has replaced it in the
+ * table, the later connection stays there. */
 static void
-end_connection (HzbHttpConnection *connection)
+close_and_remove_connection (HzbHttpConnection *connection)
 {
   GHashTable *table = connection->connections->table;
   close_connection (connection);
@@ -130,7 +131,7 @@
 {
   struct epoll_event event = { .events = EPOLLIN | EPOLLRDHUP | EPOLLONESHOT, .data.ptr = connection };
   if (epoll_ctl (connection->connections->idle_epoll, operation, g_socket_get_fd (connection->socket), &event) != 0)
-    end_connection (connection);
+    close_and_remove_connection (connection);
 }
 
 /* Combines the IPv4 address and the port of the remote side into a key. libsoup identifies a connection that was handed
@@ -156,7 +157,7 @@
 
   set_state (connection, CONNECTION_RECEIVING);
   if (!connections->hand_over (G_IO_STREAM (connection->stream), local, connection->remote, connections->user))
-    end_connection (connection);
+    close_and_remove_connection (connection);
 }
 
 /* Returns: whether the connection is closed or broken and has no unread bytes left */
@@ -179,7 +180,7 @@
     {
       HzbHttpConnection *connection = events[i].data.ptr;
       if (is_closed_by_remote (connection, events[i].events))
-        end_connection (connection);
+        close_and_remove_connection (connection);
       else
         hand_over_connection (connection);
     }
@@ -201,10 +202,11 @@
   connection->socket = g_object_ref (socket);
   connection->remote = remote;
   connection->remote_key = address_key (remote);
-  /* A machine that restarted may connect from the same port again. Its previous connection is then dead. */
+  /* A machine that restarted may connect from the same port again. Its previous connection is then dead. If that one is
+   * idle, it is closed here; otherwise it is only replaced in the table: libsoup is serving it or has closed it. */
   previous = g_hash_table_lookup (connections->table, &connection->remote_key);
   if (previous && previous->state == CONNECTION_IDLE)
-    end_connection (previous);
+    close_and_remove_connection (previous);
   g_hash_table_replace (connections->table, &connection->remote_key, connection);
   watch_idle (connection, EPOLL_CTL_ADD);
 }
@@ -222,7 +224,9 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Returns: TRUE if the connection is closed and must be removed from the table */
+/* Closes an idle connection that is over its limit, and shuts down the socket of an incomplete request that is over its
+ * limit. A connection that is responding has no limit.
+ * Returns: TRUE if the connection is closed and must be removed from the table */
 static gboolean
 sweep_connection (HzbHttpConnection *connection, gboolean crowded)
 {
@@ -256,9 +260,9 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Returns: (transfer full) (nullable): a listening socket; NULL, with the error, if the address can't be listened at */
+/* Returns: (transfer full) (nullable): a socket that listens on the address; NULL, with the error, if that fails */
 static GSocket *
-listen_at (const char *addr, GError **error)
+listen_on (const char *addr, GError **error)
 {
   g_autoptr (GSocket) listener =
       g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, error);
@@ -279,7 +283,7 @@
 hzb_http_connections_new (const char *addr, guint socket_limit, HzbHttpHandOver hand_over, gpointer user,
                           GError **error)
 {
-  GSocket *listener = listen_at (addr, error);
+  GSocket *listener = listen_on (addr, error);
   HzbHttpConnections *connections;
   g_autoptr (GSource) accept_source = NULL;
 
@@ -337,6 +341,7 @@
 void
 hzb_http_connection_request_received (HzbHttpConnection *connection)
 {
+  /* hzb_http_connections_find () may have returned a later connection from the same address, which is still idle. */
   if (connection->state == CONNECTION_RECEIVING)
     set_state (connection, CONNECTION_RESPONDING);
 }
--- a/src/http/http-connections.h
+++ b/src/http/http-connections.h
@@ -28,10 +28,10 @@
 typedef gboolean (*HzbHttpHandOver) (GIOStream *stream, GSocketAddress *local, GSocketAddress *remote, gpointer user);
 
 /**
- * Listens at an address and accepts connections.
+ * Listens on an address and accepts connections.
  * @param addr IPv4 address and port
- * @param socket_limit number of connections that the process may have open; with more than half as many, idle
- * connections are closed sooner
+ * @param socket_limit number of connections that the process may have open; while more than half of this number are
+ * open here, idle connections are closed after a shorter time
  * @param hand_over called with each connection on which a request arrives
  * @param user user data for hand_over
  * @param error (out) (optional) a GIO error
@@ -49,7 +49,7 @@
 /**
  * Counts the open connections.
  * @param connections the connections
- * @return their number
+ * @return their number; a connection that libsoup has closed counts until the next sweep, a few seconds later
  */
 guint hzb_http_connections_count (const HzbHttpConnections *connections);
 
--- a/src/http/http-request.c
+++ b/src/http/http-request.c
@@ -3,6 +3,7 @@
 void
 hzb_http_request_respond (HzbHttpRequest *http_request, guint status, char *body, guint retry_after_s)
 {
+  /* on_response gets the status just before reply sends the response. */
   if (http_request->on_response)
     http_request->on_response (http_request, status, http_request->on_response_data);
   http_request->reply (http_request, status, body, retry_after_s);
--- a/src/http/http-request.h
+++ b/src/http/http-request.h
@@ -12,7 +12,7 @@
 /** HzbHttpRequest: a request whose response is pending, until hzb_http_request_respond() is called once. */
 typedef struct _HzbHttpRequest HzbHttpRequest;
 
-/** HzbHttpRequest: the members of a request. */
+/** HzbHttpRequest: the data of a request, and the functions that are called to respond to it. */
 struct _HzbHttpRequest
 {
   char *method; /**< method, such as GET (owned) */
--- a/src/http/http-server.h
+++ b/src/http/http-server.h
@@ -11,19 +11,20 @@
 /**
  * Makes a server and starts to listen.
  * @param addr IPv4 address and port, such as 10.0.0.1:8080
- * @param socket_limit number of connections that the process may have open; with more than half as many, idle
- * connections are closed sooner
+ * @param socket_limit number of connections that the process may have open; while more than half of this number are
+ * open here, idle connections are closed after a shorter time
  * @param handler gets the requests whose body has at most HZB_MAX_BODY_BYTES bytes (user-protocol.h); the server
  * rejects other requests with status 413, or closes the connection if the body is chunked
  * @param user user data for the handler
- * @param error (out) (optional) a GIO error if the address can't be listened at
+ * @param error (out) (optional) a GIO error if the server can't listen on the address
  * @return (transfer full) (nullable): the server; NULL on an error
  */
 HzbHttpServer *
 hzb_http_server_new (const char *addr, guint socket_limit, HzbHttpHandler handler, gpointer user, GError **error);
 
 /**
- * Frees a server and closes its connections. No request may be pending.
+ * Frees a server and closes its connections. hzb_http_request_respond() must have been called for every request that
+ * the handler got.
  * @param server (transfer full) the server
  */
 void hzb_http_server_free (HzbHttpServer *server);
@@ -31,7 +32,7 @@
 /**
  * Counts the open connections.
  * @param server the server
- * @return their number, which includes for a few seconds those that the remote side has closed
+ * @return their number; a closed connection may count for a few more seconds, until a periodic check removes it
  */
 guint hzb_http_server_count_connections (HzbHttpServer *server);
 
--- a/src/kv/kv-client.c
+++ b/src/kv/kv-client.c
@@ -4,13 +4,13 @@
 
 #include <string.h>
 
-/* Timeouts. Each limits the time of a request in its queue, and after that the time until its answer. The key-value
- * store usually answers in under 10 ms and occasionally in a few hundred. If an answer takes longer than the timeout,
- * the answer is lost or the store is unavailable. */
-#define CALL_TIMEOUT_MS 2500       /* transactions and reads that no user waits for */
-#define READ_CALL_TIMEOUT_MS 1700  /* reads for a user, who waits for at most two seconds */
+/* Timeouts. A request may wait in its queue for its timeout, and after it was sent, for its answer for the same time
+ * again. The key-value store usually answers in under 10 ms and occasionally in a few hundred. If an answer takes
+ * longer than the timeout, the answer is lost or the store is unavailable. */
+#define CALL_TIMEOUT_MS 2500       /* transactions and reads at the other priorities */
+#define READ_CALL_TIMEOUT_MS 1700  /* at HZB_KV_READ; less than two seconds, the longest time that a user waits */
 #define LEASE_CALL_TIMEOUT_MS 1500 /* after a lost renewal, another one must fit in before the lease expires */
-#define RANGE_CALL_TIMEOUT_MS 4000 /* a page of records is large, and reading it again costs the same */
+#define RANGE_CALL_TIMEOUT_MS 4000 /* a page is large, and a retry would transfer all of it again */
 #define WATCH_SLACK_MS 2000        /* added to the wait of a watch, for the transfer of its answer */
 
 /* The key-value store allows 1,000 rows and 512 KiB in an answer. The client requests fewer rows, since a lost page has
@@ -23,10 +23,10 @@
 #define REQUEST_RATE_FRACTION 0.5
 #define WRITE_RATE_FRACTION 0.6
 #define BUDGET_BURST_S 1.0       /* the store allows bursts as large as the limit for one second */
-#define RATE_LIMITED_PAUSE_S 0.2 /* after a 429, until the store's measured rate has fallen */
+#define RATE_LIMITED_PAUSE_S 0.2 /* after a 429, until the request rate that the store measures has fallen */
 
 #define READ_OVERDUE_S 0.4 /* a read that has waited longer may go before the acceptances, see send_overdue_read() */
-#define EXPIRE_INTERVAL_S 0.05 /* between searches for expired requests, each of which visits every request */
+#define EXPIRE_INTERVAL_S 0.05 /* between two searches for expired requests; a search visits every queued request */
 #define NEVER_SERVED_S 1e9     /* reported while the store has never served a request */
 
 /* A request that waits in its queue or has been sent. */
@@ -39,7 +39,7 @@
   guint writes; /* number of keys that the request changes */
   guint timeout_ms;
   struct timespec queued;
-  struct timespec deadline; /* the request fails if it is still queued then, and a later 429 is final */
+  struct timespec deadline; /* a request still queued then fails, and one that gets 429 later is not sent again */
   HzbKvFunc done;
   gpointer user;
 } Request;
@@ -50,12 +50,12 @@
   HzbClock *clock;
   const HzbSettings *settings;
   GQueue waiting[HZB_KV_N_PRIORITIES]; /* Request */
-  double request_budget; /* requests that may be sent now; negative if leases and watches have overdrawn it */
-  double write_budget;   /* changes that may be sent now */
+  double request_budget; /* requests that may be sent now; negative if requests at HZB_KV_LEASE have overdrawn it */
+  double write_budget;   /* changes that may be sent now; negative in the same case */
   struct timespec budgets_filled;
   struct timespec last_served;        /* valid if ever_served */
-  struct timespec rate_limited_until; /* set by a 429: only leases and watches are sent before it */
-  struct timespec next_expiry;
+  struct timespec rate_limited_until; /* set by a 429: before it, only requests at HZB_KV_LEASE are sent */
+  struct timespec next_expiry_search; /* see EXPIRE_INTERVAL_S */
   gboolean ever_served;
   gboolean logged_malformed;
 };
@@ -200,18 +200,18 @@
     }
 }
 
-/* Fails the requests that have waited in their queue until their deadline, at every priority. Without a result a caller
- * would wait without end, and so would the requests that the caller itself queues. Callbacks run after all queues have
- * been searched, since a callback may add requests to the queues. */
+/* Fails the requests that have waited in their queue until their deadline, at every priority. A caller that got no
+ * result would wait without end, and so would all work that the caller has postponed until the result. Callbacks run
+ * after all queues have been searched, since a callback may add requests to the queues. */
 static void
 fail_expired (HzbKvClient *client, struct timespec now)
 {
   GQueue expired = G_QUEUE_INIT;
   Request *request;
 
-  if (hzb_time_before (now, client->next_expiry))
+  if (hzb_time_before (now, client->next_expiry_search))
     return;
-  client->next_expiry = hzb_time_plus (now, EXPIRE_INTERVAL_S);
+  client->next_expiry_search = hzb_time_plus (now, EXPIRE_INTERVAL_S);
   for (guint i = 0; i < HZB_KV_N_PRIORITIES; i++)
     collect_expired (&client->waiting[i], &expired, now);
   while ((request = g_queue_pop_head (&expired)))
@@ -227,8 +227,9 @@
   return client->request_budget >= 1 && !hzb_time_before (now, client->rate_limited_until);
 }
 
-/* When the key-value store accepts few requests, acceptances could use them all and starve the reads. So a read
- * that is overdue is sent before the acceptances, but only one in each call, so that reads don't starve acceptances. */
+/* When the key-value store allows few requests per second, the acceptances of jobs could use the whole request budget
+ * and starve the reads. So an overdue read is sent before the acceptances, but only one in each call of
+ * hzb_kv_client_pump(), so that the reads don't starve the acceptances. */
 static void
 send_overdue_read (HzbKvClient *client, struct timespec now)
 {
@@ -257,10 +258,10 @@
     }
 }
 
-/* A request never overtakes one of a higher priority that waits for the same budget. A read does not wait for the write
- * budget: otherwise a backlog of acceptances, completions or cancellations would delay the queries of all users.
- * Requests for leases and watches are sent without waiting for a budget, since leadership depends on them, but they are
- * counted in the request budget. */
+/* A request never overtakes one of a higher priority that waits for the same budget, except for an overdue read, see
+ * send_overdue_read(). A read does not wait for the write budget: otherwise a backlog of acceptances, completions or
+ * cancellations would delay the queries of all users. Requests at HZB_KV_LEASE are sent without waiting for a budget,
+ * since leadership depends on them, but they are counted in the budgets. */
 void
 hzb_kv_client_pump (HzbKvClient *client)
 {
@@ -341,7 +342,7 @@
 void
 hzb_kv_client_grant_lease (HzbKvClient *client, guint ttl_ms, HzbKvFunc done, gpointer user)
 {
-  enqueue_request (client, HZB_KV_LEASE, "POST", g_strdup (hzb_path_leases), hzb_kv_lease_encode (ttl_ms), 0,
+  enqueue_request (client, HZB_KV_LEASE, "POST", g_strdup (hzb_path_leases), hzb_kv_lease_grant_encode (ttl_ms), 0,
                    LEASE_CALL_TIMEOUT_MS, done, user);
 }
 
--- a/src/kv/kv-client.h
+++ b/src/kv/kv-client.h
@@ -2,13 +2,17 @@
  * SECTION: kv-client
  * @short_description: client of the consensus-backed key-value store
  *
- * The client has one budget for requests and one for changed keys. Both are used in the order of the priorities. A
- * request that waits in its queue for longer than its timeout fails without being sent. Every request gets exactly one
- * callback, with a result that says what the caller may conclude (#HzbKvResult).
+ * The client has one budget for requests and one for changed keys, which limit both to a fraction of what the store
+ * allows per second (state.rps and state.write_rps in the settings). When a budget does not suffice for all queued
+ * requests, those with a higher priority are sent first. A request that waits in its queue for longer than its timeout
+ * fails without being sent. Every request gets exactly one callback, with a result that says what the caller may
+ * conclude (#HzbKvResult).
  *
- * The times that are stated below hold unless the store answers 429 because its rate limit is exceeded. The client
- * repeats a request that got 429 until the request's deadline, so the callback is called after twice the timeout at the
- * latest.
+ * Each function that makes a request states the longest time from its call until the callback. A request that waits for
+ * the budgets may spend its timeout in the queue and then the same time waiting for its answer, so the stated time is
+ * twice the timeout. For a request that is sent at once, the stated time is one timeout. It is exceeded only if the
+ * store answers 429 because its rate limit is exceeded: the client sends the request again until the request's
+ * deadline, and the callback is called after twice the timeout at the latest.
  *
  * Callbacks run from the main loop when an answer has arrived or a request has timed out. hzb_kv_client_pump() also
  * runs the callbacks of requests that expired in their queue. Every function that makes a request calls it, so such a
@@ -25,9 +29,9 @@
  */
 typedef enum
 {
-  HZB_KV_LEASE,       /**< leases and watches; sent without waiting for a budget */
+  HZB_KV_LEASE,       /**< leases, watches and elections; sent without waiting for a budget */
   HZB_KV_ACCEPT,      /**< acceptances, completions and cancellations of jobs */
-  HZB_KV_READ,        /**< reads, most of which a user waits for */
+  HZB_KV_READ,        /**< reads of keys, pages and changes; a user waits for most of them */
   HZB_KV_RECORD,      /**< the leader's records of progress and machines */
   HZB_KV_N_PRIORITIES /**< number of priorities */
 } HzbKvPriority;
@@ -42,13 +46,15 @@
    * hzb_kv_commit_decode().
    */
   HZB_KV_CONFLICT,
-  /** 404, 410: the key or the lease does not exist, or the store no longer keeps the changes after that revision. */
+  /** 404, 410: the key or the lease does not exist, or the store no longer keeps all changes after the revision
+   * given to hzb_kv_client_watch() or hzb_kv_client_changes(). */
   HZB_KV_NOT_FOUND,
   /** The request was not carried out and never will be: the store refused it (503, 400, 429), or it expired before it
    * was sent. The body may be empty. The caller may repeat the request after a pause. */
   HZB_KV_REFUSED,
   /** No answer arrived in time, or the answer was a server error: the request may have been carried out, or may still
-   * be carried out later. The caller has to read the outcome, or to make a later execution fail by a comparison. */
+   * be carried out later. The caller has to read from the store whether it was, or to change a key that the request
+   * compares, so that a later execution of the request fails the comparison. */
   HZB_KV_UNKNOWN
 } HzbKvResult;
 
@@ -67,7 +73,7 @@
  * hzb_kv_client_new: creates a client with its own queues and budgets. The client does not own the arguments, which
  * have to outlive it.
  *
- * Returns: (transfer full): without requests
+ * Returns: (transfer full): a client without requests
  */
 HzbKvClient *hzb_kv_client_new (HzbTransport *transport, HzbClock *clock, const HzbSettings *settings);
 
@@ -88,7 +94,7 @@
  * - `done`: %HZB_KV_OK: hzb_kv_entry_decode() decodes the body; %HZB_KV_NOT_FOUND: the key does not exist; other
  *   results say nothing about the key
  *
- * `done` is called within 1.7 s of waiting and 1.7 s of the call at %HZB_KV_READ, and 2.5 s each at other priorities.
+ * `done` is called within 3.4 s of the call at %HZB_KV_READ, and within 5 s at other priorities.
  */
 void hzb_kv_client_get (HzbKvClient *client, HzbKvPriority priority, const char *key, HzbKvFunc done, gpointer user);
 
@@ -98,7 +104,7 @@
  * - `done`: %HZB_KV_OK: hzb_kv_range_decode() decodes the body; other results bring no page, and the caller repeats the
  *   request after a pause
  *
- * `done` is called within 4 s of waiting and 4 s of the call.
+ * `done` is called within 8 s of the call.
  */
 void hzb_kv_client_range (HzbKvClient *client, const char *prefix, const char *after, HzbKvFunc done, gpointer user);
 
@@ -109,7 +115,7 @@
  *   %HZB_KV_REFUSED: no change was made or will be made; %HZB_KV_UNKNOWN: all changes may have been made, or may still
  *   be made at any later time as long as the comparisons hold
  *
- * `done` is called within 1.7 s of waiting and 1.7 s of the call at %HZB_KV_READ, and 2.5 s each at other priorities.
+ * `done` is called within 3.4 s of the call at %HZB_KV_READ, and within 5 s at other priorities.
  */
 void hzb_kv_client_commit (HzbKvClient *client, HzbKvPriority priority, HzbKvTransaction *transaction, HzbKvFunc done,
                            gpointer user);
@@ -131,15 +137,15 @@
  * - `done`: as for hzb_kv_client_watch(); with %HZB_KV_OK, the answer has every change that was recorded before this
  *   call and after the revision `after`
  *
- * `done` is called within 1.7 s of waiting and 1.7 s of the call.
+ * `done` is called within 3.4 s of the call.
  */
 void hzb_kv_client_changes (HzbKvClient *client, const char *prefix, guint64 after, HzbKvFunc done, gpointer user);
 
 /**
  * hzb_kv_client_grant_lease: requests a new lease. The request is sent at once.
  * - `ttl_ms`: time to live without a renewal, in milliseconds
- * - `done`: %HZB_KV_OK: hzb_kv_lease_decode() decodes the body; %HZB_KV_UNKNOWN: a lease with an unknown number may
- *   exist, which expires by itself; other results: no lease was granted
+ * - `done`: %HZB_KV_OK: hzb_kv_lease_grant_decode() decodes the body; %HZB_KV_UNKNOWN: a lease with an unknown number
+ *   may exist, which expires by itself; other results: no lease was granted
  *
  * `done` is called within 1.5 s of the call.
  */
--- a/src/kv/kv-replica-load.c
+++ b/src/kv/kv-replica-load.c
@@ -1,13 +1,14 @@
 /* The load: it reads all records with the replica's prefix.
  *
- * The load reads one page at a time. A page that was not received is requested again, and the records that have been
- * read stay. After each page the load reads the changes since the previous step: the key-value store keeps only its
- * last 10,000 changes, and this way the total duration of the load does not matter. After the last page the load reads
- * the changes a last time, so that the replica shows all records as of one revision. */
+ * The load reads one page at a time. If a page was not received, the load requests only that page again, since the
+ * records of the earlier pages have already been passed on. After each page the load reads the changes since the
+ * previous step: the key-value store keeps only its last 10,000 changes, so a load that took long could not read all
+ * changes at its end. After the last page the load reads the changes a last time, so that the replica shows all records
+ * as of one revision. */
 #include "kv-protocol.h"
 #include "kv-replica-private.h"
 
-#define LOAD_RETRY_DELAY_S 0.4 /* after a request without a result: an outage may last for minutes */
+#define LOAD_RETRY_DELAY_S 0.4 /* after a failed request, since an outage of the store may last for minutes */
 
 static void
 apply_page (HzbKvReplica *kv_replica, const GArray *items)
@@ -19,7 +20,7 @@
 static void
 schedule_retry (HzbKvReplica *kv_replica)
 {
-  kv_replica->next_step = hzb_time_plus (hzb_clock_now (kv_replica->clock), LOAD_RETRY_DELAY_S);
+  kv_replica->next_attempt = hzb_time_plus (hzb_clock_now (kv_replica->clock), LOAD_RETRY_DELAY_S);
 }
 
 static void
@@ -72,7 +73,7 @@
   apply_page (kv_replica, items);
   more = more && items->len;
   if (!more && kv_replica->load_revision == revision)
-    finish_load (kv_replica, call->sent); /* nothing has changed since the first page */
+    finish_load (kv_replica, call->sent); /* the page is as of load_revision, so no later change can be missing */
   else
     advance_load (kv_replica, items, more);
 }
--- a/src/kv/kv-replica-private.h
+++ b/src/kv/kv-replica-private.h
@@ -24,23 +24,23 @@
   gpointer user;                   /**< (nullable) (not owned): passed to the callbacks */
 
   HzbKvReplicaState state; /**< changed by hzb_kv_replica_set_state() only */
-  guint64 generation; /**< raised when the replica becomes empty; answers to requests of an earlier one are ignored */
+  guint64 generation; /**< raised when the replica becomes empty; answers to requests sent before that are ignored */
   guint64 revision;   /**< see hzb_kv_replica_revision() */
   struct timespec current_as_of; /**< see hzb_kv_replica_current_as_of() */
-  struct timespec next_step;     /**< pause after a failure: neither the load nor the watch sends a request before it */
+  struct timespec next_attempt;  /**< set after a failure: neither the load nor the watch sends a request before it */
 
   /* The watch. */
   gboolean watch_in_flight;       /**< a watch is open */
   guint consecutive_lost_watches; /**< watches without an answer since the last answered one */
-  double watch_interval_s;        /**< minimum between the openings of two watches, in seconds */
+  double watch_interval_s;        /**< minimum time between the openings of two watches, in seconds */
   struct timespec next_watch;     /**< no watch is opened before it */
   struct timespec last_watch;     /**< when the last watch was answered, or the load ended */
 
   /* The load in progress. */
   HzbKvLoadStep load_step;         /**< the current step, or the next one if no request is in flight */
   gboolean load_request_in_flight; /**< the request of this step has been sent */
-  guint64 load_revision;           /**< of the first page, or of the changes read since; 0: no page has been received */
-  char *load_cursor; /**< (nullable): the last key of the last page; NULL: the next page is the first; owned */
+  guint64 load_revision; /**< revision of the first page or of the latest changes read; 0: no page has been received */
+  char *load_cursor;     /**< (nullable): the last key of the last page; NULL: the next page is the first; owned */
 };
 
 /** HzbKvReplicaCall: the context of a request that was sent. Freed with g_free(). */
@@ -73,7 +73,7 @@
 
 /**
  * hzb_kv_replica_apply_changes: passes each change that is new to the `apply` callback, in the order of revisions.
- * - `changes`: (element-type HzbKvEntry): from the answer to a watch or a sync
+ * - `changes`: (element-type HzbKvEntry): from the answer to a watch, a sync or a load's request for changes
  * - `applied`: changes up to this revision have been applied before
  * - `revision`: of the answer
  *
--- a/src/kv/kv-replica.c
+++ b/src/kv/kv-replica.c
@@ -109,7 +109,7 @@
 static void
 handle_watch_failure (HzbKvReplica *kv_replica, HzbKvResult result)
 {
-  kv_replica->next_step = hzb_time_plus (hzb_clock_now (kv_replica->clock), WATCH_RETRY_DELAY_S);
+  kv_replica->next_attempt = hzb_time_plus (hzb_clock_now (kv_replica->clock), WATCH_RETRY_DELAY_S);
   if (result != HZB_KV_UNKNOWN)
     return;
   /* If the store answers no request at all, the number of changes is not the cause. */
@@ -188,7 +188,7 @@
 hzb_kv_replica_tick (HzbKvReplica *kv_replica)
 {
   struct timespec now = hzb_clock_now (kv_replica->clock);
-  if (hzb_time_before (now, kv_replica->next_step))
+  if (hzb_time_before (now, kv_replica->next_attempt))
     return;
   if (kv_replica->state == HZB_KV_REPLICA_EMPTY && kv_replica->callbacks.may_load (kv_replica->user))
     hzb_kv_replica_begin_load (kv_replica);
--- a/src/kv/kv-replica.h
+++ b/src/kv/kv-replica.h
@@ -29,10 +29,11 @@
 {
   /** Returns: whether a load may begin now; if not, hzb_kv_replica_tick() calls it again. */
   gboolean (*may_load) (gpointer user);
-  /** A load begins. A record that has not been passed to `apply` by its end does not exist any more. */
+  /** A load begins. A record that has not been passed to `apply` when the load ends does not exist any more. */
   void (*load_begin) (gpointer user);
   /** A record was read or has changed; a value of NULL means that it was removed. During a load a record may be passed
-   * more than once, each time in its state by then. The entry is valid during the call. */
+   * more than once, each time with the value that the page or the change just read gives. The entry is valid during the
+   * call. */
   void (*apply) (const HzbKvEntry *item, gpointer user);
   /** The load is complete: all changes up to the revision have been passed on. */
   void (*load_end) (guint64 revision, gpointer user);
@@ -52,12 +53,12 @@
  * hzb_kv_replica_new: creates a replica of the records under a prefix.
  * - `kv`: (transfer none): outlives the replica, as do the clock and `user`
  * - `prefix`: of the keys; copied
- * - `watch_interval_s`: minimum between the openings of two watches, in seconds; the next watch delivers the changes of
- *   the meantime
+ * - `watch_interval_s`: minimum time between the openings of two watches, in seconds; a watch also delivers the changes
+ *   that were made before it was opened
  * - `callbacks`: copied
  * - `user`: (nullable) (not owned): passed to `callbacks`
  *
- * Returns: (transfer full): in state %HZB_KV_REPLICA_EMPTY; hzb_kv_replica_tick() begins the load
+ * Returns: (transfer full): a replica in state %HZB_KV_REPLICA_EMPTY; hzb_kv_replica_tick() begins the load
  */
 HzbKvReplica *hzb_kv_replica_new (HzbKvClient *kv, HzbClock *clock, const char *prefix, double watch_interval_s,
                                   const HzbKvReplicaCallbacks *callbacks, gpointer user);
@@ -78,14 +79,14 @@
 guint64 hzb_kv_replica_revision (const HzbKvReplica *kv_replica);
 
 /**
- * hzb_kv_replica_covers: Returns: whether all changes up to `revision` have been applied, or the remaining pages of the
- * load in progress include their effect
+ * hzb_kv_replica_covers: Returns: whether all changes up to `revision` have been applied; during a load, whether each
+ * of them either has been applied or concerns a key on a page that has not been read yet, which will include the change
  */
 gboolean hzb_kv_replica_covers (const HzbKvReplica *kv_replica, guint64 revision);
 
 /**
- * hzb_kv_replica_is_fresh: Returns: whether the replica follows and a watch was answered, or the load ended, in the
- * last 4 s, so that only recent changes can be missing
+ * hzb_kv_replica_is_fresh: Returns: TRUE if the replica is in state %HZB_KV_REPLICA_FOLLOWING and, less than 4 s ago,
+ * either a watch was answered or the load ended, so that only recent changes can be missing
  */
 gboolean hzb_kv_replica_is_fresh (const HzbKvReplica *kv_replica);
 
@@ -111,7 +112,8 @@
 #define HZB_KV_REPLICA_WATCH_MS 2000
 
 /**
- * hzb_kv_replica_store_unresponsive: Returns: whether the key-value store has not answered for longer than a watch
- * takes. Callers should then refuse at once a request that needs the store.
+ * hzb_kv_replica_store_unresponsive: Returns: whether the key-value store has served no request of this controller for
+ * more than 3 s, see hzb_kv_client_unresponsive_s(). A responsive store ends a watch sooner than that. Callers should
+ * then refuse at once a request that needs the store.
  */
 gboolean hzb_kv_replica_store_unresponsive (const HzbKvReplica *kv_replica);
--- a/src/protocol/cloud-protocol.c
+++ b/src/protocol/cloud-protocol.c
@@ -6,7 +6,8 @@
 const char hzb_path_rent[] = "/hosts";
 const char hzb_path_return[] = "/hosts/return";
 
-/* Names of fields in the cloud's messages. */
+/* Names of the fields in the cloud's messages. The wire format fixes the strings; the constants are named after the
+ * terms that the code uses. The first group has the fields of the list of machine types. */
 #define NAME_TYPES "flavors"
 #define NAME_TYPE_NAME "sku"
 #define NAME_TYPE_CPUS "cpus"
@@ -19,6 +20,8 @@
 #define NAME_TYPE_BOOT_S "readyS"
 #define NAME_TYPE_ZONES "yards"
 
+/* Fields of a list of instances; a request to return machines and the response to a request to rent machines have the
+ * first one as well. */
 #define NAME_INSTANCES "hosts"
 #define NAME_INSTANCE_NAME "uid"
 #define NAME_INSTANCE_ADDR "addr"
@@ -30,7 +33,7 @@
 #define NAME_TYPE "flavor"
 #define NAME_ZONE "yard"
 #define NAME_SPOT "loaners"
-#define NAME_REQUEST "hire"
+#define NAME_REQUEST_ID "hire"
 #define NAME_COUNT "count"
 
 static const char *const instance_state_names[] = {
@@ -96,10 +99,10 @@
 }
 
 char *
-hzb_cloud_rent_encode (const char *request, const char *type, const char *zone, gboolean spot, guint count)
+hzb_cloud_rent_encode (const char *request_id, const char *type, const char *zone, gboolean spot, guint count)
 {
   cJSON *root = cJSON_CreateObject ();
-  cJSON_AddStringToObject (root, NAME_REQUEST, request);
+  cJSON_AddStringToObject (root, NAME_REQUEST_ID, request_id);
   cJSON_AddStringToObject (root, NAME_TYPE, type);
   cJSON_AddStringToObject (root, NAME_ZONE, zone);
   cJSON_AddBoolToObject (root, NAME_SPOT, spot);
@@ -108,7 +111,7 @@
 }
 
 GPtrArray *
-hzb_cloud_names_decode (const char *body)
+hzb_cloud_rent_decode (const char *body)
 {
   g_autoptr (cJSON) root = cJSON_Parse (body);
   const cJSON *item, *list = cJSON_GetObjectItemCaseSensitive (root, NAME_INSTANCES);
--- a/src/protocol/cloud-protocol.h
+++ b/src/protocol/cloud-protocol.h
@@ -10,21 +10,24 @@
 /** HzbCloudInstanceState: the state of a machine in the cloud's inventory. */
 typedef enum
 {
-  HZB_CLOUD_INSTANCE_STARTING, /**< rented, its worker has not started yet; also any unknown state */
-  HZB_CLOUD_INSTANCE_RUNNING,  /**< booted */
-  HZB_CLOUD_INSTANCE_FAILED    /**< stopped by itself; listed, but not charged, until it is returned */
+  HZB_CLOUD_INSTANCE_STARTING, /**< the machine is rented, its worker has not started yet; also any unknown state */
+  HZB_CLOUD_INSTANCE_RUNNING,  /**< the machine has booted */
+  HZB_CLOUD_INSTANCE_FAILED    /**< the machine stopped by itself; listed, but not charged, until it is returned */
 } HzbCloudInstanceState;
 
-/** HzbCloudInstance: a machine in the cloud's inventory. */
+/**
+ * HzbCloudInstance: a machine in the cloud's inventory. The inventory lags behind: it describes the machines at an
+ * earlier time, the inventory time.
+ */
 typedef struct
 {
   char *name;                  /**< unique name; names ascend in the order of creation (owned) */
-  char *addr;                  /**< address of the worker (owned) (nullable) */
+  char *addr;                  /**< address of the worker, host:port (owned) (nullable); NULL: not listed */
   char *type;                  /**< name of its machine type (owned) (nullable) */
   char *zone;                  /**< zone of the machine (owned) (nullable) */
   gboolean spot;               /**< whether it is a spot machine, which the cloud may reclaim at any time */
-  HzbCloudInstanceState state; /**< its state at the time that the list describes */
-  double age_s;                /**< seconds from the request to rent it to the time that the list describes */
+  HzbCloudInstanceState state; /**< state of the machine at the inventory time */
+  double age_s;                /**< seconds between the request to rent the machine and the inventory time */
 } HzbCloudInstance;
 
 /**
@@ -50,14 +53,14 @@
 
 /**
  * Encodes a request to rent machines.
- * @param request id that makes the request idempotent; no controller uses it for another request
+ * @param request_id unique id, which makes the request idempotent: only a repetition of the same request may have it
  * @param type name of the machine type
  * @param zone where the machines are rented
  * @param spot whether to rent spot machines
  * @param count number of machines, at most 50
  * @return (transfer full): the request's body
  */
-char *hzb_cloud_rent_encode (const char *request, const char *type, const char *zone, gboolean spot, guint count);
+char *hzb_cloud_rent_encode (const char *request_id, const char *type, const char *zone, gboolean spot, guint count);
 
 /**
  * Decodes the response to a request to rent machines.
@@ -65,7 +68,7 @@
  * @return (transfer full) (element-type utf8) (nullable): names of the rented machines; NULL if the body is not a
  * response to such a request
  */
-GPtrArray *hzb_cloud_names_decode (const char *body);
+GPtrArray *hzb_cloud_rent_decode (const char *body);
 
 /**
  * Encodes a request to return machines.
--- a/src/protocol/kv-protocol.c
+++ b/src/protocol/kv-protocol.c
@@ -5,19 +5,22 @@
 const char hzb_path_transaction[] = "/multi";
 const char hzb_path_leases[] = "/leases";
 
-/* Names of fields in the store's messages. */
+/* Names of the fields in the store's messages. The wire format fixes the strings; the constants are named after the
+ * terms that the code uses. */
 #define NAME_KEY "path"
 #define NAME_VALUE "value"
 #define NAME_VERSION "stamp"
 #define NAME_LEASE "permit"
 #define NAME_REVISION "epoch"
 
+/* Fields of a transaction and of the response to it; a watch event has the put or the deletion as well. */
 #define NAME_COMPARISONS "when"
 #define NAME_CHANGES "then"
 #define NAME_PUT "put"
 #define NAME_DELETE "remove"
 #define NAME_FAILED "failed"
 
+/* Fields of the responses to a range read and to a watch. */
 #define NAME_ENTRIES "rows"
 #define NAME_MORE "hasNext"
 #define NAME_WATCH_EVENTS "news"
@@ -118,8 +121,9 @@
   return g_strconcat ("/kv/", key, NULL);
 }
 
+/* Decodes a key and its value from the JSON object of a read. Returns: FALSE if the object lacks one of them */
 static gboolean
-decode_entry (const cJSON *item, HzbKvEntry *entry)
+decode_entry_object (const cJSON *item, HzbKvEntry *entry)
 {
   const char *key = hzb_json_text (item, NAME_KEY);
   const cJSON *value = cJSON_GetObjectItemCaseSensitive (item, NAME_VALUE);
@@ -172,7 +176,7 @@
 hzb_kv_entry_decode (const char *body, HzbKvEntry *entry)
 {
   g_autoptr (cJSON) root = cJSON_Parse (body);
-  return decode_entry (root, entry);
+  return decode_entry_object (root, entry);
 }
 
 char *
@@ -186,7 +190,7 @@
 hzb_kv_range_decode (const char *body, gboolean *more, guint64 *revision)
 {
   g_autoptr (cJSON) root = cJSON_Parse (body);
-  GArray *entries = decode_entries (cJSON_GetObjectItemCaseSensitive (root, NAME_ENTRIES), decode_entry);
+  GArray *entries = decode_entries (cJSON_GetObjectItemCaseSensitive (root, NAME_ENTRIES), decode_entry_object);
 
   if (!entries)
     return NULL;
@@ -214,13 +218,13 @@
 }
 
 char *
-hzb_kv_lease_encode (guint ttl_ms)
+hzb_kv_lease_grant_encode (guint ttl_ms)
 {
   return g_strdup_printf ("{\"ttlMs\":%u}", ttl_ms);
 }
 
 guint64
-hzb_kv_lease_decode (const char *body)
+hzb_kv_lease_grant_decode (const char *body)
 {
   g_autoptr (cJSON) root = cJSON_Parse (body);
   return hzb_json_u64 (root, NAME_LEASE);
--- a/src/protocol/kv-protocol.h
+++ b/src/protocol/kv-protocol.h
@@ -65,7 +65,7 @@
 void hzb_kv_transaction_delete (HzbKvTransaction *transaction, const char *key);
 
 /**
- * Counts the puts and deletes of a transaction, whose number the store limits.
+ * Counts the puts and deletes of a transaction. The store limits the number of them in one transaction.
  * @param transaction the transaction
  * @return their number
  */
@@ -84,12 +84,13 @@
 extern const char hzb_path_leases[];
 
 /**
- * Decodes the response to a transaction.
+ * Decodes the response to a transaction. The HTTP status tells whether the transaction was applied (200) or a
+ * comparison failed (409), and the body of either response can be decoded.
  * @param body (nullable) the response's body
  * @param revision (out) (optional) the store's revision after the transaction; 0 if the body does not give it
  * @param failed (out) (optional) (transfer full) (element-type utf8) the keys whose comparison failed; set even if
  * FALSE is returned
- * @return FALSE if the body is not a response to a transaction
+ * @return TRUE if the body is a JSON object, whether or not the transaction was applied; FALSE if it is not
  */
 gboolean hzb_kv_commit_decode (const char *body, guint64 *revision, GPtrArray **failed);
 
@@ -109,7 +110,7 @@
 gboolean hzb_kv_entry_decode (const char *body, HzbKvEntry *entry);
 
 /**
- * Makes the path of a page of the keys with a prefix, in ascending order (GET).
+ * Makes the path of a range read (GET), which returns a page of the keys with a prefix, sorted in ascending order.
  * @param prefix the prefix
  * @param after (nullable) the page begins after this key; NULL: the first page
  * @param limit maximum number of keys on the page
@@ -130,7 +131,7 @@
  * Makes the path of a watch: a long poll that the store answers when a key with the prefix changes (GET).
  * @param prefix prefix of the watched keys
  * @param after the watch reports the changes after this revision
- * @param wait_ms the store answers after this time even if no key has changed, in milliseconds
+ * @param wait_ms time in milliseconds after which the store answers even if no key has changed
  * @return (transfer full): the path
  */
 char *hzb_kv_watch_path (const char *prefix, guint64 after, guint wait_ms);
@@ -147,17 +148,17 @@
 
 /**
  * Encodes a request to grant a lease.
- * @param ttl_ms the lease expires if it is not renewed for this time, in milliseconds
+ * @param ttl_ms time in milliseconds after which the lease expires if it is not renewed
  * @return (transfer full): the request's body
  */
-char *hzb_kv_lease_encode (guint ttl_ms);
+char *hzb_kv_lease_grant_encode (guint ttl_ms);
 
 /**
  * Decodes the response to a request to grant a lease.
  * @param body (nullable) the response's body
  * @return id of the granted lease; 0 if the response has none
  */
-guint64 hzb_kv_lease_decode (const char *body);
+guint64 hzb_kv_lease_grant_decode (const char *body);
 
 /**
  * Makes the path of a request to renew a lease (POST).
--- a/src/protocol/machine-type.h
+++ b/src/protocol/machine-type.h
@@ -17,7 +17,7 @@
   double price;          /**< nominal price of an ordinary machine */
   double spot_price;     /**< current price of a spot machine */
   double boot_s;         /**< nominal time from the request to the worker's first heartbeat, in seconds */
-  char **zones;          /**< zones in which the type is offered, ends with NULL (owned) */
+  char **zones;          /**< zones in which the type is offered, NULL-terminated (owned) */
   guint index;           /**< position in the list of types; set by the owner of the list */
 } HzbMachineType;
 
--- a/src/protocol/record-keys.h
+++ b/src/protocol/record-keys.h
@@ -38,10 +38,10 @@
 #define HZB_KEY_RECONCILIATION HZB_KEY_LEADER_RECORDS "reconciliation/"
 /** The record of the state of the current reconciliation. */
 #define HZB_KEY_RECONCILIATION_STATE HZB_KEY_RECONCILIATION "state"
-/** Prefix of the records of verdicts on tasks. */
+/** Prefix of the pages of verdicts on jobs. */
 #define HZB_KEY_RECONCILIATION_VERDICTS HZB_KEY_RECONCILIATION "verdicts/"
-/** The record of the archives of earlier reconciliations. */
-#define HZB_KEY_RECONCILIATION_ARCHIVES HZB_KEY_RECONCILIATION "kept"
+/** The record of the tasks that no other record names and that operators decided to keep. */
+#define HZB_KEY_RECONCILIATION_KEPT_TASKS HZB_KEY_RECONCILIATION "kept"
 
 /**
  * Prefix of the archive of completed jobs. The archive is not replicated, because the jobs of a month do not fit into a
--- a/src/protocol/user-protocol.c
+++ b/src/protocol/user-protocol.c
@@ -9,7 +9,8 @@
 const char hzb_path_cancel[] = "/cancel";
 const char hzb_path_ready[] = "/ready";
 
-/* Names of fields in users' messages. */
+/* Names of the fields in users' messages. The wire format fixes the strings; the constants are named after the terms
+ * that the code uses. */
 #define NAME_UID "uid"
 #define NAME_JOB_CLASS "lane"
 #define NAME_TEAM "owner"
@@ -31,6 +32,7 @@
 #define NAME_CHECKPOINT_DURATION_S "snapshotS"
 #define NAME_DEADLINE_S "dueS"
 
+/* Fields of responses. */
 #define NAME_STATUS "status"
 #define NAME_DONE "done"
 #define NAME_RUNNING "running"
@@ -278,7 +280,7 @@
 }
 
 HzbJobSpec *
-hzb_job_spec_parse (const char *body, gsize length, GError **error)
+hzb_job_submission_decode (const char *body, gsize length, GError **error)
 {
   g_autoptr (HzbJobSpec) spec = g_new0 (HzbJobSpec, 1);
   g_autoptr (cJSON) root = NULL;
--- a/src/protocol/user-protocol.h
+++ b/src/protocol/user-protocol.h
@@ -14,18 +14,19 @@
 /** Maximum number of tasks of a job. */
 #define HZB_MAX_TASKS 100000u
 
-/** Domain of errors in messages of users and workers. */
+/** Error domain of invalid requests of users and of invalid heartbeats of workers. */
 #define HZB_PROTOCOL_ERROR (hzb_protocol_error_quark ())
 /**
- * Returns the domain of #HZB_PROTOCOL_ERROR.
- * @return the domain
+ * Returns the quark of the error domain #HZB_PROTOCOL_ERROR.
+ * @return the quark
  */
 GQuark hzb_protocol_error_quark (void);
 
 /** HzbProtocolError: codes of #HZB_PROTOCOL_ERROR. */
 typedef enum
 {
-  HZB_PROTOCOL_ERROR_MALFORMED /**< the message names the field and what was expected; users get it with status 400 */
+  /** The body of a request is invalid. The sender gets the text of the error in a response with HTTP status 400. */
+  HZB_PROTOCOL_ERROR_MALFORMED
 } HzbProtocolError;
 
 /** HzbPriority: the priority of a job, in ascending order. */
@@ -33,7 +34,7 @@
 {
   HZB_PRIORITY_IDLE,       /**< runs only on resources that no other job needs */
   HZB_PRIORITY_NORMAL,     /**< the usual priority */
-  HZB_PRIORITY_HIGH,       /**< "urgent" to users */
+  HZB_PRIORITY_HIGH,       /**< high priority; its value in the messages of users is "urgent" */
   HZB_PRIORITY_PRODUCTION, /**< the highest priority */
   HZB_N_PRIORITIES         /**< number of priorities */
 } HzbPriority;
@@ -52,7 +53,7 @@
 {
   char *uid;                    /**< the job's id, see hzb_job_uid_is_valid() (owned) */
   char *job_class;              /**< class of the job, to which service-level objectives refer (owned) */
-  char *team;                   /**< name of the team whose guarantee and limit apply (owned) */
+  char *team;                   /**< name of the team whose guaranteed and maximum CPUs and GPUs apply (owned) */
   HzbJobKind kind;              /**< array, gang or service */
   HzbPriority priority;         /**< priority of the job */
   guint tasks;                  /**< number of tasks, from 1 to #HZB_MAX_TASKS */
@@ -61,14 +62,14 @@
   double memory_gb;             /**< memory of each task, in GB */
   GRefString *image;            /**< name of the image; interned, so equal names are equal pointers (owned) */
   double image_gb;              /**< size of the image, in GB */
-  char **types;                 /**< allowed machine types, ends with NULL (owned) (nullable); NULL: any */
+  char **types;                 /**< names of allowed machine types, NULL-terminated (owned) (nullable); NULL: any */
   char *zone;                   /**< the only allowed zone (owned) (nullable); NULL: any */
   gboolean same_zone;           /**< whether all tasks must be in the same zone */
   gboolean spread;              /**< whether at most half of the tasks, rounded up, may be in one zone */
   gboolean spot;                /**< whether tasks may run on spot machines */
   double estimate_s;            /**< the user's estimate of a task's run time, in seconds */
   double checkpoint_interval_s; /**< seconds of progress between checkpoints; 0: tasks save no checkpoints */
-  double checkpoint_duration_s; /**< seconds that a task needs to save a checkpoint when it is stopped */
+  double checkpoint_duration_s; /**< seconds that a stopped task needs to save a checkpoint */
   double deadline_s;            /**< seconds after the submission by which the job should complete; 0: none */
 } HzbJobSpec;
 
@@ -83,7 +84,7 @@
 extern const char hzb_path_jobs[];
 /** Path of the load balancer's readiness check: whether the controller serves users (GET). */
 extern const char hzb_path_ready[];
-/** Suffix that follows the path of a job in the path of its cancellation (POST). */
+/** Suffix which, appended to the path of a job, gives the path of a request to cancel the job (POST). */
 extern const char hzb_path_cancel[];
 
 /**
@@ -97,14 +98,14 @@
  * Decodes the body of a submission.
  * @param body (nullable) the request's body
  * @param length size of the body, in bytes
- * @param error (out) (optional) #HZB_PROTOCOL_ERROR_MALFORMED; the message names the first field that is missing or
- * invalid
+ * @param error (out) (optional) #HZB_PROTOCOL_ERROR_MALFORMED; its text names the first field that is missing or
+ * invalid, or says that the body is too large or not a JSON object
  * @return (transfer full) (nullable): the spec; NULL on an error
  */
-HzbJobSpec *hzb_job_spec_parse (const char *body, gsize length, GError **error);
+HzbJobSpec *hzb_job_submission_decode (const char *body, gsize length, GError **error);
 
 /**
- * Encodes the stored form of a submission.
+ * Encodes a spec into the stored form of a submission, which hzb_job_spec_decode() decodes.
  * @param spec the spec
  * @return (transfer full): the stored form
  */
--- a/src/protocol/worker-protocol.c
+++ b/src/protocol/worker-protocol.c
@@ -7,7 +7,8 @@
 
 const char hzb_path_worker_heartbeat[] = "/hello";
 
-/* Names of fields in workers' messages. */
+/* Names of the fields in workers' messages. The wire format fixes the strings; the constants are named after the terms
+ * that the code uses. */
 #define NAME_HOST "host"
 #define NAME_ADDR "addr"
 #define NAME_TYPE "flavor"
@@ -26,6 +27,7 @@
 #define NAME_EXIT_CAUSE "cause"
 #define NAME_CHECKPOINT_SAVED "stored"
 
+/* Fields of a response and of its commands. */
 #define NAME_COMMANDS "orders"
 #define NAME_COMMAND_KIND "verb"
 #define NAME_GRACE_S "windDownS"
--- a/src/provisioning/cloud-client.c
+++ b/src/provisioning/cloud-client.c
@@ -2,7 +2,9 @@
 
 #define REQUEST_TIMEOUT_MS 6000
 #define INSTANCES_PER_PAGE 500
-#define RATE_FRACTION 0.9 /* of the cloud's rate; the rest is left to a leader that was replaced a moment ago */
+/* The client uses this fraction of the cloud's request rate (HzbSettings.cloud_rps). The rest is left to a leader that
+ * was replaced a moment ago. */
+#define RATE_FRACTION 0.9
 
 /* A request that waits until the rate allows to send it. */
 typedef struct
@@ -98,11 +100,11 @@
 }
 
 void
-hzb_cloud_client_scale_out (HzbCloudClient *cloud, const char *request, const char *type, const char *zone,
+hzb_cloud_client_scale_out (HzbCloudClient *cloud, const char *request_name, const char *type, const char *zone,
                             gboolean spot, guint count, HzbReplyFunc done, gpointer user)
 {
   enqueue (cloud, HZB_CLOUD_PRIORITY_SCALE_OUT, "POST", g_strdup (hzb_path_rent),
-           hzb_cloud_rent_encode (request, type, zone, spot, count), done, user);
+           hzb_cloud_rent_encode (request_name, type, zone, spot, count), done, user);
 }
 
 void
--- a/src/provisioning/cloud-client.h
+++ b/src/provisioning/cloud-client.h
@@ -61,16 +61,16 @@
 
 /**
  * hzb_cloud_client_scale_out: requests to rent machines.
- * `request`: name of the request, which makes it idempotent: the cloud answers a repeated request of the same name
- * without renting more machines
+ * `request_name`: makes the request idempotent: the cloud answers a repeated request of the same name without renting
+ * more machines
  * `type`: name of the machine type
  * `zone`: name of the zone
  * `spot`: whether to rent spot instances
  * `count`: number of machines, at most 50
- * `done`: gets the response, see hzb_cloud_names_decode()
+ * `done`: gets the response, see hzb_cloud_rent_decode()
  * `user`: (nullable): passed to `done`
  */
-void hzb_cloud_client_scale_out (HzbCloudClient *cloud, const char *request, const char *type, const char *zone,
+void hzb_cloud_client_scale_out (HzbCloudClient *cloud, const char *request_name, const char *type, const char *zone,
                                  gboolean spot, guint count, HzbReplyFunc done, gpointer user);
 
 /**
--- a/src/provisioning/cloud-inventory.c
+++ b/src/provisioning/cloud-inventory.c
@@ -14,11 +14,11 @@
 
 /* An inventory is at most twice the lag old (HzbSettings.list_lag_s), and the cloud lists a machine until it is gone.
  * So a machine that was rented longer ago than that when the inventory was requested, and that the inventory does not
- * list, is gone with all its tasks. */
+ * list, is gone with all its tasks. The minimum age adds a margin of one lag and 5 s. */
 static gboolean
 is_proven_gone (const HzbProvisioning *provisioning, const HzbMachine *machine, struct timespec now)
 {
-  const HzbSettings *settings = provisioning->modules.node->settings;
+  const HzbSettings *settings = provisioning->dependencies.node->settings;
   double min_age_s = 3 * settings->list_lag_s + 5;
   gboolean sent_recent_heartbeat;
 
@@ -35,7 +35,7 @@
 static void
 remove_unlisted_machines (HzbProvisioning *provisioning, struct timespec now)
 {
-  HzbMachines *machines = provisioning->modules.machines;
+  HzbMachines *machines = provisioning->dependencies.machines;
 
   for (guint i = machines->all->len; i-- > 0;)
     {
@@ -56,7 +56,7 @@
 /* ---- pages of the inventory ---- */
 
 static void
-mark_failed (HzbMachines *machines, HzbMachine *machine)
+return_failed_machine (HzbMachines *machines, HzbMachine *machine)
 {
   if (machine->state == HZB_MACHINE_RETURNING)
     return;
@@ -69,10 +69,11 @@
 static void
 apply_instance (HzbProvisioning *provisioning, const HzbCloudInstance *instance, struct timespec now)
 {
-  HzbMachines *machines = provisioning->modules.machines;
+  HzbMachines *machines = provisioning->dependencies.machines;
   HzbMachine *machine = hzb_machines_find (machines, instance->name);
 
-  /* The inventory lags: it may still list machines whose return the cloud has confirmed. */
+  /* The inventory lags: it may still list machines that the cloud has confirmed to be gone. An instance without a type
+   * or a zone is ignored as well. */
   if (g_hash_table_contains (provisioning->gone_machines, instance->name) || !instance->type || !instance->zone)
     return;
   if (!machine)
@@ -83,7 +84,7 @@
     }
   machine->known_to_cloud = TRUE;
   if (instance->state == HZB_CLOUD_INSTANCE_FAILED)
-    mark_failed (machines, machine);
+    return_failed_machine (machines, machine);
 }
 
 static void
@@ -104,7 +105,7 @@
 {
   g_autofree HzbEpochCall *epoch_call = user;
   HzbProvisioning *provisioning = epoch_call->module;
-  const HzbNode *node = provisioning->modules.node;
+  const HzbNode *node = provisioning->dependencies.node;
   gboolean more = FALSE;
   g_autoptr (GPtrArray) instances = status == 200 ? hzb_cloud_list_decode (body, &more) : NULL;
   struct timespec now = hzb_clock_now (node->clock);
@@ -114,7 +115,7 @@
   provisioning->list_requested = FALSE;
   if (!provisioning->list_after)
     g_hash_table_remove_all (provisioning->listed_names);
-  /* If the page could not be read, the inventory starts again from its first page. */
+  /* If the page could not be read, the next request is for the first page of a new inventory. */
   g_clear_pointer (&provisioning->list_after, g_free);
   if (instances)
     apply_page (provisioning, instances, now);
@@ -132,7 +133,7 @@
 void
 hzb_provisioning_list_instances (HzbProvisioning *provisioning, struct timespec now)
 {
-  const HzbProvisioningDependencies *modules = &provisioning->modules;
+  const HzbProvisioningDependencies *dependencies = &provisioning->dependencies;
 
   if (provisioning->list_requested || hzb_time_before (now, provisioning->next_list))
     return;
@@ -140,6 +141,6 @@
   if (!provisioning->list_after)
     provisioning->list_started = now;
   provisioning->next_list = hzb_time_plus (now, RESPONSE_TIMEOUT_S);
-  hzb_cloud_client_list_instances (modules->cloud, provisioning->list_after, on_inventory_page,
-                                   hzb_epoch_call_new (modules->ownership, provisioning, NULL));
+  hzb_cloud_client_list_instances (dependencies->cloud, provisioning->list_after, on_inventory_page,
+                                   hzb_epoch_call_new (dependencies->ownership, provisioning, NULL));
 }
--- a/src/provisioning/provisioning-private.h
+++ b/src/provisioning/provisioning-private.h
@@ -29,7 +29,7 @@
 /** HzbProvisioning: the state of the module. Each source file owns the members that stand under its name. */
 struct _HzbProvisioning
 {
-  HzbProvisioningDependencies modules; /**< the modules that provisioning calls */
+  HzbProvisioningDependencies dependencies; /**< the modules that provisioning calls */
 
   /* provisioning.c */
   gboolean types_requested;            /**< a request for machine types is in flight */
@@ -39,12 +39,12 @@
   GHashTable *gone_machines; /**< machine name -> struct timespec: when the cloud confirmed that the machine is gone */
 
   /* scale-out.c */
-  guint scale_out_requests;    /**< number of requests in flight */
-  guint64 last_request_number; /**< number in the name of the last request of this term; 0: none was sent */
+  guint scale_out_requests_in_flight; /**< number of requests to rent machines */
+  guint64 last_request_number;        /**< number in the name of the last request of this term; 0: none was sent */
 
   /* scale-in.c */
-  guint scale_in_requests;       /**< number of requests in flight */
-  struct timespec next_scale_in; /**< the next request is not sent before this time */
+  guint scale_in_requests_in_flight;     /**< number of requests to return machines */
+  struct timespec next_scale_in_request; /**< after a failure: no request to return machines is sent before this time */
 
   /* cloud-inventory.c */
   gboolean list_requested;      /**< a request for a page of the inventory is in flight */
--- a/src/provisioning/provisioning.c
+++ b/src/provisioning/provisioning.c
@@ -12,14 +12,14 @@
 on_types (guint status, const char *body, gsize length, gpointer user)
 {
   HzbProvisioning *provisioning = user;
-  const HzbProvisioningDependencies *modules = &provisioning->modules;
+  const HzbProvisioningDependencies *dependencies = &provisioning->dependencies;
   GPtrArray *types = status == 200 ? hzb_machine_types_decode (body) : NULL;
 
   provisioning->types_requested = FALSE;
   provisioning->next_types =
-      hzb_time_plus (hzb_clock_now (modules->node->clock), types ? TYPES_INTERVAL_S : TYPES_RETRY_S);
+      hzb_time_plus (hzb_clock_now (dependencies->node->clock), types ? TYPES_INTERVAL_S : TYPES_RETRY_S);
   if (types)
-    hzb_machines_set_types (modules->machines, types);
+    hzb_machines_set_types (dependencies->machines, types);
 }
 
 /* Every node needs the list of machine types once. Only the leader, which rents machines, requests it again
@@ -27,14 +27,14 @@
 static void
 list_types (HzbProvisioning *provisioning, struct timespec now)
 {
-  const HzbProvisioningDependencies *modules = &provisioning->modules;
+  const HzbProvisioningDependencies *dependencies = &provisioning->dependencies;
 
   if (provisioning->types_requested || hzb_time_before (now, provisioning->next_types))
     return;
-  if (modules->machines->types && !hzb_election_is_leader (modules->election))
+  if (dependencies->machines->types && !hzb_election_is_leader (dependencies->election))
     return;
   provisioning->types_requested = TRUE;
-  hzb_cloud_client_list_types (modules->cloud, on_types, provisioning);
+  hzb_cloud_client_list_types (dependencies->cloud, on_types, provisioning);
 }
 
 /* ---- periodic work ---- */
@@ -44,9 +44,9 @@
 {
   g_autoptr (GPtrArray) candidates = NULL;
 
-  if (!hzb_election_is_lease_valid (provisioning->modules.election))
+  if (!hzb_election_is_lease_valid (provisioning->dependencies.election))
     return;
-  candidates = hzb_autoscaler_scale_in (provisioning->modules.autoscaler, now);
+  candidates = hzb_autoscaler_scale_in (provisioning->dependencies.autoscaler, now);
   for (guint i = 0; i < candidates->len; i++)
     ((HzbMachine *) candidates->pdata[i])->scale_in_requested = TRUE;
 }
@@ -55,11 +55,11 @@
 hzb_provisioning_tick (HzbProvisioning *provisioning, struct timespec now)
 {
   list_types (provisioning, now);
-  if (!hzb_ownership_leader_loaded (provisioning->modules.ownership))
+  if (!hzb_ownership_leader_loaded (provisioning->dependencies.ownership))
     return;
   if (!hzb_time_before (now, provisioning->next_scan))
     {
-      provisioning->next_scan = hzb_time_plus (now, hzb_machines_scan_interval_s (provisioning->modules.machines));
+      provisioning->next_scan = hzb_time_plus (now, hzb_machines_scan_interval_s (provisioning->dependencies.machines));
       hzb_provisioning_scale_in (provisioning, now);
     }
   if (!hzb_time_before (now, provisioning->next_autoscaler_run))
@@ -74,16 +74,16 @@
 void
 hzb_provisioning_remove_gone_machine (HzbProvisioning *provisioning, HzbMachine *machine)
 {
-  const HzbProvisioningDependencies *modules = &provisioning->modules;
+  const HzbProvisioningDependencies *dependencies = &provisioning->dependencies;
   struct timespec *gone_since = NULL;
 
-  hzb_records_drop_machine (modules->records, machine);
-  hzb_machine_requeue_tasks (modules->jobs, machine);
-  hzb_machine_set_state (modules->machines, machine, HZB_MACHINE_GONE, "the cloud has confirmed that it is gone");
+  hzb_records_drop_machine (dependencies->records, machine);
+  hzb_machine_requeue_tasks (dependencies->jobs, machine);
+  hzb_machine_set_state (dependencies->machines, machine, HZB_MACHINE_GONE, "the cloud has confirmed that it is gone");
   gone_since = g_new (struct timespec, 1);
-  *gone_since = hzb_clock_now (modules->node->clock);
+  *gone_since = hzb_clock_now (dependencies->node->clock);
   g_hash_table_replace (provisioning->gone_machines, g_strdup (machine->name), gone_since);
-  hzb_machines_remove (modules->machines, machine);
+  hzb_machines_remove (dependencies->machines, machine);
 }
 
 gboolean
@@ -98,7 +98,7 @@
 hzb_provisioning_new (const HzbProvisioningDependencies *dependencies)
 {
   HzbProvisioning *provisioning = g_new0 (HzbProvisioning, 1);
-  provisioning->modules = *dependencies;
+  provisioning->dependencies = *dependencies;
   provisioning->listed_names = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   provisioning->gone_machines = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return provisioning;
@@ -117,8 +117,8 @@
 hzb_provisioning_reset (HzbProvisioning *provisioning)
 {
   provisioning->last_request_number = 0;
-  provisioning->scale_out_requests = provisioning->scale_in_requests = 0;
+  provisioning->scale_out_requests_in_flight = provisioning->scale_in_requests_in_flight = 0;
   provisioning->list_requested = FALSE;
   g_clear_pointer (&provisioning->list_after, g_free);
-  provisioning->next_list = provisioning->next_scale_in = (struct timespec){ 0 };
+  provisioning->next_list = provisioning->next_scale_in_request = (struct timespec){ 0 };
 }
--- a/src/provisioning/scale-in.c
+++ b/src/provisioning/scale-in.c
@@ -1,5 +1,5 @@
 /* Scale-in: a machine that is to be returned gets no new tasks, is drained, and is then returned to the cloud. The
- * machine is gone once the cloud has answered the request to return it with status 200. */
+ * machine is gone once the cloud has responded with status 200 to the request that returns it. */
 #include "provisioning-private.h"
 
 #define EXPIRED_LEASE_GRACE_S 12.0 /* time for a worker whose lease expired to send a heartbeat again */
@@ -15,30 +15,30 @@
 {
   g_autofree HzbEpochCall *epoch_call = user;
   HzbProvisioning *provisioning = epoch_call->module;
-  const HzbProvisioningDependencies *modules = &provisioning->modules;
+  const HzbProvisioningDependencies *dependencies = &provisioning->dependencies;
   g_autoptr (GPtrArray) names = epoch_call->data;
 
   if (!hzb_epoch_call_is_current (epoch_call))
     return;
-  provisioning->scale_in_requests--;
+  provisioning->scale_in_requests_in_flight--;
   for (guint i = 0; status == 200 && i < names->len; i++)
     {
-      HzbMachine *machine = hzb_machines_find (modules->machines, names->pdata[i]);
+      HzbMachine *machine = hzb_machines_find (dependencies->machines, names->pdata[i]);
       if (machine && machine->state == HZB_MACHINE_RETURNING)
         hzb_provisioning_remove_gone_machine (provisioning, machine);
     }
   if (status != 200)
-    provisioning->next_scale_in = hzb_time_plus (hzb_clock_now (modules->node->clock), RETRY_S);
+    provisioning->next_scale_in_request = hzb_time_plus (hzb_clock_now (dependencies->node->clock), RETRY_S);
 }
 
 static void
 return_machines (HzbProvisioning *provisioning, struct timespec now)
 {
-  const HzbProvisioningDependencies *modules = &provisioning->modules;
-  const GPtrArray *machines = modules->machines->all;
+  const HzbProvisioningDependencies *dependencies = &provisioning->dependencies;
+  const GPtrArray *machines = dependencies->machines->all;
   g_autoptr (GPtrArray) names = NULL;
 
-  if (provisioning->scale_in_requests || hzb_time_before (now, provisioning->next_scale_in))
+  if (provisioning->scale_in_requests_in_flight || hzb_time_before (now, provisioning->next_scale_in_request))
     return;
   names = g_ptr_array_new_with_free_func (g_free);
   for (guint i = 0; i < machines->len && names->len < MACHINES_PER_REQUEST; i++)
@@ -49,9 +49,9 @@
     }
   if (!names->len)
     return;
-  provisioning->scale_in_requests++;
-  hzb_cloud_client_scale_in (modules->cloud, names, on_scale_in_response,
-                             hzb_epoch_call_new (modules->ownership, provisioning, g_ptr_array_ref (names)));
+  provisioning->scale_in_requests_in_flight++;
+  hzb_cloud_client_scale_in (dependencies->cloud, names, on_scale_in_response,
+                             hzb_epoch_call_new (dependencies->ownership, provisioning, g_ptr_array_ref (names)));
 }
 
 /* ---- draining ---- */
@@ -59,13 +59,14 @@
 /* An unverified machine that does not respond may still run tasks. It is returned, since only the cloud can confirm
  * that the machine and its tasks are gone. */
 static gboolean
-unverified_for_too_long (const HzbMachine *machine, double in_state_s, const HzbSettings *settings)
+unverified_for_too_long (const HzbMachine *machine, double time_in_state_s, const HzbSettings *settings)
 {
-  return machine->state == HZB_MACHINE_UNVERIFIED && in_state_s > settings->lease_s + UNVERIFIED_MARGIN_S;
+  return machine->state == HZB_MACHINE_UNVERIFIED && time_in_state_s > settings->lease_s + UNVERIFIED_MARGIN_S;
 }
 
-/* A machine is kept during a one-way partition that ends within its worker's lease. If the leader's responses do not
- * reach the machine for longer, the leader cannot use it. */
+/* In a one-way partition, the machine's heartbeats arrive but the leader's responses do not reach the machine, so the
+ * leader cannot use it. The machine is kept in case the partition ends soon, and is returned once the partition has
+ * lasted longer than the worker's lease and EXPIRED_LEASE_GRACE_S. */
 static gboolean
 unreachable_for_too_long (const HzbMachine *machine, const HzbSettings *settings, struct timespec now)
 {
@@ -73,12 +74,14 @@
          && hzb_time_between (machine->unreachable_since, now) > settings->lease_s + EXPIRED_LEASE_GRACE_S;
 }
 
+/* An empty draining machine is returned even if no scale-in was requested, as after a reclaim notice: the machine costs
+ * money until it is returned. */
 static gboolean
-must_be_returned (const HzbMachine *machine, double in_state_s, const HzbSettings *settings, struct timespec now)
+must_be_returned (const HzbMachine *machine, double time_in_state_s, const HzbSettings *settings, struct timespec now)
 {
-  return unverified_for_too_long (machine, in_state_s, settings)
-         || (machine->state == HZB_MACHINE_LEASE_EXPIRED && in_state_s > EXPIRED_LEASE_GRACE_S)
-         || (machine->state == HZB_MACHINE_DRAINING && !machine->tasks->len) /* costs money until it is returned */
+  return unverified_for_too_long (machine, time_in_state_s, settings)
+         || (machine->state == HZB_MACHINE_LEASE_EXPIRED && time_in_state_s > EXPIRED_LEASE_GRACE_S)
+         || (machine->state == HZB_MACHINE_DRAINING && !machine->tasks->len)
          || unreachable_for_too_long (machine, settings, now);
 }
 
@@ -97,12 +100,12 @@
 static void
 drain_machine (HzbProvisioning *provisioning, HzbMachine *machine)
 {
-  const HzbProvisioningDependencies *modules = &provisioning->modules;
+  const HzbProvisioningDependencies *dependencies = &provisioning->dependencies;
 
   if (hzb_machine_count_queued_tasks (machine))
-    hzb_machine_clear_run_queues (modules->jobs, machine);
+    hzb_machine_clear_run_queues (dependencies->jobs, machine);
   if (machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len)
-    hzb_machine_set_state (modules->machines, machine, HZB_MACHINE_DRAINING,
+    hzb_machine_set_state (dependencies->machines, machine, HZB_MACHINE_DRAINING,
                            "to be returned to the cloud once its tasks have ended");
   if (machine->state == HZB_MACHINE_DRAINING)
     stop_service_replicas (machine);
@@ -111,27 +114,29 @@
 static void
 advance_scale_in (HzbProvisioning *provisioning, HzbMachine *machine, struct timespec now)
 {
-  const HzbProvisioningDependencies *modules = &provisioning->modules;
-  const HzbSettings *settings = modules->node->settings;
-  double in_state_s = hzb_time_between (machine->since, now);
+  const HzbProvisioningDependencies *dependencies = &provisioning->dependencies;
+  const HzbSettings *settings = dependencies->node->settings;
+  double time_in_state_s = hzb_time_between (machine->since, now);
 
   /* The leader has to recall a leased machine from its leaseholder first. */
   if (machine->state == HZB_MACHINE_LEASED)
     return;
-  if (must_be_returned (machine, in_state_s, settings, now))
+  if (must_be_returned (machine, time_in_state_s, settings, now))
     machine->scale_in_requested = TRUE;
   if (!machine->scale_in_requested || machine->state == HZB_MACHINE_RETURNING)
     return;
   drain_machine (provisioning, machine);
-  if (machine->state == HZB_MACHINE_UNVERIFIED ? unverified_for_too_long (machine, in_state_s, settings)
-                                               : machine->tasks->len == 0 || in_state_s > MAX_DRAINING_S)
-    hzb_machine_set_state (modules->machines, machine, HZB_MACHINE_RETURNING, "to be returned to the cloud");
+  /* An unverified machine may run tasks that are not in its list of tasks, so an empty list does not show that the
+   * machine is drained. */
+  if (machine->state == HZB_MACHINE_UNVERIFIED ? unverified_for_too_long (machine, time_in_state_s, settings)
+                                               : machine->tasks->len == 0 || time_in_state_s > MAX_DRAINING_S)
+    hzb_machine_set_state (dependencies->machines, machine, HZB_MACHINE_RETURNING, "to be returned to the cloud");
 }
 
 void
 hzb_provisioning_scale_in (HzbProvisioning *provisioning, struct timespec now)
 {
-  const GPtrArray *machines = provisioning->modules.machines->all;
+  const GPtrArray *machines = provisioning->dependencies.machines->all;
 
   for (guint i = 0; i < machines->len; i++)
     advance_scale_in (provisioning, machines->pdata[i], now);
--- a/src/provisioning/scale-out.c
+++ b/src/provisioning/scale-out.c
@@ -32,12 +32,12 @@
 static ScaleOutCall *
 scale_out_call_new (HzbProvisioning *provisioning, const HzbScaleOutRequest *request)
 {
-  const HzbProvisioningDependencies *modules = &provisioning->modules;
+  const HzbProvisioningDependencies *dependencies = &provisioning->dependencies;
   ScaleOutCall *call = g_new0 (ScaleOutCall, 1);
 
-  hzb_epoch_call_init (&call->epoch_call, modules->ownership, provisioning, NULL);
-  call->name = g_strdup_printf ("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, hzb_election_term (modules->election),
-                                ++provisioning->last_request_number);
+  hzb_epoch_call_init (&call->epoch_call, dependencies->ownership, provisioning, NULL);
+  call->name = g_strdup_printf ("r-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
+                                hzb_election_term (dependencies->election), ++provisioning->last_request_number);
   call->type = g_strdup (request->type->name);
   call->zone = g_strdup (request->zone);
   call->spot = request->spot;
@@ -50,30 +50,31 @@
 static void
 send_request (HzbProvisioning *provisioning, ScaleOutCall *call)
 {
-  hzb_cloud_client_scale_out (provisioning->modules.cloud, call->name, call->type, call->zone, call->spot, call->count,
-                              on_scale_out_response, call);
+  hzb_cloud_client_scale_out (provisioning->dependencies.cloud, call->name, call->type, call->zone, call->spot,
+                              call->count, on_scale_out_response, call);
 }
 
-/* If the cloud rented out fewer machines than requested, the autoscaler requests other kinds for a while. */
+/* If the cloud rented out fewer machines than requested, the autoscaler requests other kinds of machines (type, zone
+ * and spot) for a while. */
 static void
 inform_autoscaler (HzbProvisioning *provisioning, const ScaleOutCall *call, guint granted, struct timespec now)
 {
-  const HzbProvisioningDependencies *modules = &provisioning->modules;
-  HzbScaleOutRequest request = { hzb_machines_find_type (modules->machines, call->type), call->zone, call->spot,
+  const HzbProvisioningDependencies *dependencies = &provisioning->dependencies;
+  HzbScaleOutRequest request = { hzb_machines_find_type (dependencies->machines, call->type), call->zone, call->spot,
                                  call->count };
 
   if (!request.type)
     return;
   if (granted < call->count)
-    hzb_autoscaler_record_refusal (modules->autoscaler, &request, now);
+    hzb_autoscaler_record_refusal (dependencies->autoscaler, &request, now);
   else
-    hzb_autoscaler_record_grant (modules->autoscaler, &request);
+    hzb_autoscaler_record_grant (dependencies->autoscaler, &request);
 }
 
 static void
 add_machines (HzbProvisioning *provisioning, const ScaleOutCall *call, const GPtrArray *names)
 {
-  HzbMachines *machines = provisioning->modules.machines;
+  HzbMachines *machines = provisioning->dependencies.machines;
 
   for (guint i = 0; i < names->len; i++)
     {
@@ -98,11 +99,11 @@
 {
   g_autoptr (ScaleOutCall) call = user;
   HzbProvisioning *provisioning = call->epoch_call.module;
-  struct timespec now = hzb_clock_now (provisioning->modules.node->clock);
-  g_autoptr (GPtrArray) names = status == 200 ? hzb_cloud_names_decode (body) : NULL;
+  struct timespec now = hzb_clock_now (provisioning->dependencies.node->clock);
+  g_autoptr (GPtrArray) names = status == 200 ? hzb_cloud_rent_decode (body) : NULL;
 
-  /* If the request is of an earlier epoch, the leader learns of the rented machines from the cloud's inventory and from
-   * their heartbeats. */
+  /* If this node's ownership has begun a new epoch since the request was sent, the leader learns of the rented machines
+   * from the cloud's inventory and from their heartbeats. */
   if (!hzb_epoch_call_is_current (&call->epoch_call))
     return;
   if (outcome_is_unknown (status, names) && call->repeats++ < MAX_REPEATS)
@@ -110,7 +111,7 @@
       send_request (provisioning, g_steal_pointer (&call));
       return;
     }
-  provisioning->scale_out_requests--;
+  provisioning->scale_out_requests_in_flight--;
   inform_autoscaler (provisioning, call, names ? names->len : 0, now);
   if (names)
     add_machines (provisioning, call, names);
@@ -123,21 +124,23 @@
 void
 hzb_provisioning_scale_out (HzbProvisioning *provisioning, struct timespec now)
 {
-  const HzbProvisioningDependencies *modules = &provisioning->modules;
+  const HzbProvisioningDependencies *dependencies = &provisioning->dependencies;
   g_autoptr (GArray) requests = NULL;
 
-  if (provisioning->scale_out_requests || !hzb_election_is_lease_valid (modules->election) || !modules->machines->types)
+  if (provisioning->scale_out_requests_in_flight || !hzb_election_is_lease_valid (dependencies->election)
+      || !dependencies->machines->types)
     return;
-  requests = hzb_autoscaler_scale_out (modules->autoscaler, now);
+  requests = hzb_autoscaler_scale_out (dependencies->autoscaler, now);
   for (guint i = 0; i < requests->len; i++)
     {
       const HzbScaleOutRequest *request = &g_array_index (requests, HzbScaleOutRequest, i);
 
-      /* The autoscaler will request the machines again that are not requested from the cloud now. */
-      if (!hzb_reconciliation_may_scale_out (modules->reconciliation, now))
+      /* Reconciliation may delay scale-out, as after a cold start. The autoscaler will request the remaining machines
+       * again. */
+      if (!hzb_reconciliation_may_scale_out (dependencies->reconciliation, now))
         return;
-      hzb_reconciliation_count_scale_out (modules->reconciliation, request->count);
-      provisioning->scale_out_requests++;
+      hzb_reconciliation_count_scale_out (dependencies->reconciliation, request->count);
+      provisioning->scale_out_requests_in_flight++;
       send_request (provisioning, scale_out_call_new (provisioning, request));
     }
 }
--- a/src/reconciliation/archive-codec.c
+++ b/src/reconciliation/archive-codec.c
@@ -83,7 +83,7 @@
   cJSON_AddNumberToObject (root, "format", HZB_RECONCILIATION_FORMAT);
   hzb_json_add_u64 (root, "id", archive->id);
   hzb_json_add_u64 (root, "term", archive->term);
-  cJSON_AddNumberToObject (root, "starts", archive->starts);
+  cJSON_AddNumberToObject (root, "starts", archive->cold_starts);
   cJSON_AddNumberToObject (root, "began", archive->began);
   cJSON_AddStringToObject (root, "reason", archive->reason ? archive->reason : "");
   cJSON_AddNumberToObject (root, "completeS", round_to_ms (archive->complete_s));
@@ -186,7 +186,7 @@
 
   archive->id = hzb_json_u64 (root, "id");
   archive->term = hzb_json_u64 (root, "term");
-  archive->starts = read_count (root, "starts");
+  archive->cold_starts = read_count (root, "starts");
   archive->began = hzb_json_number (root, "began", 0);
   archive->reason = copy_text (root, "reason");
   archive->complete_s = hzb_json_number (root, "completeS", 0);
--- a/src/reconciliation/archive.h
+++ b/src/reconciliation/archive.h
@@ -5,16 +5,17 @@
 #pragma once
 #include "reconciliation-codec.h"
 
-/** HZB_ARCHIVE_SECONDS: seconds after the beginning of a reconciliation during which its commands are counted. */
+/** HZB_ARCHIVE_SECONDS: number of seconds, from the beginning of the last cold start, in which commands are
+ * counted. */
 #define HZB_ARCHIVE_SECONDS 60u
 
-/** HzbArchiveCommandKind: commands that are counted for each second. */
+/** HzbArchiveCommandKind: what an archive counts for each second. */
 typedef enum
 {
   HZB_ARCHIVE_STARTS,         /**< commands to start a task */
   HZB_ARCHIVE_STOPS,          /**< commands to stop a task */
   HZB_ARCHIVE_REAPS,          /**< commands to drop an exited task from the worker's list */
-  HZB_ARCHIVE_SCALE_OUTS,     /**< machines that the cloud was asked for */
+  HZB_ARCHIVE_SCALE_OUTS,     /**< machines requested from the cloud: n for a request for n machines */
   HZB_ARCHIVE_N_COMMAND_KINDS /**< number of kinds */
 } HzbArchiveCommandKind;
 
@@ -26,19 +27,24 @@
 {
   HzbVerdictEntry entry; /**< the verdict; in an archive, the archive owns its `uid` */
   guint tasks;           /**< number of the job's tasks */
-  guint released;        /**< as of the beginning: only tasks below this number could have been started */
-  double at_s;           /**< when the verdict became durable, in seconds after the beginning */
+  guint released;        /**< the released mark when the leader had loaded all records: until then, only tasks below
+                              this number could have been started */
+  double at_s;           /**< when the verdict became durable, in seconds since the last cold start began; without
+                              meaning if an earlier leader recorded the verdict */
 } HzbArchivedJobVerdict;
 
 /** HzbArchivedMachine: a machine that could have run tasks when the reconciliation began. */
 typedef struct
 {
   char *name;  /**< of the machine */
-  char *fate;  /**< "awaited", "answered", "lease over" or "gone" */
-  double at_s; /**< when the machine was accounted for, in seconds after the beginning; negative: never */
+  char *fate;  /**< "awaited": it may still hold tasks that the leader does not know of; "lease over": the lease of its
+                    worker has expired, so no task runs on it; "gone": the leader no longer knows the machine;
+                    "answered": none of these */
+  double at_s; /**< when the machine was accounted for, in seconds since the last cold start began; negative: never */
 } HzbArchivedMachine;
 
-/** HzbArchivedTask: a task that no record names. */
+/** HzbArchivedTask: a task that was quarantined when the archive was built: a heartbeat listed the task, and no record
+ * in the key-value store is known to name it. */
 typedef struct
 {
   char *name;    /**< "JOB/NUMBER" */
@@ -52,16 +58,16 @@
 {
   guint64 id;             /**< of the reconciliation: the term in which it began */
   guint64 term;           /**< in which the reconciliation was completed */
-  guint starts;           /**< number of cold starts that the reconciliation spans */
+  guint cold_starts;      /**< number of cold starts that the reconciliation spans */
   double began;           /**< when the first of them began, in seconds of Unix time */
-  char *reason;           /**< (nullable): why the start was taken for a cold start; %NULL is archived as "" */
-  double complete_s;      /**< seconds from the last cold start to the archive */
+  char *reason;           /**< (nullable): the evidence that the last start was a cold start; %NULL is archived as "" */
+  double complete_s;      /**< seconds from the beginning of the last cold start until the archive was built */
   guint omitted_jobs;     /**< number of jobs left out because the archive was full */
   guint omitted_machines; /**< number of machines left out because the archive was full */
   GArray *jobs;           /**< (element-type HzbArchivedJobVerdict) */
   GArray *machines;       /**< (element-type HzbArchivedMachine) */
-  GArray *quarantine;     /**< (element-type HzbArchivedTask) */
-  /** number of commands of each kind in each second after the beginning */
+  GArray *quarantine;     /**< (element-type HzbArchivedTask): the quarantined tasks */
+  /** counts of each kind in each second since the last cold start began */
   guint commands[HZB_ARCHIVE_N_COMMAND_KINDS][HZB_ARCHIVE_SECONDS];
 } HzbArchive;
 
@@ -83,6 +89,6 @@
  * #HzbArchivedMachine; texts are copied */
 void hzb_archive_add_machine (HzbArchive *archive, const char *name, const char *fate, double at_s);
 
-/** hzb_archive_add_task: adds a task that no record names. Parameters are as in #HzbArchivedTask; texts are copied */
+/** hzb_archive_add_task: adds a quarantined task. Parameters are as in #HzbArchivedTask; texts are copied */
 void hzb_archive_add_task (HzbArchive *archive, const char *name, const char *machine, const char *verdict,
                            const char *reason);
--- a/src/reconciliation/cold-start.c
+++ b/src/reconciliation/cold-start.c
@@ -1,12 +1,15 @@
 /* Detects whether this leadership is a cold start, and begins the reconciliation if it is. */
 #include "reconciliation-private.h"
 
-#define PEER_WAIT_S 3.0 /* peers send a heartbeat each second; three missed ones end the wait for a peer */
-#define MIN_STARTS_PER_S 8.0
-#define MAX_SCALE_OUTS_PER_S 2.0
-#define CLOUD_RATE_FRACTION 0.5
+/* Maximum wait for heartbeats of all peers. Peers send a heartbeat each second, so a peer that is unresponsive during
+ * the whole wait has missed three. */
+#define PEER_WAIT_S 3.0
+#define MIN_STARTS_PER_S 8.0     /* start commands: minimum of the default rate, which grows with the fleet */
+#define MAX_SCALE_OUTS_PER_S 2.0 /* scale-out requests to the cloud */
+#define CLOUD_RATE_FRACTION 0.5  /* maximum fraction of the setting cloud_rps that scale-out requests may use */
 
-/* After a failover, no command is withheld. */
+/* Ends the withholding of commands for all jobs, and stops tracking the jobs: after a failover, no job needs a
+ * verdict. */
 static void
 release_all_jobs (HzbReconciliation *reconciliation)
 {
@@ -18,8 +21,8 @@
   hzb_reconciliation_wake_scheduling (reconciliation);
 }
 
-/* Lists the machines that are on record as awaited. Tasks are started only on these, so no other machine may hold a
- * task. */
+/* Adds each machine that has a durable record to the machines to account for, with the fate "awaited". A start command
+ * is sent only to a machine that has a durable record, so no other machine can hold a task. */
 static void
 collect_recorded_machines (HzbReconciliation *reconciliation)
 {
@@ -37,6 +40,8 @@
     }
 }
 
+/* If the setting starts_per_s is 0, the rate allows as many starts in two heartbeat intervals as there are machines,
+ * and at least MIN_STARTS_PER_S per second. */
 static void
 begin_pacing (HzbReconciliation *reconciliation, struct timespec now)
 {
@@ -52,8 +57,8 @@
   hzb_start_pacing_begin (&reconciliation->pacing, &limits, now);
 }
 
-/* Prepares the record that this leader writes: a new one, or the unfinished one of an earlier leader under the term of
- * this leader. */
+/* Prepares the reconciliation record that this leader will write. If an earlier leader left an unfinished record, this
+ * leader continues it: the record keeps its id and gets the term of this leader. */
 static void
 begin_record (HzbReconciliation *reconciliation)
 {
@@ -64,7 +69,7 @@
   if (reconciliation->record_state == HZB_RECORD_STATE_NONE)
     *record = (HzbReconciliationRecord){ .id = term, .began = (double) hzb_clock_wall (modules->node->clock).tv_sec };
   record->term = term;
-  record->starts++;
+  record->cold_starts++;
   hzb_reconciliation_set_record_state (reconciliation, HZB_RECORD_STATE_UNWRITTEN);
 }
 
@@ -84,12 +89,13 @@
 }
 
 void
-hzb_reconciliation_detect (HzbReconciliation *reconciliation, struct timespec now)
+hzb_reconciliation_detect_cold_start (HzbReconciliation *reconciliation, struct timespec now)
 {
   HzbStartEvidence evidence = { 0 };
 
   hzb_roster_collect_evidence (&reconciliation->roster, &evidence);
   evidence.unfinished = reconciliation->record_state == HZB_RECORD_STATE_UNFINISHED;
+  /* Until collecting begins, reconciliation->began is the time when all records had been read. */
   evidence.peer_wait_over = hzb_time_between (reconciliation->began, now) >= PEER_WAIT_S;
   switch (hzb_start_decide (&evidence, &reconciliation->start_reason))
     {
--- a/src/reconciliation/job-scan.c
+++ b/src/reconciliation/job-scan.c
@@ -47,19 +47,20 @@
 
 static HzbJobEvidence
 active_job_evidence (const HzbReconciliation *reconciliation, const HzbJob *job, const HzbTrackedJob *tracked,
-                     const GPtrArray *unverified)
+                     const GPtrArray *unverified_kinds)
 {
-  gboolean barrier = reconciliation->dependencies.node->settings->reconciliation.barrier;
+  /* With this setting, no job with released tasks resumes before all machines are accounted for. */
+  gboolean barrier_enabled = reconciliation->dependencies.node->settings->reconciliation.barrier;
 
   return (HzbJobEvidence){
     .cancelled = job->state == HZB_JOB_CANCELLED,
     .tasks = job->n_tasks,
     .released = tracked->released,
     .placed = job->placed,
-    .results = job->finished + job->done,
+    .results = job->finished + job->done, /* results that are not durable yet, and durable results */
     .unconfirmed = job->unconfirmed,
-    .machines_awaited = job->unconfirmed && hzb_job_may_run_on_unverified (job, unverified),
-    .barrier = barrier && unverified->len,
+    .machines_awaited = job->unconfirmed && hzb_job_may_run_on_unverified (job, unverified_kinds),
+    .barrier = barrier_enabled && unverified_kinds->len,
   };
 }
 
@@ -76,10 +77,10 @@
 }
 
 static void
-decide_job (HzbReconciliation *reconciliation, HzbTrackedJob *tracked, const GPtrArray *unverified)
+decide_job (HzbReconciliation *reconciliation, HzbTrackedJob *tracked, const GPtrArray *unverified_kinds)
 {
   const HzbJob *job = hzb_jobs_find (reconciliation->dependencies.jobs, tracked->entry.uid);
-  HzbJobEvidence evidence = job && job->tasks ? active_job_evidence (reconciliation, job, tracked, unverified)
+  HzbJobEvidence evidence = job && job->tasks ? active_job_evidence (reconciliation, job, tracked, unverified_kinds)
                                               : terminal_job_evidence (job, tracked);
   HzbVerdictEntry *entry = &tracked->entry;
 
@@ -100,15 +101,17 @@
 static void
 decide_jobs (HzbReconciliation *reconciliation)
 {
-  g_autoptr (GPtrArray) kinds_by_shard = hzb_machines_list_unverified_kinds (reconciliation->dependencies.machines, 1);
-  const GPtrArray *unverified = kinds_by_shard->pdata[HZB_UNCONFIRMED_TASKS_OF_LEADER];
+  /* Lists only machines on which an earlier leader may have started tasks, not those of reclaimed shards. */
+  g_autoptr (GPtrArray) kinds_by_shard =
+      hzb_machines_list_unverified_kinds (reconciliation->dependencies.machines, HZB_UNCONFIRMED_TASKS_OF_LEADER + 1);
+  const GPtrArray *unverified_kinds = kinds_by_shard->pdata[HZB_UNCONFIRMED_TASKS_OF_LEADER];
   GHashTableIter iter;
   gpointer value;
 
   g_hash_table_iter_init (&iter, reconciliation->tracked_jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((HzbTrackedJob *) value)->phase == HZB_JOB_PHASE_OPEN)
-      decide_job (reconciliation, value, unverified);
+      decide_job (reconciliation, value, unverified_kinds);
 }
 
 void
@@ -118,8 +121,8 @@
     return;
   reconciliation->next_scan = hzb_time_plus (now, hzb_machines_scan_interval_s (reconciliation->dependencies.machines));
   hzb_reconciliation_scan_machines (reconciliation, now);
-  /* No job is decided before the record is durable: if this leader ended, the next leader would not know of the cold
-   * start. */
+  /* No job is decided before the record is durable: if this leadership ended without the record, the next leader would
+   * not know of the cold start. */
   if (reconciliation->open_jobs && reconciliation->record_state == HZB_RECORD_STATE_DURABLE)
     decide_jobs (reconciliation);
 }
--- a/src/reconciliation/operator-decisions.c
+++ b/src/reconciliation/operator-decisions.c
@@ -103,8 +103,8 @@
   kept_write->user = user;
   quarantine->writing = TRUE;
   hzb_election_add_condition (modules->election, transaction);
-  hzb_kv_transaction_compare (transaction, HZB_KEY_RECONCILIATION_ARCHIVES, quarantine->kept_version);
-  hzb_kv_transaction_put (transaction, HZB_KEY_RECONCILIATION_ARCHIVES, hzb_kept_tasks_encode (kept), 0);
+  hzb_kv_transaction_compare (transaction, HZB_KEY_RECONCILIATION_KEPT_TASKS, quarantine->kept_version);
+  hzb_kv_transaction_put (transaction, HZB_KEY_RECONCILIATION_KEPT_TASKS, hzb_kept_tasks_encode (kept), 0);
   hzb_kv_client_commit (modules->kv, HZB_KV_RECORD, transaction, on_kept_written,
                         hzb_epoch_call_new (modules->ownership, quarantine, kept_write));
 }
--- a/src/reconciliation/quarantine-private.h
+++ b/src/reconciliation/quarantine-private.h
@@ -8,8 +8,8 @@
 #pragma once
 #include "quarantine.h"
 
-/** hzb_quarantine_set_proof: changes the state of the proof about a task. Nothing else changes it. A change that
- * #HzbQuarantineProof does not allow is logged and not made. */
+/** hzb_quarantine_set_proof: changes the state of the proof that no record names a task; the only function that does. A
+ * change that #HzbQuarantineProof does not allow is logged and not made. */
 void hzb_quarantine_set_proof (HzbQuarantinedTask *entry, HzbQuarantineProof to);
 
 /** hzb_quarantine_start_proofs: starts the next round of proofs, if it is due. */
@@ -18,17 +18,17 @@
 /** HzbQuarantine: the shared state. */
 struct _HzbQuarantine
 {
-  HzbQuarantineDependencies dependencies; /**< copied */
-  GHashTable *entries;                    /**< name -> HzbQuarantinedTask; see entry_name() */
-  guint overflow;                         /**< how many times a heartbeat listed a task while `entries` was full */
+  HzbQuarantineDependencies dependencies; /**< a copy of the struct passed to hzb_quarantine_new() */
+  GHashTable *entries;                    /**< key from entry_name() in quarantine.c -> HzbQuarantinedTask; owns both */
+  guint overflow; /**< how many times a heartbeat listed a task without an entry while `entries` was full */
 
   /* quarantine-proof.c */
   gboolean syncing;           /**< a sync of the record replica is in flight */
-  guint reads_in_flight;      /**< reads of archived completions */
+  guint reads_in_flight;      /**< number of reads in flight, each of a job's archived completion */
   struct timespec next_proof; /**< when the next round of proofs may start */
 
   /* operator-decisions.c */
-  GHashTable *kept;     /**< (element-type utf8): "JOB/NUMBER" of tasks that operators keep; these are durable */
+  GHashTable *kept;     /**< (element-type utf8): "JOB/NUMBER" of each task that operators durably decided to keep */
   guint64 kept_version; /**< version of the record of kept tasks; 0: the record does not exist */
   gboolean writing;     /**< a write of the record of kept tasks is in flight */
 };
--- a/src/reconciliation/quarantine.h
+++ b/src/reconciliation/quarantine.h
@@ -115,8 +115,8 @@
  * task number; valid until the next call that changes the quarantine */
 GPtrArray *hzb_quarantine_list (HzbQuarantine *quarantine);
 
-/** hzb_quarantine_overflow: Returns: how many times a heartbeat listed a task while the quarantine was full. Such a
- * task is not tracked and gets no command. */
+/** hzb_quarantine_overflow: Returns: how many times a heartbeat listed a task that was not in quarantine while the
+ * quarantine was full. Such a task is not tracked and gets no command. */
 guint hzb_quarantine_overflow (const HzbQuarantine *quarantine);
 
 /**
--- a/src/reconciliation/reconciliation-admin-codec.c
+++ b/src/reconciliation/reconciliation-admin-codec.c
@@ -114,7 +114,7 @@
   cJSON_AddStringToObject (root, "state", hzb_reconciliation_state_name (reconciliation->state));
   cJSON_AddStringToObject (root, "reason", hzb_start_reason_name (reconciliation->start_reason));
   hzb_json_add_u64 (root, "id", reconciliation->record.id);
-  cJSON_AddNumberToObject (root, "starts", reconciliation->record.starts);
+  cJSON_AddNumberToObject (root, "starts", reconciliation->record.cold_starts);
   cJSON_AddNumberToObject (root, "undecided", reconciliation->open_jobs);
   cJSON_AddNumberToObject (root, "notDurable", reconciliation->unrecorded_jobs);
   cJSON_AddBoolToObject (root, "paced", reconciliation->pacing.active);
--- a/src/reconciliation/reconciliation-admin.c
+++ b/src/reconciliation/reconciliation-admin.c
@@ -89,7 +89,7 @@
   if (!g_ascii_string_to_unsigned (id_text, 10, 1, G_MAXUINT64, &id, NULL))
     respond_error (http_request, 400, "expected the id of an archive");
   else
-    hzb_archive_store_read (reconciliation->archives, id, on_archive_read, http_request);
+    hzb_archive_store_read (reconciliation->archive_store, id, on_archive_read, http_request);
 }
 
 /* ---- requests ---- */
@@ -113,7 +113,7 @@
         redirect_to_leader (reconciliation, http_request);
     }
   else if (g_str_equal (path, PATH_ARCHIVES))
-    hzb_archive_store_list (reconciliation->archives, on_archive_read, http_request);
+    hzb_archive_store_list (reconciliation->archive_store, on_archive_read, http_request);
   else if (g_str_has_prefix (path, PATH_ARCHIVES "/"))
     read_archive (reconciliation, http_request, path + strlen (PATH_ARCHIVES "/"));
   else
--- a/src/reconciliation/reconciliation-codec.c
+++ b/src/reconciliation/reconciliation-codec.c
@@ -61,7 +61,7 @@
   cJSON_AddNumberToObject (value, "format", HZB_RECONCILIATION_FORMAT);
   hzb_json_add_u64 (value, "id", record->id);
   hzb_json_add_u64 (value, "term", record->term);
-  cJSON_AddNumberToObject (value, "starts", record->starts);
+  cJSON_AddNumberToObject (value, "starts", record->cold_starts);
   cJSON_AddNumberToObject (value, "began", record->began);
   return value;
 }
@@ -73,9 +73,9 @@
     return FALSE;
   record->id = hzb_json_u64 (value, "id");
   record->term = hzb_json_u64 (value, "term");
-  record->starts = (guint) CLAMP (hzb_json_number (value, "starts", 0), 0, G_MAXINT32);
+  record->cold_starts = (guint) CLAMP (hzb_json_number (value, "starts", 0), 0, G_MAXINT32);
   record->began = hzb_json_number (value, "began", 0);
-  if (!record->id || record->term < record->id || !record->starts)
+  if (!record->id || record->term < record->id || !record->cold_starts)
     return set_malformed (error, "its id, its term or its number of starts is missing or invalid");
   return TRUE;
 }
--- a/src/reconciliation/reconciliation-codec.h
+++ b/src/reconciliation/reconciliation-codec.h
@@ -3,8 +3,8 @@
  * @short_description: the durable records of a reconciliation
  *
  * This codec is the only place that knows how these records are written. The keys of all records begin with
- * HZB_KEY_LEADER_RECORDS; versions without reconciliation skip them. A record that can't be read is an error: no value in it is
- * guessed.
+ * HZB_KEY_LEADER_RECORDS; versions without reconciliation skip them. A record that can't be read is an error: no value
+ * in it is guessed.
  */
 #pragma once
 #include "verdicts.h"
@@ -41,10 +41,10 @@
 /** HzbReconciliationRecord: a reconciliation that is not complete. */
 typedef struct
 {
-  guint64 id;   /**< the term in which the reconciliation began */
-  guint64 term; /**< the newest term in which a leader worked on it */
-  guint starts; /**< number of cold starts that the reconciliation spans */
-  double began; /**< when the first of them began, in seconds of Unix time */
+  guint64 id;        /**< the term in which the reconciliation began */
+  guint64 term;      /**< the newest term in which a leader worked on it */
+  guint cold_starts; /**< number of cold starts that the reconciliation spans */
+  double began;      /**< when the first of them began, in seconds of Unix time */
 } HzbReconciliationRecord;
 
 /** hzb_reconciliation_record_encode: Returns: (transfer full): the value of the record */
@@ -61,7 +61,7 @@
   char *uid;             /**< of the job */
   HzbJobVerdict verdict; /**< what happens to the job */
   HzbJobReason reason;   /**< the evidence that decided */
-  guint found;           /**< number of tasks on machines that have sent a heartbeat */
+  guint found;           /**< number of tasks found on machines that have answered, as HzbJobEvidence.placed */
   guint results;         /**< number of tasks with a result */
   guint restarted;       /**< number of tasks that start again */
 } HzbVerdictEntry;
--- a/src/reconciliation/reconciliation-load.c
+++ b/src/reconciliation/reconciliation-load.c
@@ -72,7 +72,7 @@
     return;
   if (g_str_equal (item->key, HZB_KEY_FLUSH))
     hzb_roster_load (&reconciliation->roster, item->value);
-  else if (g_str_equal (item->key, HZB_KEY_RECONCILIATION_ARCHIVES))
+  else if (g_str_equal (item->key, HZB_KEY_RECONCILIATION_KEPT_TASKS))
     hzb_quarantine_load (reconciliation->quarantine, item);
   else if (g_str_has_prefix (item->key, HZB_KEY_RECONCILIATION_VERDICTS))
     load_page (reconciliation, item);
--- a/src/reconciliation/reconciliation-private.h
+++ b/src/reconciliation/reconciliation-private.h
@@ -89,8 +89,8 @@
  * commands are no longer withheld. */
 void hzb_reconciliation_wake_scheduling (HzbReconciliation *reconciliation);
 
-/** hzb_reconciliation_detect: decides whether this is a cold start, as soon as the evidence suffices. */
-void hzb_reconciliation_detect (HzbReconciliation *reconciliation, struct timespec now);
+/** hzb_reconciliation_detect_cold_start: decides whether this is a cold start, as soon as the evidence suffices. */
+void hzb_reconciliation_detect_cold_start (HzbReconciliation *reconciliation, struct timespec now);
 
 /** hzb_reconciliation_scan_machines: updates which machines are accounted for. */
 void hzb_reconciliation_scan_machines (HzbReconciliation *reconciliation, struct timespec now);
@@ -114,14 +114,14 @@
 /** HzbReconciliation: the state shared by the source files. */
 struct _HzbReconciliation
 {
-  HzbReconciliationDependencies dependencies; /**< copied */
+  HzbReconciliationDependencies dependencies; /**< a copy of the struct passed to hzb_reconciliation_new() */
   HzbReconciliationState state;               /**< changed by hzb_reconciliation_set_state() only */
   HzbStartReason start_reason;                /**< why this start is a cold start, or is none */
   struct timespec began;                      /**< when all records had been read; in a cold start, when collecting
                                                    began */
   HzbRoster roster;                           /**< the controller processes that are alive */
   HzbQuarantine *quarantine;                  /**< (owned): tasks that no record names */
-  HzbArchiveStore *archives;                  /**< (owned): archives of completed reconciliations */
+  HzbArchiveStore *archive_store;             /**< (owned): archives of completed reconciliations */
   HzbStartPacing pacing;                      /**< pacing of commands after a cold start */
 
   /* The record and the verdicts. */
@@ -135,7 +135,7 @@
 
   /* Counts for operators. */
   guint verdict_counts[HZB_TASK_N_VERDICTS][HZB_TASK_N_REASONS];          /**< verdicts on tasks */
-  guint command_counts[HZB_ARCHIVE_N_COMMAND_KINDS][HZB_ARCHIVE_SECONDS]; /**< commands in each of the first seconds */
+  guint command_counts[HZB_ARCHIVE_N_COMMAND_KINDS][HZB_ARCHIVE_SECONDS]; /**< as HzbArchive.commands */
 
   /* State of recorder.c. */
   guint64 record_version; /**< version of the record in the key-value store; 0: it has no record */
@@ -144,6 +144,6 @@
   GPtrArray *in_flight; /**< (element-type HzbVerdictPage): pages in flight, of unknown outcome, or to be sent again */
   gboolean sending;     /**< a transaction, or the read of its outcome, is in flight */
   HzbArchiveProgress archive_progress; /**< changed by recorder.c only */
-  GBytes *archive;                     /**< (nullable): the packed archive, kept until it is durable */
+  GBytes *packed_archive;              /**< (nullable): the packed archive, kept until it is durable */
   struct timespec next_write;          /**< when the next transaction may be sent */
 };
--- a/src/reconciliation/reconciliation.c
+++ b/src/reconciliation/reconciliation.c
@@ -1,5 +1,6 @@
 /* The state machines of a reconciliation. A reconciliation can span several leaderships: its record and its pages of
- * verdicts are stored below HZB_KEY_LEADER_RECORDS, and the next leader continues from them. A durable verdict never changes. */
+ * verdicts are stored below HZB_KEY_LEADER_RECORDS, and the next leader continues from them. A durable verdict never
+ * changes. */
 #include "reconciliation-private.h"
 
 #include <string.h>
@@ -29,8 +30,8 @@
          && reconciliation->unrecorded_jobs <= g_hash_table_size (reconciliation->tracked_jobs);
 }
 
-/* While collecting, this leader has a record. From "deciding" on, the record is durable and every job is decided. From
- * "recorded" on, every verdict is durable. */
+/* In the state "collecting", this leader has prepared its record, which may not be durable yet. From "deciding" on, the
+ * record is durable and every job is decided. From "recorded" on, every verdict is durable. */
 static gboolean
 progress_matches_state (const HzbReconciliation *reconciliation)
 {
@@ -224,7 +225,7 @@
   reconciliation->dependencies = *dependencies;
   hzb_roster_init (&reconciliation->roster, dependencies->node, dependencies->peers);
   reconciliation->quarantine = new_quarantine (dependencies);
-  reconciliation->archives = new_archive_store (dependencies);
+  reconciliation->archive_store = new_archive_store (dependencies);
   reconciliation->page_keys = g_ptr_array_new_with_free_func (g_free);
   reconciliation->tracked_jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, tracked_job_free);
   reconciliation->machines = hzb_archived_machines_new ();
@@ -237,12 +238,12 @@
 {
   hzb_roster_clear (&reconciliation->roster);
   hzb_quarantine_free (reconciliation->quarantine);
-  hzb_archive_store_free (reconciliation->archives);
+  hzb_archive_store_free (reconciliation->archive_store);
   g_ptr_array_unref (reconciliation->page_keys);
   g_hash_table_unref (reconciliation->tracked_jobs);
   g_array_unref (reconciliation->machines);
   g_ptr_array_unref (reconciliation->in_flight);
-  g_clear_pointer (&reconciliation->archive, g_bytes_unref);
+  g_clear_pointer (&reconciliation->packed_archive, g_bytes_unref);
   g_free (reconciliation);
 }
 
@@ -301,7 +302,7 @@
       remove_leftovers (reconciliation, now);
       break;
     case HZB_RECONCILIATION_DETECTING:
-      hzb_reconciliation_detect (reconciliation, now);
+      hzb_reconciliation_detect_cold_start (reconciliation, now);
       break;
     case HZB_RECONCILIATION_COLLECTING:
     case HZB_RECONCILIATION_DECIDING:
@@ -326,9 +327,9 @@
   return &reconciliation->pacing;
 }
 
-/* In a cold start, the leader puts itself on the roster only once the record of the cold start is durable. If it put
- * itself on the roster earlier and then ended, the next leader would take it for a controller that survived the last
- * leadership, and would see a failover instead of a cold start. */
+/* In a cold start, the leader may put its process on the roster only when the record of the cold start is durable.
+ * Otherwise, if its leadership ended before the record was durable, the next leader would find the process on the
+ * roster, conclude that a controller of the last leadership has survived, and treat the start as a failover. */
 static gboolean
 may_change_roster (const HzbReconciliation *reconciliation)
 {
@@ -350,9 +351,9 @@
   if (!hzb_reconciliation_enabled (reconciliation))
     return;
   if (may_change_roster (reconciliation))
-    hzb_roster_add_alive (&reconciliation->roster, flush_record);
+    hzb_roster_add_alive_processes (&reconciliation->roster, flush_record);
   else
-    hzb_roster_add_recorded (&reconciliation->roster, flush_record);
+    hzb_roster_add_recorded_processes (&reconciliation->roster, flush_record);
 }
 
 void
--- a/src/reconciliation/recorder.c
+++ b/src/reconciliation/recorder.c
@@ -24,7 +24,7 @@
   g_ptr_array_set_size (reconciliation->in_flight, 0);
   reconciliation->sending = FALSE;
   reconciliation->archive_progress = HZB_ARCHIVE_UNWRITTEN;
-  g_clear_pointer (&reconciliation->archive, g_bytes_unref);
+  g_clear_pointer (&reconciliation->packed_archive, g_bytes_unref);
 }
 
 static gboolean
@@ -306,7 +306,7 @@
 
   archive->id = record->id;
   archive->term = record->term;
-  archive->starts = record->starts;
+  archive->cold_starts = record->cold_starts;
   archive->began = record->began;
   archive->reason = g_strdup (hzb_start_reason_name (reconciliation->start_reason));
   archive->complete_s = hzb_time_between (reconciliation->began, now);
@@ -328,7 +328,7 @@
 
   reconciliation->archive_progress = done ? HZB_ARCHIVE_WRITTEN : HZB_ARCHIVE_UNWRITTEN;
   if (done)
-    g_clear_pointer (&reconciliation->archive, g_bytes_unref);
+    g_clear_pointer (&reconciliation->packed_archive, g_bytes_unref);
   else
     reconciliation->next_write =
         hzb_time_plus (hzb_clock_now (reconciliation->dependencies.node->clock), ARCHIVE_RETRY_S);
@@ -342,11 +342,11 @@
   if (hzb_time_before (now, reconciliation->next_write) || reconciliation->pacing.active
       || hzb_time_between (reconciliation->began, now) < HZB_ARCHIVE_SECONDS)
     return;
-  if (!reconciliation->archive)
-    reconciliation->archive = build_archive (reconciliation, now);
+  if (!reconciliation->packed_archive)
+    reconciliation->packed_archive = build_archive (reconciliation, now);
   reconciliation->archive_progress = HZB_ARCHIVE_WRITING;
-  hzb_archive_store_write (reconciliation->archives, reconciliation->record.id, reconciliation->archive, on_archived,
-                           reconciliation);
+  hzb_archive_store_write (reconciliation->archive_store, reconciliation->record.id, reconciliation->packed_archive,
+                           on_archived, reconciliation);
 }
 
 void
--- a/src/reconciliation/report.c
+++ b/src/reconciliation/report.c
@@ -34,8 +34,8 @@
   return highest;
 }
 
-/* @first_s, @last_s: (out): when the first and the last verdict became durable, in seconds after the beginning;
- * negative if there is no verdict */
+/* @first_s, @last_s: (out): when the first and the last verdict became durable, in seconds since the last cold start
+ * began; negative if there is no verdict */
 static void
 find_verdict_times (const HzbArchive *archive, double *first_s, double *last_s)
 {
@@ -106,7 +106,7 @@
   find_verdict_times (archive, &first_s, &last_s);
   g_string_append_printf (out, "reconciliation %" G_GUINT64_FORMAT ", %s (%s)\n", archive->id, began, archive->reason);
   g_string_append_printf (out, "cold starts: %u; archived after %.1f s, under term %" G_GUINT64_FORMAT "\n",
-                          archive->starts, archive->complete_s, archive->term);
+                          archive->cold_starts, archive->complete_s, archive->term);
   g_string_append_printf (out, "jobs: %u (%u more are not listed); machines that could hold work: %u (%u more)\n",
                           archive->jobs->len, archive->omitted_jobs, archive->machines->len, archive->omitted_machines);
   if (last_s >= 0)
@@ -218,8 +218,8 @@
 
   g_string_append_printf (out, "<h1>Reconciliation %" G_GUINT64_FORMAT "</h1>\n<p>%s, ", archive->id, began);
   append_escaped (out, archive->reason);
-  g_string_append_printf (out, "; %u cold starts, %u jobs, %u machines, archived after %.1f s.</p>\n", archive->starts,
-                          archive->jobs->len + archive->omitted_jobs,
+  g_string_append_printf (out, "; %u cold starts, %u jobs, %u machines, archived after %.1f s.</p>\n",
+                          archive->cold_starts, archive->jobs->len + archive->omitted_jobs,
                           archive->machines->len + archive->omitted_machines, archive->complete_s);
   g_string_append (out, "<h2>Verdicts</h2>\n<table>\n<tr><th>verdict</th><th>reason</th><th>jobs</th></tr>\n");
   append_verdict_counts (archive, append_html_row, out);
--- a/src/reconciliation/roster.c
+++ b/src/reconciliation/roster.c
@@ -72,14 +72,14 @@
 }
 
 void
-hzb_roster_add_recorded (const HzbRoster *roster, cJSON *flush_record)
+hzb_roster_add_recorded_processes (const HzbRoster *roster, cJSON *flush_record)
 {
   if (roster->recorded)
     hzb_roster_encode (roster->recorded, flush_record);
 }
 
 void
-hzb_roster_add_alive (HzbRoster *roster, cJSON *flush_record)
+hzb_roster_add_alive_processes (HzbRoster *roster, cJSON *flush_record)
 {
   g_clear_pointer (&roster->sent, g_ptr_array_unref);
   roster->sent = g_ptr_array_new_with_free_func (g_free);
--- a/src/reconciliation/roster.h
+++ b/src/reconciliation/roster.h
@@ -44,12 +44,13 @@
  * roster in flight, or from the recorded roster if none is in flight */
 gboolean hzb_roster_is_due (const HzbRoster *roster);
 
-/** hzb_roster_add_alive: puts the processes that are alive into a flush record that is about to be written. */
-void hzb_roster_add_alive (HzbRoster *roster, cJSON *flush_record);
+/** hzb_roster_add_alive_processes: puts the names of the processes that are alive into a flush record that is about to
+ * be written. */
+void hzb_roster_add_alive_processes (HzbRoster *roster, cJSON *flush_record);
 
-/** hzb_roster_add_recorded: puts the recorded roster, if there is one, into a flush record that is about to be
- * written. */
-void hzb_roster_add_recorded (const HzbRoster *roster, cJSON *flush_record);
+/** hzb_roster_add_recorded_processes: puts the recorded roster, if there is one, into a flush record that is about to
+ * be written. */
+void hzb_roster_add_recorded_processes (const HzbRoster *roster, cJSON *flush_record);
 
 /** hzb_roster_complete_write: ends the write of a flush record. `applied`: whether it is durable; if so, its roster
  * becomes the recorded one; if not, the roster in flight is dropped */
