--- a/src/records/completed-job-archive.c
+++ b/src/records/completed-job-archive.c
@@ -10,7 +10,7 @@
 
 struct _HzbCompletedJobArchive
 {
-  HzbCompletedJobArchiveDependencies modules;
+  HzbCompletedJobArchiveDependencies dependencies;
   gboolean in_flight;               /* a transaction was sent and not answered yet */
   struct timespec next_transaction; /* no transaction is sent before it */
 };
@@ -19,7 +19,7 @@
 hzb_completed_job_archive_new (const HzbCompletedJobArchiveDependencies *dependencies)
 {
   HzbCompletedJobArchive *archive = g_new0 (HzbCompletedJobArchive, 1);
-  archive->modules = *dependencies;
+  archive->dependencies = *dependencies;
   return archive;
 }
 
@@ -59,7 +59,7 @@
     hzb_kv_commit_decode (body, NULL, &failed_keys);
   for (guint i = 0; i < uids->len; i++)
     {
-      HzbJob *job = hzb_jobs_find (archive->modules.jobs, uids->pdata[i]);
+      HzbJob *job = hzb_jobs_find (archive->dependencies.jobs, uids->pdata[i]);
       /* If the comparison of a job's record failed, an earlier leader has moved the record, which the replica of the
        * records will show. The job stays marked as archiving, so that this leader does not try again. */
       if (job)
@@ -81,11 +81,11 @@
 static void
 move_records (HzbCompletedJobArchive *archive, const GPtrArray *jobs)
 {
-  const HzbCompletedJobArchiveDependencies *modules = &archive->modules;
+  const HzbCompletedJobArchiveDependencies *dependencies = &archive->dependencies;
   GPtrArray *uids = g_ptr_array_new_with_free_func (g_free);
   HzbKvTransaction *transaction = hzb_kv_transaction_new ();
 
-  hzb_election_add_condition (modules->election, transaction);
+  hzb_election_add_condition (dependencies->election, transaction);
   for (guint i = 0; i < jobs->len; i++)
     {
       HzbJob *job = jobs->pdata[i];
@@ -94,19 +94,19 @@
       g_ptr_array_add (uids, g_strdup (job->uid));
     }
   archive->in_flight = TRUE;
-  hzb_kv_client_commit (modules->kv, HZB_KV_RECORD, transaction, on_moved,
-                        hzb_epoch_call_new (modules->ownership, archive, uids));
+  hzb_kv_client_commit (dependencies->kv, HZB_KV_RECORD, transaction, on_moved,
+                        hzb_epoch_call_new (dependencies->ownership, archive, uids));
 }
 
 void
 hzb_completed_job_archive_tick (HzbCompletedJobArchive *archive, struct timespec now)
 {
-  const HzbSettings *settings = archive->modules.node->settings;
+  const HzbSettings *settings = archive->dependencies.node->settings;
   g_autoptr (GPtrArray) jobs = NULL;
 
   if (archive->in_flight || hzb_time_before (now, archive->next_transaction))
     return;
-  jobs = hzb_jobs_list_archivable (archive->modules.jobs, MAX (1, settings->kv_txn_ops / CHANGES_PER_JOB));
+  jobs = hzb_jobs_list_archivable (archive->dependencies.jobs, MAX (1, settings->kv_txn_ops / CHANGES_PER_JOB));
   archive->next_transaction = hzb_time_plus (
       now, MAX (MIN_INTERVAL_S, jobs->len * CHANGES_PER_JOB / (WRITE_RATE_FRACTION * settings->kv_write_rps)));
   if (jobs->len)
--- a/src/records/completed-job-archive.h
+++ b/src/records/completed-job-archive.h
@@ -4,8 +4,8 @@
  * controller replicates
  *
  * Only the leader moves records. The archive exists because the completed jobs of a month would not fit into the memory
- * of a controller. The user API answers a query about an archived job from the job's one record in the archive
- * (src/api/user-api.c).
+ * of a controller. The archive has a single record for each job, from which the user API answers a query about an
+ * archived job (src/api/user-api.c).
  */
 #pragma once
 #include "election.h"
@@ -14,7 +14,10 @@
 #include "node.h"
 #include "ownership.h"
 
-/** HzbCompletedJobArchive: the time of the next transaction, and whether one is in flight. */
+/**
+ * HzbCompletedJobArchive: moves records to the archive in transactions of the key-value store, of which at most one is
+ * in flight.
+ */
 typedef struct _HzbCompletedJobArchive HzbCompletedJobArchive;
 
 /**
@@ -25,12 +28,15 @@
 {
   const HzbNode *node;     /**< settings */
   HzbKvClient *kv;         /**< the store that has the records */
-  HzbJobs *jobs;           /**< say which records can be archived */
+  HzbJobs *jobs;           /**< provide the list of jobs whose records can be archived */
   HzbElection *election;   /**< leader's term, on which every transaction is conditional */
-  HzbOwnership *ownership; /**< its epochs show which answers are late */
+  HzbOwnership *ownership; /**< its epochs show which answers belong to requests of an earlier epoch */
 } HzbCompletedJobArchiveDependencies;
 
-/** hzb_completed_job_archive_new: `dependencies`: copied. Returns: (transfer full): without a transaction in flight */
+/**
+ * hzb_completed_job_archive_new: `dependencies`: copied. Returns: (transfer full): an archive object that has no
+ * transaction in flight
+ */
 HzbCompletedJobArchive *hzb_completed_job_archive_new (const HzbCompletedJobArchiveDependencies *dependencies);
 
 /** hzb_completed_job_archive_free: frees the archive. No answer to a transaction may arrive afterwards. */
--- a/src/records/job-completion.c
+++ b/src/records/job-completion.c
@@ -19,7 +19,7 @@
   g_autofree HzbEpochCall *call = user;
   g_autofree char *uid = call->data;
   HzbRecords *records = call->module;
-  HzbJobs *jobs = records->modules.jobs;
+  HzbJobs *jobs = records->dependencies.jobs;
   HzbJob *job = hzb_jobs_find (jobs, uid);
 
   if (!job)
@@ -40,18 +40,18 @@
 void
 hzb_records_complete_job (HzbRecords *records, HzbJob *job)
 {
-  const HzbRecordsDependencies *modules = &records->modules;
+  const HzbRecordsDependencies *dependencies = &records->dependencies;
   g_autofree char *key = NULL;
   HzbKvTransaction *transaction;
 
-  if (job->completing || job->state != HZB_JOB_ACCEPTED || !hzb_election_is_leader (modules->election))
+  if (job->completing || job->state != HZB_JOB_ACCEPTED || !hzb_election_is_leader (dependencies->election))
     return;
   job->completing = TRUE;
   key = g_strconcat (HZB_KEY_JOBS, job->uid, NULL);
   transaction = hzb_kv_transaction_new ();
-  hzb_election_add_condition (modules->election, transaction);
+  hzb_election_add_condition (dependencies->election, transaction);
   hzb_jobs_compare_not_terminal (transaction, job->uid); /* fails if the job has been cancelled */
   hzb_kv_transaction_put (transaction, key, hzb_job_completion_encode (HZB_JOB_DONE, job->n_tasks), 0);
-  hzb_kv_client_commit (modules->kv, HZB_KV_ACCEPT, transaction, on_completed,
-                        hzb_epoch_call_new (modules->ownership, records, g_strdup (job->uid)));
+  hzb_kv_client_commit (dependencies->kv, HZB_KV_ACCEPT, transaction, on_completed,
+                        hzb_epoch_call_new (dependencies->ownership, records, g_strdup (job->uid)));
 }
--- a/src/records/job-progress.c
+++ b/src/records/job-progress.c
@@ -7,7 +7,8 @@
   return (job->n_tasks + jobs->chunk_tasks - 1) / jobs->chunk_tasks;
 }
 
-/* Sets `finished_bytes` to end with the last byte that has a bit set, which keeps the record short: for most of a large
+/* Packs one bit for each of the `n` tasks from index `first` on; 1: the task has finished. Sets `finished_bytes` to the
+ * number of bytes up to and including the last one that has a bit set. This keeps the record short: for most of a large
  * job's run time, most of its tasks have not finished. */
 static void
 pack_finished (const HzbJob *job, guint first, guint n, HzbProgressRecord *record)
@@ -22,14 +23,15 @@
 }
 
 void
-hzb_job_pack_progress (const HzbJobs *jobs, const HzbJob *job, guint chunk, HzbProgressRecord *record)
+hzb_job_pack_progress (const HzbJobs *jobs, const HzbJob *job, guint chunk_number, HzbProgressRecord *record)
 {
-  guint first = chunk * jobs->chunk_tasks;
+  guint first = chunk_number * jobs->chunk_tasks;
 
+  /* The record makes the mark `releasing` durable; job->released is raised to it when the flush is durable. */
   *record = (HzbProgressRecord){ .released = job->releasing };
   if (job->n_tasks > jobs->chunk_tasks)
     record->chunk_tasks = jobs->chunk_tasks;
-  if (job->state == HZB_JOB_CANCELLED || chunk == 0)
+  if (job->state == HZB_JOB_CANCELLED || chunk_number == 0)
     {
       /* A cancelled job's own record no longer states the resources of its tasks, so the progress record states
        * them. */
@@ -46,6 +48,8 @@
   return i / 8 < record->finished_bytes && record->finished[i / 8] & (1u << (i % 8));
 }
 
+/* Sets the pending and unconfirmed tasks that the record shows as finished to HZB_TASK_DONE: their results are durable.
+ * HZB_TASK_FINISHED would mean that the result is not durable yet. */
 static void
 mark_done (HzbJobs *jobs, HzbJob *job, guint first, const HzbProgressRecord *record)
 {
@@ -57,7 +61,7 @@
     }
 }
 
-/* Any part may have been written last, so the released mark of each part applies to the tasks of all parts. */
+/* Any chunk may have been written last, so the released mark of each chunk applies to the tasks of all chunks. */
 static void
 raise_released_mark (HzbJobs *jobs, HzbJob *job, guint released)
 {
@@ -69,15 +73,15 @@
 }
 
 gboolean
-hzb_job_apply_progress (HzbJobs *jobs, HzbJob *job, guint chunk, const HzbProgressRecord *record,
+hzb_job_apply_progress (HzbJobs *jobs, HzbJob *job, guint chunk_number, const HzbProgressRecord *record,
                         gboolean *has_current_layout)
 {
-  guint size = record->chunk_tasks;
+  guint chunk_tasks = record->chunk_tasks;
 
-  if (chunk > job->n_tasks / size)
+  if (chunk_number > job->n_tasks / chunk_tasks)
     return FALSE;
-  *has_current_layout = job->n_tasks <= MIN (size, jobs->chunk_tasks) || size == jobs->chunk_tasks;
-  mark_done (jobs, job, chunk * size, record);
+  *has_current_layout = job->n_tasks <= MIN (chunk_tasks, jobs->chunk_tasks) || chunk_tasks == jobs->chunk_tasks;
+  mark_done (jobs, job, chunk_number * chunk_tasks, record);
   raise_released_mark (jobs, job, MIN (record->released, job->n_tasks));
   job->proven_runnable = job->proven_runnable || job->done > 0;
   return TRUE;
--- a/src/records/record-flush-outcome.c
+++ b/src/records/record-flush-outcome.c
@@ -14,17 +14,17 @@
 /* ---- applying a durable flush ---- */
 
 static void
-apply_part (HzbRecords *records, const HzbFlushedPart *part)
+apply_chunk (HzbRecords *records, const HzbFlushedChunk *chunk)
 {
-  HzbJobs *jobs = records->modules.jobs;
-  HzbJob *job = hzb_jobs_find (jobs, part->uid);
+  HzbJobs *jobs = records->dependencies.jobs;
+  HzbJob *job = hzb_jobs_find (jobs, chunk->uid);
 
   if (!job || !job->tasks)
     return;
-  job->released = MAX (job->released, part->released_mark);
-  for (guint i = 0; i < part->finished->len; i++)
+  job->released = MAX (job->released, chunk->released_mark);
+  for (guint i = 0; i < chunk->finished->len; i++)
     {
-      HzbTask *task = &job->tasks[g_array_index (part->finished, guint, i)];
+      HzbTask *task = &job->tasks[g_array_index (chunk->finished, guint, i)];
       if (task->state != HZB_TASK_FINISHED)
         continue;
       hzb_task_set_state (jobs, task, HZB_TASK_DONE, NULL);
@@ -35,19 +35,19 @@
 static void
 apply_flush (HzbRecords *records, const HzbFlush *flush)
 {
-  const HzbRecordsDependencies *modules = &records->modules;
+  const HzbRecordsDependencies *dependencies = &records->dependencies;
 
-  hzb_reconciliation_complete_roster_write (modules->reconciliation, TRUE);
-  for (guint i = 0; i < flush->parts->len; i++)
-    apply_part (records, flush->parts->pdata[i]);
+  hzb_reconciliation_complete_roster_write (dependencies->reconciliation, TRUE);
+  for (guint i = 0; i < flush->chunks->len; i++)
+    apply_chunk (records, flush->chunks->pdata[i]);
   for (guint i = 0; i < flush->machines->len; i++)
     {
-      HzbMachine *machine = hzb_machines_find (modules->machines, flush->machines->pdata[i]);
+      HzbMachine *machine = hzb_machines_find (dependencies->machines, flush->machines->pdata[i]);
       if (machine)
         machine->recorded = TRUE;
     }
   for (guint i = 0; i < flush->acceptances->len; i++)
-    hzb_jobs_apply_acceptance (modules->jobs, flush->acceptances->pdata[i], NULL);
+    hzb_jobs_apply_acceptance (dependencies->jobs, flush->acceptances->pdata[i], NULL);
 }
 
 /* ---- reverting a failed flush ---- */
@@ -69,24 +69,24 @@
 static void
 revert_flush (HzbRecords *records, const HzbFlush *flush)
 {
-  const HzbRecordsDependencies *modules = &records->modules;
+  const HzbRecordsDependencies *dependencies = &records->dependencies;
 
-  hzb_reconciliation_complete_roster_write (modules->reconciliation, FALSE);
-  for (guint i = 0; i < flush->parts->len; i++)
+  hzb_reconciliation_complete_roster_write (dependencies->reconciliation, FALSE);
+  for (guint i = 0; i < flush->chunks->len; i++)
     {
-      HzbJob *job = hzb_jobs_find (modules->jobs, ((const HzbFlushedPart *) flush->parts->pdata[i])->uid);
+      HzbJob *job = hzb_jobs_find (dependencies->jobs, ((const HzbFlushedChunk *) flush->chunks->pdata[i])->uid);
       if (job)
         job->dirty = TRUE;
     }
   for (guint i = 0; i < flush->machines->len; i++)
     {
-      HzbMachine *machine = hzb_machines_find (modules->machines, flush->machines->pdata[i]);
+      HzbMachine *machine = hzb_machines_find (dependencies->machines, flush->machines->pdata[i]);
       if (machine)
         machine->recording = FALSE;
     }
   for (guint i = 0; i < flush->acceptances->len; i++)
     {
-      HzbAcceptance *acceptance = g_hash_table_lookup (modules->jobs->acceptances, flush->acceptances->pdata[i]);
+      HzbAcceptance *acceptance = g_hash_table_lookup (dependencies->jobs->acceptances, flush->acceptances->pdata[i]);
       if (acceptance)
         acceptance->deleting = FALSE;
     }
@@ -118,7 +118,7 @@
 static void
 pause_flushes (HzbRecords *records)
 {
-  records->next_flush = hzb_time_plus (hzb_clock_now (records->modules.node->clock), REFUSED_RETRY_DELAY_S);
+  records->next_flush = hzb_time_plus (hzb_clock_now (records->dependencies.node->clock), REFUSED_RETRY_DELAY_S);
 }
 
 void
@@ -166,7 +166,7 @@
 read_flush_record (HzbRecords *records, HzbEpochCall *call)
 {
   hzb_records_set_flush_state (records, HZB_FLUSH_RESOLVING);
-  hzb_kv_client_get (records->modules.kv, HZB_KV_RECORD, HZB_KEY_FLUSH, on_flush_record_read, call);
+  hzb_kv_client_get (records->dependencies.kv, HZB_KV_RECORD, HZB_KEY_FLUSH, on_flush_record_read, call);
 }
 
 void
@@ -190,7 +190,7 @@
       hzb_kv_commit_decode (body, &records->flush_version, NULL);
       end_flush (records, call, TRUE);
       /* Released tasks and recorded machines can be used from now on, so the dispatcher runs at once. */
-      records->modules.dispatch->next_run = (struct timespec){ 0 };
+      records->dependencies.dispatch->next_run = (struct timespec){ 0 };
     }
   else
     {
--- a/src/records/record-flush.c
+++ b/src/records/record-flush.c
@@ -18,12 +18,12 @@
 /* ---- the contents of a flush ---- */
 
 static void
-flushed_part_free (gpointer data)
+flushed_chunk_free (gpointer data)
 {
-  HzbFlushedPart *part = data;
-  g_free (part->uid);
-  g_array_unref (part->finished);
-  g_free (part);
+  HzbFlushedChunk *chunk = data;
+  g_free (chunk->uid);
+  g_array_unref (chunk->finished);
+  g_free (chunk);
 }
 
 HzbFlush *
@@ -31,7 +31,7 @@
 {
   HzbFlush *flush = g_new0 (HzbFlush, 1);
   flush->number = number;
-  flush->parts = g_ptr_array_new_with_free_func (flushed_part_free);
+  flush->chunks = g_ptr_array_new_with_free_func (flushed_chunk_free);
   flush->machines = g_ptr_array_new_with_free_func (g_free);
   flush->acceptances = g_ptr_array_new_with_free_func (g_free);
   return flush;
@@ -40,7 +40,7 @@
 void
 hzb_flush_free (HzbFlush *flush)
 {
-  g_ptr_array_unref (flush->parts);
+  g_ptr_array_unref (flush->chunks);
   g_ptr_array_unref (flush->machines);
   g_ptr_array_unref (flush->acceptances);
   g_free (flush);
@@ -77,17 +77,17 @@
 static void
 extend_release (HzbJob *job)
 {
-  if (hzb_records_needs_release (job))
+  if (hzb_records_job_needs_release (job))
     job->releasing = MIN (job->n_tasks, job->releasing + release_step (job));
   job->release_requested = FALSE;
 }
 
-/* Returns: the contents of the part that are applied to the job when the part is durable. */
-static HzbFlushedPart *
-flushed_part_new (const HzbJobs *jobs, const HzbJob *job, guint chunk)
+/* Returns: (transfer full): the contents of the chunk that are applied to the job when the chunk is durable. */
+static HzbFlushedChunk *
+flushed_chunk_new (const HzbJobs *jobs, const HzbJob *job, guint chunk_number)
 {
-  HzbFlushedPart *flushed = g_new0 (HzbFlushedPart, 1);
-  guint first = chunk * jobs->chunk_tasks;
+  HzbFlushedChunk *flushed = g_new0 (HzbFlushedChunk, 1);
+  guint first = chunk_number * jobs->chunk_tasks;
 
   flushed->uid = g_strdup (job->uid);
   flushed->released_mark = job->releasing;
@@ -101,16 +101,16 @@
 static cJSON *
 pack_progress_page (const HzbRecords *records, const HzbPage *page, HzbFlush *flush)
 {
-  const HzbJobs *jobs = records->modules.jobs;
-  g_autoptr (GArray) entries = hzb_progress_parts_new ();
+  const HzbJobs *jobs = records->dependencies.jobs;
+  g_autoptr (GArray) entries = hzb_progress_chunks_new ();
 
-  for (guint i = 0; i < page->parts->len; i++)
+  for (guint i = 0; i < page->chunks->len; i++)
     {
-      const HzbPagePart *part = &g_array_index (page->parts, HzbPagePart, i);
-      HzbProgressPart entry = { .uid = g_strdup (part->job->uid), .chunk = part->chunk };
-      extend_release (part->job);
-      g_ptr_array_add (flush->parts, flushed_part_new (jobs, part->job, part->chunk));
-      hzb_job_pack_progress (jobs, part->job, part->chunk, &entry.progress);
+      const HzbPageChunk *chunk = &g_array_index (page->chunks, HzbPageChunk, i);
+      HzbProgressChunk entry = { .uid = g_strdup (chunk->job->uid), .number = chunk->number };
+      extend_release (chunk->job);
+      g_ptr_array_add (flush->chunks, flushed_chunk_new (jobs, chunk->job, chunk->number));
+      hzb_job_pack_progress (jobs, chunk->job, chunk->number, &entry.progress);
       g_array_append_val (entries, entry);
     }
   return hzb_progress_page_encode (entries);
@@ -119,7 +119,7 @@
 static cJSON *
 pack_machine_page (const HzbRecords *records, const HzbPage *page, HzbFlush *flush)
 {
-  double wall_s = (double) hzb_clock_wall (records->modules.node->clock).tv_sec;
+  double wall_s = (double) hzb_clock_wall (records->dependencies.node->clock).tv_sec;
   g_autoptr (GArray) entries = hzb_machine_records_new ();
 
   for (guint i = 0; i < page->machines->len; i++)
@@ -150,7 +150,7 @@
 
   page->stale = page->dirty = page->replaces_retired = FALSE;
   page->written = now;
-  page->exists = page->parts->len || page->machines->len;
+  page->exists = page->chunks->len || page->machines->len;
   if (page->exists)
     hzb_kv_transaction_put (
         transaction, key,
@@ -167,7 +167,7 @@
 put_pages (HzbRecords *records, const GPtrArray *due, HzbKvTransaction *transaction, HzbFlush *flush,
            struct timespec now)
 {
-  guint remaining_changes = records->modules.node->settings->kv_txn_ops - 1; /* one change is the flush record */
+  guint remaining_changes = records->dependencies.node->settings->kv_txn_ops - 1; /* one change is the flush record */
   gsize bytes = 0;
 
   for (guint i = 0; i < due->len && remaining_changes; i++, remaining_changes--)
@@ -188,7 +188,7 @@
 acceptances_due (const HzbRecords *records, struct timespec now)
 {
   return !hzb_time_before (now, records->next_acceptance_removal)
-         && hzb_jobs_find_deletable_acceptance (records->modules.jobs);
+         && hzb_jobs_find_deletable_acceptance (records->dependencies.jobs);
 }
 
 static void
@@ -197,7 +197,7 @@
 {
   HzbAcceptance *completed;
 
-  for (; remaining_changes && (completed = hzb_jobs_find_deletable_acceptance (records->modules.jobs));
+  for (; remaining_changes && (completed = hzb_jobs_find_deletable_acceptance (records->dependencies.jobs));
        remaining_changes--)
     {
       completed->deleting = TRUE;
@@ -212,18 +212,18 @@
 static HzbKvTransaction *
 begin_transaction (const HzbRecords *records, const HzbFlush *flush)
 {
-  const HzbRecordsDependencies *modules = &records->modules;
+  const HzbRecordsDependencies *dependencies = &records->dependencies;
   HzbKvTransaction *transaction = hzb_kv_transaction_new ();
   HzbFlushRecord record = {
     .number = flush->number,
-    .term = hzb_election_term (modules->election),
-    .acknowledged_revision = hzb_cancellations_acknowledged_revision (modules->cancellations),
+    .term = hzb_election_term (dependencies->election),
+    .acknowledged_revision = hzb_cancellations_acknowledged_revision (dependencies->cancellations),
   };
   cJSON *value = hzb_flush_record_encode (&record);
 
-  hzb_election_add_condition (modules->election, transaction);
+  hzb_election_add_condition (dependencies->election, transaction);
   hzb_kv_transaction_compare (transaction, HZB_KEY_FLUSH, records->flush_version);
-  hzb_reconciliation_add_roster (modules->reconciliation, value);
+  hzb_reconciliation_add_roster (dependencies->reconciliation, value);
   hzb_kv_transaction_put (transaction, HZB_KEY_FLUSH, value, 0);
   return transaction;
 }
@@ -232,20 +232,20 @@
 commit (HzbRecords *records, HzbKvTransaction *transaction, HzbFlush *flush)
 {
   hzb_records_set_flush_state (records, HZB_FLUSH_COMMITTING);
-  hzb_kv_client_commit (records->modules.kv, HZB_KV_RECORD, transaction, hzb_records_on_flush_answered,
-                        hzb_epoch_call_new (records->modules.ownership, records, flush));
+  hzb_kv_client_commit (records->dependencies.kv, HZB_KV_RECORD, transaction, hzb_records_on_flush_answered,
+                        hzb_epoch_call_new (records->dependencies.ownership, records, flush));
 }
 
 static void
 flush_pages (HzbRecords *records, struct timespec now)
 {
-  g_autoptr (GPtrArray) due = hzb_records_choose_pages (records, now);
+  g_autoptr (GPtrArray) due = hzb_records_select_pages (records, now);
   gboolean remove_acceptances = acceptances_due (records, now);
   HzbKvTransaction *transaction;
   HzbFlush *flush;
   guint remaining_changes;
 
-  if (!due->len && !remove_acceptances && !hzb_reconciliation_is_roster_due (records->modules.reconciliation))
+  if (!due->len && !remove_acceptances && !hzb_reconciliation_is_roster_due (records->dependencies.reconciliation))
     return;
   flush = hzb_flush_new (++records->flush_number);
   transaction = begin_transaction (records, flush);
@@ -261,12 +261,12 @@
 void
 hzb_records_flush_if_due (HzbRecords *records)
 {
-  const HzbRecordsDependencies *modules = &records->modules;
-  struct timespec now = hzb_clock_now (modules->node->clock);
+  const HzbRecordsDependencies *dependencies = &records->dependencies;
+  struct timespec now = hzb_clock_now (dependencies->node->clock);
 
-  if (!hzb_ownership_leader_loaded (modules->ownership) || !hzb_election_is_leader (modules->election))
+  if (!hzb_ownership_leader_loaded (dependencies->ownership) || !hzb_election_is_leader (dependencies->election))
     return;
-  hzb_completed_job_archive_tick (modules->job_archive, now);
+  hzb_completed_job_archive_tick (dependencies->job_archive, now);
   if (hzb_time_before (now, records->next_flush))
     return;
   if (records->flush_state == HZB_FLUSH_UNRESOLVED)
--- a/src/records/record-pages.c
+++ b/src/records/record-pages.c
@@ -5,8 +5,8 @@
 
 #define PAGE_BYTES 12000u       /* a page is written as a whole, so a larger one costs too much for one job's change */
 #define PAGE_VALUE_FRACTION 0.9 /* fraction of the largest value that the key-value store takes; sizes are estimates */
-/* Bytes of an entry besides its names (uid and team of a part; name, type and zone of a machine). */
-#define PART_BYTES 120u
+/* Bytes of an entry besides its names (uid and team of a chunk; name, type and zone of a machine). */
+#define CHUNK_BYTES 120u
 #define MACHINE_BYTES 85u
 #define TASKS_PER_BYTE 6u /* base 64 stores the bits of six tasks in a character */
 
@@ -14,7 +14,7 @@
 page_free (gpointer data)
 {
   HzbPage *page = data;
-  g_array_unref (page->parts);
+  g_array_unref (page->chunks);
   g_ptr_array_unref (page->machines);
   g_free (page);
 }
@@ -22,7 +22,7 @@
 void
 hzb_page_make_empty (HzbPage *page)
 {
-  page->parts = g_array_new (FALSE, FALSE, sizeof (HzbPagePart));
+  page->chunks = g_array_new (FALSE, FALSE, sizeof (HzbPageChunk));
   page->machines = g_ptr_array_new ();
   page->bytes = 0;
 }
@@ -78,20 +78,20 @@
 }
 
 gsize
-hzb_pages_estimate_part_bytes (const HzbPages *pages, const HzbJob *job, guint chunk)
+hzb_pages_estimate_chunk_bytes (const HzbPages *pages, const HzbJob *job, guint chunk_number)
 {
-  guint tasks = MIN (pages->jobs->chunk_tasks, job->n_tasks - chunk * pages->jobs->chunk_tasks);
+  guint tasks = MIN (pages->jobs->chunk_tasks, job->n_tasks - chunk_number * pages->jobs->chunk_tasks);
   /* No task of a service is ever done, so its record has no bits. */
-  return PART_BYTES + strlen (job->uid) + strlen (job->spec->team)
+  return CHUNK_BYTES + strlen (job->uid) + strlen (job->spec->team)
          + (job->spec->kind == HZB_JOB_SERVICE ? 0 : tasks / TASKS_PER_BYTE);
 }
 
 void
-hzb_pages_add_part (HzbPages *pages, HzbPage *page, HzbJob *job, guint chunk)
+hzb_pages_add_chunk (HzbPages *pages, HzbPage *page, HzbJob *job, guint chunk_number)
 {
-  HzbPagePart part = { job, chunk, hzb_pages_estimate_part_bytes (pages, job, chunk) };
-  g_array_append_val (page->parts, part);
-  page->bytes += part.bytes;
+  HzbPageChunk chunk = { job, chunk_number, hzb_pages_estimate_chunk_bytes (pages, job, chunk_number) };
+  g_array_append_val (page->chunks, chunk);
+  page->bytes += chunk.bytes;
 }
 
 gsize
@@ -109,16 +109,16 @@
 }
 
 static void
-drop_parts_of (HzbPage *page, const HzbJob *job)
+drop_chunks_of (HzbPage *page, const HzbJob *job)
 {
-  for (guint i = page->parts->len; i-- > 0;)
+  for (guint i = page->chunks->len; i-- > 0;)
     {
-      const HzbPagePart *part = &g_array_index (page->parts, HzbPagePart, i);
-      if (part->job != job)
+      const HzbPageChunk *chunk = &g_array_index (page->chunks, HzbPageChunk, i);
+      if (chunk->job != job)
         continue;
-      page->bytes -= part->bytes;
+      page->bytes -= chunk->bytes;
       page->stale = TRUE;
-      g_array_remove_index_fast (page->parts, i);
+      g_array_remove_index_fast (page->chunks, i);
     }
 }
 
@@ -126,7 +126,7 @@
 hzb_pages_drop_job (HzbPages *pages, HzbJob *job)
 {
   for (guint i = 0; job->on_pages && i < pages->all->len; i++)
-    drop_parts_of (pages->all->pdata[i], job);
+    drop_chunks_of (pages->all->pdata[i], job);
   job->on_pages = FALSE;
 }
 
--- a/src/records/record-pages.h
+++ b/src/records/record-pages.h
@@ -10,20 +10,20 @@
 #include "jobs.h"
 #include "machines.h"
 
-/** HzbPagePart: a part (chunk) of a job's progress on a page; most jobs have one part, which has all of their tasks. */
+/** HzbPageChunk: a chunk of a job's progress on a page; most jobs have one chunk, which has all of their tasks. */
 typedef struct
 {
-  HzbJob *job; /**< (not owned) */
-  guint chunk; /**< number of the part in the job, from 0 on */
-  gsize bytes; /**< estimated size on the page */
-} HzbPagePart;
+  HzbJob *job;  /**< (not owned) */
+  guint number; /**< number of the chunk in the job, from 0 on */
+  gsize bytes;  /**< estimated size on the page */
+} HzbPageChunk;
 
 /** HzbPage: a value of the key-value store that several jobs, or several machines, share. */
 typedef struct
 {
   guint number;         /**< suffix of the page's key; from 1 on, unique over pages of both kinds */
   gboolean of_machines; /**< TRUE: the page has machines; FALSE: progress of jobs */
-  GArray *parts;        /**< (element-type HzbPagePart): contents of a page of progress; owned */
+  GArray *chunks;       /**< (element-type HzbPageChunk): contents of a page of progress; owned */
   GPtrArray *machines;  /**< (element-type HzbMachine): contents of a page of machines; the machines are not owned */
   gsize bytes;          /**< estimated size of the value */
   gboolean exists;      /**< the key-value store has the page, or will have it when the flush in flight succeeds */
@@ -31,7 +31,7 @@
   gboolean dirty;       /**< a job on the page has unrecorded changes */
   gboolean stale;       /**< the stored page still names removed jobs or machines, or the last flush failed */
   gboolean replaces_retired; /**< the page got contents of a retiring page, and has not been written since */
-  gboolean retiring;         /**< too large, or with parts that only schema version 1 writes: the page is never written
+  gboolean retiring;         /**< too large, or with chunks that only schema version 1 writes: the page is never written
                                   again, and is removed when its contents are durable on other pages */
   struct timespec written;   /**< time at which the page was last added to a transaction */
 } HzbPage;
@@ -72,11 +72,11 @@
  */
 HzbPage *hzb_pages_find_with_room (HzbPages *pages, gboolean of_machines, gsize bytes);
 
-/** hzb_pages_estimate_part_bytes: Returns: estimated size of a part of a job's progress on a page, in bytes */
-gsize hzb_pages_estimate_part_bytes (const HzbPages *pages, const HzbJob *job, guint chunk);
+/** hzb_pages_estimate_chunk_bytes: Returns: estimated size of a chunk of a job's progress on a page, in bytes */
+gsize hzb_pages_estimate_chunk_bytes (const HzbPages *pages, const HzbJob *job, guint chunk_number);
 
-/** hzb_pages_add_part: adds a part of the job's progress to `page`. The caller sets the job's on_pages. */
-void hzb_pages_add_part (HzbPages *pages, HzbPage *page, HzbJob *job, guint chunk);
+/** hzb_pages_add_chunk: adds a chunk of the job's progress to `page`. The caller sets the job's on_pages. */
+void hzb_pages_add_chunk (HzbPages *pages, HzbPage *page, HzbJob *job, guint chunk_number);
 
 /** hzb_page_estimate_machine_bytes: Returns: estimated size of a machine's entry on a page, in bytes */
 gsize hzb_page_estimate_machine_bytes (const HzbMachine *machine);
--- a/src/records/records-codec.c
+++ b/src/records/records-codec.c
@@ -73,30 +73,30 @@
 }
 
 static void
-progress_part_clear (gpointer data)
+progress_chunk_clear (gpointer data)
 {
-  HzbProgressPart *part = data;
-  g_clear_pointer (&part->uid, g_free);
-  hzb_progress_record_clear (&part->progress);
+  HzbProgressChunk *chunk = data;
+  g_clear_pointer (&chunk->uid, g_free);
+  hzb_progress_record_clear (&chunk->progress);
 }
 
 GArray *
-hzb_progress_parts_new (void)
+hzb_progress_chunks_new (void)
 {
-  GArray *parts = g_array_new (FALSE, TRUE, sizeof (HzbProgressPart));
-  g_array_set_clear_func (parts, progress_part_clear);
-  return parts;
+  GArray *chunks = g_array_new (FALSE, TRUE, sizeof (HzbProgressChunk));
+  g_array_set_clear_func (chunks, progress_chunk_clear);
+  return chunks;
 }
 
 cJSON *
-hzb_progress_page_encode (const GArray *parts)
+hzb_progress_page_encode (const GArray *chunks)
 {
   cJSON *page = cJSON_CreateObject ();
-  for (guint i = 0; i < parts->len; i++)
+  for (guint i = 0; i < chunks->len; i++)
     {
-      const HzbProgressPart *part = &g_array_index (parts, HzbProgressPart, i);
-      g_autofree char *name = g_strdup_printf ("%s/%u", part->uid, part->chunk);
-      cJSON_AddItemToObject (page, name, hzb_progress_record_encode (&part->progress));
+      const HzbProgressChunk *chunk = &g_array_index (chunks, HzbProgressChunk, i);
+      g_autofree char *name = g_strdup_printf ("%s/%u", chunk->uid, chunk->number);
+      cJSON_AddItemToObject (page, name, hzb_progress_record_encode (&chunk->progress));
     }
   return page;
 }
@@ -104,22 +104,22 @@
 GArray *
 hzb_progress_page_decode (const cJSON *page)
 {
-  GArray *parts = hzb_progress_parts_new ();
+  GArray *chunks = hzb_progress_chunks_new ();
   const cJSON *entry;
 
   cJSON_ArrayForEach (entry, page)
     {
       const char *slash = strrchr (entry->string, '/');
-      HzbProgressPart part = { 0 };
+      HzbProgressChunk chunk = { 0 };
       if (slash)
         {
-          part.uid = g_strndup (entry->string, (gsize) (slash - entry->string));
-          part.chunk = (guint) g_ascii_strtoull (slash + 1, NULL, 10);
+          chunk.uid = g_strndup (entry->string, (gsize) (slash - entry->string));
+          chunk.number = (guint) g_ascii_strtoull (slash + 1, NULL, 10);
         }
-      hzb_progress_record_decode (entry, &part.progress);
-      g_array_append_val (parts, part);
+      hzb_progress_record_decode (entry, &chunk.progress);
+      g_array_append_val (chunks, chunk);
     }
-  return parts;
+  return chunks;
 }
 
 /* ---- machines ---- */
--- a/src/records/records-codec.h
+++ b/src/records/records-codec.h
@@ -3,26 +3,29 @@
  * @short_description: the stored form of the leader's records: pages of progress, pages of machines, and the flush
  * record
  *
- * No other module depends on the names and the layout of these records. The stored bytes outlive the process that wrote
- * them, and during a rollout processes of schema versions 1 and 2 read and write them side by side. So a field may be
- * added, but the order, names and meaning of the present fields never change.
+ * No other module depends on the field names and the layout of these records. The stored bytes outlive the process
+ * that wrote them, and during a rollout processes of schema versions 1 and 2 read and write them side by side. So a
+ * field may be added, but the order, names and meaning of the present fields never change.
  *
- * A page is an object. A page of progress has a member "uid/chunk" for each part of a job, a page of machines a member
- * for each machine, under its name.
+ * A page is a JSON object. A page of progress has one member for each chunk of a job that is stored on the page; the
+ * member's name is the job's uid, a slash and the number of the chunk. A page of machines has one member for each
+ * machine, under the machine's name.
  */
 #pragma once
 #include <cjson/cJSON.h>
 #include <glib.h>
 
 /**
- * HzbFlushRecord: the record that every flush (transaction of pages) rewrites. Its version orders the flushes, and its
- * number shows whether a flush without an answer was carried out.
+ * HzbFlushRecord: the record that every flush (transaction of pages) rewrites. The version that the key-value store
+ * gives the record orders the flushes: each flush is conditional on the version that the previous one left. The number
+ * in the record shows whether a flush without an answer was carried out.
  */
 typedef struct
 {
   guint64 number; /**< number of the last flush that was carried out */
   guint64 term;   /**< term of the leader that wrote the record; 0: not stated (schema version 1) */
-  /** Cancellations recorded up to this revision are acknowledged; 0: not stated (schema version 1). */
+  /** Cancellations recorded up to this revision of the key-value store are acknowledged; 0: not stated (schema version
+   * 1). */
   guint64 acknowledged_revision;
 } HzbFlushRecord;
 
@@ -32,15 +35,15 @@
 /** hzb_flush_record_decode: `value`: (nullable): the record; NULL: the store has none, which is decoded as all zeros */
 void hzb_flush_record_decode (const cJSON *value, HzbFlushRecord *record);
 
-/** HzbProgressRecord: the progress of one part (chunk) of a job. */
+/** HzbProgressRecord: the progress of one chunk of a job, a slice of its tasks whose progress is stored together. */
 typedef struct
 {
   guint released;    /**< released mark: tasks of the job with a lower number may have been started */
-  guint chunk_tasks; /**< number of tasks in a part; 0 when encoding: not stated, since the job has one part */
-  char *team;        /**< (nullable): the job's team; stated in the first part, and in all parts of a cancelled job */
+  guint chunk_tasks; /**< number of tasks in a chunk; 0 when encoding: not stated, since the job has one chunk */
+  char *team;        /**< (nullable): the job's team; stated in the first chunk, and in all chunks of a cancelled job */
   double cpus;       /**< CPUs of one task; stated with the team */
   double gpus;       /**< GPUs of one task; stated with the team */
-  guchar *finished;  /**< (nullable): one bit for each task of the part, lowest bit first; 1: the task has finished */
+  guchar *finished;  /**< (nullable): one bit for each task of the chunk, lowest bit first; 1: the task has finished */
   gsize finished_bytes; /**< size of `finished`; tasks beyond it have not finished */
 } HzbProgressRecord;
 
@@ -58,34 +61,35 @@
  */
 void hzb_progress_record_decode (const cJSON *value, HzbProgressRecord *record);
 
-/** HzbProgressPart: a member of a page of progress. */
+/** HzbProgressChunk: a member of a page of progress. */
 typedef struct
 {
-  char *uid;                  /**< of the job; NULL when decoding: the member's name is malformed */
-  guint chunk;                /**< number of the part in the job, from 0 on */
-  HzbProgressRecord progress; /**< progress of the part */
-} HzbProgressPart;
+  char *uid;                  /**< uid of the job; NULL after decoding if the member's name is malformed */
+  guint number;               /**< number of the chunk in the job, from 0 on */
+  HzbProgressRecord progress; /**< progress of the chunk */
+} HzbProgressChunk;
 
 /**
- * hzb_progress_parts_new: Returns: (transfer full) (element-type HzbProgressPart): an empty array, which frees the
- * members of its parts
+ * hzb_progress_chunks_new: Returns: (transfer full) (element-type HzbProgressChunk): an empty array, which frees the
+ * members of its chunks
  */
-GArray *hzb_progress_parts_new (void);
+GArray *hzb_progress_chunks_new (void);
 
-/** hzb_progress_page_encode: `parts`: (element-type HzbProgressPart). Returns: (transfer full): a page of progress */
-cJSON *hzb_progress_page_encode (const GArray *parts);
+/** hzb_progress_page_encode: `chunks`: (element-type HzbProgressChunk). Returns: (transfer full): a page of progress */
+cJSON *hzb_progress_page_encode (const GArray *chunks);
 
-/** hzb_progress_page_decode: Returns: (transfer full) (element-type HzbProgressPart): in the order of the page */
+/** hzb_progress_page_decode: Returns: (transfer full) (element-type HzbProgressChunk): in the order of the page */
 GArray *hzb_progress_page_decode (const cJSON *page);
 
 /** HzbMachineRecord: a member of a page of machines. */
 typedef struct
 {
   char *name; /**< name of the machine */
-  /** (nullable): host and port. Only schema version 1 writes it, since a worker states it with every heartbeat. */
+  /** (nullable): host and port of the worker. Schema version 1 writes the address; later versions do not, since a
+   * worker states its address with every heartbeat. */
   char *address;
-  char *type;         /**< name of the machine type; NULL when decoding: the record is malformed */
-  char *zone;         /**< zone of the machine; NULL when decoding: the record is malformed */
+  char *type;         /**< name of the machine type; NULL after decoding if the record is malformed */
+  char *zone;         /**< zone of the machine; NULL after decoding if the record is malformed */
   gboolean spot;      /**< the machine is a spot instance */
   gboolean drain;     /**< an operator drains the machine */
   double recorded_at; /**< wall-clock time of writing, in seconds since 1970; NAN: not stated */
--- a/src/records/records-private.h
+++ b/src/records/records-private.h
@@ -23,9 +23,9 @@
 /** _HzbRecords: the pages of the leader, and the flush in flight. */
 struct _HzbRecords
 {
-  HzbRecordsDependencies modules; /**< the modules that the records use */
-  HzbRecordsCallbacks callbacks;  /**< functions of the module that created the records */
-  gpointer user;                  /**< (nullable) (not owned): passed to the callbacks */
+  HzbRecordsDependencies dependencies; /**< the modules that the records use */
+  HzbRecordsCallbacks callbacks;       /**< functions of the module that created the records */
+  gpointer user;                       /**< (nullable) (not owned): passed to the callbacks */
 
   HzbPages pages;                /**< all pages that are in the key-value store or will be written to it */
   guint retiring_pages;          /**< number of retiring pages, which are still to be removed */
@@ -40,7 +40,7 @@
 };
 
 /**
- * HzbFlushedPart: the contents of a written part of a job's progress that are applied to the job when the flush is
+ * HzbFlushedChunk: the contents of a written chunk of a job's progress that are applied to the job when the flush is
  * durable.
  */
 typedef struct
@@ -48,13 +48,13 @@
   char *uid;           /**< of the job, which may have been removed meanwhile */
   guint released_mark; /**< the released mark that was written */
   GArray *finished;    /**< (element-type guint): numbers of the finished tasks that are to become done */
-} HzbFlushedPart;
+} HzbFlushedChunk;
 
 /** HzbFlush: one transaction of pages. */
 typedef struct
 {
   guint64 number;         /**< value of the flush record's number after the transaction was carried out */
-  GPtrArray *parts;       /**< (element-type HzbFlushedPart) */
+  GPtrArray *chunks;      /**< (element-type HzbFlushedChunk) */
   GPtrArray *machines;    /**< (element-type utf8): names of machines that are recorded for the first time */
   GPtrArray *acceptances; /**< (element-type utf8): keys of the acceptance records that are removed */
 } HzbFlush;
@@ -74,17 +74,18 @@
 void hzb_records_drop_unresolved (HzbRecords *records);
 
 /**
- * hzb_records_choose_pages: assigns pages to jobs and machines that have none, and selects the pages to write.
+ * hzb_records_select_pages: assigns pages to jobs and machines that have none, and selects the pages to write.
  *
  * Returns: (transfer container) (element-type HzbPage): the pages that are due at `now`, urgent pages first
  */
-GPtrArray *hzb_records_choose_pages (HzbRecords *records, struct timespec now);
+GPtrArray *hzb_records_select_pages (HzbRecords *records, struct timespec now);
 
 /**
- * hzb_records_needs_release: Returns: whether a machine could take tasks of the job beyond its released mark, and the
- * mark has not been raised since that was noted
+ * hzb_records_job_needs_release: Returns: whether the next writing of the job's progress is to raise the job's released
+ * mark: the job is accepted, a machine could take tasks beyond the mark (HzbJob.release_requested, which is cleared
+ * when the mark is raised), and the mark is below the number of the job's tasks
  */
-gboolean hzb_records_needs_release (const HzbJob *job);
+gboolean hzb_records_job_needs_release (const HzbJob *job);
 
 /**
  * hzb_records_on_flush_answered: handles the answer to a flush.
--- a/src/records/records.c
+++ b/src/records/records.c
@@ -1,11 +1,12 @@
-/* Creation, reset and release of the records, and their loading when this node becomes the leader.
+/* Creates, resets and frees HzbRecords, and loads the stored records when this node becomes the leader.
  *
- * A page of schema version 1 may be larger than the future limit for a value (state.value_kb). The leader moves the
- * contents of such a page to pages of its own size, and removes the large page when all of these are durable. A leader
- * that is elected in between loads both, which is safe: a task that is done on either page is done, the released mark
- * is the highest of all, and a machine on either page is recorded. A job that has parts which only schema version 1
- * writes keeps its pages unchanged while a controller of version 1 may be running, and until then starts no task beyond
- * its released mark. */
+ * A page of schema version 1 may be larger than the limit for a value: the smaller of the present limit
+ * (state.value_kb) and the announced one (state.next.value_kb). The leader moves the contents of such a page to pages
+ * of its own size, and removes the large page when all of these are durable. A leader that is elected in between loads
+ * both, which is safe: a task that is done on either page is done, the released mark is the highest of all, and a
+ * machine on either page is recorded. A job that has chunks which only schema version 1 writes keeps its pages
+ * unchanged while a controller of version 1 may be running. During this time the job starts no task beyond its released
+ * mark. */
 #include "records.h"
 #include "job-progress.h"
 #include "record-keys.h"
@@ -20,7 +21,7 @@
 hzb_records_new (const HzbRecordsDependencies *dependencies, const HzbRecordsCallbacks *callbacks, gpointer user)
 {
   HzbRecords *records = g_new0 (HzbRecords, 1);
-  records->modules = *dependencies;
+  records->dependencies = *dependencies;
   records->callbacks = *callbacks;
   records->user = user;
   hzb_pages_init (&records->pages, dependencies->jobs, dependencies->node->settings);
@@ -77,10 +78,10 @@
 }
 
 static void
-load_progress (HzbRecords *records, HzbPage *page, const HzbProgressPart *part)
+load_progress (HzbRecords *records, HzbPage *page, const HzbProgressChunk *chunk)
 {
-  HzbJobs *jobs = records->modules.jobs;
-  HzbJob *job = part->uid ? hzb_jobs_find (jobs, part->uid) : NULL;
+  HzbJobs *jobs = records->dependencies.jobs;
+  HzbJob *job = chunk->uid ? hzb_jobs_find (jobs, chunk->uid) : NULL;
   gboolean has_current_layout = TRUE;
 
   if (!job || job->state == HZB_JOB_DONE)
@@ -88,24 +89,26 @@
       page->stale = TRUE;
       return;
     }
-  if (job->state == HZB_JOB_CANCELLED && !job->spec && part->progress.team)
+  if (job->state == HZB_JOB_CANCELLED && !job->spec && chunk->progress.team)
     {
-      job->spec = cancelled_job_spec_new (part->uid, &part->progress, job->n_tasks);
-      job->team = hzb_settings_find_team (records->modules.node->settings, job->spec->team);
+      job->spec = cancelled_job_spec_new (chunk->uid, &chunk->progress, job->n_tasks);
+      job->team = hzb_settings_find_team (records->dependencies.node->settings, job->spec->team);
     }
   hzb_jobs_activate (jobs, job);
   if (!job->tasks)
     return;
-  if (!hzb_job_apply_progress (jobs, job, part->chunk, &part->progress, &has_current_layout))
+  if (!hzb_job_apply_progress (jobs, job, chunk->number, &chunk->progress, &has_current_layout))
     page->stale = TRUE;
   else if (has_current_layout && !job->has_schema_1_chunks)
     {
-      hzb_pages_add_part (&records->pages, page, job, part->chunk);
+      hzb_pages_add_chunk (&records->pages, page, job, chunk->number);
       job->on_pages = TRUE;
     }
   else
     {
-      hzb_pages_drop_job (&records->pages, job); /* parts that were loaded before may have the current layout */
+      /* Chunks of the job that were loaded before this one may have the current layout and be on pages. They are
+       * removed from the pages, because the leader assigns pages to all chunks of the job again later. */
+      hzb_pages_drop_job (&records->pages, job);
       job->has_schema_1_chunks = page->retiring = TRUE;
     }
 }
@@ -113,9 +116,9 @@
 static void
 load_machine (HzbRecords *records, HzbPage *page, const HzbMachineRecord *record)
 {
-  HzbMachines *machines = records->modules.machines;
-  double age_s =
-      (double) hzb_clock_wall (records->modules.node->clock).tv_sec - record->recorded_at; /* NAN if not recorded */
+  HzbMachines *machines = records->dependencies.machines;
+  /* NAN if the record does not state when it was written */
+  double age_s = (double) hzb_clock_wall (records->dependencies.node->clock).tv_sec - record->recorded_at;
   HzbMachine *machine;
 
   if (hzb_machines_find (machines, record->name) || !record->type || !record->zone)
@@ -130,39 +133,39 @@
 }
 
 static void
-load_page (HzbRecords *records, const HzbKvEntry *item, gboolean of_machines)
+load_page (HzbRecords *records, const HzbKvEntry *entry, gboolean of_machines)
 {
-  guint number = (guint) g_ascii_strtoull (strrchr (item->key, '/') + 1, NULL, 10);
+  guint number = (guint) g_ascii_strtoull (strrchr (entry->key, '/') + 1, NULL, 10);
   HzbPage *page = hzb_page_new (&records->pages, number, of_machines);
-  g_autoptr (GArray) entries =
-      of_machines ? hzb_machine_page_decode (item->value) : hzb_progress_page_decode (item->value);
+  g_autoptr (GArray) members =
+      of_machines ? hzb_machine_page_decode (entry->value) : hzb_progress_page_decode (entry->value);
 
   page->exists = TRUE;
-  page->retiring = (double) hzb_record_bytes (item->value) > records->modules.node->settings->kv_value_kb * 1024;
-  for (guint i = 0; i < entries->len; i++)
+  page->retiring = (double) hzb_record_bytes (entry->value) > records->dependencies.node->settings->kv_value_kb * 1024;
+  for (guint i = 0; i < members->len; i++)
     if (of_machines)
-      load_machine (records, page, &g_array_index (entries, HzbMachineRecord, i));
+      load_machine (records, page, &g_array_index (members, HzbMachineRecord, i));
     else
-      load_progress (records, page, &g_array_index (entries, HzbProgressPart, i));
+      load_progress (records, page, &g_array_index (members, HzbProgressChunk, i));
 }
 
 void
-hzb_records_load (HzbRecords *records, const HzbKvEntry *item)
+hzb_records_load (HzbRecords *records, const HzbKvEntry *entry)
 {
-  if (g_str_equal (item->key, HZB_KEY_FLUSH))
+  if (g_str_equal (entry->key, HZB_KEY_FLUSH))
     {
       HzbFlushRecord flush_record;
-      hzb_flush_record_decode (item->value, &flush_record);
-      records->flush_version = item->version;
+      hzb_flush_record_decode (entry->value, &flush_record);
+      records->flush_version = entry->version;
       records->flush_number = flush_record.number;
     }
-  else if (g_str_has_prefix (item->key, HZB_KEY_MACHINES))
-    load_page (records, item, TRUE);
-  else if (g_str_has_prefix (item->key, HZB_KEY_PROGRESS))
-    load_page (records, item, FALSE);
+  else if (g_str_has_prefix (entry->key, HZB_KEY_MACHINES))
+    load_page (records, entry, TRUE);
+  else if (g_str_has_prefix (entry->key, HZB_KEY_PROGRESS))
+    load_page (records, entry, FALSE);
 }
 
-/* ---- pages of an earlier layout ---- */
+/* ---- retiring pages ---- */
 
 static void
 mark_replacement (HzbRecords *records, HzbPage *page)
@@ -175,15 +178,15 @@
 move_contents (HzbRecords *records, HzbPage *retiring)
 {
   HzbPages *pages = &records->pages;
-  g_autoptr (GArray) parts = g_steal_pointer (&retiring->parts);
+  g_autoptr (GArray) chunks = g_steal_pointer (&retiring->chunks);
   g_autoptr (GPtrArray) machines = g_steal_pointer (&retiring->machines);
 
   hzb_page_make_empty (retiring);
-  for (guint i = 0; i < parts->len; i++)
+  for (guint i = 0; i < chunks->len; i++)
     {
-      const HzbPagePart *part = &g_array_index (parts, HzbPagePart, i);
-      HzbPage *to = hzb_pages_find_with_room (pages, FALSE, part->bytes);
-      hzb_pages_add_part (pages, to, part->job, part->chunk);
+      const HzbPageChunk *chunk = &g_array_index (chunks, HzbPageChunk, i);
+      HzbPage *to = hzb_pages_find_with_room (pages, FALSE, chunk->bytes);
+      hzb_pages_add_chunk (pages, to, chunk->job, chunk->number);
       mark_replacement (records, to);
     }
   for (guint i = 0; i < machines->len; i++)
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -31,7 +31,7 @@
   HzbMachines *machines;               /**< the machines to record */
   HzbDispatch *dispatch;               /**< runs at once when a flush that tasks waited for is durable */
   HzbElection *election;               /**< leader's term, on which every transaction is conditional */
-  HzbOwnership *ownership;             /**< its epochs show which answers are late */
+  HzbOwnership *ownership;             /**< its epochs show which answers belong to requests of an earlier epoch */
   HzbCancellations *cancellations;     /**< the flush record states up to which revision they are acknowledged */
   HzbReconciliation *reconciliation;   /**< adds its roster of controllers to the flush record */
   HzbCompletedJobArchive *job_archive; /**< its tick is called before each flush */
@@ -66,13 +66,13 @@
 /**
  * hzb_records_load: loads one record from the key-value store, while a new leader loads the records of the previous
  * one.
- * - `item`: a record below %HZB_KEY_LEADER_RECORDS; records of other modules are ignored
+ * - `entry`: a record below %HZB_KEY_LEADER_RECORDS; records of other modules are ignored
  */
-void hzb_records_load (HzbRecords *records, const HzbKvEntry *item);
+void hzb_records_load (HzbRecords *records, const HzbKvEntry *entry);
 
 /**
  * hzb_records_load_finished: called after all records were loaded. Moves the contents of pages that are too large, or
- * that have parts which only schema version 1 writes, to other pages.
+ * that have chunks which only schema version 1 writes, to other pages.
  */
 void hzb_records_load_finished (HzbRecords *records);
 
--- a/src/scheduling/demand.c
+++ b/src/scheduling/demand.c
@@ -217,7 +217,7 @@
   double task_units = demand->gpus ? spec->gpus : spec->cpus;
   HzbJobDemand job_demand = { .task_units = task_units, .max_units = runnable * task_units };
 
-  job_demand.work_unit_s = (tasks - placed * PLACED_DONE_FRACTION) * task_units * hzb_job_mean_s (job);
+  job_demand.unit_seconds_left = (tasks - placed * PLACED_DONE_FRACTION) * task_units * hzb_job_mean_s (job);
   job_demand.start_within_s = start_within_s (collection, job);
   g_array_append_val (demand->job_demands, job_demand);
   if (spec->cpus > 0)
@@ -312,9 +312,10 @@
   for (guint i = 0; i < demand->job_demands->len; i++)
     {
       const HzbJobDemand *job_demand = &g_array_index (demand->job_demands, HzbJobDemand, i);
-      sum += job_demand->start_within_s > 0
-                 ? MIN (job_demand->max_units, job_demand->work_unit_s / (job_demand->start_within_s * time_factor))
-                 : job_demand->max_units;
+      sum +=
+          job_demand->start_within_s > 0
+              ? MIN (job_demand->max_units, job_demand->unit_seconds_left / (job_demand->start_within_s * time_factor))
+              : job_demand->max_units;
       largest_task = MAX (largest_task, job_demand->task_units);
     }
   /* Any amount of work needs room for its largest task, at any price. */
--- a/src/scheduling/demand.h
+++ b/src/scheduling/demand.h
@@ -18,23 +18,26 @@
   gboolean spot;              /**< Spot instances. */
 } HzbMachineKind;
 
-/** HzbJobDemand: the share of one job in a demand, in units. */
+/** HzbJobDemand: what one job contributes to a demand. */
 typedef struct
 {
-  double work_unit_s;    /**< Unit-seconds of work left. */
-  double max_units;      /**< Units that the job can use at the same time. */
-  double start_within_s; /**< Seconds within which all its tasks should have started; 0: now. */
-  double task_units;     /**< Units of one task. */
+  double unit_seconds_left; /**< Work left: units multiplied by seconds of run time. */
+  double max_units;         /**< Units that the job can use at the same time. */
+  double start_within_s;    /**< Seconds within which all tasks of the job should have started; 0: now. */
+  double task_units;        /**< Units of one task. */
 } HzbJobDemand;
 
 /** HzbDemand: work that the same kinds of machines can run. */
 typedef struct
 {
-  const HzbJobSpec *spec; /**< One of its jobs; the same types hold a task of each of its jobs. Not owned. */
+  const HzbJobSpec *spec; /**< Spec of one job of the demand. Not owned. All jobs of a demand fit the same machine
+                             types, so this spec decides for all of them. */
   const char *zone;       /**< (nullable) The only allowed zone; NULL: any. Not owned. */
-  char *name;             /**< Identifies the kinds of machines; owned. */
+  char *name;             /**< Key of the demand; owned. Lists the fitting machine types, the zone if only one is
+                             allowed, and flags for ordinary machines only, for GPUs and for services. */
   gboolean gpus;          /**< The unit is the GPU. */
-  gboolean services;      /**< Room kept for replicas (headroom.h), on machines that the cloud does not take back. */
+  gboolean services;      /**< Whether the demand is the room kept for replicas of services (headroom.h). Spot machines
+                             do not fit such a demand, because the cloud may reclaim them. */
   GArray *job_demands;    /**< (element-type HzbJobDemand) Owned. */
   double memory_per_cpu;  /**< GB for each CPU, the maximum over its jobs; 0: memory is no constraint. */
 } HzbDemand;
@@ -57,22 +60,30 @@
  * hzb_demand_units: the number of units that are worth their price.
  * `price_ratio`: the price of a unit, divided by the lowest price of a unit
  *
- * More expensive machines are wanted only for work that the cheapest ones would leave waiting for longer.
+ * The time within which the tasks of a job should have started is multiplied by the cube root of `price_ratio`.
+ * Expensive machines are therefore wanted only for work that would start even later on the cheaper machines.
  */
 double hzb_demand_units (const HzbDemand *demand, double price_ratio);
 
-/** hzb_demand_useful_units: units of an empty machine of this type that the work can use. */
+/** hzb_demand_useful_units: the useful units of an empty machine of this type, which are those that the work can use.
+ * CPUs for whose tasks the machine has not enough memory are not useful. */
 double hzb_demand_useful_units (const HzbDemand *demand, const HzbMachineType *type);
 
-/** hzb_demand_unit_price: price of one useful unit; INFINITY: the type has no useful unit. */
+/** hzb_demand_unit_price: price per hour of one useful unit (hzb_demand_useful_units()); INFINITY: the type has no
+ * useful unit. */
 double hzb_demand_unit_price (const HzbDemand *demand, const HzbMachineType *type, gboolean spot);
 
-/** hzb_demand_price_with_boot: the price, increased by the cost of the time that a machine takes to boot, in which it
- * is paid for but runs no tasks. */
+/**
+ * hzb_demand_price_with_boot: a price per hour that includes the cost of booting a machine, which is paid for but runs
+ * no tasks until it is up.
+ * `price`: the price per hour of a unit or a machine of this type, without that cost
+ *
+ * The cost of booting is spread over a fixed time of use.
+ */
 double hzb_demand_price_with_boot (const HzbMachineType *type, double price);
 
-/** hzb_demand_lowest_price: the lowest price of a unit on any kind that fits; INFINITY: no kind fits. `with_boot`:
- * including the time to boot */
+/** hzb_demand_lowest_price: the lowest price per hour of a unit on any kind that fits; INFINITY: no kind fits.
+ * `with_boot`: whether the price includes the cost of booting, see hzb_demand_price_with_boot() */
 double hzb_demand_lowest_price (const HzbAutoscaler *autoscaler, const HzbDemand *demand, gboolean with_boot);
 
 /** hzb_demand_supply: units of the machines for this work that are up or are expected to finish booting. Scale-in
--- a/src/scheduling/machine.c
+++ b/src/scheduling/machine.c
@@ -4,7 +4,8 @@
 
 #include <math.h>
 
-/* Weight of a second of fetching an image: the fetch occupies the room of a task without making progress on it. */
+/* Cost of one second of fetching an image, relative to one second of waiting for the machine: during the fetch, a task
+ * occupies room on the machine, but makes no progress. */
 #define FETCH_WEIGHT 2.0
 
 /* Fraction of the fetch time that counts for an image that another task is already expected to fetch. */
@@ -12,6 +13,9 @@
 
 #define MIN_FETCH_GB_PER_S 1e-3 /* guards a division */
 
+/* Upper bound on the speed of a machine, in tasks at the same time. Applies to jobs that need next to no resources. */
+#define MAX_SPEED 1e6
+
 /* Seconds for which a machine avoids the job that failed on it last. The time is limited so that a job that has failed
  * once on every machine can still start, even if no other task succeeds on those machines. */
 #define AVOID_FAILED_JOB_S 30.0
@@ -42,6 +46,7 @@
 void
 hzb_machine_set_fencing_token (HzbMachine *machine, guint64 fencing_token)
 {
+  /* No other owner sends commands under this fencing token or a later one. */
   machine->fencing_token = machine->first_exclusive_fencing_token = fencing_token;
   machine->verified = machine->unreachable = FALSE;
   machine->ignored_responses = 0;
@@ -151,6 +156,7 @@
 gboolean
 hzb_machine_fits_replica (const HzbMachine *machine, const HzbJobSpec *spec)
 {
+  /* Only replicas count: other tasks end by themselves, or may be preempted for the replica. */
   return machine->service_cpus + machine->queued_service_cpus + spec->cpus <= machine->type->cpus + HZB_AMOUNT_TOLERANCE
          && machine->service_memory_gb + machine->queued_service_memory_gb + spec->memory_gb
                 <= machine->type->memory_gb + HZB_AMOUNT_TOLERANCE;
@@ -183,29 +189,29 @@
 guint
 hzb_machine_type_speed (const HzbMachineType *type, const HzbJobSpec *spec)
 {
-  double v = 1e6;
+  double speed = MAX_SPEED;
 
   if (!hzb_machine_type_holds (type, spec))
     return 0;
   if (spec->cpus > 0)
-    v = limit_n_tasks (v, type->cpus, spec->cpus);
+    speed = limit_n_tasks (speed, type->cpus, spec->cpus);
   if (spec->gpus > 0)
-    v = limit_n_tasks (v, type->gpus, spec->gpus);
+    speed = limit_n_tasks (speed, type->gpus, spec->gpus);
   if (spec->memory_gb > 0)
-    v = limit_n_tasks (v, type->memory_gb, spec->memory_gb);
-  return (guint) v;
+    speed = limit_n_tasks (speed, type->memory_gb, spec->memory_gb);
+  return (guint) speed;
 }
 
 guint
 hzb_machine_speed (const HzbMachine *machine, const HzbJobSpec *spec)
 {
-  double v = hzb_machine_type_speed (machine->type, spec);
+  double speed = hzb_machine_type_speed (machine->type, spec);
 
   if (machine->service_cpus > HZB_AMOUNT_TOLERANCE && spec->cpus > 0)
-    v = limit_n_tasks (v, machine->type->cpus - machine->service_cpus, spec->cpus);
+    speed = limit_n_tasks (speed, machine->type->cpus - machine->service_cpus, spec->cpus);
   if (machine->service_memory_gb > HZB_AMOUNT_TOLERANCE && spec->memory_gb > 0)
-    v = limit_n_tasks (v, machine->type->memory_gb - machine->service_memory_gb, spec->memory_gb);
-  return (guint) MAX (v, 0);
+    speed = limit_n_tasks (speed, machine->type->memory_gb - machine->service_memory_gb, spec->memory_gb);
+  return (guint) MAX (speed, 0);
 }
 
 gboolean
@@ -229,9 +235,11 @@
 
   if (!job->spec->same_zone && !job->spec->spread)
     return TRUE;
+  /* The zone of an unconfirmed task is not known. For `samePlace`, the task may be in another zone, so no zone is
+   * eligible. For `spread`, the task may be in this zone and counts there. */
   if (job->unconfirmed && job->spec->same_zone)
     return FALSE;
-  n_in_zone = job->unconfirmed; /* each unconfirmed task may be in this zone */
+  n_in_zone = job->unconfirmed;
   for (guint i = 0; i < job->n_tasks; i++)
     {
       const HzbTask *task = &job->tasks[i];
@@ -242,6 +250,7 @@
       else if (job->spec->same_zone)
         return FALSE;
     }
+  /* With `spread`, a zone gets at most half of the tasks, rounded up. */
   return !job->spec->spread || n_in_zone + 1 <= (job->n_tasks + 1) / 2;
 }
 
--- a/src/scheduling/machine.h
+++ b/src/scheduling/machine.h
@@ -47,12 +47,12 @@
   HZB_N_SCHEDULING_CLASSES                /**< Number of classes. */
 } HzbSchedulingClass;
 
-/** HZB_UNCONFIRMED_TASKS_OF_LEADER: value of HzbMachine.unconfirmed_tasks_of for a machine on which an earlier leader
- * may have started tasks. */
+/** HZB_UNCONFIRMED_TASKS_OF_LEADER: value of HzbMachine.unconfirmed_tasks_owner for a machine on which an earlier
+ * leader may have started tasks. */
 #define HZB_UNCONFIRMED_TASKS_OF_LEADER 0u
 
-/** HZB_UNCONFIRMED_TASKS_OF_NONE: value of HzbMachine.unconfirmed_tasks_of for a machine that can only hold tasks that
- * are already assigned to that machine. */
+/** HZB_UNCONFIRMED_TASKS_OF_NONE: value of HzbMachine.unconfirmed_tasks_owner for a machine that can only hold tasks
+ * that are already assigned to that machine. */
 #define HZB_UNCONFIRMED_TASKS_OF_NONE 255u
 
 /** HzbMachine: a machine. The fields are grouped by subject. */
@@ -98,9 +98,9 @@
                                             machine, so a heartbeat under such a token lists every task that can be
                                             on it. */
   gboolean verified;                     /**< A heartbeat under this owner's fencing token has arrived. */
-  guint8 unconfirmed_tasks_of; /**< While unverified: the owner whose unconfirmed tasks may be on it: the number (1 and
-                                  up) of a leaseholder whose shard was reclaimed, HZB_UNCONFIRMED_TASKS_OF_LEADER or
-                                  HZB_UNCONFIRMED_TASKS_OF_NONE. */
+  guint8 unconfirmed_tasks_owner; /**< While unverified: the owner whose unconfirmed tasks may be on it: the number (1
+                                     and up) of a leaseholder whose shard was reclaimed,
+                                     HZB_UNCONFIRMED_TASKS_OF_LEADER or HZB_UNCONFIRMED_TASKS_OF_NONE. */
   struct timespec last_heartbeat; /**< When its last heartbeat arrived. */
   struct timespec last_response;  /**< When its last heartbeat was answered, which may have renewed its lease. */
   guint ignored_responses;        /**< Consecutive heartbeats that show no effect of earlier responses: not the fencing
--- a/src/scheduling/machines.c
+++ b/src/scheduling/machines.c
@@ -2,9 +2,12 @@
 
 /* Thresholds from which a machine counts as faulty, see hzb_machine_is_faulty(). */
 #define FAULTY_MIN_FAILURES 3u
-#define FAULTY_MIN_UNPROVEN_JOBS 3u /* jobs without a success so far that are not known to fail on other machines */
+/* Unproven jobs: no task of the job has succeeded or run for a while on any machine, and tasks of the job have failed
+ * on this machine only, as far as is known. */
+#define FAULTY_MIN_UNPROVEN_JOBS 3u
 
-/* Gives five scans a second with 4,000 machines, and a scan at each timer tick with a few hundred. */
+/* Seconds between two scans of all machines, for each machine: 4,000 machines are scanned five times a second, a few
+ * hundred at each timer tick. */
 #define SCAN_S_PER_MACHINE 5e-5
 
 static void
@@ -193,13 +196,17 @@
 
 /* ---- unverified machines ---- */
 
+/* Whether the machine may hold unconfirmed tasks: no heartbeat under this owner's fencing token has arrived. A recorded
+ * machine that is being returned may run tasks until the cloud confirms that the machine is gone; a machine whose
+ * record is not durable has not been sent a start command. */
 static gboolean
-is_unverified (const HzbMachine *machine)
+may_hold_unconfirmed_tasks (const HzbMachine *machine)
 {
   return machine->state == HZB_MACHINE_UNVERIFIED
          || (machine->state == HZB_MACHINE_RETURNING && !machine->verified && machine->recorded);
 }
 
+/* Whether two machines are of the same kind. In this file, an array of kinds holds one machine of each kind. */
 static gboolean
 same_kind (const HzbMachine *a, const HzbMachine *b)
 {
@@ -231,8 +238,8 @@
   for (guint i = 0; i < machines->all->len; i++)
     {
       HzbMachine *machine = machines->all->pdata[i];
-      if (machine->unconfirmed_tasks_of < n_shards && is_unverified (machine))
-        hzb_machines_add_kind (kinds_by_shard->pdata[machine->unconfirmed_tasks_of], machine);
+      if (machine->unconfirmed_tasks_owner < n_shards && may_hold_unconfirmed_tasks (machine))
+        hzb_machines_add_kind (kinds_by_shard->pdata[machine->unconfirmed_tasks_owner], machine);
     }
   return kinds_by_shard;
 }
@@ -240,7 +247,8 @@
 gboolean
 hzb_job_may_run_on_unverified (const HzbJob *job, const GPtrArray *unverified_kinds)
 {
-  /* The record of a terminal job may lack the placement constraints of the job. */
+  /* The record of a terminal job may lack the placement constraints of the job. Without the constraints, the job
+   * may run on any kind of machines. */
   if (job->state != HZB_JOB_ACCEPTED)
     return unverified_kinds->len > 0;
   for (guint i = 0; i < unverified_kinds->len; i++)
--- a/src/scheduling/machines.h
+++ b/src/scheduling/machines.h
@@ -91,7 +91,7 @@
 
 /**
  * hzb_machines_list_unverified_kinds: lists, by shard, the kinds of machines that may hold unconfirmed tasks.
- * `n_shards`: the largest HzbMachine.unconfirmed_tasks_of to list, plus one
+ * `n_shards`: the largest HzbMachine.unconfirmed_tasks_owner to list, plus one
  *
  * A machine counts until it has sent a heartbeat under this owner's fencing token or is gone. Machines of the same
  * type, zone and spot flag are of one kind, which is listed by one of its machines: there are few kinds, but many
@@ -102,12 +102,13 @@
 GPtrArray *hzb_machines_list_unverified_kinds (const HzbMachines *machines, guint n_shards);
 
 /** hzb_machines_add_kind: appends the machine to the array unless the array has a machine of the same type, zone and
- * spot flag. `kinds`: (element-type HzbMachine) */
+ * spot flag. `kinds`: (element-type HzbMachine): one machine of each kind, not owned */
 void hzb_machines_add_kind (GPtrArray *kinds, HzbMachine *machine);
 
 /**
  * hzb_job_may_run_on_unverified: whether one of these machines may hold an unconfirmed task of the job.
- * `unverified_kinds`: (element-type HzbMachine): the kinds of one shard, from hzb_machines_list_unverified_kinds()
+ * `unverified_kinds`: (element-type HzbMachine): one machine of each kind, for one shard, from
+ * hzb_machines_list_unverified_kinds()
  */
 gboolean hzb_job_may_run_on_unverified (const HzbJob *job, const GPtrArray *unverified_kinds);
 
--- a/src/scheduling/scale-out.c
+++ b/src/scheduling/scale-out.c
@@ -20,7 +20,7 @@
   GArray *kinds;       /* HzbMachineKind; not owned */
   GArray *requests;    /* HzbScaleOutRequest, for all demands so far; not owned */
   double supply;       /* units that exist or are being requested */
-  double lowest_price; /* of a unit, including the time to boot */
+  double lowest_price; /* per hour, of a unit, including the cost of booting */
 } Plan;
 
 /* Adds to the supply the machines that are requested for earlier demands and that this demand can use too. */
--- a/src/scheduling/shard.h
+++ b/src/scheduling/shard.h
@@ -10,15 +10,16 @@
 #pragma once
 #include "settings.h"
 
-/** HzbShard: the resources of a shard, as kept by its owner. Arrays are indexed by team and owned. */
+/** HzbShard: the resources that each team uses in a shard and the limits of the team there, as counted by the owner of
+ * the shard. Arrays are indexed by team and owned. */
 typedef struct
 {
   guint64 fencing_token; /**< Fencing token sent with each command, see hzb_fencing_token(). */
   guint n_teams;         /**< Number of teams in the settings. */
-  double *cpus;          /**< CPUs that tasks of the team use or may use. */
-  double *gpus;          /**< GPUs that tasks of the team use or may use. */
-  double *cpus_allowed;  /**< Limit of the team on CPUs in this shard. */
-  double *gpus_allowed;  /**< Limit of the team on GPUs in this shard. */
+  double *cpus;          /**< CPUs of the team's tasks that run or may be running, delegated tasks included. */
+  double *gpus;          /**< GPUs of the same tasks. */
+  double *cpus_allowed;  /**< Limit of the team for `cpus`. */
+  double *gpus_allowed;  /**< Limit of the team for `gpus`. */
 } HzbShard;
 
 /**
--- a/src/scheduling/start-pacing.c
+++ b/src/scheduling/start-pacing.c
@@ -1,15 +1,16 @@
 #include "start-pacing.h"
 
-#define BURST_S 1.0 /* capacity of a bucket, in seconds of its refill rate */
+/* A full token bucket has the tokens that are refilled in this many seconds. */
+#define BURST_S 1.0
 
-/* Timers that fire this late show a lack of processor time; the command bucket is then refilled at this fraction of its
- * rate. */
+/* Timers that fire later than this show a lack of processor time. The bucket for commands (`tokens`, but not
+ * `scale_out_tokens`) is then refilled at this fraction of its rate. */
 #define LAGGING_ABOVE_S 0.25
 #define LAGGING_RATE_FRACTION 0.5
 
-/* Fractions of the bucket that are reserved for higher classes. */
-#define GUARANTEED_RESERVE_FRACTION 0.2
-#define OTHER_RESERVE_FRACTION 0.5
+/* Fraction of a full bucket that commands of a class have to leave to the classes above that class. */
+#define RESERVE_ABOVE_GUARANTEED_FRACTION 0.2
+#define RESERVE_ABOVE_OTHER_FRACTION 0.5
 
 void
 hzb_start_pacing_begin (HzbStartPacing *pacing, const HzbStartPacingLimits *limits, struct timespec now)
@@ -24,6 +25,8 @@
   pacing->active = FALSE;
 }
 
+/* Returns: the tokens after a refill, at most a full bucket. A bucket can hold at least one token, because a
+ * scale-out request takes a whole token, also if the rate is below one per second. */
 static double
 refill (double tokens, double per_s, double seconds)
 {
@@ -66,8 +69,8 @@
 hzb_start_pacing_allows (const HzbStartPacing *pacing, HzbStartPacingClass class)
 {
   static const double reserve_fractions[HZB_START_PACING_N_CLASSES] = {
-    [HZB_START_PACING_OTHER] = OTHER_RESERVE_FRACTION,
-    [HZB_START_PACING_GUARANTEED] = GUARANTEED_RESERVE_FRACTION,
+    [HZB_START_PACING_OTHER] = RESERVE_ABOVE_OTHER_FRACTION,
+    [HZB_START_PACING_GUARANTEED] = RESERVE_ABOVE_GUARANTEED_FRACTION,
     [HZB_START_PACING_URGENT] = 0,
   };
   double bucket = pacing->limits.per_s * BURST_S;
--- a/src/shards/leaseholder-answer.c
+++ b/src/shards/leaseholder-answer.c
@@ -53,23 +53,23 @@
 static void
 receive_machine (HzbLeaseholder *leaseholder, const HzbMachineLease *lease)
 {
-  const HzbLeaseholderDependencies *modules = &leaseholder->modules;
+  const HzbLeaseholderDependencies *dependencies = &leaseholder->dependencies;
   HzbMachine *machine;
 
-  if (!can_accept_held_tasks (modules->jobs, lease))
+  if (!can_accept_held_tasks (dependencies->jobs, lease))
     {
       refuse_machine (leaseholder, lease);
       return;
     }
-  machine = hzb_machines_add (modules->machines, lease->name, lease->addr, lease->type, lease->zone, lease->spot,
+  machine = hzb_machines_add (dependencies->machines, lease->name, lease->addr, lease->type, lease->zone, lease->spot,
                               lease->held_tasks ? HZB_MACHINE_UNVERIFIED : HZB_MACHINE_BOOTING);
   machine->recorded = machine->known_to_cloud = TRUE;
   hzb_machine_set_fencing_token (machine, leaseholder->fencing_token);
   machine->agent_epoch = lease->agent_epoch;
   machine->sequence = lease->sequence;
-  machine->last_heartbeat = hzb_clock_now (modules->node->clock);
+  machine->last_heartbeat = hzb_clock_now (dependencies->node->clock);
   for (guint i = 0; lease->held_tasks && i < lease->held_tasks->len; i++)
-    place_held_task (modules->jobs, &g_array_index (lease->held_tasks, HzbHeldTask, i), machine);
+    place_held_task (dependencies->jobs, &g_array_index (lease->held_tasks, HzbHeldTask, i), machine);
 }
 
 static void
@@ -103,7 +103,7 @@
 static void
 receive_tasks (HzbLeaseholder *leaseholder, const HzbTaskGroups *groups)
 {
-  HzbJobs *jobs = leaseholder->modules.jobs;
+  HzbJobs *jobs = leaseholder->dependencies.jobs;
   g_autoptr (HzbTaskGroups) rejected = hzb_task_groups_new ();
 
   for (guint i = 0; i < groups->len; i++)
@@ -113,7 +113,7 @@
       if (job && job->state == HZB_JOB_ACCEPTED)
         hzb_jobs_activate (jobs, job);
       if (!job || !job->tasks)
-        hzb_task_groups_add_group (rejected, group);
+        hzb_task_groups_append_group (rejected, group);
     }
   if (rejected->len)
     hzb_leaseholder_push_returned (leaseholder, g_steal_pointer (&rejected));
@@ -134,17 +134,17 @@
 static void
 apply_batch (HzbLeaseholder *leaseholder, const HzbShardBatch *batch)
 {
-  const HzbLeaseholderDependencies *modules = &leaseholder->modules;
+  const HzbLeaseholderDependencies *dependencies = &leaseholder->dependencies;
 
   if (batch->cancelled_uid)
-    apply_cancellation (modules->jobs, batch->cancelled_uid);
+    apply_cancellation (dependencies->jobs, batch->cancelled_uid);
   if (batch->delegated)
     receive_tasks (leaseholder, batch->delegated);
-  hzb_task_groups_foreach (batch->durable, modules->jobs, complete_durable_task, modules->jobs);
-  if (batch->lease && !hzb_machines_find (modules->machines, batch->lease->name))
+  hzb_task_groups_foreach (batch->durable, dependencies->jobs, complete_durable_task, dependencies->jobs);
+  if (batch->lease && !hzb_machines_find (dependencies->machines, batch->lease->name))
     receive_machine (leaseholder, batch->lease);
   if (batch->recall)
-    apply_recall (modules->machines, batch->recall);
+    apply_recall (dependencies->machines, batch->recall);
 }
 
 static void
@@ -160,7 +160,7 @@
     }
   if (!batches->len)
     return;
-  hzb_dispatch_run (leaseholder->modules.dispatch, hzb_clock_now (leaseholder->modules.node->clock));
+  hzb_dispatch_run (leaseholder->dependencies.dispatch, hzb_clock_now (leaseholder->dependencies.node->clock));
   hzb_leaseholder_poll_soon (leaseholder);
 }
 
@@ -169,9 +169,9 @@
 static void
 raise_fencing_token (HzbLeaseholder *leaseholder, guint64 fencing_token)
 {
-  const GPtrArray *machines = leaseholder->modules.machines->all;
+  const GPtrArray *machines = leaseholder->dependencies.machines->all;
 
-  leaseholder->fencing_token = leaseholder->modules.jobs->shard->fencing_token = fencing_token;
+  leaseholder->fencing_token = leaseholder->dependencies.jobs->shard->fencing_token = fencing_token;
   for (guint i = 0; i < machines->len; i++)
     hzb_machine_set_fencing_token (machines->pdata[i], fencing_token);
 }
@@ -180,7 +180,7 @@
 static gboolean
 answer_is_current (const HzbLeaseholder *leaseholder, const HzbShardAnswer *answer)
 {
-  HzbElection *election = leaseholder->modules.election;
+  HzbElection *election = leaseholder->dependencies.election;
   /* Guards against an answer to a poll that was sent before this node released its shard. The node would hold the
    * shard again, but without the machines and tasks that it was sent before, while the leader would assume that the
    * node still manages them. */
@@ -192,16 +192,16 @@
 static gboolean
 accept_lease (HzbLeaseholder *leaseholder, guint64 fencing_token)
 {
-  const HzbLeaseholderDependencies *modules = &leaseholder->modules;
+  const HzbLeaseholderDependencies *dependencies = &leaseholder->dependencies;
 
-  if (hzb_ownership_state (modules->ownership) == HZB_OWNERSHIP_NONE
-      && hzb_kv_replica_state (modules->kv_replica) == HZB_KV_REPLICA_FOLLOWING)
+  if (hzb_ownership_state (dependencies->ownership) == HZB_OWNERSHIP_NONE
+      && hzb_kv_replica_state (dependencies->kv_replica) == HZB_KV_REPLICA_FOLLOWING)
     {
       leaseholder->fencing_token = fencing_token;
       leaseholder->callbacks.begin_lease (fencing_token, leaseholder->callbacks.user);
       return TRUE;
     }
-  if (!hzb_ownership_is_leaseholder (modules->ownership))
+  if (!hzb_ownership_is_leaseholder (dependencies->ownership))
     return FALSE;
   if (fencing_token > leaseholder->fencing_token)
     raise_fencing_token (leaseholder, fencing_token);
@@ -211,7 +211,7 @@
 void
 hzb_leaseholder_apply_answer (HzbLeaseholder *leaseholder, const HzbShardAnswer *answer)
 {
-  hzb_cancellations_handle_response (leaseholder->modules.cancellations, answer->term, answer->acknowledged_uids);
+  hzb_cancellations_handle_response (leaseholder->dependencies.cancellations, answer->term, answer->acknowledged_uids);
   if (!answer_is_current (leaseholder, answer))
     return;
   if (answer->reclaimed)
@@ -221,7 +221,7 @@
     }
   if (!answer->fencing_token || !accept_lease (leaseholder, answer->fencing_token))
     return;
-  leaseholder->last_answer = hzb_clock_now (leaseholder->modules.node->clock);
+  leaseholder->last_answer = hzb_clock_now (leaseholder->dependencies.node->clock);
   /* The lease duration counts from when the poll was sent, because the answer may be old if this process was
    * stalled. */
   leaseholder->valid_until = hzb_time_plus (leaseholder->last_poll, answer->lease_s);
--- a/src/shards/leaseholder-poll.c
+++ b/src/shards/leaseholder-poll.c
@@ -28,20 +28,20 @@
 /* Returns: CPUs of the tasks to request: the free CPUs of the shard plus the prefetch, less the CPUs of unstarted
  * tasks */
 static double
-cpus_to_request (const HzbLeaseholderDependencies *modules)
+cpus_to_request (const HzbLeaseholderDependencies *dependencies)
 {
   double free_cpus = 0, total_cpus = 0, queued_cpus = 0;
-  for (guint i = 0; i < modules->machines->all->len; i++)
+  for (guint i = 0; i < dependencies->machines->all->len; i++)
     {
-      const HzbMachine *machine = modules->machines->all->pdata[i];
+      const HzbMachine *machine = dependencies->machines->all->pdata[i];
       if (!hzb_machine_is_usable (machine))
         continue;
       free_cpus += MAX (0, machine->type->cpus - machine->cpus);
       total_cpus += machine->type->cpus;
     }
-  for (guint i = 0; i < modules->jobs->active->len; i++)
+  for (guint i = 0; i < dependencies->jobs->active->len; i++)
     {
-      const HzbJob *job = modules->jobs->active->pdata[i];
+      const HzbJob *job = dependencies->jobs->active->pdata[i];
       queued_cpus += (job->queued + job->pending) * job->spec->cpus;
     }
   return free_cpus + PREFETCH_FRACTION * total_cpus - queued_cpus;
@@ -72,8 +72,8 @@
 static void
 add_job_counts (HzbLeaseholder *leaseholder, HzbShardPoll *poll)
 {
-  const GPtrArray *jobs = leaseholder->modules.jobs->active;
-  g_autoptr (GHashTable) recalled_counts = count_tasks_on_recalled_machines (leaseholder->modules.machines);
+  const GPtrArray *jobs = leaseholder->dependencies.jobs->active;
+  g_autoptr (GHashTable) recalled_counts = count_tasks_on_recalled_machines (leaseholder->dependencies.machines);
   gboolean partial = jobs->len > MAX_JOB_COUNTS_PER_POLL;
   guint first = partial ? leaseholder->next_counted_job % jobs->len : 0;
 
@@ -95,13 +95,13 @@
 {
   HzbShardPoll *poll = hzb_shard_poll_new ();
 
-  poll->cancellations = hzb_cancellations_next_requests (leaseholder->modules.cancellations);
-  if (!hzb_ownership_is_leaseholder (leaseholder->modules.ownership))
+  poll->cancellations = hzb_cancellations_next_requests (leaseholder->dependencies.cancellations);
+  if (!hzb_ownership_is_leaseholder (leaseholder->dependencies.ownership))
     return poll;
   poll->fencing_token = leaseholder->fencing_token;
   poll->last_batch_applied = leaseholder->last_batch_applied;
   poll->events = hzb_outbox_send (&leaseholder->events);
-  poll->requested_cpus = hzb_leaseholder_lease_valid (leaseholder) ? cpus_to_request (&leaseholder->modules) : 0;
+  poll->requested_cpus = hzb_leaseholder_lease_valid (leaseholder) ? cpus_to_request (&leaseholder->dependencies) : 0;
   add_job_counts (leaseholder, poll);
   return poll;
 }
@@ -129,8 +129,8 @@
 static const char *
 leader_address (const HzbLeaseholder *leaseholder)
 {
-  const char *leader = hzb_election_leader (leaseholder->modules.election);
-  const GPtrArray *peers = leaseholder->modules.node->settings->peers;
+  const char *leader = hzb_election_leader (leaseholder->dependencies.election);
+  const GPtrArray *peers = leaseholder->dependencies.node->settings->peers;
 
   for (guint i = 0; leader && i < peers->len; i++)
     if (g_str_equal (((const HzbPeer *) peers->pdata[i])->node, leader))
@@ -141,15 +141,15 @@
 static void
 send_poll (HzbLeaseholder *leaseholder, const char *address, struct timespec now)
 {
-  cJSON *message = hzb_peers_new_message (leaseholder->modules.peers, HZB_PEER_SHARD_POLL);
+  cJSON *message = hzb_peers_new_message (leaseholder->dependencies.peers, HZB_PEER_SHARD_POLL);
   g_autoptr (HzbShardPoll) poll = build_poll (leaseholder);
 
   leaseholder->poll_in_flight = TRUE;
   leaseholder->last_poll = now;
-  hzb_epoch_call_init (&leaseholder->poll_call, leaseholder->modules.ownership, leaseholder, NULL);
+  hzb_epoch_call_init (&leaseholder->poll_call, leaseholder->dependencies.ownership, leaseholder, NULL);
   hzb_shard_poll_encode (poll, message);
-  hzb_transport_send (leaseholder->modules.node->transport, "POST", address, "/peer/v1/block", hzb_json_print (message),
-                      POLL_TIMEOUT_MS, on_answer, leaseholder);
+  hzb_transport_send (leaseholder->dependencies.node->transport, "POST", address, "/peer/v1/block",
+                      hzb_json_print (message), POLL_TIMEOUT_MS, on_answer, leaseholder);
 }
 
 void
@@ -157,11 +157,11 @@
 {
   const char *address;
 
-  if (!hzb_election_leader (leaseholder->modules.election) || leaseholder->poll_in_flight
+  if (!hzb_election_leader (leaseholder->dependencies.election) || leaseholder->poll_in_flight
       || hzb_time_before (now, leaseholder->next_poll))
     return;
   leaseholder->next_poll = hzb_time_plus (now, POLL_INTERVAL_S);
   address = leader_address (leaseholder);
-  if (address && hzb_kv_replica_state (leaseholder->modules.kv_replica) == HZB_KV_REPLICA_FOLLOWING)
+  if (address && hzb_kv_replica_state (leaseholder->dependencies.kv_replica) == HZB_KV_REPLICA_FOLLOWING)
     send_poll (leaseholder, address, now);
 }
--- a/src/shards/leaseholder-returns.c
+++ b/src/shards/leaseholder-returns.c
@@ -1,11 +1,11 @@
 /* The leaseholder returns unstarted tasks, and machines that it does not need or cannot use, to the leader. */
 #include "leaseholder-private.h"
 
-#define UNSTARTED_TTL_S 6.0         /* a task that has not started within this time is returned */
-#define MAX_IDLE_S 10.0             /* a machine that has been idle for longer is returned */
-#define MAX_MISSED_HEARTBEATS 3     /* a machine that misses more heartbeat intervals is returned */
-#define MAX_RETURNED_PER_EVENT 800u /* tasks of up to 30 bytes each: the event must fit into a poll */
-#define MAINTENANCE_INTERVAL_S 0.5  /* interval of the search for unstarted tasks to return */
+#define UNSTARTED_TTL_S 6.0            /* a task that has not started within this time is returned */
+#define MAX_IDLE_S 10.0                /* a machine that has been idle for longer is returned */
+#define MAX_MISSED_HEARTBEATS 3        /* a machine that misses more heartbeat intervals is returned */
+#define MAX_RETURNED_PER_EVENT 800u    /* tasks of up to 30 bytes each: the event must fit into a poll */
+#define UNSTARTED_CHECK_INTERVAL_S 0.5 /* interval of the check for unstarted tasks to return */
 
 /* ---- machines ---- */
 
@@ -16,7 +16,7 @@
 {
   HzbMachineReturn *returned = hzb_machine_return_new (machine->name, reason, machine->agent_epoch, machine->sequence);
 
-  returned->faulty = machine->scale_in_requested && !machine->recall_requested;
+  returned->scale_in_requested = machine->scale_in_requested && !machine->recall_requested;
   hzb_machine_clear_run_queues (jobs, machine);
   while (machine->tasks->len)
     {
@@ -37,10 +37,10 @@
 void
 hzb_leaseholder_return_machine (HzbLeaseholder *leaseholder, HzbMachine *machine, const char *reason)
 {
-  HzbMachines *machines = leaseholder->modules.machines;
+  HzbMachines *machines = leaseholder->dependencies.machines;
   HzbShardEvent *event = hzb_shard_event_new ();
 
-  event->machine = detach_machine (leaseholder->modules.jobs, machine, reason);
+  event->machine = detach_machine (leaseholder->dependencies.jobs, machine, reason);
   hzb_leaseholder_push (leaseholder, event);
   hzb_machine_set_state (machines, machine, HZB_MACHINE_RETURNING, reason);
   hzb_machine_set_state (machines, machine, HZB_MACHINE_GONE, "returned to the leader");
@@ -90,8 +90,8 @@
 static void
 return_machines (HzbLeaseholder *leaseholder, struct timespec now)
 {
-  const GPtrArray *machines = leaseholder->modules.machines->all;
-  double heartbeat_interval_s = leaseholder->modules.node->settings->heartbeat_interval_s;
+  const GPtrArray *machines = leaseholder->dependencies.machines->all;
+  double heartbeat_interval_s = leaseholder->dependencies.node->settings->heartbeat_interval_s;
 
   for (guint i = machines->len; i-- > 0;)
     {
@@ -135,7 +135,7 @@
 static void
 return_task (ReturnedTasks *returned, HzbTask *task)
 {
-  HzbJobs *jobs = returned->leaseholder->modules.jobs;
+  HzbJobs *jobs = returned->leaseholder->dependencies.jobs;
 
   if (task->state == HZB_TASK_QUEUED)
     hzb_task_set_state (jobs, task, HZB_TASK_PENDING, NULL);
@@ -166,7 +166,7 @@
 static void
 return_unstarted_tasks (HzbLeaseholder *leaseholder, struct timespec now)
 {
-  HzbJobs *jobs = leaseholder->modules.jobs;
+  HzbJobs *jobs = leaseholder->dependencies.jobs;
   ReturnedTasks returned = { leaseholder, NULL, 0 };
 
   for (guint i = 0; i < jobs->active->len; i++)
@@ -186,8 +186,8 @@
 hzb_leaseholder_return_unneeded (HzbLeaseholder *leaseholder, struct timespec now)
 {
   return_machines (leaseholder, now);
-  if (hzb_time_before (now, leaseholder->next_maintenance))
+  if (hzb_time_before (now, leaseholder->next_unstarted_check))
     return;
-  leaseholder->next_maintenance = hzb_time_plus (now, MAINTENANCE_INTERVAL_S);
+  leaseholder->next_unstarted_check = hzb_time_plus (now, UNSTARTED_CHECK_INTERVAL_S);
   return_unstarted_tasks (leaseholder, now);
 }
--- a/src/shards/leaseholder.c
+++ b/src/shards/leaseholder.c
@@ -13,7 +13,7 @@
 hzb_leaseholder_new (const HzbLeaseholderDependencies *dependencies, const HzbLeaseholderCallbacks *callbacks)
 {
   HzbLeaseholder *leaseholder = g_new0 (HzbLeaseholder, 1);
-  leaseholder->modules = *dependencies;
+  leaseholder->dependencies = *dependencies;
   leaseholder->callbacks = *callbacks;
   hzb_outbox_init (&leaseholder->events, MAX_EVENT_BYTES, (HzbOutboxEncode) hzb_shard_event_encode,
                    (GDestroyNotify) hzb_shard_event_free);
@@ -37,8 +37,8 @@
 gboolean
 hzb_leaseholder_lease_valid (HzbLeaseholder *leaseholder)
 {
-  return hzb_ownership_is_leaseholder (leaseholder->modules.ownership)
-         && hzb_time_before (hzb_clock_now (leaseholder->modules.node->clock), leaseholder->valid_until);
+  return hzb_ownership_is_leaseholder (leaseholder->dependencies.ownership)
+         && hzb_time_before (hzb_clock_now (leaseholder->dependencies.node->clock), leaseholder->valid_until);
 }
 
 void
@@ -56,7 +56,8 @@
 static const char *
 lease_end_reason (HzbLeaseholder *leaseholder, struct timespec now)
 {
-  if (hzb_election_leader_term (leaseholder->modules.election) != hzb_fencing_token_term (leaseholder->fencing_token))
+  if (hzb_election_leader_term (leaseholder->dependencies.election)
+      != hzb_fencing_token_term (leaseholder->fencing_token))
     return "the leader's term has changed";
   if (!hzb_leaseholder_lease_valid (leaseholder))
     return "the shard lease has expired";
@@ -68,9 +69,9 @@
 void
 hzb_leaseholder_tick (HzbLeaseholder *leaseholder, struct timespec now)
 {
-  if (hzb_election_is_leader (leaseholder->modules.election))
+  if (hzb_election_is_leader (leaseholder->dependencies.election))
     return;
-  if (hzb_ownership_is_leaseholder (leaseholder->modules.ownership))
+  if (hzb_ownership_is_leaseholder (leaseholder->dependencies.ownership))
     {
       const char *reason = lease_end_reason (leaseholder, now);
       if (reason)
--- a/src/shards/shard-delegation.c
+++ b/src/shards/shard-delegation.c
@@ -77,7 +77,7 @@
 static gboolean
 can_delegate (const Delegation *delegation, const HzbJob *job)
 {
-  HzbDispatch *dispatch = delegation->leaseholder->shard_leases->modules.dispatch;
+  HzbDispatch *dispatch = delegation->leaseholder->shard_leases->dependencies.dispatch;
   return delegation->n_tasks < MAX_TASKS_PER_ANSWER && job->spec->cpus <= delegation->remaining_cpus
          && hzb_dispatch_pacing_allows (dispatch, job) && hzb_dispatch_team_limit_allows (dispatch, job);
 }
@@ -85,7 +85,7 @@
 static void
 delegate_job_tasks (Delegation *delegation, HzbJob *job)
 {
-  const HzbShardLeasesDependencies *modules = &delegation->leaseholder->shard_leases->modules;
+  const HzbShardLeasesDependencies *dependencies = &delegation->leaseholder->shard_leases->dependencies;
   guint next_index = 0;
 
   if (!shard_has_allowed_machine (delegation->leaseholder, job->spec)
@@ -95,13 +95,13 @@
     job->release_requested = TRUE;
   while (can_delegate (delegation, job))
     {
-      HzbTask *task = take_next_task (modules->jobs, job, &next_index, delegation->now);
+      HzbTask *task = take_next_task (dependencies->jobs, job, &next_index, delegation->now);
       if (!task)
         return;
-      if (!hzb_task_set_state (modules->jobs, task, HZB_TASK_DELEGATED, NULL))
+      if (!hzb_task_set_state (dependencies->jobs, task, HZB_TASK_DELEGATED, NULL))
         continue;
       task->leaseholder = delegation->leaseholder->id;
-      hzb_dispatch_note_started (modules->dispatch, job);
+      hzb_dispatch_note_started (dependencies->dispatch, job);
       hzb_task_groups_add (delegation->tasks, task);
       delegation->remaining_cpus -= MAX (job->spec->cpus, 0.01);
       delegation->n_tasks++;
@@ -114,15 +114,15 @@
 void
 hzb_shards_delegate (HzbLeaseholderView *leaseholder, double requested_cpus, struct timespec now)
 {
-  const HzbShardLeasesDependencies *modules = &leaseholder->shard_leases->modules;
+  const HzbShardLeasesDependencies *dependencies = &leaseholder->shard_leases->dependencies;
   g_autoptr (GPtrArray) ordered_jobs = NULL;
   g_autoptr (HzbTaskGroups) tasks = NULL;
   Delegation delegation = { leaseholder, now, requested_cpus, 0, NULL };
   HzbShardBatch *batch;
 
-  if (requested_cpus <= 0 || !hzb_election_is_lease_valid (modules->election))
+  if (requested_cpus <= 0 || !hzb_election_is_lease_valid (dependencies->election))
     return;
-  ordered_jobs = jobs_to_delegate (modules->jobs, now);
+  ordered_jobs = jobs_to_delegate (dependencies->jobs, now);
   tasks = delegation.tasks = hzb_task_groups_new ();
   for (guint i = 0; i < ordered_jobs->len && delegation.remaining_cpus > 0 && delegation.n_tasks < MAX_TASKS_PER_ANSWER;
        i++)
@@ -163,7 +163,7 @@
 static gboolean
 service_waits_for_delegated_work (const HzbLeaseholderView *leaseholder)
 {
-  const HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
+  const HzbJobs *jobs = leaseholder->shard_leases->dependencies.jobs;
 
   for (guint i = 0; i < jobs->active->len; i++)
     {
@@ -182,7 +182,7 @@
 void
 hzb_shards_recall_for_service (const HzbLeaseholderView *leaseholder)
 {
-  const HzbMachines *machines = leaseholder->shard_leases->modules.machines;
+  const HzbMachines *machines = leaseholder->shard_leases->dependencies.machines;
   HzbMachine *candidate = NULL;
 
   if (!service_waits_for_delegated_work (leaseholder))
--- a/src/shards/shard-events.c
+++ b/src/shards/shard-events.c
@@ -13,16 +13,16 @@
 static void
 record_result (HzbTask *task, const EventContext *context)
 {
-  const HzbShardLeasesDependencies *modules = &context->leaseholder->shard_leases->modules;
+  const HzbShardLeasesDependencies *dependencies = &context->leaseholder->shard_leases->dependencies;
 
   task->job->proven_runnable = TRUE;
-  hzb_jobs_record_run_time (modules->jobs, task->job, context->ran_s);
-  hzb_task_set_state (modules->jobs, task, HZB_TASK_FINISHED, NULL);
+  hzb_jobs_record_run_time (dependencies->jobs, task->job, context->ran_s);
+  hzb_task_set_state (dependencies->jobs, task, HZB_TASK_FINISHED, NULL);
   task->job->dirty = TRUE;
   if (task->job->finished + task->job->done == task->job->n_tasks)
-    hzb_records_complete_job (modules->records, task->job);
+    hzb_records_complete_job (dependencies->records, task->job);
   else
-    hzb_records_flush_if_due (modules->records);
+    hzb_records_flush_if_due (dependencies->records);
 }
 
 static void
@@ -52,7 +52,7 @@
   const EventContext *context = user;
   if (!hzb_shards_is_delegated_to (task, context->leaseholder))
     return;
-  hzb_task_set_state (context->leaseholder->shard_leases->modules.jobs, task, HZB_TASK_PENDING, NULL);
+  hzb_task_set_state (context->leaseholder->shard_leases->dependencies.jobs, task, HZB_TASK_PENDING, NULL);
   task->leaseholder = 0;
 }
 
@@ -77,7 +77,7 @@
 static void
 attach_held_task (HzbLeaseholderView *leaseholder, HzbMachine *machine, const HzbHeldTask *held)
 {
-  HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
+  HzbJobs *jobs = leaseholder->shard_leases->dependencies.jobs;
   HzbTask *task = hzb_tasks_find (jobs, held->uid, held->number);
 
   if (!task || !hzb_shards_is_delegated_to (task, leaseholder))
@@ -91,15 +91,15 @@
 accept_returned_machine (HzbLeaseholderView *leaseholder, const HzbMachineReturn *returned)
 {
   HzbShardLeases *shard_leases = leaseholder->shard_leases;
-  HzbMachines *machines = shard_leases->modules.machines;
+  HzbMachines *machines = shard_leases->dependencies.machines;
   HzbMachine *machine = hzb_machines_find (machines, returned->name);
 
   if (!machine || !hzb_shards_is_leased_to (machine, leaseholder))
     return;
   hzb_machine_unverify (machines, machine, hzb_shard_leases_next_fencing_token (shard_leases), returned->reason);
-  machine->unconfirmed_tasks_of = HZB_UNCONFIRMED_TASKS_OF_NONE;
-  machine->idle_since = hzb_clock_now (shard_leases->modules.node->clock);
-  if (returned->faulty)
+  machine->unconfirmed_tasks_owner = HZB_UNCONFIRMED_TASKS_OF_NONE;
+  machine->idle_since = hzb_clock_now (shard_leases->dependencies.node->clock);
+  if (returned->scale_in_requested)
     machine->scale_in_requested = TRUE;
   update_heartbeat_sequence (machine, returned);
   for (guint i = 0; i < returned->held_tasks->len; i++)
@@ -109,7 +109,7 @@
 void
 hzb_shards_apply_event (HzbLeaseholderView *leaseholder, const HzbShardEvent *event)
 {
-  HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
+  HzbJobs *jobs = leaseholder->shard_leases->dependencies.jobs;
   EventContext context = { leaseholder, event->ran_s };
 
   hzb_task_groups_foreach (event->finished, jobs, apply_finished_task, &context);
@@ -169,7 +169,7 @@
 void
 hzb_shards_apply_counts (HzbLeaseholderView *leaseholder, const HzbShardPoll *poll)
 {
-  HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
+  HzbJobs *jobs = leaseholder->shard_leases->dependencies.jobs;
   apply_counts (jobs, leaseholder->running_counts, G_STRUCT_OFFSET (HzbJob, delegated_running), poll->running_counts,
                 poll->partial_counts);
   apply_counts (jobs, leaseholder->recalled_counts, G_STRUCT_OFFSET (HzbJob, delegated_on_recalled_machines),
@@ -179,7 +179,7 @@
 void
 hzb_shards_clear_counts (HzbLeaseholderView *leaseholder)
 {
-  HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
+  HzbJobs *jobs = leaseholder->shard_leases->dependencies.jobs;
   clear_counts (jobs, leaseholder->running_counts, G_STRUCT_OFFSET (HzbJob, delegated_running));
   clear_counts (jobs, leaseholder->recalled_counts, G_STRUCT_OFFSET (HzbJob, delegated_on_recalled_machines));
 }
--- a/src/shards/shard-leases-private.h
+++ b/src/shards/shard-leases-private.h
@@ -14,14 +14,15 @@
 
 /**
  * HZB_SHARDS_POLL_TIMEOUT_S: the leader reclaims a shard when its leaseholder has not polled for this number of
- * seconds. The node must then poll without interruption for a while before the leader leases machines to it again.
+ * seconds. The node must then poll without interruption for MIN_STEADY_POLLING_S (shard-machines.c) before the leader
+ * leases machines to it again.
  */
 #define HZB_SHARDS_POLL_TIMEOUT_S 4.0
 
 /** HzbLeaseholderView: the leader's view of one other node, which may hold a leased shard. */
 typedef struct
 {
-  HzbShardLeases *shard_leases;    /**< (not owned): the leader's view of all leaseholders */
+  HzbShardLeases *shard_leases;    /**< (not owned): the object that owns this view */
   guint8 id;                       /**< from 1 on: the position of the peer in the settings */
   const HzbPeer *peer;             /**< (not owned): name and address of the node */
   char *incarnation;               /**< (nullable): the process that polled last; NULL: none has polled in this term */
@@ -34,20 +35,32 @@
   guint64 last_event_applied;      /**< number of the node's last event that was applied; 0: none */
   GHashTable *running_counts;      /**< job uid -> number of tasks that run in the shard, as of the last poll */
   GHashTable *recalled_counts; /**< job uid -> number of tasks on recalled machines of the shard, as of the last poll */
-  GPtrArray *machine_kinds;    /**< (element-type HzbMachine): one machine of each kind, as of the last scan */
+  /**
+   * (element-type HzbMachine) (elements not owned): one machine of the shard for each combination of machine type, zone
+   * and spot flag, as of the last scan. Recalled machines are left out.
+   */
+  GPtrArray *machine_kinds;
 } HzbLeaseholderView;
 
-/** _HzbShardLeases: the leader's state; all members except modules and leaseholders belong to the current term. */
+/**
+ * _HzbShardLeases: the leader's view of all leaseholders. All members except dependencies, leaseholders and
+ * next_hand_over belong to the current term.
+ */
 struct _HzbShardLeases
 {
-  HzbShardLeasesDependencies modules; /**< the modules that shard leases use */
-  GPtrArray *leaseholders;            /**< (element-type HzbLeaseholderView): in the order of their ids */
-  guint fencing_token_count;          /**< how many fencing tokens were created in this term */
-  struct timespec next_hand_over;     /**< the earliest time at which a machine may be handed over with its tasks */
-  double *shard_cpus; /**< CPUs by leaseholder id, 0 for the leader's own shard: the last scan and later leases */
+  HzbShardLeasesDependencies dependencies; /**< the modules that shard leases use */
+  GPtrArray *leaseholders;                 /**< (element-type HzbLeaseholderView): in the order of their ids */
+  guint fencing_token_count;               /**< how many fencing tokens were created in this term */
+  struct timespec next_hand_over; /**< the earliest time at which the leader may lease a machine with its tasks again */
+  /**
+   * CPUs of each shard, indexed by the id of its leaseholder; index 0 is the leader's own shard. Counted at the last
+   * scan, and updated by each lease after it.
+   */
+  double *shard_cpus;
   struct timespec scanned_at; /**< when the last scan took place; unset: not in this term */
-  guint generation;           /**< HzbMachines.generation at the last scan; when it changes, machine_kinds is stale */
-  gboolean gang_waiting;      /**< at the last scan a gang was waiting, which needs the machines of all shards */
+  /** HzbMachines.generation at the last scan; once HzbMachines has another, machine_kinds may have freed machines. */
+  guint generation;
+  gboolean gang_waiting;             /**< at the last scan a gang was waiting, which needs the machines of all shards */
   gboolean only_leader_work_waiting; /**< at the last scan all waiting tasks had to run in the leader's shard */
 };
 
@@ -83,8 +96,9 @@
 }
 
 /**
- * hzb_shards_reclaim: reclaims the leaseholder's shard. The machines of the shard become unverified under a higher
- * fencing token, its tasks become unconfirmed. The reason is logged.
+ * hzb_shards_reclaim: reclaims the leaseholder's shard. Each machine of the shard becomes unverified: it gets a new,
+ * higher fencing token, and must send a heartbeat under this token before it gets work. Each task that is delegated to
+ * the leaseholder becomes unconfirmed: it may still run on a machine of the shard. The reason is logged.
  */
 void hzb_shards_reclaim (HzbLeaseholderView *leaseholder, const char *reason);
 
@@ -102,8 +116,9 @@
 void hzb_shards_clear_counts (HzbLeaseholderView *leaseholder);
 
 /**
- * hzb_shards_scan: examines all machines and jobs, unless the last scan is recent. Counts the CPUs of each shard,
- * collects its kinds of machines, sends leases of recorded machines to leaseholders, and recalls machines.
+ * hzb_shards_scan: examines all machines and jobs, unless the last scan is more recent than
+ * hzb_machines_scan_interval_s() and no machine was removed since. Counts the CPUs of each shard, collects its kinds of
+ * machines, sends the lease of each leased machine whose record is durable to its leaseholder, and recalls machines.
  */
 void hzb_shards_scan (HzbShardLeases *shard_leases, struct timespec now);
 
--- a/src/shards/shard-leases.c
+++ b/src/shards/shard-leases.c
@@ -46,7 +46,7 @@
   HzbShardLeases *shard_leases = g_new0 (HzbShardLeases, 1);
   const GPtrArray *peers = dependencies->node->settings->peers;
 
-  shard_leases->modules = *dependencies;
+  shard_leases->dependencies = *dependencies;
   shard_leases->leaseholders = g_ptr_array_new_with_free_func (leaseholder_view_free);
   shard_leases->shard_cpus = g_new0 (double, peers->len + 1);
   for (guint i = 0; i < peers->len; i++)
@@ -75,7 +75,8 @@
 guint64
 hzb_shard_leases_next_fencing_token (HzbShardLeases *shard_leases)
 {
-  return hzb_fencing_token (hzb_election_term (shard_leases->modules.election), ++shard_leases->fencing_token_count);
+  return hzb_fencing_token (hzb_election_term (shard_leases->dependencies.election),
+                            ++shard_leases->fencing_token_count);
 }
 
 const char *
@@ -90,7 +91,7 @@
 static guint
 unverify_machines (HzbLeaseholderView *leaseholder, guint64 fencing_token, const char *reason)
 {
-  HzbMachines *machines = leaseholder->shard_leases->modules.machines;
+  HzbMachines *machines = leaseholder->shard_leases->dependencies.machines;
   guint n = 0;
 
   for (guint i = 0; i < machines->all->len; i++)
@@ -99,7 +100,7 @@
       if (!hzb_shards_is_leased_to (machine, leaseholder))
         continue;
       hzb_machine_unverify (machines, machine, fencing_token, reason);
-      machine->unconfirmed_tasks_of = leaseholder->id;
+      machine->unconfirmed_tasks_owner = leaseholder->id;
       n++;
     }
   return n;
@@ -108,7 +109,7 @@
 static guint
 mark_tasks_unconfirmed (HzbLeaseholderView *leaseholder)
 {
-  HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
+  HzbJobs *jobs = leaseholder->shard_leases->dependencies.jobs;
   guint n = 0;
 
   for (guint i = 0; i < jobs->active->len; i++)
@@ -140,13 +141,13 @@
   hzb_outbox_clear (&leaseholder->batches);
   leaseholder->fencing_token = leaseholder->last_event_applied = leaseholder->last_batch_acknowledged = 0;
   leaseholder->lease_confirmed = FALSE;
-  leaseholder->steady_since = hzb_clock_now (shard_leases->modules.node->clock);
+  leaseholder->steady_since = hzb_clock_now (shard_leases->dependencies.node->clock);
 }
 
 void
 hzb_shard_leases_tick (HzbShardLeases *shard_leases, struct timespec now)
 {
-  if (!hzb_ownership_leader_loaded (shard_leases->modules.ownership))
+  if (!hzb_ownership_leader_loaded (shard_leases->dependencies.ownership))
     return;
   for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     {
--- a/src/shards/shard-leases.h
+++ b/src/shards/shard-leases.h
@@ -28,7 +28,7 @@
   HzbElection *election;           /**< whether the node leads, and its term */
   HzbOwnership *ownership;         /**< whether the leader has loaded its records */
   HzbCancellations *cancellations; /**< acknowledges the cancellations that a poll names */
-  HzbJobs *jobs;                   /**< jobs and tasks; also the leader's own shard */
+  HzbJobs *jobs;                   /**< jobs and tasks; HzbJobs.shard is the leader's own shard */
   HzbMachines *machines;           /**< all machines, those of leased shards included */
   HzbDispatch *dispatch;           /**< quotas and start pacing, and how late the leader's timers fire */
   HzbRecords *records;             /**< makes results durable */
--- a/src/shards/shard-machines.c
+++ b/src/shards/shard-machines.c
@@ -104,7 +104,7 @@
     return;
   send_lease_if_recorded (leaseholder, machine);
   if (leaseholder->lease_confirmed)
-    update_recall (leaseholder, machine, shard_leases->gang_waiting || !*shard_leases->modules.leasing_enabled);
+    update_recall (leaseholder, machine, shard_leases->gang_waiting || !*shard_leases->dependencies.leasing_enabled);
   if (!machine->recall_requested)
     hzb_machines_add_kind (leaseholder->machine_kinds, machine);
 }
@@ -112,7 +112,7 @@
 static gboolean
 scan_is_recent (const HzbShardLeases *shard_leases, struct timespec now)
 {
-  const HzbMachines *machines = shard_leases->modules.machines;
+  const HzbMachines *machines = shard_leases->dependencies.machines;
   return hzb_time_is_set (shard_leases->scanned_at) && shard_leases->generation == machines->generation
          && hzb_time_between (shard_leases->scanned_at, now) < hzb_machines_scan_interval_s (machines);
 }
@@ -121,14 +121,14 @@
 void
 hzb_shards_scan (HzbShardLeases *shard_leases, struct timespec now)
 {
-  const HzbMachines *machines = shard_leases->modules.machines;
+  const HzbMachines *machines = shard_leases->dependencies.machines;
 
   if (scan_is_recent (shard_leases, now))
     return;
   shard_leases->scanned_at = now;
   shard_leases->generation = machines->generation;
-  shard_leases->gang_waiting = has_waiting_gang (shard_leases->modules.jobs);
-  shard_leases->only_leader_work_waiting = has_only_leader_work_waiting (shard_leases->modules.jobs);
+  shard_leases->gang_waiting = has_waiting_gang (shard_leases->dependencies.jobs);
+  shard_leases->only_leader_work_waiting = has_only_leader_work_waiting (shard_leases->dependencies.jobs);
   memset (shard_leases->shard_cpus, 0, (shard_leases->leaseholders->len + 1) * sizeof *shard_leases->shard_cpus);
   for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     g_ptr_array_set_size (((HzbLeaseholderView *) shard_leases->leaseholders->pdata[i])->machine_kinds, 0);
@@ -172,9 +172,9 @@
 static gboolean
 can_lease_machine (const HzbShardLeases *shard_leases, const HzbMachine *machine)
 {
-  return *shard_leases->modules.leasing_enabled && machine->type && !machine->scale_in_requested
+  return *shard_leases->dependencies.leasing_enabled && machine->type && !machine->scale_in_requested
          && !machine->scale_in_candidate && !machine->reserved_for_services && !machine->unreachable
-         && machine->known_to_cloud && hzb_ownership_leader_loaded (shard_leases->modules.ownership)
+         && machine->known_to_cloud && hzb_ownership_leader_loaded (shard_leases->dependencies.ownership)
          && !shard_leases->gang_waiting && !shard_leases->only_leader_work_waiting;
 }
 
@@ -190,7 +190,7 @@
   shard_leases->shard_cpus[leaseholder->id] += machine->type->cpus;
   machine->leaseholder = leaseholder->id;
   machine->lease_sent = FALSE;
-  hzb_machine_set_state (shard_leases->modules.machines, machine, HZB_MACHINE_LEASED, leaseholder->peer->node);
+  hzb_machine_set_state (shard_leases->dependencies.machines, machine, HZB_MACHINE_LEASED, leaseholder->peer->node);
 }
 
 /* Leasing keeps the shards at about the same size. The leader delegates as many tasks to each shard as it has CPUs
@@ -198,7 +198,7 @@
 const char *
 hzb_shard_leases_lease_idle (HzbShardLeases *shard_leases, HzbMachine *machine)
 {
-  struct timespec now = hzb_clock_now (shard_leases->modules.node->clock);
+  struct timespec now = hzb_clock_now (shard_leases->dependencies.node->clock);
   HzbLeaseholderView *leaseholder;
 
   hzb_shards_scan (shard_leases, now);
@@ -226,10 +226,11 @@
 static gboolean
 can_hand_over_machine (const HzbShardLeases *shard_leases, const HzbMachine *machine, struct timespec now)
 {
-  if (shard_leases->modules.dispatch->lag_s < MIN_OVERLOAD_LAG_S || hzb_time_before (now, shard_leases->next_hand_over)
-      || machine->tasks->len > MAX_TASKS_HANDED_OVER || machine->state != HZB_MACHINE_ACTIVE || !machine->verified
-      || !machine->recorded || machine->ignored_responses || machine->quarantined
-      || !can_lease_machine (shard_leases, machine) || !hzb_election_is_lease_valid (shard_leases->modules.election))
+  if (shard_leases->dependencies.dispatch->lag_s < MIN_OVERLOAD_LAG_S
+      || hzb_time_before (now, shard_leases->next_hand_over) || machine->tasks->len > MAX_TASKS_HANDED_OVER
+      || machine->state != HZB_MACHINE_ACTIVE || !machine->verified || !machine->recorded || machine->ignored_responses
+      || machine->quarantined || !can_lease_machine (shard_leases, machine)
+      || !hzb_election_is_lease_valid (shard_leases->dependencies.election))
     return FALSE;
   for (guint i = 0; i < machine->tasks->len; i++)
     if (!can_hand_over_task (machine->tasks->pdata[i]))
@@ -241,20 +242,20 @@
 static GArray *
 delegate_machine_tasks (HzbLeaseholderView *leaseholder, HzbMachine *machine)
 {
-  HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
-  GArray *held = hzb_held_tasks_new ();
+  HzbJobs *jobs = leaseholder->shard_leases->dependencies.jobs;
+  GArray *held_tasks = hzb_held_tasks_new ();
 
   hzb_machine_clear_run_queues (jobs, machine);
   while (machine->tasks->len)
     {
       HzbTask *task = machine->tasks->pdata[machine->tasks->len - 1];
       guint before = machine->tasks->len;
-      hzb_held_tasks_add (held, task);
+      hzb_held_tasks_add (held_tasks, task);
       task->leaseholder = leaseholder->id;
       hzb_task_set_state (jobs, task, HZB_TASK_DELEGATED, NULL);
-      g_return_val_if_fail (machine->tasks->len < before, held);
+      g_return_val_if_fail (machine->tasks->len < before, held_tasks);
     }
-  return held;
+  return held_tasks;
 }
 
 /* After a failover the leader holds every machine, and under load hardly any machine is without tasks. Such a
@@ -264,7 +265,7 @@
 const char *
 hzb_shard_leases_hand_over (HzbShardLeases *shard_leases, HzbMachine *machine)
 {
-  struct timespec now = hzb_clock_now (shard_leases->modules.node->clock);
+  struct timespec now = hzb_clock_now (shard_leases->dependencies.node->clock);
   HzbLeaseholderView *leaseholder;
   HzbMachineLease *lease;
 
@@ -276,8 +277,8 @@
    * machine of the shard could then be used until its next heartbeat. */
   if (!leaseholder || (leaseholder->fencing_token && machine->fencing_token >= leaseholder->fencing_token))
     return NULL;
-  shard_leases->next_hand_over =
-      hzb_time_plus (now, MIN (HAND_OVER_INTERVAL_S, MAX_HAND_OVER_ALL_S / shard_leases->modules.machines->all->len));
+  shard_leases->next_hand_over = hzb_time_plus (
+      now, MIN (HAND_OVER_INTERVAL_S, MAX_HAND_OVER_ALL_S / shard_leases->dependencies.machines->all->len));
   lease = hzb_machine_lease_new (machine);
   lease->held_tasks = delegate_machine_tasks (leaseholder, machine);
   lease_machine_to (leaseholder, machine);
--- a/src/shards/shard-messages.c
+++ b/src/shards/shard-messages.c
@@ -13,25 +13,25 @@
 GArray *
 hzb_held_tasks_new (void)
 {
-  GArray *held = g_array_new (FALSE, TRUE, sizeof (HzbHeldTask));
-  g_array_set_clear_func (held, held_task_clear);
-  return held;
+  GArray *held_tasks = g_array_new (FALSE, TRUE, sizeof (HzbHeldTask));
+  g_array_set_clear_func (held_tasks, held_task_clear);
+  return held_tasks;
 }
 
 void
-hzb_held_tasks_add (GArray *held, const HzbTask *task)
+hzb_held_tasks_add (GArray *held_tasks, const HzbTask *task)
 {
   HzbHeldTask entry = { g_strdup (task->job->uid), (int) task->index, task->attempt, task->state == HZB_TASK_RUNNING };
-  g_array_append_val (held, entry);
+  g_array_append_val (held_tasks, entry);
 }
 
 static cJSON *
-held_tasks_encode (const GArray *held)
+held_tasks_encode (const GArray *held_tasks)
 {
   cJSON *list = cJSON_CreateArray ();
-  for (guint i = 0; i < held->len; i++)
+  for (guint i = 0; i < held_tasks->len; i++)
     {
-      const HzbHeldTask *task = &g_array_index (held, HzbHeldTask, i);
+      const HzbHeldTask *task = &g_array_index (held_tasks, HzbHeldTask, i);
       cJSON *item = cJSON_CreateObject ();
       cJSON_AddStringToObject (item, "job", task->uid);
       cJSON_AddNumberToObject (item, "task", task->number);
@@ -47,16 +47,16 @@
 static GArray *
 held_tasks_decode (const cJSON *list)
 {
-  GArray *held = hzb_held_tasks_new ();
+  GArray *held_tasks = hzb_held_tasks_new ();
   const cJSON *item;
   cJSON_ArrayForEach (item, list)
     {
       HzbHeldTask task = { g_strdup (hzb_json_text (item, "job")), (int) hzb_json_number (item, "task", -1),
                            hzb_json_u64 (item, "attempt"),
                            cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "runs")) };
-      g_array_append_val (held, task);
+      g_array_append_val (held_tasks, task);
     }
-  return held;
+  return held_tasks;
 }
 
 /* ---- leases ---- */
@@ -151,7 +151,7 @@
   cJSON *message = cJSON_CreateObject ();
   cJSON_AddStringToObject (message, "machine", returned->name);
   cJSON_AddStringToObject (message, "why", returned->reason);
-  cJSON_AddBoolToObject (message, "sick", returned->faulty);
+  cJSON_AddBoolToObject (message, "sick", returned->scale_in_requested);
   hzb_json_add_u64 (message, "session", returned->agent_epoch);
   hzb_json_add_u64 (message, "seq", returned->sequence);
   cJSON_AddItemToObject (message, "lost", held_tasks_encode (returned->held_tasks));
@@ -168,7 +168,7 @@
     return NULL;
   returned = hzb_machine_return_new (name, hzb_json_text (message, "why"), hzb_json_u64 (message, "session"),
                                      hzb_json_u64 (message, "seq"));
-  returned->faulty = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "sick"));
+  returned->scale_in_requested = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (message, "sick"));
   g_array_unref (returned->held_tasks);
   returned->held_tasks = held_tasks_decode (cJSON_GetObjectItemCaseSensitive (message, "lost"));
   return returned;
--- a/src/shards/shard-messages.h
+++ b/src/shards/shard-messages.h
@@ -14,16 +14,16 @@
 typedef struct
 {
   char *uid;        /**< (nullable): uid of its job; NULL: the sender named none */
-  int number;       /**< number of the task in its job, from 0 on; below 0: the sender named none */
-  guint64 attempt;  /**< attempt number of this start of the task */
+  int number;       /**< HzbTask.index: number of the task in its job, from 0 on; below 0: the sender named none */
+  guint64 attempt;  /**< HzbTask.attempt: number of the task's current start, unique within the job */
   gboolean running; /**< a heartbeat has shown that the task runs; FALSE: it may still be fetching its image */
 } HzbHeldTask;
 
 /** hzb_held_tasks_new: Returns: (transfer full) (element-type HzbHeldTask): an empty array */
 GArray *hzb_held_tasks_new (void);
 
-/** hzb_held_tasks_add: appends the task in its present state to held (element-type HzbHeldTask). */
-void hzb_held_tasks_add (GArray *held, const HzbTask *task);
+/** hzb_held_tasks_add: appends the task, in its present state, to held_tasks (element-type HzbHeldTask). */
+void hzb_held_tasks_add (GArray *held_tasks, const HzbTask *task);
 
 /** HzbMachineLease: a machine that the leader leases to a leaseholder. */
 typedef struct
@@ -35,7 +35,11 @@
   gboolean spot;       /**< it is a spot machine: the cloud may reclaim it at any time */
   guint64 agent_epoch; /**< agent epoch of its last heartbeat */
   guint64 sequence;    /**< sequence number of its last heartbeat */
-  GArray *held_tasks; /**< (nullable) (element-type HzbHeldTask): tasks that may be on it; NULL: leased without tasks */
+  /**
+   * (nullable) (element-type HzbHeldTask): tasks that may be on it, if the leader hands it over; possibly none. The
+   * leaseholder then treats it as unverified. NULL: it was leased while idle or booting, and is treated as booting.
+   */
+  GArray *held_tasks;
 } HzbMachineLease;
 
 /** hzb_machine_lease_free: frees a lease and its members. */
@@ -57,9 +61,13 @@
 /** HzbMachineReturn: a machine that a leaseholder returns to the leader. */
 typedef struct
 {
-  char *name;          /**< name of the machine */
-  char *reason;        /**< (nullable): why the machine is returned, for the leader's log */
-  gboolean faulty;     /**< the leader should return the machine to the cloud */
+  char *name;   /**< name of the machine */
+  char *reason; /**< (nullable): why the machine is returned, for the leader's log */
+  /**
+   * the leader should return the machine to the cloud: HzbMachine.scale_in_requested at the leaseholder, for example of
+   * a faulty machine; FALSE if the leader has recalled the machine
+   */
+  gboolean scale_in_requested;
   guint64 agent_epoch; /**< agent epoch of its last heartbeat */
   guint64 sequence;    /**< sequence number of its last heartbeat */
   GArray *held_tasks;  /**< (element-type HzbHeldTask): tasks that may be on it */
--- a/src/shards/shard-requests.c
+++ b/src/shards/shard-requests.c
@@ -109,11 +109,11 @@
 answer_poll (HzbLeaseholderView *leaseholder, HzbHttpRequest *http_request, const HzbShardPoll *poll,
              struct timespec now)
 {
-  const HzbShardLeasesDependencies *modules = &leaseholder->shard_leases->modules;
-  g_auto (HzbShardAnswer) answer = { .term = hzb_election_term (modules->election), .lease_s = SHARD_LEASE_S };
+  const HzbShardLeasesDependencies *dependencies = &leaseholder->shard_leases->dependencies;
+  g_auto (HzbShardAnswer) answer = { .term = hzb_election_term (dependencies->election), .lease_s = SHARD_LEASE_S };
 
   if (poll->cancellations)
-    answer.acknowledged_uids = hzb_cancellations_acknowledge (modules->cancellations, poll->cancellations);
+    answer.acknowledged_uids = hzb_cancellations_acknowledge (dependencies->cancellations, poll->cancellations);
   answer.reclaimed = holds_reclaimed_shard (leaseholder, poll, answer.term);
   if (!answer.reclaimed)
     {
@@ -129,15 +129,15 @@
 void
 hzb_shard_leases_handle_poll (HzbShardLeases *shard_leases, HzbHttpRequest *http_request, const cJSON *root)
 {
-  const HzbShardLeasesDependencies *modules = &shard_leases->modules;
+  const HzbShardLeasesDependencies *dependencies = &shard_leases->dependencies;
   g_autoptr (HzbShardPoll) poll = hzb_shard_poll_decode (root);
   HzbLeaseholderView *leaseholder = find_leaseholder (shard_leases, poll->node);
-  struct timespec now = hzb_clock_now (modules->node->clock);
+  struct timespec now = hzb_clock_now (dependencies->node->clock);
 
-  if (hzb_election_is_leader (modules->election))
+  if (hzb_election_is_leader (dependencies->election))
     hzb_shards_scan (shard_leases, now);
-  if (!leaseholder || !poll->incarnation || !hzb_election_is_leader (modules->election)
-      || !hzb_ownership_leader_loaded (modules->ownership))
+  if (!leaseholder || !poll->incarnation || !hzb_election_is_leader (dependencies->election)
+      || !hzb_ownership_leader_loaded (dependencies->ownership))
     {
       hzb_http_request_respond (http_request, 503, hzb_error_response_encode ("no blocks to lease here"), 0);
       return;
--- a/src/shards/shard-status-codec.c
+++ b/src/shards/shard-status-codec.c
@@ -34,21 +34,21 @@
 static HzbShardStatus
 status_of_own_shard (const HzbShardLeases *shard_leases)
 {
-  HzbShardStatus status = { .holder = shard_leases->modules.node->settings->node,
-                            .fencing_token = shard_leases->modules.jobs->shard->fencing_token };
-  count_machines (&status, shard_leases->modules.machines, NULL);
+  HzbShardStatus status = { .holder = shard_leases->dependencies.node->settings->node,
+                            .fencing_token = shard_leases->dependencies.jobs->shard->fencing_token };
+  count_machines (&status, shard_leases->dependencies.machines, NULL);
   return status;
 }
 
 static HzbShardStatus
 status_of_leased_shard (const HzbLeaseholderView *leaseholder)
 {
-  const HzbShardLeasesDependencies *modules = &leaseholder->shard_leases->modules;
+  const HzbShardLeasesDependencies *dependencies = &leaseholder->shard_leases->dependencies;
   HzbShardStatus status = { .holder = leaseholder->peer->node,
                             .fencing_token = leaseholder->fencing_token,
                             .leased = TRUE,
-                            .delegated_tasks = count_delegated_tasks (modules->jobs, leaseholder) };
-  count_machines (&status, modules->machines, leaseholder);
+                            .delegated_tasks = count_delegated_tasks (dependencies->jobs, leaseholder) };
+  count_machines (&status, dependencies->machines, leaseholder);
   return status;
 }
 
--- a/src/shards/task-group-messages.c
+++ b/src/shards/task-group-messages.c
@@ -45,7 +45,7 @@
 }
 
 void
-hzb_task_groups_add_group (HzbTaskGroups *groups, const HzbTaskGroup *group)
+hzb_task_groups_append_group (HzbTaskGroups *groups, const HzbTaskGroup *group)
 {
   HzbTaskGroup *copy = append_group (groups, group->uid);
   g_array_append_vals (copy->numbers, group->numbers->data, group->numbers->len);
@@ -103,8 +103,8 @@
 }
 
 HzbTask *
-hzb_tasks_find (HzbJobs *jobs, const char *uid, int number)
+hzb_tasks_find (HzbJobs *jobs, const char *job_uid, int number)
 {
-  HzbJob *job = uid ? hzb_jobs_find (jobs, uid) : NULL;
+  HzbJob *job = job_uid ? hzb_jobs_find (jobs, job_uid) : NULL;
   return job && job->tasks && number >= 0 && (guint) number < job->n_tasks ? &job->tasks[number] : NULL;
 }
--- a/src/shards/task-group-messages.h
+++ b/src/shards/task-group-messages.h
@@ -14,7 +14,7 @@
 typedef struct
 {
   char *uid;       /**< uid of the job */
-  GArray *numbers; /**< (element-type gint): numbers of the tasks in the job, from 0 on */
+  GArray *numbers; /**< (element-type gint): HzbTask.index of each task: its number in the job, from 0 on */
 } HzbTaskGroup;
 
 /**
@@ -34,8 +34,11 @@
 /** hzb_task_groups_add: adds the task to the group of its job, and creates the group if groups has none. */
 void hzb_task_groups_add (HzbTaskGroups *groups, const HzbTask *task);
 
-/** hzb_task_groups_add_group: appends a copy of group; groups must not have a group of the same job yet. */
-void hzb_task_groups_add_group (HzbTaskGroups *groups, const HzbTaskGroup *group);
+/**
+ * hzb_task_groups_append_group: appends a copy of group; groups must not have a group of the same job yet, because the
+ * wire format has one member for each job.
+ */
+void hzb_task_groups_append_group (HzbTaskGroups *groups, const HzbTaskGroup *group);
 
 /** hzb_task_groups_foreach: calls func for each task of groups (nullable) that hzb_tasks_find() finds in jobs. */
 void hzb_task_groups_foreach (const HzbTaskGroups *groups, HzbJobs *jobs, HzbTaskFunc func, gpointer user);
@@ -49,7 +52,7 @@
 HzbTaskGroups *hzb_task_groups_decode (const cJSON *message);
 
 /**
- * hzb_tasks_find: Returns: (transfer none) (nullable): the task with this number of the job uid (nullable); NULL if
- * this node does not have it
+ * hzb_tasks_find: Returns: (transfer none) (nullable): the task with this number (HzbTask.index) of the job with
+ * uid job_uid (nullable); NULL if this node does not have it
  */
-HzbTask *hzb_tasks_find (HzbJobs *jobs, const char *uid, int number);
+HzbTask *hzb_tasks_find (HzbJobs *jobs, const char *job_uid, int number);
--- a/tests/fake-transport.h
+++ b/tests/fake-transport.h
@@ -1,11 +1,13 @@
-/* A transport that keeps what is sent until a test answers it. */
+/* A fake transport: it keeps each call that is sent until the test answers it. */
 #pragma once
 #include "clock.h"
 #include "kv-client.h"
 #include "transport.h"
 
-#define LONGER_THAN_ANY_CALL_S 60.0
+/* Longer than any call waits in a queue or for its response. */
+#define MAX_CALL_LIFETIME_S 60.0
 
+/* A call without a response. */
 typedef struct
 {
   char *method, *path, *body;
@@ -14,12 +16,13 @@
   gpointer user;
 } FakeCall;
 
+/* The fake transport. */
 typedef struct
 {
   HzbTransport parent;
   HzbClock *clock;
-  GQueue calls; /* FakeCall, not answered yet, in the order of sending */
-  guint sent;
+  GQueue calls; /* FakeCall; the calls without a response, in the order of sending */
+  guint sent;   /* number of calls so far */
 } FakeTransport;
 
 static inline void
@@ -31,6 +34,7 @@
   g_free (call);
 }
 
+/* The `send` function of the transport. */
 static inline void
 fake_send (HzbTransport *transport, const char *method, const char *addr, const char *path, char *body,
            guint timeout_ms, HzbReplyFunc done, gpointer user)
@@ -48,6 +52,7 @@
   g_queue_push_tail (&fake->calls, call);
 }
 
+/* Initialises the transport with no calls. */
 static inline void
 fake_transport_init (FakeTransport *fake, HzbClock *clock)
 {
@@ -55,7 +60,7 @@
   g_queue_init (&fake->calls);
 }
 
-/* Answers a call; status 0: none came in its time. */
+/* Answers a call and frees it. @status: 0 stands for a timeout */
 static inline void
 fake_answer (FakeTransport *fake, FakeCall *call, guint status, const char *body)
 {
@@ -64,14 +69,15 @@
   fake_call_free (call);
 }
 
-/* Ends what is on its way and what waits to be sent, so that each caller gets a result and frees what it keeps. */
+/* Fails every call with a timeout, first the calls without a response and then those that @kv still queues, so that
+ * each caller gets a result and frees its data. */
 static inline void
-fake_transport_end (FakeTransport *fake, HzbKvClient *kv)
+fake_transport_fail_calls (FakeTransport *fake, HzbKvClient *kv)
 {
   FakeCall *call;
   while ((call = g_queue_peek_head (&fake->calls)))
     fake_answer (fake, call, 0, "");
-  hzb_clock_advance (fake->clock, LONGER_THAN_ANY_CALL_S);
+  hzb_clock_advance (fake->clock, MAX_CALL_LIFETIME_S);
   hzb_kv_client_pump (kv);
   while ((call = g_queue_peek_head (&fake->calls)))
     fake_answer (fake, call, 0, "");
--- a/tests/load-workers.c
+++ b/tests/load-workers.c
@@ -1,6 +1,6 @@
-/* Load tool: one real controller process on loopback, with fakes of the key-value store and the cloud behind HTTP, and as many
- * connections of workers as asked for. It measures how heartbeats are answered at rest and after the controller was killed and
- * started again, and stops by itself. Not part of the tests:
+/* Load tool: one real controller process on loopback, with fakes of the key-value store and the cloud over HTTP, and a
+ * given number of worker connections. It measures the latency of heartbeats in the steady state and after the controller
+ * was killed and restarted, and then ends. It is run by hand and is not part of the tests:
  *
  *     target/tests/load-workers --controller target/hazelbank --machines 4000 --seconds 30
  */
@@ -20,29 +20,30 @@
 #define KV_PORT 18082
 #define CLOUD_PORT 18083
 #define HEARTBEAT_INTERVAL_S 5.0
-#define RESPONSE_TIMEOUT_S 4.0 /* a worker's timeout */
+#define RESPONSE_TIMEOUT_S 4.0 /* the timeout of a worker */
 #define RETRY_S 1.0
-#define TURN_MS 5
-#define MOST_SECONDS 300
+#define TIMER_INTERVAL_MS 5
+#define MAX_SECONDS 300
 
+/* A worker that runs no tasks, with its connection. */
 typedef struct
 {
-  int fd;
+  int fd; /* -1: not connected */
   char name[16];
-  guint tick;
+  guint sequence; /* of the last heartbeat */
   guint64 fencing_token;
-  gboolean awaits_response, answered; /* answered: the worker got a 200 since the last restart */
-  double next_s, sent_s;
-  guint refused, most_refused; /* in a row */
+  gboolean awaits_response, accepted; /* accepted: the worker got a 200 in this measurement */
+  double next_heartbeat_s, sent_s;    /* when to send the next heartbeat; when the last one was sent */
+  guint refused, max_refused;         /* consecutive n_accepted other than 200: now, and the maximum */
   char input[4096];
-  gsize read;
+  gsize n_read; /* bytes in @input */
 } Worker;
 
 static Sim *sim;
-static GArray *workers; /* Worker */
-static GArray *latencies;
-static guint responses, refusals, losses;
-static int events;
+static GArray *workers;                     /* Worker */
+static GArray *latencies;                   /* double; in seconds */
+static guint n_accepted, n_refused, n_lost; /* heartbeats of this measurement that got a 200, another status, nothing */
+static int epoll_fd;
 
 /* ---- workers ---- */
 
@@ -53,8 +54,8 @@
     close (worker->fd);
   worker->fd = -1;
   worker->awaits_response = FALSE;
-  worker->read = 0;
-  worker->next_s = real_now_s () + retry_s;
+  worker->n_read = 0;
+  worker->next_heartbeat_s = real_now_s () + retry_s;
 }
 
 static gboolean
@@ -68,7 +69,7 @@
   worker->fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (worker->fd < 0
       || (connect (worker->fd, (struct sockaddr *) &address, sizeof address) != 0 && errno != EINPROGRESS)
-      || epoll_ctl (events, EPOLL_CTL_ADD, worker->fd, &event) != 0)
+      || epoll_ctl (epoll_fd, EPOLL_CTL_ADD, worker->fd, &event) != 0)
     {
       close_worker (worker, RETRY_S);
       return FALSE;
@@ -87,15 +88,15 @@
   body = g_strdup_printf (
       "{\"host\":\"%s\",\"addr\":\"127.0.0.1:1\",\"flavor\":\"small\",\"yard\":\"za\",\"loaners\":true,\"tenure\":1,"
       "\"tick\":%u,\"baton\":%" G_GUINT64_FORMAT ",\"pieces\":[]}",
-      worker->name, ++worker->tick, worker->fencing_token);
+      worker->name, ++worker->sequence, worker->fencing_token);
   request = g_strdup_printf ("POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: %zu\r\n\r\n%s", strlen (body), body);
   sent = send (worker->fd, request, strlen (request), MSG_NOSIGNAL);
   if (sent != (gssize) strlen (request))
     {
-      worker->next_s = real_now_s () + 0.02; /* the connection is not established yet */
+      worker->next_heartbeat_s = real_now_s () + 0.02; /* the connection may not be established yet */
       if (errno != EAGAIN && errno != ENOTCONN)
         {
-          losses++;
+          n_lost++;
           close_worker (worker, RETRY_S);
         }
       return;
@@ -104,9 +105,10 @@
   worker->sent_s = real_now_s ();
 }
 
-/* Takes the fencing token without the checks of a real worker: these workers run no tasks. */
+/* Handles a response. Adopts its fencing token without the checks of a real worker, because these workers run no
+ * tasks. */
 static void
-take_response (Worker *worker, const char *body)
+handle_response (Worker *worker, const char *body)
 {
   guint status = (guint) g_ascii_strtoull (worker->input + strlen ("HTTP/1.1 "), NULL, 10);
   double latency = real_now_s () - worker->sent_s;
@@ -115,15 +117,15 @@
   g_array_append_val (latencies, latency);
   worker->fencing_token = MAX (worker->fencing_token, hzb_json_u64 (root, "baton"));
   cJSON_Delete (root);
-  responses += status == 200;
-  refusals += status != 200;
+  n_accepted += status == 200;
+  n_refused += status != 200;
   worker->refused = status == 200 ? 0 : worker->refused + 1;
-  worker->most_refused = MAX (worker->most_refused, worker->refused);
-  worker->answered = worker->answered || status == 200;
+  worker->max_refused = MAX (worker->max_refused, worker->refused);
+  worker->accepted = worker->accepted || status == 200;
   worker->awaits_response = FALSE;
-  worker->read = 0;
+  worker->n_read = 0;
   if (status == 200)
-    worker->next_s = real_now_s () + HEARTBEAT_INTERVAL_S * g_random_double_range (0.75, 1.25);
+    worker->next_heartbeat_s = real_now_s () + HEARTBEAT_INTERVAL_S * g_random_double_range (0.75, 1.25);
   else
     close_worker (worker, RETRY_S);
 }
@@ -131,31 +133,32 @@
 static void
 read_response (Worker *worker)
 {
-  gssize got = recv (worker->fd, worker->input + worker->read, sizeof worker->input - 1 - worker->read, 0);
+  gssize received = recv (worker->fd, worker->input + worker->n_read, sizeof worker->input - 1 - worker->n_read, 0);
   const char *body, *length;
 
-  if (got < 0 && errno == EAGAIN)
+  if (received < 0 && errno == EAGAIN)
     return;
-  if (got <= 0)
+  if (received <= 0)
     {
-      losses += worker->awaits_response;
+      n_lost += worker->awaits_response;
       close_worker (worker, RETRY_S);
       return;
     }
-  worker->read += (gsize) got;
-  worker->input[worker->read] = '\0';
+  worker->n_read += (gsize) received;
+  worker->input[worker->n_read] = '\0';
   body = strstr (worker->input, "\r\n\r\n");
   length = strstr (worker->input, "Content-Length: ");
   if (body && length && strlen (body + 4) >= g_ascii_strtoull (length + strlen ("Content-Length: "), NULL, 10))
-    take_response (worker, body + 4);
+    handle_response (worker, body + 4);
 }
 
+/* Reads the n_accepted that have arrived, and sends the heartbeats that are due. */
 static gboolean
-on_workers (gpointer data)
+update_workers (gpointer data)
 {
   struct epoll_event ready[512];
   int n;
-  while ((n = epoll_wait (events, ready, G_N_ELEMENTS (ready), 0)) > 0)
+  while ((n = epoll_wait (epoll_fd, ready, G_N_ELEMENTS (ready), 0)) > 0)
     for (int i = 0; i < n; i++)
       {
         Worker *worker = &g_array_index (workers, Worker, ready[i].data.u64);
@@ -167,16 +170,16 @@
       Worker *worker = &g_array_index (workers, Worker, i);
       if (worker->awaits_response && real_now_s () - worker->sent_s > RESPONSE_TIMEOUT_S)
         {
-          losses++;
+          n_lost++;
           close_worker (worker, RETRY_S);
         }
-      else if (!worker->awaits_response && real_now_s () >= worker->next_s)
+      else if (!worker->awaits_response && real_now_s () >= worker->next_heartbeat_s)
         send_heartbeat (worker);
     }
   return G_SOURCE_CONTINUE;
 }
 
-/* ---- the controller ---- */
+/* ---- controller ---- */
 
 static char *
 write_settings (guint machines)
@@ -191,7 +194,7 @@
   return real_write_file (text);
 }
 
-/* Seconds of processor time and MiB of resident memory. */
+/* Reads the processor time that a process has used, in seconds, and its resident memory; 0 if the process has ended. */
 static void
 read_usage (GPid pid, double *cpu_s, double *memory_mib)
 {
@@ -206,7 +209,7 @@
 }
 
 static void
-turn_until (double until_s)
+run_until (double until_s)
 {
   while (real_now_s () < until_s)
     g_main_context_iteration (NULL, TRUE);
@@ -219,48 +222,50 @@
   return *x < *y ? -1 : *x > *y;
 }
 
+/* Returns: the latency that this fraction of the heartbeats do not exceed, in milliseconds. */
 static double
-percentile (double part)
+percentile (double fraction)
 {
   g_array_sort (latencies, compare_doubles);
-  return latencies->len ? 1e3 * g_array_index (latencies, double, (guint) (part * (latencies->len - 1))) : 0;
+  return latencies->len ? 1e3 * g_array_index (latencies, double, (guint) (fraction * (latencies->len - 1))) : 0;
 }
 
-/* Returns: seconds until every worker has got a 200, or -1. */
+/* Measures for some seconds and prints the figures. Returns: seconds until every worker has got a 200, or -1. */
 static double
-measure (const char *what, GPid pid, double seconds)
+measure (const char *phase, GPid pid, double seconds)
 {
-  double began = real_now_s (), all = -1, before, after, memory;
-  guint most_refused = 0;
+  double started_s = real_now_s (), all_accepted_s = -1, cpu_before_s, cpu_after_s, memory_mib;
+  guint max_refused = 0;
 
-  responses = refusals = losses = 0;
+  n_accepted = n_refused = n_lost = 0;
   g_array_set_size (latencies, 0);
   for (guint i = 0; i < workers->len; i++)
     {
       Worker *worker = &g_array_index (workers, Worker, i);
-      worker->answered = FALSE;
-      worker->refused = worker->most_refused = 0;
+      worker->accepted = FALSE;
+      worker->refused = worker->max_refused = 0;
     }
-  read_usage (pid, &before, &memory);
-  while (real_now_s () < began + seconds)
+  read_usage (pid, &cpu_before_s, &memory_mib);
+  while (real_now_s () < started_s + seconds)
     {
-      guint answered = 0;
-      turn_until (real_now_s () + 0.1);
-      for (guint i = 0; all < 0 && i < workers->len; i++)
-        answered += g_array_index (workers, Worker, i).answered;
-      if (all < 0 && answered == workers->len)
-        all = real_now_s () - began;
+      guint accepted = 0;
+      run_until (real_now_s () + 0.1);
+      for (guint i = 0; all_accepted_s < 0 && i < workers->len; i++)
+        accepted += g_array_index (workers, Worker, i).accepted;
+      if (all_accepted_s < 0 && accepted == workers->len)
+        all_accepted_s = real_now_s () - started_s;
     }
   for (guint i = 0; i < workers->len; i++)
-    most_refused = MAX (most_refused, g_array_index (workers, Worker, i).most_refused);
-  read_usage (pid, &after, &memory);
+    max_refused = MAX (max_refused, g_array_index (workers, Worker, i).max_refused);
+  read_usage (pid, &cpu_after_s, &memory_mib);
   g_print (
-      "%s: %.0f s, %u workers: %u heartbeats answered (%.0f a second), %u refused (%u in a row at most), %u without response; p50 "
-      "%.1f ms, p99 %.1f ms, most %.1f ms; all answered after %.1f s; processor %.3f of a core, %.2f ms a heartbeat, %.1f MiB\n",
-      what, seconds, workers->len, responses, responses / seconds, refusals, most_refused, losses, percentile (0.5),
-      percentile (0.99), percentile (1), all, (after - before) / seconds,
-      responses ? 1e3 * (after - before) / responses : 0, memory);
-  return all;
+      "%s: %.0f s, %u workers: %u heartbeats accepted (%.0f per second), %u refused (at most %u in a row), "
+      "%u without response; latency p50 %.1f ms, p99 %.1f ms, max %.1f ms; all workers accepted after %.1f s (-1: not "
+      "all); processor %.3f of a core, %.2f ms per heartbeat; memory %.1f MiB\n",
+      phase, seconds, workers->len, n_accepted, n_accepted / seconds, n_refused, max_refused, n_lost, percentile (0.5),
+      percentile (0.99), percentile (1), all_accepted_s, (cpu_after_s - cpu_before_s) / seconds,
+      n_accepted ? 1e3 * (cpu_after_s - cpu_before_s) / n_accepted : 0, memory_mib);
+  return all_accepted_s;
 }
 
 int
@@ -269,12 +274,13 @@
   g_autofree char *program = NULL, *settings = NULL;
   gint machines = 4000, seconds = 30;
   const GOptionEntry entries[] = {
-    { "controller", 0, 0, G_OPTION_ARG_FILENAME, &program, "The controller to load", "FILE" },
-    { "machines", 0, 0, G_OPTION_ARG_INT, &machines, "Connections of workers", "N" },
-    { "seconds", 0, 0, G_OPTION_ARG_INT, &seconds, "How long each of the two measurements takes", "S" },
+    { "controller", 0, 0, G_OPTION_ARG_FILENAME, &program, "Path of the controller program", "FILE" },
+    { "machines", 0, 0, G_OPTION_ARG_INT, &machines, "Number of worker connections", "N" },
+    { "seconds", 0, 0, G_OPTION_ARG_INT, &seconds, "Duration of each of the two measurements, in seconds", "S" },
     { NULL, 0, 0, 0, NULL, NULL, NULL },
   };
-  g_autoptr (GOptionContext) context = g_option_context_new ("- many workers for one controller");
+  g_autoptr (GOptionContext) context =
+      g_option_context_new ("- load one controller with the heartbeats of many workers");
   g_autoptr (GError) error = NULL;
   struct rlimit limit = { (rlim_t) machines + 500, (rlim_t) machines + 500 };
   SimConfig config = sim_config_large;
@@ -282,21 +288,22 @@
 
   g_option_context_add_main_entries (context, entries, NULL);
   if (!g_option_context_parse (context, &argc, &argv, &error) || !program || machines < 1 || machines > 20000
-      || seconds < 1 || seconds > MOST_SECONDS)
+      || seconds < 1 || seconds > MAX_SECONDS)
     {
       g_printerr ("load-workers: %s\n",
-                  error ? error->message : "--controller FILE, 1 to 20000 machines, 1 to 300 seconds");
+                  error ? error->message : "expected --controller FILE, --machines 1 to 20000 and --seconds 1 to 300");
       return 2;
     }
   if (setrlimit (RLIMIT_NOFILE, &limit) != 0)
-    g_printerr ("load-workers: the limit of descriptors stays as it is\n");
-  alarm ((guint) (2 * seconds + 60)); /* ends this process if something blocks for ever */
+    g_printerr (
+        "load-workers: can't raise the limit of open file descriptors; some workers may be unable to connect\n");
+  alarm ((guint) (2 * seconds + 60)); /* ends this process if the main loop blocks */
   config.machines = (guint) machines;
-  config.check_interval_s = MOST_SECONDS;
+  config.check_interval_s = MAX_SECONDS;
   sim = real_sim_new (1, &config);
   workers = g_array_sized_new (FALSE, TRUE, sizeof (Worker), (guint) machines);
   latencies = g_array_new (FALSE, FALSE, sizeof (double));
-  events = epoll_create1 (EPOLL_CLOEXEC);
+  epoll_fd = epoll_create1 (EPOLL_CLOEXEC);
   for (gint i = 0; i < machines; i++)
     {
       SimMachine *machine = sim_add_machine (sim, "small", "za", TRUE, 1e9);
@@ -304,19 +311,19 @@
       machine->up = TRUE;
       machine->listed_at = 0;
       g_strlcpy (worker.name, machine->name, sizeof worker.name);
-      worker.next_s = 2 + g_random_double_range (0, 2);
+      worker.next_heartbeat_s = 2 + g_random_double_range (0, 2);
       g_array_append_val (workers, worker);
     }
   real_serve (sim, KV_PORT, TRUE);
   real_serve (sim, CLOUD_PORT, FALSE);
-  g_timeout_add (TURN_MS, on_workers, NULL);
+  g_timeout_add (TIMER_INTERVAL_MS, update_workers, NULL);
   settings = write_settings ((guint) machines);
   pid = real_start (program, settings, NULL, NULL);
-  turn_until (10);
-  measure ("at rest", pid, seconds);
+  run_until (10);
+  measure ("steady state", pid, seconds);
   real_kill (pid);
   pid = real_start (program, settings, NULL, NULL);
-  measure ("after it was killed and started again", pid, seconds);
+  measure ("after a restart of the controller", pid, seconds);
   real_kill (pid);
   unlink (settings);
   return 0;
--- a/tests/models/cold-start.pml
+++ b/tests/models/cold-start.pml
@@ -1,34 +1,45 @@
-/* Model of decide, record, command after a cold start, for Spin. One task, started by a leader that has ended, on the first of
- * two workers; two leaders follow, each of which may believe to lead for ever, or end at any time. The workers know the first
- * of the two already. Reports and answers are lost, answers held up, transactions are carried out late. A report that is held
- * up is not modelled: an older one is refused by its number. Checked: the task never runs on two workers, no start is sent
- * before the verdict is durable, a durable verdict never changes. NO_… takes a guard out; then a check has to fail.
+/* Spin model of the reconciliation of one task after a cold start: a leader decides to restart the task, records the
+ * verdict, and then commands the start.
  *
- * Bounds: four reports of one worker and three of the other, one end of a session. See check-model.sh. */
+ * Initial state: an earlier leader, which has ended, started the task on the first of two workers. Two more leaders
+ * follow. Each of them may end at any time, or may consider itself the leader for the whole run. Both workers have
+ * already seen the fencing token of the first of these two leaders.
+ *
+ * Faults: heartbeats and responses are lost, responses are delayed, and transactions are executed late. A delayed
+ * heartbeat is not modelled, because a leader refuses a heartbeat with an older sequence number.
+ *
+ * Assertions: the task never runs on two workers; no start is sent before the verdict is durable; a durable verdict
+ * never changes. Each guard can be removed with -DNO_<GUARD> (WAIT, DURABLE, TOKEN, CONDITIONS); an assertion must then
+ * fail.
+ *
+ * Bounds: four heartbeats of the first worker and three of the second, and one change of the first worker's agent epoch.
+ * check-model.sh runs the model. */
 
 #define WORKERS 2
 #define LEADERS 2
 #define AT(leader, worker) ((leader) * WORKERS + (worker))
 
-byte term = 2;    /* of the newest leader, in the state service */
-byte verdict = 0; /* the term that has recorded "start again"; 0: there is none */
-byte late = 0;    /* a transaction on its way, by term; 0: there is none */
+/* key-value store */
+byte term = 2;                /* of the newest leader */
+byte verdict = 0;             /* the term whose leader recorded the verdict "restart the task"; 0: no verdict */
+byte delayed_transaction = 0; /* the term whose leader sent a transaction that is not yet executed; 0: none */
 
 /* workers */
-bool runs[WORKERS];
-byte token[WORKERS];    /* the highest that the worker has seen */
-bool answered[WORKERS]; /* an answer to its last report is on its way: with */
-byte answer_token[WORKERS];
-bool answer_start[WORKERS];
+bool runs[WORKERS];             /* the task runs on the worker */
+byte token[WORKERS];            /* the highest fencing token that the worker has seen */
+bool response_pending[WORKERS]; /* a response to the last heartbeat is in flight */
+byte response_token[WORKERS];   /* fencing token of that response */
+bool response_start[WORKERS];   /* whether that response commands the start of the task */
 
 /* leaders */
-byte own[LEADERS];   /* its term; 0: it does not lead */
-byte known[LEADERS]; /* the verdict, as it has read it */
-bool decided[LEADERS];
-bool verified[LEADERS * WORKERS], on[LEADERS * WORKERS];
+byte own_term[LEADERS];            /* term of the leader; 0: the process does not consider itself the leader */
+byte known_verdict[LEADERS];       /* the verdict as the leader has last read it */
+bool decided[LEADERS];             /* the leader has decided to restart the task */
+bool verified[LEADERS * WORKERS];  /* a heartbeat with the leader's own token has arrived from the worker */
+bool on_worker[LEADERS * WORKERS]; /* the leader assumes that the task runs on the worker */
 
-/* The state service carries a transaction out, or refuses it. */
-inline carry_out (writer)
+/* The key-value store executes a transaction of the leader of a term, or refuses it. */
+inline execute_transaction (writer)
 {
 #ifdef NO_CONDITIONS
   assert (verdict == 0 || verdict == writer);
@@ -41,111 +52,119 @@
 #endif
 }
 
-/* A leader takes a report and answers it. */
-inline report_to (leader, worker)
+/* A leader receives a heartbeat and responds to it. */
+inline receive_heartbeat (leader, worker)
 {
   if
-  :: token[worker] == own[leader] -> verified[AT (leader, worker)] = true; on[AT (leader, worker)] = runs[worker];
-  :: else -> skip; /* it may still get orders of an older leader: nothing is concluded */
+  :: token[worker] == own_term[leader] ->
+     verified[AT (leader, worker)] = true;
+     on_worker[AT (leader, worker)] = runs[worker];
+  :: else -> skip; /* the worker may still accept commands of an older leader: conclude nothing */
   fi;
   if
 #ifdef NO_WAIT
-  :: verified[AT (leader, worker)] && !on[AT (leader, worker)] -> decided[leader] = true;
+  :: verified[AT (leader, worker)] && !on_worker[AT (leader, worker)] -> decided[leader] = true;
 #else
-  :: verified[AT (leader, 0)] && verified[AT (leader, 1)] && !on[AT (leader, 0)] && !on[AT (leader, 1)] ->
+  :: verified[AT (leader, 0)] && verified[AT (leader, 1)] && !on_worker[AT (leader, 0)] && !on_worker[AT (leader, 1)] ->
      decided[leader] = true;
 #endif
   :: else -> skip;
   fi;
-  start = decided[leader] && verified[AT (leader, worker)] && !on[AT (leader, 0)] && !on[AT (leader, 1)];
+  start = decided[leader] && verified[AT (leader, worker)] && !on_worker[AT (leader, 0)] && !on_worker[AT (leader, 1)];
 #ifndef NO_DURABLE
-  start = start && known[leader] != 0;
+  start = start && known_verdict[leader] != 0;
 #endif
-  on[AT (leader, worker)] = on[AT (leader, worker)] || start; /* until its next report */
+  on_worker[AT (leader, worker)] = on_worker[AT (leader, worker)] || start; /* until the next heartbeat of the worker */
   assert (!start || verdict != 0);
   if
-  :: answered[worker] = true;
-     answer_token[worker] = own[leader];
-     answer_start[worker] = start;
-  :: skip; /* lost */
+  :: response_pending[worker] = true;
+     response_token[worker] = own_term[leader];
+     response_start[worker] = start;
+  :: skip; /* the response is lost */
   fi;
   start = false
 }
 
-proctype worker (byte self; byte reports)
+proctype worker (byte self; byte heartbeats)
 {
   bool start = false;
 end:
   do
   :: atomic {
-       reports > 0 ->
-       reports--;
-       answered[self] = false; /* an answer to an earlier report is dropped from here on */
+       heartbeats > 0 ->
+       heartbeats--;
+       response_pending[self] = false; /* a late response to an earlier heartbeat is dropped */
        if
-       :: own[0] != 0 -> report_to (0, self);
-       :: own[1] != 0 -> report_to (1, self);
-       :: skip; /* lost */
+       :: own_term[0] != 0 -> receive_heartbeat (0, self);
+       :: own_term[1] != 0 -> receive_heartbeat (1, self);
+       :: skip; /* the heartbeat is lost */
        fi
      }
   :: atomic {
-       answered[self] ->
-       answered[self] = false;
+       response_pending[self] ->
+       response_pending[self] = false;
        if
 #ifdef NO_TOKEN
        :: true ->
 #else
-       :: answer_token[self] >= token[self] ->
+       :: response_token[self] >= token[self] ->
 #endif
-          token[self] = (answer_token[self] > token[self] -> answer_token[self] : token[self]);
-          runs[self] = runs[self] || answer_start[self];
+          token[self] = (response_token[self] > token[self] -> response_token[self] : token[self]);
+          runs[self] = runs[self] || response_start[self];
           assert (!(runs[0] && runs[1]));
 #ifndef NO_TOKEN
        :: else -> skip;
 #endif
        fi;
-       answer_start[self] = false;
-       answer_token[self] = 0;
+       response_start[self] = false;
+       response_token[self] = 0;
      }
   od
 }
 
-/* The end of a worker's session ends its task. */
-proctype session ()
+/* The agent epoch of the first worker ends, and with it the task on that worker. */
+proctype agent_epoch_end ()
 {
   atomic { runs[0] = false; }
 }
 
 proctype leader (byte self)
 {
-  bool written = false;
+  bool write_sent = false;
 
   atomic {
     if
-    :: self == 0 -> own[0] = 2;
-    :: else -> term++; own[self] = term;
+    :: self == 0 -> own_term[0] = 2;
+    :: else -> term++; own_term[self] = term;
     fi;
-    known[self] = verdict;
+    known_verdict[self] = verdict;
   }
 end:
   do
   :: atomic {
-       decided[self] && known[self] == 0 && !written ->
-       written = true;
+       decided[self] && known_verdict[self] == 0 && !write_sent ->
+       write_sent = true;
        if
-       :: carry_out (own[self]);
-       :: late == 0 -> late = own[self]; /* no answer */
+       :: execute_transaction (own_term[self]);
+       :: delayed_transaction == 0 ->
+          delayed_transaction = own_term[self]; /* the transaction is delayed, and its response is lost */
        fi
      }
-  :: atomic { written && known[self] == 0 -> known[self] = verdict; written = false; } /* read it, or write it again */
-  :: atomic { own[self] = 0; break; }                                                   /* it ends */
+  :: atomic {
+       write_sent && known_verdict[self] == 0 ->
+       known_verdict[self] = verdict; /* reads the verdict; if there is none, the next step writes it again */
+       write_sent = false;
+     }
+  :: atomic { own_term[self] = 0; break; } /* the leader ends */
   od
 }
 
-proctype late_write ()
+/* The key-value store executes a delayed transaction. */
+proctype delayed_write ()
 {
 end:
   do
-  :: atomic { late != 0 -> carry_out (late); late = 0; }
+  :: atomic { delayed_transaction != 0 -> execute_transaction (delayed_transaction); delayed_transaction = 0; }
   od
 }
 
@@ -157,9 +176,9 @@
     token[1] = 2;
     run worker (0, 4);
     run worker (1, 3);
-    run session ();
+    run agent_epoch_end ();
     run leader (0);
     run leader (1);
-    run late_write ();
+    run delayed_write ();
   }
 }
--- a/tests/real-processes.c
+++ b/tests/real-processes.c
@@ -1,3 +1,4 @@
+/* Starts and kills controller processes, and serves the fakes over HTTP. */
 #include "real-processes.h"
 
 #define SOUP_VERSION_MIN_REQUIRED SOUP_VERSION_2_70
@@ -9,18 +10,19 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define TURN_MS 5
+#define TIMER_INTERVAL_MS 5
 
-static gint64 began_us;
+static gint64 started_us; /* monotonic time of real_sim_new() */
 
 double
 real_now_s (void)
 {
-  return (double) (g_get_monotonic_time () - began_us) / 1e6;
+  return (double) (g_get_monotonic_time () - started_us) / 1e6;
 }
 
+/* Runs the events of the fakes that are due. */
 static gboolean
-on_turn (gpointer sim)
+on_timer (gpointer sim)
 {
   sim_run (sim, real_now_s ());
   return G_SOURCE_CONTINUE;
@@ -33,20 +35,21 @@
   for (guint i = 0; i < SIM_NODES; i++)
     sim_crash (sim, i);
   g_sequence_remove_range (g_sequence_get_begin_iter (sim->events), g_sequence_get_end_iter (sim->events));
-  sim->nodes[0].controller = (gpointer) sim; /* marks the caller of the fakes as running; never dereferenced */
+  /* Marks node 0 as running, because the calls to the fakes come from it. The pointer is never dereferenced. */
+  sim->nodes[0].controller = (gpointer) sim;
   sim->nodes[0].incarnation = 0;
-  began_us = g_get_monotonic_time ();
-  g_timeout_add (TURN_MS, on_turn, sim);
+  started_us = g_get_monotonic_time ();
+  g_timeout_add (TIMER_INTERVAL_MS, on_timer, sim);
   return sim;
 }
 
-/* ---- the fakes, behind HTTP ---- */
+/* ---- fakes over HTTP ---- */
 
-/* A request that a fake has not answered yet. */
+/* A request to a fake that has no response yet. */
 typedef struct
 {
   Sim *sim;
-  gboolean is_kv; /* of the key-value store; otherwise of the cloud */
+  gboolean is_kv; /* TRUE: to the key-value store; FALSE: to the cloud */
   SoupServer *server;
   SoupMessage *message;
 } FakeRequest;
@@ -91,18 +94,19 @@
 {
   g_autoptr (GError) error = NULL;
   SoupServer *server = soup_server_new (NULL, NULL);
-  FakeRequest *kind = g_new0 (FakeRequest, 1);
+  FakeRequest *handler_data = g_new0 (FakeRequest, 1);
 
-  kind->sim = sim;
-  kind->is_kv = is_kv;
-  soup_server_add_handler (server, NULL, on_fake_request, kind, g_free);
+  handler_data->sim = sim;
+  handler_data->is_kv = is_kv;
+  soup_server_add_handler (server, NULL, on_fake_request, handler_data, g_free);
   if (!soup_server_listen_local (server, port, SOUP_SERVER_LISTEN_IPV4_ONLY, &error))
-    g_error ("port %u: %s", port, error->message);
+    g_error ("can't listen on port %u: %s", port, error->message);
 }
 
 /* ---- controllers ---- */
 
-/* The kernel kills the controller when this process ends, however that happens. */
+/* Runs in the child before it executes the controller: redirects standard error to the log, and makes the kernel kill
+ * the controller when this process ends, for whatever reason. */
 static void
 set_up_child (gpointer log)
 {
@@ -116,14 +120,14 @@
 real_start (const char *program, const char *settings, const char *features, const char *log)
 {
   g_autoptr (GError) error = NULL;
-  const char *const plain[] = { program, "--config", settings, NULL };
+  const char *const without_features[] = { program, "--config", settings, NULL };
   const char *const with_features[] = { program, "--features", features, "--config", settings, NULL };
   GPid pid;
 
-  if (!g_spawn_async (NULL, (char **) (features ? with_features : plain), NULL,
+  if (!g_spawn_async (NULL, (char **) (features ? with_features : without_features), NULL,
                       G_SPAWN_DO_NOT_REAP_CHILD | G_SPAWN_STDOUT_TO_DEV_NULL, set_up_child, (gpointer) log, &pid,
                       &error))
-    g_error ("%s", error->message);
+    g_error ("can't start %s: %s", program, error->message);
   return pid;
 }
 
@@ -142,12 +146,12 @@
   g_autoptr (GError) error = NULL;
   close (g_mkstemp (path));
   if (!g_file_set_contents (path, text, -1, &error))
-    g_error ("%s", error->message);
+    g_error ("can't write a temporary file: %s", error->message);
   return path;
 }
 
 void
-real_turn_until (Sim *sim, double until_s)
+real_run_until (Sim *sim, double until_s)
 {
   while (sim->now < until_s)
     g_main_context_iteration (NULL, TRUE);
--- a/tests/sim-cloud.c
+++ b/tests/sim-cloud.c
@@ -1,10 +1,14 @@
-/* Fake of the cloud: rents, lists and returns machines. */
+/* Fake of the cloud: rents and lists machines, and takes returned machines back. */
 #include "json.h"
 #include "sim-internal.h"
 
 #include <math.h>
 #include <string.h>
 
+#define MACHINES_PER_PAGE 500
+/* A returned machine stays on the lists of the cloud for this time. */
+#define LISTED_AFTER_RETURN_S 3
+
 SimMachine *
 sim_add_machine (Sim *sim, const char *type, const char *zone, gboolean spot, double up_after)
 {
@@ -22,7 +26,7 @@
   machine->tasks = g_ptr_array_new ();
   machine->node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
   g_ptr_array_add (sim->machines, machine);
-  if (!sim->some_never_boot || !sim_chance (sim, 0.2))
+  if (!sim->some_machines_never_boot || !sim_chance (sim, 0.2))
     sim_schedule (sim, machine->up_at, sim_machine_tick, machine);
   return machine;
 }
@@ -40,20 +44,20 @@
   else if (g_str_equal (call->path, "/hosts"))
     {
       cJSON *root = cJSON_Parse (call->body), *out, *list;
-      const char *request = hzb_json_text (root, "hire");
-      const char *known = g_hash_table_lookup (sim->rental_requests, request);
-      if (!known)
+      const char *request_name = hzb_json_text (root, "hire");
+      const char *response = g_hash_table_lookup (sim->rental_requests, request_name);
+      if (!response)
         {
-          guint alive = 0, count = (guint) hzb_json_number (root, "count", 1);
+          guint existing = 0, count = (guint) hzb_json_number (root, "count", 1);
           char *text;
           for (guint i = 0; i < sim->machines->len; i++)
-            alive += !((SimMachine *) sim->machines->pdata[i])->terminated;
+            existing += !((SimMachine *) sim->machines->pdata[i])->terminated;
           out = cJSON_CreateObject ();
           list = cJSON_AddArrayToObject (out, "hosts");
           sim->rental_calls++;
           if (g_strcmp0 (sim->zone_without_capacity, hzb_json_text (root, "yard")) == 0)
             count = 0;
-          for (; count && alive < sim->config.machines; count--, alive++)
+          for (; count && existing < sim->config.machines; count--, existing++)
             cJSON_AddItemToArray (
                 list,
                 cJSON_CreateString (sim_add_machine (sim, hzb_json_text (root, "flavor"), hzb_json_text (root, "yard"),
@@ -63,15 +67,15 @@
           if (cJSON_GetArraySize (list))
             {
               text = cJSON_PrintUnformatted (out);
-              known = g_strdup (text);
+              response = g_strdup (text);
               cJSON_free (text);
-              g_hash_table_insert (sim->rental_requests, g_strdup (request), (gpointer) known);
+              g_hash_table_insert (sim->rental_requests, g_strdup (request_name), (gpointer) response);
             }
           cJSON_Delete (out);
         }
       cJSON_Delete (root);
-      if (known)
-        sim_respond (sim, call, 200, g_strdup (known));
+      if (response)
+        sim_respond (sim, call, 200, g_strdup (response));
       else
         sim_respond (sim, call, 503, g_strdup ("{\"error\":\"no capacity\"}"));
     }
@@ -97,20 +101,21 @@
   else
     {
       cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "hosts");
-      g_autofree char *since = sim_query (call->path, "since");
-      gboolean more = FALSE;
-      guint n = 0;
+      g_autofree char *since = sim_query_parameter (call->path, "since");
+      gboolean has_next = FALSE;
+      guint n_listed = 0;
       char *text;
       for (guint i = 0; i < sim->machines->len; i++)
         {
           const SimMachine *machine = sim->machines->pdata[i];
           cJSON *item;
-          if (machine->missing_from_inventory || sim->now < machine->listed_at || sim->now > machine->terminated_at + 3
+          if (machine->missing_from_inventory || sim->now < machine->listed_at
+              || sim->now > machine->terminated_at + LISTED_AFTER_RETURN_S
               || (since && strcmp (machine->name, since) <= 0))
             continue;
-          if (n++ == 500)
+          if (n_listed++ == MACHINES_PER_PAGE)
             {
-              more = TRUE;
+              has_next = TRUE;
               break;
             }
           item = cJSON_CreateObject ();
@@ -123,7 +128,7 @@
           cJSON_AddNumberToObject (item, "ageS", sim->now - machine->rented_at);
           cJSON_AddItemToArray (list, item);
         }
-      cJSON_AddBoolToObject (root, "hasNext", more);
+      cJSON_AddBoolToObject (root, "hasNext", has_next);
       text = cJSON_PrintUnformatted (root);
       cJSON_Delete (root);
       sim_respond (sim, call, 200, text);
--- a/tests/sim-cluster.c
+++ b/tests/sim-cluster.c
@@ -1,4 +1,4 @@
-/* The simulated cluster: its events in simulated time, and its controllers. */
+/* The simulated cluster: its queue of events in simulated time, and its controllers. */
 #include "sim-internal.h"
 
 #include <string.h>
@@ -6,19 +6,21 @@
 static gint
 compare_events (gconstpointer a, gconstpointer b, gpointer user)
 {
-  const SimEvent *x = a, *y = b;
-  return x->at < y->at ? -1 : x->at > y->at ? 1 : x->number < y->number ? -1 : x->number > y->number;
+  const SimEvent *first = a, *second = b;
+  return first->at < second->at   ? -1
+         : first->at > second->at ? 1
+                                  : (first->number < second->number ? -1 : first->number > second->number);
 }
 
 void
 sim_schedule (Sim *sim, double at, void (*run) (Sim *sim, gpointer data), gpointer data)
 {
-  SimEvent *e = g_new0 (SimEvent, 1);
-  e->at = MAX (at, sim->now);
-  e->number = sim->event_number++;
-  e->run = run;
-  e->data = data;
-  g_sequence_insert_sorted (sim->events, e, compare_events, NULL);
+  SimEvent *event = g_new0 (SimEvent, 1);
+  event->at = MAX (at, sim->now);
+  event->number = sim->event_number++;
+  event->run = run;
+  event->data = data;
+  g_sequence_insert_sorted (sim->events, event, compare_events, NULL);
 }
 
 void
@@ -27,16 +29,16 @@
   while (!g_sequence_is_empty (sim->events))
     {
       GSequenceIter *first = g_sequence_get_begin_iter (sim->events);
-      SimEvent e = *(SimEvent *) g_sequence_get (first);
-      if (e.at > until)
+      SimEvent event = *(SimEvent *) g_sequence_get (first);
+      if (event.at > until)
         break;
       g_sequence_remove (first);
-      hzb_clock_advance (sim->clock, e.at - sim->now);
-      sim->now = e.at;
-      e.run (sim, e.data);
+      hzb_clock_advance (sim->clock, event.at - sim->now);
+      sim->now = event.at;
+      event.run (sim, event.data);
       if (sim->now >= sim->next_check)
         {
-          sim_check (sim);
+          sim_check_rules (sim);
           sim->next_check = sim->now + sim->config.check_interval_s;
         }
     }
@@ -72,15 +74,15 @@
 void
 sim_measure_begin (Sim *sim)
 {
-  if (sim->measures)
-    sim->entered_us = g_get_monotonic_time ();
+  if (sim->measures_time)
+    sim->measure_started_us = g_get_monotonic_time ();
 }
 
 void
-sim_measure_end (Sim *sim, SimPart part)
+sim_measure_end (Sim *sim, SimWorkKind kind)
 {
-  if (sim->measures)
-    sim->spent_us[part] += g_get_monotonic_time () - sim->entered_us;
+  if (sim->measures_time)
+    sim->spent_us[kind] += g_get_monotonic_time () - sim->measure_started_us;
 }
 
 void
@@ -108,20 +110,20 @@
     {
       sim_measure_begin (sim);
       hzb_controller_tick (node->controller);
-      sim_measure_end (sim, SIM_PART_TICKS);
+      sim_measure_end (sim, SIM_WORK_TICKS);
     }
   sim_schedule (sim, sim->now + 0.1, node_tick, node);
 }
 
-/* Loads the features of a controller. HZB_SIM_FEATURES=deploy/reconciliation.toml plays all tests with these on; done
- * by hand. */
+/* Loads the features of a controller. With HZB_SIM_FEATURES=deploy/reconciliation.toml in the environment, a test that
+ * names no features runs with those of that file. No ctest sets the variable; it is for runs by hand. */
 static void
-load_features (const Sim *sim, gboolean without, HzbSettings *settings)
+load_features (const Sim *sim, gboolean without_features, HzbSettings *settings)
 {
   g_autoptr (GError) error = NULL;
   const char *path = g_getenv ("HZB_SIM_FEATURES");
 
-  if (without)
+  if (without_features)
     return;
   if (sim->config.features)
     hzb_settings_parse_features (settings, sim->config.features, "simulated", &error);
@@ -135,11 +137,11 @@
 {
   SimNode *node = &sim->nodes[node_index];
   GString *text = g_string_new (NULL);
-  g_autofree char *ops =
+  g_autofree char *next_txn_ops =
       sim->config.next_txn_ops ? g_strdup_printf ("txn_ops = %u\n", sim->config.next_txn_ops) : g_strdup ("");
-  g_autofree char *rate =
+  g_autofree char *next_write_rps =
       sim->config.next_write_rps > 0 ? g_strdup_printf ("write_rps = %g\n", sim->config.next_write_rps) : g_strdup ("");
-  g_autofree char *next = g_strconcat (ops, rate, NULL);
+  g_autofree char *next_limits = g_strconcat (next_txn_ops, next_write_rps, NULL);
   g_autoptr (GError) error = NULL;
   HzbSettings *settings;
   g_string_printf (
@@ -157,7 +159,7 @@
       "[cluster.state]\nrps = %g\nwrite_rps = %g\nvalue_kb = 16\ntxn_ops = %u\n[cluster.state.next]\nvalue_kb = 2\n%s"
       "[cluster.cloud]\nrps = %g\nlist_lag_s = 3\n",
       sim->config.heartbeat_interval_s, sim->config.lease_s, sim->config.cancel_s, sim->config.kv_rps,
-      sim->config.kv_write_rps, sim->config.txn_ops, next, sim->config.cloud_rps);
+      sim->config.kv_write_rps, sim->config.txn_ops, next_limits, sim->config.cloud_rps);
   for (guint i = 0; i < sim->config.teams; i++)
     {
       g_autofree char *name = i < 2 ? g_strdup (i ? "blue" : "red") : g_strdup_printf ("team-%02u", i);
@@ -182,7 +184,7 @@
     node->controller->jobs->max_replicated_completed = sim->config.max_replicated_completed;
 }
 
-/* The memory of the process is not freed: calls in flight still point to it. */
+/* The controller is not freed because calls in flight still refer to it. */
 void
 sim_crash (Sim *sim, guint node_index)
 {
@@ -199,7 +201,7 @@
   return -1;
 }
 
-/* The range pages are small so that the tests read several of them. */
+/* The pages of range reads are small so that controllers read several pages in the tests. */
 const SimConfig sim_config_small = { .machines = 12,
                                      .teams = 2,
                                      .team_max = 24,
--- a/tests/sim-faults.c
+++ b/tests/sim-faults.c
@@ -1,28 +1,27 @@
-/* Faults and work that several tests bring into the simulated cluster, and what they expect of it. */
+/* Faults and workloads that several tests inject into the simulated cluster, and checks of the outcome. */
 #include "sim-faults.h"
 
 #include <string.h>
 
 void
-expect_no_violation (Sim *sim, const char *what, guint32 seed)
+expect_no_violation (Sim *sim, const char *scenario, guint32 seed)
 {
   for (guint i = 0; i < sim->violations->len && i < 5; i++)
     g_test_message ("%s", (char *) sim->violations->pdata[i]);
   if (sim->violations->len)
-    g_error ("%s, seed %u: %s", what, seed, (char *) sim->violations->pdata[0]);
+    g_error ("%s, seed %u: %s", scenario, seed, (char *) sim->violations->pdata[0]);
 }
 
-/* Every job is done or cancelled, every user got a response lately, and no team or class was starved. */
 void
-expect_all_finished (Sim *sim, const char *what, guint32 seed)
+expect_all_finished (Sim *sim, const char *scenario, guint32 seed)
 {
-  sim_check_end (sim);
-  expect_no_violation (sim, what, seed);
+  sim_check_final_state (sim);
+  expect_no_violation (sim, scenario, seed);
   for (guint i = 0; i < sim->jobs->len; i++)
     {
       const SimJob *job = sim->jobs->pdata[i];
       if (!job->confirmed_done && !job->confirmed_cancelled && !job->always_fails)
-        g_error ("%s, seed %u: %s is not over", what, seed, job->uid);
+        g_error ("%s, seed %u: job %s is neither done nor cancelled", scenario, seed, job->uid);
     }
 }
 
@@ -34,7 +33,7 @@
       leader >= 0 && g_rand_boolean (sim->rand) ? (guint) leader : (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
   sim_crash (sim, node_index);
   if (g_rand_boolean (sim->rand))
-    sim_start (sim, node_index); /* restarted before its lease can expire */
+    sim_start (sim, node_index); /* the restart comes before the leadership lease can expire */
 }
 
 void
@@ -114,15 +113,16 @@
     }
 }
 
+/* Returns: a machine that has tasks and that the leader has in that state; NULL if there is none. */
 static SimMachine *
-machine_in_state_with_tasks (Sim *sim, HzbMachineState state)
+find_machine_in_state_with_tasks (Sim *sim, HzbMachineState state)
 {
   HzbController *controller = sim->nodes[MAX (sim_leader (sim), 0)].controller;
   for (guint i = 0; controller && i < sim->machines->len; i++)
     {
       SimMachine *machine = sim->machines->pdata[i];
-      const HzbMachine *known = hzb_machines_find (controller->machines, machine->name);
-      if (machine->tasks->len && !machine->terminated && known && known->state == state)
+      const HzbMachine *machine_of_leader = hzb_machines_find (controller->machines, machine->name);
+      if (machine->tasks->len && !machine->terminated && machine_of_leader && machine_of_leader->state == state)
         return machine;
     }
   return NULL;
@@ -142,14 +142,14 @@
   while (!machine && sim->now < 60)
     {
       sim_run (sim, sim->now + 0.5);
-      machine = machine_in_state_with_tasks (sim, state);
+      machine = find_machine_in_state_with_tasks (sim, state);
     }
   g_assert_nonnull (machine);
   return machine;
 }
 
 SimMachine *
-machine_with_tasks (Sim *sim)
+find_machine_with_tasks (Sim *sim)
 {
   for (guint i = 0; i < sim->machines->len; i++)
     if (((SimMachine *) sim->machines->pdata[i])->tasks->len)
@@ -168,8 +168,8 @@
 }
 
 guint
-heartbeat_to (Sim *sim, guint node, SimMachine *machine, guint64 agent_epoch, guint64 sequence,
-              const char *task_statuses)
+send_heartbeat_to (Sim *sim, guint node, SimMachine *machine, guint64 agent_epoch, guint64 sequence,
+                   const char *task_statuses)
 {
   HzbHttpRequest *http_request = g_new0 (HzbHttpRequest, 1);
   guint status = 0;
@@ -188,13 +188,14 @@
 }
 
 guint
-heartbeat_to_leader (Sim *sim, SimMachine *machine, guint64 agent_epoch, guint64 sequence, const char *task_statuses)
+send_heartbeat_to_leader (Sim *sim, SimMachine *machine, guint64 agent_epoch, guint64 sequence,
+                          const char *task_statuses)
 {
-  return heartbeat_to (sim, (guint) sim_leader (sim), machine, agent_epoch, sequence, task_statuses);
+  return send_heartbeat_to (sim, (guint) sim_leader (sim), machine, agent_epoch, sequence, task_statuses);
 }
 
 guint
-tasks_running (const Sim *sim)
+count_running_tasks (const Sim *sim)
 {
   guint n = 0;
   for (guint i = 0; i < sim->machines->len; i++)
@@ -217,8 +218,9 @@
   return job;
 }
 
+/* Reply function of a request: stores the status and the Retry-After in the two guints of HzbHttpRequest.impl. */
 static void
-answered (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
+capture_status_and_retry (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
   guint *out = http_request->impl;
   out[0] = status;
@@ -235,7 +237,7 @@
   http_request->path = g_strdup (path);
   http_request->body = g_strdup (body);
   http_request->length = strlen (body);
-  http_request->reply = answered;
+  http_request->reply = capture_status_and_retry;
   http_request->impl = out;
   hzb_controller_handle_request (http_request, sim->nodes[node].controller);
   sim_run (sim, sim->now + 3);
@@ -244,7 +246,7 @@
   return out[0];
 }
 
-static const char service_request[] =
+static const char service_request_format[] =
     "{\"uid\":\"run-%06u\",\"lane\":\"web\",\"owner\":\"%s\",\"shape\":\"standing\",\"urgency\":\"production\",\"pieces\":%u,"
     "\"cpus\":%g,\"gpus\":0,\"ramGb\":1,\"bundle\":\"img\",\"sizeGb\":0.5,\"samePlace\":false,\"spread\":false,"
     "\"loaners\":true,\"expectS\":%s,\"snapshotEveryS\":0,\"snapshotS\":0}";
@@ -253,14 +255,14 @@
 submit_service (Sim *sim, guint node, guint uid, const char *team, guint n, double cpus, const char *expect,
                 guint *retry)
 {
-  g_autofree char *body = g_strdup_printf (service_request, uid, team, n, cpus, expect);
+  g_autofree char *body = g_strdup_printf (service_request_format, uid, team, n, cpus, expect);
   return user_request (sim, node, "POST", "/api/jobs", body, retry);
 }
 
 guint
 submit_service_with (Sim *sim, guint node, guint uid, const char *field, const char *value)
 {
-  g_autofree char *body = g_strdup_printf (service_request, uid, "red", 2, 1.0, "0");
+  g_autofree char *body = g_strdup_printf (service_request_format, uid, "red", 2, 1.0, "0");
   g_autofree char *text = NULL;
   cJSON *root = cJSON_Parse (body);
   cJSON_DeleteItemFromObject (root, field);
@@ -284,19 +286,19 @@
 }
 
 Sim *
-large_fleet (guint32 seed, guint machines, guint jobs, double run_s)
+start_large_fleet (guint32 seed, guint machines, guint jobs, double run_s)
 {
   Sim *sim = sim_new_with_config (seed, &sim_config_large);
   for (guint i = 0; i < machines; i++)
     sim_add_machine (sim, i % 3 ? "small" : "big", i % 2 ? "za" : "zb", TRUE, g_rand_double_range (sim->rand, 1, 5));
   add_many_arrays (sim, jobs, 10, run_s);
   sim_run (sim, 25);
-  expect_no_violation (sim, "a large fleet at work", seed);
+  expect_no_violation (sim, "a large fleet under load", seed);
   return sim;
 }
 
 void
-cancel_all (Sim *sim)
+cancel_all_jobs (Sim *sim)
 {
   for (guint i = 0; i < sim->jobs->len; i++)
     {
--- a/tests/sim-kv-store.c
+++ b/tests/sim-kv-store.c
@@ -1,19 +1,22 @@
-/* Fake of the key-value store: keys, versions, leases and watches. */
+/* Fake of the key-value store: transactions, range reads, leases and watches. */
 #include "json.h"
 #include "sim-internal.h"
 
 #include <string.h>
 
+/* A value in the store. */
 typedef struct
 {
-  char *text;
-  guint64 version, lease;
+  char *text;      /* JSON */
+  guint64 version; /* revision of the store at the last write */
+  guint64 lease;   /* the value is removed when this lease expires; 0: none */
 } Value;
 
+/* A change of a key. */
 typedef struct
 {
-  char *key, *text; /* text NULL: removed */
-  guint64 version;
+  char *key, *text; /* text: the new value; NULL: the key was removed */
+  guint64 version;  /* revision of the store after the change */
 } Change;
 
 static void
@@ -31,32 +34,34 @@
   g_free (data);
 }
 
+/* A watch whose call has no response yet. */
 typedef struct
 {
   SimCall *call;
-  char *prefix;
-  guint64 after;
-  double until;
+  char *prefix;         /* of the watched keys */
+  guint64 after;        /* changes after this revision are wanted */
+  double respond_until; /* when the call gets a response even if nothing has changed */
 } Watcher;
 
-/* Whether changes after that revision were already compacted. */
+/* Whether some changes after that revision were already compacted. */
 static gboolean
 changes_are_compacted (const Sim *sim, guint64 after)
 {
-  guint kept = sim->config.retained_changes;
-  return kept && sim->kv_changes->len > kept
-         && after < ((const Change *) sim->kv_changes->pdata[sim->kv_changes->len - kept - 1])->version;
+  guint retained = sim->config.retained_changes;
+  return retained && sim->kv_changes->len > retained
+         && after < ((const Change *) sim->kv_changes->pdata[sim->kv_changes->len - retained - 1])->version;
 }
 
+/* Returns: the response to a watch; @has_changes tells whether it contains a change. */
 static char *
-watch_body (Sim *sim, const char *prefix, guint64 after, gboolean *any)
+encode_watch_response (Sim *sim, const char *prefix, guint64 after, gboolean *has_changes)
 {
   cJSON *root = cJSON_CreateObject (), *list;
   guint first = sim->kv_changes->len;
   char *text;
   hzb_json_add_u64 (root, "epoch", sim->revision);
   list = cJSON_AddArrayToObject (root, "news");
-  *any = FALSE;
+  *has_changes = FALSE;
   while (first && ((Change *) sim->kv_changes->pdata[first - 1])->version > after)
     first--;
   for (guint i = first; i < sim->kv_changes->len; i++)
@@ -71,27 +76,28 @@
         cJSON_AddRawToObject (item, "value", change->text);
       hzb_json_add_u64 (item, "stamp", change->version);
       cJSON_AddItemToArray (list, item);
-      *any = TRUE;
+      *has_changes = TRUE;
     }
   text = cJSON_PrintUnformatted (root);
   cJSON_Delete (root);
   return text;
 }
 
+/* Responds to each watch that has a change, or whose time is over. */
 static void
-wake_watchers (Sim *sim)
+respond_to_watchers (Sim *sim)
 {
   for (guint i = 0; i < sim->watchers->len; i++)
     {
       Watcher *watcher = sim->watchers->pdata[i];
-      gboolean any;
+      gboolean has_changes;
       char *body;
       if (sim->kv_outage)
         return;
       if (sim->nodes[watcher->call->node].refused_by_kv)
-        continue; /* the watch stays open, as in an outage */
-      body = watch_body (sim, watcher->prefix, watcher->after, &any);
-      if (any || sim->now >= watcher->until)
+        continue; /* the watch stays open, as during an outage */
+      body = encode_watch_response (sim, watcher->prefix, watcher->after, &has_changes);
+      if (has_changes || sim->now >= watcher->respond_until)
         {
           sim_respond (sim, watcher->call, 200, body);
           g_free (watcher->prefix);
@@ -106,40 +112,41 @@
 static void
 watch_timeout (Sim *sim, gpointer data)
 {
-  wake_watchers (sim);
+  respond_to_watchers (sim);
 }
 
-/* Checks that the recorded progress of each job only grows until it is removed. */
+/* Checks that a change of a progress record loses no progress: neither completed tasks nor released tasks. */
 static void
-check_progress (Sim *sim, const char *key, const char *from, const char *to)
+check_progress (Sim *sim, const char *key, const char *old_text, const char *new_text)
 {
-  cJSON *before = cJSON_Parse (from), *after = cJSON_Parse (to);
-  const cJSON *old;
-  cJSON_ArrayForEach (old, before)
+  cJSON *old_record = cJSON_Parse (old_text), *new_record = cJSON_Parse (new_text);
+  const cJSON *old_job;
+  cJSON_ArrayForEach (old_job, old_record)
     {
-      const cJSON *new = cJSON_GetObjectItemCaseSensitive (after, old->string);
-      const char *a = hzb_json_text (old, "done"), *b = hzb_json_text (new, "done");
-      gsize n = 0, machine = 0;
-      g_autofree guchar *x = a && *a ? g_base64_decode (a, &n) : NULL,
-                        *y = b && *b ? g_base64_decode (b, &machine) : NULL;
-      gboolean back = hzb_json_number (new, "released", 0) < hzb_json_number (old, "released", 0);
-      if (!new)
-        continue;
-      for (gsize i = 0; i < n; i++)
-        back = back || (x[i] & ~(i < machine ? y[i] : 0));
-      if (back)
-        sim_violation (sim, "progress_went_back", "%s, %s: %s -> %s", key, old->string, from, to);
+      const cJSON *new_job = cJSON_GetObjectItemCaseSensitive (new_record, old_job->string);
+      const char *old_done = hzb_json_text (old_job, "done"), *new_done = hzb_json_text (new_job, "done");
+      gsize old_length = 0, new_length = 0;
+      g_autofree guchar *old_bits = old_done && *old_done ? g_base64_decode (old_done, &old_length) : NULL,
+                        *new_bits = new_done && *new_done ? g_base64_decode (new_done, &new_length) : NULL;
+      gboolean lost = hzb_json_number (new_job, "released", 0) < hzb_json_number (old_job, "released", 0);
+      if (!new_job)
+        continue; /* the progress of the job was removed */
+      for (gsize i = 0; i < old_length; i++)
+        lost = lost || (old_bits[i] & ~(i < new_length ? new_bits[i] : 0));
+      if (lost)
+        sim_violation (sim, "progress_went_back", "%s, %s: %s -> %s", key, old_job->string, old_text, new_text);
     }
-  cJSON_Delete (before);
-  cJSON_Delete (after);
+  cJSON_Delete (old_record);
+  cJSON_Delete (new_record);
 }
 
+/* Writes a key at the current revision, or removes it if the text is NULL. */
 static void
 put_record (Sim *sim, const char *key, const char *text, guint64 lease)
 {
-  const Value *known = g_hash_table_lookup (sim->kv, key);
-  if (known && text && strstr (key, "/progress/"))
-    check_progress (sim, key, known->text, text);
+  const Value *old_value = g_hash_table_lookup (sim->kv, key);
+  if (old_value && text && strstr (key, "/progress/"))
+    check_progress (sim, key, old_value->text, text);
   sim_trace (&(SimTraceEvent){ .at = sim->now, .kind = "record", .path = key, .body = text });
   {
     Change *change = g_new0 (Change, 1);
@@ -160,6 +167,7 @@
   }
 }
 
+/* Removes a lease and the values that were written under it. */
 static void
 remove_lease (Sim *sim, guint64 lease)
 {
@@ -176,14 +184,16 @@
       sim->revision++;
       put_record (sim, keys->pdata[i], NULL, 0);
     }
-  wake_watchers (sim);
+  respond_to_watchers (sim);
 }
 
+/* A lease of the store: the values written under it are removed when it expires. */
 typedef struct
 {
-  double until, ttl;
+  double expires_at, ttl; /* in seconds */
 } Lease;
 
+/* Removes a lease that has expired, or checks it again when it will have expired. */
 static void
 expire_lease (Sim *sim, gpointer data)
 {
@@ -192,13 +202,14 @@
   if (!lease)
     return;
   if (sim->kv_outage)
-    lease->until = sim->now + lease->ttl; /* after an outage every lease has its full time to live again */
-  if (sim->now >= lease->until)
+    lease->expires_at = sim->now + lease->ttl; /* during an outage every lease is extended to its full TTL */
+  if (sim->now >= lease->expires_at)
     remove_lease (sim, id);
   else
-    sim_schedule (sim, sim->kv_outage ? sim->now + 0.1 : lease->until + 0.05, expire_lease, data);
+    sim_schedule (sim, sim->kv_outage ? sim->now + 0.1 : lease->expires_at + 0.05, expire_lease, data);
 }
 
+/* Executes a transaction. @out: the body of the response; unset if the status is 429. Returns: the HTTP status */
 static guint
 kv_transaction (Sim *sim, const char *body, char **out)
 {
@@ -206,7 +217,7 @@
   const cJSON *item;
   guint status = 200, changes = (guint) cJSON_GetArraySize (cJSON_GetObjectItem (transaction, "then"));
   if (!transaction)
-    sim_violation (sim, "malformed", "a transaction: %s", body ? body : "no body");
+    sim_violation (sim, "malformed", "a transaction is not JSON: %s", body ? body : "no body");
   sim->kv_write_budget =
       MIN (sim->kv_write_budget + (sim->now - sim->kv_write_budget_at) * sim->kv_write_rate, sim->kv_write_rate);
   sim->kv_write_budget_at = sim->now;
@@ -219,7 +230,7 @@
     }
   if (sim->kv_max_changes && changes > sim->kv_max_changes)
     {
-      sim_violation (sim, "too_large", "%u changes in a transaction", changes);
+      sim_violation (sim, "too_large", "a transaction has %u changes", changes);
       status = 400;
     }
   cJSON_ArrayForEach (item, cJSON_GetObjectItem (transaction, "then"))
@@ -266,7 +277,7 @@
   *out = cJSON_PrintUnformatted (root);
   cJSON_Delete (root);
   cJSON_Delete (transaction);
-  wake_watchers (sim);
+  respond_to_watchers (sim);
   return status;
 }
 
@@ -282,17 +293,17 @@
 {
   GHashTableIter iter;
   gpointer key, value;
-  gsize most = 0;
+  gsize largest = 0;
   g_hash_table_iter_init (&iter, sim->kv);
   while (g_hash_table_iter_next (&iter, &key, &value))
     if (g_str_has_prefix (key, prefix))
-      most = MAX (most, strlen (((Value *) value)->text));
-  return (guint) most;
+      largest = MAX (largest, strlen (((Value *) value)->text));
+  return (guint) largest;
 }
 
 void
-sim_each_record (Sim *sim, const char *prefix, void (*each) (const char *key, const cJSON *value, gpointer user),
-                 gpointer user)
+sim_foreach_record (Sim *sim, const char *prefix, void (*each) (const char *key, const cJSON *value, gpointer user),
+                    gpointer user)
 {
   GHashTableIter iter;
   gpointer key, value;
@@ -307,16 +318,16 @@
 }
 
 char *
-sim_query (const char *path, const char *name)
+sim_query_parameter (const char *path, const char *name)
 {
-  g_autofree char *mark = g_strconcat (name, "=", NULL);
-  const char *at = strstr (path, mark);
+  g_autofree char *name_and_sign = g_strconcat (name, "=", NULL);
+  const char *value = strstr (path, name_and_sign);
   const char *end;
-  if (!at)
+  if (!value)
     return NULL;
-  at += strlen (mark);
-  end = strchr (at, '&');
-  return end ? g_strndup (at, (gsize) (end - at)) : g_strdup (at);
+  value += strlen (name_and_sign);
+  end = strchr (value, '&');
+  return end ? g_strndup (value, (gsize) (end - value)) : g_strdup (value);
 }
 
 static gint
@@ -325,15 +336,16 @@
   return strcmp (*(char *const *) a, *(char *const *) b);
 }
 
+/* Returns: the response to a range read, a page of at most range_page_rows rows. */
 static char *
 kv_range (Sim *sim, const char *path)
 {
-  g_autofree char *prefix = sim_query (path, "starts"), *after = sim_query (path, "since");
+  g_autofree char *prefix = sim_query_parameter (path, "starts"), *after = sim_query_parameter (path, "since");
   g_autoptr (GPtrArray) keys = g_ptr_array_new ();
   cJSON *root = cJSON_CreateObject (), *rows = cJSON_AddArrayToObject (root, "rows");
   GHashTableIter iter;
   gpointer key;
-  gboolean more = FALSE;
+  gboolean has_next = FALSE;
   char *text;
   g_hash_table_iter_init (&iter, sim->kv);
   while (g_hash_table_iter_next (&iter, &key, NULL))
@@ -346,7 +358,7 @@
       cJSON *row;
       if (i == sim->config.range_page_rows)
         {
-          more = TRUE;
+          has_next = TRUE;
           break;
         }
       sim->kv_rows_read++;
@@ -356,13 +368,14 @@
       hzb_json_add_u64 (row, "stamp", value->version);
       cJSON_AddItemToArray (rows, row);
     }
-  cJSON_AddBoolToObject (root, "hasNext", more);
+  cJSON_AddBoolToObject (root, "hasNext", has_next);
   hzb_json_add_u64 (root, "epoch", sim->revision);
   text = cJSON_PrintUnformatted (root);
   cJSON_Delete (root);
   return text;
 }
 
+/* Returns: the response to a read of one key; NULL if the store does not have the key. */
 static char *
 kv_get (Sim *sim, const char *key)
 {
@@ -403,11 +416,12 @@
   else if (g_str_has_prefix (call->path, "/follow"))
     {
       Watcher *watcher = g_new0 (Watcher, 1);
-      g_autofree char *after = sim_query (call->path, "since"), *wait = sim_query (call->path, "waitMs");
+      g_autofree char *after = sim_query_parameter (call->path, "since"),
+                      *wait = sim_query_parameter (call->path, "waitMs");
       watcher->call = call;
-      watcher->prefix = sim_query (call->path, "starts");
+      watcher->prefix = sim_query_parameter (call->path, "starts");
       watcher->after = g_ascii_strtoull (after, NULL, 10);
-      watcher->until = sim->now + g_ascii_strtod (wait, NULL) / 1000;
+      watcher->respond_until = sim->now + g_ascii_strtod (wait, NULL) / 1000;
       if (changes_are_compacted (sim, watcher->after))
         {
           g_free (watcher->prefix);
@@ -416,19 +430,19 @@
           return;
         }
       g_ptr_array_add (sim->watchers, watcher);
-      sim_schedule (sim, watcher->until, watch_timeout, NULL);
-      wake_watchers (sim);
+      sim_schedule (sim, watcher->respond_until, watch_timeout, NULL);
+      respond_to_watchers (sim);
     }
   else if (g_str_equal (call->path, "/leases"))
     {
       Lease *lease = g_new0 (Lease, 1);
       cJSON *root = cJSON_Parse (call->body);
       lease->ttl = hzb_json_number (root, "ttlMs", 0) / 1000;
-      lease->until = sim->now + lease->ttl;
+      lease->expires_at = sim->now + lease->ttl;
       cJSON_Delete (root);
       sim->lease_number++;
       g_hash_table_insert (sim->leases, GSIZE_TO_POINTER (sim->lease_number), lease);
-      sim_schedule (sim, lease->until, expire_lease, GSIZE_TO_POINTER (sim->lease_number));
+      sim_schedule (sim, lease->expires_at, expire_lease, GSIZE_TO_POINTER (sim->lease_number));
       sim_respond (sim, call, 200, g_strdup_printf ("{\"permit\":%" G_GUINT64_FORMAT "}", sim->lease_number));
     }
   else
@@ -439,7 +453,7 @@
       if (lease && g_str_equal (call->method, "DELETE"))
         remove_lease (sim, id);
       else if (lease)
-        lease->until = sim->now + lease->ttl;
+        lease->expires_at = sim->now + lease->ttl;
       sim_respond (sim, call, status, NULL);
     }
 }
--- a/tests/sim-network.c
+++ b/tests/sim-network.c
@@ -1,4 +1,5 @@
-/* Calls between hosts: delays, losses, partitions, late copies, and paused processes. */
+/* The simulated network: calls between hosts with delays, losses, partitions and late copies, and calls to processes
+ * that are paused. */
 #include "sim-internal.h"
 #include "user-protocol.h"
 
@@ -17,18 +18,19 @@
   g_free (call);
 }
 
+/* Passes the response to the caller, once, unless the process that sent the request has ended. */
 static void
 call_finish (Sim *sim, SimCall *call, guint status, const char *body)
 {
   SimNode *node = &sim->nodes[call->node];
-  if (call->over)
+  if (call->finished)
     return;
-  call->over = TRUE;
+  call->finished = TRUE;
   if (node->controller && node->incarnation == call->incarnation)
     {
       sim_measure_begin (sim);
       call->done (status, body ? body : "", body ? strlen (body) : 0, call->user);
-      sim_measure_end (sim, SIM_PART_RESPONSES);
+      sim_measure_end (sim, SIM_WORK_RESPONSES);
     }
 }
 
@@ -41,17 +43,16 @@
   call_unref (data);
 }
 
-/* Defers the event while the node's process is paused. Returns: TRUE if it is. */
 gboolean
 sim_node_paused (SimNode *node, void (*run) (Sim *sim, gpointer data), gpointer data)
 {
-  SimEvent *late;
+  SimEvent *event;
   if (!node->controller || !node->paused)
     return FALSE;
-  late = g_new0 (SimEvent, 1);
-  late->run = run;
-  late->data = data;
-  g_ptr_array_add (node->deferred, late);
+  event = g_new0 (SimEvent, 1);
+  event->run = run;
+  event->data = data;
+  g_ptr_array_add (node->deferred, event);
   return TRUE;
 }
 
@@ -59,11 +60,11 @@
 sim_resume (Sim *sim, guint node_index)
 {
   SimNode *node = &sim->nodes[node_index];
-  g_autoptr (GPtrArray) late = node->deferred;
+  g_autoptr (GPtrArray) events = node->deferred;
   node->deferred = g_ptr_array_new_with_free_func (g_free);
   node->paused = FALSE;
-  for (guint i = 0; i < late->len; i++)
-    ((SimEvent *) late->pdata[i])->run (sim, ((SimEvent *) late->pdata[i])->data);
+  for (guint i = 0; i < events->len; i++)
+    ((SimEvent *) events->pdata[i])->run (sim, ((SimEvent *) events->pdata[i])->data);
 }
 
 static void
@@ -82,25 +83,26 @@
   return g_rand_double_range (sim->rand, 0.001, 0.01);
 }
 
+/* Whether a partition separates the caller from the host that it calls. */
 static gboolean
-is_cut (Sim *sim, const SimCall *call)
+is_partitioned (Sim *sim, const SimCall *call)
 {
   const SimNode *node = &sim->nodes[call->node];
-  gboolean kv = g_str_equal (call->addr, SIM_KV_ADDRESS), cloud = g_str_equal (call->addr, SIM_CLOUD_ADDRESS);
-  if (kv)
+  gboolean is_kv = g_str_equal (call->addr, SIM_KV_ADDRESS), is_cloud = g_str_equal (call->addr, SIM_CLOUD_ADDRESS);
+  if (is_kv)
     return node->cut_off_from_kv;
-  if (cloud)
+  if (is_cloud)
     return FALSE;
+  /* The address of a controller is 10.0.0.N:81, where N is its index plus 1. */
   return node->cut_off_from_peers || sim->nodes[call->addr[7] - '1'].cut_off_from_peers;
 }
 
-/* Takes the body and the reference to the call. */
 void
 sim_respond (Sim *sim, SimCall *call, guint status, char *body)
 {
   const SimNode *node = &sim->nodes[call->node];
-  gboolean of_peer = !g_str_has_prefix (call->addr, "10.9.");
-  double late = of_peer && status ? node->peer_response_delay_s : 0;
+  gboolean from_peer = !g_str_has_prefix (call->addr, "10.9.");
+  double delay_s = from_peer && status ? node->peer_response_delay_s : 0;
   call->status = status;
   call->reply = body;
   sim_trace (&(SimTraceEvent){ .at = sim->now,
@@ -110,17 +112,17 @@
                                .path = call->path,
                                .status = status,
                                .body = body });
-  if (of_peer && body)
+  if (from_peer && body)
     sim->largest_reply = MAX (sim->largest_reply, strlen (body));
-  if (sim_chance (sim, sim->loss_chance) || is_cut (sim, call))
+  if (sim_chance (sim, sim->loss_chance) || is_partitioned (sim, call))
     call_unref (call);
   else
-    sim_schedule (sim, sim->now + sim_latency (sim) + late, on_response, call);
+    sim_schedule (sim, sim->now + sim_latency (sim) + delay_s, on_response, call);
 }
 
-/* Removes the fields that a process of version 1 does not send. */
+/* Returns: a copy of the body without the fields that a process of version 1 does not send. */
 static char *
-as_version_1 (const char *body)
+encode_as_version_1 (const char *body)
 {
   cJSON *root = cJSON_Parse (body ? body : "");
   char *text;
@@ -136,6 +138,7 @@
   return text;
 }
 
+/* Reply function of a request between controllers: sends the response back to the caller. */
 static void
 peer_reply (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
@@ -143,12 +146,13 @@
   {
     Sim *sim = pair[0];
     SimCall *call = pair[1];
-    gboolean old = sim->nodes[call->addr[7] - '1'].runs_version_1;
-    sim_respond (sim, call, status, old ? as_version_1 (body) : g_strdup (body));
+    gboolean runs_version_1 = sim->nodes[call->addr[7] - '1'].runs_version_1;
+    sim_respond (sim, call, status, runs_version_1 ? encode_as_version_1 (body) : g_strdup (body));
   }
   g_free (pair);
 }
 
+/* A request arrives at its destination. */
 static void
 on_arrival (Sim *sim, gpointer data)
 {
@@ -172,7 +176,7 @@
       if (call->body && strlen (call->body) > HZB_MAX_BODY_BYTES)
         {
           sim->oversized_requests++;
-          sim_respond (sim, call, 400, NULL); /* as the HTTP server does */
+          sim_respond (sim, call, 400, NULL); /* the HTTP server of a controller refuses it likewise */
           return;
         }
       http_request = g_new0 (HzbHttpRequest, 1);
@@ -188,17 +192,17 @@
       sim->largest_request = MAX (sim->largest_request, http_request->length);
       sim_measure_begin (sim);
       hzb_controller_handle_peer_request (http_request, target->controller);
-      sim_measure_end (sim, SIM_PART_PEERS);
+      sim_measure_end (sim, SIM_WORK_PEERS);
     }
 }
 
-/* A copy of the message whose response is dropped. */
+/* Returns: a copy of the request; the response to the copy is dropped. */
 static SimCall *
 copy_without_response (const SimCall *call)
 {
   SimCall *copy = g_new0 (SimCall, 1);
   copy->node = call->node;
-  copy->incarnation = G_MAXUINT;
+  copy->incarnation = G_MAXUINT; /* no process has this incarnation */
   copy->method = g_strdup (call->method);
   copy->addr = g_strdup (call->addr);
   copy->path = g_strdup (call->path);
@@ -222,7 +226,7 @@
   call->body = body;
   if (sim->nodes[from->node].runs_version_1 && !g_str_has_prefix (addr, "10.9."))
     {
-      call->body = as_version_1 (body);
+      call->body = encode_as_version_1 (body);
       g_free (body);
     }
   call->done = done;
@@ -236,7 +240,7 @@
                                .path = path,
                                .body = call->body });
   sim_schedule (sim, sim->now + timeout_ms / 1000.0, on_timeout, call);
-  if (sim_chance (sim, sim->loss_chance) || is_cut (sim, call))
+  if (sim_chance (sim, sim->loss_chance) || is_partitioned (sim, call))
     return;
   if (!g_str_has_prefix (addr, "10.9.") && sim_chance (sim, sim->peer_copy_chance))
     sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 0.2, 30), on_arrival, copy_without_response (call));
@@ -246,7 +250,7 @@
       return;
     }
   call->refs++;
-  /* A delayed request is carried out long after its sender has timed out. */
+  /* A delayed request can be executed after its sender has timed out. */
   sim_schedule (
       sim, sim->now + (sim_chance (sim, sim->delay_chance) ? g_rand_double_range (sim->rand, 1, 9) : sim_latency (sim)),
       on_arrival, call);
