--- a/tests/sim-rules.c
+++ b/tests/sim-rules.c
@@ -1,66 +1,71 @@
-/* The rules of the protocol, checked while the cluster runs and at its end, and that no team, class or large job is
- * starved. */
+/* Checks of the rules of the protocol, while the cluster runs and at the end of a run, and of fairness: no team, no
+ * class and no large job is starved. Each violation is recorded under the name of its rule. */
 #include "sim-internal.h"
 
 #include <math.h>
 #include <string.h>
 
-#define FORGOTTEN_S 75.0
-#define FORGOTTEN_AMONG_OTHERS_S 90.0
+/* How long an accepted job may go without a conclusive response to its user. */
+#define MAX_RESPONSE_GAP_S 75.0
+#define MAX_RESPONSE_GAP_DURING_FAULTS_S 90.0
+/* The age up to which a response counts as recent in check_responses(). */
 #define RECENT_RESPONSE_S 20.0
-#define LEFT_WAITING_S 90.0
+/* How long a task may wait, once all faults are over, while a suitable machine is free. */
+#define MAX_PLACEMENT_WAIT_S 90.0
+#define MAX_START_DELAY_OF_LARGEST_JOB_S 240
 
+/* Whether the task is past the fetch of its image and has not ended. */
 static gboolean
-on_machine (const SimTask *task)
+is_active (const SimTask *task)
 {
   return task->state >= SIM_TASK_GATHERING && task->state <= SIM_TASK_CHECKPOINTING;
 }
 
-/* While faults last: a job is forgotten if its user gets no conclusive response although most other users do. */
+/* Records a violation for each accepted job whose user gets no conclusive response although most other users do. This
+ * rule applies during faults too. */
 static void
 check_responses (Sim *sim)
 {
-  guint accepted = 0, answered_recently = 0;
+  guint accepted = 0, with_recent_response = 0;
   for (guint i = 0; i < sim->jobs->len; i++)
     {
       const SimJob *job = sim->jobs->pdata[i];
       accepted += job->accepted;
-      answered_recently += job->accepted && sim->now - job->last_response_at < RECENT_RESPONSE_S;
+      with_recent_response += job->accepted && sim->now - job->last_response_at < RECENT_RESPONSE_S;
     }
-  for (guint i = 0; i < sim->jobs->len && 2 * answered_recently > accepted; i++)
+  for (guint i = 0; i < sim->jobs->len && 2 * with_recent_response > accepted; i++)
     {
       SimJob *job = sim->jobs->pdata[i];
-      if (!job->accepted || sim->now - job->last_response_at < FORGOTTEN_AMONG_OTHERS_S)
+      if (!job->accepted || sim->now - job->last_response_at < MAX_RESPONSE_GAP_DURING_FAULTS_S)
         continue;
-      sim_violation (sim, "forgotten", "no conclusive response about %s since %.0f; its user was told:\n%s", job->uid,
-                     job->last_response_at, job->response_history->str);
-      job->last_response_at = sim->now; /* reported once */
+      sim_violation (sim, "forgotten", "no conclusive response about %s since %.0f; responses to its user:\n%s",
+                     job->uid, job->last_response_at, job->response_history->str);
+      job->last_response_at = sim->now; /* records this violation once, not at each check */
     }
 }
 
-/* To be called once all faults have been over for a while. */
+/* Called when the last fault is long enough ago that each user should have got a response since. */
 void
-sim_check_forgotten (Sim *sim)
+sim_check_unanswered_jobs (Sim *sim)
 {
   for (guint i = 0; i < sim->jobs->len; i++)
     {
       const SimJob *job = sim->jobs->pdata[i];
-      if (job->accepted && sim->now - job->last_response_at > FORGOTTEN_S)
-        sim_violation (sim, "forgotten", "no conclusive response about %s since %.0f; its user was told:\n%s", job->uid,
-                       job->last_response_at, job->response_history->str);
+      if (job->accepted && sim->now - job->last_response_at > MAX_RESPONSE_GAP_S)
+        sim_violation (sim, "forgotten", "no conclusive response about %s since %.0f; responses to its user:\n%s",
+                       job->uid, job->last_response_at, job->response_history->str);
     }
 }
 
-/* To be called once every job should be terminal. */
+/* Called when every job should be done or cancelled. */
 void
-sim_check_end (Sim *sim)
+sim_check_final_state (Sim *sim)
 {
-  sim_check_forgotten (sim);
+  sim_check_unanswered_jobs (sim);
   for (guint i = 0; i < sim->jobs->len; i++)
     {
       const SimJob *job = sim->jobs->pdata[i];
-      guint of_team = 0, of_class = 0, team_served = 0, class_served = 0, largest = 0, n_largest = 0,
-            largest_served = 0;
+      guint team_jobs = 0, class_jobs = 0, team_done = 0, class_done = 0, largest = 0, n_largest = 0, largest_done = 0;
       for (guint k = 0; k < sim->jobs->len; k++)
         {
           const SimJob *other = sim->jobs->pdata[k];
@@ -68,32 +73,32 @@
                    same_team = g_str_equal (other->team, job->team);
           if (other->always_fails || other->confirmed_cancelled)
             continue;
-          of_team += same_team;
-          team_served += same_team && other->confirmed_done;
-          of_class += same_class;
-          class_served += same_class && other->confirmed_done;
+          team_jobs += same_team;
+          team_done += same_team && other->confirmed_done;
+          class_jobs += same_class;
+          class_done += same_class && other->confirmed_done;
           if (same_class && other->n_tasks > largest)
             {
               largest = other->n_tasks;
-              n_largest = largest_served = 0;
+              n_largest = largest_done = 0;
             }
           if (same_class && other->n_tasks == largest)
             {
               n_largest++;
-              largest_served += other->confirmed_done;
+              largest_done += other->confirmed_done;
             }
         }
-      if (2 * team_served < of_team)
-        sim_violation (sim, "starved", "of team %s %u of %u jobs are over", job->team, team_served, of_team);
-      if (2 * class_served < of_class)
-        sim_violation (sim, "starved", "of class %s %u of %u jobs are over", job->job_class, class_served, of_class);
-      if (2 * largest_served < n_largest)
-        sim_violation (sim, "starved", "of the largest of class %s %u of %u are over", job->job_class, largest_served,
-                       n_largest);
+      if (2 * team_done < team_jobs)
+        sim_violation (sim, "starved", "of team %s %u of %u jobs are done", job->team, team_done, team_jobs);
+      if (2 * class_done < class_jobs)
+        sim_violation (sim, "starved", "of class %s %u of %u jobs are done", job->job_class, class_done, class_jobs);
+      if (2 * largest_done < n_largest)
+        sim_violation (sim, "starved", "of the largest of class %s %u of %u jobs are done", job->job_class,
+                       largest_done, n_largest);
       if (job->n_tasks == largest && !job->always_fails && !job->confirmed_cancelled
-          && (job->first_start_at <= 0 || job->first_start_at - job->submit_at > 240))
-        sim_violation (sim, "starved", "%s, the largest of class %s, began at %.0f", job->uid, job->job_class,
-                       job->first_start_at);
+          && (job->first_start_at <= 0 || job->first_start_at - job->submit_at > MAX_START_DELAY_OF_LARGEST_JOB_S))
+        sim_violation (sim, "starved", "%s, the largest of class %s, started at %.0f (0: never)", job->uid,
+                       job->job_class, job->first_start_at);
     }
 }
 
@@ -104,17 +109,17 @@
   return g_str_equal (team, "guest") ? INFINITY : sim->config.team_max;
 }
 
-/* Returns: the free CPUs of each machine, by index; negative if the machine can't take tasks. Fills @placed with the
- * number of tasks of each job that are on a machine. */
+/* Returns: (transfer full): the free CPUs of each machine, by index; negative if the machine can't take tasks. Adds to
+ * @placed, for each job, how many of its tasks are on machines and have not ended. */
 static double *
-count_free_cpus (const Sim *sim, GHashTable *placed)
+compute_free_cpus (const Sim *sim, GHashTable *placed)
 {
-  double *room = g_new0 (double, sim->machines->len);
+  double *free_cpus = g_new0 (double, sim->machines->len);
   for (guint k = 0; k < sim->machines->len; k++)
     {
       const SimMachine *machine = sim->machines->pdata[k];
-      gboolean works = machine->up && !machine->terminated && !machine->crashed && !machine->partitioned
-                       && !machine->hung && !machine->faulty && !machine->one_way_partitioned;
+      gboolean usable = machine->up && !machine->terminated && !machine->crashed && !machine->partitioned
+                        && !machine->hung && !machine->faulty && !machine->one_way_partitioned;
       double free = machine->cpus;
       for (guint t = 0; t < machine->tasks->len && !machine->terminated; t++)
         {
@@ -126,18 +131,19 @@
           g_hash_table_insert (placed, job,
                                GUINT_TO_POINTER (GPOINTER_TO_UINT (g_hash_table_lookup (placed, job)) + 1));
         }
-      room[k] = works ? free : -1;
+      free_cpus[k] = usable ? free : -1;
     }
-  return room;
+  return free_cpus;
 }
 
+/* Whether a usable machine that the job allows has enough free CPUs for one of its tasks. */
 static gboolean
-fits_somewhere (const Sim *sim, const SimJob *job, const double *room)
+fits_any_machine (const Sim *sim, const SimJob *job, const double *free_cpus)
 {
   for (guint k = 0; k < sim->machines->len; k++)
     {
       const SimMachine *machine = sim->machines->pdata[k];
-      if (room[k] >= 0 && room[k] >= job->cpus && (job->spot || !machine->spot)
+      if (free_cpus[k] >= 0 && free_cpus[k] >= job->cpus && (job->spot || !machine->spot)
           && (!job->zone || g_str_equal (job->zone, machine->zone))
           && (!job->type || g_str_equal (job->type, machine->type)))
         return TRUE;
@@ -145,40 +151,42 @@
   return FALSE;
 }
 
-/* Once all faults are over no job may be left waiting while a machine that fits has room and the job's team is under
- * its limit. */
+/* Records a violation for each job with a task that waits too long although a suitable machine is free and the job's
+ * team is below its limit. Called once all faults are over. @cpus_by_team: team -> CPUs in use, as a double */
 static void
-check_unplaced (Sim *sim, GHashTable *teams)
+check_unplaced (Sim *sim, GHashTable *cpus_by_team)
 {
-  g_autoptr (GHashTable) placed_of = g_hash_table_new (NULL, NULL); /* SimJob -> tasks */
-  g_autofree double *room = count_free_cpus (sim, placed_of);
+  g_autoptr (GHashTable) placed_by_job = g_hash_table_new (NULL, NULL); /* SimJob -> number of tasks */
+  g_autofree double *free_cpus = compute_free_cpus (sim, placed_by_job);
 
   for (guint i = 0; i < sim->jobs->len; i++)
     {
       SimJob *job = sim->jobs->pdata[i];
-      const double *used = g_hash_table_lookup (teams, job->team);
-      guint placed = GPOINTER_TO_UINT (g_hash_table_lookup (placed_of, job)), finished = 0;
+      const double *used = g_hash_table_lookup (cpus_by_team, job->team);
+      guint placed = GPOINTER_TO_UINT (g_hash_table_lookup (placed_by_job, job)), finished = 0;
       for (guint k = 0; k < job->n_tasks; k++)
         finished += job->finished[k];
       if (!job->accepted || job->confirmed_cancelled || job->confirmed_done || job->cancel_requested
           || job->always_fails || job->gang || placed + finished >= job->n_tasks
-          || (used ? *used : 0) + job->cpus > team_limit (sim, job->team) || !fits_somewhere (sim, job, room))
+          || (used ? *used : 0) + job->cpus > team_limit (sim, job->team) || !fits_any_machine (sim, job, free_cpus))
         job->unplaced_since = 0;
       else if (job->unplaced_since <= 0)
         job->unplaced_since = sim->now;
-      else if (sim->now - job->unplaced_since > LEFT_WAITING_S)
+      else if (sim->now - job->unplaced_since > MAX_PLACEMENT_WAIT_S)
         {
-          sim_violation (sim, "left_waiting", "%s since %.0f", job->uid, job->unplaced_since);
+          sim_violation (sim, "left_waiting", "%s has a task that waits since %.0f although a machine is free",
+                         job->uid, job->unplaced_since);
           job->unplaced_since = sim->now;
         }
     }
 }
 
-/* Counts the replica time that services were asked for, and how much of it was not served. */
+/* Accounts, for each service, the time since the last call: the replica time that its job requested, and the part of it
+ * in which a replica did not run. Begins 10 s after the service was accepted. */
 static void
-count_replicas (Sim *sim)
+account_replica_time (Sim *sim)
 {
-  double step = sim->now - sim->replicas_counted_at;
+  double elapsed_s = sim->now - sim->replicas_counted_at;
   sim->replicas_counted_at = sim->now;
   for (guint i = 0; i < sim->jobs->len; i++)
     {
@@ -195,16 +203,16 @@
               running += task->state == SIM_TASK_RUNNING && g_str_equal (task->uid, job->uid);
             }
         }
-      job->replica_wanted_s += job->n_tasks * step;
-      job->replica_missed_s += (job->n_tasks - MIN (running, job->n_tasks)) * step;
+      job->replica_requested_s += job->n_tasks * elapsed_s;
+      job->replica_unserved_s += (job->n_tasks - MIN (running, job->n_tasks)) * elapsed_s;
     }
 }
 
 void
-sim_check (Sim *sim)
+sim_check_rules (Sim *sim)
 {
-  g_autoptr (GHashTable) places = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  g_autoptr (GHashTable) teams = g_hash_table_new (g_str_hash, g_str_equal);
+  g_autoptr (GHashTable) active_tasks = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  g_autoptr (GHashTable) cpus_by_team = g_hash_table_new (g_str_hash, g_str_equal); /* team -> double */
   for (guint i = 0; i < sim->machines->len; i++)
     {
       const SimMachine *machine = sim->machines->pdata[i];
@@ -214,26 +222,27 @@
           SimJob *job = sim_find_job (sim, task->uid);
           char *name;
           double *used;
-          if (!on_machine (task))
+          if (!is_active (task))
             continue;
           name = g_strdup_printf ("%s/%u", task->uid, task->task);
-          if (g_hash_table_contains (places, name))
-            sim_violation (sim, "ran_twice", "%s on %s and another", name, machine->name);
-          g_hash_table_add (places, name);
+          if (g_hash_table_contains (active_tasks, name))
+            sim_violation (sim, "ran_twice", "%s runs on %s and on another machine", name, machine->name);
+          g_hash_table_add (active_tasks, name);
           if (job->confirmed_cancelled && sim->now > job->cancel_confirmed_at + sim->config.cancel_s)
-            sim_violation (sim, "ran_cancelled", "%s on %s", name, machine->name);
-          used = g_hash_table_lookup (teams, job->team);
+            sim_violation (sim, "ran_cancelled", "%s still runs on %s although its job was confirmed as cancelled",
+                           name, machine->name);
+          used = g_hash_table_lookup (cpus_by_team, job->team);
           if (!used)
             {
               used = g_new0 (double, 1);
-              g_hash_table_insert (teams, job->team, used);
+              g_hash_table_insert (cpus_by_team, job->team, used);
             }
           *used += job->cpus;
           if (*used > team_limit (sim, job->team) + 1e-9)
-            sim_violation (sim, "quota", "%s uses %g", job->team, *used);
+            sim_violation (sim, "quota", "team %s uses %g CPUs, above its limit", job->team, *used);
         }
     }
-  count_replicas (sim);
+  account_replica_time (sim);
   if (sim->now >= sim->next_response_check)
     {
       check_responses (sim);
@@ -241,13 +250,13 @@
     }
   if (sim->faults_over_at > 0 && sim->now >= sim->faults_over_at && sim->now >= sim->next_placement_check)
     {
-      check_unplaced (sim, teams);
+      check_unplaced (sim, cpus_by_team);
       sim->next_placement_check = sim->now + 1;
     }
   {
     GHashTableIter iter;
     gpointer used;
-    g_hash_table_iter_init (&iter, teams);
+    g_hash_table_iter_init (&iter, cpus_by_team);
     while (g_hash_table_iter_next (&iter, NULL, &used))
       g_free (used);
   }
--- a/tests/sim-trace.c
+++ b/tests/sim-trace.c
@@ -1,30 +1,32 @@
+/* Writes the traces that sim-trace.h describes. */
 #include "sim-trace.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* The trace of the test case that runs now. Test cases run one after the other in a process. */
+/* The trace of the running test case. A process runs its test cases one after the other. */
 typedef struct
 {
   const char *directory;
-  char *test_case; /* NULL: none has begun */
+  char *test_case; /* path of the test case; NULL: no test case has begun */
   GChecksum *checksum;
   guint64 events;
-  FILE *text; /* NULL: digests only */
+  FILE *text; /* the events in full; NULL: only the digest is written */
 } Trace;
 
 static Trace trace;
 
+/* Returns: (transfer full): the path of a file of the test case. */
 static char *
-trace_file (const char *suffix)
+build_trace_path (const char *suffix)
 {
   g_autofree char *name = g_strdelimit (g_strdup (trace.test_case + 1), "/", '.');
   g_autofree char *file = g_strconcat (name, suffix, NULL);
   return g_build_filename (trace.directory, file, NULL);
 }
 
-/* Writes the digest of the test case that ends. */
+/* Writes the digest and ends the trace of the test case, if one has begun. */
 static void
 trace_finish (void)
 {
@@ -33,10 +35,10 @@
 
   if (!trace.test_case)
     return;
-  path = trace_file (".digest");
+  path = build_trace_path (".digest");
   line = g_strdup_printf ("%s %" G_GUINT64_FORMAT "\n", g_checksum_get_string (trace.checksum), trace.events);
   if (!g_file_set_contents (path, line, -1, &error))
-    g_error ("the trace can't be written: %s", error->message);
+    g_error ("can't write the digest of the trace: %s", error->message);
   g_checksum_free (trace.checksum);
   if (trace.text)
     fclose (trace.text);
@@ -52,10 +54,10 @@
   trace.events = 0;
   if (g_getenv ("HZB_SIM_TRACE_TEXT"))
     {
-      g_autofree char *path = trace_file (".text");
+      g_autofree char *path = build_trace_path (".text");
       trace.text = fopen (path, "w");
       if (!trace.text)
-        g_error ("%s can't be written", path);
+        g_error ("can't write the text of the trace to %s", path);
     }
 }
 
@@ -83,7 +85,7 @@
     return;
   test_case = g_test_get_path ();
   if (!*test_case)
-    return; /* a load tool, not a test */
+    return; /* the process is a load tool, not a test */
   if (g_strcmp0 (test_case, trace.test_case) != 0)
     {
       trace_finish ();
--- a/tests/sim-user.c
+++ b/tests/sim-user.c
@@ -1,36 +1,38 @@
-/* Fakes of the users: each submits a job, asks about it and perhaps cancels it. */
+/* Fakes of the users: each user submits one job, polls its status and may cancel it. */
 #include "json.h"
 #include "sim-internal.h"
 
 #include <string.h>
 
-/* How long a user waits for a response. A later response, such as that of a resumed controller, is dropped. */
-#define POLL_WAIT_S 2.0
-#define REQUEST_WAIT_S 5.0
+/* Timeouts of a user. A later response, such as the response of a controller that was paused, is dropped. */
+#define POLL_TIMEOUT_S 2.0
+#define REQUEST_TIMEOUT_S 5.0
 
+/* A request of a user. */
 typedef struct
 {
   SimJob *job;
-  double sent;
+  double sent_at;
   enum
   {
-    USER_SUBMITS,
-    USER_POLLS,
-    USER_CANCELS
-  } what;
+    USER_CALL_SUBMIT,
+    USER_CALL_POLL,
+    USER_CALL_CANCEL
+  } kind;
 } UserCall;
 
 static void user_step (Sim *sim, gpointer data);
 
-/* Whether the response says something about the job; 429 and 503 only ask the user to retry. */
+/* Whether the response tells the state of the job or refuses the job; 429 and 503 only ask the user to retry. */
 static gboolean
 is_conclusive (guint status)
 {
   return status == 200 || status == 201 || status == 400 || status == 404 || status == 422;
 }
 
+/* Records the response in the history of the job. */
 static void
-note_response (Sim *sim, SimJob *job, guint status, const char *state)
+record_response (Sim *sim, SimJob *job, guint status, const char *state)
 {
   if (!state)
     state = "";
@@ -48,10 +50,10 @@
 void
 sim_user_response (Sim *sim, SimJob *job, guint status, const char *state)
 {
-  gboolean all = TRUE;
+  gboolean all_finished = TRUE;
   for (guint i = 0; i < job->n_tasks; i++)
-    all = all && job->finished[i];
-  note_response (sim, job, status, state);
+    all_finished = all_finished && job->finished[i];
+  record_response (sim, job, status, state);
   if (status == 200 || status == 201)
     {
       gboolean done = g_strcmp0 (state, "done") == 0, cancelled = g_strcmp0 (state, "cancelled") == 0;
@@ -59,12 +61,12 @@
         job->accepted_at = sim->now;
       job->accepted = TRUE;
       if (!job->submitted)
-        sim_violation (sim, "invented", "%s", job->uid);
-      if (done && !all)
-        sim_violation (sim, "not_done", "%s is called done", job->uid);
+        sim_violation (sim, "invented", "%s was never submitted", job->uid);
+      if (done && !all_finished)
+        sim_violation (sim, "not_done", "%s is reported as done before all its tasks have succeeded", job->uid);
       if ((job->confirmed_done && !done) || (job->confirmed_cancelled && !cancelled)
           || (cancelled && !job->cancel_requested))
-        sim_violation (sim, "went_back", "%s is called %s; its user was told:\n%s", job->uid, state,
+        sim_violation (sim, "went_back", "%s is reported as %s; responses to its user:\n%s", job->uid, state,
                        job->response_history->str);
       if (cancelled && !job->confirmed_cancelled)
         job->cancel_confirmed_at = sim->now;
@@ -77,9 +79,11 @@
       return;
     }
   else if (job->accepted && (status == 404 || status == 400 || status == 422))
-    sim_violation (sim, "forgotten", "%s got %u; its user was told:\n%s", job->uid, status, job->response_history->str);
+    sim_violation (sim, "forgotten", "%s was accepted and now gets %u; responses to its user:\n%s", job->uid, status,
+                   job->response_history->str);
 }
 
+/* Reply function of a request of a user. */
 static void
 user_reply (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
@@ -89,15 +93,16 @@
   cJSON *root = cJSON_Parse (body ? body : "");
   sim_trace (
       &(SimTraceEvent){ .at = sim->now, .kind = "response", .path = call->job->uid, .status = status, .body = body });
-  if (sim->now - call->sent <= (call->what == USER_POLLS ? POLL_WAIT_S : REQUEST_WAIT_S))
+  if (sim->now - call->sent_at <= (call->kind == USER_CALL_POLL ? POLL_TIMEOUT_S : REQUEST_TIMEOUT_S))
     sim_user_response (sim, call->job, status, hzb_json_text (root, "status"));
   cJSON_Delete (root);
   g_free (call);
   g_free (pair);
 }
 
+/* A request of a user arrives at a random controller. */
 static void
-user_arrives (Sim *sim, gpointer data)
+on_user_request (Sim *sim, gpointer data)
 {
   UserCall *call = data;
   SimJob *job = call->job;
@@ -120,9 +125,9 @@
   pair[1] = call;
   http_request->reply = user_reply;
   http_request->impl = pair;
-  http_request->method = g_strdup (call->what == USER_POLLS ? "GET" : "POST");
+  http_request->method = g_strdup (call->kind == USER_CALL_POLL ? "GET" : "POST");
   http_request->body = g_strdup ("");
-  if (call->what == USER_SUBMITS)
+  if (call->kind == USER_CALL_SUBMIT)
     {
       g_autofree char *types = job->type ? g_strdup_printf ("[\"%s\"]", job->type) : g_strdup ("null");
       g_autofree char *zone = job->zone ? g_strdup_printf ("\"%s\"", job->zone) : g_strdup ("null");
@@ -144,32 +149,33 @@
       job->submitted = TRUE;
     }
   else
-    http_request->path = g_strdup_printf ("/api/jobs/%s%s", job->uid, call->what == USER_CANCELS ? "/cancel" : "");
-  if (call->what == USER_CANCELS && !job->cancel_requested)
-    g_string_append_printf (job->response_history, "  %.2f: its user asks to cancel it\n", sim->now);
-  if (call->what == USER_CANCELS)
+    http_request->path = g_strdup_printf ("/api/jobs/%s%s", job->uid, call->kind == USER_CALL_CANCEL ? "/cancel" : "");
+  if (call->kind == USER_CALL_CANCEL && !job->cancel_requested)
+    g_string_append_printf (job->response_history, "  %.2f: the user requests the cancellation\n", sim->now);
+  if (call->kind == USER_CALL_CANCEL)
     job->cancel_requested = TRUE;
   http_request->length = strlen (http_request->body);
   sim_measure_begin (sim);
   sim_client_request (sim, node_index, http_request);
-  sim_measure_end (sim, SIM_PART_USERS);
+  sim_measure_end (sim, SIM_WORK_USERS);
 }
 
+/* Sends the next request of a user, and schedules the following one. */
 static void
 user_step (Sim *sim, gpointer data)
 {
   SimJob *job = data;
   UserCall *call = g_new0 (UserCall, 1);
   call->job = job;
-  call->sent = sim->now;
-  call->what = !job->accepted ? USER_SUBMITS
+  call->sent_at = sim->now;
+  call->kind = !job->accepted ? USER_CALL_SUBMIT
                : job->wants_cancel && !job->confirmed_cancelled
                        && sim->now > (job->cancel_at > 0 ? job->cancel_at : job->submit_at + 8)
                        && !(job->polls_only && job->cancel_requested)
-                   ? USER_CANCELS
-               : sim_chance (sim, 0.1) ? USER_SUBMITS
-                                       : USER_POLLS;
-  sim_schedule (sim, sim->now + sim_latency (sim), user_arrives, call);
+                   ? USER_CALL_CANCEL
+               : sim_chance (sim, 0.1) ? USER_CALL_SUBMIT
+                                       : USER_CALL_POLL;
+  sim_schedule (sim, sim->now + sim_latency (sim), on_user_request, call);
   sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 1, 3), user_step, job);
 }
 
@@ -194,7 +200,7 @@
 }
 
 guint
-sim_unfinished (Sim *sim)
+sim_count_unfinished_jobs (Sim *sim)
 {
   guint n = 0;
   for (guint i = 0; i < sim->jobs->len; i++)
@@ -206,7 +212,7 @@
 }
 
 guint
-sim_running (Sim *sim, const SimJob *job, const char *zone)
+sim_count_running_tasks (Sim *sim, const SimJob *job, const char *zone)
 {
   guint n = 0;
   for (guint i = 0; i < sim->machines->len; i++)
--- a/tests/sim-worker.c
+++ b/tests/sim-worker.c
@@ -1,16 +1,21 @@
-/* Fakes of the workers, one for each machine: heartbeats, leases, tasks. */
+/* Fakes of the workers: each machine has one worker, with its heartbeats, its lease and its tasks. */
 #include "json.h"
 #include "sim-internal.h"
 
 #include <math.h>
 #include <string.h>
 
-#define IN_FLIGHT_S 0.05 /* more than a response with a start takes */
+/* A start that was in flight when the cancellation was confirmed may arrive within this time, which is longer than a
+ * response takes. */
+#define MAX_COMMAND_LATENCY_S 0.05
+#define HEARTBEAT_TIMEOUT_S 4
+#define TICK_INTERVAL_S 0.25
 
+/* By SimTaskState. */
 static const char *const status_names[] = { "fetching", "gathering", "running", "saving", "ended" };
 
 static void
-drop_tasks (SimMachine *machine)
+clear_tasks (SimMachine *machine)
 {
   for (guint i = 0; i < machine->tasks->len; i++)
     {
@@ -21,10 +26,10 @@
 }
 
 static void
-end_task (SimTask *task, const char *why)
+end_task (SimTask *task, const char *cause)
 {
   task->state = SIM_TASK_ENDED;
-  g_strlcpy (task->cause, why, sizeof task->cause);
+  g_strlcpy (task->cause, cause, sizeof task->cause);
 }
 
 SimTask *
@@ -43,27 +48,28 @@
   return task;
 }
 
-/* spread: at most half of the tasks, rounded up, are in one zone. The task that was just put on the machine counts. */
+/* Whether at most half of the job's tasks, rounded up, are in the zone of the machine, as a job that is to be spread
+ * requires. The task that was just put on the machine counts. */
 static gboolean
-zone_has_place (Sim *sim, const SimJob *job, const SimMachine *machine)
+is_spread_satisfied (Sim *sim, const SimJob *job, const SimMachine *machine)
 {
-  guint here = 0;
+  guint tasks_in_zone = 0;
   for (guint i = 0; i < sim->machines->len; i++)
     {
       const SimMachine *other = sim->machines->pdata[i];
       for (guint k = 0; k < other->tasks->len && !other->terminated; k++)
         {
           const SimTask *task = other->tasks->pdata[k];
-          here += task->state < SIM_TASK_ENDED && g_str_equal (task->uid, job->uid)
-                  && g_str_equal (other->zone, machine->zone);
+          tasks_in_zone += task->state < SIM_TASK_ENDED && g_str_equal (task->uid, job->uid)
+                           && g_str_equal (other->zone, machine->zone);
         }
     }
-  return here <= (job->n_tasks + 1) / 2;
+  return tasks_in_zone <= (job->n_tasks + 1) / 2;
 }
 
-/* samePlace: all tasks that have not ended are in one zone. */
+/* Whether all tasks of the job that have not ended are in the zone of the machine, as a job with same_zone requires. */
 static gboolean
-in_one_zone (Sim *sim, const SimJob *job, const SimMachine *machine)
+is_same_zone_satisfied (Sim *sim, const SimJob *job, const SimMachine *machine)
 {
   for (guint i = 0; i < sim->machines->len; i++)
     {
@@ -79,65 +85,69 @@
 }
 
 void
-sim_start_task (Sim *sim, SimMachine *machine, const char *task_status, guint64 attempt)
+sim_start_task (Sim *sim, SimMachine *machine, const char *task_name, guint64 attempt)
 {
-  const char *slash = strrchr (task_status, '/');
-  g_autofree char *uid = g_strndup (task_status, (gsize) (slash - task_status));
+  const char *slash = strrchr (task_name, '/');
+  g_autofree char *uid = g_strndup (task_name, (gsize) (slash - task_name));
   guint number = (guint) g_ascii_strtoull (slash + 1, NULL, 10);
   SimJob *job = sim_find_job (sim, uid);
-  double used = 0;
-  gboolean same = FALSE;
+  double used_cpus = 0;
+  gboolean task_in_use = FALSE;
   SimTask *task;
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       const SimTask *other = machine->tasks->pdata[i];
-      gboolean this_one = g_str_equal (other->uid, uid) && other->task == number;
-      if (this_one && other->attempt == attempt)
+      gboolean same_task = g_str_equal (other->uid, uid) && other->task == number;
+      if (same_task && other->attempt == attempt)
         return;
       if (other->state < SIM_TASK_ENDED)
         {
-          used += sim_find_job (sim, other->uid)->cpus;
-          same = same || this_one;
+          used_cpus += sim_find_job (sim, other->uid)->cpus;
+          task_in_use = task_in_use || same_task;
         }
     }
   if (!job)
     return;
-  if (job->confirmed_cancelled && sim->now > job->cancel_confirmed_at + IN_FLIGHT_S)
-    sim_violation (sim, "started_cancelled", "%s on %s", task_status, machine->name);
+  if (job->confirmed_cancelled && sim->now > job->cancel_confirmed_at + MAX_COMMAND_LATENCY_S)
+    sim_violation (sim, "started_cancelled", "%s is started on %s after its job was confirmed as cancelled", task_name,
+                   machine->name);
   task = sim_put_task (sim, machine, job, number, attempt);
-  if (same)
+  if (task_in_use)
     end_task (task, "in_use");
-  else if (used + job->cpus > machine->cpus)
+  else if (used_cpus + job->cpus > machine->cpus)
     end_task (task, "full");
   else if (job->spot == FALSE && machine->spot)
-    sim_violation (sim, "wrong_place", "%s on a spot machine", task_status);
-  else if (job->spread && !zone_has_place (sim, job, machine))
-    sim_violation (sim, "wrong_place", "%s: too many in %s", task_status, machine->zone);
-  else if (job->same_zone && !in_one_zone (sim, job, machine))
-    sim_violation (sim, "wrong_place", "%s in %s, others are in another zone", task_status, machine->zone);
+    sim_violation (sim, "wrong_place", "%s on a spot machine, which its job does not allow", task_name);
+  else if (job->spread && !is_spread_satisfied (sim, job, machine))
+    sim_violation (sim, "wrong_place", "%s: more than half of the tasks are in zone %s", task_name, machine->zone);
+  else if (job->same_zone && !is_same_zone_satisfied (sim, job, machine))
+    sim_violation (sim, "wrong_place", "%s in zone %s, but other tasks of its job are in another zone", task_name,
+                   machine->zone);
   else if ((job->zone && !g_str_equal (job->zone, machine->zone))
            || (job->type && !g_str_equal (job->type, machine->type)))
-    sim_violation (sim, "wrong_place", "%s on %s in %s", task_status, machine->type, machine->zone);
+    sim_violation (sim, "wrong_place", "%s on a machine of type %s in zone %s, which its job does not allow", task_name,
+                   machine->type, machine->zone);
 }
 
+/* Executes the commands in the response to a heartbeat. */
 static void
-carry_out (Sim *sim, SimMachine *machine, const cJSON *commands)
+execute_commands (Sim *sim, SimMachine *machine, const cJSON *commands)
 {
-  const cJSON *order;
-  cJSON_ArrayForEach (order, commands)
+  const cJSON *command;
+  cJSON_ArrayForEach (command, commands)
     {
-      const char *verb = hzb_json_text (order, "verb"), *task_status = hzb_json_text (order, "piece");
-      guint64 attempt = hzb_json_u64 (order, "try");
+      const char *verb = hzb_json_text (command, "verb"), *task_name = hzb_json_text (command, "piece");
+      guint64 attempt = hzb_json_u64 (command, "try");
       if (g_str_equal (verb, "run"))
         {
-          sim_start_task (sim, machine, task_status, attempt);
+          sim_start_task (sim, machine, task_name, attempt);
           continue;
         }
       for (guint i = 0; i < machine->tasks->len; i++)
         {
           SimTask *task = machine->tasks->pdata[i];
           g_autofree char *name = g_strdup_printf ("%s/%u", task->uid, task->task);
-          if (!g_str_equal (name, task_status) || task->attempt != attempt)
+          if (!g_str_equal (name, task_name) || task->attempt != attempt)
             continue;
           if (g_str_equal (verb, "kill") && task->state < SIM_TASK_ENDED)
             end_task (task, "stopped");
@@ -185,27 +195,28 @@
   return text;
 }
 
+/* A heartbeat, and its response. */
 typedef struct
 {
   SimMachine *machine;
-  char *body;
+  char *body; /* of the heartbeat, and of the response once there is one */
   guint number, node;
   guint64 agent_epoch;
-  double sent;
-  guint status;
-  gboolean over, copy;
+  double sent_at;
+  guint status;        /* of the response; 0: timeout */
+  gboolean over, copy; /* copy: the response to this late copy is dropped */
 } Heartbeat;
 
-/* The response to a heartbeat, or its timeout after 4 s (status 0). */
+/* Handles the response to a heartbeat, or its timeout (status 0). */
 static void
-heartbeat_response (Sim *sim, gpointer data)
+on_heartbeat_response (Sim *sim, gpointer data)
 {
   Heartbeat *heartbeat = data;
   SimMachine *machine = heartbeat->machine;
   cJSON *root;
   if (machine->terminated || machine->hung || !machine->awaits_response
       || machine->heartbeat_number != heartbeat->number)
-    return; /* the heartbeat has timed out: its late response is dropped */
+    return; /* the worker no longer waits for this response */
   if (machine->partitioned)
     heartbeat->status = 0;
   machine->awaits_response = FALSE;
@@ -219,20 +230,21 @@
           if (fencing_token > machine->fencing_token)
             machine->next_heartbeat_at = MIN (machine->next_heartbeat_at, sim->now + 0.5);
           machine->fencing_token = fencing_token;
-          machine->lease_renewed_at = heartbeat->sent;
-          carry_out (sim, machine, cJSON_GetObjectItem (root, "orders"));
+          machine->lease_renewed_at = heartbeat->sent_at;
+          execute_commands (sim, machine, cJSON_GetObjectItem (root, "orders"));
         }
     }
   else
     {
       const char *steward = heartbeat->status == 421 ? hzb_json_text (root, "steward") : NULL;
-      guint to = steward ? (guint) (steward[strlen (steward) - 1] - '0') : heartbeat->node;
-      machine->node = to != heartbeat->node ? to : (heartbeat->node + 1) % SIM_NODES;
-      machine->next_heartbeat_at = sim->now + (to != heartbeat->node ? 0.2 : 1);
+      guint target = steward ? (guint) (steward[strlen (steward) - 1] - '0') : heartbeat->node;
+      machine->node = target != heartbeat->node ? target : (heartbeat->node + 1) % SIM_NODES;
+      machine->next_heartbeat_at = sim->now + (target != heartbeat->node ? 0.2 : 1);
     }
   cJSON_Delete (root);
 }
 
+/* Reply function of a heartbeat: sends the response back to the worker. */
 static void
 worker_reply (HzbHttpRequest *http_request, guint status, const char *body, guint retry)
 {
@@ -246,17 +258,18 @@
   heartbeat->body = g_strdup (body);
   if (!heartbeat->copy && !heartbeat->machine->one_way_partitioned && !sim_chance (sim, sim->loss_chance)
       && !sim->nodes[heartbeat->node].cut_off_from_workers)
-    sim_schedule (sim, sim->now + sim_latency (sim), heartbeat_response, heartbeat);
+    sim_schedule (sim, sim->now + sim_latency (sim), on_heartbeat_response, heartbeat);
 }
 
+/* A heartbeat arrives at its controller. */
 static void
-heartbeat_arrives (Sim *sim, gpointer data)
+on_heartbeat (Sim *sim, gpointer data)
 {
   Heartbeat *heartbeat = data;
   SimNode *node = &sim->nodes[heartbeat->node];
   HzbHttpRequest *http_request;
   gpointer *pair;
-  if (!node->controller || node->cut_off_from_workers || sim_node_paused (node, heartbeat_arrives, heartbeat))
+  if (!node->controller || node->cut_off_from_workers || sim_node_paused (node, on_heartbeat, heartbeat))
     return;
   http_request = g_new0 (HzbHttpRequest, 1);
   pair = g_new0 (gpointer, 2);
@@ -270,15 +283,15 @@
   http_request->impl = pair;
   sim_measure_begin (sim);
   sim_client_request (sim, heartbeat->node, http_request);
-  sim_measure_end (sim, SIM_PART_HEARTBEATS);
+  sim_measure_end (sim, SIM_WORK_HEARTBEATS);
 }
 
 static void
-heartbeat_timeout (Sim *sim, gpointer data)
+on_heartbeat_timeout (Sim *sim, gpointer data)
 {
   Heartbeat *heartbeat = data;
   heartbeat->status = 0;
-  heartbeat_response (sim, heartbeat);
+  on_heartbeat_response (sim, heartbeat);
 }
 
 static void
@@ -290,27 +303,26 @@
   heartbeat->number = ++machine->heartbeat_number;
   heartbeat->node = machine->node;
   heartbeat->agent_epoch = machine->agent_epoch;
-  heartbeat->sent = sim->now;
+  heartbeat->sent_at = sim->now;
   machine->awaits_response = TRUE;
   machine->next_heartbeat_at =
       sim->now + sim->config.heartbeat_interval_s * g_rand_double_range (sim->rand, 0.75, 1.25);
-  sim_schedule (sim, sim->now + 4, heartbeat_timeout, heartbeat);
+  sim_schedule (sim, sim->now + HEARTBEAT_TIMEOUT_S, on_heartbeat_timeout, heartbeat);
   if (sim_chance (sim, sim->heartbeat_copy_chance))
     {
-      /* The copy arrives after 1 s to four times the length of a lease. */
+      /* The copy arrives 1 s to four lease durations later. */
       Heartbeat *copy = g_new0 (Heartbeat, 1);
       *copy = *heartbeat;
       copy->body = g_strdup (heartbeat->body);
       copy->copy = TRUE;
       copy->node = (guint) g_rand_int_range (sim->rand, 0, SIM_NODES);
-      sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 1, 4 * sim->config.lease_s), heartbeat_arrives,
-                    copy);
+      sim_schedule (sim, sim->now + g_rand_double_range (sim->rand, 1, 4 * sim->config.lease_s), on_heartbeat, copy);
     }
   if (!machine->partitioned && !sim_chance (sim, sim->loss_chance))
     sim_schedule (
         sim,
         sim->now + (sim_chance (sim, sim->delay_chance) ? g_rand_double_range (sim->rand, 1, 9) : sim_latency (sim)),
-        heartbeat_arrives, heartbeat);
+        on_heartbeat, heartbeat);
 }
 
 void
@@ -320,7 +332,7 @@
   gboolean changed = FALSE;
   if (machine->terminated || machine->crashed)
     return;
-  sim_schedule (sim, sim->now + 0.25, sim_machine_tick, machine);
+  sim_schedule (sim, sim->now + TICK_INTERVAL_S, sim_machine_tick, machine);
   if (!machine->up)
     {
       machine->up = TRUE;
@@ -328,7 +340,7 @@
     }
   if (sim->now - machine->lease_renewed_at > sim->config.lease_s)
     {
-      drop_tasks (machine); /* the lease of a hung machine expires as well */
+      clear_tasks (machine); /* also on a hung machine, whose lease expires as well */
       machine->agent_epoch++;
       machine->sequence = 0;
       machine->awaits_response = FALSE;
@@ -342,29 +354,29 @@
       SimJob *job = sim_find_job (sim, task->uid);
       if (job->gang && task->state >= SIM_TASK_GATHERING && task->state <= SIM_TASK_RUNNING)
         {
-          guint here = 0;
+          guint gang_tasks = 0; /* tasks of this attempt of the gang that are ready or done */
           for (guint a = 0; a < sim->machines->len; a++)
             {
               const SimMachine *other = sim->machines->pdata[a];
               for (guint k = 0; k < other->tasks->len && !other->terminated; k++)
                 {
-                  const SimTask *mate = other->tasks->pdata[k];
-                  here += g_str_equal (mate->uid, task->uid) && mate->attempt == task->attempt
-                          && ((mate->state >= SIM_TASK_GATHERING && mate->state <= SIM_TASK_RUNNING)
-                              || (mate->state == SIM_TASK_ENDED && g_str_equal (mate->cause, "done")));
+                  const SimTask *member = other->tasks->pdata[k];
+                  gang_tasks += g_str_equal (member->uid, task->uid) && member->attempt == task->attempt
+                                && ((member->state >= SIM_TASK_GATHERING && member->state <= SIM_TASK_RUNNING)
+                                    || (member->state == SIM_TASK_ENDED && g_str_equal (member->cause, "done")));
                 }
             }
-          if (task->state == SIM_TASK_GATHERING && here == job->n_tasks)
+          if (task->state == SIM_TASK_GATHERING && gang_tasks == job->n_tasks)
             {
               task->state = SIM_TASK_RUNNING;
               task->end_at = sim->now + job->run_s;
             }
-          else if (task->state == SIM_TASK_RUNNING && here < job->n_tasks)
+          else if (task->state == SIM_TASK_RUNNING && gang_tasks < job->n_tasks)
             end_task (task, "mates_gone");
         }
       if (task->state == SIM_TASK_FETCHING && sim->now >= task->ready_at)
         {
-          task->state = job->gang ? 1 : 2;
+          task->state = job->gang ? SIM_TASK_GATHERING : SIM_TASK_RUNNING;
           if (machine->faulty || job->always_fails)
             end_task (task, "error");
         }
--- a/tests/test-cancellations.c
+++ b/tests/test-cancellations.c
@@ -93,7 +93,7 @@
 
   *fixture = (Fixture){ .others = { { .node = (char *) "n1", .address = (char *) "10.0.0.2:1" },
                                     { .node = (char *) "n2", .address = (char *) "10.0.0.3:1" } } };
-  bench_up (&fixture->bench, 1);
+  bench_init (&fixture->bench, 1);
   settings = fixture->bench.settings;
   settings->cluster_size = 3;
   g_ptr_array_unref (settings->peers);
@@ -123,14 +123,14 @@
 static void
 fixture_down (Fixture *fixture)
 {
-  fake_transport_end (&fixture->transport, fixture->kv);
+  fake_transport_fail_calls (&fixture->transport, fixture->kv);
   hzb_cancellations_free (fixture->cancellations);
   hzb_peers_free (fixture->peers);
   hzb_ownership_free (fixture->ownership);
   hzb_election_free (fixture->election);
   hzb_kv_replica_free (fixture->kv_replica);
   hzb_kv_client_free (fixture->kv);
-  bench_down (&fixture->bench);
+  bench_clear (&fixture->bench);
 }
 
 /* Puts the controller into the state of a leader that has loaded the records. */
@@ -170,7 +170,7 @@
   HzbJob *job;
 
   fixture_up (&fixture);
-  job = bench_job (&fixture.bench, "red", HZB_PRIORITY_NORMAL, 3, 1, 10);
+  job = bench_add_job (&fixture.bench, "red", HZB_PRIORITY_NORMAL, 3, 1, 10);
   g_assert_cmpstr (job->uid, ==, "run-001000");
   g_assert_nonnull (job->tasks);
   check_answer (&fixture, poll, "{\"heard\":[]}"); /* this controller does not lead */
--- a/tests/test-cluster.c
+++ b/tests/test-cluster.c
@@ -51,7 +51,7 @@
       add_jobs (sim);
       sim->loss_chance = seed % 3 ? 0.02 : 0;
       sim->delay_chance = seed % 2 ? 0.02 : 0;
-      sim->some_never_boot = TRUE;
+      sim->some_machines_never_boot = TRUE;
       for (guint i = 0; i < 4; i++)
         {
           sim_schedule (sim, g_rand_double_range (sim->rand, 5, 60), crash_random_controller, NULL);
@@ -246,7 +246,7 @@
       for (guint i = 0; i < 30; i++)
         sim_add_job (sim, 10 + 0.3 * i, "guest", 1, 0.5, 4)->job_class = "single";
       sim_run (sim, 30);
-      g_assert_cmpfloat (0.5 * sim_running (sim, large_array, NULL), >, sim->config.team_max);
+      g_assert_cmpfloat (0.5 * sim_count_running_tasks (sim, large_array, NULL), >, sim->config.team_max);
       urgent_job = sim_add_job (sim, 30, "red", 6, 1, 5); /* urgent, within the guarantee of its team */
       for (guint i = 0; i < 4; i++)
         sim_add_job (sim, 32 + i, i % 2 ? "red" : "blue", 4, 1, 8);
@@ -266,7 +266,7 @@
 {
   Sim *sim = sim_new (13);
   SimJob *job = sim_add_job (sim, 1, "red", 12, 2, 200);
-  while (!machine_with_tasks (sim) && sim->now < 60)
+  while (!find_machine_with_tasks (sim) && sim->now < 60)
     sim_run (sim, sim->now + 0.1);
   job->wants_cancel = TRUE;
   sim->delay_chance = 0.1;
@@ -275,7 +275,7 @@
   sim->delay_chance = sim->loss_chance = 0;
   sim_run (sim, 90);
   g_assert_true (job->confirmed_cancelled);
-  g_assert_null (machine_with_tasks (sim));
+  g_assert_null (find_machine_with_tasks (sim));
   expect_no_violation (sim, "cancellation during starts", 13);
   sim_free (sim);
 }
@@ -302,7 +302,7 @@
   SimMachine *machine;
   job->gang = TRUE;
   sim_run (sim, 25);
-  machine = machine_with_tasks (sim);
+  machine = find_machine_with_tasks (sim);
   g_assert_nonnull (machine);
   machine->terminated = TRUE; /* reclaimed by the cloud without notice */
   machine->terminated_at = sim->now;
@@ -529,7 +529,7 @@
   g_assert_cmpuint (send_admin_request (sim, (guint) leader, "GET", "tenants/main/teams", ""), ==, 200);
   g_assert_cmpuint (send_admin_request (sim, (guint) leader, "GET", "tenants/main/jobs/run-100000", ""), ==, 200);
   g_assert_cmpuint (send_admin_request (sim, ((guint) leader + 1) % SIM_NODES, "GET", "machines", ""), ==, 421);
-  machine = machine_with_tasks (sim);
+  machine = find_machine_with_tasks (sim);
   path = g_strdup_printf ("machines/%s/drain", machine->name);
   g_assert_cmpuint (send_admin_request (sim, (guint) leader, "POST", "machines/i-777777/drain", ""), ==, 404);
   g_assert_cmpuint (send_admin_request (sim, (guint) leader, "POST", path, ""), ==, 200);
@@ -574,24 +574,24 @@
   SimMachine *machine = sim_add_machine (sim, "big", "za", FALSE, 1e6),
              *other_machine = sim_add_machine (sim, "big", "za", FALSE, 1e6);
   sim_put_task (sim, machine, job, 0, 1)->state = SIM_TASK_RUNNING;
-  sim_check (sim);
+  sim_check_rules (sim);
   g_assert_cmpuint (sim->violations->len, ==, 0);
   sim_put_task (sim, other_machine, job, 0, 2)->state = SIM_TASK_RUNNING;
-  sim_check (sim);
+  sim_check_rules (sim);
   g_assert_true (g_str_has_prefix (sim->violations->pdata[0], "ran_twice"));
   g_ptr_array_set_size (sim->violations, 0);
   g_ptr_array_set_size (other_machine->tasks, 0);
   for (guint i = 1; i < 13; i++)
     sim_put_task (sim, machine, job, i, 1)->state = SIM_TASK_RUNNING;
-  sim_check (sim);
+  sim_check_rules (sim);
   g_assert_true (g_str_has_prefix (sim->violations->pdata[0], "quota"));
   g_ptr_array_set_size (sim->violations, 0);
   g_ptr_array_set_size (machine->tasks, 1);
   job->confirmed_cancelled = TRUE;
-  sim_check (sim);
+  sim_check_rules (sim);
   g_assert_cmpuint (sim->violations->len, ==, 0);
   job->cancel_confirmed_at = sim->now - 31;
-  sim_check (sim);
+  sim_check_rules (sim);
   g_assert_true (g_str_has_prefix (sim->violations->pdata[0], "ran_cancelled"));
   g_ptr_array_set_size (sim->violations, 0);
   g_ptr_array_set_size (machine->tasks, 0);
@@ -622,17 +622,17 @@
   job->submitted = job->accepted = job->confirmed_done = TRUE;
   job->first_start_at = job->last_response_at = 1;
   sim->now = 70;
-  sim_check_end (sim);
+  sim_check_final_state (sim);
   for (guint i = 0; i < sim->violations->len; i++)
     g_assert_null (strstr (sim->violations->pdata[i], job->uid));
   g_ptr_array_set_size (sim->violations, 0);
   sim->now = 80;
-  sim_check_end (sim);
+  sim_check_final_state (sim);
   g_assert_true (has_violation (sim, "forgotten", job->uid));
   job->submit_at = 0;
   job->first_start_at = 300;
   job->confirmed_done = FALSE;
-  sim_check_end (sim);
+  sim_check_final_state (sim);
   g_assert_true (has_violation (sim, "starved", job->uid));
   g_assert_true (has_violation (sim, "starved", "of team red 0 of 1 jobs"));
   g_assert_true (has_violation (sim, "starved", "of class batch 0 of"));
--- a/tests/test-cold-start.c
+++ b/tests/test-cold-start.c
@@ -177,7 +177,7 @@
       second = (guint) (sim->now - observer->crashed_at);
       if (second < G_N_ELEMENTS (observer->starts_per_second))
         observer->starts_per_second[second] += sim->tasks_started - started;
-      sim_each_record (sim, VERDICTS_PREFIX, check_verdicts_unchanged, observer);
+      sim_foreach_record (sim, VERDICTS_PREFIX, check_verdicts_unchanged, observer);
       for (guint i = 0; i < sim->machines->len; i++)
         check_starts (observer, sim->machines->pdata[i]);
       check_reaps (observer);
@@ -224,7 +224,7 @@
   sim_run (sim, 20 + config->heartbeat_interval_s * 2);
   expect_no_violation (sim, "busy cluster", seed);
   g_assert_cmpint (sim_leader (sim), >=, 0);
-  g_assert_cmpuint (tasks_running (sim), >, machines / 2);
+  g_assert_cmpuint (count_running_tasks (sim), >, machines / 2);
   return sim;
 }
 
@@ -308,7 +308,7 @@
       sim->kv_writes - writes_before);
   g_assert_cmpuint (g_hash_table_size (observer->verdicts), >, 0);
   g_assert_true (observer_run_until (observer, HZB_RECONCILIATION_COMPLETE, 120));
-  sim_each_record (sim, VERDICTS_PREFIX, check_verdicts_unchanged, observer);
+  sim_foreach_record (sim, VERDICTS_PREFIX, check_verdicts_unchanged, observer);
   /* The next leader finds no record of the reconciliation. */
   g_assert_cmpuint (sim_largest_record (sim, STATE_KEY), ==, 0);
   g_assert_cmpuint (sim_largest_record (sim, VERDICTS_PREFIX), ==, 0);
@@ -414,7 +414,7 @@
         while (reconciliation_state (sim) != (HzbReconciliationState) state && sim->now < observer->crashed_at + 60)
           {
             sim_run (sim, sim->now + 0.02);
-            sim_each_record (sim, VERDICTS_PREFIX, check_verdicts_unchanged, observer);
+            sim_foreach_record (sim, VERDICTS_PREFIX, check_verdicts_unchanged, observer);
           }
         g_assert_cmpint (reconciliation_state (sim), ==, state);
         sim_run (sim, sim->now + g_rand_double_range (sim->rand, 0, 1));
@@ -547,7 +547,7 @@
       "\"expectS\":10,\"snapshotEveryS\":0,\"snapshotS\":0}",
       job->uid);
   g_autoptr (GError) error = NULL;
-  g_autoptr (HzbJobSpec) spec = hzb_job_spec_parse (body, strlen (body), &error);
+  g_autoptr (HzbJobSpec) spec = hzb_job_submission_decode (body, strlen (body), &error);
   cJSON *value = cJSON_CreateObject ();
   char *text;
   g_assert_no_error (error);
@@ -575,7 +575,7 @@
   SimConfig config = cluster_config (12);
   Sim *sim = new_busy_cluster (seed, &config, 12, 100);
   SimJob *job = sim_add_job (sim, 1e8, "guest", 1, 1, 500);
-  SimMachine *machine = machine_with_tasks (sim);
+  SimMachine *machine = find_machine_with_tasks (sim);
   Observer *observer = crash_all_and_observe (sim);
   g_autofree char *archived_key = g_strconcat (HZB_KEY_ARCHIVED, job->uid, NULL);
   double collecting_since;
@@ -585,7 +585,7 @@
     {
       /* Without other tasks on the machine, only the operator's decision prevents its return as idle. */
       g_ptr_array_set_size (machine->tasks, 0);
-      cancel_all (sim);
+      cancel_all_jobs (sim);
     }
   sim_put_task (sim, machine, job, 0, 7)->state = SIM_TASK_RUNNING;
   ((SimTask *) machine->tasks->pdata[machine->tasks->len - 1])->end_at = 1e9;
--- a/tests/test-combined-faults.c
+++ b/tests/test-combined-faults.c
@@ -200,7 +200,7 @@
       g_assert_cmpint (leaseholder, !=, -1);
       sim->nodes[leaseholder].refused_by_kv = TRUE;
       sim_run (sim, sim->now + 0.3);
-      cancel_all (sim);
+      cancel_all_jobs (sim);
       expect_owners_know_cancellations (sim, 5);
       n_confirmed += count_confirmed_cancellations (sim);
       heal_controllers (sim, NULL);
@@ -228,7 +228,7 @@
       leader = sim_leader (sim);
       sim->nodes[leaseholder].refused_by_kv = sim->nodes[leaseholder].cut_off_from_peers = TRUE;
       sim_crash (sim, (guint) leader);
-      cancel_all (sim);
+      cancel_all_jobs (sim);
       expect_owners_know_cancellations (sim, 15);
       heal_controllers (sim, NULL);
       start_all_controllers (sim, NULL);
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -43,15 +43,15 @@
     {
       Bench b;
       guint n;
-      bench_up (&b, seed);
+      bench_init (&b, seed);
       n = (guint) g_rand_int_range (b.rand, 1, 12);
       for (guint i = 0; i < n; i++)
-        bench_machine (&b, g_rand_boolean (b.rand) ? "big" : "small", g_rand_boolean (b.rand) ? "za" : "zb",
-                       g_rand_boolean (b.rand));
+        bench_add_machine (&b, g_rand_boolean (b.rand) ? "big" : "small", g_rand_boolean (b.rand) ? "za" : "zb",
+                           g_rand_boolean (b.rand));
       for (guint i = 0; i < 30; i++)
         {
-          HzbJob *job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, g_rand_int_range (b.rand, 1, 6),
-                                   g_rand_double_range (b.rand, 1, 30));
+          HzbJob *job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 1, g_rand_int_range (b.rand, 1, 6),
+                                       g_rand_double_range (b.rand, 1, 30));
           HzbMachine *machine, *expected;
           double min_cost;
           if (g_rand_boolean (b.rand))
@@ -73,7 +73,7 @@
             }
           hzb_clock_advance (b.clock, g_rand_int_range (b.rand, 0, 4));
         }
-      bench_down (&b);
+      bench_clear (&b);
     }
 }
 
@@ -83,16 +83,16 @@
 {
   Bench b;
   guint n_found = 0;
-  bench_up (&b, 7);
+  bench_init (&b, 7);
   for (guint i = 0; i < 60; i++)
-    bench_machine (&b, "big", "za", FALSE);
+    bench_add_machine (&b, "big", "za", FALSE);
   b.dispatch->lagging = TRUE;
   for (guint i = 0; i < 50; i++)
-    n_found += hzb_dispatch_choose_machine (b.dispatch, bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, 1, 5),
+    n_found += hzb_dispatch_choose_machine (b.dispatch, bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 1, 1, 5),
                                             hzb_clock_now (b.clock))
                != NULL;
   g_assert_cmpuint (n_found, ==, 50);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* Samples are taken of usable machines only. Where most machines are leased, a sample of all machines would often
@@ -102,18 +102,18 @@
 {
   Bench b;
   HzbJob *job;
-  bench_up (&b, 5);
+  bench_init (&b, 5);
   for (guint i = 0; i < 400; i++)
     {
-      HzbMachine *machine = bench_machine (&b, "small", "za", FALSE);
+      HzbMachine *machine = bench_add_machine (&b, "small", "za", FALSE);
       if (i % 100)
         hzb_machine_set_state (b.machines, machine, HZB_MACHINE_LEASED, "test");
     }
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 1, 1, 5);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 1, 1, 5);
   b.dispatch->lagging = TRUE;
   for (guint i = 0; i < 50; i++)
     g_assert_nonnull (hzb_dispatch_choose_machine (b.dispatch, job, hzb_clock_now (b.clock)));
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* Sampling begins when timers have been late repeatedly, not at the first late timer, and ends only after timers have
@@ -122,7 +122,7 @@
 test_lagging_hysteresis (void)
 {
   Bench b;
-  bench_up (&b, 7);
+  bench_init (&b, 7);
   hzb_dispatch_note_lag (b.dispatch, 1);
   g_assert_false (b.dispatch->lagging);
   for (guint i = 0; i < 8; i++)
@@ -134,7 +134,7 @@
   for (guint i = 0; i < 40; i++)
     hzb_dispatch_note_lag (b.dispatch, 0);
   g_assert_false (b.dispatch->lagging);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 static guint
@@ -154,18 +154,18 @@
   Bench b;
   HzbJob *large;
   guint start_second = 0, n_small_finished = 0;
-  bench_up (&b, 11);
+  bench_init (&b, 11);
   for (guint i = 0; i < 2; i++)
-    bench_machine (&b, "small", "za", FALSE);
+    bench_add_machine (&b, "small", "za", FALSE);
   for (guint i = 0; i < 4; i++)
-    bench_job (&b, "blue", HZB_PRIORITY_NORMAL, 3, 2, 5);
-  large = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 500, 2, 30);
+    bench_add_job (&b, "blue", HZB_PRIORITY_NORMAL, 3, 2, 5);
+  large = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 500, 2, 30);
   for (guint second = 1; second <= 300 && !start_second; second++)
     {
       struct timespec now;
       hzb_clock_advance (b.clock, 1);
       now = hzb_clock_now (b.clock);
-      bench_job (&b, "blue", HZB_PRIORITY_NORMAL, 3, 2, 5)->since = now;
+      bench_add_job (&b, "blue", HZB_PRIORITY_NORMAL, 3, 2, 5)->since = now;
       hzb_dispatch_run (b.dispatch, now);
       for (guint i = 0; i < b.machines->all->len; i++)
         {
@@ -189,7 +189,7 @@
   g_assert_cmpuint (start_second, <, 240);
   g_assert_cmpuint (large->placed, ==, 1);
   g_assert_cmpuint (n_small_finished, >, 50);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* A job of a high class for which no machine is eligible reserves nothing within its team's limit. Otherwise the team's
@@ -199,21 +199,21 @@
 {
   Bench b;
   HzbJob *unplaceable, *job;
-  bench_up (&b, 12);
-  bench_machine (&b, "big", "za", FALSE);
-  unplaceable = bench_job (&b, "red", HZB_PRIORITY_HIGH, 30, 2, 30);
+  bench_init (&b, 12);
+  bench_add_machine (&b, "big", "za", FALSE);
+  unplaceable = bench_add_job (&b, "red", HZB_PRIORITY_HIGH, 30, 2, 30);
   unplaceable->spec->zone = g_strdup ("zb");
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 4, 2, 30);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 4, 2, 30);
   for (guint round = 0; round < 2; round++)
     {
       g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
       hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
       hzb_dispatch_start_tasks (b.dispatch, b.machines->all->pdata[0], hzb_clock_now (b.clock), commands);
-      bench_machine (&b, "big", "zb", FALSE);
+      bench_add_machine (&b, "big", "zb", FALSE);
     }
   g_assert_cmpuint (job->placed, ==, 4);
   g_assert_cmpuint (unplaceable->queued, >, 0);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* Tasks with checkpoints are stopped on a half-empty scale-in candidate if other machines have room for them. Tasks
@@ -225,12 +225,12 @@
   HzbMachine *candidate, *other, *busy_candidate;
   HzbJob *checkpointed, *not_checkpointed;
   struct timespec now;
-  bench_up (&b, 13);
-  candidate = bench_machine (&b, "big", "za", FALSE);
-  busy_candidate = bench_machine (&b, "big", "za", FALSE);
-  other = bench_machine (&b, "small", "za", FALSE);
-  checkpointed = bench_job (&b, "red", HZB_PRIORITY_IDLE, 3, 2, 200);
-  not_checkpointed = bench_job (&b, "red", HZB_PRIORITY_IDLE, 1, 2, 200);
+  bench_init (&b, 13);
+  candidate = bench_add_machine (&b, "big", "za", FALSE);
+  busy_candidate = bench_add_machine (&b, "big", "za", FALSE);
+  other = bench_add_machine (&b, "small", "za", FALSE);
+  checkpointed = bench_add_job (&b, "red", HZB_PRIORITY_IDLE, 3, 2, 200);
+  not_checkpointed = bench_add_job (&b, "red", HZB_PRIORITY_IDLE, 1, 2, 200);
   checkpointed->spec->checkpoint_interval_s = 20;
   hzb_task_set_state (b.jobs, &checkpointed->tasks[0], HZB_TASK_RUNNING, candidate);
   hzb_task_set_state (b.jobs, &checkpointed->tasks[1], HZB_TASK_RUNNING, busy_candidate);
@@ -244,10 +244,10 @@
   g_assert_false (checkpointed->tasks[1].stopping); /* stopping it would not empty its machine */
   g_assert_false (checkpointed->tasks[2].stopping);
   checkpointed->tasks[0].stopping = FALSE;
-  bench_job (&b, "blue", HZB_PRIORITY_NORMAL, 2, 2, 30); /* needs the same room */
+  bench_add_job (&b, "blue", HZB_PRIORITY_NORMAL, 2, 2, 30); /* needs the same room */
   hzb_dispatch_consolidate (b.dispatch, now);
   g_assert_false (checkpointed->tasks[0].stopping);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* Whatever the order of heartbeats, no more tasks start than the team's limit allows. */
@@ -256,10 +256,10 @@
 {
   Bench b;
   guint started = 0;
-  bench_up (&b, 3);
-  bench_job (&b, "red", HZB_PRIORITY_NORMAL, 100, 2, 10);
+  bench_init (&b, 3);
+  bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 100, 2, 10);
   for (guint i = 0; i < 8; i++)
-    bench_machine (&b, "big", "za", FALSE);
+    bench_add_machine (&b, "big", "za", FALSE);
   for (guint round = 0; round < 3; round++)
     {
       hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
@@ -272,7 +272,7 @@
     }
   g_assert_cmpuint (started, ==, 20); /* the limit is 40 CPUs */
   g_assert_cmpfloat (b.shard->cpus[0], ==, 40);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* Queued tasks of a busy machine start on an idle machine that sends its heartbeat first, but a task whose start
@@ -284,13 +284,13 @@
   HzbJob *job;
   g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
   HzbMachine *source, *target;
-  bench_up (&b, 3);
-  source = bench_machine (&b, "small", "za", FALSE);
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 8, 2, 10);
+  bench_init (&b, 3);
+  source = bench_add_machine (&b, "small", "za", FALSE);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 8, 2, 10);
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
   /* Run queues are filled only a few seconds ahead, so that more urgent tasks can still go before the other tasks. */
   g_assert_cmpuint (hzb_machine_count_queued_tasks (source), ==, 2);
-  target = bench_machine (&b, "small", "zb", FALSE);
+  target = bench_add_machine (&b, "small", "zb", FALSE);
   hzb_dispatch_start_tasks (b.dispatch, target, hzb_clock_now (b.clock), commands);
   g_assert_cmpuint (commands->len, ==, 2);
   g_assert_cmpuint (target->tasks->len, ==, 2);
@@ -299,7 +299,7 @@
   /* A task whose start command was sent stays on its machine until a heartbeat shows that it is not there. */
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
   g_assert_cmpint (job->tasks[0].state, ==, HZB_TASK_STARTING);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* A queued replica does not move to a machine that sends its heartbeat first but has to fetch the image, until a
@@ -315,33 +315,33 @@
       HzbJob *job;
       g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
       struct timespec now;
-      bench_up (&b, 5);
+      bench_init (&b, 5);
       now = hzb_clock_now (b.clock);
-      machine_with_image = bench_machine (&b, "small", "za", FALSE);
-      job = bench_job (&b, "red", HZB_PRIORITY_PRODUCTION, 1, 1, 10);
+      machine_with_image = bench_add_machine (&b, "small", "za", FALSE);
+      job = bench_add_job (&b, "red", HZB_PRIORITY_PRODUCTION, 1, 1, 10);
       job->spec->kind = service ? HZB_JOB_SERVICE : HZB_JOB_ARRAY;
       job->spec->image_gb = 5;
       g_hash_table_add (machine_with_image->images, g_ref_string_acquire (job->spec->image));
       hzb_dispatch_run (b.dispatch, now);
       g_assert_cmpint (job->tasks[0].state, ==, HZB_TASK_QUEUED);
-      machine_without_image = bench_machine (&b, "small", "za", FALSE);
+      machine_without_image = bench_add_machine (&b, "small", "za", FALSE);
       hzb_dispatch_run (b.dispatch, now);
       hzb_dispatch_start_tasks (b.dispatch, machine_without_image, now, commands);
       g_assert_cmpuint (commands->len, ==, service ? 0 : 1);
       hzb_clock_advance (b.clock, 5); /* the wait of a replica for its image is bounded */
       hzb_dispatch_start_tasks (b.dispatch, machine_without_image, hzb_clock_now (b.clock), commands);
       g_assert_cmpuint (commands->len, ==, 1);
-      bench_down (&b);
+      bench_clear (&b);
     }
   {
     Bench b;
     HzbMachine *machine[4];
     HzbJob *job;
     guint n_in_za = 0, queued = 0;
-    bench_up (&b, 6);
+    bench_init (&b, 6);
     for (guint i = 0; i < 4; i++)
-      machine[i] = bench_machine (&b, "small", i < 3 ? "za" : "zb", FALSE); /* 4 CPUs each */
-    job = bench_job (&b, "red", HZB_PRIORITY_PRODUCTION, 7, 2, 10);
+      machine[i] = bench_add_machine (&b, "small", i < 3 ? "za" : "zb", FALSE); /* 4 CPUs each */
+    job = bench_add_job (&b, "red", HZB_PRIORITY_PRODUCTION, 7, 2, 10);
     job->spec->kind = HZB_JOB_SERVICE;
     job->spec->spread = TRUE;
     hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
@@ -355,7 +355,7 @@
     g_assert_cmpuint (queued, ==, 6); /* two tasks fit in zb */
     for (guint i = 0; i < 4; i++)
       g_assert_cmpfloat (machine[i]->queued_service_cpus, <=, 4);
-    bench_down (&b);
+    bench_clear (&b);
   }
 }
 
@@ -369,21 +369,21 @@
       HzbMachine *machine;
       HzbJob *low;
       g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
-      bench_up (&b, 3);
-      machine = bench_machine (&b, "small", "za", FALSE);
-      low = bench_job (&b, "red", same_priority ? HZB_PRIORITY_HIGH : HZB_PRIORITY_IDLE, 10, 4, 100);
+      bench_init (&b, 3);
+      machine = bench_add_machine (&b, "small", "za", FALSE);
+      low = bench_add_job (&b, "red", same_priority ? HZB_PRIORITY_HIGH : HZB_PRIORITY_IDLE, 10, 4, 100);
       hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
       hzb_dispatch_start_tasks (b.dispatch, machine, hzb_clock_now (b.clock), commands);
       g_assert_cmpuint (count_commands (commands, HZB_COMMAND_START), ==, 1);
       hzb_task_set_state (b.jobs, &low->tasks[0], HZB_TASK_RUNNING, machine);
-      bench_job (&b, "red", HZB_PRIORITY_HIGH, 1, 4, 10);
+      bench_add_job (&b, "red", HZB_PRIORITY_HIGH, 1, 4, 10);
       hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
       hzb_clock_advance (b.clock, 30);
       g_array_set_size (commands, 0);
       hzb_dispatch_start_tasks (b.dispatch, machine, hzb_clock_now (b.clock), commands);
       g_assert_cmpuint (count_commands (commands, HZB_COMMAND_STOP), ==, same_priority ? 0 : 1);
       g_assert_cmpuint (count_commands (commands, HZB_COMMAND_START), ==, 0);
-      bench_down (&b);
+      bench_clear (&b);
     }
 }
 
@@ -395,15 +395,15 @@
   Bench b;
   HzbJob *job;
   guint n_in_zb = 0;
-  bench_up (&b, 3);
-  bench_machine (&b, "small", "za", FALSE);
-  bench_machine (&b, "small", "zb", FALSE);
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 4, 2, 10);
+  bench_init (&b, 3);
+  bench_add_machine (&b, "small", "za", FALSE);
+  bench_add_machine (&b, "small", "zb", FALSE);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 4, 2, 10);
   job->spec->kind = HZB_JOB_GANG;
   job->spec->same_zone = TRUE;
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
   g_assert_cmpuint (job->placed, ==, 0); /* there is room for four tasks, but not in one zone */
-  bench_machine (&b, "small", "zb", FALSE);
+  bench_add_machine (&b, "small", "zb", FALSE);
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
   g_assert_cmpuint (job->placed, ==, 4);
   for (guint i = 0; i < 4; i++)
@@ -412,7 +412,7 @@
       g_assert_cmpuint (job->tasks[i].attempt, ==, job->tasks[0].attempt);
     }
   g_assert_cmpuint (n_in_zb, ==, 4);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* No task starts of a gang that is cancelled after room was reserved for it and before its machines send a
@@ -423,10 +423,10 @@
   Bench b;
   HzbJob *job;
   g_autoptr (GArray) commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
-  bench_up (&b, 3);
-  bench_machine (&b, "small", "za", FALSE);
-  bench_machine (&b, "small", "zb", FALSE);
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 4, 2, 10);
+  bench_init (&b, 3);
+  bench_add_machine (&b, "small", "za", FALSE);
+  bench_add_machine (&b, "small", "zb", FALSE);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 4, 2, 10);
   job->spec->kind = HZB_JOB_GANG;
   hzb_dispatch_run (b.dispatch, hzb_clock_now (b.clock));
   g_assert_cmpuint (job->placed, ==, 4);
@@ -434,7 +434,7 @@
   for (guint i = 0; i < b.machines->all->len; i++)
     hzb_dispatch_start_tasks (b.dispatch, b.machines->all->pdata[i], hzb_clock_now (b.clock), commands);
   g_assert_cmpuint (count_commands (commands, HZB_COMMAND_START), ==, 0);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* Scale-out requests respect the placement constraints of the waiting job, and a refused kind of machine is not
@@ -447,9 +447,9 @@
   g_autoptr (GArray) requests = NULL;
   g_autoptr (GArray) later_requests = NULL;
   HzbJob *job;
-  bench_up (&b, 3);
+  bench_init (&b, 3);
   autoscaler = hzb_autoscaler_new (b.jobs, b.machines, b.settings);
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 10, 2, 40);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 10, 2, 40);
   job->spec->spot = FALSE;
   job->spec->zone = g_strdup ("zb");
   requests = hzb_autoscaler_scale_out (autoscaler, hzb_clock_now (b.clock));
@@ -466,7 +466,7 @@
     g_assert_true (g_array_index (later_requests, HzbScaleOutRequest, i).type
                    != g_array_index (requests, HzbScaleOutRequest, 0).type);
   hzb_autoscaler_free (autoscaler);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* Guards against two faults that left tasks waiting forever: a very small demand counted as no machine at all,
@@ -478,20 +478,20 @@
   HzbAutoscaler *autoscaler;
   g_autoptr (GArray) requests = NULL;
   gboolean requests_big = FALSE;
-  bench_up (&b, 3);
+  bench_init (&b, 3);
   autoscaler = hzb_autoscaler_new (b.jobs, b.machines, b.settings);
-  bench_job (&b, "red", HZB_PRIORITY_IDLE, 1, 0.5, 0.2);
+  bench_add_job (&b, "red", HZB_PRIORITY_IDLE, 1, 0.5, 0.2);
   requests = hzb_autoscaler_scale_out (autoscaler, hzb_clock_now (b.clock));
   g_assert_cmpuint (requests->len, ==, 1);
-  bench_machine (&b, "small", "za", TRUE);
-  bench_job (&b, "red", HZB_PRIORITY_IDLE, 1, 12, 1);
+  bench_add_machine (&b, "small", "za", TRUE);
+  bench_add_job (&b, "red", HZB_PRIORITY_IDLE, 1, 12, 1);
   g_array_unref (g_steal_pointer (&requests));
   requests = hzb_autoscaler_scale_out (autoscaler, hzb_clock_now (b.clock));
   for (guint i = 0; i < requests->len; i++)
     requests_big = requests_big || g_str_equal (g_array_index (requests, HzbScaleOutRequest, i).type->name, "big");
   g_assert_true (requests_big);
   hzb_autoscaler_free (autoscaler);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* Twenty machines are half full and no task waits, so most become scale-in candidates: tasks that end on a candidate
@@ -506,12 +506,12 @@
   guint n_candidates = 0, n_not_candidates = 0;
   g_autoptr (GArray) requests = NULL;
 
-  bench_up (&b, 3);
+  bench_init (&b, 3);
   autoscaler = hzb_autoscaler_new (b.jobs, b.machines, b.settings);
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 40, 1, 300);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 40, 1, 300);
   for (guint i = 0; i < 40; i++)
     {
-      HzbMachine *machine = i % 2 ? b.machines->all->pdata[i / 2] : bench_machine (&b, "small", "za", TRUE);
+      HzbMachine *machine = i % 2 ? b.machines->all->pdata[i / 2] : bench_add_machine (&b, "small", "za", TRUE);
       HzbTask *task = hzb_job_take_pending (job, hzb_clock_now (b.clock));
       hzb_task_set_state (b.jobs, task, HZB_TASK_QUEUED, machine);
       hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, machine);
@@ -526,14 +526,14 @@
   for (guint i = 0; i < b.machines->all->len; i++)
     n_candidates += ((HzbMachine *) b.machines->all->pdata[i])->scale_in_candidate;
   g_assert_cmpuint (n_candidates, >=, 16);
-  bench_job (&b, "blue", HZB_PRIORITY_HIGH, 24, 1, 30);
+  bench_add_job (&b, "blue", HZB_PRIORITY_HIGH, 24, 1, 30);
   requests = hzb_autoscaler_scale_out (autoscaler, hzb_clock_now (b.clock));
   for (guint i = 0; i < b.machines->all->len; i++)
     n_not_candidates += !((HzbMachine *) b.machines->all->pdata[i])->scale_in_candidate;
   g_assert_cmpuint (requests->len, ==, 0);
   g_assert_cmpuint (n_not_candidates, >, 20 - n_candidates);
   hzb_autoscaler_free (autoscaler);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 int
--- a/tests/test-election.c
+++ b/tests/test-election.c
@@ -33,7 +33,7 @@
 static void
 fixture_down (Fixture *fixture)
 {
-  fake_transport_end (&fixture->transport, fixture->kv);
+  fake_transport_fail_calls (&fixture->transport, fixture->kv);
   hzb_election_free (fixture->election);
   hzb_kv_client_free (fixture->kv);
   hzb_clock_free (fixture->clock);
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -12,9 +12,9 @@
   HzbJob *job;
   HzbMachine *machine;
   HzbTask *task;
-  bench_up (&b, 1);
-  machine = bench_machine (&b, "big", "za", FALSE);
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 3, 2, 10);
+  bench_init (&b, 1);
+  machine = bench_add_machine (&b, "big", "za", FALSE);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 3, 2, 10);
   task = hzb_job_take_pending (job, hzb_clock_now (b.clock));
   g_test_expect_message ("hazelbank", G_LOG_LEVEL_CRITICAL, "*illegal change pending -> starting*");
   g_assert_false (hzb_task_set_state (b.jobs, task, HZB_TASK_STARTING, machine));
@@ -37,7 +37,7 @@
   g_test_expect_message ("hazelbank", G_LOG_LEVEL_CRITICAL, "*illegal change active -> gone*");
   g_assert_false (hzb_machine_set_state (b.machines, machine, HZB_MACHINE_GONE, "only the cloud says so"));
   g_test_assert_expected_messages ();
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* The counters of a job, the used resources of a machine and the use of a team equal a direct count over all tasks,
@@ -50,10 +50,10 @@
       Bench b;
       HzbJob *job;
       HzbMachine *machine[3];
-      bench_up (&b, seed);
+      bench_init (&b, seed);
       for (guint i = 0; i < 3; i++)
-        machine[i] = bench_machine (&b, "big", i ? "za" : "zb", FALSE);
-      job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 12, 1.5, 10);
+        machine[i] = bench_add_machine (&b, "big", i ? "za" : "zb", FALSE);
+      job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 12, 1.5, 10);
       for (guint step = 0; step < 400; step++)
         {
           HzbTask *task = &job->tasks[g_rand_int_range (b.rand, 0, 12)];
@@ -89,7 +89,7 @@
           for (guint k = 0; k < 3; k++)
             g_assert_cmpfloat_with_epsilon (machine[k]->cpus, room[k], 1e-9);
         }
-      bench_down (&b);
+      bench_clear (&b);
     }
 }
 
@@ -103,12 +103,12 @@
       Bench b;
       HzbJob *jobs[3];
       HzbMachine *machine[3];
-      bench_up (&b, seed);
+      bench_init (&b, seed);
       for (guint i = 0; i < 3; i++)
-        machine[i] = bench_machine (&b, "big", i ? "za" : "zb", FALSE);
+        machine[i] = bench_add_machine (&b, "big", i ? "za" : "zb", FALSE);
       for (guint i = 0; i < 3; i++)
         {
-          jobs[i] = bench_job (&b, i ? "red" : "blue", HZB_PRIORITY_PRODUCTION, 6, 1 + i, 0.5);
+          jobs[i] = bench_add_job (&b, i ? "red" : "blue", HZB_PRIORITY_PRODUCTION, 6, 1 + i, 0.5);
           jobs[i]->spec->kind = i < 2 ? HZB_JOB_SERVICE : HZB_JOB_ARRAY;
         }
       for (guint step = 0; step < 400; step++)
@@ -145,7 +145,7 @@
                                 (guint) MAX (0, floor ((16 - cpus[k]) / 3 + 1e-9)));
             }
         }
-      bench_down (&b);
+      bench_clear (&b);
     }
 }
 
@@ -177,9 +177,9 @@
   cJSON *old = cJSON_Parse (
       "{\"released\":40000,\"team\":\"red\",\"cpus\":1,\"gpus\":0,\"done\":\"AQAAgA==\"}"); /* tasks 0 and 31 */
   cJSON *second = cJSON_Parse ("{\"released\":64,\"done\":\"Ag==\"}");                      /* task 32768 + 1 */
-  bench_up (&b, 1);
-  bench_up (&successor, 1);
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 50000, 1, 10);
+  bench_init (&b, 1);
+  bench_init (&successor, 1);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 50000, 1, 10);
   job->released = job->releasing = 0;
   g_assert_true (read_progress (b.jobs, job, 0, old, &is_current_size));
   g_assert_false (is_current_size);
@@ -189,7 +189,7 @@
   g_assert_cmpint (job->tasks[32769].state, ==, HZB_TASK_DONE);
   g_assert_cmpuint (job->released, ==, 40000);
   g_assert_cmpuint (job->unconfirmed, ==, 40000 - 3);
-  restored = bench_job (&successor, "red", HZB_PRIORITY_NORMAL, 50000, 1, 10);
+  restored = bench_add_job (&successor, "red", HZB_PRIORITY_NORMAL, 50000, 1, 10);
   restored->released = restored->releasing = 0;
   for (guint k = 0; k < hzb_job_count_chunks (b.jobs, job); k++)
     {
@@ -205,13 +205,13 @@
   for (guint i = 0; i < 50000; i++)
     g_assert_cmpint (restored->tasks[i].state, ==, job->tasks[i].state);
   /* Both schema versions write the same record for a job that fits into one chunk of either size. */
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 8000, 1, 10);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 8000, 1, 10);
   second = (cJSON_Delete (second), encode_progress (b.jobs, job, 0));
   g_assert_false (cJSON_HasObjectItem (second, "of"));
   cJSON_Delete (second);
   cJSON_Delete (old);
-  bench_down (&b);
-  bench_down (&successor);
+  bench_clear (&b);
+  bench_clear (&successor);
 }
 
 /* Progress that is encoded by one leader restores the released mark and the done tasks on its successor. */
@@ -222,9 +222,9 @@
   HzbJob *job, *restored;
   gboolean is_current_size = FALSE;
   cJSON *value;
-  bench_up (&b, 1);
-  bench_up (&successor, 1);
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 50, 1, 10);
+  bench_init (&b, 1);
+  bench_init (&successor, 1);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 50, 1, 10);
   job->releasing = 40;
   for (guint i = 0; i < 50; i += 7)
     {
@@ -232,7 +232,7 @@
       hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_FINISHED, NULL);
     }
   value = encode_progress (b.jobs, job, 0);
-  restored = bench_job (&successor, "red", HZB_PRIORITY_NORMAL, 50, 1, 10);
+  restored = bench_add_job (&successor, "red", HZB_PRIORITY_NORMAL, 50, 1, 10);
   restored->released = restored->releasing = 0;
   g_assert_true (read_progress (successor.jobs, restored, 0, value, &is_current_size));
   g_assert_true (is_current_size);
@@ -246,8 +246,8 @@
   g_assert_cmpuint (restored->unconfirmed, ==, 0);
   g_assert_cmpfloat (successor.shard->cpus[0], ==, 0);
   cJSON_Delete (value);
-  bench_down (&b);
-  bench_down (&successor);
+  bench_clear (&b);
+  bench_clear (&successor);
 }
 
 /* Each chunk of the largest job's progress fits into the smallest value size that the settings allow. */
@@ -256,8 +256,8 @@
 {
   Bench b;
   HzbJob *job;
-  bench_up (&b, 1);
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, HZB_MAX_TASKS, 1, 10);
+  bench_init (&b, 1);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, HZB_MAX_TASKS, 1, 10);
   for (guint i = 0; i < job->n_tasks; i++)
     {
       hzb_task_set_state (b.jobs, &job->tasks[i], HZB_TASK_UNCONFIRMED, NULL);
@@ -271,7 +271,7 @@
       g_assert_cmpuint (strlen (text), <, 2 * 1024 * 0.9);
       cJSON_Delete (value);
     }
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* A terminal job keeps its state if an acceptance record or a second completion record is read late. */
@@ -283,8 +283,8 @@
   cJSON *cancelled = hzb_job_completion_encode (HZB_JOB_CANCELLED, 3),
         *done = hzb_job_completion_encode (HZB_JOB_DONE, 3);
   cJSON *record = cJSON_CreateObject ();
-  bench_up (&b, 1);
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 3, 1, 10);
+  bench_init (&b, 1);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 3, 1, 10);
   cJSON_AddItemToObject (record, job->uid, hzb_job_acceptance_encode (job->spec, job->accepted));
   hzb_jobs_apply_acceptance (b.jobs, "a", record);
   /* Two controllers accepted the job: neither acceptance record may be deleted yet. */
@@ -303,7 +303,7 @@
   cJSON_Delete (cancelled);
   cJSON_Delete (done);
   cJSON_Delete (record);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* Estimates are corrected for a job class whose users all state half of the actual run time, and for no other class. */
@@ -312,21 +312,21 @@
 {
   Bench b;
   HzbJob *job, *next, *other;
-  bench_up (&b, 1);
-  job = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 200, 1, 10);
+  bench_init (&b, 1);
+  job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 200, 1, 10);
   for (guint i = 0; i < 200; i++)
     hzb_jobs_record_run_time (b.jobs, job, 20);
   g_assert_cmpfloat (hzb_jobs_mean_s (b.jobs, job), ==, 10); /* one job is not enough for a correction */
   for (guint i = 0; i < 200 * 80; i++)
     hzb_jobs_record_run_time (b.jobs, job, 20);
   hzb_jobs_record_run_time (b.jobs, job, -1); /* a negative run time, from a clock or a peer, is ignored */
-  next = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 5, 1, 40);
-  other = bench_job (&b, "red", HZB_PRIORITY_NORMAL, 5, 1, 40);
+  next = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 5, 1, 40);
+  other = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 5, 1, 40);
   g_free (other->spec->job_class);
   other->spec->job_class = g_strdup ("another");
   g_assert_cmpfloat_with_epsilon (hzb_jobs_mean_s (b.jobs, next), 80, 2);
   g_assert_cmpfloat_with_epsilon (hzb_jobs_mean_s (b.jobs, other), 40, 1e-9);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 /* ---- full load while records move ---- */
@@ -406,7 +406,7 @@
     if (recorded->jobs[i].acceptance == acceptance)
       {
         g_autofree char *uid = g_strdup_printf ("run-%06u", i);
-        cJSON_AddItemToObject (record, uid, bench_record (b, uid, "red", HZB_PRIORITY_NORMAL, 1, 1, 10));
+        cJSON_AddItemToObject (record, uid, bench_encode_job (b, uid, "red", HZB_PRIORITY_NORMAL, 1, 1, 10));
       }
   hzb_jobs_apply_acceptance (b->jobs, key, record);
   cJSON_Delete (record);
@@ -478,7 +478,7 @@
     {
       Bench b;
       Recorded recorded = { 0 };
-      bench_up (&b, seed);
+      bench_init (&b, seed);
       hzb_jobs_end_ownership (b.jobs);
       recorded.changes = g_ptr_array_new_with_free_func (g_free);
       for (gint32 i = g_rand_int_range (b.rand, 0, 60); i > 0; i--)
@@ -509,7 +509,7 @@
             change_records (&recorded, b.rand); /* the controller misses these changes before the next load */
         }
       g_ptr_array_unref (recorded.changes);
-      bench_down (&b);
+      bench_clear (&b);
     }
 }
 
--- a/tests/test-kv-client.c
+++ b/tests/test-kv-client.c
@@ -32,7 +32,7 @@
 static void
 fixture_down (Fixture *fixture)
 {
-  fake_transport_end (&fixture->transport, fixture->kv);
+  fake_transport_fail_calls (&fixture->transport, fixture->kv);
   hzb_kv_client_free (fixture->kv);
   hzb_clock_free (fixture->clock);
   hzb_settings_free (fixture->settings);
--- a/tests/test-kv-replica.c
+++ b/tests/test-kv-replica.c
@@ -182,7 +182,7 @@
   for (guint i = 0; i < fixture->replies->len; i++)
     reply_free (fixture->replies->pdata[i]);
   g_ptr_array_unref (fixture->replies);
-  fake_transport_end (&fixture->transport, fixture->kv);
+  fake_transport_fail_calls (&fixture->transport, fixture->kv);
   hzb_kv_replica_free (fixture->kv_replica);
   hzb_kv_client_free (fixture->kv);
   hzb_clock_free (fixture->clock);
--- a/tests/test-largest-fleet.c
+++ b/tests/test-largest-fleet.c
@@ -224,7 +224,7 @@
   for (guint i = 0; i < n_jobs; i++)
     sim_add_job (sim, 1 + 0.005 * i, i % 2 ? "red" : "blue", 1, 0.25, 500);
   sim_run (sim, 60);
-  n_running = tasks_running (sim);
+  n_running = count_running_tasks (sim);
   leader = (guint) MAX (sim_leader (sim), 0);
   g_assert_cmpuint (n_running, >, n_jobs * 9 / 10);
   for (guint i = 0; i < SIM_NODES; i++)
@@ -258,9 +258,9 @@
   guint n_requests = sim->kv_requests, n_changes = sim->kv_writes, leader;
   double verified_after_s, began_at = sim->now;
 
-  sim->measures = TRUE;
+  sim->measures_time = TRUE;
   sim_run (sim, began_at + 60);
-  for (guint i = 0; i < SIM_N_PARTS; i++)
+  for (guint i = 0; i < SIM_N_WORK_KINDS; i++)
     g_string_append_printf (text, " %s %.2f", names[i], (double) sim->spent_us[i] / 1e3 / 60);
   leader = (guint) sim_leader (sim);
   n_requests = sim->kv_requests - n_requests;
--- a/tests/test-liveness.c
+++ b/tests/test-liveness.c
@@ -52,7 +52,7 @@
 static void
 run_repeated_failover (guint32 seed, guint machines)
 {
-  Sim *sim = large_fleet (seed, machines, machines / 12, 150);
+  Sim *sim = start_large_fleet (seed, machines, machines / 12, 150);
   const SimJob *job = NULL;
   double until = 150, longest;
   for (double at = 26; at < until; at += g_rand_double_range (sim->rand, 9, 16))
@@ -111,7 +111,7 @@
       leader = (guint) MAX (sim_leader (sim), 0);
       sim_crash (sim, leader);
       sim_start (sim, leader);
-      cancel_all (sim);
+      cancel_all_jobs (sim);
       while (!any_leader_is_loading (sim) && sim->now < 40)
         sim_run (sim, sim->now + 0.001);
       g_assert_true (any_leader_is_loading (sim));
@@ -145,7 +145,7 @@
       sim_run (sim, 25);
       for (guint i = 0; i < sim->machines->len; i++)
         ((SimMachine *) sim->machines->pdata[i])->partitioned = TRUE;
-      cancel_all (sim);
+      cancel_all_jobs (sim);
       sim_crash (sim, (guint) MAX (sim_leader (sim), 0));
       while (sim_leader (sim) < 0 && sim->now < 40)
         sim_run (sim, sim->now + 0.1);
@@ -364,7 +364,7 @@
   longest = longest_response_gap_s (sim, &job);
   g_test_message ("%u machines, seed %u: the longest time without a response is %.1f s, about %s", machines, seed,
                   longest, job ? job->uid : "none");
-  sim_check_forgotten (sim);
+  sim_check_unanswered_jobs (sim);
   expect_no_violation (sim, "random faults", seed);
   sim_run (sim, end + 500);
   expect_all_finished (sim, "random faults", seed);
--- a/tests/test-overload.c
+++ b/tests/test-overload.c
@@ -262,7 +262,7 @@
       for (guint i = 0; i < 14; i++)
         sim_add_job (sim, 1 + 5 * i, i % 2 ? "red" : "blue", 4, 1.5, 12);
       sim_run (sim, 25);
-      while (!(faulty_machine = machine_with_tasks (sim)) || faulty_machine->terminated)
+      while (!(faulty_machine = find_machine_with_tasks (sim)) || faulty_machine->terminated)
         sim_run (sim, sim->now + 0.5);
       faulty_machine->faulty = TRUE;
       if (seed % 2)
--- a/tests/test-peer-heartbeat.c
+++ b/tests/test-peer-heartbeat.c
@@ -120,7 +120,7 @@
   heartbeat->term = 12;
   heartbeat->schema_version = 2;
   heartbeat->replicated_revision = 4000000120;
-  heartbeat->cancellations_known = 4000000130;
+  heartbeat->known_cancellations_revision = 4000000130;
   heartbeat->cancellations_up_to = 4000000140;
   g_array_append_val (heartbeat->cancellations, cancellation);
   hzb_peer_heartbeat_add_counts (heartbeat, "run-000009", 3, 4);
@@ -130,7 +130,7 @@
   g_assert_cmpuint (received->term, ==, 12);
   g_assert_cmpuint (received->schema_version, ==, 2);
   g_assert_cmpuint (received->replicated_revision, ==, 4000000120);
-  g_assert_cmpuint (received->cancellations_known, ==, 4000000130);
+  g_assert_cmpuint (received->known_cancellations_revision, ==, 4000000130);
   g_assert_cmpuint (received->cancellations_up_to, ==, 4000000140);
   g_assert_cmpuint (received->cancellations->len, ==, 1);
   g_assert_cmpstr (g_array_index (received->cancellations, HzbCancellation, 0).uid, ==, "run-000007");
@@ -160,11 +160,11 @@
 
   g_assert_false (old->lists_cancellations || old->self_fenced);
   g_assert_true (old->redirects_workers);
-  g_assert_cmpuint (old->cancellations_known + old->replicated_revision + old->cancellations_up_to, ==, 0);
+  g_assert_cmpuint (old->known_cancellations_revision + old->replicated_revision + old->cancellations_up_to, ==, 0);
   g_assert_cmpuint (old->schema_version, ==, 1);
   g_assert_cmpuint (old->counts->len, ==, 1);
   g_assert_cmpuint (broken->cancellations_up_to, ==, 0);
-  g_assert_cmpuint (broken->cancellations_known, ==, 0);
+  g_assert_cmpuint (broken->known_cancellations_revision, ==, 0);
   g_assert_cmpuint (broken->counts->len, ==, 0);
   g_assert_cmpuint (invalid_uid->cancellations_up_to, ==, 0);
   g_assert_cmpuint (invalid_uid->cancellations->len, ==, 0);
--- a/tests/test-peers.c
+++ b/tests/test-peers.c
@@ -32,7 +32,7 @@
 fill_heartbeat (HzbPeerHeartbeat *heartbeat, gpointer user)
 {
   Fixture *fixture = user;
-  heartbeat->cancellations_known = fixture->known_revision;
+  heartbeat->known_cancellations_revision = fixture->known_revision;
   heartbeat->self_fenced = TRUE;
 }
 
@@ -97,7 +97,7 @@
 static void
 fixture_down (Fixture *fixture)
 {
-  fake_transport_end (&fixture->transport, fixture->kv);
+  fake_transport_fail_calls (&fixture->transport, fixture->kv);
   hzb_peers_free (fixture->peers);
   hzb_jobs_free (fixture->jobs);
   hzb_ownership_free (fixture->ownership);
--- a/tests/test-processes.c
+++ b/tests/test-processes.c
@@ -1,6 +1,5 @@
-/* Three real controller processes on loopback are killed under load and started again: the rules that the fakes check
- * hold, no task is lost, and the controllers log that they have reconciled. Time is real here, so no assertion depends
- * on how long a step takes. */
+/* A test of real controller processes on loopback. The test runs in real time, so no assertion depends on how long a
+ * step takes. */
 #include "http-client.h"
 #include "real-processes.h"
 #include "sim-faults.h"
@@ -9,12 +8,12 @@
 #include <string.h>
 #include <unistd.h>
 
-#define API_PORT 18100u /* of the first controller; its port for peers is the next one */
+#define API_PORT 18100u /* of node 0; each node has an API port and, as the next number, a port for peers */
 #define KV_PORT 18120u
 #define CLOUD_PORT 18121u
 #define MACHINES 30u
 #define JOBS 24u
-#define LONGEST_S 240.0 /* the host may be busy with other work */
+#define TIMEOUT_S 240.0 /* long, because the host may be busy with other work */
 
 static const char *program;
 static HzbTransport *client;
@@ -27,7 +26,8 @@
 {
   HzbHttpRequest *http_request = user;
   gboolean heartbeat = g_str_equal (http_request->path, "/hello");
-  /* A worker needs to know that its connection was refused; a user retries after a timeout. */
+  /* A worker must be told that its connection was refused (status 0). A user gets no response, and retries after its
+   * timeout. */
   if (status || heartbeat)
     http_request->reply (http_request, status, body, 0);
   g_free (http_request->method);
@@ -87,13 +87,13 @@
   for (guint i = 0; i < SIM_NODES; i++)
     {
       real_kill (pids[i]);
-      sim->nodes[i].controller =
-          i ? NULL : sim->nodes[i].controller; /* the first one stands for the callers of the fakes */
+      /* Node 0 stays marked as running, because the calls to the fakes come from it. */
+      sim->nodes[i].controller = i ? NULL : sim->nodes[i].controller;
     }
 }
 
 static guint
-unfinished (const Sim *sim)
+count_unfinished_jobs (const Sim *sim)
 {
   guint n = 0;
   for (guint i = 0; i < sim->jobs->len; i++)
@@ -101,15 +101,17 @@
   return n;
 }
 
+/* All three controllers are killed under load and started again. Guards against a cold start in which a task is lost or
+ * runs twice, or in which the controllers do not reconcile. */
 static void
 test_cold_start (void)
 {
   SimConfig config = sim_config_small;
   char *settings[SIM_NODES];
   g_autofree char *features = real_write_file ("[reconciliation]\nenabled = true\npace_s = 5\n");
-  g_autofree char *log = real_write_file (""), *logged = NULL;
+  g_autofree char *log = real_write_file (""), *log_text = NULL;
   Sim *sim;
-  double killed;
+  double killed_at;
 
   config.machines = MACHINES;
   config.team_max = 4 * MACHINES;
@@ -128,24 +130,24 @@
   start_controllers (sim, settings, features, log);
   for (guint i = 0; i < JOBS; i++)
     sim_add_job (sim, 3 + 0.1 * i, i % 2 ? "red" : "blue", 3 + i % 5, 1, 15);
-  while (tasks_running (sim) < MACHINES && sim->now < LONGEST_S)
-    real_turn_until (sim, sim->now + 0.1);
-  g_assert_cmpuint (tasks_running (sim), >=, MACHINES);
-  killed = sim->now;
+  while (count_running_tasks (sim) < MACHINES && sim->now < TIMEOUT_S)
+    real_run_until (sim, sim->now + 0.1);
+  g_assert_cmpuint (count_running_tasks (sim), >=, MACHINES);
+  killed_at = sim->now;
   kill_controllers (sim);
-  real_turn_until (sim, sim->now + 2);
+  real_run_until (sim, sim->now + 2);
   start_controllers (sim, settings, features, log);
-  while (unfinished (sim) && sim->now < LONGEST_S)
-    real_turn_until (sim, sim->now + 0.1);
-  g_test_message ("killed at %.1f s, all %u jobs were over at %.1f s; %u tasks were started", killed, JOBS, sim->now,
-                  sim->tasks_started);
+  while (count_unfinished_jobs (sim) && sim->now < TIMEOUT_S)
+    real_run_until (sim, sim->now + 0.1);
+  g_test_message ("controllers killed at %.1f s; all %u jobs finished at %.1f s; %u tasks started", killed_at, JOBS,
+                  sim->now, sim->tasks_started);
   expect_no_violation (sim, "a cold start of processes", 1300);
-  g_assert_cmpuint (unfinished (sim), ==, 0);
+  g_assert_cmpuint (count_unfinished_jobs (sim), ==, 0);
   kill_controllers (sim);
-  g_assert_true (g_file_get_contents (log, &logged, NULL, NULL));
-  g_assert_nonnull (strstr (logged, "detecting -> collecting: all-ended"));
-  g_assert_nonnull (strstr (logged, "deciding -> recorded"));
-  g_assert_null (strstr (logged, "illegal change"));
+  g_assert_true (g_file_get_contents (log, &log_text, NULL, NULL));
+  g_assert_nonnull (strstr (log_text, "detecting -> collecting: all-ended"));
+  g_assert_nonnull (strstr (log_text, "deciding -> recorded"));
+  g_assert_null (strstr (log_text, "illegal change"));
   unlink (features);
   unlink (log);
   for (guint i = 0; i < SIM_NODES; i++)
@@ -160,7 +162,7 @@
 {
   g_test_init (&argc, &argv, NULL);
   g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
-  alarm ((guint) LONGEST_S + 60); /* ends this process if something blocks for ever */
+  alarm ((guint) TIMEOUT_S + 60); /* ends this process if the main loop blocks */
   if (argc != 2)
     {
       g_printerr ("usage: test-processes CONTROLLER\n");
--- a/tests/test-protocol.c
+++ b/tests/test-protocol.c
@@ -23,7 +23,7 @@
     cJSON_AddRawToObject (root, field, value);
   text = cJSON_PrintUnformatted (root);
   cJSON_Delete (root);
-  spec = hzb_job_spec_parse (text, strlen (text), NULL);
+  spec = hzb_job_submission_decode (text, strlen (text), NULL);
   return spec != NULL;
 }
 
@@ -134,7 +134,7 @@
             g_string_append_printf (front, "\"%s\":%s,", table[k][0], table[k][1]);
           whole = g_strconcat (front->str, body->str + 1, "}", NULL);
         }
-      spec = hzb_job_spec_parse (whole, strlen (whole), &error);
+      spec = hzb_job_submission_decode (whole, strlen (whole), &error);
       g_assert_null (spec);
       g_assert_error (error, HZB_PROTOCOL_ERROR, HZB_PROTOCOL_ERROR_MALFORMED);
       g_assert_true (g_str_has_prefix (error->message, expected));
@@ -149,22 +149,22 @@
   for (guint i = 0; i < G_N_ELEMENTS (malformed); i++)
     {
       g_autoptr (GError) error = NULL;
-      g_assert_null (hzb_job_spec_parse (malformed[i], strlen (malformed[i]), &error));
+      g_assert_null (hzb_job_submission_decode (malformed[i], strlen (malformed[i]), &error));
       g_assert_error (error, HZB_PROTOCOL_ERROR, HZB_PROTOCOL_ERROR_MALFORMED);
     }
-  g_assert_null (hzb_job_spec_parse (large, strlen (large), NULL));
+  g_assert_null (hzb_job_submission_decode (large, strlen (large), NULL));
   /* Every truncation of a valid submission is rejected. */
   for (gsize n = 0; n + 1 < sizeof valid_submission; n++)
     {
       g_autofree char *truncated = g_strndup (valid_submission, n);
-      g_assert_null (hzb_job_spec_parse (truncated, n, NULL));
+      g_assert_null (hzb_job_submission_decode (truncated, n, NULL));
     }
 }
 
 static void
 test_stored_form (void)
 {
-  g_autoptr (HzbJobSpec) spec = hzb_job_spec_parse (valid_submission, strlen (valid_submission), NULL);
+  g_autoptr (HzbJobSpec) spec = hzb_job_submission_decode (valid_submission, strlen (valid_submission), NULL);
   cJSON *stored = hzb_job_spec_encode (spec);
   g_autoptr (HzbJobSpec) decoded = hzb_job_spec_decode ("run-000412", stored);
   g_assert_nonnull (decoded);
--- a/tests/test-quarantine.c
+++ b/tests/test-quarantine.c
@@ -53,7 +53,7 @@
 static void
 fixture_clear (Fixture *fixture)
 {
-  fake_transport_end (&fixture->transport, fixture->kv);
+  fake_transport_fail_calls (&fixture->transport, fixture->kv);
   hzb_quarantine_free (fixture->quarantine);
   hzb_machines_clear (fixture->machines);
   hzb_machines_free (fixture->machines);
@@ -201,7 +201,7 @@
       g_assert_true (second_outcome.n_calls == 1 && second_outcome.result == HZB_DECISION_BUSY);
       call = g_queue_peek_head (&fixture.transport.calls);
       g_assert_nonnull (call);
-      g_assert_nonnull (strstr (call->body, HZB_KEY_RECONCILIATION_ARCHIVES));
+      g_assert_nonnull (strstr (call->body, HZB_KEY_RECONCILIATION_KEPT_TASKS));
       fake_answer (&fixture.transport, call, cases[i].status, "{\"epoch\":7}");
       g_assert_true (outcome.n_calls == 1 && outcome.result == cases[i].result);
       g_assert_cmpint (is_kept (&fixture), ==, cases[i].kept);
--- a/tests/test-reconciliation.c
+++ b/tests/test-reconciliation.c
@@ -297,7 +297,7 @@
   guint64 id = 0;
 
   g_assert_true (hzb_reconciliation_record_decode (value, &decoded, NULL));
-  g_assert_true (decoded.id == 7 && decoded.term == 9 && decoded.starts == 2);
+  g_assert_true (decoded.id == 7 && decoded.term == 9 && decoded.cold_starts == 2);
   g_ptr_array_add (written, &entry);
   page = store_and_load (hzb_verdict_page_encode (7, 9, written));
   entries = hzb_verdict_page_decode (page, &id, NULL);
@@ -333,7 +333,7 @@
   };
   archive->id = 12;
   archive->term = 14;
-  archive->starts = 1;
+  archive->cold_starts = 1;
   archive->began = 1.7e9;
   archive->reason = g_strdup ("all-ended");
   for (guint i = 0; i < 50; i++)
--- a/tests/test-record-flush.c
+++ b/tests/test-record-flush.c
@@ -19,7 +19,7 @@
 
   for (guint i = 0; i < parts->len; i++)
     {
-      const HzbProgressPart *part = &g_array_index (parts, HzbProgressPart, i);
+      const HzbProgressChunk *part = &g_array_index (parts, HzbProgressChunk, i);
       const HzbProgressRecord *progress = &part->progress;
       guint released = GPOINTER_TO_UINT (g_hash_table_lookup (stored->released, part->uid));
       g_hash_table_insert (stored->released, g_strdup (part->uid),
@@ -27,7 +27,7 @@
       for (guint k = 0; k < 8 * progress->finished_bytes; k++)
         if (progress->finished[k / 8] & 1u << k % 8)
           g_hash_table_add (stored->finished,
-                            g_strdup_printf ("%s/%u", part->uid, part->chunk * progress->chunk_tasks + k));
+                            g_strdup_printf ("%s/%u", part->uid, part->number * progress->chunk_tasks + k));
     }
 }
 
@@ -67,8 +67,8 @@
                            g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL) };
   guint done = 0;
 
-  sim_each_record (sim, HZB_KEY_PROGRESS, read_progress_page, &stored);
-  sim_each_record (sim, HZB_KEY_MACHINES, read_machine_page, &stored);
+  sim_foreach_record (sim, HZB_KEY_PROGRESS, read_progress_page, &stored);
+  sim_foreach_record (sim, HZB_KEY_MACHINES, read_machine_page, &stored);
   for (guint i = 0; i < controller->jobs->active->len; i++)
     {
       const HzbJob *job = controller->jobs->active->pdata[i];
--- a/tests/test-records-codec.c
+++ b/tests/test-records-codec.c
@@ -41,7 +41,7 @@
 static void
 add_part (GArray *parts, const char *uid, guint chunk, HzbProgressRecord progress)
 {
-  HzbProgressPart part = { .uid = g_strdup (uid), .chunk = chunk, .progress = progress };
+  HzbProgressChunk part = { .uid = g_strdup (uid), .number = chunk, .progress = progress };
   g_array_append_val (parts, part);
 }
 
@@ -53,9 +53,9 @@
       "{\"run-000001/0\":{\"released\":64,\"team\":\"red\",\"cpus\":0.5,\"gpus\":1,\"done\":\"AQAAgA==\"},"
       "\"run-000002/3\":{\"released\":9000,\"of\":8192}}";
   static const guchar bits[] = { 1, 0, 0, 0x80 };
-  g_autoptr (GArray) parts = hzb_progress_parts_new ();
+  g_autoptr (GArray) parts = hzb_progress_chunks_new ();
   g_autoptr (GArray) decoded = NULL;
-  const HzbProgressPart *part;
+  const HzbProgressChunk *part;
   cJSON *page;
 
   add_part (parts, "run-000001", 0,
@@ -72,18 +72,18 @@
   decoded = hzb_progress_page_decode (page);
   cJSON_Delete (page);
   g_assert_cmpuint (decoded->len, ==, 2);
-  part = &g_array_index (decoded, HzbProgressPart, 0);
+  part = &g_array_index (decoded, HzbProgressChunk, 0);
   g_assert_cmpstr (part->uid, ==, "run-000001");
-  g_assert_cmpuint (part->chunk, ==, 0);
+  g_assert_cmpuint (part->number, ==, 0);
   g_assert_cmpuint (part->progress.released, ==, 64);
   g_assert_cmpuint (part->progress.chunk_tasks, ==, 32768); /* not stated */
   g_assert_cmpstr (part->progress.team, ==, "red");
   g_assert_cmpfloat (part->progress.cpus, ==, 0.5);
   g_assert_cmpfloat (part->progress.gpus, ==, 1);
   g_assert_cmpmem (part->progress.finished, part->progress.finished_bytes, bits, sizeof bits);
-  part = &g_array_index (decoded, HzbProgressPart, 1);
+  part = &g_array_index (decoded, HzbProgressChunk, 1);
   g_assert_cmpstr (part->uid, ==, "run-000002");
-  g_assert_cmpuint (part->chunk, ==, 3);
+  g_assert_cmpuint (part->number, ==, 3);
   g_assert_cmpuint (part->progress.released, ==, 9000);
   g_assert_cmpuint (part->progress.chunk_tasks, ==, 8192);
   g_assert_null (part->progress.team);
@@ -100,12 +100,12 @@
 
   cJSON_Delete (page);
   g_assert_cmpuint (decoded->len, ==, 4);
-  g_assert_null (g_array_index (decoded, HzbProgressPart, 0).uid);
-  g_assert_cmpuint (g_array_index (decoded, HzbProgressPart, 1).chunk, ==, 1);
-  g_assert_cmpuint (g_array_index (decoded, HzbProgressPart, 1).progress.released, ==, 0);
-  g_assert_cmpuint (g_array_index (decoded, HzbProgressPart, 2).progress.chunk_tasks, ==, 1);
-  g_assert_cmpuint (g_array_index (decoded, HzbProgressPart, 2).progress.finished_bytes, ==, 0);
-  g_assert_cmpuint (g_array_index (decoded, HzbProgressPart, 3).progress.chunk_tasks, >, 0);
+  g_assert_null (g_array_index (decoded, HzbProgressChunk, 0).uid);
+  g_assert_cmpuint (g_array_index (decoded, HzbProgressChunk, 1).number, ==, 1);
+  g_assert_cmpuint (g_array_index (decoded, HzbProgressChunk, 1).progress.released, ==, 0);
+  g_assert_cmpuint (g_array_index (decoded, HzbProgressChunk, 2).progress.chunk_tasks, ==, 1);
+  g_assert_cmpuint (g_array_index (decoded, HzbProgressChunk, 2).progress.finished_bytes, ==, 0);
+  g_assert_cmpuint (g_array_index (decoded, HzbProgressChunk, 3).progress.chunk_tasks, >, 0);
 }
 
 static void
--- a/tests/test-records.c
+++ b/tests/test-records.c
@@ -14,7 +14,7 @@
   SimMachine *machine;
   guint finished = 0;
   sim_run (sim, 15);
-  g_assert_nonnull (machine_with_tasks (sim));
+  g_assert_nonnull (find_machine_with_tasks (sim));
   sim->kv_outage = TRUE;
   sim_run (sim, 45);
   g_assert_false (job->confirmed_done);
--- a/tests/test-scale.c
+++ b/tests/test-scale.c
@@ -22,14 +22,14 @@
   struct timespec now;
   guint n_examined;
 
-  bench_up (&b, 7);
+  bench_init (&b, 7);
   now = hzb_clock_now (b.clock);
   for (guint i = 0; i < b.shard->n_teams; i++)
     b.shard->cpus_allowed[i] = 1e9;
   for (guint i = 0; i < n_machines; i++)
-    bench_machine (&b, "small", i % 2 ? "za" : "zb", TRUE);
+    bench_add_machine (&b, "small", i % 2 ? "za" : "zb", TRUE);
   for (guint i = 0; i < n_jobs; i++)
-    bench_job (&b, i % 2 ? "red" : "blue", HZB_PRIORITY_NORMAL, 200, 1, 30);
+    bench_add_job (&b, i % 2 ? "red" : "blue", HZB_PRIORITY_NORMAL, 200, 1, 30);
   for (guint i = 0; i < 20; i++) /* fills all run queues */
     hzb_dispatch_run (b.dispatch, now);
   n_examined = b.dispatch->n_examined;
@@ -40,7 +40,7 @@
     hzb_dispatch_start_tasks (b.dispatch, b.machines->all->pdata[i], now, commands);
   n_examined = b.dispatch->n_examined - n_examined;
   g_assert_cmpuint (commands->len, ==, 20 * 4);
-  bench_down (&b);
+  bench_clear (&b);
   return n_examined;
 }
 
@@ -81,7 +81,7 @@
 static void
 test_half_of_machines_crash (void)
 {
-  Sim *sim = large_fleet (11, MACHINES, 150, 60);
+  Sim *sim = start_large_fleet (11, MACHINES, 150, 60);
   guint rental_calls_before;
   for (guint i = 0; i < sim->machines->len; i += 2)
     {
@@ -107,7 +107,7 @@
 static void
 test_failover_with_unresponsive_machines (void)
 {
-  Sim *sim = large_fleet (12, MACHINES, 150, 200);
+  Sim *sim = start_large_fleet (12, MACHINES, 150, 200);
   guint started_before, n_partitioned = 0, changes_before, leader = (guint) MAX (sim_leader (sim), 0);
   double crashed_at;
   for (guint i = 0; i < sim->machines->len && n_partitioned < 300; i++)
@@ -140,8 +140,8 @@
 static void
 test_full_restart (void)
 {
-  Sim *sim = large_fleet (13, MACHINES, 200, 100);
-  guint rows_before, requests_before, running_before = tasks_running (sim);
+  Sim *sim = start_large_fleet (13, MACHINES, 200, 100);
+  guint rows_before, requests_before, running_before = count_running_tasks (sim);
   double restarted_at;
   for (guint i = 0; i < SIM_NODES; i++)
     sim_crash (sim, i);
@@ -162,7 +162,7 @@
   /* No lease has expired, so no running task was lost. */
   for (guint i = 0; i < sim->machines->len; i++)
     g_assert_cmpuint (((SimMachine *) sim->machines->pdata[i])->agent_epoch, ==, 1);
-  g_assert_cmpuint (tasks_running (sim), >, running_before / 2);
+  g_assert_cmpuint (count_running_tasks (sim), >, running_before / 2);
   expect_no_violation (sim, "full restart", 0);
   sim_run (sim, 700);
   expect_all_finished (sim, "full restart", 0);
@@ -174,7 +174,7 @@
 static void
 test_stalled_leader (void)
 {
-  Sim *sim = large_fleet (14, 900, 120, 40);
+  Sim *sim = start_large_fleet (14, 900, 120, 40);
   int stalled_node = sim_leader (sim);
   g_assert_cmpint (stalled_node, !=, -1);
   sim->nodes[stalled_node].paused = TRUE;
--- a/tests/test-scheduling-records.c
+++ b/tests/test-scheduling-records.c
@@ -17,7 +17,7 @@
   Bench b;
   g_autoptr (HzbJobSpec) spec = NULL;
   g_autofree char *submission = NULL, *expected = NULL;
-  bench_up (&b, 1);
+  bench_init (&b, 1);
   spec = g_new0 (HzbJobSpec, 1);
   spec->uid = g_strdup ("run-000412");
   spec->job_class = g_strdup ("lane");
@@ -31,7 +31,7 @@
   submission = hzb_json_print (hzb_job_spec_encode (spec));
   expected = g_strdup_printf ("{\"state\":\"accepted\",\"at\":1700000000.123,\"spec\":%s}", submission);
   assert_stored (hzb_job_acceptance_encode (spec, (struct timespec){ 1700000000, 123999999 }), expected);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 static void
@@ -82,9 +82,10 @@
   Bench b;
   cJSON *record = cJSON_CreateObject ();
   g_autoptr (GArray) accepted = NULL;
-  bench_up (&b, 1);
-  cJSON_AddItemToObject (record, "run-000007", bench_record (&b, "run-000007", "red", HZB_PRIORITY_HIGH, 5, 2, 30));
-  cJSON_AddItemToObject (record, "run-000003", bench_record (&b, "run-000003", "blue", HZB_PRIORITY_IDLE, 1, 1, 20));
+  bench_init (&b, 1);
+  cJSON_AddItemToObject (record, "run-000007", bench_encode_job (&b, "run-000007", "red", HZB_PRIORITY_HIGH, 5, 2, 30));
+  cJSON_AddItemToObject (record, "run-000003",
+                         bench_encode_job (&b, "run-000003", "blue", HZB_PRIORITY_IDLE, 1, 1, 20));
   accepted = hzb_acceptance_decode (record);
   g_assert_cmpuint (accepted->len, ==, 2);
   for (guint i = 0; i < accepted->len; i++)
@@ -99,7 +100,7 @@
       g_assert_cmpstr (read.spec->team, ==, i ? "blue" : "red");
     }
   cJSON_Delete (record);
-  bench_down (&b);
+  bench_clear (&b);
 }
 
 int
--- a/tests/test-services.c
+++ b/tests/test-services.c
@@ -18,9 +18,9 @@
       for (guint i = 0; i < 6; i++)
         sim_add_job (sim, 1 + i, i % 2 ? "red" : "blue", 5, 2, 12);
       sim_run (sim, 50);
-      g_assert_cmpfloat (steady_service->replica_missed_s, <, 0.1 * steady_service->replica_wanted_s);
-      g_assert_cmpfloat (restarting_service->replica_missed_s, <, 0.6 * restarting_service->replica_wanted_s);
-      machine = machine_with_tasks (sim);
+      g_assert_cmpfloat (steady_service->replica_unserved_s, <, 0.1 * steady_service->replica_requested_s);
+      g_assert_cmpfloat (restarting_service->replica_unserved_s, <, 0.6 * restarting_service->replica_requested_s);
+      machine = find_machine_with_tasks (sim);
       if (seed % 2)
         {
           machine->crashed = TRUE;
@@ -31,7 +31,7 @@
       sim->faults_over_at = sim->now + 15;
       sim_run (sim, 118);
       g_assert_false (steady_service->confirmed_done || restarting_service->confirmed_done);
-      g_assert_cmpfloat (steady_service->replica_missed_s, <, 0.4 * steady_service->replica_wanted_s);
+      g_assert_cmpfloat (steady_service->replica_unserved_s, <, 0.4 * steady_service->replica_requested_s);
       sim_run (sim, 300);
       g_assert_true (steady_service->confirmed_cancelled && restarting_service->confirmed_cancelled);
       expect_all_finished (sim, "replicas restart until cancelled", seed);
@@ -51,8 +51,8 @@
   sim_run (sim, 40);
   service = add_service (sim, 40, "red", 4, 2, 120);
   sim_run (sim, 110);
-  g_assert_cmpfloat (service->replica_wanted_s, >, 200);
-  g_assert_cmpfloat (service->replica_missed_s, <, 0.3 * service->replica_wanted_s);
+  g_assert_cmpfloat (service->replica_requested_s, >, 200);
+  g_assert_cmpfloat (service->replica_unserved_s, <, 0.3 * service->replica_requested_s);
   sim_free (sim);
 }
 
@@ -101,7 +101,7 @@
       sim->config.machines = 0; /* the cloud has no capacity left */
       service = add_service (sim, 30, "red", 4, 1, 120);
       sim_run (sim, 110);
-      g_assert_cmpfloat (service->replica_missed_s, <, 0.05 * service->replica_wanted_s);
+      g_assert_cmpfloat (service->replica_unserved_s, <, 0.05 * service->replica_requested_s);
       expect_no_violation (sim, "leased machine recalled for service", seed);
       sim_free (sim);
     }
@@ -220,7 +220,7 @@
           g_assert_cmpfloat (cpus_rented (sim), <=, 9 + 2 * 5 + 2 * 8);
         }
       for (guint i = 0; i < 3; i++)
-        g_assert_cmpfloat (services[i]->replica_missed_s, <, 0.05 * services[i]->replica_wanted_s);
+        g_assert_cmpfloat (services[i]->replica_unserved_s, <, 0.05 * services[i]->replica_requested_s);
       sim->faults_over_at = 30;
       sim_run (sim, 400);
       expect_all_finished (sim, "services only", seed);
@@ -245,11 +245,11 @@
       second = add_service (sim, 4, "blue", 10, 2, 260);
       first->spread = second->spread = FALSE;
       sim_run (sim, 110);
-      cpus_in_use = 2 * (sim_running (sim, first, NULL) + sim_running (sim, second, NULL));
+      cpus_in_use = 2 * (sim_count_running_tasks (sim, first, NULL) + sim_count_running_tasks (sim, second, NULL));
       g_assert_cmpfloat (cpus_in_use, >=, cpus_rented (sim) - 2);
       sim_run (sim, 160);
       g_assert_true (first->confirmed_cancelled);
-      g_assert_cmpuint (2 * sim_running (sim, second, NULL), >=, MIN (20, cpus_rented (sim) - 2));
+      g_assert_cmpuint (2 * sim_count_running_tasks (sim, second, NULL), >=, MIN (20, cpus_rented (sim) - 2));
       sim_run (sim, 255);
       g_assert_cmpuint (user_request (sim, 0, "GET", "/api/jobs/run-100002", "", NULL), ==, 200);
       sim->faults_over_at = 300;
@@ -307,7 +307,7 @@
       SimMachine *machine;
       add_service (sim, 4, "blue", 2, 1, 200);
       sim_run (sim, 60 - g_rand_double_range (sim->rand, 0, 3));
-      machine = machine_with_tasks (sim);
+      machine = find_machine_with_tasks (sim);
       if (seed % 2)
         machine->reclaim_at = sim->now + 5;
       else
@@ -319,7 +319,7 @@
       start_all_controllers (sim, NULL);
       sim_run (sim, 120);
       g_assert_true (service->confirmed_cancelled);
-      g_assert_cmpuint (sim_running (sim, service, NULL), ==, 0);
+      g_assert_cmpuint (sim_count_running_tasks (sim, service, NULL), ==, 0);
       sim->faults_over_at = 130;
       sim_run (sim, 330);
       expect_all_finished (sim, "cancelled while replica moves", seed);
@@ -338,8 +338,8 @@
       Sim *sim = sim_new (seed);
       SimJob *service = add_service (sim, 2, "red", 4, 2, 200);
       sim_run (sim, 40);
-      g_assert_cmpuint (sim_running (sim, service, "za"), ==, 2);
-      g_assert_cmpuint (sim_running (sim, service, "zb"), ==, 2);
+      g_assert_cmpuint (sim_count_running_tasks (sim, service, "za"), ==, 2);
+      g_assert_cmpuint (sim_count_running_tasks (sim, service, "zb"), ==, 2);
       sim->zone_without_capacity = "za";
       for (guint i = 0; i < sim->machines->len; i++)
         {
@@ -352,11 +352,11 @@
       for (guint t = 41; t < 120; t++)
         {
           sim_run (sim, t);
-          g_assert_cmpuint (sim_running (sim, service, "zb"), ==, 2);
+          g_assert_cmpuint (sim_count_running_tasks (sim, service, "zb"), ==, 2);
         }
       sim->zone_without_capacity = NULL;
       sim_run (sim, 190);
-      g_assert_cmpuint (sim_running (sim, service, "za"), ==, 2);
+      g_assert_cmpuint (sim_count_running_tasks (sim, service, "za"), ==, 2);
       sim->faults_over_at = 190;
       sim_run (sim, 330);
       expect_all_finished (sim, "zone loss", seed);
@@ -378,8 +378,9 @@
       service->spread = FALSE;
       service->same_zone = TRUE;
       sim_run (sim, 40);
-      g_assert_cmpuint (MAX (sim_running (sim, service, "za"), sim_running (sim, service, "zb")), ==, 6);
-      machine = machine_with_tasks (sim);
+      g_assert_cmpuint (
+          MAX (sim_count_running_tasks (sim, service, "za"), sim_count_running_tasks (sim, service, "zb")), ==, 6);
+      machine = find_machine_with_tasks (sim);
       for (guint i = 0; i < sim->machines->len; i++)
         {
           SimMachine *other = sim->machines->pdata[i];
@@ -391,7 +392,8 @@
       if (seed % 2 == 0)
         sim->zone_without_capacity = machine->zone;
       sim_run (sim, 120);
-      g_assert_cmpuint (MAX (sim_running (sim, service, "za"), sim_running (sim, service, "zb")), ==, 6);
+      g_assert_cmpuint (
+          MAX (sim_count_running_tasks (sim, service, "za"), sim_count_running_tasks (sim, service, "zb")), ==, 6);
       sim->faults_over_at = 120;
       sim_run (sim, 330);
       expect_all_finished (sim, "same zone service", seed);
@@ -422,7 +424,7 @@
       g_assert_cmpuint (sim->tasks_started - started_before, <=, 3 * 60 / 8);
       sim_run (sim, 148);
       g_assert_cmpuint (sim->tasks_started - started_before, >=, 1);
-      g_assert_cmpfloat (healthy_service->replica_missed_s, <, 0.05 * healthy_service->replica_wanted_s);
+      g_assert_cmpfloat (healthy_service->replica_unserved_s, <, 0.05 * healthy_service->replica_requested_s);
       sim_run (sim, 300);
       expect_all_finished (sim, "crash looping replicas", seed);
       sim_free (sim);
@@ -465,7 +467,7 @@
       loaded_at = sim->now;
       sim_run (sim,
                loaded_at + 8); /* a worker's heartbeat times out after 4 s; the worker then tries another controller */
-      g_assert_cmpuint (sim_running (sim, service, NULL), ==, 4);
+      g_assert_cmpuint (sim_count_running_tasks (sim, service, NULL), ==, 4);
       controller = sim->nodes[sim_leader (sim)].controller;
       g_assert_cmpint (hzb_ownership_state (controller->ownership), ==, HZB_OWNERSHIP_RECOVERING);
       g_assert_cmpuint (hzb_jobs_find (controller->jobs, batch->uid)->unconfirmed, >, 0);
--- a/tests/test-unavailable-controller.c
+++ b/tests/test-unavailable-controller.c
@@ -68,7 +68,7 @@
   sim_run (sim, 32);
   for (guint i = 1; i < 12; i++)
     sim_schedule (sim, sim->now + 7.0 * i, restart_other_leader, GUINT_TO_POINTER (unavailable));
-  cancel_all (sim);
+  cancel_all_jobs (sim);
   cancelled_at = sim->now;
   confirmed_at = run_until_all_confirmed (sim, cancelled_at + 90);
   g_test_message ("seed %u, %s %s: all confirmed after %.1f s", seed, leads ? "leader" : "leaseholder",
@@ -112,7 +112,7 @@
       sim->nodes[refused].refused_by_kv = TRUE;
       sim_run (sim, 30);
       replicated_revision = hzb_kv_replica_revision (sim->nodes[refused].controller->kv_replica);
-      cancel_all (sim);
+      cancel_all_jobs (sim);
       sim_run (sim, 48);
       for (guint i = 0; i < sim->jobs->len; i++)
         {
@@ -137,13 +137,15 @@
       Sim *sim = new_cluster_with_jobs (seed);
       guint leader = (guint) MAX (sim_leader (sim), 0);
       SimMachine *machine = run_until_machine_is (sim, HZB_MACHINE_ACTIVE);
-      g_assert_cmpuint (heartbeat_to (sim, leader, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 200);
+      g_assert_cmpuint (send_heartbeat_to (sim, leader, machine, machine->agent_epoch, machine->sequence + 1, ""), ==,
+                        200);
       machine->partitioned = TRUE; /* so that no other controller renews the machine's lease */
       sim->nodes[leader].paused = TRUE;
       sim_run (sim, sim->now + HZB_CANCELLATIONS_MAX_AGE_S + 1);
       g_assert_true (hzb_election_is_leader (sim->nodes[leader].controller->election));
       machine->sequence += 2;
-      g_assert_cmpuint (heartbeat_to (sim, leader, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 503);
+      g_assert_cmpuint (send_heartbeat_to (sim, leader, machine, machine->agent_epoch, machine->sequence + 1, ""), ==,
+                        503);
       sim_resume (sim, leader);
       sim_run (sim, sim->now + 20);
       expect_no_violation (sim, "resumed leader is self fenced", seed);
@@ -167,7 +169,7 @@
       g_autofree char *task_status = g_strdup_printf ("{\"piece\":\"%s/0\",\"try\":1,\"status\":\"running\"}", uid);
       for (guint i = 0; i < sim->machines->len; i++)
         ((SimMachine *) sim->machines->pdata[i])->partitioned = TRUE;
-      cancel_all (sim);
+      cancel_all_jobs (sim);
       sim_run (sim, sim->now + 3);
       leader = (guint) MAX (sim_leader (sim), 0);
       sim_crash (sim, leader);
@@ -175,8 +177,8 @@
       sim_run (sim, sim->now + 8);
       g_assert_cmpint (sim_leader (sim), >=, 0);
       g_assert_cmpuint (machine->fencing_token, ==, old_token);
-      g_assert_cmpuint (heartbeat_to_leader (sim, machine, machine->agent_epoch, machine->sequence + 5, task_status),
-                        ==, 200);
+      g_assert_cmpuint (
+          send_heartbeat_to_leader (sim, machine, machine->agent_epoch, machine->sequence + 5, task_status), ==, 200);
       g_assert_nonnull (strstr (last_response_body, "\"kill\""));
       g_assert_nonnull (strstr (last_response_body, uid));
       sim_free (sim);
--- a/tests/test-upgrade.c
+++ b/tests/test-upgrade.c
@@ -382,11 +382,11 @@
       g_assert_cmpuint (submit_service (sim, i, 780, "red", 2, 1, "5", NULL), ==, 400);
     }
   g_assert_cmpint (sim_leader (sim), !=, -1);
-  g_assert_cmpuint (sim_running (sim, service, NULL), ==, 2);
+  g_assert_cmpuint (sim_count_running_tasks (sim, service, NULL), ==, 2);
   g_assert_cmpuint (user_request (sim, 0, "POST", "/api/jobs/run-100000/cancel", "", NULL), ==, 200);
   service->cancel_requested = TRUE;
   sim_run (sim, sim->now + 10);
-  g_assert_cmpuint (sim_running (sim, service, NULL), ==, 0);
+  g_assert_cmpuint (sim_count_running_tasks (sim, service, NULL), ==, 0);
   expect_no_violation (sim, "records of production version", 465);
   sim_free (sim);
 }
--- a/tests/test-worker-heartbeat.c
+++ b/tests/test-worker-heartbeat.c
@@ -16,14 +16,14 @@
 fixture_set_up (HeartbeatFixture *fixture)
 {
   memset (fixture, 0, sizeof *fixture);
-  bench_up (&fixture->bench, 1);
+  bench_init (&fixture->bench, 1);
   fixture->api.dependencies.jobs = fixture->bench.jobs;
   fixture->api.dependencies.machines = fixture->bench.machines;
   fixture->api.dependencies.dispatch = fixture->bench.dispatch;
   fixture->heartbeat.notice_s = -1;
   fixture->heartbeat.task_statuses = g_array_new (FALSE, TRUE, sizeof (HzbTaskStatus));
   fixture->exchange.heartbeat = &fixture->heartbeat;
-  fixture->exchange.machine = bench_machine (&fixture->bench, "big", "za", TRUE);
+  fixture->exchange.machine = bench_add_machine (&fixture->bench, "big", "za", TRUE);
   fixture->exchange.now = hzb_clock_now (fixture->bench.clock);
   fixture->exchange.commands = g_array_new (FALSE, FALSE, sizeof (HzbCommand));
 }
@@ -33,7 +33,7 @@
 {
   g_array_unref (fixture->exchange.commands);
   g_array_unref (fixture->heartbeat.task_statuses);
-  bench_down (&fixture->bench);
+  bench_clear (&fixture->bench);
 }
 
 static void
@@ -79,7 +79,7 @@
 static HzbTask *
 running_task (HeartbeatFixture *fixture, double estimate_s, double checkpoint_interval_s)
 {
-  HzbJob *job = bench_job (&fixture->bench, "red", HZB_PRIORITY_NORMAL, 1, 1, estimate_s);
+  HzbJob *job = bench_add_job (&fixture->bench, "red", HZB_PRIORITY_NORMAL, 1, 1, estimate_s);
   HzbTask *task = hzb_job_take_pending (job, fixture->exchange.now);
 
   job->spec->checkpoint_interval_s = checkpoint_interval_s;
--- a/tests/test-worker-heartbeats.c
+++ b/tests/test-worker-heartbeats.c
@@ -86,8 +86,8 @@
   machine = run_until_machine_is (sim, HZB_MACHINE_ACTIVE);
   sim_run (sim, 25);
   started = sim->tasks_started;
-  g_assert_cmpuint (heartbeat_to_leader (sim, machine, machine->agent_epoch, 1, ""), ==, 503);
-  g_assert_cmpuint (heartbeat_to_leader (sim, machine, machine->agent_epoch, machine->sequence, ""), ==, 503);
+  g_assert_cmpuint (send_heartbeat_to_leader (sim, machine, machine->agent_epoch, 1, ""), ==, 503);
+  g_assert_cmpuint (send_heartbeat_to_leader (sim, machine, machine->agent_epoch, machine->sequence, ""), ==, 503);
   sim_run (sim, 32);
   g_assert_cmpuint (sim->tasks_started, ==, started);
   sim_run (sim, 200);
@@ -110,9 +110,9 @@
   machine->partitioned = TRUE;
   sim_run (sim, sim->now + 13);
   g_assert_cmpint (hzb_machines_find (controller->machines, machine->name)->state, ==, HZB_MACHINE_LEASE_EXPIRED);
-  g_assert_cmpuint (heartbeat_to_leader (sim, machine, 1, 100000, ""), ==, 503);
+  g_assert_cmpuint (send_heartbeat_to_leader (sim, machine, 1, 100000, ""), ==, 503);
   g_assert_cmpint (hzb_machines_find (controller->machines, machine->name)->state, ==, HZB_MACHINE_LEASE_EXPIRED);
-  g_assert_cmpuint (heartbeat_to_leader (sim, &terminated, 1, 1, ""), ==, 200);
+  g_assert_cmpuint (send_heartbeat_to_leader (sim, &terminated, 1, 1, ""), ==, 200);
   g_assert_nonnull (strstr (last_response_body, "\"orders\":[]"));
   g_assert_false (hzb_machine_is_usable (hzb_machines_find (controller->machines, terminated.name)));
   machine->partitioned = FALSE;
@@ -159,10 +159,10 @@
   HzbController *controller;
   sim_add_job (sim, 1, "red", 2, 2, 30);
   sim_run (sim, 20);
-  machine = machine_with_tasks (sim);
+  machine = find_machine_with_tasks (sim);
   controller = sim->nodes[sim_leader (sim)].controller;
   machine->fencing_token += hzb_fencing_token (7, 0);
-  g_assert_cmpuint (heartbeat_to_leader (sim, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 503);
+  g_assert_cmpuint (send_heartbeat_to_leader (sim, machine, machine->agent_epoch, machine->sequence + 1, ""), ==, 503);
   g_assert_false (hzb_election_is_leader (controller->election));
   machine->fencing_token -= hzb_fencing_token (7, 0);
   sim_run (sim, 120);
@@ -183,15 +183,15 @@
   sim_run (sim, 12);
   controller = sim->nodes[sim_leader (sim)].controller;
   g_assert_cmpuint (
-      heartbeat_to_leader (sim, &machine, 1, 1,
-                           "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
+      send_heartbeat_to_leader (sim, &machine, 1, 1,
+                                "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
       ==, 200);
   g_assert_nonnull (strstr (last_response_body, "\"orders\":[]"));
   g_assert_cmpint (hzb_machines_find (controller->machines, "i-900000")->state, ==, HZB_MACHINE_BOOTING);
   machine.fencing_token = hzb_fencing_token (hzb_election_term (controller->election), 0);
   g_assert_cmpuint (
-      heartbeat_to_leader (sim, &machine, 1, 2,
-                           "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
+      send_heartbeat_to_leader (sim, &machine, 1, 2,
+                                "{\"piece\":\"run-555555/0\",\"try\":1,\"status\":\"ended\",\"cause\":\"error\"}"),
       ==, 200);
   g_assert_cmpint (hzb_machines_find (controller->machines, "i-900000")->state, ==, HZB_MACHINE_ACTIVE);
   sim_free (sim);
