--- a/src/api/admin-codec.c
+++ b/src/api/admin-codec.c
@@ -58,7 +58,7 @@
 /* ---- responses of the leader only ---- */
 
 static cJSON *
-pack_machine (const HzbMachine *machine)
+encode_machine (const HzbMachine *machine)
 {
   cJSON *item = cJSON_CreateObject ();
   cJSON_AddStringToObject (item, "name", machine->name);
@@ -78,7 +78,7 @@
 {
   cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "machines");
   for (guint i = 0; i < machines->all->len; i++)
-    cJSON_AddItemToArray (list, pack_machine (machines->all->pdata[i]));
+    cJSON_AddItemToArray (list, encode_machine (machines->all->pdata[i]));
   return hzb_json_print (root);
 }
 
@@ -99,7 +99,7 @@
 }
 
 static cJSON *
-pack_team (const HzbTeam *team, double cpus_used, double gpus_used)
+encode_team (const HzbTeam *team, double cpus_used, double gpus_used)
 {
   cJSON *item = cJSON_CreateObject ();
   cJSON_AddStringToObject (item, "name", team->name);
@@ -117,17 +117,18 @@
 {
   cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "teams");
   for (guint i = 0; i < settings->teams->len; i++)
-    cJSON_AddItemToArray (list, pack_team (settings->teams->pdata[i], shard->cpus[i], shard->gpus[i]));
+    cJSON_AddItemToArray (list, encode_team (settings->teams->pdata[i], shard->cpus[i], shard->gpus[i]));
   return hzb_json_print (root);
 }
 
 static cJSON *
-pack_job (const HzbJob *job)
+encode_job (const HzbJob *job)
 {
   cJSON *item = cJSON_CreateObject ();
   cJSON_AddStringToObject (item, "id", job->uid);
   cJSON_AddStringToObject (item, "status", hzb_job_status (job));
   cJSON_AddNumberToObject (item, "tasks", job->n_tasks);
+  /* A controller that owns none of the job's tasks does not count them. */
   if (job->tasks)
     {
       cJSON_AddStringToObject (item, "class", job->spec->job_class);
@@ -146,7 +147,7 @@
 char *
 hzb_admin_job_encode (const HzbJob *job)
 {
-  return hzb_json_print (pack_job (job));
+  return hzb_json_print (encode_job (job));
 }
 
 char *
@@ -155,7 +156,7 @@
   cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "jobs");
   guint listed = MIN (jobs->active->len, MAX_LISTED_JOBS);
   for (guint i = 0; i < listed; i++)
-    cJSON_AddItemToArray (list, pack_job (jobs->active->pdata[i]));
+    cJSON_AddItemToArray (list, encode_job (jobs->active->pdata[i]));
   cJSON_AddNumberToObject (root, "unfinished", jobs->active->len);
   return hzb_json_print (root);
 }
--- a/src/api/admin-private.h
+++ b/src/api/admin-private.h
@@ -27,7 +27,8 @@
 char *hzb_admin_settings_encode (HzbAdmin *admin);
 
 /**
- * hzb_admin_settings_change: records the change of the operators' settings in the request's body and applies it.
- * Responds to an invalid change at once, and to a valid one after the key-value store has answered.
+ * hzb_admin_settings_change: decodes a change of the operators' settings from the request's body, records the change in
+ * the key-value store, and applies it once it is recorded. Responds to an invalid change at once, and to a valid one
+ * after the key-value store has answered.
  */
 void hzb_admin_settings_change (HzbAdmin *admin, HzbHttpRequest *http_request);
--- a/src/api/admin-settings.c
+++ b/src/api/admin-settings.c
@@ -74,7 +74,7 @@
   hzb_admin_refuse (http_request, statuses[error->code], "%s", error->message);
 }
 
-/* A change of the settings that the key-value store has not answered yet. */
+/* A change of the settings whose transaction the key-value store has not answered yet. */
 typedef struct
 {
   HzbAdmin *admin;
--- a/src/api/cancel-requests.c
+++ b/src/api/cancel-requests.c
@@ -1,14 +1,14 @@
 /* Cancellations that users request, and when they are confirmed.
  *
  * A confirmed cancellation guarantees that none of the job's tasks is started afterwards. So the response waits until
- * no controller can act without the cancellation (cancellations.h). If that takes too long, the user gets 503 with
- * Retry-After. */
+ * every controller that can still act knows of the cancellation (cancellations.h). If that takes too long, the user
+ * gets 503 with Retry-After. */
 #include "user-api-private.h"
 
 /* A request whose cancellation is not acknowledged in this time is answered with 503 and Retry-After. */
 #define ACKNOWLEDGEMENT_TIMEOUT_S 1.2
-/* Each waiting request holds a connection. So the limit is a fraction of the connections that the node may have open,
- * but no less than a minimum. */
+/* Each waiting request holds a connection. So the number of waiting requests is limited to a fraction of the
+ * connections that the node may have open; the limit is at least MIN_WAITING_LIMIT. */
 #define MIN_WAITING_LIMIT 512u
 #define MAX_WAITING_CONNECTION_FRACTION 0.5
 
--- a/src/api/heartbeat-admission.c
+++ b/src/api/heartbeat-admission.c
@@ -1,5 +1,5 @@
-/* Whether this node owns the sender of a heartbeat and may answer it, and which machine the sender is. The statuses of
- * tasks are not examined here.
+/* Decides whether this node may answer a heartbeat, and finds the machine that sent it. The statuses of tasks are not
+ * examined here.
  *
  * Only the node that owns the sender responds to a heartbeat: the leader, or the leaseholder of the machine's shard.
  * All other nodes redirect the worker. */
@@ -44,7 +44,9 @@
 
 /* ---- on a leaseholder ---- */
 
-/* Returns: (nullable): the machine; NULL if it does not belong to the shard or the lease on the shard has expired. */
+/* Returns: (nullable): the machine; NULL if it does not belong to the shard, the lease on the shard has expired, or the
+ * worker has seen a higher fencing token than this leaseholder has; in the last case the machine goes back to the
+ * leader */
 static HzbMachine *
 find_leased_machine (HzbWorkerApi *api, const HzbWorkerHeartbeat *heartbeat)
 {
@@ -119,7 +121,8 @@
 }
 
 /* The leader sends the leaseholder the agent epoch and sequence number of the machine's newest heartbeat, so both are
- * updated here. The leader sends the machine itself only after the machine's record is durable. */
+ * updated here. The leader sends the lease of the machine only after the machine's record is durable, so the
+ * records are flushed here if a flush is due. */
 static void
 redirect_to_leaseholder (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, HzbMachine *machine,
                          const char *leaseholder)
@@ -184,8 +187,8 @@
     }
   if (!decode_heartbeat (exchange))
     return FALSE;
-  /* A controller that was paused, or that can reach only its workers, may have missed a cancellation. The other
-   * controllers rely on it not to renew the lease of a machine with cancelled tasks in that state. */
+  /* A controller that was paused, or that can reach only its workers, may have missed a cancellation. Such a controller
+   * must not renew the lease of a machine with cancelled tasks: the other controllers rely on that. */
   if (!hzb_cancellations_may_answer_workers (api->dependencies.cancellations))
     {
       hzb_heartbeat_refuse (exchange, 503, "cancellations may have been missed here", 1);
--- a/src/api/heartbeat-tasks.c
+++ b/src/api/heartbeat-tasks.c
@@ -11,9 +11,9 @@
          && exchange->heartbeat->fencing_token <= exchange->machine->fencing_token;
 }
 
-/* Returns: TRUE if the heartbeat is from a new machine. No leader has recorded a booting machine: after a failover
- * every recorded machine is unverified, not booting. If the worker has seen no fencing token either, it has received no
- * command and the machine has no task. */
+/* Returns: TRUE if the heartbeat is from a new machine. A machine in state booting was not recorded by an earlier
+ * leader, since after a failover every recorded machine is unverified. If its worker has seen no fencing token either,
+ * the worker has received no command, so the machine has no task. */
 static gboolean
 is_from_new_machine (const HzbHeartbeatExchange *exchange)
 {
@@ -46,9 +46,9 @@
   return starting;
 }
 
-/* Makes the tasks pending that the heartbeat does not list. Such a task is not on the machine: either the start command
- * was lost, or the task has ended. The start command of a reserved task has not been sent yet, so the heartbeat need
- * not list it.
+/* Sets each task that the heartbeat does not list to pending. Such a task is not on the machine: either the start
+ * command was lost, or the task has ended. The start command of a reserved task has not been sent yet, so the heartbeat
+ * need not list it.
  *
  * Returns: the number of these tasks for which the previous response had a start command */
 static guint
@@ -84,6 +84,7 @@
   for (guint i = 0; i < task_statuses->len; i++)
     hzb_task_status_apply (api, exchange, &g_array_index (task_statuses, HzbTaskStatus, i));
   never_started = release_unreported (api, machine);
+  /* If the heartbeat lists at least one of the starting tasks, the worker has received an earlier response. */
   if (starting)
     machine->ignored_responses = never_started < starting ? 0 : machine->ignored_responses + 1;
   if (machine->tasks->len)
--- a/src/api/operator-settings-codec.h
+++ b/src/api/operator-settings-codec.h
@@ -13,11 +13,13 @@
 /** HzbOperatorSettings: the settings as recorded; values are rounded when they are applied to a module. */
 typedef struct
 {
-  double dispatch_h;             /**< weight of h/v in the dispatch rule, from 0 (waiting time) to 1 (sojourn time) */
+  double dispatch_h;             /**< weight h of a task's run time in the placement rule U + h/v (search.h), from 0
+                                      (minimizes waiting time) to 1 (minimizes sojourn time) */
   double dispatch_sample;        /**< machines examined for one task while the dispatcher lags; a whole number */
   double dispatch_queue_ahead_s; /**< seconds of work that a machine's run queue is filled ahead */
   double fleet_idle_s;           /**< seconds that a machine without work is kept before it is returned to the cloud */
-  double fleet_slack_fraction;   /**< waiting work should start in this fraction of the time that objectives leave */
+  double fleet_slack_fraction;   /**< waiting work should start within this fraction of the time that remains until its
+                                      nearest service-level objective is missed */
   double lease_shards;           /**< 0.5 or more: shards are leased to the other controllers */
 } HzbOperatorSettings;
 
@@ -35,7 +37,7 @@
   HZB_ADMIN_ERROR_STALE_VERSION,   /**< the change is based on a version other than the one in use */
   HZB_ADMIN_ERROR_CONFLICT,        /**< another change was recorded first */
   HZB_ADMIN_ERROR_UNDECIDED,       /**< the key-value store did not answer: the change may or may not be recorded */
-  HZB_ADMIN_ERROR_UNAVAILABLE      /**< the change was not recorded */
+  HZB_ADMIN_ERROR_UNAVAILABLE      /**< the key-value store refused the change or was not asked: it is not recorded */
 } HzbAdminError;
 
 /** HzbSettingsChange: a change that an operator requests. */
@@ -62,8 +64,11 @@
 void hzb_operator_settings_sanitize (HzbOperatorSettings *settings);
 
 /**
- * hzb_operator_settings_decode: decodes the stored form. A missing or invalid setting gets its default. value
- * (nullable): NULL: there is no record, so every setting gets its default
+ * hzb_operator_settings_decode:
+ * Decodes the stored form. A missing or invalid setting gets its default.
+ *
+ * @param value (nullable) the stored form; NULL: there is no record, so every setting gets its default
+ * @param settings (out)
  */
 void hzb_operator_settings_decode (const cJSON *value, HzbOperatorSettings *settings);
 
--- a/src/api/pending-requests.c
+++ b/src/api/pending-requests.c
@@ -10,8 +10,8 @@
 
 #include "record-keys.h"
 
-/* Each waiting request holds a connection. So the limit is a fraction of the connections that the node may have open,
- * but no less than a minimum. */
+/* Each waiting request holds a connection. So the number of waiting requests is limited to a fraction of the
+ * connections that the node may have open; the limit is at least MIN_WAITING_LIMIT. */
 #define MIN_WAITING_LIMIT 512u
 #define MAX_WAITING_CONNECTION_FRACTION 0.5
 /* A cancellation that was not sent to the key-value store in this time is not sent at all. */
--- a/src/api/submissions.c
+++ b/src/api/submissions.c
@@ -10,15 +10,15 @@
 
 #include <string.h>
 
-/* Each waiting submission holds a connection. So the limit is a fraction of the connections that the node may have
- * open, but no less than a minimum. */
+/* Each waiting submission holds a connection. So the number of waiting submissions is limited to a fraction of the
+ * connections that the node may have open; the limit is at least MIN_WAITING_LIMIT. */
 #define MIN_WAITING_LIMIT 256u
 #define MAX_WAITING_CONNECTION_FRACTION 0.25
 #define MAX_ACCEPTANCES_IN_FLIGHT 2u
 #define ACCEPTANCE_TIMEOUT_S 2.5 /* after this time in the queue the user gets 503 with Retry-After */
 #define RECORD_OVERHEAD_BYTES 64 /* braces and names around the jobs in a record */
 #define JOB_OVERHEAD_BYTES 8     /* quotes and separators around each job in a record */
-/* The key-value store allows this many comparisons in a transaction for each change that it allows. */
+/* The key-value store allows this many times as many comparisons in a transaction as changes (puts and deletes). */
 #define COMPARISONS_PER_CHANGE 4
 #define MIN_COMPARISONS 3u   /* needed for a record with one job */
 #define MAX_COMPARISONS 256u /* limit of this program, also if the key-value store allows more */
@@ -63,7 +63,8 @@
   return api->dependencies.node->settings->kv_value_kb * 1024 - RECORD_OVERHEAD_BYTES;
 }
 
-/* Each job needs two comparisons, and the record needs one. */
+/* Each job needs two comparisons (it has no completion record, neither replicated nor archived), and the acceptance
+ * record needs one (its key does not exist). */
 static guint
 max_jobs_in_record (const HzbUserApi *api)
 {
--- a/src/api/task-status.c
+++ b/src/api/task-status.c
@@ -1,7 +1,8 @@
 /* Applies the status of one task in a complete heartbeat.
  *
- * Two kinds of tasks get no command for the time being. A task without a record may still get a record, by a delayed
- * write or by an operator's decision. After a cold start, the verdict on a task's job may not be durable yet. */
+ * Tasks of two kinds may get no command for the time being: a task without a record, because a delayed write or an
+ * operator's decision may still create the record; and, after a cold start, a task whose job has no durable verdict
+ * yet. */
 #include "worker-api-private.h"
 
 /* A task that has run for longer than this has started successfully. */
@@ -93,7 +94,7 @@
   task->last_heartbeat_round = exchange->machine->heartbeat_count;
 }
 
-/* Updates a task that this node has on this machine, possibly with another attempt. */
+/* Updates a task that this node tracks on this machine. The worker may list another attempt of it. */
 static void
 update_task (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, HzbTask *task, const HzbTaskStatus *task_status)
 {
@@ -149,7 +150,7 @@
 }
 
 static void
-record_image (HzbMachine *machine, const HzbJob *job, const HzbTaskStatus *task_status)
+note_image (HzbMachine *machine, const HzbJob *job, const HzbTaskStatus *task_status)
 {
   if (job->spec && task_status->state != HZB_TASK_STATUS_FETCHING
       && !g_hash_table_contains (machine->images, job->spec->image))
@@ -157,8 +158,7 @@
 }
 
 static void
-record_successful_start (HzbMachine *machine, const HzbTask *task, const HzbTaskStatus *task_status,
-                         struct timespec now)
+note_successful_start (HzbMachine *machine, const HzbTask *task, const HzbTaskStatus *task_status, struct timespec now)
 {
   if (task_status->state != HZB_TASK_STATUS_RUNNING || !hzb_task_started_successfully (task, now))
     return;
@@ -182,9 +182,9 @@
     }
   if (task && !apply_placement (api, exchange, task, task_status))
     return;
-  record_image (machine, job, task_status);
+  note_image (machine, job, task_status);
   if (task)
-    record_successful_start (machine, task, task_status, exchange->now);
+    note_successful_start (machine, task, task_status, exchange->now);
   if (job->state != HZB_JOB_ACCEPTED)
     hzb_heartbeat_add_stop (exchange, job->uid, task_status->task, task_status->attempt, 0);
   else if (task && task->stopping && task_status->state != HZB_TASK_STATUS_CHECKPOINTING)
--- a/src/api/user-api-private.h
+++ b/src/api/user-api-private.h
@@ -37,7 +37,8 @@
   char *uid;                    /**< (owned): the job's id */
   HzbPendingRequestKind kind;   /**< what the user requests */
   GError *admission_error;      /**< (owned) (nullable): why the submission is refused unless its job is known */
-  struct timespec deadline;     /**< a cancellation not sent, or later not acknowledged, by then is answered with 503 */
+  struct timespec deadline;     /**< monotonic time: a cancellation that is not sent by then, or, once it is
+                                     recorded, not acknowledged by then, is answered with 503 */
 } HzbPendingRequest;
 
 /** HzbSubmission: a submitted job that waits for its acceptance. */
--- a/src/api/user-records-codec.c
+++ b/src/api/user-records-codec.c
@@ -75,9 +75,9 @@
 }
 
 char *
-hzb_accepted_job_encode (const HzbJobSpec *spec, struct timespec accepted)
+hzb_accepted_job_encode (const HzbJobSpec *spec, struct timespec accepted_at)
 {
-  return hzb_json_print (hzb_job_acceptance_encode (spec, accepted));
+  return hzb_json_print (hzb_job_acceptance_encode (spec, accepted_at));
 }
 
 void
--- a/src/api/user-records-codec.h
+++ b/src/api/user-records-codec.h
@@ -51,9 +51,9 @@
 
 /**
  * hzb_accepted_job_encode: Returns: (transfer full): the entry of one job in an acceptance record, as JSON text;
- * accepted is the wall-clock time of the acceptance
+ * accepted_at is the wall-clock time of the acceptance
  */
-char *hzb_accepted_job_encode (const HzbJobSpec *spec, struct timespec accepted);
+char *hzb_accepted_job_encode (const HzbJobSpec *spec, struct timespec accepted_at);
 
-/** hzb_cancellation_record_put: adds the record that completes a job as cancelled to a transaction. */
+/** hzb_cancellation_record_put: adds to a transaction the put of a completion record for a cancelled job. */
 void hzb_cancellation_record_put (const char *uid, guint n_tasks, HzbKvTransaction *transaction);
--- a/src/api/worker-api-private.h
+++ b/src/api/worker-api-private.h
@@ -18,7 +18,7 @@
   HzbHttpRequest *http_request;  /**< (not owned): the request to answer */
   HzbWorkerHeartbeat *heartbeat; /**< (owned) (nullable): the decoded body; NULL before hzb_heartbeat_admit() */
   HzbMachine *machine; /**< (not owned) (nullable): the sender; NULL until hzb_heartbeat_admit() has found it */
-  gboolean is_leader;  /**< this node is the leader; otherwise it is a leaseholder */
+  gboolean is_leader;  /**< this node is the leader; FALSE after hzb_heartbeat_admit(): it is a leaseholder */
   struct timespec now; /**< monotonic time at which the heartbeat arrived */
   GArray *commands;    /**< (owned) (element-type HzbCommand): the commands in the response */
 } HzbHeartbeatExchange;
@@ -63,12 +63,12 @@
 /** hzb_task_status_apply: applies the status of one task, which may be without a record. */
 void hzb_task_status_apply (HzbWorkerApi *api, HzbHeartbeatExchange *exchange, const HzbTaskStatus *task_status);
 
-/** hzb_task_status_is_current: Returns: TRUE if the status is that of the attempt that this node has on this machine */
+/** hzb_task_status_is_current: Returns: TRUE if the status is of the attempt that this node tracks on this machine */
 gboolean hzb_task_status_is_current (const HzbHeartbeatExchange *exchange, const HzbTask *task,
                                      const HzbTaskStatus *task_status);
 
 /**
- * hzb_task_started_successfully: Returns: TRUE if the task has been in its state for more than 5 s. For running tasks.
+ * hzb_task_started_successfully: for running tasks. Returns: TRUE if the task has been in its state for more than 5 s
  */
 gboolean hzb_task_started_successfully (const HzbTask *task, struct timespec now);
 
--- a/src/api/worker-api.c
+++ b/src/api/worker-api.c
@@ -18,7 +18,7 @@
 
 /* An overloaded leader may lease the machine, with its tasks, to another controller.
  *
- * Returns: (nullable): the leaseholder that owns the machine from now on; NULL: the leader keeps it */
+ * Returns: (nullable): the leaseholder that owns the machine from now on; NULL: this node remains the owner */
 static const char *
 hand_over_machine (HzbWorkerApi *api, const HzbHeartbeatExchange *exchange)
 {
--- a/src/base/clock.c
+++ b/src/base/clock.c
@@ -3,7 +3,7 @@
 #include <math.h>
 
 #define NSEC_PER_SEC 1000000000L
-#define MANUAL_CLOCK_START_S 1000 /* not 0, which means that an instant was never set */
+#define MANUAL_CLOCK_START_S 1000 /* not 0, because hzb_time_is_set () takes the instant 0 for one that was never set */
 
 struct _HzbClock
 {
--- a/src/base/features-codec.c
+++ b/src/base/features-codec.c
@@ -3,8 +3,8 @@
 #include "settings-table-codec.h"
 
 #define MAX_OPERATOR_TIMEOUT_S 86400.0
-#define MAX_PACE_S 300.0
-#define MAX_STARTS 1e5
+#define MAX_PACE_S 300.0 /* duration of the pacing */
+#define MAX_STARTS 1e5   /* per second, and per response to a heartbeat */
 #define MAX_ARCHIVES 24.0
 
 static const HzbReconciliationSettings default_reconciliation = {
--- a/src/base/json.c
+++ b/src/base/json.c
@@ -1,10 +1,12 @@
 #include "json.h"
 
+#define UINT64_LIMIT 18446744073709551616.0 /* 2^64 */
+
 guint64
 hzb_json_u64 (const cJSON *object, const char *name)
 {
   const cJSON *item = cJSON_GetObjectItemCaseSensitive (object, name);
-  if (!cJSON_IsNumber (item) || !(item->valuedouble >= 0) || item->valuedouble >= 18446744073709551616.0)
+  if (!cJSON_IsNumber (item) || !(item->valuedouble >= 0) || item->valuedouble >= UINT64_LIMIT)
     return 0;
   return (guint64) item->valuedouble;
 }
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -12,7 +12,7 @@
 #define MAX_LATENCY_S 1e8 /* within the last bucket; longer latencies are counted as this one */
 
 #define FIRST_STATUS_CLASS 2u /* 2xx */
-#define N_STATUS_CLASSES 6u   /* up to 5xx */
+#define N_STATUS_CLASSES 6u   /* the classes 0 to 5; 0 and 1 are not encoded */
 
 struct _HzbMetrics
 {
@@ -68,7 +68,7 @@
   if (high < MAX_LATENCY_S)
     cJSON_AddNumberToObject (bucket, "belowS", high);
   else
-    cJSON_AddNullToObject (bucket, "belowS");
+    cJSON_AddNullToObject (bucket, "belowS"); /* the last bucket has no upper bound */
   cJSON_AddNumberToObject (bucket, "count", gsl_histogram_get (histogram, index));
   return bucket;
 }
--- a/src/base/settings-codec.c
+++ b/src/base/settings-codec.c
@@ -127,8 +127,9 @@
   settings->cancel_s = hzb_settings_get_number (workers, "cancel_s", 1, REQUIRED);
 }
 
-/* The limits of the key-value store fall to the announced ones without notice, some time after the start. The service
- * therefore keeps to the lower limit from the start. A limit whose key is missing does not change.
+/* The table `next` announces lower limits of the key-value store. The store applies them some time after the start, and
+ * gives no notice when it does. The service therefore keeps to the lower limit from the start. A limit whose key is
+ * missing does not change.
  * MIN evaluates its argument twice, so an invalid value is listed as two faults. */
 static void
 decode_announced_limits (HzbSettings *settings, const HzbSettingsTable *kv)
--- a/src/base/settings-table-codec.h
+++ b/src/base/settings-table-codec.h
@@ -85,7 +85,7 @@
  * @param key the key
  * @param min the lowest valid number
  * @param fallback value if the key is missing; NAN: the key is required
- * @return the number; 0, with a fault, if it is invalid
+ * @return the number; 0, with a fault, if it is invalid, or required and missing
  */
 double hzb_settings_get_number (const HzbSettingsTable *table, const char *key, double min, double fallback);
 
@@ -103,7 +103,7 @@
  * Reads an optional boolean.
  * @param table the table
  * @param key the key
- * @return the value; FALSE if it is missing, and, with a fault, if it is not a boolean
+ * @return the value; FALSE if it is missing; FALSE, with a fault, if it is not a boolean
  */
 gboolean hzb_settings_get_flag (const HzbSettingsTable *table, const char *key);
 
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -32,8 +32,8 @@
 /** HzbObjective: a service-level objective. */
 typedef struct
 {
-  char *kind;             /**< the measured quantity (owned) */
-  char *job_class;        /**< the class of jobs to which the objective applies (owned) (nullable); NULL: all jobs */
+  char *kind;             /**< the measured quantity, such as "wait", "finished" or "deadline" (owned) */
+  char *job_class;        /**< class of jobs to which the objective applies (owned) (nullable); NULL: it names none */
   double within_s;        /**< the allowed time, in seconds */
   double required_ratio;  /**< the fraction of cases that must meet the objective, from 0 to 1 */
   double deadline_factor; /**< the allowed time as a multiple of a job's deadline */
@@ -44,16 +44,16 @@
 {
   gboolean enabled;           /**< whether a cold start is followed by a reconciliation */
   gboolean barrier;           /**< whether no job resumes before all machines are accounted for */
-  double operator_timeout_s;  /**< time for an operator to decide about a task that no record names, in seconds */
-  double pace_s;              /**< time for which commands are paced, in seconds */
+  double operator_timeout_s;  /**< seconds that a task which no record names waits for an operator to decide */
+  double pace_s;              /**< time for which commands are paced after a cold start, in seconds */
   double starts_per_s;        /**< maximum start commands per second; 0: depends on the size of the fleet */
   guint starts_per_heartbeat; /**< maximum start commands in a response to a heartbeat; 0: no limit */
-  guint max_archives;         /**< maximum number of archives that are kept */
+  guint max_archives;         /**< maximum number of stored archives of reconciliations */
 } HzbReconciliationSettings;
 
 /**
- * HzbSettings: the settings of both files. If the platform announces a later limit of the key-value store, the setting
- * is the lower one of the initial and the announced limit.
+ * HzbSettings: the settings of both files. If the platform announces that a limit of the key-value store will change,
+ * the setting is the lower of the current and the announced limit.
  */
 typedef struct
 {
--- a/src/cluster/cancellation-knowledge.c
+++ b/src/cluster/cancellation-knowledge.c
@@ -1,8 +1,8 @@
-/* Keeps which cancellations this controller knows, exchanges them with its peers in heartbeats, and decides whether
+/* Tracks which cancellations this controller knows, exchanges them with its peers in heartbeats, and decides whether
  * this controller knows enough of them to answer workers. */
 #include "cancellations-private.h"
 
-#define MAX_LISTED_PER_REPLY 500u /* cancellations, of about 45 bytes each */
+#define MAX_LISTED_PER_REPLY 500u /* cancellations; each takes about 45 bytes of the reply */
 
 void
 hzb_cancellations_note_record (HzbCancellations *cancellations, const HzbJob *job, guint64 revision)
@@ -31,10 +31,12 @@
   return hzb_kv_replica_state (cancellations->dependencies.kv_replica) == HZB_KV_REPLICA_FOLLOWING;
 }
 
-/* Returns: whether this controller has promised its peers to fence itself. Peers rely on the promise while they can't
- * reach this controller, so the promise is never revoked. It is made only when every peer can list the cancellations
- * that this controller lacks. Otherwise this controller would stop answering workers in an outage of the key-value
- * store, and their work would be lost. */
+/* Promises the peers that this controller will fence itself, if it has peers and each of them can list the
+ * cancellations that this controller lacks. If a peer could not list them, this controller would stop answering workers
+ * in an outage of the key-value store, and the workers' work would be lost. Peers rely on the promise while they can't
+ * reach this controller, so the promise is never revoked.
+ *
+ * Returns: whether this controller has made the promise, in this call or earlier */
 static gboolean
 update_self_fencing (HzbCancellations *cancellations)
 {
@@ -54,7 +56,7 @@
 hzb_cancellations_fill_reply (HzbCancellations *cancellations, const HzbPeerHeartbeat *request, HzbPeerHeartbeat *reply)
 {
   if (!request->lists_cancellations || !replica_follows (cancellations))
-    return; /* a version that lists no cancellations does not read listed ones either */
+    return; /* a requester whose version lists no cancellations does not read listed ones either */
   reply->cancellations_up_to = hzb_cancellation_log_read (
       cancellations->log, request->known_cancellations_revision,
       hzb_kv_replica_revision (cancellations->dependencies.kv_replica), MAX_LISTED_PER_REPLY, reply->cancellations);
@@ -65,15 +67,15 @@
 {
   guint64 replicated_revision = hzb_kv_replica_revision (cancellations->dependencies.kv_replica);
 
-  /* While the replica reloads all records, this controller owns no shard, and a listed job that the reload does not
-   * show has moved to the archive of completed jobs. */
+  /* Listed cancellations are ignored while the replica reloads all records: this controller owns no shard then, and a
+   * listed job that the reload does not show has moved to the archive of completed jobs. */
   if (!replica_follows (cancellations))
     return;
   for (guint i = 0; i < listed->len; i++)
     {
       const HzbCancellation *cancellation = &g_array_index (listed, HzbCancellation, i);
-      /* A job whose record the replica has received already may have moved to the archive since. It must not be created
-       * again. */
+      /* A job whose record the replica has received already may have moved to the archive since.
+       * hzb_cancellations_apply() must not add such a job again. */
       if (cancellation->revision > replicated_revision)
         hzb_cancellations_apply (cancellations, cancellation);
     }
@@ -102,8 +104,9 @@
   const HzbCancellationsDependencies *deps = &cancellations->dependencies;
   struct timespec current_as_of;
 
-  /* A controller that has received no heartbeat yet fences itself too, because peers may rely on the promise of this
-   * controller's previous process. */
+  /* A controller that has made no promise answers workers without the check of the age below only if it has no peers,
+   * or has received a heartbeat of a version that lists no cancellations. A controller that has received no heartbeat
+   * yet fences itself, because peers may rely on the promise of its previous process. */
   if (!update_self_fencing (cancellations)
       && (!deps->node->settings->peers->len || hzb_peers_any_lists_no_cancellations (deps->peers)))
     return TRUE;
--- a/src/cluster/cancellation-log.h
+++ b/src/cluster/cancellation-log.h
@@ -45,8 +45,8 @@
 
 /**
  * hzb_cancellation_log_add: appends a cancellation with a copy of the uid. Cancellations are added in the order of
- * their revisions. A cancellation whose revision is lower than that of the last entry, or not after the revision of the
- * restart or of the last dropped entry, is ignored.
+ * their revisions. A cancellation is ignored if its revision is lower than that of the last entry, or if its revision
+ * is not higher than that of the restart or of the last dropped entry.
  */
 void hzb_cancellation_log_add (HzbCancellationLog *log, const char *uid, guint64 revision, guint n_tasks);
 
--- a/src/cluster/cancellation-messages.c
+++ b/src/cluster/cancellation-messages.c
@@ -58,18 +58,18 @@
 }
 
 void
-hzb_cancellation_response_encode (char *const *acknowledged_uids, cJSON *answer)
+hzb_cancellation_response_encode (char *const *acknowledged_uids, cJSON *response)
 {
-  cJSON *list = cJSON_AddArrayToObject (answer, response_field);
+  cJSON *list = cJSON_AddArrayToObject (response, response_field);
 
   for (; *acknowledged_uids; acknowledged_uids++)
     cJSON_AddItemToArray (list, cJSON_CreateString (*acknowledged_uids));
 }
 
 char **
-hzb_cancellation_response_decode (const cJSON *answer)
+hzb_cancellation_response_decode (const cJSON *response)
 {
-  return hzb_json_string_list (cJSON_GetObjectItemCaseSensitive (answer, response_field));
+  return hzb_json_string_list (cJSON_GetObjectItemCaseSensitive (response, response_field));
 }
 
 HzbFlushedCancellations
--- a/src/cluster/cancellation-messages.h
+++ b/src/cluster/cancellation-messages.h
@@ -40,14 +40,14 @@
  * hzb_cancellation_response_encode: adds to the leader's response to a poll the uids (NULL-terminated) of the jobs
  * whose cancellation the leader acknowledges.
  */
-void hzb_cancellation_response_encode (char *const *acknowledged_uids, cJSON *answer);
+void hzb_cancellation_response_encode (char *const *acknowledged_uids, cJSON *response);
 
 /**
  * hzb_cancellation_response_decode: reads the uids of the jobs whose cancellation the leader's response acknowledges.
  *
  * Returns: (transfer full): a string array; empty if the response acknowledges none. Free with g_strfreev().
  */
-char **hzb_cancellation_response_decode (const cJSON *answer);
+char **hzb_cancellation_response_decode (const cJSON *response);
 
 /** HzbFlushedCancellations: the fields of a leader's flush record that concern cancellations. */
 typedef struct
--- a/src/cluster/cancellation-requests.c
+++ b/src/cluster/cancellation-requests.c
@@ -5,9 +5,9 @@
 #include "record-keys.h"
 
 #define MAX_REQUESTS_PER_MESSAGE 64u
-#define REQUEST_LIFETIME_S 10.0 /* a user that waits for the confirmation has repeated the query by then */
-#define ATTEMPT_INTERVAL_S 1.0
-#define SCHEMA_1_WATCH_RENEWAL_S 4.5 /* a leader of schema version 1 renews its watch within 4 s */
+#define REQUEST_LIFETIME_S 10.0       /* a user that still waits for the confirmation repeats the query sooner */
+#define EVIDENCE_CHECK_INTERVAL_S 1.0 /* see hzb_cancellations_tick() */
+#define SCHEMA_1_WATCH_RENEWAL_S 4.5  /* a leader of schema version 1 renews its watch within 4 s */
 
 typedef struct
 {
@@ -29,7 +29,7 @@
   g_queue_clear_full (&cancellations->requests, pending_request_free);
 }
 
-/* ---- requests of a controller that does not lead ---- */
+/* ---- a controller that does not lead: requests ---- */
 
 static PendingRequest *
 find_request (const HzbCancellations *cancellations, const char *uid)
@@ -68,8 +68,8 @@
          && !hzb_peers_is_unreachable (deps->peers, hzb_election_leader (deps->election));
 }
 
-/* Requests that this poll carries move to the end of the queue, so that requests that the leader can't acknowledge for
- * a long time do not delay later ones. */
+/* The selected requests move to the end of the queue, so that requests that the leader can't acknowledge for a long
+ * time do not delay later ones. */
 GArray *
 hzb_cancellations_next_requests (HzbCancellations *cancellations)
 {
@@ -93,10 +93,10 @@
   return requested;
 }
 
-/* ---- responses of the leader ---- */
+/* ---- the leader: responses ---- */
 
-/* If the job has no record of its end yet, the leader applies the cancellation from the request: the leader's own
- * replica of the records may lag, or the key-value store may refuse this controller. */
+/* If the leader knows no completion record of the job yet, it applies the cancellation from the request: the leader's
+ * replica of the records may lag, or the key-value store may refuse the leader. */
 static HzbJob *
 find_or_apply (HzbCancellations *cancellations, const HzbCancellation *cancellation)
 {
@@ -118,7 +118,7 @@
   return g_strv_builder_end (acknowledged_uids);
 }
 
-/* ---- acknowledgements of the leader ---- */
+/* ---- a controller that does not lead: acknowledgements that it receives or reads ---- */
 
 static void
 set_acknowledged (HzbCancellations *cancellations, const char *uid)
@@ -128,8 +128,8 @@
     job->cancel_acknowledged = TRUE;
 }
 
-/* An acknowledgement of a leader of this term is valid only if there is no later leader. A controller that leads needs
- * no acknowledgement of another one. */
+/* An acknowledgement from the leader of `term` is valid only if there is no later leader. A controller that leads
+ * needs no acknowledgement from another controller. */
 static gboolean
 is_from_current_leader (const HzbCancellations *cancellations, guint64 term)
 {
@@ -175,7 +175,7 @@
   hzb_kv_entry_clear (&entry);
 }
 
-/* Reads the acknowledgements of a leader that this controller can't reach from the leader's flush record. */
+/* If the leader is unreachable, reads its acknowledgements from its flush record in the key-value store. */
 static void
 read_flush_record (HzbCancellations *cancellations)
 {
@@ -215,9 +215,9 @@
 hzb_cancellations_tick (HzbCancellations *cancellations, struct timespec now)
 {
   if (!cancellations->requests.length || hzb_election_is_leader (cancellations->dependencies.election)
-      || hzb_time_before (now, cancellations->next_attempt))
+      || hzb_time_before (now, cancellations->next_evidence_check))
     return;
-  cancellations->next_attempt = hzb_time_plus (now, ATTEMPT_INTERVAL_S);
+  cancellations->next_evidence_check = hzb_time_plus (now, EVIDENCE_CHECK_INTERVAL_S);
   check_schema_1_leader (cancellations);
   read_flush_record (cancellations);
 }
--- a/src/cluster/cancellations-private.h
+++ b/src/cluster/cancellations-private.h
@@ -13,9 +13,9 @@
   gpointer user;                             /**< passed to the callbacks */
 
   /* cancellation-requests.c */
-  GQueue requests;               /**< PendingRequest, least recently sent first */
-  gboolean reading_flush_record; /**< a read of the flush record is in flight */
-  struct timespec next_attempt;  /**< earliest time of the next check of a leader that can't be asked */
+  GQueue requests;                     /**< PendingRequest, least recently sent first */
+  gboolean reading_flush_record;       /**< a read of the flush record is in flight */
+  struct timespec next_evidence_check; /**< earliest time at which hzb_cancellations_tick() looks for evidence again */
 
   /* cancellation-knowledge.c */
   HzbCancellationLog *log;      /**< (owned): cancellations that the replica of the records has received */
@@ -35,7 +35,8 @@
  * hzb_cancellations_leader_acknowledges: on the leader: announces the cancellation to the leaseholders if tasks of the
  * job are left.
  *
- * Returns: TRUE if no machine or leaseholder that does not know the cancellation can have a task of the job
+ * Returns: TRUE if every controller knows the cancellation (one of them may have fenced itself instead), or if every
+ * machine and leaseholder that can have a task of the job knows the cancellation
  */
 gboolean hzb_cancellations_leader_acknowledges (HzbCancellations *cancellations, HzbJob *job);
 
--- a/src/cluster/cancellations.c
+++ b/src/cluster/cancellations.c
@@ -17,11 +17,11 @@
  *
  * No acknowledgement of the leader is needed if every controller knows the cancellation: each controller stops the
  * tasks of the job that it finds, and machines obey controllers only. Controllers list to each other the cancellations
- * that a peer lacks, so a controller that the key-value store refuses learns of them too. Nobody has to wait for a
- * controller that learns of no cancellations because it is stalled, or reaches neither the key-value store nor a peer.
- * Such a controller fences itself: it answers no worker while it could have missed a cancellation
- * (hzb_cancellations_may_answer_workers()). So no controller acts without the cancellation some seconds after all
- * others knew it (hzb_peers_fenced_revision()). */
+ * that a peer lacks, so a controller that the key-value store refuses learns of them too. The confirmation does not
+ * have to wait for a single controller that learns of no cancellations because it is stalled, or reaches neither the
+ * key-value store nor a peer. Such a controller fences itself: it answers no worker while it could have missed a
+ * cancellation (hzb_cancellations_may_answer_workers()). So no controller acts without the cancellation when all other
+ * controllers have known it for more than HZB_FENCED_AFTER_S (hzb_peers_fenced_revision()). */
 #include "cancellations-private.h"
 
 #define LOG_CAPACITY 4096u /* cancellations; a peer that lacks older ones must read the records */
@@ -59,11 +59,12 @@
                                     cancellation->n_tasks, cancellation->revision);
 }
 
-/* Without this rule, a cancellation could remain unconfirmed while leaders keep changing: each new leader waits again
- * for the machines that do not answer, and a large fleet always has some. Machines obey controllers only. A controller
- * that knows the cancellation starts no task of the job, and answers each heartbeat that shows a task of the job with
- * the command to stop that task. So it does not matter where the job's unconfirmed tasks are. A single controller that
- * is down, stalled or partitioned is ignored after the time in which it must have stopped answering workers. */
+/* A cancellation that every controller knows needs no acknowledgement of the leader. Without this rule, a cancellation
+ * could remain unconfirmed while leaders keep changing: each new leader waits again for the machines that do not
+ * answer, and a large fleet always has some. Machines obey controllers only. A controller that knows the cancellation
+ * starts no task of the job, and answers each heartbeat that shows a task of the job with the command to stop that
+ * task. So it does not matter where the job's unconfirmed tasks are. A single controller that is down, stalled or
+ * partitioned does not count after HZB_FENCED_AFTER_S, because it must have stopped answering workers by then. */
 static gboolean
 is_known_to_every_controller (const HzbCancellations *cancellations, const HzbJob *job)
 {
--- a/src/cluster/election-private.h
+++ b/src/cluster/election-private.h
@@ -33,7 +33,7 @@
   gboolean renewing;                 /**< a renewal is in flight */
   gboolean raising_schema;           /**< the transaction that raises the schema version is in flight */
 
-  /* as the replica of the records shows it */
+  /* the state of the election, from this controller's replica of the records */
   guint64 replicated_term;         /**< highest term */
   guint64 replicated_term_version; /**< version of the record of the term */
   char *leader;                    /**< (nullable) (owned): name of the leader; NULL: none */
--- a/src/cluster/election.h
+++ b/src/cluster/election.h
@@ -98,7 +98,7 @@
 
 /**
  * hzb_election_raise_schema_version: on the leader: records that every controller reads schema version 2. The caller
- * has checked that every controller has stated it. The version is never lowered again.
+ * must have checked that every controller states at least this version. The version is never lowered again.
  */
 void hzb_election_raise_schema_version (HzbElection *election);
 
--- a/src/cluster/ownership.h
+++ b/src/cluster/ownership.h
@@ -76,10 +76,12 @@
   const HzbOwnership *ownership; /**< (not owned) */
   guint64 epoch;                 /**< epoch in which the request was sent */
   gpointer module;               /**< (not owned): the module that sent the request */
-  gpointer data; /**< (nullable): data that the module needs to handle the response; g_free() of the call keeps it */
+  gpointer data;                 /**< (nullable): for the module's handling of the response; not freed with the call */
 } HzbEpochCall;
 
-/** hzb_epoch_call_init: initialises an #HzbEpochCall that is a member of a larger structure with the current epoch. */
+/**
+ * hzb_epoch_call_init: initialises a call, usually a member of a larger structure, and stores the current epoch in it.
+ */
 void hzb_epoch_call_init (HzbEpochCall *call, const HzbOwnership *ownership, gpointer module, gpointer data);
 
 /** hzb_epoch_call_new: Returns: (transfer full): a call with the current epoch */
--- a/src/cluster/peer-heartbeat.c
+++ b/src/cluster/peer-heartbeat.c
@@ -5,7 +5,7 @@
 
 #include <math.h>
 
-#define MS_PER_S 1e3 /* ages are sent in whole milliseconds, rounded down */
+#define MS_PER_S 1e3 /* ages are sent in seconds, rounded down to whole milliseconds */
 
 static void
 task_counts_clear (gpointer data)
--- a/src/cluster/peer-heartbeat.h
+++ b/src/cluster/peer-heartbeat.h
@@ -28,7 +28,7 @@
 typedef struct
 {
   char *node;         /**< name of the third controller (owned) */
-  guint64 started_ms; /**< when the process that stated it started, in milliseconds of the time of day */
+  guint64 started_ms; /**< when the process that stated it started, in milliseconds since the Unix epoch */
   guint64 known_cancellations_revision; /**< that process knows all cancellations up to this revision */
   gboolean self_fenced;                 /**< see #HzbPeerHeartbeat */
 } HzbPeerState;
@@ -37,7 +37,7 @@
 typedef struct
 {
   guint64 revision; /**< all controllers but one know all cancellations up to this revision */
-  double age_s;     /**< they have known them for at least this many seconds */
+  double age_s;     /**< these controllers have known these cancellations for at least this many seconds */
 } HzbWatermarkAge;
 
 /** HzbPeerHeartbeat: a heartbeat, or the reply to one. */
@@ -60,8 +60,8 @@
   /** The sender knows all cancellations up to this revision, from its replica or from peers. Default 0. */
   guint64 known_cancellations_revision;
   /**
-   * The sender's replies list cancellations that the requester lacks. FALSE if `known_cancellations_revision` is
-   * missing.
+   * The sender's replies list cancellations that the requester lacks. This has no field of its own: TRUE exactly if the
+   * message has the field of `known_cancellations_revision`.
    */
   gboolean lists_cancellations;
   /** The sender promises to answer no worker while it could have missed a cancellation. Default FALSE. */
--- a/src/cluster/peer-knowledge.h
+++ b/src/cluster/peer-knowledge.h
@@ -2,10 +2,11 @@
  * SECTION: peer-knowledge
  * @short_description: tracks which cancellations the controllers of the cluster know. Private to this folder
  *
- * A cancellation may be confirmed to users when every controller knows it, or all controllers but one, which must have
- * fenced itself since (docs/safety.md, "One controller is unavailable"). A controller's statement about which
- * cancellations it knows remains true if another controller relays it later. So heartbeats relay these statements, with
- * the watermarks, for controllers that have restarted since.
+ * A cancellation may be confirmed to users when every controller knows it, or when all controllers but one know it and
+ * the remaining controller must have fenced itself since (docs/safety.md, "One controller is unavailable"). A
+ * controller's statement about which cancellations it knows remains true if another controller relays it later. So each
+ * heartbeat relays the statements of the sender's peers, and the watermarks: a receiver that has restarted since gets
+ * them again.
  */
 #pragma once
 #include "peer-heartbeat.h"
@@ -29,8 +30,9 @@
 gboolean hzb_peer_knowledge_all_know (const HzbPeerKnowledge *knowledge, guint64 revision);
 
 /**
- * hzb_peer_knowledge_advance: to be called once a second. Adds the current watermark and applies those that are
- * older than the minimum age. This controller's own replica of the records has all changes up to `replicated_revision`.
+ * hzb_peer_knowledge_advance: to be called once a second. Adds the current watermark, and raises the fenced revision to
+ * those of the watermarks that are older than the minimum age. This controller's own replica of the records has all
+ * changes up to `replicated_revision`.
  */
 void hzb_peer_knowledge_advance (HzbPeerKnowledge *knowledge, struct timespec now, guint64 replicated_revision);
 
--- a/src/cluster/peer-messages.h
+++ b/src/cluster/peer-messages.h
@@ -28,7 +28,7 @@
 {
   const char *node;        /**< (nullable): name of the controller */
   const char *incarnation; /**< (nullable): identifies the process */
-  guint64 started_ms;      /**< when the process started, in milliseconds of the time of day */
+  guint64 started_ms;      /**< when the process started, in milliseconds since the Unix epoch */
   guint64 number;          /**< number of the message; increases with each message of the process */
   guint schema_version;    /**< schema version of the sender; 1 if the sender states none */
 } HzbPeerEnvelope;
--- a/src/cluster/peer-senders.c
+++ b/src/cluster/peer-senders.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #define MAX_REPLACED_INCARNATIONS 64u
-#define START_SLACK_MS 1000u /* the wall clocks of controllers may differ by up to this time */
+#define START_SLACK_MS 1000u /* wall clocks that start times are read from may differ by up to this time */
 
 void
 hzb_peer_senders_init (HzbPeerSenders *senders)
--- a/src/cluster/peer-table.h
+++ b/src/cluster/peer-table.h
@@ -29,8 +29,8 @@
   gboolean relayed_self_fenced;   /**< as `self_fenced`, relayed by third controllers */
 
   char *incarnation;  /**< (nullable) (owned): the process that sent the last accepted request; NULL: none */
-  guint64 started_ms; /**< when that process started, in milliseconds of the time of day */
-  guint64 last_number[HZB_PEER_N_KINDS]; /**< of that process's last accepted request of each kind */
+  guint64 started_ms; /**< when that process started, in milliseconds since the Unix epoch */
+  guint64 last_number[HZB_PEER_N_KINDS]; /**< number of that process's last accepted request of each kind */
   gboolean old_schema_logged;            /**< the refusal of the peer's schema version was logged */
 
   gboolean awaiting_reply;        /**< a heartbeat to the peer is in flight */
--- a/src/cluster/peers-private.h
+++ b/src/cluster/peers-private.h
@@ -20,7 +20,7 @@
   HzbPeerKnowledge knowledge;        /**< tracks which cancellations the peers know */
   HzbTaskCountTable *task_counts;    /**< (owned): from the leader's heartbeats */
   guint64 highest_known_term;        /**< highest term in the heartbeats of all peers */
-  guint64 started_ms;                /**< when this process started, in milliseconds of the time of day */
+  guint64 started_ms;                /**< when this process started, in milliseconds since the Unix epoch */
   guint64 last_message_number;       /**< number of this process's last message to a peer */
   struct timespec next_heartbeat;    /**< when the next heartbeats are due */
   struct timespec current_as_of;     /**< see hzb_peers_current_as_of() */
--- a/src/cluster/peers.c
+++ b/src/cluster/peers.c
@@ -13,7 +13,7 @@
 #define CONFIRM_INTERVAL_S 2.5
 #define RECENT_REDIRECT_S 3.0
 
-/* Returns: the time of day in milliseconds */
+/* Returns: milliseconds since the Unix epoch */
 static guint64
 wall_clock_ms (HzbClock *clock)
 {
@@ -103,7 +103,7 @@
   entry->self_fenced = heartbeat->self_fenced;
 }
 
-/* Applies a heartbeat of the entry's peer, or the peer's reply to one. */
+/* Applies a heartbeat of the entry's peer, or the peer's reply to a heartbeat of this controller. */
 static void
 apply_heartbeat (HzbPeers *peers, HzbPeerEntry *entry, const HzbPeerHeartbeat *heartbeat)
 {
@@ -127,8 +127,9 @@
   struct timespec sent;
 } HeartbeatCall;
 
-/* The reply makes this controller current only if the list is complete up to the revision of the peer's own replica of
- * the records, and this controller could apply the whole list. */
+/* Applies the cancellations in the reply to a heartbeat that was sent at `sent`. This controller then knows all
+ * cancellations as of that time only if the list is complete up to the revision of the peer's own replica of the
+ * records, and this controller could apply the whole list. */
 static void
 apply_listed_cancellations (HzbPeers *peers, const HzbPeerHeartbeat *reply, struct timespec sent)
 {
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -93,7 +93,8 @@
 /**
  * hzb_peers_incarnation:
  *
- * Returns: (transfer none) (nullable): the current process of a controller; NULL if unreachable or unknown
+ * Returns: (transfer none) (nullable): the incarnation of a controller's current process; NULL if the controller is
+ * unreachable or unknown
  */
 const char *hzb_peers_incarnation (HzbPeers *peers, const char *node);
 
@@ -132,10 +133,11 @@
 gboolean hzb_peers_any_lists_no_cancellations (HzbPeers *peers);
 
 /**
- * hzb_peers_current_as_of: this controller knows all cancellations that the answering peer knew at the returned time.
+ * hzb_peers_current_as_of: gets the time as of which peers have told this controller all cancellations. A reply
+ * counts if its sender follows the records and it listed all cancellations that this controller lacked. This controller
+ * knows all cancellations that the answering peer knew at the returned time.
  *
- * Returns: when the latest heartbeat was sent whose reply came from a peer that follows the records and listed all
- * cancellations that this controller lacked; unset if there was none
+ * Returns: when the latest heartbeat with such a reply was sent; unset if there was none
  */
 struct timespec hzb_peers_current_as_of (HzbPeers *peers);
 
--- a/src/cluster/task-count-table.h
+++ b/src/cluster/task-count-table.h
@@ -20,8 +20,8 @@
 void hzb_task_count_table_free (HzbTaskCountTable *table);
 
 /**
- * hzb_task_count_table_advance: to be called once a second, before the heartbeats are sent. If a heartbeat can't hold
- * the counts of all jobs, the next heartbeats state the counts of the next jobs.
+ * hzb_task_count_table_advance: selects the jobs whose counts the next heartbeats state, if one heartbeat can't hold
+ * the counts of all jobs. To be called once a second, before the heartbeats are sent.
  */
 void hzb_task_count_table_advance (HzbTaskCountTable *table);
 
--- a/src/cluster/watermarks.c
+++ b/src/cluster/watermarks.c
@@ -64,6 +64,8 @@
 {
   const HzbWatermark *oldest;
 
+  /* The head has the lowest revision and is the oldest watermark: hzb_watermarks_add() does not keep a watermark if one
+   * of at least its revision started no later. */
   while ((oldest = g_queue_peek_head (&watermarks->marks))
          && hzb_time_between (oldest->since, now) > watermarks->min_age_s)
     {
--- a/src/controller/connectivity.c
+++ b/src/controller/connectivity.c
@@ -2,30 +2,37 @@
  * whether it is ready to serve users. */
 #include "controller-private.h"
 
-#define KV_RESPONSIVE_S 2.5          /* the key-value store serves this node if it answered within this time */
-#define KV_UNRESPONSIVE_S 5.0        /* after this time without an answer the store may be refusing only this node */
-#define BACK_OFF_S 20.0              /* before a node that lost its workers campaigns again */
+#define KV_RESPONSIVE_S 2.5   /* the key-value store serves this node if it answered within this time */
+#define KV_UNRESPONSIVE_S 5.0 /* after this time without an answer the store may be refusing only this node */
+#define BACK_OFF_S 20.0       /* pause in campaigning of a leader that stepped down because it lost all workers */
 #define MIN_UNRESPONSIVE_MACHINES 3u /* with fewer, the loss of all workers is not assumed */
 
-/* Returns: seconds after a worker's last heartbeat at which it has missed the next one. */
+/* A heartbeat counts as missed after this number of heartbeat intervals plus this margin. */
+#define HEARTBEAT_INTERVALS 1.25
+#define HEARTBEAT_MARGIN_S 1.5
+
+/* Returns: the time in seconds since a worker's last heartbeat after which its next heartbeat counts as missed. */
 static double
 heartbeat_timeout_s (const HzbSettings *settings)
 {
-  return 1.25 * settings->heartbeat_interval_s + 1.5;
+  return HEARTBEAT_INTERVALS * settings->heartbeat_interval_s + HEARTBEAT_MARGIN_S;
 }
 
+/* Returns: whether this node should receive heartbeats of the machine's worker. The worker of a leased machine sends
+ * them to the leaseholder; a machine that is being returned, or whose worker's lease has expired, may have stopped. */
 static gboolean
-sends_heartbeats_here (const HzbMachine *machine)
+is_heartbeat_expected (const HzbMachine *machine)
 {
   return hzb_time_is_set (machine->last_heartbeat) && machine->state != HZB_MACHINE_LEASED
          && machine->state != HZB_MACHINE_RETURNING && machine->state != HZB_MACHINE_LEASE_EXPIRED;
 }
 
-/* Guards against a leader that the workers cannot reach although the other controllers can: the other controllers
- * redirect the workers back to it until every worker's lease has expired and all work is lost. It is rare that all
- * machines become unresponsive at once for another reason, and then a change of leader costs little. In a small fleet,
- * however, it happens repeatedly, and each new leader would have to wait for the workers' leases. So after one change of
- * leader for this reason, a second one requires that a peer has recently redirected workers to this node. */
+/* Detects a leader that the other controllers can reach but the workers cannot. The other controllers redirect the
+ * workers back to this leader, until every worker's lease has expired and all work is lost. All machines rarely become
+ * unresponsive at once for another reason, and a change of leader then costs little. In a small fleet, however, such
+ * false alarms recur, and each new leader would have to wait for the workers' leases. After one change of leader for
+ * this reason, a second change therefore requires that a peer has recently redirected workers to this node. Only
+ * machines that have sent a heartbeat under this leader's fencing token count as unresponsive. */
 static gboolean
 has_lost_all_workers (HzbController *controller)
 {
@@ -36,7 +43,7 @@
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       const HzbMachine *machine = controller->machines->all->pdata[i];
-      if (!sends_heartbeats_here (machine))
+      if (!is_heartbeat_expected (machine))
         continue;
       if (hzb_time_between (machine->last_heartbeat, now) < timeout_s)
         return FALSE;
@@ -55,9 +62,9 @@
   hzb_election_back_off (controller->election, BACK_OFF_S);
 }
 
-/* During an outage of the key-value store for all controllers, the leader keeps answering workers, so that their leases
- * are renewed. A leader that is the only controller without the store, or that reaches neither the store nor a peer,
- * steps down, so that another node can lead. */
+/* While the key-value store serves no controller, the leader keeps answering workers, so that their leases are renewed.
+ * The leader steps down, so that another node can lead, if the store serves a peer but not this node, or if this node
+ * reaches neither the store nor a peer. A leader that has lost all its workers steps down too. */
 void
 hzb_controller_check_connectivity (HzbController *controller)
 {
@@ -79,9 +86,10 @@
     hzb_election_step_down (controller->election, "neither the key-value store nor a peer can be reached");
 }
 
-/* During an outage of the key-value store for all controllers, every node serves users equally well, so this node stays
- * ready. A node that is the only one without the store, or that reaches no peer either, is not ready, since another
- * node serves users better. */
+/* While the key-value store serves no controller, every node serves users equally well, so this node stays ready. This
+ * node is not ready if the store serves a peer but not this node, or if this node reaches neither the store nor a peer,
+ * because another node then serves users better. It is not ready either before it has the machine types and a loaded
+ * replica of the records. */
 gboolean
 hzb_controller_is_ready (HzbController *controller)
 {
--- a/src/controller/controller-lifecycle.c
+++ b/src/controller/controller-lifecycle.c
@@ -2,7 +2,8 @@
 #include "controller-private.h"
 #include "controller-wiring.h"
 
-/* Returns: (transfer full): a name for this process; each process of a node has its own */
+/* Returns: (transfer full): a random id of 16 hexadecimal digits, which distinguishes this process from earlier
+ * processes of the same node */
 static char *
 new_incarnation (GRand *rand)
 {
@@ -81,7 +82,7 @@
   hzb_provisioning_free (controller->provisioning);
   hzb_kv_replica_free (controller->kv_replica);
   hzb_ownership_free (controller->ownership);
-  g_free (controller->owner_load_cursor);
+  g_free (controller->leader_records_cursor);
   g_rand_free (controller->rand);
   g_free (controller);
 }
--- a/src/controller/controller-private.h
+++ b/src/controller/controller-private.h
@@ -37,7 +37,7 @@
   HzbSettings *settings;   /**< not owned */
   HzbClock *clock;         /**< not owned */
   HzbTransport *transport; /**< not owned */
-  GRand *rand;             /**< random numbers; its seed is an argument, so that tests are reproducible */
+  GRand *rand;             /**< random numbers; hzb_controller_new() takes the seed, so that tests are reproducible */
   HzbMetrics *metrics;     /**< counters and latencies of received requests */
 
   HzbKvClient *kv;          /**< the client of the key-value store */
@@ -48,7 +48,7 @@
   HzbMachines *machines;     /**< the machines of the shard that this controller owns */
   HzbDispatch *dispatch;     /**< decides which task starts on which machine */
   HzbAutoscaler *autoscaler; /**< decides how many machines of which kinds to rent */
-  HzbShard *shard;           /**< (nullable) the shard that this controller owns, as jobs->shard; NULL: none */
+  HzbShard *shard;           /**< (nullable) the shard that this controller owns, the same as jobs->shard; NULL: none */
 
   HzbOwnership *ownership;                       /**< whether this node owns a shard, as leader or as leaseholder */
   HzbElection *election;                         /**< which controller leads, and in which term */
@@ -57,8 +57,8 @@
   HzbReconciliation *reconciliation;             /**< verdicts about jobs after a cold start */
   HzbRecords *records;                           /**< the leader's durable records, which the next leader reads */
   HzbCompletedJobArchive *completed_job_archive; /**< moves records of old completed jobs to the archive */
-  HzbShardLeases *shard_leases;                  /**< leased shards, on the leader */
-  HzbLeaseholder *leaseholder;                   /**< the leased shard, on a leaseholder */
+  HzbShardLeases *shard_leases;                  /**< on the leader: the shards that are leased to other controllers */
+  HzbLeaseholder *leaseholder;                   /**< on a leaseholder: the shard that the leader has leased to it */
   HzbProvisioning *provisioning;                 /**< rents machines from the cloud and returns them */
 
   HzbWorkerApi *worker_api; /**< answers workers */
@@ -67,10 +67,10 @@
 
   gboolean leasing_enabled; /**< setting of the admin API; FALSE: the leader leases no shards and keeps all machines */
 
-  gboolean load_shows_leader;      /**< the load of the replica that is under way has shown a record of the leader */
-  char *owner_load_cursor;         /**< last key that was read of the leader's records; NULL: none was read yet */
-  gboolean owner_page_requested;   /**< a request for a page of the leader's records is in flight */
-  struct timespec next_owner_page; /**< after a failure: a page is not requested again before this time */
+  gboolean load_shows_leader;        /**< the current load of the replica has read a record of a leader with a lease */
+  char *leader_records_cursor;       /**< key of the leader's record that was read last; NULL: none has been read */
+  gboolean leader_records_requested; /**< a request for a page of the leader's records is in flight */
+  struct timespec next_leader_records_request; /**< earliest time of the next request after a failed request */
 
   struct timespec last_tick;          /**< when hzb_controller_tick() was last called */
   struct timespec next_consolidation; /**< when hzb_dispatch_consolidate() is called next */
@@ -103,16 +103,16 @@
 
 /**
  * hzb_controller_begin_shard_lease: makes this node the leaseholder of a shard that the leader has leased to it.
- * `fencing_token`: of the shard
+ * `fencing_token`: the fencing token of the shard
  */
 void hzb_controller_begin_shard_lease (HzbController *controller, guint64 fencing_token);
 
 /**
  * hzb_controller_end_shard_lease: ends the ownership of the leased shard. Does nothing if this node is not a
  * leaseholder.
- * `why`: for the log
+ * `reason`: the reason that is logged
  */
-void hzb_controller_end_shard_lease (HzbController *controller, const char *why);
+void hzb_controller_end_shard_lease (HzbController *controller, const char *reason);
 
 /**
  * hzb_controller_finish_recovery: ends the leader's recovery. Called once every machine on record has sent a heartbeat
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,6 +1,6 @@
 /**
  * SECTION: controller
- * @short_description: one controller of the cluster, which consists of all modules of a node
+ * @short_description: one controller of the cluster: all modules that run on a node
  *
  * The caller calls hzb_controller_tick() every HZB_TICK_MS milliseconds. It passes requests of users, workers and
  * operators to hzb_controller_handle_request(), and those of other controllers to hzb_controller_handle_peer_request().
@@ -22,13 +22,13 @@
  * `settings`: (transfer none): must outlive the controller
  * `clock`: (transfer none): must outlive the controller
  * `transport`: (transfer none): sends the controller's requests; must outlive the controller
- * `seed`: of the controller's random numbers
+ * `seed`: the seed of the controller's random numbers
  *
  * Returns: (transfer full): a controller that does not lead; free it with hzb_controller_free()
  */
 HzbController *hzb_controller_new (HzbSettings *settings, HzbClock *clock, HzbTransport *transport, guint32 seed);
 
-/** hzb_controller_free: must not be called while a request of the controller is in flight. */
+/** hzb_controller_free: frees the controller. No request that the controller has sent may be in flight. */
 void hzb_controller_free (HzbController *controller);
 
 /**
--- a/src/controller/fleet-summary.c
+++ b/src/controller/fleet-summary.c
@@ -1,14 +1,15 @@
 #include "fleet-summary.h"
 
-/* A warning is logged once workers use more than this fraction of the connections that this node may have open. */
+/* A warning is logged if the number of machines that are not leased to other controllers exceeds this fraction of the
+ * connections that this node may have open. */
 #define SOCKET_WARNING_FRACTION 0.9
 
-/* Numbers of machines, and sums of the CPUs of machines and tasks. */
+/* Numbers of machines, and sums of the CPUs of machines and tasks, over all shards. */
 typedef struct
 {
-  guint up, leased, booting, other; /* machines; up includes leased */
-  double up_cpus, scale_in_candidate_cpus, booting_cpus;
-  double held_cpus, running_cpus, waiting_cpus;
+  guint up, leased, booting, other;                      /* machines; up includes leased */
+  double up_cpus, scale_in_candidate_cpus, booting_cpus; /* CPUs of machines; up includes scale-in candidates */
+  double held_cpus, running_cpus, waiting_cpus; /* CPUs of tasks; held: placed tasks, which include the running tasks */
 } FleetSummary;
 
 static void
@@ -45,12 +46,12 @@
 static void
 warn_if_sockets_run_short (const HzbSettings *settings, const FleetSummary *summary)
 {
-  guint machines_here = summary->up - summary->leased + summary->booting + summary->other;
-  if (machines_here > SOCKET_WARNING_FRACTION * settings->sockets)
+  guint unleased_machines = summary->up - summary->leased + summary->booting + summary->other;
+  if (unleased_machines > SOCKET_WARNING_FRACTION * settings->sockets)
     g_warning (
         "%u machines send heartbeats to this node, which may open %u connections (cluster.resources.sockets): raise "
         "this limit or add controllers, or connections of workers will be refused",
-        machines_here, settings->sockets);
+        unleased_machines, settings->sockets);
 }
 
 void
--- a/src/controller/ownership-transitions.c
+++ b/src/controller/ownership-transitions.c
@@ -2,35 +2,35 @@
 #include "controller-private.h"
 #include "record-keys.h"
 
-#define OWNER_PAGE_RETRY_S 0.4 /* pause before the next request for a page that could not be read */
+#define LEADER_RECORDS_RETRY_S 0.4 /* pause before the next request for a page that could not be read */
 
 /* ---- load of the previous leader's records ---- */
 
-static void on_owner_page (HzbKvResult result, const char *body, gpointer user);
+static void on_leader_records (HzbKvResult result, const char *body, gpointer user);
 
 static void
-request_owner_page (HzbController *controller)
+request_leader_records (HzbController *controller)
 {
-  controller->owner_page_requested = TRUE;
-  hzb_kv_client_range (controller->kv, HZB_KEY_LEADER_RECORDS, controller->owner_load_cursor, on_owner_page,
+  controller->leader_records_requested = TRUE;
+  hzb_kv_client_range (controller->kv, HZB_KEY_LEADER_RECORDS, controller->leader_records_cursor, on_leader_records,
                        hzb_epoch_call_new (controller->ownership, controller, NULL));
 }
 
 static void
-apply_owner_page (HzbController *controller, const GArray *entries)
+apply_leader_records (HzbController *controller, const GArray *entries)
 {
   for (guint i = 0; i < entries->len; i++)
     {
       HzbKvEntry *entry = &g_array_index (entries, HzbKvEntry, i);
       hzb_records_load (controller->records, entry);
       hzb_reconciliation_load (controller->reconciliation, entry);
-      g_free (controller->owner_load_cursor);
-      controller->owner_load_cursor = g_strdup (entry->key);
+      g_free (controller->leader_records_cursor);
+      controller->leader_records_cursor = g_strdup (entry->key);
     }
 }
 
 static void
-finish_owner_load (HzbController *controller)
+finish_leader_records_load (HzbController *controller)
 {
   hzb_records_load_finished (controller->records);
   hzb_reconciliation_finish_loading (controller->reconciliation);
@@ -39,7 +39,7 @@
 }
 
 static void
-on_owner_page (HzbKvResult result, const char *body, gpointer user)
+on_leader_records (HzbKvResult result, const char *body, gpointer user)
 {
   g_autofree HzbEpochCall *epoch_call = user;
   HzbController *controller = epoch_call->module;
@@ -49,19 +49,20 @@
 
   if (!hzb_epoch_call_is_current (epoch_call) || hzb_ownership_state (controller->ownership) != HZB_OWNERSHIP_LOADING)
     return;
-  controller->owner_page_requested = FALSE;
+  controller->leader_records_requested = FALSE;
   entries = result == HZB_KV_OK ? hzb_kv_range_decode (body, &more, &revision) : NULL;
   if (!entries)
     {
       /* The pause keeps this node from repeating the request continuously while the key-value store refuses it. */
-      controller->next_owner_page = hzb_time_plus (hzb_clock_now (controller->clock), OWNER_PAGE_RETRY_S);
+      controller->next_leader_records_request =
+          hzb_time_plus (hzb_clock_now (controller->clock), LEADER_RECORDS_RETRY_S);
       return;
     }
-  apply_owner_page (controller, entries);
+  apply_leader_records (controller, entries);
   if (more && entries->len)
-    request_owner_page (controller);
+    request_leader_records (controller);
   else
-    finish_owner_load (controller);
+    finish_leader_records_load (controller);
 }
 
 /* ---- ownership as leader ---- */
@@ -77,11 +78,11 @@
   hzb_reconciliation_reset (controller->reconciliation);
   hzb_completed_job_archive_reset (controller->completed_job_archive);
   hzb_provisioning_reset (controller->provisioning);
-  g_clear_pointer (&controller->owner_load_cursor, g_free);
+  g_clear_pointer (&controller->leader_records_cursor, g_free);
   hzb_machines_clear (controller->machines);
   hzb_jobs_begin_ownership (controller->jobs, controller->shard);
   hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_LOADING, "elected");
-  request_owner_page (controller);
+  request_leader_records (controller);
 }
 
 static void
@@ -97,8 +98,8 @@
   g_clear_pointer (&controller->shard, hzb_shard_free);
 }
 
-/* Returns: whether the shard still belongs to an earlier term, since this node was elected again before it noticed that
- * it had lost the leadership. */
+/* Returns: whether the shard still belongs to an earlier term of this node. This happens if this node is elected again
+ * before it has noticed that it lost the leadership. */
 static gboolean
 shard_is_of_earlier_term (const HzbController *controller)
 {
@@ -106,8 +107,8 @@
          && hzb_fencing_token_term (controller->shard->fencing_token) != hzb_election_term (controller->election);
 }
 
-/* After its election, this node must not read the previous leader's records until its replica has caught up with the
- * record of the new term: the replica then shows every job that the previous leader could have started. */
+/* After its election, this node must not read the previous leader's records until the replica on this node has caught
+ * up with the record of the new term: the replica then shows every job that the previous leader could have started. */
 static gboolean
 may_begin_leadership (const HzbController *controller)
 {
@@ -125,13 +126,14 @@
     hzb_controller_end_shard_lease (controller, "this node was elected leader");
   if (leading && shard_is_of_earlier_term (controller))
     end_leadership (controller);
+  /* The ownership states after HZB_OWNERSHIP_LEASEHOLDER are those of a leader. */
   if (leading && may_begin_leadership (controller))
     begin_leadership (controller);
   else if (!leading && hzb_ownership_state (controller->ownership) > HZB_OWNERSHIP_LEASEHOLDER)
     end_leadership (controller);
-  if (hzb_ownership_state (controller->ownership) == HZB_OWNERSHIP_LOADING && !controller->owner_page_requested
-      && !hzb_time_before (now, controller->next_owner_page))
-    request_owner_page (controller);
+  if (hzb_ownership_state (controller->ownership) == HZB_OWNERSHIP_LOADING && !controller->leader_records_requested
+      && !hzb_time_before (now, controller->next_leader_records_request))
+    request_leader_records (controller);
 }
 
 void
@@ -157,12 +159,12 @@
 }
 
 void
-hzb_controller_end_shard_lease (HzbController *controller, const char *why)
+hzb_controller_end_shard_lease (HzbController *controller, const char *reason)
 {
   if (!hzb_ownership_is_leaseholder (controller->ownership))
     return;
   hzb_ownership_begin_epoch (controller->ownership);
-  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_NONE, why);
+  hzb_ownership_set_state (controller->ownership, HZB_OWNERSHIP_NONE, reason);
   hzb_jobs_end_ownership (controller->jobs);
   hzb_machines_clear (controller->machines);
   hzb_leaseholder_clear (controller->leaseholder);
--- a/src/http/http-client.c
+++ b/src/http/http-client.c
@@ -7,7 +7,7 @@
 #define MAX_CONNECTIONS 64
 #define MAX_CONNECTIONS_PER_HOST 24
 #define CONNECTION_IDLE_S 30
-#define NO_TIMEOUT 0 /* of libsoup: each call has a timer of its own */
+#define NO_TIMEOUT 0 /* turns libsoup's timeout off, because each call has its own timer */
 
 #define MAX_ABANDONED_CALLS 8u /* per pool: each may occupy one of the pool's connections */
 
@@ -49,7 +49,8 @@
   return pool;
 }
 
-/* Ends all calls of the pool. A raised count of pending calls keeps the last call from freeing the pool meanwhile. */
+/* Ends all calls of the pool. libsoup calls on_call_ended () for each of them, which would free a pool without pending
+ * calls, so the number of pending calls is raised until the session is aborted. */
 static void
 pool_abort (Pool *pool)
 {
@@ -137,7 +138,8 @@
   call->user = user;
   if (body)
     soup_message_set_request (call->message, "application/json", SOUP_MEMORY_TAKE, body, strlen (body));
-  /* libsoup may choose a connection that a network partition has broken, on which no response would arrive. */
+  /* The timer is needed because libsoup may send the request on a connection that a network partition has broken, where
+   * no response arrives. */
   call->timer = g_timeout_add (timeout_ms, on_call_expired, call);
   soup_session_queue_message (call->pool->session, call->message, on_call_ended, call); /* takes the message */
 }
--- a/src/http/http-connections.h
+++ b/src/http/http-connections.h
@@ -31,7 +31,7 @@
  * Listens on an address and accepts connections.
  * @param addr IPv4 address and port
  * @param socket_limit number of connections that the process may have open; while more than half of this number are
- * open here, idle connections are closed after a shorter time
+ * open here, idle connections are closed after a shorter time; with a limit of 0 always after the shorter time
  * @param hand_over called with each connection on which a request arrives
  * @param user user data for hand_over
  * @param error (out) (optional) a GIO error
@@ -101,8 +101,8 @@
 void hzb_http_connection_take_back (HzbHttpConnection *connection);
 
 /**
- * Shuts the socket of a connection down before a request has arrived completely. Further reads of the request find the
- * connection closed.
+ * Aborts a request that has not arrived completely: shuts down the socket of the connection, so that further reads of
+ * the request find the connection closed.
  * @param connection the connection
  * @return FALSE if the connection was aborted before
  */
--- a/src/http/http-request.h
+++ b/src/http/http-request.h
@@ -22,8 +22,8 @@
 
   /** Sends the response, without taking ownership of an argument. Called once, by hzb_http_request_respond(). */
   void (*reply) (HzbHttpRequest *self, guint status, const char *body, guint retry_after_s);
-  gpointer impl;   /**< data of the reply function */
-  gpointer server; /**< data of the reply function (not owned) */
+  gpointer impl;   /**< data of the reply function; for an HTTP server the SoupMessage, which the function unrefs */
+  gpointer server; /**< data of the reply function (not owned); for an HTTP server the HzbHttpServer */
   /** While the handler runs, points to a flag that the server's reply function sets; otherwise NULL (not owned). */
   gboolean *responded;
 
--- a/src/http/http-server.c
+++ b/src/http/http-server.c
@@ -47,7 +47,8 @@
     set_retry_after (message, retry_after_s);
   if (body)
     soup_message_set_response (message, "application/json", SOUP_MEMORY_COPY, body, strlen (body));
-  /* Another controller may be able to answer. Closing the connection makes the load balancer choose again. */
+  /* Another controller may be able to answer. Closing the connection makes the load balancer choose a controller
+   * again. */
   if (status == SOUP_STATUS_SERVICE_UNAVAILABLE)
     soup_message_headers_replace (message->response_headers, "Connection", "close");
   if (http_request->responded)
@@ -129,7 +130,7 @@
     g_signal_connect (message, "got-chunk", G_CALLBACK (on_got_chunk), server);
 }
 
-/* Returns: (transfer full): a request that is answered on the message */
+/* Returns: (transfer full): a request whose response is sent with the message */
 static HzbHttpRequest *
 request_new (HzbHttpServer *server, SoupMessage *message, const char *path, const SoupBuffer *body)
 {
--- a/src/kv/kv-replica.c
+++ b/src/kv/kv-replica.c
@@ -3,10 +3,13 @@
 #include "kv-protocol.h"
 #include "kv-replica-private.h"
 
-#define FRESH_SLACK_S 2.0       /* added to the wait of a watch, for its answer and the interval between watches */
+/* A replica is fresh if its last watch was answered, or its load ended, within the wait of a watch plus this time. The
+ * slack allows for the transfer of the answer and for the interval between watches. */
+#define FRESH_SLACK_S 2.0
 #define WATCH_RETRY_DELAY_S 0.3 /* after a failed watch */
-/* If there are too many changes, the answer to a watch never arrives in time. After this many watches without an
- * answer, while the store answers other requests, the replica reads all records again in pages. */
+/* A lost watch is one without an answer. If more changes have accumulated than the store can send within the time limit
+ * of a watch, every watch is lost. After this many lost watches, while the store answers other requests, the replica
+ * reads all records again, in pages. */
 #define MAX_CONSECUTIVE_LOST_WATCHES 5u
 #define STORE_REACHABLE_S 2.0 /* a store that served a request within this time is reachable */
 #define STORE_UNRESPONSIVE_S                                                                                           \
@@ -46,16 +49,12 @@
   return call;
 }
 
-/* Rejects answers to requests of an earlier load, and to those sent before a reset. */
-
 gboolean
 hzb_kv_replica_call_is_current (const HzbKvReplicaCall *call)
 {
   return call->generation == call->kv_replica->generation;
 }
 
-/* No other function changes the state: empty -> loading -> following, and back to empty from each. */
-
 void
 hzb_kv_replica_set_state (HzbKvReplica *kv_replica, HzbKvReplicaState to)
 {
@@ -75,8 +74,8 @@
     }
 }
 
-/* Skips changes that have been applied: the answer to a sync that was sent before a watch may repeat the changes of
- * that watch. */
+/* Skips changes up to the revision `applied`: the answer to a sync that was sent before a watch may repeat the changes
+ * of that watch. */
 guint64
 hzb_kv_replica_apply_changes (HzbKvReplica *kv_replica, const GArray *changes, guint64 applied, guint64 revision)
 {
@@ -125,19 +124,19 @@
   g_autofree HzbKvReplicaCall *call = user;
   HzbKvReplica *kv_replica = call->kv_replica;
   guint64 revision = 0;
-  g_autoptr (GArray) items = NULL;
+  g_autoptr (GArray) changes = NULL;
 
   if (!hzb_kv_replica_call_is_current (call))
     return;
   kv_replica->watch_in_flight = FALSE;
-  items = result == HZB_KV_OK ? hzb_kv_watch_decode (body, &revision) : NULL;
-  if (result == HZB_KV_NOT_FOUND)
+  changes = result == HZB_KV_OK ? hzb_kv_watch_decode (body, &revision) : NULL;
+  if (result == HZB_KV_NOT_FOUND) /* the store no longer keeps all changes after the replica's revision */
     hzb_kv_replica_reset (kv_replica);
-  else if (!items)
+  else if (!changes)
     handle_watch_failure (kv_replica, result);
   else
     {
-      kv_replica->revision = hzb_kv_replica_apply_changes (kv_replica, items, kv_replica->revision, revision);
+      kv_replica->revision = hzb_kv_replica_apply_changes (kv_replica, changes, kv_replica->revision, revision);
       hzb_kv_replica_advance_current_as_of (kv_replica, call->sent);
       kv_replica->last_watch = hzb_clock_now (kv_replica->clock);
       kv_replica->consecutive_lost_watches = 0;
@@ -151,22 +150,22 @@
   g_autofree HzbKvReplicaCall *call = user;
   HzbKvReplica *kv_replica = call->kv_replica;
   guint64 revision = 0;
-  g_autoptr (GArray) items = NULL;
+  g_autoptr (GArray) changes = NULL;
 
   if (!hzb_kv_replica_call_is_current (call))
     {
       call->done (FALSE, call->user);
       return;
     }
-  items = result == HZB_KV_OK ? hzb_kv_watch_decode (body, &revision) : NULL;
-  if (items)
+  changes = result == HZB_KV_OK ? hzb_kv_watch_decode (body, &revision) : NULL;
+  if (changes)
     {
-      kv_replica->revision = hzb_kv_replica_apply_changes (kv_replica, items, kv_replica->revision, revision);
+      kv_replica->revision = hzb_kv_replica_apply_changes (kv_replica, changes, kv_replica->revision, revision);
       hzb_kv_replica_advance_current_as_of (kv_replica, call->sent);
     }
   else if (result == HZB_KV_NOT_FOUND)
-    hzb_kv_replica_reset (kv_replica); /* the watch would get the same answer a moment later */
-  call->done (items != NULL, call->user);
+    hzb_kv_replica_reset (kv_replica); /* as in on_watched(): the next watch would get the same answer */
+  call->done (changes != NULL, call->user);
 }
 
 void
--- a/src/main.c
+++ b/src/main.c
@@ -39,7 +39,8 @@
 }
 
 /* Raises the soft limit of file descriptors, so that this process can open as many connections as the settings say.
- * Returns: FALSE, after printing an error, if the hard limit is too low */
+ * If the limit cannot be read or raised for another reason than the hard limit, the program continues. Returns: FALSE,
+ * after printing an error, if the hard limit is too low */
 static gboolean
 raise_descriptor_limit (const HzbSettings *settings)
 {
@@ -65,7 +66,8 @@
   return TRUE;
 }
 
-/* The options of the command line. NULL: the option is not given. The strings are owned. */
+/* The options of the command line. NULL: the option is not given. The option parser allocates the strings, which are
+ * kept until the process exits. */
 typedef struct
 {
   char *config, *features; /* paths of the settings file and the features file */
@@ -150,7 +152,8 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Runs a controller until the process is killed. Returns: the exit status, only if the controller cannot listen */
+/* Runs a controller until the process is killed. Returns only if the controller cannot listen:
+ * EXIT_STATUS_FAILURE */
 static int
 run_controller (HzbSettings *settings)
 {
@@ -207,9 +210,9 @@
 }
 
 static int
-report_usage_error (const char *why)
+report_usage_error (const char *message)
 {
-  g_printerr ("hazelbank: %s\nSee hazelbank --help.\n", why);
+  g_printerr ("hazelbank: %s\nSee hazelbank --help.\n", message);
   return EXIT_STATUS_USAGE_ERROR;
 }
 
--- a/src/protocol/cloud-protocol.c
+++ b/src/protocol/cloud-protocol.c
@@ -20,8 +20,8 @@
 #define NAME_TYPE_BOOT_S "readyS"
 #define NAME_TYPE_ZONES "yards"
 
-/* Fields of a list of instances; a request to return machines and the response to a request to rent machines have the
- * first one as well. */
+/* Fields of a page of the inventory and of its instances. The response to a request to rent machines and the request to
+ * return machines list names of machines in NAME_INSTANCES. */
 #define NAME_INSTANCES "hosts"
 #define NAME_INSTANCE_NAME "uid"
 #define NAME_INSTANCE_ADDR "addr"
@@ -29,7 +29,7 @@
 #define NAME_INSTANCE_AGE_S "ageS"
 #define NAME_MORE "hasNext"
 
-/* Fields of an instance and of a request to rent instances. */
+/* Fields of a request to rent machines. An instance has NAME_TYPE, NAME_ZONE and NAME_SPOT as well. */
 #define NAME_TYPE "flavor"
 #define NAME_ZONE "yard"
 #define NAME_SPOT "loaners"
--- a/src/protocol/machine-type.h
+++ b/src/protocol/machine-type.h
@@ -18,7 +18,7 @@
   double spot_price;     /**< current price of a spot machine */
   double boot_s;         /**< nominal time from the request to the worker's first heartbeat, in seconds */
   char **zones;          /**< zones in which the type is offered, NULL-terminated (owned) */
-  guint index;           /**< position in the list of types; set by the owner of the list */
+  guint index;           /**< index in HzbMachines.types; set by hzb_machines_set_types() */
 } HzbMachineType;
 
 /**
--- a/src/protocol/user-protocol.c
+++ b/src/protocol/user-protocol.c
@@ -55,7 +55,7 @@
 #define MIN_UID_DIGITS 6
 #define MAX_UID_DIGITS 12
 #define MAX_TEXT_BYTES 200
-#define MAX_AMOUNT 1e9
+#define MAX_AMOUNT 1e9 /* of any number in a submission, in the unit of its field */
 
 GQuark
 hzb_protocol_error_quark (void)
@@ -125,7 +125,7 @@
 }
 
 static gboolean
-decode_positive (const cJSON *root, const char *field, double *out, GError **error)
+decode_positive_amount (const cJSON *root, const char *field, double *out, GError **error)
 {
   const cJSON *item = cJSON_GetObjectItemCaseSensitive (root, field);
   if (!is_amount (item) || item->valuedouble <= 0)
@@ -144,7 +144,7 @@
   return TRUE;
 }
 
-/* For optional fields: null and omission mean the same. */
+/* Returns: whether an optional field has a value; null means the same as a missing field */
 static gboolean
 has_value (const cJSON *root, const char *field)
 {
@@ -220,7 +220,7 @@
 {
   /* A service runs until it is cancelled, so its estimate may be 0. */
   gboolean (*decode_estimate) (const cJSON *, const char *, double *, GError **) =
-      spec->kind == HZB_JOB_SERVICE ? decode_amount : decode_positive;
+      spec->kind == HZB_JOB_SERVICE ? decode_amount : decode_positive_amount;
   return decode_estimate (root, NAME_ESTIMATE_S, &spec->estimate_s, error)
          && decode_amount (root, NAME_CHECKPOINT_INTERVAL_S, &spec->checkpoint_interval_s, error)
          && decode_amount (root, NAME_CHECKPOINT_DURATION_S, &spec->checkpoint_duration_s, error);
@@ -261,7 +261,7 @@
 static gboolean
 decode_deadline (HzbJobSpec *spec, const cJSON *root, GError **error)
 {
-  return !has_value (root, NAME_DEADLINE_S) || decode_positive (root, NAME_DEADLINE_S, &spec->deadline_s, error);
+  return !has_value (root, NAME_DEADLINE_S) || decode_positive_amount (root, NAME_DEADLINE_S, &spec->deadline_s, error);
 }
 
 /* The response to an invalid submission names the first missing or invalid field. The order of the steps determines
@@ -272,7 +272,7 @@
   double tasks = 0;
   return decode_uid (spec, root, error) && decode_kind (spec, root, error) /* later steps depend on the kind */
          && decode_class_team_and_priority (spec, root, error)
-         && decode_positive (root, NAME_TASKS, &tasks, error) /* set_tasks () checks the number further */
+         && decode_positive_amount (root, NAME_TASKS, &tasks, error) /* set_tasks () checks the range */
          && decode_resources (spec, root, error) && decode_image (spec, root, error)
          && decode_placement_flags (spec, root, error) && decode_durations (spec, root, error)
          && set_tasks (spec, tasks, error) && decode_types (spec, root, error) /* optional from here on */
--- a/src/protocol/worker-protocol.h
+++ b/src/protocol/worker-protocol.h
@@ -13,9 +13,9 @@
 {
   HZB_TASK_STATUS_FETCHING,      /**< the machine fetches the task's image */
   HZB_TASK_STATUS_WAITING,       /**< a gang's task waits for the other tasks of the gang's attempt */
-  HZB_TASK_STATUS_RUNNING,       /**< runs; for a gang's task also while the gang is stopped or has lost a task */
-  HZB_TASK_STATUS_CHECKPOINTING, /**< was stopped and saves a checkpoint */
-  HZB_TASK_STATUS_EXITED         /**< exited, see #HzbExitCause; in each heartbeat until the task is reaped */
+  HZB_TASK_STATUS_RUNNING,       /**< the task runs; a gang's task also while its gang is stopped or has lost a task */
+  HZB_TASK_STATUS_CHECKPOINTING, /**< the task was stopped and saves a checkpoint */
+  HZB_TASK_STATUS_EXITED         /**< the task exited, see #HzbExitCause; reported until the task is reaped */
 } HzbReportedTaskState;
 
 /** HzbExitCause: why a task exited, or why its start was refused. */
@@ -52,7 +52,7 @@
   char *zone;            /**< zone of the machine (owned) */
   gboolean spot;         /**< whether it is a spot machine */
   guint64 agent_epoch;   /**< at least 1; increases each time the worker's lease expires */
-  guint64 sequence;      /**< the heartbeat with the higher (agent_epoch, sequence) is the newer one */
+  guint64 sequence;      /**< number of the heartbeat; the one with the higher (agent_epoch, sequence) is newer */
   guint64 fencing_token; /**< the highest fencing token that the worker has seen */
   double notice_s;       /**< seconds until the cloud reclaims the machine; negative: no reclaim notice */
   GArray *task_statuses; /**< (element-type HzbTaskStatus) status of all tasks on the machine (owned) */
--- a/src/provisioning/cloud-client.h
+++ b/src/provisioning/cloud-client.h
@@ -2,9 +2,9 @@
  * SECTION: cloud-client
  * @short_description: sends requests to the cloud, limited in rate and ordered by priority
  *
- * A token bucket keeps the client within the cloud's request rate (HzbSettings.cloud_rps). Requests that exceed the
- * rate wait in one queue for each priority. The client does not retry requests: the caller gets the status of each
- * response and decides.
+ * A token bucket keeps the client within the cloud's request rate (HzbSettings.cloud_rps, in requests per second).
+ * Requests that exceed the rate wait in one queue for each priority. The client does not retry requests: the caller
+ * gets the status of each response and decides.
  *
  * All requests are asynchronous. Their callbacks are called exactly once, see HzbReplyFunc, unless the client is freed
  * while the request waits. Strings and arrays that are passed to a request are (transfer none).
@@ -18,7 +18,7 @@
 /** HzbCloudPriority: priorities of requests, highest first. A waiting request of a higher priority is sent first. */
 typedef enum
 {
-  HZB_CLOUD_PRIORITY_SCALE_IN,  /**< returns of machines, each of which costs money until then */
+  HZB_CLOUD_PRIORITY_SCALE_IN,  /**< requests to return machines, which cost money until they are returned */
   HZB_CLOUD_PRIORITY_SCALE_OUT, /**< requests to rent machines */
   HZB_CLOUD_PRIORITY_READ,      /**< requests for machine types and for the inventory */
   HZB_CLOUD_N_PRIORITIES        /**< number of priorities */
--- a/src/provisioning/provisioning.c
+++ b/src/provisioning/provisioning.c
@@ -2,8 +2,8 @@
 
 #include "cloud-protocol.h"
 
-#define TYPES_INTERVAL_S 60.0
-#define TYPES_RETRY_S 1.0
+#define MACHINE_TYPES_INTERVAL_S 60.0 /* between requests for the list of machine types */
+#define MACHINE_TYPES_RETRY_S 1.0     /* pause after a failed request for the list of machine types */
 #define AUTOSCALER_INTERVAL_S 1.0
 
 /* ---- machine types ---- */
@@ -16,8 +16,8 @@
   GPtrArray *types = status == 200 ? hzb_machine_types_decode (body) : NULL;
 
   provisioning->types_requested = FALSE;
-  provisioning->next_types =
-      hzb_time_plus (hzb_clock_now (dependencies->node->clock), types ? TYPES_INTERVAL_S : TYPES_RETRY_S);
+  provisioning->next_types = hzb_time_plus (hzb_clock_now (dependencies->node->clock),
+                                            types ? MACHINE_TYPES_INTERVAL_S : MACHINE_TYPES_RETRY_S);
   if (types)
     hzb_machines_set_types (dependencies->machines, types);
 }
@@ -25,7 +25,7 @@
 /* Every node needs the list of machine types once. Only the leader, which rents machines, requests it again
  * periodically. */
 static void
-list_types (HzbProvisioning *provisioning, struct timespec now)
+request_types_if_due (HzbProvisioning *provisioning, struct timespec now)
 {
   const HzbProvisioningDependencies *dependencies = &provisioning->dependencies;
 
@@ -54,7 +54,7 @@
 void
 hzb_provisioning_tick (HzbProvisioning *provisioning, struct timespec now)
 {
-  list_types (provisioning, now);
+  request_types_if_due (provisioning, now);
   if (!hzb_ownership_leader_loaded (provisioning->dependencies.ownership))
     return;
   if (!hzb_time_before (now, provisioning->next_scan))
--- a/src/provisioning/provisioning.h
+++ b/src/provisioning/provisioning.h
@@ -29,7 +29,7 @@
   HzbNode *node;                     /**< this controller's settings and clock */
   HzbCloudClient *cloud;             /**< sends the requests */
   HzbElection *election;             /**< scale-out requires a valid leader lease */
-  HzbOwnership *ownership;           /**< its epoch shows which responses are of an earlier ownership and are dropped */
+  HzbOwnership *ownership;           /**< gives requests their epoch; responses of an earlier epoch are dropped */
   HzbJobs *jobs;                     /**< the tasks on machines that are drained or gone */
   HzbMachines *machines;             /**< rented machines are added to it, machines that are gone are removed */
   HzbAutoscaler *autoscaler;         /**< decides which machines to rent and which to return */
@@ -45,12 +45,12 @@
  */
 HzbProvisioning *hzb_provisioning_new (const HzbProvisioningDependencies *dependencies);
 
-/** hzb_provisioning_free: must not be called while a request of the module is in flight. */
+/** hzb_provisioning_free: frees the module. No request that the module has sent may be in flight. */
 void hzb_provisioning_free (HzbProvisioning *provisioning);
 
 /**
- * hzb_provisioning_reset: resets the requests when this node begins to lead. The caller has begun a new epoch of the
- * ownership before, so that responses to requests in flight are dropped.
+ * hzb_provisioning_reset: clears the state of scale-out, scale-in and inventory requests when this node begins to lead.
+ * The caller first begins a new epoch of the ownership, so that responses to requests in flight are dropped.
  */
 void hzb_provisioning_reset (HzbProvisioning *provisioning);
 
@@ -64,7 +64,7 @@
  * hzb_provisioning_is_machine_gone:
  * `machine`: name of the machine
  *
- * Returns: whether the cloud has confirmed in the last 15 minutes that the machine is gone. A heartbeat of such a
- * machine is a delayed copy.
+ * Returns: whether the cloud has confirmed in the last 15 minutes that the machine is gone. A heartbeat that names
+ * such a machine is a delayed copy of an earlier heartbeat.
  */
 gboolean hzb_provisioning_is_machine_gone (HzbProvisioning *provisioning, const char *machine);
--- a/src/reconciliation/archive-codec.c
+++ b/src/reconciliation/archive-codec.c
@@ -5,14 +5,14 @@
 #include <string.h>
 
 void
-hzb_archive_set_damaged (GError **error, const char *why)
+hzb_archive_set_damaged (GError **error, const char *detail)
 {
-  g_set_error (error, HZB_RECONCILIATION_ERROR, HZB_RECONCILIATION_ERROR_DAMAGED, "the archive is damaged: %s", why);
+  g_set_error (error, HZB_RECONCILIATION_ERROR, HZB_RECONCILIATION_ERROR_DAMAGED, "the archive is damaged: %s", detail);
 }
 
 /* ---- encoding of the document ---- */
 
-/* Times in archives have a resolution of 1 ms. Negative times round away from zero, as positive ones do. */
+/* Times in archives have a resolution of 1 ms. Halves of a millisecond round away from zero, for negative times too. */
 static double
 round_to_ms (double seconds)
 {
@@ -101,7 +101,7 @@
 
 /* ---- decoding of the document ---- */
 
-/* Returns: (transfer full): the text member; "" if it is missing */
+/* Returns: (transfer full): the text of the member @name; "" if it is missing */
 static char *
 copy_text (const cJSON *object, const char *name)
 {
@@ -109,7 +109,7 @@
   return g_strdup (text ? text : "");
 }
 
-/* Returns: the number member, clamped to 0..G_MAXINT32; 0 if it is missing */
+/* Returns: the number in the member @name, clamped to 0..G_MAXINT32; 0 if it is missing */
 static guint
 read_count (const cJSON *object, const char *name)
 {
@@ -137,6 +137,7 @@
   return TRUE;
 }
 
+/* A machine without the member "atS" counts as never accounted for. */
 static void
 decode_machines (HzbArchive *archive, const cJSON *root)
 {
--- a/src/reconciliation/archive-codec.h
+++ b/src/reconciliation/archive-codec.h
@@ -3,14 +3,14 @@
  * @short_description: the JSON of archives: the document in an archive, its parts in the key-value store, and the
  * responses that contain an archive
  *
- * This codec is the only place that knows these JSON names; docs/operating-cold-start.md describes the document.
+ * No other module encodes or decodes this JSON. docs/operating-cold-start.md describes the document.
  */
 #pragma once
 #include "archive.h"
 
 #include <cjson/cJSON.h>
 
-/** HZB_ARCHIVE_MAX_PARTS: how many values an archive may be split into; decoders clamp a larger number to it. */
+/** HZB_ARCHIVE_MAX_PARTS: maximum number of values that an archive is split into. Decoders clamp larger numbers. */
 #define HZB_ARCHIVE_MAX_PARTS 9999u
 
 /** HzbArchiveIndexEntry: an archive in the key-value store. */
@@ -20,8 +20,9 @@
   guint parts; /**< how many values the archive is split into */
 } HzbArchiveIndexEntry;
 
-/** hzb_archive_set_damaged: sets %HZB_RECONCILIATION_ERROR_DAMAGED. `why`: what is wrong with the archive */
-void hzb_archive_set_damaged (GError **error, const char *why);
+/** hzb_archive_set_damaged: sets %HZB_RECONCILIATION_ERROR_DAMAGED. `detail`: what is wrong with the archive; the error
+ * message ends with this text */
+void hzb_archive_set_damaged (GError **error, const char *detail);
 
 /** hzb_archive_encode: Returns: (transfer full): the JSON document, before compression */
 char *hzb_archive_encode (const HzbArchive *archive);
@@ -42,12 +43,12 @@
  * full): the value of the part in the key-value store */
 cJSON *hzb_archive_part_encode (const char *text, guint n_parts);
 
-/** hzb_archive_part_decode: `n_parts`: (out): how many parts the archive has. Returns: (transfer none): base 64 of this
- * part; empty if `value` has none */
+/** hzb_archive_part_decode: `n_parts`: (out): how many parts the archive has; 1 if `value` does not say. Returns:
+ * (transfer none): base 64 of this part, valid as long as `value`; empty if `value` has none */
 const char *hzb_archive_part_decode (const cJSON *value, guint *n_parts);
 
-/** hzb_archive_response_encode: `text`: the packed archive in base 64. Returns: (transfer full): the response to `GET
- * reconciliations/ID` */
+/** hzb_archive_response_encode: `id`: of the reconciliation; `text`: the packed archive in base 64. Returns: (transfer
+ * full): the response to `GET reconciliations/ID` */
 char *hzb_archive_response_encode (guint64 id, const char *text);
 
 /**
--- a/src/reconciliation/archive-packing.c
+++ b/src/reconciliation/archive-packing.c
@@ -7,24 +7,24 @@
 
 #define MAGIC "HZBREC"
 #define HEADER_BYTES 8u
-#define MAX_UNPACKED_BYTES (16u * 1024 * 1024) /* this program writes no larger archive */
+#define MAX_UNPACKED_BYTES (16u * 1024 * 1024) /* a larger archive counts as damaged: this program writes none */
 #define COMPRESSION_LEVEL 9
 
 GBytes *
 hzb_archive_pack (const HzbArchive *archive)
 {
   g_autofree char *text = hzb_archive_encode (archive);
-  gsize length = strlen (text), bound = ZSTD_compressBound (length), packed;
-  char *out = g_malloc (HEADER_BYTES + bound + 1);
+  gsize length = strlen (text), bound = ZSTD_compressBound (length), frame_length;
+  char *packed = g_malloc (HEADER_BYTES + bound + 1);
   ZSTD_CCtx *context = ZSTD_createCCtx ();
 
-  g_snprintf (out, HEADER_BYTES + 1, MAGIC "%02u", HZB_RECONCILIATION_FORMAT);
+  g_snprintf (packed, HEADER_BYTES + 1, MAGIC "%02u", HZB_RECONCILIATION_FORMAT);
   ZSTD_CCtx_setParameter (context, ZSTD_c_compressionLevel, COMPRESSION_LEVEL);
   ZSTD_CCtx_setParameter (context, ZSTD_c_checksumFlag, 1);
-  packed = ZSTD_compress2 (context, out + HEADER_BYTES, bound, text, length);
+  frame_length = ZSTD_compress2 (context, packed + HEADER_BYTES, bound, text, length);
   ZSTD_freeCCtx (context);
-  g_assert (!ZSTD_isError (packed)); /* ZSTD_compressBound() is enough for any text of this length */
-  return g_bytes_new_take (out, HEADER_BYTES + packed);
+  g_assert (!ZSTD_isError (frame_length)); /* ZSTD_compressBound() is enough for any text of this length */
+  return g_bytes_new_take (packed, HEADER_BYTES + frame_length);
 }
 
 /* ---- unpacking ---- */
--- a/src/reconciliation/archive-packing.h
+++ b/src/reconciliation/archive-packing.h
@@ -4,7 +4,8 @@
  *
  * A packed archive is a header of 8 bytes ("HZBREC" and the format as two decimal digits), followed by a zstd frame
  * with a checksum. The frame contains a JSON document; docs/operating-cold-start.md describes it. No decision depends
- * on an archive: if an archive is damaged, or if a later version wrote it, only the command that shows it fails.
+ * on an archive: if an archive is damaged, or if a later version wrote it, only showing it (--show-reconciliation)
+ * fails.
  */
 #pragma once
 #include "archive.h"
--- a/src/reconciliation/archive-store.c
+++ b/src/reconciliation/archive-store.c
@@ -7,14 +7,15 @@
 
 #define KEY_ARCHIVES "hzb/o/reconciliations/"
 #define KEY_INDEX KEY_ARCHIVES "index"
-/* The text of a part fills this fraction of the largest value; the rest is for the JSON around the text. */
+/* The text of a part takes at most this fraction of the maximum size of a value; the rest is for the JSON around the
+ * text. */
 #define PART_VALUE_FRACTION 0.85
-#define MAX_TRANSACTION_BYTES 40000u /* text of all parts in a transaction of more than one part */
+#define MAX_TRANSACTION_BYTES 40000u /* limit for the text of all parts in a transaction; a single part may exceed it */
 #define INDEX_ENTRY_BYTES 64u        /* upper bound of the JSON of an index entry */
 
 /* A write of an archive, in flight. The store writes the parts first, then reads and writes the index. The transaction
- * that writes the index also removes the parts of archives beyond the number to be kept. Writing the same archive again
- * is harmless. */
+ * that writes the index also removes the parts of archives beyond the number to be kept. A further write of the same
+ * archive is harmless: it replaces the parts and the index entry. */
 typedef struct
 {
   guint64 id;
@@ -54,11 +55,11 @@
 /* ---- writing ---- */
 
 static void
-write_call_finish (HzbEpochCall *epoch_call, gboolean done)
+write_call_finish (HzbEpochCall *epoch_call, gboolean durable)
 {
   WriteCall *call = epoch_call->data;
   if (hzb_epoch_call_is_current (epoch_call))
-    call->done (done, call->user);
+    call->done (durable, call->user);
   g_ptr_array_unref (call->parts);
   if (call->index)
     g_array_unref (call->index);
@@ -125,8 +126,9 @@
   hzb_kv_client_commit (modules->kv, HZB_KV_RECORD, transaction, on_parts_written, epoch_call);
 }
 
-/* Moves the archive to the end of the index. An earlier leader may have written the archive in more parts. The entry
- * states the larger number, so that all parts are removed with the archive. */
+/* Adds the archive at the end of the index, in place of the entry from an earlier write of the archive. An earlier
+ * leader may have written the archive in more parts: the entry states the larger number, so that all parts are removed
+ * with the archive. */
 static void
 add_to_index (WriteCall *call)
 {
@@ -175,7 +177,7 @@
   add_to_index (call);
   hzb_election_add_condition (modules->election, transaction);
   hzb_kv_transaction_compare (transaction, KEY_INDEX, call->index_version);
-  remove_oldest (call, keep, settings->kv_txn_ops - 1, transaction);
+  remove_oldest (call, keep, settings->kv_txn_ops - 1, transaction); /* one operation writes the index */
   hzb_kv_transaction_put (transaction, KEY_INDEX, hzb_archive_index_encode (call->index), 0);
   hzb_kv_client_commit (modules->kv, HZB_KV_RECORD, transaction, on_index_written, epoch_call);
 }
@@ -221,7 +223,7 @@
   guint64 id;    /* of the archive; 0: the index is read */
   guint n_read;  /* parts read so far */
   guint n_parts; /* how many parts the archive has, according to its first part */
-  GString *text;
+  GString *text; /* base 64 of the parts read so far */
   HzbArchiveReadFunc done;
   gpointer user;
 } ReadCall;
--- a/src/reconciliation/archive-store.h
+++ b/src/reconciliation/archive-store.h
@@ -15,12 +15,12 @@
 /** HzbArchiveStore: writes and reads archives. */
 typedef struct _HzbArchiveStore HzbArchiveStore;
 
-/** HzbArchiveWriteFunc: the end of a write. `done`: %FALSE if the archive may not be durable; the caller writes it
- * again later */
-typedef void (*HzbArchiveWriteFunc) (gboolean done, gpointer user);
+/** HzbArchiveWriteFunc: receives the result of a write. `durable`: %FALSE if the archive may not be durable; the caller
+ * writes it again later */
+typedef void (*HzbArchiveWriteFunc) (gboolean durable, gpointer user);
 
-/** HzbArchiveReadFunc: the end of a read. `status`: HTTP status of the administration API's response (200, 404 or 503).
- * `body`: (transfer full): JSON body of the response */
+/** HzbArchiveReadFunc: receives the result of a read. `status`: HTTP status of the administration API's response (200,
+ * 404 or 503). `body`: (transfer full): JSON body of the response */
 typedef void (*HzbArchiveReadFunc) (guint status, char *body, gpointer user);
 
 /** HzbArchiveStoreDependencies: modules that the store calls. The store owns none of them, and all must outlive it. */
@@ -42,18 +42,18 @@
  * hzb_archive_store_write: writes the archive of a reconciliation.
  * `id`: of the reconciliation
  * `bytes`: (transfer none): the packed archive
- * `written`: called once; not called if the epoch ends before the write does
+ * `written`: called once, when the write ends; not called if the epoch of the ownership has ended by then
  * `user`: (nullable): passed to `written`
  *
- * The caller writes one archive at a time. Writing the same archive again is harmless.
+ * At most one write may be in flight. A further write of the same archive is harmless.
  */
 void
 hzb_archive_store_write (HzbArchiveStore *store, guint64 id, GBytes *bytes, HzbArchiveWriteFunc written, gpointer user);
 
-/** hzb_archive_store_list: reads the ids of all stored archives. `read`: called once, with the list as JSON; `user`:
- * (nullable): passed to `read` */
+/** hzb_archive_store_list: reads the ids of all stored archives. `read`: called once, with the list
+ * (hzb_archive_index_encode()) or an error response; `user`: (nullable): passed to `read` */
 void hzb_archive_store_list (HzbArchiveStore *store, HzbArchiveReadFunc read, gpointer user);
 
-/** hzb_archive_store_read: reads an archive. `id`: of the reconciliation; `read`: called once, with the packed archive
- * in base 64, as JSON; `user`: (nullable): passed to `read` */
+/** hzb_archive_store_read: reads an archive. `id`: of the reconciliation; `read`: called once, with the archive
+ * (hzb_archive_response_encode()) or an error response; `user`: (nullable): passed to `read` */
 void hzb_archive_store_read (HzbArchiveStore *store, guint64 id, HzbArchiveReadFunc read, gpointer user);
--- a/src/reconciliation/command-gate.c
+++ b/src/reconciliation/command-gate.c
@@ -3,7 +3,7 @@
 #include "reconciliation-private.h"
 
 #define HEARTBEATS_BEFORE_SCALE_OUT 2
-#define SCALE_OUT_SLACK_S 2.0
+#define SCALE_OUT_SLACK_S 2.0 /* added to the time for these heartbeats */
 
 /* ---- unconfirmed tasks and scale-out ---- */
 
@@ -40,6 +40,7 @@
 
   if (verdict == HZB_TASK_VERDICT_STOP)
     {
+      /* Start pacing also limits the stops of tasks that no record names. */
       if (!hzb_start_pacing_allows (&reconciliation->pacing, HZB_START_PACING_OTHER))
         return HZB_TASK_VERDICT_AWAIT;
       hzb_start_pacing_take_token (&reconciliation->pacing);
@@ -73,8 +74,8 @@
   return HZB_REPORTED_ENDED;
 }
 
-/* Returns: whether the verdict is counted, so that each task is counted once. A task that the leader has already placed
- * was counted when it was adopted; an awaited task is counted when its final verdict is known. */
+/* Returns: whether the verdict is counted. A task that the leader has already placed was counted when it was adopted,
+ * and is not counted again with each heartbeat. An awaited task is counted when its final verdict is known. */
 static gboolean
 is_counted (HzbTaskVerdict verdict, HzbLeaderEvidence known)
 {
--- a/src/reconciliation/operator-decisions.c
+++ b/src/reconciliation/operator-decisions.c
@@ -6,7 +6,7 @@
 #include "reconciliation-codec.h"
 #include "record-keys.h"
 
-#define MAX_KEPT_TASKS 64u /* the record of kept tasks must fit into the smallest value that the settings allow */
+#define MAX_KEPT_TASKS 64u /* the record of kept tasks must fit into a value even at the lowest limit of the settings */
 
 void
 hzb_quarantine_load (HzbQuarantine *quarantine, const HzbKvEntry *item)
@@ -115,11 +115,11 @@
 {
   GHashTable *copy = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   GHashTableIter iter;
-  gpointer kept;
+  gpointer kept_name;
 
   g_hash_table_iter_init (&iter, quarantine->kept);
-  while (g_hash_table_iter_next (&iter, &kept, NULL))
-    g_hash_table_add (copy, g_strdup (kept));
+  while (g_hash_table_iter_next (&iter, &kept_name, NULL))
+    g_hash_table_add (copy, g_strdup (kept_name));
   if (keep)
     g_hash_table_add (copy, g_strdup (name));
   else
@@ -146,7 +146,7 @@
 }
 
 /* Returns: how many attempts of the task are quarantined
- * @proven: (out): whether the proof is complete for each of them */
+ * @proven: (out): whether the proof is complete for each of them; %TRUE if there are none */
 static guint
 count_attempts (const HzbQuarantine *quarantine, const char *uid, guint task, gboolean *proven)
 {
@@ -173,7 +173,7 @@
 {
   g_autofree char *name = task_name (uid, task);
   gboolean keep = decision != HZB_OPERATOR_STOP, proven;
-  gboolean kept = g_hash_table_contains (quarantine->kept, name);
+  gboolean already_kept = g_hash_table_contains (quarantine->kept, name);
   guint attempts = count_attempts (quarantine, uid, task, &proven);
 
   if (quarantine->writing)
@@ -183,7 +183,7 @@
     }
   /* A new decision revokes an earlier decision to stop the task, even if the new decision is refused below. */
   set_stop_requested (quarantine, uid, task, FALSE);
-  if (!attempts && !kept)
+  if (!attempts && !already_kept)
     {
       done (HZB_DECISION_NOT_FOUND, user);
       return;
@@ -194,7 +194,7 @@
       return;
     }
   set_stop_requested (quarantine, uid, task, !keep);
-  if (kept == keep)
+  if (already_kept == keep)
     done (HZB_DECISION_DONE, user); /* the record of kept tasks does not change */
   else if (keep && g_hash_table_size (quarantine->kept) >= MAX_KEPT_TASKS)
     done (HZB_DECISION_TOO_MANY_KEPT, user);
--- a/src/reconciliation/quarantine-proof.c
+++ b/src/reconciliation/quarantine-proof.c
@@ -1,16 +1,17 @@
 /* Proof that no record names a task.
  *
- * The key-value store may carry out a transaction without a response up to 12 s after it was sent, so a record of the
- * job may still be written until then. After that time, the quarantine syncs the record replica and reads the archived
- * completion of the job: the replica does not contain the completion record of an old job. The proof is complete if
- * neither the replica nor the archived completions name the job. If a step fails, the proof starts again. */
+ * If a transaction gets no response, the key-value store may still carry it out up to 12 s after it was sent, so a
+ * record of the job may be written until then. After that time, the quarantine syncs the record replica and reads the
+ * archived completion of the job: the completion record of an old job is archived, so the replica does not contain it.
+ * The proof is complete if neither the replica nor the archived completions name the job. If a step fails, the proof
+ * starts again. */
 #include "quarantine-private.h"
 
 #include "record-keys.h"
 
 #define LATE_WRITE_S 12.0
 #define LATE_WRITE_SLACK_S 3.0 /* allowance for clock drift */
-#define MAX_READS 8u           /* of archived completions in a round; a round takes no more tasks */
+#define MAX_READS 8u           /* maximum number of tasks in a round, each with one read */
 #define ROUND_INTERVAL_S 2.0   /* minimum from the start of a round to the start of the next */
 
 /* ---- reading the archived completion ---- */
@@ -83,7 +84,8 @@
     }
 }
 
-/* Moves the tasks that are due to the state syncing. Returns: how many there are, at most MAX_READS */
+/* Selects at most MAX_READS tasks that are due, and changes the state of their proofs to syncing.
+ * Returns: the number of selected tasks */
 static guint
 select_due_tasks (HzbQuarantine *quarantine, struct timespec now)
 {
--- a/src/reconciliation/quarantine.c
+++ b/src/reconciliation/quarantine.c
@@ -2,7 +2,7 @@
 #include "quarantine-private.h"
 
 #define MAX_ENTRIES 4096u
-#define EXPIRY_HEARTBEATS 4.0 /* heartbeat intervals before a task that heartbeats no longer list is dropped */
+#define EXPIRY_HEARTBEATS 4.0 /* minimum heartbeat intervals before an unlisted task is dropped */
 
 /* ---- the state of a proof ---- */
 
@@ -236,10 +236,11 @@
   hzb_task_set_state (jobs, task, HZB_TASK_RUNNING, machine);
 }
 
-/* Adopts the task if the record of its job has arrived since: the key-value store may carry out a transaction that
- * accepts a job late. Without the adoption, the task would be started on another machine although a machine already
- * runs it.
- * Returns: whether the entry is to be removed because the job has a record */
+/* Adopts the task if the record of its job has arrived since the task was quarantined: the key-value store may carry
+ * out a transaction that accepts a job late. Without the adoption, the task would be started on another machine
+ * although a machine already runs it.
+ * Returns: whether the entry is to be removed: the job is accepted and not terminal and has this task, even if the task
+ * can't be adopted */
 static gboolean
 adopt_if_recorded (gpointer name, gpointer value, gpointer user)
 {
--- a/src/reconciliation/quarantine.h
+++ b/src/reconciliation/quarantine.h
@@ -2,13 +2,15 @@
  * SECTION: quarantine
  * @short_description: tasks that heartbeats of workers list and no record names
  *
- * Such a task stays quarantined until it is proven that no record names it. The proof is needed for two reasons: the
+ * Such a task gets no command until it is proven that no record names it. The proof is needed for two reasons: the
  * key-value store may carry out the transaction that accepts the task's job late, and the completion record of an old
- * job is archived, so it is not among the records in memory. After the proof, an operator has time to decide about the
- * task.
+ * job is archived, so it is not among the records in memory.
  *
- * While reconciliation is enabled, every leader quarantines such tasks, not only after a cold start: a task that an
- * operator keeps stays kept after a change of leader.
+ * After the proof, the task stays quarantined until an operator decides to stop it, or until
+ * reconciliation.operator_s has passed since a heartbeat first listed it and no operator has decided to keep it.
+ *
+ * While reconciliation is enabled, every leader quarantines such tasks, not only after a cold start, so that a task
+ * that an operator keeps stays kept after a change of leader.
  */
 #pragma once
 #include "election.h"
@@ -32,7 +34,8 @@
  */
 typedef enum
 {
-  HZB_PROOF_WAITING,      /**< waits for a round; at first, because a late transaction could still accept the job */
+  HZB_PROOF_WAITING,      /**< waits for a round of proofs, which only takes tasks whose job a late transaction
+                               can no longer accept */
   HZB_PROOF_SYNCING,      /**< the record replica is being synced with the key-value store */
   HZB_PROOF_READING,      /**< the archived completion of the job is being read */
   HZB_PROOF_ABSENT,       /**< proven: no record names the task */
--- a/src/reconciliation/reconciliation-admin-codec.c
+++ b/src/reconciliation/reconciliation-admin-codec.c
@@ -3,16 +3,19 @@
 #include "json.h"
 #include "reconciliation-private.h"
 
+#define RETURN_MARGIN_S 2.0 /* equals UNVERIFIED_MARGIN_S of scale-in.c */
+
 /* ---- GET reconciliation and GET metrics ---- */
 
-/* Returns: seconds until the leader returns an awaited machine to the cloud. scale-in.c does so two seconds after the
- * machine's lease; the machine's tasks may run until the cloud confirms the return. */
+/* Returns: seconds until the leader returns an awaited machine to the cloud; the machine's tasks may run until the
+ * cloud confirms the return. scale-in.c returns an unverified machine once it has been in that state for longer than
+ * lease_s and the margin. */
 static double
 seconds_until_return (const HzbReconciliation *reconciliation, const HzbMachine *machine)
 {
   const HzbNode *node = reconciliation->dependencies.node;
   double in_state_s = hzb_time_between (machine->since, hzb_clock_now (node->clock));
-  return MAX (0, node->settings->lease_s + 2 - in_state_s);
+  return MAX (0, node->settings->lease_s + RETURN_MARGIN_S - in_state_s);
 }
 
 static void
@@ -36,10 +39,10 @@
     }
 }
 
-/* Adds a row that says how often a verdict was given for a reason; no row if it never was.
- * @unit: name of the member that contains @n */
+/* Adds an object with the count of a verdict and its reason; adds nothing if the count is 0.
+ * @count_name: name of the member that contains the count @n */
 static void
-add_verdict_count (cJSON *list, const char *verdict, const char *reason, const char *unit, guint n)
+add_verdict_count (cJSON *list, const char *verdict, const char *reason, const char *count_name, guint n)
 {
   cJSON *item;
 
@@ -48,7 +51,7 @@
   item = cJSON_CreateObject ();
   cJSON_AddStringToObject (item, "verdict", verdict);
   cJSON_AddStringToObject (item, "reason", reason);
-  cJSON_AddNumberToObject (item, unit, n);
+  cJSON_AddNumberToObject (item, count_name, n);
   cJSON_AddItemToArray (list, item);
 }
 
--- a/src/reconciliation/reconciliation-admin-codec.h
+++ b/src/reconciliation/reconciliation-admin-codec.h
@@ -2,8 +2,7 @@
  * SECTION: reconciliation-admin-codec
  * @short_description: the administration API's JSON about reconciliations
  *
- * This codec is the only place that knows the names in these requests and responses, except for the names in archives:
- * see archive-codec.h.
+ * No other module encodes or decodes these requests and responses, except for archives: see archive-codec.h.
  */
 #pragma once
 #include "reconciliation.h"
--- a/src/reconciliation/reconciliation-admin.c
+++ b/src/reconciliation/reconciliation-admin.c
@@ -10,6 +10,8 @@
 #define PATH_QUARANTINE "reconciliation/quarantine/"
 #define PATH_ARCHIVES "reconciliations"
 
+#define RETRY_AFTER_S 1u /* sent with each response 503 */
+
 void
 hzb_reconciliation_add_metrics (HzbReconciliation *reconciliation, cJSON *metrics)
 {
@@ -22,7 +24,7 @@
 static void
 respond_error (HzbHttpRequest *http_request, guint status, const char *text)
 {
-  hzb_http_request_respond (http_request, status, hzb_error_response_encode (text), status == 503 ? 1 : 0);
+  hzb_http_request_respond (http_request, status, hzb_error_response_encode (text), status == 503 ? RETRY_AFTER_S : 0);
 }
 
 static void
@@ -78,7 +80,7 @@
 static void
 on_archive_read (guint status, char *body, gpointer user)
 {
-  hzb_http_request_respond (user, status, body, status == 503 ? 1 : 0);
+  hzb_http_request_respond (user, status, body, status == 503 ? RETRY_AFTER_S : 0);
 }
 
 static void
@@ -133,13 +135,13 @@
 gboolean
 hzb_reconciliation_admin_request (HzbReconciliation *reconciliation, HzbHttpRequest *http_request, const char *path)
 {
-  gboolean quarantine = g_str_has_prefix (path, PATH_QUARANTINE);
+  gboolean is_decision = g_str_has_prefix (path, PATH_QUARANTINE);
 
-  if (!quarantine && !g_str_equal (path, PATH_STATE) && !g_str_has_prefix (path, PATH_ARCHIVES))
+  if (!is_decision && !g_str_equal (path, PATH_STATE) && !g_str_has_prefix (path, PATH_ARCHIVES))
     return FALSE;
-  if (!g_str_equal (http_request->method, quarantine ? "POST" : "GET"))
-    respond_error (http_request, 405, quarantine ? "POST here" : "GET here");
-  else if (quarantine)
+  if (!g_str_equal (http_request->method, is_decision ? "POST" : "GET"))
+    respond_error (http_request, 405, is_decision ? "POST here" : "GET here");
+  else if (is_decision)
     handle_post_decision (reconciliation, http_request, path + strlen (PATH_QUARANTINE));
   else
     return handle_get (reconciliation, http_request, path);
--- a/src/reconciliation/reconciliation-codec.c
+++ b/src/reconciliation/reconciliation-codec.c
@@ -3,7 +3,8 @@
 #include "json.h"
 #include "user-protocol.h"
 
-#define MAX_ENTRY_BYTES 48u /* of a verdict on a page, without the job's id */
+/* Upper bound of the bytes that the JSON of a verdict takes on a page, without the job's uid. */
+#define ENTRY_OVERHEAD_BYTES 48u
 
 /* Positions in the array that encodes a verdict on a page. An array is shorter than an object, so a page holds more
  * verdicts. */
@@ -25,9 +26,9 @@
 
 /* Returns: FALSE, with an error */
 static gboolean
-set_malformed (GError **error, const char *what)
+set_malformed (GError **error, const char *description)
 {
-  g_set_error (error, HZB_RECONCILIATION_ERROR, HZB_RECONCILIATION_ERROR_MALFORMED, "%s", what);
+  g_set_error (error, HZB_RECONCILIATION_ERROR, HZB_RECONCILIATION_ERROR_MALFORMED, "%s", description);
   return FALSE;
 }
 
@@ -99,7 +100,7 @@
 gsize
 hzb_verdict_entry_bytes (const HzbVerdictEntry *entry)
 {
-  return strlen (entry->uid) + MAX_ENTRY_BYTES;
+  return strlen (entry->uid) + ENTRY_OVERHEAD_BYTES;
 }
 
 static void
--- a/src/reconciliation/reconciliation-codec.h
+++ b/src/reconciliation/reconciliation-codec.h
@@ -2,9 +2,10 @@
  * SECTION: reconciliation-codec
  * @short_description: the durable records of a reconciliation
  *
- * This codec is the only place that knows how these records are written. The keys of all records begin with
- * HZB_KEY_LEADER_RECORDS; versions without reconciliation skip them. A record that can't be read is an error: no value
- * in it is guessed.
+ * This codec is the only place that knows how these records are written. Their keys begin with
+ * HZB_KEY_LEADER_RECORDS, so a new leader loads them with its other records; a leader whose version has no
+ * reconciliation ignores them. A record with an invalid format, id or verdict can't be read: decoding fails instead of
+ * using a default. Names of a wrong length on a roster, and list entries that are not strings, are skipped.
  */
 #pragma once
 #include "verdicts.h"
@@ -17,7 +18,7 @@
 /** HzbReconciliationError: why a record or an archive can't be read. */
 typedef enum
 {
-  HZB_RECONCILIATION_ERROR_MALFORMED,     /**< neither this nor a later version wrote the record */
+  HZB_RECONCILIATION_ERROR_MALFORMED,     /**< its format is invalid, or a required field is missing or invalid */
   HZB_RECONCILIATION_ERROR_FUTURE_FORMAT, /**< a later version wrote the record or the archive */
   HZB_RECONCILIATION_ERROR_DAMAGED        /**< the archive was changed or truncated */
 } HzbReconciliationError;
--- a/src/reconciliation/reconciliation-load.c
+++ b/src/reconciliation/reconciliation-load.c
@@ -16,7 +16,7 @@
   if (tracked->phase == HZB_JOB_PHASE_RECORDED)
     return; /* a durable verdict does not change: the first page that names the job is used */
   tracked->entry = *entry;
-  tracked->entry.uid = uid;
+  tracked->entry.uid = uid; /* stays the same string: it is the key in tracked_jobs */
   hzb_reconciliation_set_phase (reconciliation, tracked, HZB_JOB_PHASE_RECORDED);
 }
 
@@ -85,7 +85,7 @@
 /* A leader without reconciliation (an earlier version, or switched off) writes flush records without a roster. If such
  * a leader has led since the record was written, the recorded verdicts no longer match the state of the jobs. */
 static gboolean
-is_outdated (const HzbReconciliation *reconciliation)
+is_record_outdated (const HzbReconciliation *reconciliation)
 {
   const HzbRoster *roster = &reconciliation->roster;
   return !roster->recorded && roster->flush_term > reconciliation->record.term;
@@ -94,7 +94,7 @@
 static void
 drop_outdated_record (HzbReconciliation *reconciliation)
 {
-  if (reconciliation->record_state == HZB_RECORD_STATE_UNFINISHED && is_outdated (reconciliation))
+  if (reconciliation->record_state == HZB_RECORD_STATE_UNFINISHED && is_record_outdated (reconciliation))
     {
       g_message ("reconciliation %" G_GUINT64_FORMAT
                  ": discarded the record and its verdicts: a leader of an earlier version, or with reconciliation "
--- a/src/reconciliation/reconciliation-private.h
+++ b/src/reconciliation/reconciliation-private.h
@@ -108,7 +108,7 @@
 /** hzb_recorder_finish: writes the archive once commands are no longer paced, then removes the verdicts. */
 void hzb_recorder_finish (HzbReconciliation *reconciliation, struct timespec now);
 
-/** hzb_recorder_clean_up: removes the pages of verdicts, and the record with the last of them. */
+/** hzb_recorder_clean_up: removes the pages of verdicts, and the record in the last transaction. */
 void hzb_recorder_clean_up (HzbReconciliation *reconciliation, struct timespec now);
 
 /** HzbReconciliation: the state shared by the source files. */
@@ -116,7 +116,7 @@
 {
   HzbReconciliationDependencies dependencies; /**< a copy of the struct passed to hzb_reconciliation_new() */
   HzbReconciliationState state;               /**< changed by hzb_reconciliation_set_state() only */
-  HzbStartReason start_reason;                /**< why this start is a cold start, or is none */
+  HzbStartReason start_reason;                /**< why this start is or is not a cold start */
   struct timespec began;                      /**< when all records had been read; in a cold start, when collecting
                                                    began */
   HzbRoster roster;                           /**< the controller processes that are alive */
@@ -125,7 +125,7 @@
   HzbStartPacing pacing;                      /**< pacing of commands after a cold start */
 
   /* The record and the verdicts. */
-  HzbReconciliationRecord record; /**< valid unless its state is NONE */
+  HzbReconciliationRecord record; /**< valid unless record_state is HZB_RECORD_STATE_NONE */
   HzbRecordState record_state;    /**< changed by hzb_reconciliation_set_record_state() only */
   GHashTable *tracked_jobs;       /**< uid -> HzbTrackedJob */
   guint open_jobs;                /**< number of tracked jobs without a verdict */
@@ -138,7 +138,7 @@
   guint command_counts[HZB_ARCHIVE_N_COMMAND_KINDS][HZB_ARCHIVE_SECONDS]; /**< as HzbArchive.commands */
 
   /* State of recorder.c. */
-  guint64 record_version; /**< version of the record in the key-value store; 0: it has no record */
+  guint64 record_version; /**< version of the record in the key-value store; 0: the store has no record */
   GPtrArray *page_keys;   /**< (element-type utf8): keys of the pages of verdicts in the key-value store */
   guint next_page;        /**< number of the next page */
   GPtrArray *in_flight; /**< (element-type HzbVerdictPage): pages in flight, of unknown outcome, or to be sent again */
--- a/src/reconciliation/reconciliation.h
+++ b/src/reconciliation/reconciliation.h
@@ -43,13 +43,13 @@
 {
   HzbNode *node;            /**< settings, clock and the name of this process */
   HzbKvClient *kv;          /**< writes the verdicts */
-  HzbKvReplica *kv_replica; /**< used by the quarantine's proofs */
+  HzbKvReplica *kv_replica; /**< used by the quarantine to prove that no record names a task */
   HzbElection *election;    /**< verdicts are written on condition of the leader's term */
   HzbOwnership *ownership;  /**< drops responses to requests of an earlier epoch */
   HzbPeers *peers;          /**< the other controllers, and which of them are alive */
   HzbJobs *jobs;            /**< the jobs to decide */
   HzbMachines *machines;    /**< the machines that may hold tasks of these jobs */
-  HzbDispatch *dispatch;    /**< is run at once when a verdict allows starts again */
+  HzbDispatch *dispatch;    /**< made due at once when a durable verdict permits commands for a job */
 } HzbReconciliationDependencies;
 
 /** hzb_reconciliation_new: `dependencies`: copied. Returns: (transfer full) */
@@ -127,5 +127,6 @@
 /** hzb_reconciliation_add_roster: puts the roster into the value of the flush record that is about to be written. */
 void hzb_reconciliation_add_roster (HzbReconciliation *reconciliation, cJSON *flush_record);
 
-/** hzb_reconciliation_complete_roster_write: ends the write of that flush record. `applied`: whether it is durable */
+/** hzb_reconciliation_complete_roster_write: ends the write of the flush record with the roster. `applied`: whether the
+ * flush record is durable */
 void hzb_reconciliation_complete_roster_write (HzbReconciliation *reconciliation, gboolean applied);
--- a/src/reconciliation/recorder.c
+++ b/src/reconciliation/recorder.c
@@ -13,6 +13,9 @@
 #define RETRY_S 0.5            /* after the key-value store refused a transaction or did not respond */
 #define ARCHIVE_RETRY_S 5.0    /* longer than RETRY_S: the archive is not urgent */
 #define PAGE_FILL_FRACTION 0.9 /* of the largest allowed value */
+
+/* A new page is begun only if its first verdict keeps the verdicts of the transaction within this size. The last page
+ * is filled even if the transaction then exceeds the size. */
 #define MAX_TRANSACTION_BYTES 40000u
 
 void
@@ -123,16 +126,16 @@
   g_autofree HzbEpochCall *epoch_call = user;
   HzbReconciliation *reconciliation = epoch_call->module;
   HzbKvEntry item = { 0 };
-  gboolean known;
+  gboolean value_read;
 
   if (!hzb_epoch_call_is_current (epoch_call))
     return;
-  known = result == HZB_KV_NOT_FOUND || (result == HZB_KV_OK && hzb_kv_entry_decode (body, &item));
+  value_read = result == HZB_KV_NOT_FOUND || (result == HZB_KV_OK && hzb_kv_entry_decode (body, &item));
   /* While the record is not durable, no page is in flight, so the value that was read is the record. The next attempt
    * to write the record is conditional on the version that was read. */
-  if (known && !record_is_durable (reconciliation))
+  if (value_read && !record_is_durable (reconciliation))
     reconciliation->record_version = item.version;
-  if (known && item.value && hzb_reconciliation_value_term (item.value) == reconciliation->record.term)
+  if (value_read && item.value && hzb_reconciliation_value_term (item.value) == reconciliation->record.term)
     mark_written (reconciliation);
   else
     schedule_retry (reconciliation);
@@ -248,7 +251,7 @@
 }
 
 /* Removes the last pages first, and the record together with the first ones: as long as the record exists, the next
- * leader continues the reconciliation. */
+ * leader continues the reconciliation. One change of each transaction is reserved for the removal of the record. */
 void
 hzb_recorder_clean_up (HzbReconciliation *reconciliation, struct timespec now)
 {
--- a/src/reconciliation/report.c
+++ b/src/reconciliation/report.c
@@ -2,9 +2,14 @@
 
 #include <time.h>
 
+/* Sizes of a plot, in pixels. A bar with the gap after it is BAR_WIDTH wide. */
 #define PLOT_WIDTH 720
-#define PLOT_HEIGHT 140
+#define PLOT_HEIGHT 140 /* of the highest bar */
 #define BAR_WIDTH (PLOT_WIDTH / (int) HZB_ARCHIVE_SECONDS)
+#define BAR_GAP 2
+#define LABELS_HEIGHT 20   /* of the time labels below the bars */
+#define LABELS_BASELINE 14 /* from the foot of the bars to the baseline of the labels */
+
 #define MAX_TABLE_ROWS 200u /* of the table of jobs; further jobs are in the archive only */
 
 /* ---- contents of both reports ---- */
@@ -142,18 +147,18 @@
 append_plot (GString *out, const char *title, const guint *values, guint highest)
 {
   g_string_append_printf (out, "<h3>%s a second, at most %u</h3>\n<svg width=\"%d\" height=\"%d\" role=\"img\">\n",
-                          title, highest, PLOT_WIDTH, PLOT_HEIGHT + 20);
+                          title, highest, PLOT_WIDTH, PLOT_HEIGHT + LABELS_HEIGHT);
   for (guint second = 0; second < HZB_ARCHIVE_SECONDS; second++)
     {
       int height = highest ? (int) ((guint64) values[second] * PLOT_HEIGHT / highest) : 0;
       g_string_append_printf (out,
                               "<rect x=\"%d\" y=\"%d\" width=\"%d\" height=\"%d\" fill=\"#36c\"><title>second %u: %u"
                               "</title></rect>\n",
-                              (int) second * BAR_WIDTH, PLOT_HEIGHT - height, BAR_WIDTH - 2, height, second,
+                              (int) second * BAR_WIDTH, PLOT_HEIGHT - height, BAR_WIDTH - BAR_GAP, height, second,
                               values[second]);
       if (second % 10 == 0)
         g_string_append_printf (out, "<text x=\"%d\" y=\"%d\" font-size=\"11\">%u s</text>\n", (int) second * BAR_WIDTH,
-                                PLOT_HEIGHT + 14, second);
+                                PLOT_HEIGHT + LABELS_BASELINE, second);
     }
   g_string_append (out, "</svg>\n");
 }
--- a/src/reconciliation/roster.c
+++ b/src/reconciliation/roster.c
@@ -40,9 +40,10 @@
   roster->recorded = recorded;
 }
 
-/* Returns: the number of peers that the roster has room for, besides this process. */
+/* Returns: the number of peers, counted from the first one in the settings, that may be put on the roster. One place is
+ * reserved for this process. */
 static guint
-n_peers (const HzbRoster *roster)
+n_roster_peers (const HzbRoster *roster)
 {
   return MIN (roster->node->settings->peers->len, HZB_ROSTER_MAX_PROCESSES - 1);
 }
@@ -58,14 +59,14 @@
 gboolean
 hzb_roster_is_due (const HzbRoster *roster)
 {
-  const GPtrArray *named = roster->sent ? roster->sent : roster->recorded;
+  const GPtrArray *processes = roster->sent ? roster->sent : roster->recorded;
 
-  if (!has_process (named, roster->node->incarnation))
+  if (!has_process (processes, roster->node->incarnation))
     return TRUE;
-  for (guint i = 0; i < n_peers (roster); i++)
+  for (guint i = 0; i < n_roster_peers (roster); i++)
     {
       const char *incarnation = peer_incarnation (roster, i);
-      if (incarnation && !has_process (named, incarnation))
+      if (incarnation && !has_process (processes, incarnation))
         return TRUE;
     }
   return FALSE;
@@ -84,7 +85,7 @@
   g_clear_pointer (&roster->sent, g_ptr_array_unref);
   roster->sent = g_ptr_array_new_with_free_func (g_free);
   g_ptr_array_add (roster->sent, g_strndup (roster->node->incarnation, HZB_ROSTER_NAME_CHARS));
-  for (guint i = 0; i < n_peers (roster); i++)
+  for (guint i = 0; i < n_roster_peers (roster); i++)
     {
       const char *incarnation = peer_incarnation (roster, i);
       if (incarnation)
--- a/src/reconciliation/roster.h
+++ b/src/reconciliation/roster.h
@@ -13,9 +13,9 @@
 #include <cjson/cJSON.h>
 
 /**
- * HZB_ROSTER_MAX_PROCESSES: maximum number of processes on a roster, so that the flush record fits the smallest
- * allowed value of the key-value store. Larger clusters lose nothing: one survivor among so many processes is evidence
- * enough.
+ * HZB_ROSTER_MAX_PROCESSES: maximum number of processes on a roster. It bounds the size of the flush record, since the
+ * key-value store limits the size of a value. A larger cluster needs no longer roster: one survivor among the
+ * processes on the roster is enough evidence that a start is a failover.
  */
 #define HZB_ROSTER_MAX_PROCESSES 90u
 
--- a/src/reconciliation/verdicts.c
+++ b/src/reconciliation/verdicts.c
@@ -140,8 +140,8 @@
                        deciding_reason);
 }
 
-/* The lack of a job record on this node alone is no reason to stop a task: the transaction that accepts the job may be
- * carried out late, and the completion record of an old job is in the archive. */
+/* That this node has no record of the job is not a sufficient reason to stop its task: the transaction that accepts the
+ * job may be carried out late, and the completion record of an old job is among the archived completions. */
 static HzbTaskVerdict
 decide_unrecorded (const HzbTaskEvidence *evidence, HzbTaskReason *reason)
 {
--- a/src/reconciliation/verdicts.h
+++ b/src/reconciliation/verdicts.h
@@ -91,7 +91,8 @@
   gboolean cancelled;        /**< the job's cancellation is on record */
   guint tasks;               /**< number of tasks of the job */
   guint released;            /**< the released mark on record: only tasks below this number may have been started */
-  guint placed;              /**< number of tasks that were found on machines that have answered */
+  guint placed;              /**< number of tasks that were found on machines that have answered; only recorded with
+                                the verdict, which does not depend on it */
   guint results;             /**< number of tasks with a result, durable or not */
   guint unconfirmed;         /**< number of tasks that may run on a machine that has not answered */
   gboolean machines_awaited; /**< a machine that has not answered may hold a task of the job */
@@ -154,9 +155,12 @@
                                            terminal */
   HZB_TASK_REASON_JOB_UNDECIDED,        /**< await: its job has no durable verdict, so no command is sent */
   HZB_TASK_REASON_ABSENCE_UNPROVEN,     /**< quarantine: it is not proven that no record names the task */
-  HZB_TASK_REASON_OPERATOR_AWAITED,     /**< quarantine: proven, and an operator still has time to decide */
-  HZB_TASK_REASON_KEPT_BY_OPERATOR,     /**< quarantine: proven, and an operator wants it kept */
-  HZB_TASK_REASON_NO_RECORD,            /**< stop or reap: proven, and no operator wants it kept */
+  HZB_TASK_REASON_OPERATOR_AWAITED,     /**< quarantine: it is proven that no record names the task, and an operator
+                                           still has time to decide */
+  HZB_TASK_REASON_KEPT_BY_OPERATOR,     /**< quarantine: it is proven that no record names the task, and an operator
+                                           wants it kept */
+  HZB_TASK_REASON_NO_RECORD,            /**< stop or reap: it is proven that no record names the task, and no operator
+                                           wants it kept */
   HZB_TASK_N_REASONS                    /**< number of reasons */
 } HzbTaskReason;
 
@@ -175,7 +179,7 @@
 {
   HZB_KNOWN_UNPLACED,         /**< the task is pending or unconfirmed, or the leader does not know it */
   HZB_KNOWN_PLACED_HERE,      /**< this attempt is on the machine whose heartbeat reports it */
-  HZB_KNOWN_PLACED_ELSEWHERE, /**< another attempt, or this attempt on another machine */
+  HZB_KNOWN_PLACED_ELSEWHERE, /**< another attempt of the task is placed, or this attempt is on another machine */
   HZB_KNOWN_RESULT,           /**< the task's result is known and not durable yet */
   HZB_KNOWN_RESULT_DURABLE    /**< the task's result is durable */
 } HzbLeaderEvidence;
--- a/src/records/completed-job-archive.c
+++ b/src/records/completed-job-archive.c
@@ -6,13 +6,13 @@
 
 #define MIN_INTERVAL_S 1.0       /* minimum time between two transactions */
 #define WRITE_RATE_FRACTION 0.15 /* fraction of the key-value store's write rate that archiving may use */
-#define CHANGES_PER_JOB 2u       /* its record is put below the archive's key, and deleted below the old one */
+#define CHANGES_PER_JOB 2u       /* one put of the job's archive key, and one deletion of the job's record key */
 
 struct _HzbCompletedJobArchive
 {
   HzbCompletedJobArchiveDependencies dependencies;
-  gboolean in_flight;               /* a transaction was sent and not answered yet */
-  struct timespec next_transaction; /* no transaction is sent before it */
+  gboolean in_flight;               /* a transaction was sent, and its answer has not arrived */
+  struct timespec next_transaction; /* no transaction is sent before this time */
 };
 
 HzbCompletedJobArchive *
@@ -36,7 +36,7 @@
 }
 
 static gboolean
-contains_record_of (const GPtrArray *keys, const HzbJob *job)
+contains_key_of_job (const GPtrArray *keys, const HzbJob *job)
 {
   for (guint i = 0; keys && i < keys->len; i++)
     if (g_str_has_suffix (keys->pdata[i], job->uid))
@@ -60,10 +60,11 @@
   for (guint i = 0; i < uids->len; i++)
     {
       HzbJob *job = hzb_jobs_find (archive->dependencies.jobs, uids->pdata[i]);
-      /* If the comparison of a job's record failed, an earlier leader has moved the record, which the replica of the
-       * records will show. The job stays marked as archiving, so that this leader does not try again. */
+      /* If the comparison of a job's record failed, an earlier transaction (such as one of an earlier leader) has moved
+       * the record, and the replica of the records will deliver its removal. The job stays marked as archiving, so that
+       * this leader does not try again. */
       if (job)
-        job->archiving = contains_record_of (failed_keys, job);
+        job->archiving = contains_key_of_job (failed_keys, job);
     }
 }
 
--- a/src/records/job-completion.c
+++ b/src/records/job-completion.c
@@ -3,7 +3,8 @@
 #include "record-keys.h"
 #include "records-private.h"
 
-/* The replica of the records delivers the job's record too, but the answer to the transaction may arrive first. */
+/* Applies the recorded completion to the job in memory. The replica of the records delivers the same record, but
+ * possibly later than the answer to the transaction. */
 static void
 apply_done (HzbJobs *jobs, const HzbJob *job, const char *body)
 {
--- a/src/records/job-progress.h
+++ b/src/records/job-progress.h
@@ -3,8 +3,8 @@
  * @short_description: converts a job's progress between the job in memory and its progress records
  *
  * A job's progress is recorded in chunks. A chunk is a slice of the job's tasks whose progress is stored together, and
- * fits into a value of the key-value store. A chunk states which of its tasks have finished, and the number below which
- * tasks of the job may have been started (the released mark).
+ * fits into a value of the key-value store. A chunk states which of its tasks have finished, and the job's released
+ * mark: the job's tasks with a lower number may have been started.
  * records-codec.h defines the stored form.
  */
 #pragma once
@@ -12,7 +12,8 @@
 #include "records-codec.h"
 
 /**
- * hzb_job_count_chunks: Returns: the number of chunks of the job's progress, at the chunk size that this version writes
+ * hzb_job_count_chunks: Returns: the number of chunks of the job's progress, at the chunk size that this version of the
+ * controller writes
  */
 guint hzb_job_count_chunks (const HzbJobs *jobs, const HzbJob *job);
 
@@ -29,8 +30,8 @@
  * become done, and the other pending tasks of the job below the released mark become unconfirmed.
  * - `job`: with its tasks in memory
  * - `chunk_number`: number of the chunk, at the chunk size that `record` states
- * - `has_current_layout`: (out): whether this version would divide the job into the same chunks; unset if FALSE is
- *   returned
+ * - `has_current_layout`: (out): whether this version of the controller would divide the job into the same chunks;
+ *   unset if FALSE is returned
  *
  * Returns: FALSE, without a change, if the job has no such chunk
  */
--- a/src/records/record-flush-outcome.c
+++ b/src/records/record-flush-outcome.c
@@ -1,15 +1,17 @@
 /* The outcome of a flush.
  *
- * If the key-value store has carried out the transaction, its contents are durable and are applied in memory. If the
- * store has refused the transaction, the leader writes all of the contents again. If there is no answer, or the answer
- * is a conflict (the flush record has changed meanwhile), the leader reads the flush record: it has the flush's number
- * if and only if the flush was carried out. If the flush was not carried out, the next flush changes the record's
- * version, so the earlier transaction fails even if the store executes it late. */
+ * If the key-value store has carried out the transaction, the contents of the flush are durable, and the leader applies
+ * them in memory. If the store has refused the transaction, the leader writes all of the contents again. If there is
+ * no answer, or the answer is a conflict (the flush record has changed meanwhile), the leader reads the flush record,
+ * which has the flush's number if and only if the flush was carried out. If the flush was not carried out, the next
+ * flush changes the flush record's version, so the earlier transaction fails even if the store executes it late. */
 #include "record-keys.h"
 #include "records-codec.h"
 #include "records-private.h"
 
-#define REFUSED_RETRY_DELAY_S 0.5 /* before the next attempt; an outage may last for minutes */
+/* Pause after a refused flush, and after a failed read of the flush record. It limits the number of requests during an
+ * outage of the store, which may last for minutes. */
+#define RETRY_DELAY_S 0.5
 
 /* ---- applying a durable flush ---- */
 
@@ -65,7 +67,8 @@
   records->replacements_pending = records->retiring_pages > 0;
 }
 
-/* Undoes what was noted in memory when the flush was sent. The flush was not carried out and never will be. */
+/* Resets the marks that were set on jobs, machines, acceptances and pages when the flush was sent, so that their
+ * contents are written again. The flush was not carried out and never will be. */
 static void
 revert_flush (HzbRecords *records, const HzbFlush *flush)
 {
@@ -118,7 +121,7 @@
 static void
 pause_flushes (HzbRecords *records)
 {
-  records->next_flush = hzb_time_plus (hzb_clock_now (records->dependencies.node->clock), REFUSED_RETRY_DELAY_S);
+  records->next_flush = hzb_time_plus (hzb_clock_now (records->dependencies.node->clock), RETRY_DELAY_S);
 }
 
 void
@@ -127,7 +130,8 @@
   g_clear_pointer (&records->unresolved, drop_call);
 }
 
-/* Decodes the flush record and notes its version. Returns: FALSE if the flush record could not be read. */
+/* Decodes the answer to a read of the flush record, and stores the record's version. If there is no flush record, all
+ * numbers of `record` are 0. Returns: FALSE if the flush record could not be read. */
 static gboolean
 decode_flush_record_answer (HzbRecords *records, HzbKvResult result, const char *body, HzbFlushRecord *record)
 {
--- a/src/records/record-flush.c
+++ b/src/records/record-flush.c
@@ -1,19 +1,21 @@
 /* Writes the pages, one transaction at a time.
  *
  * Each transaction raises the number in the flush record, and is conditional on the version that the previous
- * transaction gave that record. So a transaction that is executed late, or twice, fails. Without this condition an
- * older set of results could overwrite a newer one of the same term. record-flush-outcome.c determines the outcome of
- * each transaction. */
+ * transaction gave that record. So a transaction that is executed late, or a second time, fails. Without this condition
+ * the pages of an older transaction could overwrite those of a newer one of the same term. record-flush-outcome.c
+ * determines the outcome of each transaction. */
 #include "job-progress.h"
 #include "record-keys.h"
 #include "records-codec.h"
 #include "records-private.h"
 
-#define FLUSH_INTERVAL_S 0.1 /* minimum time between flushes: records that tasks wait for are written this often */
+#define FLUSH_INTERVAL_S 0.1 /* minimum time between flushes, and so between writings of a page that tasks wait for */
 #define ACCEPTANCE_REMOVAL_INTERVAL_S 3.0 /* minimum time between removals of acceptance records */
-#define TRANSACTION_BYTES 52000u /* of pages; the key-value store takes 64 KiB including the rest of the request */
-#define MIN_RELEASE_STEP 64u     /* tasks */
-#define RELEASE_STEPS 32u        /* number of steps in which a large job is released */
+/* Maximum size of the pages in a transaction of several pages. The key-value store accepts requests of up to 64 KiB,
+ * which include more than the pages. */
+#define TRANSACTION_BYTES 52000u
+#define MIN_RELEASE_STEP 64u /* minimum number of tasks that are released at once */
+#define RELEASE_STEPS 32u    /* number of steps in which a large job is released */
 
 /* ---- the contents of a flush ---- */
 
@@ -74,8 +76,9 @@
              : MAX (MIN_RELEASE_STEP, job->n_tasks / RELEASE_STEPS);
 }
 
+/* Raises the released mark that the flush is about to write, if the job needs it. */
 static void
-extend_release (HzbJob *job)
+raise_releasing_mark (HzbJob *job)
 {
   if (hzb_records_job_needs_release (job))
     job->releasing = MIN (job->n_tasks, job->releasing + release_step (job));
@@ -108,7 +111,7 @@
     {
       const HzbPageChunk *chunk = &g_array_index (page->chunks, HzbPageChunk, i);
       HzbProgressChunk entry = { .uid = g_strdup (chunk->job->uid), .number = chunk->number };
-      extend_release (chunk->job);
+      raise_releasing_mark (chunk->job);
       g_ptr_array_add (flush->chunks, flushed_chunk_new (jobs, chunk->job, chunk->number));
       hzb_job_pack_progress (jobs, chunk->job, chunk->number, &entry.progress);
       g_array_append_val (entries, entry);
@@ -142,7 +145,7 @@
   return hzb_machine_page_encode (entries);
 }
 
-/* Writes the page, or removes it if it is empty. */
+/* Adds the page to the transaction: its current contents, or its removal if it is empty. */
 static void
 put_page (HzbRecords *records, HzbPage *page, HzbKvTransaction *transaction, HzbFlush *flush, struct timespec now)
 {
@@ -183,7 +186,8 @@
 
 /* ---- acceptance records ---- */
 
-/* An acceptance record is removed when all of its jobs are terminal, if the pages leave changes for that. */
+/* Returns: whether the next flush may remove acceptance records. An acceptance record is removed after all of its jobs
+ * have become terminal, by a flush whose pages do not use up the changes that a transaction may have. */
 static gboolean
 acceptances_due (const HzbRecords *records, struct timespec now)
 {
@@ -208,7 +212,8 @@
 
 /* ---- the flush ---- */
 
-/* Returns: (transfer full): a transaction with the conditions of a flush, which writes the flush record. */
+/* Returns: (transfer full): a transaction that writes the flush record with the roster of controllers, and is
+ * conditional on this node's leadership and on the flush record's version. */
 static HzbKvTransaction *
 begin_transaction (const HzbRecords *records, const HzbFlush *flush)
 {
--- a/src/records/record-pages.c
+++ b/src/records/record-pages.c
@@ -3,9 +3,12 @@
 
 #include <string.h>
 
-#define PAGE_BYTES 12000u       /* a page is written as a whole, so a larger one costs too much for one job's change */
-#define PAGE_VALUE_FRACTION 0.9 /* fraction of the largest value that the key-value store takes; sizes are estimates */
-/* Bytes of an entry besides its names (uid and team of a chunk; name, type and zone of a machine). */
+/* Maximum size of a page. A page is written as a whole, so the change of a single job on a larger page would cause too
+ * many bytes to be written. */
+#define PAGE_BYTES 12000u
+/* Fraction of the key-value store's maximum size of a value that a page may fill: sizes of pages are only estimates. */
+#define PAGE_VALUE_FRACTION 0.9
+/* Estimated size of an entry without its texts (uid and team of a chunk; name, type and zone of a machine). */
 #define CHUNK_BYTES 120u
 #define MACHINE_BYTES 85u
 #define TASKS_PER_BYTE 6u /* base 64 stores the bits of six tasks in a character */
@@ -39,6 +42,7 @@
   return page;
 }
 
+/* Returns: (nullable) (transfer none): the page. NULL: there is none, or `number` is 0, which stands for no page. */
 static HzbPage *
 find_page (HzbPages *pages, guint number, gboolean of_machines)
 {
@@ -109,7 +113,7 @@
 }
 
 static void
-drop_chunks_of (HzbPage *page, const HzbJob *job)
+drop_job_chunks (HzbPage *page, const HzbJob *job)
 {
   for (guint i = page->chunks->len; i-- > 0;)
     {
@@ -126,7 +130,7 @@
 hzb_pages_drop_job (HzbPages *pages, HzbJob *job)
 {
   for (guint i = 0; job->on_pages && i < pages->all->len; i++)
-    drop_chunks_of (pages->all->pdata[i], job);
+    drop_job_chunks (pages->all->pdata[i], job);
   job->on_pages = FALSE;
 }
 
--- a/src/records/record-pages.h
+++ b/src/records/record-pages.h
@@ -40,12 +40,12 @@
 typedef struct
 {
   const HzbJobs *jobs;         /**< (not owned) */
-  const HzbSettings *settings; /**< (not owned): the maximum size of a value */
+  const HzbSettings *settings; /**< (not owned): give the maximum size of a value of the key-value store */
   GPtrArray *all;              /**< (element-type HzbPage): owned */
   guint max_number;            /**< the highest page number used so far */
 } HzbPages;
 
-/** hzb_pages_init: makes `pages` empty. The arguments are not owned, and outlive `pages`. */
+/** hzb_pages_init: initializes `pages` as empty. `jobs` and `settings` are not owned, and must outlive `pages`. */
 void hzb_pages_init (HzbPages *pages, const HzbJobs *jobs, const HzbSettings *settings);
 
 /**
@@ -54,7 +54,10 @@
  */
 void hzb_pages_clear (HzbPages *pages);
 
-/** hzb_pages_free_all: frees all pages and the list of pages, and not `pages` itself, which is unusable afterwards. */
+/**
+ * hzb_pages_free_all: frees all pages and the list of pages, but not the HzbPages struct. `pages` may not be used
+ * afterwards.
+ */
 void hzb_pages_free_all (HzbPages *pages);
 
 /** hzb_page_new: Returns: (transfer none): a new empty page with the number, owned by `pages` */
--- a/src/records/records-codec.c
+++ b/src/records/records-codec.c
@@ -59,6 +59,7 @@
 void
 hzb_progress_record_decode (const cJSON *value, HzbProgressRecord *record)
 {
+  /* A record of schema version 1, or of a job with one chunk, does not state the chunk size. */
   double chunk_tasks = hzb_json_number (value, "of", HZB_SCHEMA_1_CHUNK_TASKS);
   const char *finished = hzb_json_text (value, "done");
 
@@ -111,7 +112,7 @@
     {
       const char *slash = strrchr (entry->string, '/');
       HzbProgressChunk chunk = { 0 };
-      if (slash)
+      if (slash) /* else the name is malformed, and the uid stays NULL */
         {
           chunk.uid = g_strndup (entry->string, (gsize) (slash - entry->string));
           chunk.number = (guint) g_ascii_strtoull (slash + 1, NULL, 10);
--- a/src/records/records-private.h
+++ b/src/records/records-private.h
@@ -10,7 +10,7 @@
 #include "record-pages.h"
 #include "records.h"
 
-/** HzbFlushState: the state of the flush, of which at most one is in flight; see hzb_records_set_flush_state(). */
+/** HzbFlushState: the state of the flush. At most one flush is in flight. Set by hzb_records_set_flush_state(). */
 typedef enum
 {
   HZB_FLUSH_IDLE,       /**< no flush is in flight */
@@ -34,9 +34,9 @@
   guint64 flush_version;      /**< version of the flush record after the last flush; 0: there is no flush record */
   guint64 flush_number;       /**< number of the last flush that was sent */
   HzbFlushState flush_state;  /**< changed by hzb_records_set_flush_state() only */
-  HzbEpochCall *unresolved;   /**< (nullable): call with the HzbFlush in state %HZB_FLUSH_UNRESOLVED; else NULL */
-  struct timespec next_flush; /**< no flush is sent, and no unresolved flush is resolved, before it */
-  struct timespec next_acceptance_removal; /**< no acceptance records are removed before it */
+  HzbEpochCall *unresolved;   /**< (nullable): call with the unresolved HzbFlush; NULL unless %HZB_FLUSH_UNRESOLVED */
+  struct timespec next_flush; /**< no flush is sent, and no unresolved flush is resolved, before this time */
+  struct timespec next_acceptance_removal; /**< no acceptance records are removed before this time */
 };
 
 /**
@@ -50,19 +50,24 @@
   GArray *finished;    /**< (element-type guint): numbers of the finished tasks that are to become done */
 } HzbFlushedChunk;
 
-/** HzbFlush: one transaction of pages. */
+/** HzbFlush: the contents of one flush that are applied in memory if it is carried out, and reverted otherwise. */
 typedef struct
 {
-  guint64 number;         /**< value of the flush record's number after the transaction was carried out */
+  guint64 number;         /**< the number that the flush's transaction writes into the flush record */
   GPtrArray *chunks;      /**< (element-type HzbFlushedChunk) */
   GPtrArray *machines;    /**< (element-type utf8): names of machines that are recorded for the first time */
   GPtrArray *acceptances; /**< (element-type utf8): keys of the acceptance records that are removed */
 } HzbFlush;
 
-/** hzb_flush_new: `number`: of the flush. Returns: (transfer full): a flush without contents */
+/**
+ * hzb_flush_new: creates the description of a flush.
+ * - `number`: number of the flush
+ *
+ * Returns: (transfer full): a flush without contents
+ */
 HzbFlush *hzb_flush_new (guint64 number);
 
-/** hzb_flush_free: frees the description of the flush. Neither memory nor stored records change otherwise. */
+/** hzb_flush_free: frees the description of the flush. Does not apply or revert the flush. */
 void hzb_flush_free (HzbFlush *flush);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbFlush, hzb_flush_free)
 
@@ -81,9 +86,9 @@
 GPtrArray *hzb_records_select_pages (HzbRecords *records, struct timespec now);
 
 /**
- * hzb_records_job_needs_release: Returns: whether the next writing of the job's progress is to raise the job's released
- * mark: the job is accepted, a machine could take tasks beyond the mark (HzbJob.release_requested, which is cleared
- * when the mark is raised), and the mark is below the number of the job's tasks
+ * hzb_records_job_needs_release: Returns: whether the next flush with the job's progress raises the job's released
+ * mark. This is so if the job is accepted, the machines have capacity for tasks beyond the mark
+ * (HzbJob.release_requested, which the flush clears), and the mark is below the number of the job's tasks.
  */
 gboolean hzb_records_job_needs_release (const HzbJob *job);
 
--- a/src/records/records.h
+++ b/src/records/records.h
@@ -26,15 +26,15 @@
 typedef struct
 {
   const HzbNode *node;                 /**< settings and clock */
-  HzbKvClient *kv;                     /**< the store that has the records */
-  HzbJobs *jobs;                       /**< their progress is recorded */
+  HzbKvClient *kv;                     /**< client of the store that has the records */
+  HzbJobs *jobs;                       /**< the jobs whose progress is recorded */
   HzbMachines *machines;               /**< the machines to record */
   HzbDispatch *dispatch;               /**< runs at once when a flush that tasks waited for is durable */
   HzbElection *election;               /**< leader's term, on which every transaction is conditional */
-  HzbOwnership *ownership;             /**< its epochs show which answers belong to requests of an earlier epoch */
-  HzbCancellations *cancellations;     /**< the flush record states up to which revision they are acknowledged */
+  HzbOwnership *ownership;             /**< its epoch shows whether an answer belongs to an outdated request */
+  HzbCancellations *cancellations;     /**< give the acknowledged revision of cancellations for the flush record */
   HzbReconciliation *reconciliation;   /**< adds its roster of controllers to the flush record */
-  HzbCompletedJobArchive *job_archive; /**< its tick is called before each flush */
+  HzbCompletedJobArchive *job_archive; /**< hzb_records_flush_if_due() calls its tick */
 } HzbRecordsDependencies;
 
 /** HzbRecordsCallbacks: the functions of the module that created the records. */
@@ -83,9 +83,9 @@
 void hzb_records_flush_if_due (HzbRecords *records);
 
 /**
- * hzb_records_complete_job: records that the job is done, unless the job has been cancelled or the transaction is in
- * flight already. Called when all tasks of the job have finished; if the transaction fails, the caller calls again
- * later.
+ * hzb_records_complete_job: records that the job is done. Does nothing if this node does not lead, if the job's state
+ * is not accepted (such as cancelled), or if the transaction for this job is in flight already. Called when all tasks
+ * of the job have finished; if the transaction fails, the caller calls again later.
  */
 void hzb_records_complete_job (HzbRecords *records, HzbJob *job);
 
--- a/src/scheduling/autoscaler.c
+++ b/src/scheduling/autoscaler.c
@@ -3,12 +3,13 @@
 #define DEFAULT_MAX_IDLE_S 40
 #define DEFAULT_START_SLACK_FRACTION 0.6
 
-/* The pause after a refusal grows by this factor with each further refusal of the kind. */
+/* After the cloud has refused a kind of machines, the autoscaler does not request that kind during a pause. Each
+ * further refusal in a row lengthens the pause by this factor, within the bounds below. */
 #define REFUSAL_PAUSE_GROWTH 1.5
 #define MIN_REFUSAL_PAUSE_S 6
 #define MAX_REFUSAL_PAUSE_S 30
 
-/* The last refusal of a kind of machines. */
+/* The pause in requests for one kind of machines, since the cloud last refused that kind. */
 typedef struct
 {
   struct timespec until; /* end of the pause */
--- a/src/scheduling/autoscaler.h
+++ b/src/scheduling/autoscaler.h
@@ -5,7 +5,8 @@
  * The autoscaler: decides how many machines of which kinds to rent and to return.
  *
  * The autoscaler only decides; provisioning sends the requests to the cloud. demand.h computes demand and supply,
- * scale-out.c requests machines where supply is short, and scale-in.c returns surplus machines.
+ * scale-out.c requests machines where supply is short, and scale-in.c returns surplus machines. A kind of machines is a
+ * machine type in one zone, either spot or on-demand.
  */
 #pragma once
 #include "machines.h"
@@ -29,7 +30,8 @@
   double max_idle_s;           /**< Parameter: seconds that a machine without work is kept. */
   double start_slack_fraction; /**< Parameter: waiting work should start within this fraction of the time that its
                                   objectives leave. */
-  double smoothed_units;       /**< Units wanted by all demands, smoothed over about twelve seconds, see scale-in.c. */
+  double smoothed_units;       /**< Units (CPUs or GPUs, see demand.h) that all demands together want, smoothed over
+                                  about twelve seconds, see scale-in.c. */
 } HzbAutoscaler;
 
 /**
@@ -60,8 +62,8 @@
  */
 GPtrArray *hzb_autoscaler_scale_in (HzbAutoscaler *autoscaler, struct timespec now);
 
-/** hzb_autoscaler_record_refusal: records that the cloud refused the request for lack of machines of this kind, which
- * is not requested again for 6 to 30 seconds. */
+/** hzb_autoscaler_record_refusal: records that the cloud refused the request for lack of machines of this kind. The
+ * autoscaler does not request this kind again for 6 to 30 seconds. */
 void hzb_autoscaler_record_refusal (HzbAutoscaler *autoscaler, const HzbScaleOutRequest *request, struct timespec now);
 
 /** hzb_autoscaler_record_grant: records that the cloud granted the request, which ends the pause for this kind. */
--- a/src/scheduling/consolidation.c
+++ b/src/scheduling/consolidation.c
@@ -37,7 +37,8 @@
          && hzb_time_between (task->since, now) >= MIN_MOVE_TIME_S;
 }
 
-/* CPUs of the tasks that have to move to other machines so that the machine is empty soon. Below 0: one of these tasks
+/* CPUs of the tasks that have to move to other machines so that the machine is empty soon. Tasks that are expected to
+ * end soon, are stopping already, or await a verdict are not counted. 0: no task has to move. Below 0: one of the tasks
  * cannot be moved, or is a replica, whose interruption costs more than the machine does. */
 static double
 cpus_to_move (const HzbMachine *machine, struct timespec now)
@@ -58,7 +59,8 @@
   return cpus;
 }
 
-/* Marks the tasks to be moved for stopping. The answer to the machine's next heartbeat carries the stop commands. */
+/* Marks all tasks on the machine as stopping, except those that are expected to end soon. The response to the machine's
+ * next heartbeat carries the stop commands. */
 static void
 stop_tasks_to_move (HzbMachine *machine, struct timespec now)
 {
--- a/src/scheduling/demand.c
+++ b/src/scheduling/demand.c
@@ -28,7 +28,7 @@
   const HzbAutoscaler *autoscaler;
   struct timespec now;
   GPtrArray *all;                /* HzbDemand, collected so far */
-  double *cpus_left, *gpus_left; /* by team: of its limit, what the jobs examined so far leave */
+  double *cpus_left, *gpus_left; /* by team: the part of the team's limit that the jobs examined so far do not use */
 } Collection;
 
 static void
@@ -160,8 +160,8 @@
   return CLAMP (autoscaler->start_slack_fraction * slack, MIN_START_WITHIN_S, MAX_START_WITHIN_S);
 }
 
-/* Number of tasks on machines that take no new tasks. Such a task ends there or is moved, and needs no other machine
- * until then. */
+/* Number of tasks on scale-in candidates and on machines that the leader has recalled from a leaseholder. These
+ * machines take no new tasks. Such a task ends there or is moved, and needs no other machine until then. */
 static guint
 tasks_on_leaving_machines (const HzbJob *job)
 {
@@ -234,8 +234,8 @@
   collection->cpus_left[job->team] -= (job->placed - placed) * spec->cpus;
   collection->gpus_left[job->team] -= (job->placed - placed) * spec->gpus;
   tasks = job->pending + job->queued + job->unconfirmed + placed;
-  /* A job that has only failed so far runs one task at a time, and gets no more machines than one further task
-   * takes. */
+  /* A job that has failed, and of which no task has succeeded or run for a while, runs one task at a time. Its demand
+   * covers at most one task in addition to the placed ones. */
   if (job->failures && !job->proven_runnable)
     tasks = MIN (tasks, placed + 1);
   runnable = limit_to_quota (collection, job, tasks);
@@ -273,8 +273,8 @@
     }
 }
 
-/* Sorts the demand with the longest name first. The name lists the types that hold a task, and the constraints on the
- * choice among them. */
+/* Sorts demands by decreasing length of their names. The name lists the types that hold a task, and the constraints on
+ * the choice among them. */
 static gint
 compare_name_lengths (gconstpointer a, gconstpointer b)
 {
--- a/src/scheduling/dispatch-start.c
+++ b/src/scheduling/dispatch-start.c
@@ -89,7 +89,8 @@
   return NULL;
 }
 
-/* Starts the reserved tasks. They need no check for room, which they have used since it was reserved. */
+/* Starts the reserved tasks, without a check for room: each has taken its resources of the machine since it was
+ * reserved. */
 static void
 start_reserved_tasks (const HeartbeatResponse *response)
 {
@@ -122,7 +123,7 @@
 /* ---- tasks in other machines' run queues ---- */
 
 /* Whether the task is a replica that should stay queued on a machine that has its image: it starts sooner there, even
- * if that machine sends its heartbeat later. The wait is bounded. */
+ * if that machine sends its heartbeat later. The task waits for at most two heartbeat intervals. */
 static gboolean
 replica_waits_for_image (const HeartbeatResponse *response, const HzbTask *task, const HzbMachine *other)
 {
--- a/src/scheduling/dispatch-state.c
+++ b/src/scheduling/dispatch-state.c
@@ -4,9 +4,11 @@
 #define DEFAULT_QUEUE_AHEAD_S 8
 #define DEFAULT_SAMPLE_SIZE 8
 
-/* Thresholds of the smoothed timer lag. They differ (hysteresis) so that the lagging flag does not oscillate. */
+/* The smoothed timer lag: the weight of the latest timer, and the cap on the lag of one timer. */
 #define LAG_SMOOTHING 0.1
-#define MAX_LAG_S 5 /* cap on the lag of one timer */
+#define MAX_LAG_S 5
+
+/* Thresholds of the smoothed timer lag. They differ (hysteresis) so that the lagging flag does not oscillate. */
 #define LAGGING_ABOVE_S 0.25
 #define LAGGING_UNTIL_BELOW_S 0.05
 
@@ -113,7 +115,7 @@
 
 /* ---- estimates ---- */
 
-/* Resets the set of images that the tasks on the machine will fetch, because the machine does not have them yet. */
+/* Rebuilds the set of images that the tasks on the machine will fetch: those that the machine does not have yet. */
 static void
 reset_expected_images (HzbMachine *machine)
 {
@@ -133,8 +135,8 @@
   for (guint i = 0; i < machine->tasks->len; i++)
     {
       const HzbTask *task = machine->tasks->pdata[i];
-      guint v = MAX (1, hzb_machine_speed (machine, task->job->spec));
-      double work = hzb_task_remaining_s (task, now) / v;
+      guint speed = MAX (1, hzb_machine_speed (machine, task->job->spec));
+      double work = hzb_task_remaining_s (task, now) / speed;
       for (guint class_index = 0; class_index < HZB_N_SCHEDULING_CLASSES; class_index++)
         work_s[class_index] += class_index <= task->job->scheduling_class ? work : work * PREEMPTIBLE_WORK_FRACTION;
     }
@@ -172,8 +174,8 @@
 
 /* ---- team limits and start pacing ---- */
 
-/* Resources that the team's higher classes wait for are reserved within the team's limit. Otherwise the machine that
- * sends the next heartbeat would use up a part of the limit that becomes free, even for work of a lower class. */
+/* Resources that the team's higher classes wait for are reserved within the team's limit. Otherwise, whenever a part of
+ * the limit becomes free, the machine that sends the next heartbeat could take that part for work of a lower class. */
 gboolean
 hzb_dispatch_team_limit_allows (HzbDispatch *dispatch, const HzbJob *job)
 {
--- a/src/scheduling/dispatch.c
+++ b/src/scheduling/dispatch.c
@@ -65,7 +65,7 @@
   for (guint class_index = 0; class_index <= scheduling_class; class_index++)
     {
       hzb_estimate_shift (&machine->estimates[class_index], now);
-      hzb_estimate_send (&machine->estimates[class_index], mean);
+      hzb_estimate_add_task (&machine->estimates[class_index], mean);
     }
 }
 
--- a/src/scheduling/dispatch.h
+++ b/src/scheduling/dispatch.h
@@ -30,8 +30,8 @@
 void hzb_dispatch_start_tasks (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands);
 
 /**
- * hzb_dispatch_consolidate: marks tasks with checkpoints on lightly used scale-in candidates to be stopped, where other
- * machines have room for them that no waiting task needs. The stop commands go out with the responses to the next
- * heartbeats.
+ * hzb_dispatch_consolidate: empties lightly used scale-in candidates, so that they can be returned: marks the tasks
+ * with checkpoints on such a machine as stopping if the other machines have spare CPUs for them, beyond those that
+ * waiting tasks need. The responses to the next heartbeats carry the stop commands.
  */
 void hzb_dispatch_consolidate (HzbDispatch *dispatch, struct timespec now);
--- a/src/scheduling/estimate.c
+++ b/src/scheduling/estimate.c
@@ -139,7 +139,7 @@
 }
 
 void
-hzb_estimate_send (HzbEstimate *estimate, double mean_s)
+hzb_estimate_add_task (HzbEstimate *estimate, double mean_s)
 {
   guint n_service, length;
   g_autofree float *service = discretize_service_time (mean_s, &n_service), *sum = NULL;
--- a/src/scheduling/estimate.h
+++ b/src/scheduling/estimate.h
@@ -6,7 +6,7 @@
  *
  * This is the recursion of MEM, the policy of M. Konovalov and R. Razumchik ("Using Inter-Arrival Times for Scheduling
  * in Non-Observable Queues", equations 2 to 4 and 6). The workload is a distribution over steps of HZB_ESTIMATE_STEP_S
- * seconds. Sending a task convolves the distribution with the discretised service time of the task. The time between
+ * seconds. Adding a task convolves the distribution with the discretised service time of the task. The time between
  * two decisions shifts it down, and mass that would fall below zero is added at zero. A result is truncated at the
  * quantile HZB_TRUNCATION_QUANTILE, and the remaining mass is put into the next step. The mean of the distribution is
  * U of the rule U + h/v (search.h).
@@ -20,17 +20,18 @@
 /** HZB_ESTIMATE_STEP_S: length of a step in seconds (the paper's Delta). */
 #define HZB_ESTIMATE_STEP_S 1.0
 
-/** HZB_TRUNCATION_QUANTILE: a distribution is truncated where this fraction of its mass lies at or below. */
+/** HZB_TRUNCATION_QUANTILE: a distribution is truncated at the first step at or below which this fraction of its
+ * mass lies. */
 #define HZB_TRUNCATION_QUANTILE 0.95
 
 /** HzbEstimate: the distribution. A zero-initialised estimate is valid and means that there is no work. */
 typedef struct
 {
   float *mass;              /**< (nullable) Probability of each step; owned. */
-  guint length;             /**< Steps in use; 0: no work has been sent yet. */
+  guint length;             /**< Steps in use; 0: no work has been added yet. */
   guint capacity;           /**< Steps that were allocated. */
   struct timespec shifted;  /**< The time up to which the distribution has been shifted. */
-  double shift_remainder_s; /**< Seconds before shifted that did not make a whole step. */
+  double shift_remainder_s; /**< Seconds up to `shifted` by which the distribution has not been shifted yet. */
   double mean_s;            /**< The mean in seconds; below 0: it has to be recomputed. */
 } HzbEstimate;
 
@@ -43,8 +44,8 @@
 /** hzb_estimate_shift: reduces the workload by the time that has passed up to `now`. */
 void hzb_estimate_shift (HzbEstimate *estimate, struct timespec now);
 
-/** hzb_estimate_send: adds a task to the workload, with an exponential service time of mean `mean_s` seconds. */
-void hzb_estimate_send (HzbEstimate *estimate, double mean_s);
+/** hzb_estimate_add_task: adds a task to the workload, with an exponential service time of mean `mean_s` seconds. */
+void hzb_estimate_add_task (HzbEstimate *estimate, double mean_s);
 
 /** hzb_estimate_mean: Returns: the expected workload in seconds (U) */
 double hzb_estimate_mean (HzbEstimate *estimate);
--- a/src/scheduling/gang.c
+++ b/src/scheduling/gang.c
@@ -42,11 +42,11 @@
 fits_one_more (const Placement *placement, const HzbMachine *machine, guint n_placed)
 {
   const HzbJobSpec *spec = placement->job->spec;
-  guint half = (placement->job->n_tasks + 1) / 2;
+  guint max_in_zone = (placement->job->n_tasks + 1) / 2; /* the limit for a job with `spread` */
 
   return hzb_machine_is_usable (machine) && hzb_machine_is_eligible (machine, spec)
          && (!placement->zone || g_str_equal (placement->zone, machine->zone))
-         && (!spec->spread || tasks_in_zone (placement, machine->zone) < half)
+         && (!spec->spread || tasks_in_zone (placement, machine->zone) < max_in_zone)
          && hzb_machine_has_room_for (machine, spec, n_placed + 1);
 }
 
@@ -89,8 +89,8 @@
   return TRUE;
 }
 
-/* Searches room for all tasks of the gang, in one zone or, if @zone is NULL, in all zones. Returns: whether there is
- * room; @n_tasks then has the number of tasks by index of the machine */
+/* Searches for room for all tasks of the gang, in one zone or, if @zone is NULL, in all zones. Returns: whether there
+ * is room; @n_tasks then has the number of tasks by index of the machine */
 static gboolean
 find_placement (HzbDispatch *dispatch, HzbJob *job, const char *zone, guint *n_tasks, struct timespec now)
 {
--- a/src/scheduling/headroom.c
+++ b/src/scheduling/headroom.c
@@ -48,8 +48,8 @@
   return FALSE;
 }
 
-/* Adds the zone. If the maximum number of zones is selected, it replaces the zone with the lowest rank, provided that
- * its own rank is higher. */
+/* Adds the zone to the selected zones. If the maximum number is selected already, the new zone replaces the selected
+ * zone with the lowest rank, provided that the new zone has a higher rank. */
 static void
 insert_zone (HzbHeadroom *headroom, double ranks[HZB_HEADROOM_ZONES], const char *zone, double rank)
 {
@@ -131,8 +131,8 @@
 
 /* ---- reservation of machines ---- */
 
-/* Whether the machine may be reserved for such replicas: it is up or booting, can hold one, and the cloud does not
- * reclaim it. */
+/* Whether the machine may be reserved for replicas with this spec: the machine is up or booting, its type holds a
+ * replica, and the cloud does not reclaim the machine. */
 static gboolean
 is_reservable (const HzbMachine *machine, const HzbJobSpec *spec)
 {
@@ -172,9 +172,9 @@
   return starved;
 }
 
-/* Reserved machines must not stay empty permanently while other work waits: a replica that needs the room later can
- * preempt that work. The loop examines every job, also after it has found a starved one, to update the state of
- * each. */
+/* Whether any job that is not a service has been starved for too long. The reservations are then released: reserved
+ * machines must not stay empty permanently while other work waits, and a replica that needs the room later can preempt
+ * that work. The loop examines every job, also after it has found a starved one, to update the state of each. */
 static gboolean
 any_other_job_starved (HzbJobs *jobs)
 {
--- a/src/scheduling/headroom.h
+++ b/src/scheduling/headroom.h
@@ -7,7 +7,8 @@
  * A service loses capacity at once while a replica waits for a machine to boot or for other work to be preempted. So,
  * while there is a service, some on-demand machines in two zones are reserved for replicas. In each of the zones, the
  * CPUs of the largest service and of one more replica are kept free. The reservation is released while another job is
- * starved, that is, has waited for long although its team's limit allows it to start.
+ * starved, that is, has waiting tasks of which none has started for more than 45 seconds, although its team's limit
+ * allows one more to start.
  */
 #pragma once
 #include "machines.h"
--- a/src/scheduling/job.h
+++ b/src/scheduling/job.h
@@ -83,7 +83,8 @@
   GSList *acceptances; /**< (element-type HzbAcceptance) While not terminal: all acceptance records that name it. */
   guint n_acceptances; /**< Number of acceptance records that name it, terminal or not. */
   guint last_load;     /**< HzbJobs.load_number of the last full load that included it. */
-  gboolean cancel_acknowledged; /**< Cancelled, and every controller that can issue commands knows it. */
+  gboolean cancel_acknowledged; /**< Cancelled, and every controller that can issue commands knows of the
+                                   cancellation. */
   gboolean archiving;           /**< Its record is being moved to the archive of completed jobs. */
   /** @} */
 
@@ -110,12 +111,13 @@
 
   /** `name` Progress records, on the leader only; maintained by src/records
    * @{ */
-  guint released;             /**< Tasks below this index may have been started: this mark is durable. */
-  guint releasing;            /**< The mark that is being written; at least released. */
+  guint released;             /**< The durable released mark: only tasks below this index may have been started. */
+  guint releasing;            /**< The released mark that is being written; never below `released`. */
   gboolean release_requested; /**< The machines have capacity for more tasks than are released. */
   gboolean dirty;             /**< Its progress changed since it was last written. */
   gboolean completing;        /**< Its completion record is being written. */
-  gboolean on_pages;          /**< Its progress is recorded on the leader's pages. */
+  gboolean on_pages;          /**< Its progress is recorded on the leader's pages, each of which is a value of the
+                                   key-value store that several jobs share. */
   gboolean
       has_schema_1_chunks; /**< Its progress is recorded in the large chunks of schema version 1, which stay while a
                                    controller of that version runs. */
@@ -125,7 +127,8 @@
    * @{ */
   guint8 scheduling_class; /**< An HzbSchedulingClass (machine.h). */
   gboolean guaranteed;     /**< It fits its team's guarantee, together with the team's older jobs. */
-  gboolean start_overdue;  /**< No task has started for long: its first task goes before other work. */
+  gboolean start_overdue;  /**< No task was started within 120 seconds of acceptance: its first task goes before
+                                   other work. Never set for gangs. */
   double mean_s;           /**< Expected run time of a task in seconds; 0: the user's estimate is used. */
   struct timespec since;   /**< When it was accepted, on the monotonic clock. */
   /** @} */
@@ -188,6 +191,6 @@
  */
 HzbTask *hzb_job_take_pending (HzbJob *job, struct timespec now);
 
-/** hzb_job_spec_grace_s: seconds that a task of this job is given to save a checkpoint when it is stopped; 0: it has no
- * checkpoints. */
+/** hzb_job_spec_grace_s: seconds that a task of this job is given to save a checkpoint when it is stopped: the
+ * duration of a checkpoint and one more second; 0: the job has no checkpoints. */
 double hzb_job_spec_grace_s (const HzbJobSpec *spec);
--- a/src/scheduling/jobs.c
+++ b/src/scheduling/jobs.c
@@ -2,11 +2,12 @@
 
 #include "record-keys.h"
 
-/* More terminal jobs than users often ask about; each takes about 600 bytes of memory on every controller. */
+/* Maximum number of terminal jobs that stay replicated. Users rarely ask about older ones, and each job takes about 600
+ * bytes of memory on every controller. */
 #define MAX_REPLICATED_COMPLETED 2000u
 
-/* Tasks in a chunk of a job's progress, where the key-value store takes values of 2 KB or more, and where it takes only
- * smaller ones. */
+/* Number of tasks in a chunk of a job's progress: CHUNK_TASKS if the key-value store accepts values of
+ * SMALL_VALUES_BELOW_KB or more, CHUNK_TASKS_SMALL_VALUES if it accepts only smaller values. */
 #define CHUNK_TASKS 8192u
 #define CHUNK_TASKS_SMALL_VALUES 4096u
 #define SMALL_VALUES_BELOW_KB 2
@@ -79,8 +80,8 @@
   g_hash_table_remove (jobs->acceptances, acceptance->key);
 }
 
-/* Removes the job from the deleted acceptance records that name it. The job is terminal, but its completion record was
- * never read here. */
+/* Removes the job from the deleted acceptance records that name it. The job is terminal, but this controller
+ * has never read its completion record. */
 static void
 release_deleted_acceptances (HzbJobs *jobs, HzbJob *job)
 {
@@ -320,8 +321,9 @@
 
 /* A controller that loads all records in pages may read the acceptance of a job, while the completion record moves to
  * the archive before the page of completion records is read. Without the removal of such a job, this controller would
- * report it as queued permanently. A completion record moves only once no acceptance record names the job, so this
- * controller has already read the deletion of each acceptance record that it knows. */
+ * report it as queued permanently. A completion record moves to the archive only after all acceptance records that
+ * name the job are deleted. This controller has already read those deletions, so release_deleted_acceptances() removes
+ * the job from every acceptance record that this controller still keeps. */
 gboolean
 hzb_jobs_remove (HzbJobs *jobs, const char *uid)
 {
--- a/src/scheduling/jobs.h
+++ b/src/scheduling/jobs.h
@@ -72,7 +72,7 @@
  * hzb_jobs_apply: updates a job from a record, or adds the job. A job whose completion record is known no longer
  * changes.
  * `value`: the entry of an acceptance record, or the completion record
- * `version`: revision of the completion record
+ * `version`: revision of the completion record; 0 for the entry of an acceptance record
  *
  * Returns: (transfer none) (nullable): the job; NULL if the record cannot be read, which is logged
  */
@@ -101,14 +101,15 @@
  * archive.
  * `max_jobs`: maximum number of jobs to return
  *
- * Returns: (transfer full) (element-type HzbJob)
+ * Returns: (transfer container) (element-type HzbJob): the jobs, which stay in the registry
  */
 GPtrArray *hzb_jobs_list_archivable (HzbJobs *jobs, guint max_jobs);
 
 /**
  * hzb_jobs_remove: removes a job whose completion record has moved to the archive.
  *
- * Returns: FALSE if the job is kept, since an acceptance record still names it or this controller tracks its tasks
+ * Returns: FALSE if the job is kept, since an acceptance record still names it or this controller tracks its tasks;
+ * TRUE if the job was removed, or is not in the registry
  */
 gboolean hzb_jobs_remove (HzbJobs *jobs, const char *uid);
 
--- a/src/scheduling/machine.h
+++ b/src/scheduling/machine.h
@@ -51,8 +51,8 @@
  * leader may have started tasks. */
 #define HZB_UNCONFIRMED_TASKS_OF_LEADER 0u
 
-/** HZB_UNCONFIRMED_TASKS_OF_NONE: value of HzbMachine.unconfirmed_tasks_owner for a machine that can only hold tasks
- * that are already assigned to that machine. */
+/** HZB_UNCONFIRMED_TASKS_OF_NONE: value of HzbMachine.unconfirmed_tasks_owner for a machine that cannot hold
+ * unconfirmed tasks: this controller has already assigned to the machine all tasks that may be on it. */
 #define HZB_UNCONFIRMED_TASKS_OF_NONE 255u
 
 /** HzbMachine: a machine. The fields are grouped by subject. */
@@ -92,7 +92,8 @@
    * @{ */
   guint64 agent_epoch; /**< Epoch of the worker's agent. An agent of a new epoch has no tasks of an earlier epoch. */
   guint64 sequence;    /**< Sequence number of the last heartbeat within the epoch. */
-  guint64 expired_agent_epoch;           /**< An agent epoch known to have ended: a heartbeat of it is a delayed one. */
+  guint64 expired_agent_epoch;           /**< All agent epochs up to this one have ended, so a heartbeat of one of
+                                            them is a delayed one. */
   guint64 fencing_token;                 /**< The fencing token sent in responses to its worker. */
   guint64 first_exclusive_fencing_token; /**< From this fencing token on, only this owner has sent commands to the
                                             machine, so a heartbeat under such a token lists every task that can be
@@ -103,8 +104,9 @@
                                      HZB_UNCONFIRMED_TASKS_OF_LEADER or HZB_UNCONFIRMED_TASKS_OF_NONE. */
   struct timespec last_heartbeat; /**< When its last heartbeat arrived. */
   struct timespec last_response;  /**< When its last heartbeat was answered, which may have renewed its lease. */
-  guint ignored_responses;        /**< Consecutive heartbeats that show no effect of earlier responses: not the fencing
-                                     token, or none of the start commands. */
+  guint ignored_responses;        /**< Heartbeats since the last one that showed the effect of a response. Each of them
+                                     was sent under an older fencing token, or listed none of the tasks that the worker
+                                     was told to start. */
   gboolean unreachable; /**< A one-way network partition is suspected: the machine gets no work until a heartbeat
                            shows the fencing token that was issued since. */
   struct timespec unreachable_since; /**< When the partition was first suspected. */
@@ -218,8 +220,8 @@
  * type, zone and spot instances. Controllers of every schema version evaluate these constraints alike. */
 gboolean hzb_machine_matches_constraints (const HzbMachine *machine, const HzbJobSpec *spec);
 
-/** hzb_machine_is_eligible: whether hzb_machine_matches_constraints() holds and the machine is not reserved for
- * services, or the job is a service. */
+/** hzb_machine_is_eligible: whether the machine meets the constraints (hzb_machine_matches_constraints()) and is not
+ * reserved for services. A service may also run on a reserved machine. */
 gboolean hzb_machine_is_eligible (const HzbMachine *machine, const HzbJobSpec *spec);
 
 /** hzb_machine_has_room: whether one more task of the job fits beside the tasks on the machine. */
@@ -236,8 +238,8 @@
  */
 gboolean hzb_machine_zone_is_eligible (const HzbJob *job, const HzbMachine *machine);
 
-/** hzb_machine_image_fetch_s: the cost in weighted seconds of fetching the job's image for a task placed on the
- * machine; 0: the machine has the image. */
+/** hzb_machine_image_fetch_s: the cost of fetching the job's image for a task placed on the machine, as the number of
+ * seconds of waiting for the machine that would cost the same; 0: the machine has the image. */
 double hzb_machine_image_fetch_s (const HzbMachine *machine, const HzbJobSpec *spec);
 
 /** hzb_machine_note_failure: counts a failure of a task of the job on the machine. */
--- a/src/scheduling/machines.h
+++ b/src/scheduling/machines.h
@@ -82,10 +82,12 @@
 void hzb_machine_unverify (HzbMachines *machines, HzbMachine *machine, guint64 fencing_token, const char *reason);
 
 /**
- * hzb_machine_is_faulty: whether repeated task failures are attributed to the machine and not to the jobs: a job
- * failed there of which a task has succeeded or run for a while, or several jobs did that are not known to fail on
- * other machines.
+ * hzb_machine_is_faulty: whether repeated task failures are attributed to the machine and not to the jobs.
  * `jobs`: the registry of jobs
+ *
+ * The machine is faulty if several failures are counted on it, and the failed tasks belong to at least one job that is
+ * known to be runnable (a task of the job has succeeded or run for a while), or to several jobs that are not known to
+ * fail on other machines. Jobs that fail on several machines and are not known to be runnable do not count.
  */
 gboolean hzb_machine_is_faulty (const HzbMachine *machine, HzbJobs *jobs);
 
--- a/src/scheduling/owned-jobs.c
+++ b/src/scheduling/owned-jobs.c
@@ -6,12 +6,12 @@
 /* Correction of run time estimates, see hzb_jobs_record_run_time(). A bias is the logarithm of run time over estimate.
  * The estimate of a job has the same error for all its tasks, so a whole job has the weight of one observation. A bias
  * below the threshold may be chance and is not applied. */
-#define BIAS_SMOOTHING 0.08
+#define BIAS_SMOOTHING 0.08     /* weight of one observation in the moving average */
 #define BIAS_THRESHOLD 0.35     /* run time over estimate of 1.4, or its inverse */
 #define MAX_OBSERVED_BIAS 2.0   /* bound for one observation */
 #define MAX_BIASED_CLASSES 200u /* further classes get no correction, to bound memory */
 
-/* Bound on the time that a job counts as having waited before this controller activated it. */
+/* Maximum waiting time, in seconds, that a job is taken to have behind it when this controller activates it. */
 #define MAX_WAIT_S 86400
 
 /* Attempt numbers begin at the fencing token of the shard, shifted left by this many bits. No two shards share a
--- a/src/scheduling/preemption.c
+++ b/src/scheduling/preemption.c
@@ -8,13 +8,14 @@
 /* A task that is expected to end within this time is not preempted. */
 #define NEARLY_DONE_S 5.0
 
-/* Seconds that a job waits before it may preempt other tasks. A service-level objective on the wait shortens them to
- * this fraction of the wait that the objective allows. */
+/* A job may preempt other tasks after it has waited for PREEMPT_AFTER_S seconds, or for PREEMPT_AFTER_FRACTION of the
+ * wait that a service-level objective allows it, whichever is shorter. */
 #define PREEMPT_AFTER_S 10
 #define PREEMPT_AFTER_FRACTION 0.45
 
-/* Added to the cost of stopping a task, per priority level: more than the cost of stopping any task, so that tasks of
- * the lowest priority are stopped first. */
+/* Added to the cost of stopping a task, once for each priority level of the task, so that tasks of the lowest priority
+ * are stopped first unless the costs differ by more than this. The unit is that of the cost: CPU-seconds among the
+ * tasks on one machine, seconds within a team. */
 #define COST_PER_PRIORITY 1e4
 
 #define MIN_CPUS 1e-3 /* guards a division */
@@ -94,7 +95,7 @@
 /* A task that may be stopped, and the cost of stopping it. */
 typedef struct
 {
-  double cost;
+  double cost; /* stop_cost() per CPU, in seconds, plus COST_PER_PRIORITY for each priority level */
   HzbTask *task;
 } Victim;
 
@@ -105,8 +106,8 @@
   return x->cost < y->cost ? -1 : x->cost > y->cost;
 }
 
-/* CPUs by which the team would exceed its limit with the preemptor's waiting tasks, less the CPUs of tasks that are
- * already being stopped. */
+/* CPUs by which the team would exceed its limit if the preemptor's waiting tasks ran too, less the CPUs of tasks that
+ * are already being stopped. Of the waiting tasks, at most as many CPUs as the limit allows are counted. */
 static double
 missing_cpus (const HzbDispatch *dispatch, const HzbJob *preemptor)
 {
--- a/src/scheduling/preemption.h
+++ b/src/scheduling/preemption.h
@@ -4,8 +4,9 @@
  *
  * Preemption: stops running tasks to make room for waiting tasks.
  *
- * A task may preempt tasks of a lower priority. If it is within its team's guarantee, it may also preempt tasks with
- * which another team exceeds that team's guarantee. Gangs, services and jobs that await a verdict are never preempted.
+ * A task may preempt tasks of a lower priority. If it is within its own team's guarantee, it may also preempt tasks
+ * that another team runs beyond the guarantee of that other team. Gangs, services and jobs that await a verdict are
+ * never preempted.
  */
 #pragma once
 #include "dispatch-state.h"
@@ -22,5 +23,7 @@
 /**
  * hzb_preempt_on_machine: stops tasks on the machine for tasks in its run queues that have waited long enough.
  * `commands`: (element-type HzbCommand): the stop commands are appended to it
+ *
+ * Only tasks of the scheduling classes above HZB_SCHEDULING_CLASS_OBJECTIVE_AT_RISK preempt others.
  */
 void hzb_preempt_on_machine (HzbDispatch *dispatch, HzbMachine *machine, struct timespec now, GArray *commands);
--- a/src/scheduling/rounding.h
+++ b/src/scheduling/rounding.h
@@ -10,5 +10,7 @@
  * leaves rounding errors. */
 #define HZB_AMOUNT_TOLERANCE 1e-6
 
-/** HZB_QUOTIENT_TOLERANCE: tolerance for the quotient of two amounts, which is rounded down to a whole number. */
+/** HZB_QUOTIENT_TOLERANCE: added to the quotient of two amounts before it is rounded down to a whole number, so that a
+ * rounding error does not lower the result by one. Also the tolerance for comparing the resources of one task with
+ * those of an empty machine. */
 #define HZB_QUOTIENT_TOLERANCE 1e-9
--- a/src/scheduling/scale-in.c
+++ b/src/scheduling/scale-in.c
@@ -14,11 +14,12 @@
 /* A machine becomes a scale-in candidate after it was surplus in this many plans in a row. */
 #define MIN_PLANS_IN_SURPLUS 4
 
-#define PRICE_TOLERANCE 1e-9
-#define MIN_CPUS 1e-3 /* avoids a division by zero */
+#define PRICE_TOLERANCE 1e-9 /* of prices of one CPU per hour */
+#define MIN_CPUS 1e-3        /* avoids a division by zero */
 
-/* Conditions for returning an empty machine. A returned machine is billed for at least a minute. */
-#define MIN_BILLED_S 55.0
+/* Conditions for returning an empty machine: seconds since the machine was rented, because a returned machine is billed
+ * for at least a minute, and idle seconds of a scale-in candidate. */
+#define MIN_RENTED_S 55.0
 #define MAX_CANDIDATE_IDLE_S 2.0
 
 /* Conditions for returning a machine that does not finish booting. */
@@ -31,7 +32,7 @@
 typedef struct
 {
   HzbMachine *machine;
-  double price; /* of one CPU */
+  double price; /* of one CPU, per hour */
 } Candidate;
 
 static gint
@@ -77,7 +78,7 @@
 {
   GPtrArray *demands; /* HzbDemand */
   double *supply;     /* units, by demand */
-  double *wanted;     /* units, by demand, type and whether spot: there are few of these but many machines */
+  double *wanted;     /* units, by demand, type and whether spot; stored, as these are few and machines are many */
   guint n_types;
   double smoothed_ratio; /* of the smoothed demand to the current one, at least 1, since jobs arrive in bursts */
 } SupplyBalance;
@@ -179,7 +180,7 @@
   double idle = hzb_time_between (machine->idle_since, now);
 
   return machine->state == HZB_MACHINE_ACTIVE && machine->tasks->len == 0
-         && hzb_machine_count_queued_tasks (machine) == 0 && hzb_time_between (machine->rented, now) > MIN_BILLED_S
+         && hzb_machine_count_queued_tasks (machine) == 0 && hzb_time_between (machine->rented, now) > MIN_RENTED_S
          && idle > (machine->scale_in_candidate ? MAX_CANDIDATE_IDLE_S : autoscaler->max_idle_s);
 }
 
--- a/src/scheduling/scale-out.c
+++ b/src/scheduling/scale-out.c
@@ -111,8 +111,8 @@
 }
 
 /* Requests machines in rounds, each from the cheapest kind to the most expensive one, until no more units are wanted.
- * If a request reached the maximum of one call, another round follows once each kind was requested: otherwise a fleet
- * with few kinds would grow by one call for each kind a second. The round does not begin earlier, since the cheapest
+ * If a request reached the maximum of one call, another round follows: otherwise a fleet with few kinds would grow by
+ * at most one call per kind and second. The next round begins only after every kind was requested, since the cheapest
  * kind may be the one that takes longest to boot. */
 static void
 request_machines (Plan *plan)
