--- a/src/scheduling/scheduling-class.c
+++ b/src/scheduling/scheduling-class.c
@@ -8,7 +8,7 @@
 
 /* In the classes where the job with the least work goes first, a large job would starve while smaller ones keep
  * arriving. Users want even the largest job to start within four minutes, so after half of that time the first task of
- * any job goes before all other work except urgent work. */
+ * any job other than a gang goes before all other work except urgent work. */
 #define START_OVERDUE_AFTER_S 120.0
 #define MIN_OVERDUE_CLASS HZB_SCHEDULING_CLASS_URGENT
 
@@ -19,11 +19,15 @@
  * may be too low. */
 #define RUN_TIME_SAFETY_FACTOR 1.3
 
+/* For a job without an objective that can still be met: the seconds within which it should end, see hzb_job_slack_s(),
+ * and the minimum of its slack in seconds. */
 #define DEFAULT_START_LIMIT_S 120.0
 #define MIN_SLACK_S 10
 
 /* Fraction of a placed task's work that counts as remaining. */
 #define PLACED_REMAINING_FRACTION 0.5
+
+/* A task that requests fewer CPUs counts as if it requested this many when the remaining work of jobs is compared. */
 #define MIN_CPUS 0.1
 
 /* ---- service-level objectives ---- */
@@ -162,7 +166,7 @@
 {
   guint n_teams = settings->teams->len;
   g_autofree double *cpus = g_new0 (double, n_teams),
-                    *gpus = g_new0 (double, n_teams); /* by team: of the jobs so far */
+                    *gpus = g_new0 (double, n_teams); /* by team: requested by its jobs examined so far */
   g_autoptr (GHashTable) overdue_best_effort = g_hash_table_new (g_str_hash, g_str_equal); /* set of job classes */
   gboolean any_guarantee = any_team_has_guarantee (settings);
 
--- a/src/scheduling/scheduling-class.h
+++ b/src/scheduling/scheduling-class.h
@@ -24,7 +24,9 @@
  * hzb_job_slack_s: the time left for the job's tasks to start, by the nearest objective that is not missed yet.
  * `start_limit_s`: (out) (nullable): the total seconds from acceptance to start that this objective allows
  *
- * A job without such an objective is treated as if it had one of two minutes.
+ * A job without such an objective is treated as if it had to end within two minutes of its acceptance or, if its class
+ * has objectives that are all missed or do not limit the start, within two minutes of `now`. Its slack is then at least
+ * 10 seconds, and `start_limit_s` is set to two minutes.
  *
  * Returns: seconds from now within which the job's tasks have to start so that the objective is met
  */
--- a/src/scheduling/search.c
+++ b/src/scheduling/search.c
@@ -52,7 +52,8 @@
 
 /* ---- candidate filter ---- */
 
-/* Whether the submission's `samePlace` and `spread` allow a task in the machine's zone. Queued tasks count, too. */
+/* Whether the submission's `samePlace` and `spread` allow a task in the machine's zone. With `spread`, a zone gets at
+ * most half of the tasks, rounded up. Queued tasks count, too. */
 static gboolean
 zone_is_eligible (const HzbSearch *search, const HzbMachine *machine)
 {
--- a/src/scheduling/search.h
+++ b/src/scheduling/search.h
@@ -11,9 +11,9 @@
  * to its wait: 0 minimises the wait, 1 the sojourn time. Tasks in the paper have a mean size of 1; here the mean size
  * is the expected run time E, so h/v becomes h * E / v seconds. The time to fetch the image is added.
  *
- * There is one search for each job and run. All tasks of a job are alike, so each machine is examined once: queueing a
- * task changes only the workload of the machine that the task is queued on. The result is the same as that of examining
- * every machine for every task.
+ * Each run of the dispatcher makes one search for each job. All tasks of a job are alike, so each machine is examined
+ * once: queueing a task changes only the workload of the machine that the task is queued on. The result is the same as
+ * that of examining every machine for every task.
  */
 #pragma once
 #include "dispatch-state.h"
--- a/src/scheduling/task.c
+++ b/src/scheduling/task.c
@@ -5,8 +5,9 @@
 /* The states that a heartbeat can report. */
 #define REPORTED_STATES (STATE (FETCHING) | STATE (WAITING) | STATE (RUNNING) | STATE (CHECKPOINTING))
 
-/* The states that may follow one on a machine. A task can also pass to another owner, together with its machine. */
-#define STATES_AFTER_MACHINE                                                                                           \
+/* The states that may follow HZB_TASK_STARTING or a reported state. A task can also pass to another owner, together
+ * with its machine. */
+#define STATES_AFTER_START                                                                                             \
   (STATE (PENDING) | REPORTED_STATES | STATE (FINISHED) | STATE (OTHER_OWNER) | STATE (DELEGATED))
 
 /* For each state, the set of states that may follow. */
@@ -18,11 +19,11 @@
   [HZB_TASK_QUEUED] = STATE (PENDING) | STATE (RESERVED) | STATE (STARTING),
   [HZB_TASK_UNCONFIRMED] = STATE (PENDING) | REPORTED_STATES | STATE (FINISHED) | STATE (DONE),
   [HZB_TASK_RESERVED] = STATE (PENDING) | STATE (STARTING),
-  [HZB_TASK_STARTING] = STATES_AFTER_MACHINE,
-  [HZB_TASK_FETCHING] = STATES_AFTER_MACHINE,
-  [HZB_TASK_WAITING] = STATES_AFTER_MACHINE,
-  [HZB_TASK_RUNNING] = STATES_AFTER_MACHINE,
-  [HZB_TASK_CHECKPOINTING] = STATES_AFTER_MACHINE,
+  [HZB_TASK_STARTING] = STATES_AFTER_START,
+  [HZB_TASK_FETCHING] = STATES_AFTER_START,
+  [HZB_TASK_WAITING] = STATES_AFTER_START,
+  [HZB_TASK_RUNNING] = STATES_AFTER_START,
+  [HZB_TASK_CHECKPOINTING] = STATES_AFTER_START,
   [HZB_TASK_FINISHED] = STATE (DONE),
   [HZB_TASK_DONE] = 0,
 };
--- a/src/shards/leaseholder-answer.c
+++ b/src/shards/leaseholder-answer.c
@@ -4,10 +4,10 @@
 
 /* ---- machines ---- */
 
-/* Activates the jobs of the tasks that may be on the machine. Returns: whether each of these tasks is known here and
- * is not already in the shard */
+/* Activates the accepted jobs of the tasks that may be on the machine. Returns: whether this node has each of these
+ * tasks, and none of them is in its shard yet */
 static gboolean
-can_accept_held_tasks (HzbJobs *jobs, const HzbMachineLease *lease)
+prepare_held_tasks (HzbJobs *jobs, const HzbMachineLease *lease)
 {
   gboolean acceptable = TRUE;
 
@@ -24,8 +24,9 @@
   return acceptable;
 }
 
-/* Returns the machine to the leader with the tasks that came with it. The machine holds a task of a job that this
- * node's replica of the records does not show yet, or of a terminal job. */
+/* Returns the machine and the tasks that may be on it to the leader. Called if this node does not have one of these
+ * tasks, because its job is terminal or this node's replica of the records does not show the job yet, or if one of the
+ * tasks is already in the shard. */
 static void
 refuse_machine (HzbLeaseholder *leaseholder, const HzbMachineLease *lease)
 {
@@ -48,15 +49,15 @@
   hzb_task_set_state (jobs, task, held->running ? HZB_TASK_RUNNING : HZB_TASK_FETCHING, machine);
 }
 
-/* A machine that was leased with tasks is unverified: this node draws no conclusion about its tasks until it has
- * received a heartbeat of the machine under the shard's fencing token. */
+/* Adds a leased machine to the shard. If the machine was leased with tasks, it starts as unverified: this node draws no
+ * conclusion about its tasks until it has received a heartbeat of the machine under the shard's fencing token. */
 static void
 receive_machine (HzbLeaseholder *leaseholder, const HzbMachineLease *lease)
 {
   const HzbLeaseholderDependencies *dependencies = &leaseholder->dependencies;
   HzbMachine *machine;
 
-  if (!can_accept_held_tasks (dependencies->jobs, lease))
+  if (!prepare_held_tasks (dependencies->jobs, lease))
     {
       refuse_machine (leaseholder, lease);
       return;
@@ -78,6 +79,7 @@
   HzbMachine *machine = hzb_machines_find (machines, recall->machine);
   if (!machine)
     return;
+  /* A scale-in candidate gets no new tasks. */
   machine->recall_requested = machine->scale_in_candidate = recall->requested;
   machine->recall_at_once = recall->at_once;
 }
@@ -98,8 +100,8 @@
     hzb_task_set_state (jobs, task, HZB_TASK_DONE, NULL);
 }
 
-/* Accepts delegated tasks, and returns those of jobs that this node's replica of the records does not show yet, and
- * of terminal jobs. */
+/* Adds delegated tasks to the shard. If a job is terminal, or this node's replica of the records does not show it yet,
+ * its tasks are returned to the leader instead. */
 static void
 receive_tasks (HzbLeaseholder *leaseholder, const HzbTaskGroups *groups)
 {
@@ -120,7 +122,7 @@
   hzb_task_groups_foreach (groups, jobs, accept_delegated_task, jobs);
 }
 
-/* Cancels the job here as well, since this node's replica of the records may not show the cancellation yet. */
+/* Sets the job to cancelled on this node, whose replica of the records may not show the cancellation yet. */
 static void
 apply_cancellation (HzbJobs *jobs, const char *uid)
 {
--- a/src/shards/leaseholder-poll.c
+++ b/src/shards/leaseholder-poll.c
@@ -11,8 +11,9 @@
 /* Fraction of the shard's CPUs for which tasks are requested in advance, so that no CPU is idle until the next
  * answer. */
 #define PREFETCH_FRACTION 0.12
-/* Maximum number of jobs whose counts a poll carries. A count takes up to 25 bytes in each of two lists. If there
- * are more jobs, consecutive polls cover them in round-robin order. */
+/* Maximum number of jobs whose counts a poll carries. It limits the size of the poll, which carries events as well: a
+ * count takes up to 25 bytes in each of two lists. If there are more jobs, consecutive polls cover them in round-robin
+ * order. */
 #define MAX_JOB_COUNTS_PER_POLL 350u
 
 void
@@ -100,7 +101,7 @@
     return poll;
   poll->fencing_token = leaseholder->fencing_token;
   poll->last_batch_applied = leaseholder->last_batch_applied;
-  poll->events = hzb_outbox_send (&leaseholder->events);
+  poll->events = hzb_outbox_prepare_send (&leaseholder->events);
   poll->requested_cpus = hzb_leaseholder_lease_valid (leaseholder) ? cpus_to_request (&leaseholder->dependencies) : 0;
   add_job_counts (leaseholder, poll);
   return poll;
--- a/src/shards/leaseholder-returns.c
+++ b/src/shards/leaseholder-returns.c
@@ -3,14 +3,14 @@
 
 #define UNSTARTED_TTL_S 6.0            /* a task that has not started within this time is returned */
 #define MAX_IDLE_S 10.0                /* a machine that has been idle for longer is returned */
-#define MAX_MISSED_HEARTBEATS 3        /* a machine that misses more heartbeat intervals is returned */
+#define MAX_MISSED_HEARTBEATS 3        /* a machine without a heartbeat for more intervals than this is returned */
 #define MAX_RETURNED_PER_EVENT 800u    /* tasks of up to 30 bytes each: the event must fit into a poll */
 #define UNSTARTED_CHECK_INTERVAL_S 0.5 /* interval of the check for unstarted tasks to return */
 
 /* ---- machines ---- */
 
 /* Removes all tasks from the machine; the tasks that may be on it belong to the leader afterwards. Returns:
- * (transfer full): the return of the machine, which names these tasks */
+ * (transfer full): the message that returns the machine to the leader and names these tasks */
 static HzbMachineReturn *
 detach_machine (HzbJobs *jobs, HzbMachine *machine, const char *reason)
 {
@@ -29,6 +29,7 @@
           hzb_held_tasks_add (returned->held_tasks, task);
           hzb_task_set_state (jobs, task, HZB_TASK_OTHER_OWNER, NULL);
         }
+      /* prevents an endless loop if the change of state was rejected */
       g_return_val_if_fail (machine->tasks->len < before, returned);
     }
   return returned;
--- a/src/shards/outbox.c
+++ b/src/shards/outbox.c
@@ -34,7 +34,7 @@
 }
 
 GPtrArray *
-hzb_outbox_send (const HzbOutbox *outbox)
+hzb_outbox_prepare_send (const HzbOutbox *outbox)
 {
   GPtrArray *messages = g_ptr_array_new ();
   gsize bytes = 0;
--- a/src/shards/outbox.h
+++ b/src/shards/outbox.h
@@ -36,7 +36,8 @@
 
 /**
  * hzb_outbox_init: initialises an empty outbox. max_bytes limits the total size of the messages that are sent at once;
- * 0 sets no limit. free_message frees a message.
+ * 0 sets no limit. encode is called only to measure the size of a message, and only if there is a limit. free_message
+ * frees a message.
  */
 void hzb_outbox_init (HzbOutbox *outbox, gsize max_bytes, HzbOutboxEncode encode, GDestroyNotify free_message);
 
@@ -47,12 +48,13 @@
 void hzb_outbox_acknowledge (HzbOutbox *outbox, guint64 number);
 
 /**
- * hzb_outbox_send: marks the first messages as sent: as many as fit the size limit, and at least one if there is any.
- * The others are sent after the receiver has acknowledged these.
+ * hzb_outbox_prepare_send: selects the messages that the caller sends next, and marks them as sent. These are the first
+ * unacknowledged messages: as many as fit the size limit, and at least one if there is any. The others are selected
+ * after the receiver has acknowledged these.
  *
- * Returns: (transfer container) (element-type HzbOutboxMessage): the messages to send now
+ * Returns: (transfer container) (element-type HzbOutboxMessage): the selected messages
  */
-GPtrArray *hzb_outbox_send (const HzbOutbox *outbox);
+GPtrArray *hzb_outbox_prepare_send (const HzbOutbox *outbox);
 
 /**
  * hzb_outbox_last_unsent: Returns: (transfer none) (nullable): the last message; NULL if there is none or it was sent
--- a/src/shards/shard-delegation.c
+++ b/src/shards/shard-delegation.c
@@ -2,7 +2,8 @@
 #include "scheduling-class.h"
 #include "shard-leases-private.h"
 
-#define MAX_TASKS_PER_ANSWER 640u /* thousands of machines start about this many tasks between two polls */
+/* A shard of thousands of machines starts about this many tasks between two polls. */
+#define MAX_TASKS_PER_ANSWER 640u
 
 /* Jobs whose tasks have to be placed together run only in the leader's shard, and so do services, whose replicas
  * must not wait for another node. */
@@ -32,15 +33,15 @@
   for (guint i = 0; i < leaseholder->machine_kinds->len; i++)
     {
       const HzbMachine *machine = leaseholder->machine_kinds->pdata[i];
-      /* The machine may have been returned since the scan. */
+      /* The machine may have been returned since the scan that collected it. */
       if (hzb_shards_is_leased_to (machine, leaseholder) && hzb_machine_is_eligible (machine, spec))
         return TRUE;
     }
   return FALSE;
 }
 
-/* Takes tasks that are in no run queue first, and then queued tasks from *@next_index on, which it advances.
- * Returns: (nullable): NULL if the job has no task left to delegate */
+/* Prefers a task that is in no run queue. If there is none, removes a queued task from its run queue; the search begins
+ * at *@next_index, which is advanced. Returns: (nullable): the task; NULL if the job has no task left to delegate */
 static HzbTask *
 take_next_task (HzbJobs *jobs, HzbJob *job, guint *next_index, struct timespec now)
 {
@@ -110,7 +111,8 @@
     }
 }
 
-/* Unstarted tasks move to a leaseholder with free CPUs as they move from a run queue to an idle machine. */
+/* Queued tasks are delegated as well: a leaseholder with free CPUs can take them from run queues, as an idle machine
+ * can. */
 void
 hzb_shards_delegate (HzbLeaseholderView *leaseholder, double requested_cpus, struct timespec now)
 {
--- a/src/shards/shard-events.c
+++ b/src/shards/shard-events.c
@@ -7,7 +7,7 @@
 typedef struct
 {
   HzbLeaseholderView *leaseholder;
-  double ran_s; /* run time of the event's tasks, in seconds */
+  double ran_s; /* run time of each task that the event reports as finished, in seconds */
 } EventContext;
 
 static void
@@ -39,8 +39,8 @@
       hzb_shard_leases_announce_durable (leaseholder->shard_leases, task);
     }
   else if (task->state == HZB_TASK_FINISHED)
-    /* The task's machine was handed over while it still kept the result: the leader announces to the leaseholder
-     * when the result is durable. */
+    /* The machine was handed over while it still kept the result of the task. Once the result is durable, the leader
+     * announces this to the task's leaseholder. */
     task->leaseholder = leaseholder->id;
   else if (hzb_shards_is_delegated_to (task, leaseholder))
     record_result (task, context);
@@ -120,7 +120,7 @@
 
 /* ---- counts of tasks by job ---- */
 
-/* Returns: the member of the job at this offset, a sum over all leaseholders */
+/* Returns: (transfer none): the counter of the job at the offset @member in HzbJob, a sum over all leaseholders */
 static guint *
 job_counter (HzbJob *job, glong member)
 {
--- a/src/shards/shard-leases.h
+++ b/src/shards/shard-leases.h
@@ -35,7 +35,10 @@
   const gboolean *leasing_enabled; /**< FALSE: no machine is leased, leased machines are recalled; set by an operator */
 } HzbShardLeasesDependencies;
 
-/** hzb_shard_leases_new: Returns: (transfer full): shard leases without leaseholders; dependencies is copied */
+/**
+ * hzb_shard_leases_new: Returns: (transfer full): a view of every peer in the settings, none of which holds a shard;
+ * dependencies is copied
+ */
 HzbShardLeases *hzb_shard_leases_new (const HzbShardLeasesDependencies *dependencies);
 
 /** hzb_shard_leases_free: frees shard_leases; the machines and tasks are not changed. */
@@ -54,8 +57,8 @@
 void hzb_shard_leases_handle_poll (HzbShardLeases *shard_leases, HzbHttpRequest *http_request, const cJSON *root);
 
 /**
- * hzb_shard_leases_lease_idle: leases a machine without tasks that has just sent a heartbeat, if a leased shard is
- * smaller than the leader's.
+ * hzb_shard_leases_lease_idle: leases a machine without tasks that has just sent a heartbeat, if a leaseholder's shard
+ * has fewer CPUs than the leader's. A node without a shard counts as 0 CPUs.
  *
  * Returns: (transfer none) (nullable): the name of the node that the machine is leased to; NULL if it was not leased
  */
@@ -83,8 +86,8 @@
 guint64 hzb_shard_leases_next_fencing_token (HzbShardLeases *shard_leases);
 
 /**
- * hzb_shard_leases_announce_durable: queues for the task's leaseholder that the result of the task is durable, so that
- * the worker may drop the result. Has no effect if the task has no leaseholder.
+ * hzb_shard_leases_announce_durable: queues a message to the task's leaseholder: the result of the task is durable, so
+ * the worker may drop it. Clears HzbTask.leaseholder. Has no effect if the task has no leaseholder.
  */
 void hzb_shard_leases_announce_durable (HzbShardLeases *shard_leases, HzbTask *task);
 
--- a/src/shards/shard-machines.c
+++ b/src/shards/shard-machines.c
@@ -20,6 +20,7 @@
 /* The leader is overloaded, and hands over machines with tasks, while its timers fire at least this late on average. */
 #define MIN_OVERLOAD_LAG_S 0.015
 
+/* Returns: whether there is an accepted gang of which no task is in HZB_TASK_FINISHED. The gang waits or runs. */
 static gboolean
 has_waiting_gang (const HzbJobs *jobs)
 {
@@ -253,15 +254,16 @@
       hzb_held_tasks_add (held_tasks, task);
       task->leaseholder = leaseholder->id;
       hzb_task_set_state (jobs, task, HZB_TASK_DELEGATED, NULL);
+      /* prevents an endless loop if the change of state was rejected */
       g_return_val_if_fail (machine->tasks->len < before, held_tasks);
     }
   return held_tasks;
 }
 
-/* After a failover the leader holds every machine, and under load hardly any machine is without tasks. Such a
- * machine is leased together with the names of all tasks that may be on it, including those started in the last
- * answer. The leaseholder draws no conclusion about these tasks until the machine has sent a heartbeat under the
- * shard's fencing token. */
+/* After a failover the leader holds every machine, and under load hardly any machine is without tasks. So machines are
+ * leased with tasks as well: the lease names all tasks that may be on the machine, including those started in the last
+ * answer to its heartbeat. The leaseholder draws no conclusion about these tasks until the machine has sent a heartbeat
+ * under the shard's fencing token. */
 const char *
 hzb_shard_leases_hand_over (HzbShardLeases *shard_leases, HzbMachine *machine)
 {
--- a/src/shards/shard-poll-messages.c
+++ b/src/shards/shard-poll-messages.c
@@ -221,8 +221,8 @@
   g_clear_pointer (&answer->batches, g_ptr_array_unref);
 }
 
-/* The order of the members is the same as in earlier versions, because the comparison of behaviour traces compares
- * the bytes. */
+/* The order of the members stays as it was in earlier versions, because behaviour traces of different versions are
+ * compared byte by byte. */
 void
 hzb_shard_answer_encode (const HzbShardAnswer *answer, cJSON *message)
 {
--- a/src/shards/shard-poll-messages.h
+++ b/src/shards/shard-poll-messages.h
@@ -3,9 +3,9 @@
  * SECTION: shard-poll-messages
  * The poll of a leaseholder and the leader's answer, and their encoding.
  *
- * A leaseholder polls the leader about twice a second. The poll carries numbered events, the answer numbered batches;
- * each side repeats them until the other has acknowledged them (outbox.h). shard-messages.h encodes machines, and
- * task-group-messages.h encodes tasks. Polls and answers also carry requests and acknowledgements of cancellations,
+ * A leaseholder polls the leader two to four times a second. The poll carries numbered events, the answer numbered
+ * batches; each side repeats them until the other has acknowledged them (outbox.h). shard-messages.h encodes machines,
+ * and task-group-messages.h encodes tasks. Polls and answers also carry requests and acknowledgements of cancellations,
  * which cancellation-messages.h encodes.
  */
 #pragma once
@@ -52,7 +52,7 @@
 {
   HzbOutboxMessage message;  /**< number and state in the leaseholder's outbox */
   HzbTaskGroups *finished;   /**< (nullable): tasks that succeeded; the leader makes their result durable */
-  double ran_s;              /**< if finished is set: run time of these tasks, in seconds */
+  double ran_s;              /**< if finished is set: run time of each of these tasks, in seconds */
   HzbTaskGroups *returned;   /**< (nullable): tasks that the leaseholder returns unstarted */
   HzbMachineReturn *machine; /**< (nullable): a machine that the leaseholder returns */
 } HzbShardEvent;
@@ -92,8 +92,9 @@
  */
 typedef struct
 {
-  char *node;            /**< (nullable): name of the sender; set by decoding only, see hzb_peers_new_message() */
-  char *incarnation;     /**< (nullable): incarnation of the sender's process; set by decoding only */
+  /** (nullable): name of the sender. Set by decoding only: hzb_peers_new_message() writes it into the message. */
+  char *node;
+  char *incarnation;     /**< (nullable): incarnation of the sender's process; set by decoding only, like node */
   GArray *cancellations; /**< (nullable) (element-type HzbCancellation): the leader is asked to acknowledge these */
   guint64 fencing_token; /**< fencing token of the shard that the sender holds; 0: none */
   guint64 last_batch_applied; /**< acknowledges all batches up to this number */
--- a/src/shards/shard-requests.c
+++ b/src/shards/shard-requests.c
@@ -3,9 +3,10 @@
 #include "shard-leases-private.h"
 #include "user-protocol.h"
 
-#define SHARD_LEASE_S 10.0 /* lease duration from when the poll was sent; the design documentation states it */
+/* Counted from when the poll was sent. The design documentation states this duration as well. */
+#define SHARD_LEASE_S 10.0
 
-/* Returns: (nullable): NULL if node is NULL or no other node has this name */
+/* Returns: (nullable): the view of the node with this name; NULL if node is NULL or no other node has the name */
 static HzbLeaseholderView *
 find_leaseholder (HzbShardLeases *shard_leases, const char *node)
 {
@@ -31,7 +32,8 @@
   leaseholder->steady_since = now;
 }
 
-/* A pause of more than HZB_SHARDS_POLL_TIMEOUT_S interrupts the node's polling. */
+/* Records the time of a poll. After a pause of more than HZB_SHARDS_POLL_TIMEOUT_S, the time for which the node has
+ * polled without interruption is counted from this poll. */
 static void
 update_poll_time (HzbLeaseholderView *leaseholder, struct timespec now)
 {
@@ -121,7 +123,7 @@
         apply_poll (leaseholder, poll, now);
       answer.fencing_token = leaseholder->fencing_token;
       answer.last_event_applied = leaseholder->last_event_applied;
-      answer.batches = hzb_outbox_send (&leaseholder->batches);
+      answer.batches = hzb_outbox_prepare_send (&leaseholder->batches);
     }
   respond (http_request, &answer);
 }
--- a/tests/real-processes.c
+++ b/tests/real-processes.c
@@ -35,7 +35,8 @@
   for (guint i = 0; i < SIM_NODES; i++)
     sim_crash (sim, i);
   g_sequence_remove_range (g_sequence_get_begin_iter (sim->events), g_sequence_get_end_iter (sim->events));
-  /* Marks node 0 as running, because the calls to the fakes come from it. The pointer is never dereferenced. */
+  /* Marks node 0 as running: on_fake_request() leaves the node and incarnation of each call at 0, and the simulation
+   * drops the response to a call unless its node runs in that incarnation. The pointer is never dereferenced. */
   sim->nodes[0].controller = (gpointer) sim;
   sim->nodes[0].incarnation = 0;
   started_us = g_get_monotonic_time ();
@@ -45,7 +46,8 @@
 
 /* ---- fakes over HTTP ---- */
 
-/* A request to a fake that has no response yet. */
+/* An HTTP request that waits for the response of a fake. As the data of a request handler: which fake the handler
+ * serves; server and message are NULL. */
 typedef struct
 {
   Sim *sim;
@@ -106,7 +108,7 @@
 /* ---- controllers ---- */
 
 /* Runs in the child before it executes the controller: redirects standard error to the log, and makes the kernel kill
- * the controller when this process ends, for whatever reason. */
+ * the controller when its parent, the process that called real_start(), ends for any reason. */
 static void
 set_up_child (gpointer log)
 {
--- a/tests/test-dispatch.c
+++ b/tests/test-dispatch.c
@@ -69,7 +69,7 @@
               hzb_task_set_state (b.jobs, hzb_job_take_pending (job, hzb_clock_now (b.clock)), HZB_TASK_QUEUED,
                                   machine);
               for (guint c = 0; c <= job->scheduling_class; c++)
-                hzb_estimate_send (&machine->estimates[c], job->spec->estimate_s / v);
+                hzb_estimate_add_task (&machine->estimates[c], job->spec->estimate_s / v);
             }
           hzb_clock_advance (b.clock, g_rand_int_range (b.rand, 0, 4));
         }
--- a/tests/test-estimate.c
+++ b/tests/test-estimate.c
@@ -94,7 +94,7 @@
           else
             {
               double mean = g_rand_double_range (rand, 0.2, 20);
-              hzb_estimate_send (&estimate, mean);
+              hzb_estimate_add_task (&estimate, mean);
               reference_send (&reference, mean);
             }
           g_assert_cmpfloat_with_epsilon (hzb_estimate_mean (&estimate), (double) reference_mean (&reference),
@@ -125,7 +125,7 @@
   HzbEstimate estimate = { 0 };
   hzb_estimate_reset (&estimate, hzb_clock_now (clock), 1e7);
   for (int i = 0; i < 50; i++)
-    hzb_estimate_send (&estimate, 1e5);
+    hzb_estimate_add_task (&estimate, 1e5);
   g_assert_cmpuint (estimate.length, <=, 1024);
   g_assert_true (isfinite (hzb_estimate_mean (&estimate)));
   hzb_clock_advance (clock, 1e6);
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -60,7 +60,7 @@
           HzbTaskState to = (HzbTaskState) g_rand_int_range (b.rand, 0, HZB_TASK_N_STATES);
           gboolean placed = to == HZB_TASK_QUEUED || (to >= HZB_TASK_RESERVED && to <= HZB_TASK_CHECKPOINTING);
           guint counts[HZB_TASK_N_STATES] = { 0 };
-          double used = 0, room[3] = { 0 };
+          double used = 0, machine_cpus[3] = { 0 };
           if (to == HZB_TASK_FINISHED && step % 8)
             continue; /* rarely, since otherwise all tasks would soon be done */
           g_log_set_always_fatal (G_LOG_LEVEL_ERROR);
@@ -75,7 +75,7 @@
                 used += 1.5;
               for (guint k = 0; k < 3 && hzb_task_on_machine (t); k++)
                 if (t->machine == machine[k])
-                  room[k] += 1.5;
+                  machine_cpus[k] += 1.5;
             }
           g_assert_cmpuint (job->pending, ==, counts[HZB_TASK_PENDING]);
           g_assert_cmpuint (job->queued, ==, counts[HZB_TASK_QUEUED]);
@@ -87,14 +87,15 @@
                             ==, counts[HZB_TASK_QUEUED]);
           g_assert_cmpfloat_with_epsilon (b.shard->cpus[0], used, 1e-9);
           for (guint k = 0; k < 3; k++)
-            g_assert_cmpfloat_with_epsilon (machine[k]->cpus, room[k], 1e-9);
+            g_assert_cmpfloat_with_epsilon (machine[k]->cpus, machine_cpus[k], 1e-9);
         }
       bench_clear (&b);
     }
 }
 
 /* The resources that replicas of services take on a machine equal a direct count, after each step of seeded random
- * sequences of state changes of two services and a job array. v is the number of tasks that fit into the rest. */
+ * sequences of state changes of two services and a job array. The speed of a machine for the job array is
+ * the number of the array's tasks that fit beside the replicas. */
 static void
 test_replica_accounting (void)
 {
@@ -250,7 +251,8 @@
   bench_clear (&successor);
 }
 
-/* Each chunk of the largest job's progress fits into the smallest value size that the settings allow. */
+/* Each chunk of the largest job's progress fits into nine tenths of a value of 2 KiB, the lowest limit with chunks of
+ * 8192 tasks. Record pages are filled up to this fraction of the limit. */
 static void
 test_large_job (void)
 {
@@ -316,7 +318,9 @@
   job = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 200, 1, 10);
   for (guint i = 0; i < 200; i++)
     hzb_jobs_record_run_time (b.jobs, job, 20);
-  g_assert_cmpfloat (hzb_jobs_mean_s (b.jobs, job), ==, 10); /* one job is not enough for a correction */
+  /* The run times of all tasks of a job have the weight of one observation, which is not enough for a correction. */
+  g_assert_cmpfloat (hzb_jobs_mean_s (b.jobs, job), ==, 10);
+  /* The same job stands for 80 jobs: the weight of a run time depends only on the number of tasks of its job. */
   for (guint i = 0; i < 200 * 80; i++)
     hzb_jobs_record_run_time (b.jobs, job, 20);
   hzb_jobs_record_run_time (b.jobs, job, -1); /* a negative run time, from a clock or a peer, is ignored */
@@ -329,13 +333,13 @@
   bench_clear (&b);
 }
 
-/* ---- full load while records move ---- */
+/* ---- full load of the records while they are written, deleted and archived ---- */
 
 #define RECORDED_JOBS 12u
 
 typedef struct
 {
-  guint acceptance; /* the acceptance record that names it; 0: the job was never submitted */
+  guint acceptance; /* number of the acceptance record that names the job; 0: the job was never submitted */
   gboolean terminal, archived;
 } RecordedJob;
 
@@ -457,7 +461,7 @@
           : !expected->acceptance ? job != NULL
           : expected->archived    ? job && !known_done
                                   : !known_done)
-        g_error ("seed %u: job %u is %s, and here it is %s", seed, i,
+        g_error ("seed %u: job %u is %s in the records, and %s in the registry", seed, i,
                  open                 ? "open"
                  : expected->archived ? "archived"
                  : expected->terminal ? "terminal"
--- a/tests/test-largest-fleet.c
+++ b/tests/test-largest-fleet.c
@@ -7,11 +7,11 @@
 
 #define MACHINES 4000u
 #define MACHINES_LARGER 6000u
-/* Time from the first job until nearly all machines are up: 8 rental calls a second for 50 machines each, plus the
- * boot. */
+/* Simulated time at which nearly all machines have to be up. The first job is submitted at 1 s. The cloud takes 8
+ * calls a second, and a call rents at most 50 machines, which then boot. */
 #define SCALE_OUT_DEADLINE_S 30.0
 
-/* Returns: the configuration of a deployment whose cloud has 5 % more machines than this */
+/* Returns: the configuration of a deployment whose cloud has 5 % more machines than @machines */
 static SimConfig
 fleet_config (guint machines)
 {
@@ -29,8 +29,8 @@
     sim_add_machine (sim, i % 3 ? "small" : "big", i % 2 ? "za" : "zb", TRUE, g_rand_double_range (sim->rand, 1, 5));
 }
 
-/* Returns: (transfer full): a cluster of this many machines that have been at work for about 20 s, with three jobs for
- * every 40 machines */
+/* Returns: (transfer full): a cluster of @machines rented machines at 30 s, about 20 s after the last job was
+ * submitted. There are three jobs for every 40 machines. @run_s: mean run time of the tasks, in seconds */
 static Sim *
 new_busy_fleet (guint32 seed, guint machines, double run_s)
 {
@@ -54,8 +54,8 @@
   return FALSE;
 }
 
-/* Runs until the leader has verified all machines. Returns: the time that this took, in seconds; at least timeout_s:
- * they are not verified yet */
+/* Runs until the leader has verified all machines. Returns: the seconds until then. If the leader does
+ * not verify them within @timeout_s seconds, the run stops, and the result is at least @timeout_s. */
 static double
 run_until_all_verified (Sim *sim, double timeout_s)
 {
@@ -160,7 +160,7 @@
     }
 }
 
-/* Jobs are submitted while no machine is rented. The cloud has capacity for exactly this many machines, in one zone,
+/* Jobs are submitted while no machine is rented. The cloud has capacity for exactly @machines machines, in one zone,
  * and all jobs need the same machine type. Returns: (transfer full): the cluster, SCALE_OUT_DEADLINE_S after its
  * start */
 static Sim *
--- a/tests/test-record-flush.c
+++ b/tests/test-record-flush.c
@@ -3,11 +3,11 @@
 #include "records-codec.h"
 #include "sim-faults.h"
 
-/* The contents of all pages in the key-value store. */
+/* The contents of all progress pages and machine pages in the key-value store. */
 typedef struct
 {
   GHashTable *finished; /* set of "uid/task" */
-  GHashTable *released; /* uid to its highest released mark */
+  GHashTable *released; /* uid of a job to the job's highest released mark: tasks below it may have been started */
   GHashTable *machines; /* set of machine names */
 } StoredRecords;
 
@@ -15,19 +15,19 @@
 read_progress_page (const char *key, const cJSON *value, gpointer user)
 {
   StoredRecords *stored = user;
-  g_autoptr (GArray) parts = hzb_progress_page_decode (value);
+  g_autoptr (GArray) chunks = hzb_progress_page_decode (value);
 
-  for (guint i = 0; i < parts->len; i++)
+  for (guint i = 0; i < chunks->len; i++)
     {
-      const HzbProgressChunk *part = &g_array_index (parts, HzbProgressChunk, i);
-      const HzbProgressRecord *progress = &part->progress;
-      guint released = GPOINTER_TO_UINT (g_hash_table_lookup (stored->released, part->uid));
-      g_hash_table_insert (stored->released, g_strdup (part->uid),
+      const HzbProgressChunk *chunk = &g_array_index (chunks, HzbProgressChunk, i);
+      const HzbProgressRecord *progress = &chunk->progress;
+      guint released = GPOINTER_TO_UINT (g_hash_table_lookup (stored->released, chunk->uid));
+      g_hash_table_insert (stored->released, g_strdup (chunk->uid),
                            GUINT_TO_POINTER (MAX (released, progress->released)));
       for (guint k = 0; k < 8 * progress->finished_bytes; k++)
         if (progress->finished[k / 8] & 1u << k % 8)
           g_hash_table_add (stored->finished,
-                            g_strdup_printf ("%s/%u", part->uid, part->number * progress->chunk_tasks + k));
+                            g_strdup_printf ("%s/%u", chunk->uid, chunk->number * progress->chunk_tasks + k));
     }
 }
 
@@ -41,7 +41,8 @@
     g_hash_table_add (stored->machines, g_strdup (g_array_index (machines, HzbMachineRecord, i).name));
 }
 
-/* Checks a job that is not done. Returns: the number of its tasks that the leader treats as done. */
+/* Expects that the released mark and the done tasks of an unfinished job are in the key-value store. Returns: the
+ * number of the job's tasks that the leader treats as done. */
 static guint
 expect_job_stored (const StoredRecords *stored, const HzbJob *job)
 {
@@ -58,7 +59,8 @@
   return done;
 }
 
-/* Checks the leader's jobs and machines. Returns: the number of tasks that it treats as done, of jobs that are not. */
+/* Expects that all progress and machines that the leader treats as durable are in the key-value store. Returns: the
+ * number of tasks of unfinished jobs that the leader treats as done. */
 static guint
 expect_all_stored (Sim *sim, const HzbController *controller)
 {
@@ -78,7 +80,7 @@
   for (guint i = 0; i < controller->machines->all->len; i++)
     {
       const HzbMachine *machine = controller->machines->all->pdata[i];
-      if (machine->recorded && machine->page)
+      if (machine->recorded && machine->page) /* a machine that no longer exists is on no page */
         g_assert_true (g_hash_table_contains (stored.machines, machine->name));
     }
   g_hash_table_unref (stored.finished);
--- a/tests/test-scheduling-records.c
+++ b/tests/test-scheduling-records.c
@@ -10,7 +10,8 @@
   g_assert_cmpstr (text, ==, expected);
 }
 
-/* An acceptance contains the submission as the protocol codec encodes it, and the time in whole milliseconds. */
+/* An acceptance contains the submission as the protocol codec encodes it, and the time of acceptance in seconds,
+ * rounded down to whole milliseconds. */
 static void
 test_acceptance (void)
 {
@@ -75,7 +76,7 @@
   g_assert_false (decode ("{\"state\":\"accepted\",\"at\":1,\"spec\":{}}", 3, &record));
 }
 
-/* An encoded entry decodes to the same values, and an acceptance record keeps the order of its jobs. */
+/* A job's entry in an acceptance record decodes to the encoded values, and the record keeps the order of its jobs. */
 static void
 test_round_trip (void)
 {
--- a/tests/test-shard-messages.c
+++ b/tests/test-shard-messages.c
@@ -244,7 +244,7 @@
   g_assert_true (hzb_outbox_last_unsent (&outbox)->number == 3);
   for (guint round = 0; round < 2; round++)
     {
-      g_autoptr (GPtrArray) sent = hzb_outbox_send (&outbox);
+      g_autoptr (GPtrArray) sent = hzb_outbox_prepare_send (&outbox);
       g_assert_cmpuint (sent->len, ==, 2);
       g_assert_true (((HzbOutboxMessage *) sent->pdata[0])->number == 1);
     }
@@ -252,7 +252,7 @@
   g_assert_cmpuint (outbox.unacknowledged.length, ==, 1);
   outbox.max_bytes = 1;
   {
-    g_autoptr (GPtrArray) sent = hzb_outbox_send (&outbox);
+    g_autoptr (GPtrArray) sent = hzb_outbox_prepare_send (&outbox);
     g_assert_cmpuint (sent->len, ==, 1);
   }
   g_assert_null (hzb_outbox_last_unsent (&outbox));
