--- a/src/api/admin-codec.c
+++ b/src/api/admin-codec.c
@@ -11,7 +11,7 @@
 static void
 add_schema_versions (cJSON *root, const GArray *controllers)
 {
-  cJSON *versions = cJSON_AddObjectToObject (root, "formats");
+  cJSON *versions = cJSON_AddObjectToObject (root, "formats"); /* schema version of each controller */
 
   for (guint i = 0; i < controllers->len; i++)
     {
@@ -35,8 +35,9 @@
   else
     cJSON_AddNullToObject (root, "leader");
   hzb_json_add_u64 (root, "term", leadership->term);
+  /* seconds since the key-value store last answered */
   cJSON_AddNumberToObject (root, "stateServiceSilentS", MIN (leadership->kv_unresponsive_s, MAX_UNRESPONSIVE_S));
-  cJSON_AddNumberToObject (root, "format", leadership->schema_version);
+  cJSON_AddNumberToObject (root, "format", leadership->schema_version); /* every controller reads this schema version */
   add_schema_versions (root, leadership->controllers);
   return hzb_json_print (root);
 }
@@ -67,7 +68,7 @@
   cJSON_AddBoolToObject (item, "spot", machine->spot);
   cJSON_AddStringToObject (item, "state", hzb_machine_state_name (machine->state));
   cJSON_AddNumberToObject (item, "tasks", machine->tasks->len);
-  cJSON_AddNumberToObject (item, "listed", hzb_machine_count_queued_tasks (machine));
+  cJSON_AddNumberToObject (item, "listed", hzb_machine_count_queued_tasks (machine)); /* in its run queues */
   cJSON_AddNumberToObject (item, "cpusUsed", machine->cpus);
   cJSON_AddBoolToObject (item, "toBeReturned", machine->scale_in_requested);
   return item;
@@ -128,17 +129,17 @@
   cJSON_AddStringToObject (item, "id", job->uid);
   cJSON_AddStringToObject (item, "status", hzb_job_status (job));
   cJSON_AddNumberToObject (item, "tasks", job->n_tasks);
-  /* A controller that owns none of the job's tasks does not count them. */
+  /* A controller that owns none of the job's tasks lacks their counts, and may lack the job's spec. */
   if (job->tasks)
     {
       cJSON_AddStringToObject (item, "class", job->spec->job_class);
       cJSON_AddStringToObject (item, "team", job->spec->team);
       cJSON_AddNumberToObject (item, "waiting", job->pending + job->queued);
       cJSON_AddNumberToObject (item, "placed", job->placed);
-      cJSON_AddNumberToObject (item, "unknown", job->unconfirmed);
-      cJSON_AddNumberToObject (item, "finished", job->finished);
-      cJSON_AddNumberToObject (item, "done", job->done);
-      cJSON_AddNumberToObject (item, "servedAs", job->scheduling_class);
+      cJSON_AddNumberToObject (item, "unknown", job->unconfirmed); /* may run on a machine that is not verified yet */
+      cJSON_AddNumberToObject (item, "finished", job->finished);   /* result known, not yet durable */
+      cJSON_AddNumberToObject (item, "done", job->done);           /* result durable */
+      cJSON_AddNumberToObject (item, "servedAs", job->scheduling_class); /* an HzbSchedulingClass */
       cJSON_AddNumberToObject (item, "failuresInARow", job->failures);
     }
   return item;
--- a/src/api/admin.c
+++ b/src/api/admin.c
@@ -67,7 +67,7 @@
 static gboolean
 is_loaded_leader (HzbAdmin *admin)
 {
-  return hzb_ownership_leader_loaded (admin->dependencies.ownership)
+  return hzb_ownership_is_loaded_leader (admin->dependencies.ownership)
          && hzb_election_is_leader (admin->dependencies.election);
 }
 
--- a/src/api/heartbeat-admission.c
+++ b/src/api/heartbeat-admission.c
@@ -150,7 +150,7 @@
 
   if (step_down_if_superseded (api, exchange))
     return NULL;
-  if (!hzb_ownership_leader_loaded (api->dependencies.ownership))
+  if (!hzb_ownership_is_loaded_leader (api->dependencies.ownership))
     {
       respond_while_loading (api, exchange);
       return NULL;
--- a/src/api/submissions.c
+++ b/src/api/submissions.c
@@ -18,7 +18,7 @@
 #define ACCEPTANCE_TIMEOUT_S 2.5 /* after this time in the queue the user gets 503 with Retry-After */
 #define RECORD_OVERHEAD_BYTES 64 /* braces and names around the jobs in a record */
 #define JOB_OVERHEAD_BYTES 8     /* quotes and separators around each job in a record */
-/* The key-value store allows this many times as many comparisons in a transaction as changes (puts and deletes). */
+/* A transaction may have kv_txn_ops changes (puts and deletes) and this many times that number of comparisons. */
 #define COMPARISONS_PER_CHANGE 4
 #define MIN_COMPARISONS 3u   /* needed for a record with one job */
 #define MAX_COMPARISONS 256u /* limit of this program, also if the key-value store allows more */
@@ -111,11 +111,14 @@
                               hzb_job_status_encode (uid, job ? hzb_job_status (job) : "queued", FALSE, 0, 0), 0);
 }
 
-/* Resolves a submission whose transaction failed because the job is terminal, or whose transaction has an unknown
- * outcome. In the second case the key-value store may still apply the transaction, so the user gets 503 with
- * Retry-After if the replica does not have the job. */
+/* Resolves a submission by looking up its job.
+ *
+ * @terminal: TRUE: the transaction failed because the job is terminal, so the job's completion record is read. FALSE:
+ * the transaction failed for another reason, or its outcome is unknown; the replica is brought up to date, and the
+ * archive is read if the replica does not have the job. In both cases the user gets 503 with Retry-After if the job is
+ * not found: after an unknown outcome the key-value store may still apply the transaction. */
 static void
-resolve_undecided (HzbUserApi *api, HzbSubmission *submission, gboolean terminal)
+resolve_by_lookup (HzbUserApi *api, HzbSubmission *submission, gboolean terminal)
 {
   HzbPendingRequest *request =
       hzb_pending_request_new (api, submission->http_request, submission->spec->uid, HZB_PENDING_REQUEST_SUBMISSION);
@@ -157,7 +160,7 @@
   if (result == HZB_KV_OK)
     reply_accepted (api, submission);
   else if (result == HZB_KV_CONFLICT || result == HZB_KV_UNKNOWN)
-    resolve_undecided (api, submission, terminal);
+    resolve_by_lookup (api, submission, terminal);
   else
     hzb_user_api_reply_unavailable (submission->http_request, "the state service can't be asked");
   hzb_submission_free (submission);
@@ -174,8 +177,8 @@
   api->acceptances_in_flight--;
   if (result == HZB_KV_CONFLICT)
     hzb_kv_commit_decode (body, NULL, &failed_keys);
-  /* The key-value store's answer may arrive after the replica has delivered the record and its removal. If the record
-   * were applied then, the record and its jobs would stay in the registry permanently. */
+  /* The answer may arrive after the replica has already added the record to the job registry and removed it again.
+   * Adding it once more would leave it there permanently, since no second removal comes. */
   if (result == HZB_KV_OK && hzb_kv_commit_decode (body, &revision, NULL)
       && !hzb_kv_replica_covers (api->dependencies.kv_replica, revision))
     hzb_acceptance_record_apply (acceptance->record, api->dependencies.jobs);
--- a/src/api/user-records-codec.c
+++ b/src/api/user-records-codec.c
@@ -74,12 +74,14 @@
   hzb_jobs_apply_acceptance (jobs, record->key, record->value);
 }
 
+/* hzb_job_acceptance_encode() gives the entry as a cJSON object; this function also prints it as text. */
 char *
 hzb_accepted_job_encode (const HzbJobSpec *spec, struct timespec accepted_at)
 {
   return hzb_json_print (hzb_job_acceptance_encode (spec, accepted_at));
 }
 
+/* The record of a cancellation is a completion record in state cancelled. */
 void
 hzb_cancellation_record_put (const char *uid, guint n_tasks, HzbKvTransaction *transaction)
 {
--- a/src/api/user-records-codec.h
+++ b/src/api/user-records-codec.h
@@ -50,10 +50,10 @@
 void hzb_acceptance_record_apply (const HzbAcceptanceRecord *record, HzbJobs *jobs);
 
 /**
- * hzb_accepted_job_encode: Returns: (transfer full): the entry of one job in an acceptance record, as JSON text;
- * accepted_at is the wall-clock time of the acceptance
+ * hzb_accepted_job_encode: Returns: (transfer full): the entry of one job in an acceptance record, as JSON text: the
+ * printed result of hzb_job_acceptance_encode(); accepted_at is the wall-clock time of the acceptance
  */
 char *hzb_accepted_job_encode (const HzbJobSpec *spec, struct timespec accepted_at);
 
-/** hzb_cancellation_record_put: adds to a transaction the put of a completion record for a cancelled job. */
+/** hzb_cancellation_record_put: adds the completion record of a cancelled job to a transaction. */
 void hzb_cancellation_record_put (const char *uid, guint n_tasks, HzbKvTransaction *transaction);
--- a/src/api/worker-api.c
+++ b/src/api/worker-api.c
@@ -24,13 +24,14 @@
 {
   const HzbWorkerHeartbeat *heartbeat = exchange->heartbeat;
 
+  /* notice_s >= 0: the cloud is about to reclaim the machine */
   if (!exchange->is_leader || heartbeat->notice_s >= 0 || heartbeat->fencing_token != exchange->machine->fencing_token)
     return NULL;
   return hzb_shard_leases_hand_over (api->dependencies.shard_leases, exchange->machine);
 }
 
-/* Returns: TRUE if this node holds a valid lease, so that no other node can have been elected or have leased the shard
- * until now. Tasks may be started only then, see docs/safety.md. */
+/* Returns: TRUE if this node's lease is still valid: then no other node can be the leader yet, or, on a leaseholder,
+ * hold this shard yet. Tasks may be started only then, see docs/safety.md. */
 static gboolean
 holds_valid_lease (HzbWorkerApi *api, const HzbHeartbeatExchange *exchange)
 {
@@ -45,13 +46,15 @@
     hzb_dispatch_start_tasks (api->dependencies.dispatch, exchange->machine, exchange->now, exchange->commands);
 }
 
-/* The worker may still accept commands of an earlier owner, so the task statuses in this heartbeat are not applied. */
+/* An incomplete heartbeat may lack tasks, since the worker may still be accepting an earlier owner's commands. So its
+ * task statuses are not applied. */
 static void
-apply_incomplete (HzbWorkerApi *api, HzbHeartbeatExchange *exchange)
+handle_incomplete_heartbeat (HzbWorkerApi *api, HzbHeartbeatExchange *exchange)
 {
   hzb_heartbeat_stop_cancelled (api, exchange);
+  /* The heartbeat bears an older fencing token than the machine's current one. */
   if (exchange->machine->state == HZB_MACHINE_ACTIVE)
-    exchange->machine->ignored_responses++; /* the worker has not seen the fencing token of the last response */
+    exchange->machine->ignored_responses++;
 }
 
 static void
@@ -73,7 +76,7 @@
       start_tasks (api, exchange);
     }
   else
-    apply_incomplete (api, exchange);
+    handle_incomplete_heartbeat (api, exchange);
   hzb_reachability_mark_if_suspect (api, exchange);
   hzb_reconciliation_count_commands (api->dependencies.reconciliation, exchange->commands);
   hzb_heartbeat_respond (exchange, exchange->machine->fencing_token);
--- a/src/cluster/cancellation-requests.c
+++ b/src/cluster/cancellation-requests.c
@@ -58,7 +58,7 @@
   PendingRequest *request;
 
   if (hzb_election_is_leader (deps->election))
-    return hzb_ownership_leader_loaded (deps->ownership);
+    return hzb_ownership_is_loaded_leader (deps->ownership);
   request = find_request (cancellations, job->uid);
   if (!request)
     request = add_request (cancellations, job->uid, now);
--- a/src/cluster/cancellations.c
+++ b/src/cluster/cancellations.c
@@ -79,7 +79,7 @@
 {
   if (is_known_to_every_controller (cancellations, job))
     return TRUE;
-  if (!hzb_ownership_leader_loaded (cancellations->dependencies.ownership) || job->state != HZB_JOB_CANCELLED)
+  if (!hzb_ownership_is_loaded_leader (cancellations->dependencies.ownership) || job->state != HZB_JOB_CANCELLED)
     return FALSE;
   if (!job->tasks)
     return TRUE; /* no task of the job was ever released to a machine, or all tasks have ended */
@@ -105,7 +105,7 @@
   const GPtrArray *active = cancellations->dependencies.jobs->active;
   guint64 acknowledged = hzb_kv_replica_revision (cancellations->dependencies.kv_replica);
 
-  if (!hzb_ownership_leader_loaded (cancellations->dependencies.ownership))
+  if (!hzb_ownership_is_loaded_leader (cancellations->dependencies.ownership))
     return 0;
   for (guint i = 0; i < active->len; i++)
     {
--- a/src/cluster/election-campaign.c
+++ b/src/cluster/election-campaign.c
@@ -5,18 +5,18 @@
 #include "record-keys.h"
 
 #define LEASE_MS 4000
-/* How long the leader relies on its lease, in seconds from when it sent the request or the renewal. The factor allows
- * for clock drift between this controller and the key-value store; 0.05 s is a safety margin. */
+/* How long the leader relies on its lease, in seconds from when it requested or last renewed the lease. The factor
+ * 0.999 allows for clock drift between this controller and the key-value store; 0.05 s is a safety margin. */
 #define LEASE_VALID_S (LEASE_MS / 1000.0 * 0.999 - 0.05)
 
 static void
-on_old_lease_revoked (HzbKvResult result, const char *body, gpointer user)
+on_old_lease_revocation_done (HzbKvResult result, const char *body, gpointer user)
 {
   HzbElection *election = user;
   if (election->state == HZB_ELECTION_REVOKING_OLD_LEASE)
     {
       election->next_campaign = hzb_time_plus (hzb_clock_now (election->clock), HZB_ELECTION_RETRY_S);
-      hzb_election_set_state (election, HZB_ELECTION_FOLLOWING, "the lease of the earlier process was revoked");
+      hzb_election_set_state (election, HZB_ELECTION_FOLLOWING, "the request to revoke the old lease has ended");
     }
 }
 
@@ -28,13 +28,13 @@
     return;
   if (result != HZB_KV_OK)
     {
-      hzb_election_become_follower (election,
-                                    "the transaction that takes the leadership failed or its outcome is unknown");
+      hzb_election_become_follower (election, "the attempt to take the leadership failed, or its outcome is unknown");
       return;
     }
+  /* This commit wrote the record of the term, so its revision is the version of that record. */
   hzb_kv_commit_decode (body, &election->term_version, NULL);
-  election->lease_valid_until = hzb_time_plus (election->lease_requested, LEASE_VALID_S);
-  election->renewal_sent = election->lease_requested;
+  election->lease_valid_until = hzb_time_plus (election->lease_request_sent, LEASE_VALID_S);
+  election->last_extension_sent = election->lease_request_sent;
   election->renewing = FALSE;
   hzb_election_set_state (election, HZB_ELECTION_LEADING, "elected");
 }
@@ -77,6 +77,8 @@
   hzb_kv_transaction_compare (transaction, HZB_KEY_SCHEMA_VERSION, 0);
   hzb_kv_transaction_put (transaction, HZB_KEY_SCHEMA_VERSION, hzb_schema_version_record_encode (HZB_SCHEMA_VERSION_2),
                           0);
+  /* Controllers of schema version 1 are elected only if this key has no record. The placeholder has no lease, so it
+   * remains, and none of them is elected any more. */
   hzb_kv_transaction_put (transaction, HZB_KEY_LEADER_SCHEMA_1, hzb_leader_record_encode_placeholder (election->term),
                           0);
   hzb_kv_transaction_put (transaction, HZB_KEY_LEADER_SCHEMA_2, encode_own_leadership (election), election->lease);
@@ -86,7 +88,7 @@
 /* Sends the transaction that takes the leadership. Its conditions are that no leader is recorded and that the term is
  * still the one that the replica of the records shows. */
 static void
-campaign (HzbElection *election)
+send_campaign_transaction (HzbElection *election)
 {
   HzbKvTransaction *transaction = hzb_kv_transaction_new ();
 
@@ -113,7 +115,7 @@
   else if (!election->lease)
     hzb_election_become_follower (election, "the key-value store granted no lease");
   else
-    campaign (election);
+    send_campaign_transaction (election);
 }
 
 /* A renewal in flight, and the lease that it renews. */
@@ -133,7 +135,7 @@
     return;
   election->renewing = FALSE;
   if (result == HZB_KV_OK)
-    election->lease_valid_until = hzb_time_plus (election->renewal_sent, LEASE_VALID_S);
+    election->lease_valid_until = hzb_time_plus (election->last_extension_sent, LEASE_VALID_S);
   else if (result == HZB_KV_NOT_FOUND)
     {
       election->lease = 0;
@@ -148,7 +150,7 @@
   renewal->election = election;
   renewal->lease = election->lease;
   election->renewing = TRUE;
-  election->renewal_sent = now;
+  election->last_extension_sent = now;
   hzb_kv_client_renew_lease (election->kv, election->lease, on_renewed, renewal);
 }
 
@@ -158,17 +160,17 @@
   election->backing_off = FALSE;
   if (election->leader && g_str_equal (election->leader, election->settings->node))
     {
-      /* The record was written by an earlier process of this controller, or by a campaign whose response was lost. This
-       * process does not know what was done under that leadership, so it revokes the lease instead of continuing to
-       * lead. */
+      /* The record is from an earlier process of this controller, whose actions this process does not know, from a
+       * campaign of this process whose response was lost, or from a leadership that this process has ended. So this
+       * process revokes the lease of the record instead of leading under it. */
       hzb_election_set_state (election, HZB_ELECTION_REVOKING_OLD_LEASE,
-                              "the leader on record is an earlier process of this controller");
-      hzb_kv_client_revoke_lease (election->kv, election->leader_lease, on_old_lease_revoked, election);
+                              "the record names this controller, but this process does not lead");
+      hzb_kv_client_revoke_lease (election->kv, election->leader_lease, on_old_lease_revocation_done, election);
     }
   else if (!election->leader)
     {
       hzb_election_set_state (election, HZB_ELECTION_LEASING, "no leader is recorded");
-      election->lease_requested = now;
+      election->lease_request_sent = now;
       hzb_kv_client_grant_lease (election->kv, LEASE_MS, on_lease, election);
     }
 }
--- a/src/cluster/election-private.h
+++ b/src/cluster/election-private.h
@@ -24,14 +24,14 @@
   gboolean backing_off;   /**< hzb_election_back_off() has set `next_campaign`; FALSE from the next campaign on */
   struct timespec next_campaign; /**< earliest time of the next campaign */
 
-  guint64 lease;                     /**< lease of the current campaign or leadership; 0: none */
-  guint64 term;                      /**< term of the last campaign; 0: none */
-  guint64 term_version;              /**< version of the record of the term as this leader wrote it */
-  struct timespec lease_requested;   /**< when the lease of the last campaign was requested */
-  struct timespec renewal_sent;      /**< when the lease was last requested or its renewal sent */
-  struct timespec lease_valid_until; /**< no other controller can be elected before this time */
-  gboolean renewing;                 /**< a renewal is in flight */
-  gboolean raising_schema;           /**< the transaction that raises the schema version is in flight */
+  guint64 lease;                       /**< lease of the current campaign or leadership; 0: none */
+  guint64 term;                        /**< term of the last campaign; 0: none */
+  guint64 term_version;                /**< version of the record of the term as this leader wrote it */
+  struct timespec lease_request_sent;  /**< when the lease of the last campaign was requested */
+  struct timespec last_extension_sent; /**< when the lease was requested or its last renewal was sent */
+  struct timespec lease_valid_until;   /**< no other controller can be elected before this time */
+  gboolean renewing;                   /**< a renewal is in flight */
+  gboolean raising_schema;             /**< the transaction that raises the schema version is in flight */
 
   /* the state of the election, from this controller's replica of the records */
   guint64 replicated_term;         /**< highest term */
@@ -50,15 +50,15 @@
 void hzb_election_set_state (HzbElection *election, HzbElectionState to, const char *reason);
 
 /**
- * hzb_election_become_follower: ends a campaign or a leadership for a reason that is logged, and revokes the
- * lease, if there is one.
+ * hzb_election_become_follower: ends a campaign or a leadership, logs `reason`, and revokes the lease, if there is one.
  */
 void hzb_election_become_follower (HzbElection *election, const char *reason);
 
 /**
- * hzb_election_start_campaign: requests a lease to campaign with if no leader is recorded. If the record names an
- * earlier process of this controller, revokes the lease of that process instead; the campaign follows at a later tick.
- * Does nothing if another controller leads.
+ * hzb_election_start_campaign: starts what the record of leadership permits. If no leader is recorded, requests a
+ * lease; the transaction that takes the leadership is sent when the lease is granted. If the record names this
+ * controller, revokes the lease of the record instead; the campaign follows at a later tick. If the record names
+ * another controller, does nothing.
  */
 void hzb_election_start_campaign (HzbElection *election, struct timespec now);
 
--- a/src/cluster/election.c
+++ b/src/cluster/election.c
@@ -115,7 +115,7 @@
   if (election->state == HZB_ELECTION_LEADING)
     return election->settings->node;
   if (election->leader && g_str_equal (election->leader, election->settings->node))
-    return NULL; /* the record names an earlier process of this controller, which has ended */
+    return NULL; /* the record names this controller, but this process does not lead */
   return election->leader;
 }
 
@@ -259,7 +259,7 @@
 
   if (election->state == HZB_ELECTION_LEADING)
     {
-      if (!election->renewing && hzb_time_between (election->renewal_sent, now) >= LEASE_RENEWAL_INTERVAL_S)
+      if (!election->renewing && hzb_time_between (election->last_extension_sent, now) >= LEASE_RENEWAL_INTERVAL_S)
         hzb_election_renew (election, now);
     }
   else if (election->state == HZB_ELECTION_FOLLOWING && kv_replica_fresh
--- a/src/cluster/election.h
+++ b/src/cluster/election.h
@@ -3,9 +3,10 @@
  * @short_description: leader election with a lease of the key-value store
  *
  * A controller leads while the record of leadership names it. That record is attached to a lease that the leader
- * renews. The transaction that takes the leadership requires that no such record exists, and increments the term, which
- * is one counter for the cluster, so each leader has a higher term than all earlier leaders. Writes of the leader are
- * conditional on the record of the term, so they fail after a later leader has been elected.
+ * renews. The term is a second record, one counter for the cluster. The transaction that takes the leadership requires
+ * that no record of leadership exists, and increments the term, so each leader has a higher term than all earlier
+ * leaders. The leader's writes require that the record of the term is unchanged, so they fail after a later leader has
+ * been elected.
  */
 #pragma once
 #include "kv-client.h"
@@ -15,7 +16,7 @@
 typedef enum
 {
   HZB_ELECTION_FOLLOWING,          /**< another controller leads, or none does */
-  HZB_ELECTION_REVOKING_OLD_LEASE, /**< an earlier process of this controller still holds the leadership */
+  HZB_ELECTION_REVOKING_OLD_LEASE, /**< this controller revokes the lease of a record that names it */
   HZB_ELECTION_LEASING,            /**< this controller requests a lease to campaign with */
   HZB_ELECTION_CAMPAIGNING,        /**< the transaction that takes the leadership is in flight */
   HZB_ELECTION_LEADING,            /**< elected */
@@ -26,8 +27,9 @@
 typedef struct _HzbElection HzbElection;
 
 /**
- * hzb_election_new: creates an election that follows and knows no leader. The arguments are not owned and must outlive
- * the election. Draws two numbers from `rand` for the incarnation.
+ * hzb_election_new: creates an election in state HZB_ELECTION_FOLLOWING, without a known leader. The arguments are not
+ * owned and must outlive the election. Draws two numbers from `rand` for the incarnation, the partly random name that
+ * identifies this process in the record of leadership.
  *
  * Returns: (transfer full)
  */
@@ -43,18 +45,21 @@
 void hzb_election_apply_record (HzbElection *election, const HzbKvEntry *entry);
 
 /**
- * hzb_election_tick: renews the lease of a leader; campaigns if no leader is known. No campaign starts while the
- * replica of the records is not fresh.
+ * hzb_election_tick: renews the lease of a leader; campaigns if no leader is known. Campaigns only if
+ * `kv_replica_fresh`: this controller's replica of the records is up to date; see hzb_kv_replica_is_fresh().
  */
 void hzb_election_tick (HzbElection *election, gboolean kv_replica_fresh);
 
 /**
- * hzb_election_step_down: ends the leadership for a reason that is logged. This controller does not campaign
- * for the next 2 s. Does nothing if this controller does not lead.
+ * hzb_election_step_down: ends the leadership and logs `reason`. This controller does not campaign for the next 2 s.
+ * Does nothing if this controller does not lead.
  */
 void hzb_election_step_down (HzbElection *election, const char *reason);
 
-/** hzb_election_set_preferred: a preferred controller waits for a shorter time before it campaigns than others do. */
+/**
+ * hzb_election_set_preferred: sets whether this controller is preferred: it then waits less long than others before it
+ * campaigns.
+ */
 void hzb_election_set_preferred (HzbElection *election, gboolean preferred);
 
 /** hzb_election_back_off: this controller does not campaign for the given seconds, so that others can be elected. */
@@ -70,7 +75,12 @@
  */
 gboolean hzb_election_is_lease_valid (HzbElection *election);
 
-/** hzb_election_term: Returns: the term of this controller's last campaign; 0 if it has not campaigned */
+/**
+ * hzb_election_term:
+ *
+ * Returns: the term of this controller's last campaign, won or lost; 0 if it has not campaigned. This is not always the
+ * term of the cluster's leader: see hzb_election_leader_term()
+ */
 guint64 hzb_election_term (HzbElection *election);
 
 /**
@@ -81,8 +91,8 @@
 /**
  * hzb_election_is_term_replicated:
  *
- * Returns: TRUE if this controller leads and its replica of the records shows its own term; the replica then has all
- * records of earlier terms
+ * Returns: TRUE if this controller leads and its replica of the records shows its own term; the replica then has
+ * everything that earlier leaders wrote to the replicated records
  */
 gboolean hzb_election_is_term_replicated (HzbElection *election);
 
@@ -97,8 +107,9 @@
 guint hzb_election_schema_version (HzbElection *election);
 
 /**
- * hzb_election_raise_schema_version: on the leader: records that every controller reads schema version 2. The caller
- * must have checked that every controller states at least this version. The version is never lowered again.
+ * hzb_election_raise_schema_version: on the leader: writes to the key-value store that every controller can read schema
+ * version 2. The caller must have checked that every controller states at least this version. The version is never
+ * lowered again.
  */
 void hzb_election_raise_schema_version (HzbElection *election);
 
--- a/src/cluster/ownership.c
+++ b/src/cluster/ownership.c
@@ -47,7 +47,7 @@
 }
 
 gboolean
-hzb_ownership_leader_loaded (const HzbOwnership *ownership)
+hzb_ownership_is_loaded_leader (const HzbOwnership *ownership)
 {
   return ownership->state >= HZB_OWNERSHIP_RECOVERING;
 }
@@ -84,6 +84,7 @@
     }
   g_message ("ownership: %s -> %s: %s", state_names[from], state_names[to], reason);
   ownership->state = to;
+  /* Scheduling starts in these two states. */
   if (to == HZB_OWNERSHIP_LEASEHOLDER || to == HZB_OWNERSHIP_RECOVERING)
     ownership->start_time = hzb_clock_now (ownership->clock);
   return TRUE;
--- a/src/cluster/ownership.h
+++ b/src/cluster/ownership.h
@@ -43,9 +43,11 @@
 gboolean hzb_ownership_is_leaseholder (const HzbOwnership *ownership);
 
 /**
- * hzb_ownership_leader_loaded: Returns: TRUE if this controller was elected and has read the previous leader's records
+ * hzb_ownership_is_loaded_leader:
+ *
+ * Returns: TRUE if this controller was elected and has read the previous leader's records
  */
-gboolean hzb_ownership_leader_loaded (const HzbOwnership *ownership);
+gboolean hzb_ownership_is_loaded_leader (const HzbOwnership *ownership);
 
 /** hzb_ownership_epoch: Returns: a number that increases whenever an ownership begins or ends */
 guint64 hzb_ownership_epoch (const HzbOwnership *ownership);
@@ -70,7 +72,10 @@
  */
 gboolean hzb_ownership_set_state (HzbOwnership *ownership, HzbOwnershipState to, const char *reason);
 
-/** HzbEpochCall: a request in flight, with the epoch in which it was sent. Free with g_free(). */
+/**
+ * HzbEpochCall: the context of a request in flight, for the handling of its response: the epoch in which the request
+ * was sent, the module that sent it, and data of that module. Free with g_free().
+ */
 typedef struct
 {
   const HzbOwnership *ownership; /**< (not owned) */
--- a/src/cluster/peer-heartbeat.c
+++ b/src/cluster/peer-heartbeat.c
@@ -27,7 +27,7 @@
   g_array_set_clear_func (heartbeat->counts, task_counts_clear);
   heartbeat->peer_states = g_array_new (FALSE, FALSE, sizeof (HzbPeerState));
   g_array_set_clear_func (heartbeat->peer_states, peer_state_clear);
-  heartbeat->watermarks = g_array_new (FALSE, FALSE, sizeof (HzbWatermarkAge));
+  heartbeat->watermarks = g_array_new (FALSE, FALSE, sizeof (HzbRelayedWatermark));
   heartbeat->cancellations = hzb_cancellations_array_new ();
   return heartbeat;
 }
@@ -79,7 +79,7 @@
   cJSON *list = cJSON_AddArrayToObject (message, "knownMarks");
   for (guint i = 0; i < heartbeat->watermarks->len; i++)
     {
-      const HzbWatermarkAge *watermark = &g_array_index (heartbeat->watermarks, HzbWatermarkAge, i);
+      const HzbRelayedWatermark *watermark = &g_array_index (heartbeat->watermarks, HzbRelayedWatermark, i);
       cJSON *item = cJSON_CreateObject ();
       hzb_json_add_u64 (item, "version", watermark->revision);
       cJSON_AddNumberToObject (item, "ageS", floor (watermark->age_s * MS_PER_S) / MS_PER_S);
@@ -166,7 +166,7 @@
   heartbeat->fenced_revision = hzb_json_u64 (message, "withheld");
   cJSON_ArrayForEach (item, cJSON_GetObjectItemCaseSensitive (message, "knownMarks"))
     {
-      HzbWatermarkAge watermark = { hzb_json_u64 (item, "version"), hzb_json_number (item, "ageS", -1) };
+      HzbRelayedWatermark watermark = { hzb_json_u64 (item, "version"), hzb_json_number (item, "ageS", -1) };
       if (watermark.revision && watermark.age_s >= 0)
         g_array_append_val (heartbeat->watermarks, watermark);
     }
--- a/src/cluster/peer-heartbeat.h
+++ b/src/cluster/peer-heartbeat.h
@@ -2,8 +2,8 @@
  * SECTION: peer-heartbeat
  * @short_description: the heartbeat that two controllers exchange once a second, and its encoding
  *
- * Only this module knows how a heartbeat is encoded. A receiver ignores fields that its version does not know. For a
- * field that a sender of an older version does not send, the receiver assumes the default that is stated at the member.
+ * Only this module knows how a heartbeat is encoded. A receiver ignores fields that its version does not know. If a
+ * field is missing because the sender runs an older version, the struct member gets the default given in its comment.
  */
 #pragma once
 #include "cancellation-log.h"
@@ -24,21 +24,21 @@
   guint running; /**< running tasks */
 } HzbTaskCounts;
 
-/** HzbPeerState: what the sender knows of a third controller, as that controller has stated about itself. */
+/** HzbPeerState: what a third controller has stated about itself, relayed by the sender. */
 typedef struct
 {
   char *node;         /**< name of the third controller (owned) */
-  guint64 started_ms; /**< when the process that stated it started, in milliseconds since the Unix epoch */
+  guint64 started_ms; /**< start time of the process that made the statement, in milliseconds since the Unix epoch */
   guint64 known_cancellations_revision; /**< that process knows all cancellations up to this revision */
   gboolean self_fenced;                 /**< see #HzbPeerHeartbeat */
 } HzbPeerState;
 
-/** HzbWatermarkAge: a watermark in a heartbeat, with its age in place of a local time; see watermarks.h. */
+/** HzbRelayedWatermark: a watermark in a heartbeat, with its age in place of a local time; see watermarks.h. */
 typedef struct
 {
   guint64 revision; /**< all controllers but one know all cancellations up to this revision */
   double age_s;     /**< these controllers have known these cancellations for at least this many seconds */
-} HzbWatermarkAge;
+} HzbRelayedWatermark;
 
 /** HzbPeerHeartbeat: a heartbeat, or the reply to one. */
 typedef struct
@@ -47,7 +47,7 @@
   gboolean leads;
   /** Highest term that the sender knows. Default 0. */
   guint64 term;
-  /** Schema version of records and messages that the sender states. Default 1. */
+  /** Highest schema version of records and messages that the sender can read. Default 1. */
   guint schema_version;
   /** The sender recently redirected workers to the leader. Default TRUE. */
   gboolean redirects_workers;
@@ -60,11 +60,11 @@
   /** The sender knows all cancellations up to this revision, from its replica or from peers. Default 0. */
   guint64 known_cancellations_revision;
   /**
-   * The sender's replies list cancellations that the requester lacks. This has no field of its own: TRUE exactly if the
-   * message has the field of `known_cancellations_revision`.
+   * The sender's replies list cancellations that the requester lacks. Not encoded: set if the message contains the
+   * field of `known_cancellations_revision`, because the versions that send it also list cancellations.
    */
   gboolean lists_cancellations;
-  /** The sender promises to answer no worker while it could have missed a cancellation. Default FALSE. */
+  /** The sender has promised not to answer workers whenever it may lack a cancellation. Default FALSE. */
   gboolean self_fenced;
   /** `counts` covers only some of the jobs; other heartbeats cover the rest. Default FALSE. */
   gboolean partial_counts;
@@ -73,14 +73,17 @@
 
   /** HzbPeerState of the sender's peers. */
   GArray *peer_states;
-  /** HzbWatermarkAge, by ascending revision. */
+  /** HzbRelayedWatermark, by ascending revision. */
   GArray *watermarks;
-  /** The sender's result of hzb_peers_fenced_revision(). Default 0. */
+  /**
+   * As the sender knows, every controller knows all cancellations up to this revision or has fenced itself; see
+   * watermarks.h. Default 0.
+   */
   guint64 fenced_revision;
 
-  /** In replies: HzbCancellation of the cancellations after the `known_cancellations_revision` of the request. */
+  /** In replies: the cancellations (HzbCancellation) recorded after the request's `known_cancellations_revision`. */
   GArray *cancellations;
-  /** In replies: `cancellations` is complete up to this revision; 0: the reply lists none. Default 0. */
+  /** In replies: `cancellations` is complete up to this revision; 0: the reply has no valid list. Default 0. */
   guint64 cancellations_up_to;
 } HzbPeerHeartbeat;
 
--- a/src/cluster/peer-knowledge.c
+++ b/src/cluster/peer-knowledge.c
@@ -13,18 +13,21 @@
   hzb_watermarks_clear (&knowledge->watermarks);
 }
 
-/* The state of a peer that third controllers relay in their heartbeats is used until this controller accepts a request
- * of the peer itself. A relayed known revision remains valid: the known revision of a process never decreases, and a
- * process that replaces it reads the records before it owns a shard. */
+/* Returns: the known revision of the peer: it knows all cancellations up to this revision. Until this controller has
+ * accepted a request from a peer, it uses what third controllers relay about that peer. A relayed revision may be old,
+ * but it remains valid: the known revision of a process never decreases, and a process that replaces that process reads
+ * the records before it owns a shard. */
 static guint64
 known_revision_of (const HzbPeerEntry *entry)
 {
+  /* `incarnation` is set when this controller accepts the first request from the peer. */
   return entry->incarnation ? entry->known_revision : entry->relayed_known_revision;
 }
 
-/* Returns: whether the peer has promised to answer no worker while it could have missed a cancellation. A relayed
- * promise counts too: a process never revokes its promise, and the process that replaces it fences itself as well until
- * it has received a heartbeat. */
+/* Returns: whether the peer has promised not to answer workers whenever it may lack a cancellation. A relayed promise
+ * counts too: a process never revokes its promise, and its successor keeps to it before it has promised itself, unless
+ * the successor has received a heartbeat from a peer of its own whose version lists no cancellations; see
+ * hzb_cancellations_may_answer_workers(). */
 static gboolean
 has_promised_self_fencing (const HzbPeerEntry *entry)
 {
@@ -44,9 +47,9 @@
   return TRUE;
 }
 
-/* Returns: the highest revision up to which all controllers but one know all cancellations, if the remaining one has
- * promised to fence itself; 0 if there is no such revision. This controller is one of those that know them: its replica
- * of the records has all changes up to `replicated_revision`. */
+/* Returns: the highest revision R such that all controllers but one know every cancellation up to R; 0 if the remaining
+ * one, the peer with the lowest known revision, hasn't promised to fence itself, or if the settings don't name all
+ * controllers. This controller knows the cancellations up to `replicated_revision`. */
 static guint64
 revision_known_by_all_but_one (const HzbPeerKnowledge *knowledge, guint64 replicated_revision)
 {
@@ -94,13 +97,15 @@
   for (const GList *l = knowledge->watermarks.marks.head; l; l = l->next)
     {
       const HzbWatermark *watermark = l->data;
-      HzbWatermarkAge watermark_age = { watermark->revision, hzb_time_between (watermark->since, now) };
-      g_array_append_val (heartbeat->watermarks, watermark_age);
+      HzbRelayedWatermark relayed = { watermark->revision, hzb_time_between (watermark->since, now) };
+      g_array_append_val (heartbeat->watermarks, relayed);
     }
   heartbeat->fenced_revision = knowledge->watermarks.fenced_revision;
 }
 
-/* Relayed state is ignored for a peer that has sent this controller a request itself. */
+/* Relayed state is ignored for a peer from which this controller has accepted a request. A statement of a newer process
+ * replaces that of an earlier one, even if its revision is lower: it tells what the newer process knows. Of two
+ * statements of one process the higher revision holds, because the known revision of a process never decreases. */
 static void
 apply_peer_state (HzbPeerTable *table, const HzbPeerState *state)
 {
@@ -120,10 +125,10 @@
 {
   for (guint i = 0; i < heartbeat->peer_states->len; i++)
     apply_peer_state (knowledge->table, &g_array_index (heartbeat->peer_states, HzbPeerState, i));
-  hzb_watermarks_raise (&knowledge->watermarks, heartbeat->fenced_revision);
+  hzb_watermarks_raise_fenced_revision (&knowledge->watermarks, heartbeat->fenced_revision);
   for (guint i = 0; i < heartbeat->watermarks->len; i++)
     {
-      const HzbWatermarkAge *received = &g_array_index (heartbeat->watermarks, HzbWatermarkAge, i);
+      const HzbRelayedWatermark *received = &g_array_index (heartbeat->watermarks, HzbRelayedWatermark, i);
       hzb_watermarks_add (&knowledge->watermarks, hzb_time_plus (now, -received->age_s), received->revision);
     }
 }
--- a/src/cluster/peers.c
+++ b/src/cluster/peers.c
@@ -84,7 +84,7 @@
   heartbeat->replicated_revision = hzb_kv_replica_revision (deps->kv_replica);
   peers->callbacks.fill_heartbeat (heartbeat, peers->user);
   hzb_peer_knowledge_fill_heartbeat (&peers->knowledge, heartbeat, current_time (peers));
-  if (hzb_ownership_leader_loaded (deps->ownership))
+  if (hzb_ownership_is_loaded_leader (deps->ownership))
     hzb_task_count_table_fill_heartbeat (peers->task_counts, deps->jobs, heartbeat);
   return heartbeat;
 }
--- a/src/cluster/watermarks.c
+++ b/src/cluster/watermarks.c
@@ -54,7 +54,7 @@
 }
 
 void
-hzb_watermarks_raise (HzbWatermarks *watermarks, guint64 revision)
+hzb_watermarks_raise_fenced_revision (HzbWatermarks *watermarks, guint64 revision)
 {
   watermarks->fenced_revision = MAX (watermarks->fenced_revision, revision);
 }
--- a/src/cluster/watermarks.h
+++ b/src/cluster/watermarks.h
@@ -55,8 +55,11 @@
  */
 void hzb_watermarks_add (HzbWatermarks *watermarks, struct timespec since, guint64 revision);
 
-/** hzb_watermarks_raise: raises the fenced revision to that of another controller, unless the latter is lower. */
-void hzb_watermarks_raise (HzbWatermarks *watermarks, guint64 revision);
+/**
+ * hzb_watermarks_raise_fenced_revision: raises the fenced revision to that of another controller, unless the latter is
+ * lower.
+ */
+void hzb_watermarks_raise_fenced_revision (HzbWatermarks *watermarks, guint64 revision);
 
 /**
  * hzb_watermarks_advance: removes the watermarks that are older than the minimum age at the time `now`, and raises the
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -79,7 +79,7 @@
     hzb_leaseholder_tick (controller->leaseholder, now);
   if (hzb_ownership_is_leaseholder (controller->ownership))
     tick_as_leaseholder (controller, now);
-  if (hzb_ownership_leader_loaded (controller->ownership))
+  if (hzb_ownership_is_loaded_leader (controller->ownership))
     hzb_leader_maintenance_tick (controller, now);
 
   hzb_provisioning_tick (controller->provisioning, now);
--- a/src/provisioning/provisioning.c
+++ b/src/provisioning/provisioning.c
@@ -55,7 +55,7 @@
 hzb_provisioning_tick (HzbProvisioning *provisioning, struct timespec now)
 {
   request_types_if_due (provisioning, now);
-  if (!hzb_ownership_leader_loaded (provisioning->dependencies.ownership))
+  if (!hzb_ownership_is_loaded_leader (provisioning->dependencies.ownership))
     return;
   if (!hzb_time_before (now, provisioning->next_scan))
     {
--- a/src/reconciliation/archive.c
+++ b/src/reconciliation/archive.c
@@ -7,7 +7,7 @@
   [HZB_ARCHIVE_STARTS] = "starts",
   [HZB_ARCHIVE_STOPS] = "stops",
   [HZB_ARCHIVE_REAPS] = "reaps",
-  [HZB_ARCHIVE_SCALE_OUTS] = "rentals",
+  [HZB_ARCHIVE_SCALE_OUTS] = "rentals", /* the name in stored archives */
 };
 
 const char *
--- a/src/reconciliation/archive.h
+++ b/src/reconciliation/archive.h
@@ -27,8 +27,8 @@
 {
   HzbVerdictEntry entry; /**< the verdict; in an archive, the archive owns its `uid` */
   guint tasks;           /**< number of the job's tasks */
-  guint released;        /**< the released mark when the leader had loaded all records: until then, only tasks below
-                              this number could have been started */
+  guint released;        /**< the job's released mark as it stood when the leader had loaded all records: only tasks
+                              with a lower number could have been started before that */
   double at_s;           /**< when the verdict became durable, in seconds since the last cold start began; without
                               meaning if an earlier leader recorded the verdict */
 } HzbArchivedJobVerdict;
@@ -39,8 +39,10 @@
   char *name;  /**< of the machine */
   char *fate;  /**< "awaited": it may still hold tasks that the leader does not know of; "lease over": the lease of its
                     worker has expired, so no task runs on it; "gone": the leader no longer knows the machine;
-                    "answered": none of these */
-  double at_s; /**< when the machine was accounted for, in seconds since the last cold start began; negative: never */
+                    "answered": any other machine; as a rule, a heartbeat with a fencing token of this leader has
+                    arrived */
+  double at_s; /**< when its fate stopped being "awaited", in seconds since the last cold start began; negative: it is
+                    still "awaited" */
 } HzbArchivedMachine;
 
 /** HzbArchivedTask: a task that was quarantined when the archive was built: a heartbeat listed the task, and no record
--- a/src/reconciliation/cold-start.c
+++ b/src/reconciliation/cold-start.c
@@ -31,12 +31,12 @@
   for (guint i = 0; i < all->len; i++)
     {
       const HzbMachine *machine = all->pdata[i];
-      HzbArchivedMachine archived = { .at_s = -1 };
+      HzbArchivedMachine tracked = { .at_s = -1 }; /* not accounted for yet */
       if (!machine->recorded)
         continue;
-      archived.name = g_strdup (machine->name);
-      archived.fate = g_strdup ("awaited");
-      g_array_append_val (reconciliation->machines, archived);
+      tracked.name = g_strdup (machine->name);
+      tracked.fate = g_strdup ("awaited");
+      g_array_append_val (reconciliation->machines, tracked);
     }
 }
 
--- a/src/reconciliation/job-scan.c
+++ b/src/reconciliation/job-scan.c
@@ -30,16 +30,16 @@
 
   for (guint i = 0; i < reconciliation->machines->len; i++)
     {
-      HzbArchivedMachine *archived = &g_array_index (reconciliation->machines, HzbArchivedMachine, i);
+      HzbArchivedMachine *tracked = &g_array_index (reconciliation->machines, HzbArchivedMachine, i);
       const HzbMachine *machine;
-      if (archived->at_s >= 0)
+      if (tracked->at_s >= 0)
         continue;
-      machine = hzb_machines_find (machines, archived->name);
+      machine = hzb_machines_find (machines, tracked->name);
       if (machine && is_awaited (machine))
         continue;
-      archived->at_s = hzb_time_between (reconciliation->began, now);
-      g_free (archived->fate);
-      archived->fate = g_strdup (machine_fate (machine));
+      tracked->at_s = hzb_time_between (reconciliation->began, now);
+      g_free (tracked->fate);
+      tracked->fate = g_strdup (machine_fate (machine));
     }
 }
 
--- a/src/reconciliation/quarantine.h
+++ b/src/reconciliation/quarantine.h
@@ -1,6 +1,6 @@
 /**
  * SECTION: quarantine
- * @short_description: tasks that heartbeats of workers list and no record names
+ * @short_description: tasks that workers list in their heartbeats but that appear in no record
  *
  * Such a task gets no command until it is proven that no record names it. The proof is needed for two reasons: the
  * key-value store may carry out the transaction that accepts the task's job late, and the completion record of an old
@@ -9,8 +9,8 @@
  * After the proof, the task stays quarantined until an operator decides to stop it, or until
  * reconciliation.operator_s has passed since a heartbeat first listed it and no operator has decided to keep it.
  *
- * While reconciliation is enabled, every leader quarantines such tasks, not only after a cold start, so that a task
- * that an operator keeps stays kept after a change of leader.
+ * While reconciliation is enabled, every leader quarantines such tasks, not only after a cold start, so that an
+ * operator's decision to keep a task survives a change of leader.
  */
 #pragma once
 #include "election.h"
@@ -34,8 +34,8 @@
  */
 typedef enum
 {
-  HZB_PROOF_WAITING,      /**< waits for a round of proofs, which only takes tasks whose job a late transaction
-                               can no longer accept */
+  HZB_PROOF_WAITING,      /**< waits for a round of proofs; a round includes a task only once no late transaction
+                               can still accept its job */
   HZB_PROOF_SYNCING,      /**< the record replica is being synced with the key-value store */
   HZB_PROOF_READING,      /**< the archived completion of the job is being read */
   HZB_PROOF_ABSENT,       /**< proven: no record names the task */
@@ -81,7 +81,7 @@
   HzbKvClient *kv;          /**< reads archived completions and writes operators' decisions */
   HzbKvReplica *kv_replica; /**< the record replica, which is synced for each round of proofs */
   HzbElection *election;    /**< makes each write conditional on the leader's term */
-  HzbOwnership *ownership;  /**< identifies responses to requests of an earlier epoch, which are dropped */
+  HzbOwnership *ownership;  /**< the ownership epoch: a response to a request sent in an earlier epoch is dropped */
   HzbJobs *jobs;            /**< jobs with a record, for tasks whose record arrives late */
   HzbMachines *machines;    /**< machines that run quarantined tasks */
 } HzbQuarantineDependencies;
@@ -100,7 +100,8 @@
 void hzb_quarantine_load (HzbQuarantine *quarantine, const HzbKvEntry *item);
 
 /**
- * hzb_quarantine_decide_task: decides about a task that a heartbeat lists and no loaded record names; tracks the task.
+ * hzb_quarantine_decide_task: decides about a task that a heartbeat lists but that appears in no loaded record; tracks
+ * the task unless the quarantine is full.
  * `machine`: whose heartbeat lists the task
  * `reason`: (out): of the verdict
  *
--- a/src/reconciliation/reconciliation-admin-codec.c
+++ b/src/reconciliation/reconciliation-admin-codec.c
@@ -7,9 +7,10 @@
 
 /* ---- GET reconciliation and GET metrics ---- */
 
-/* Returns: seconds until the leader returns an awaited machine to the cloud; the machine's tasks may run until the
- * cloud confirms the return. scale-in.c returns an unverified machine once it has been in that state for longer than
- * lease_s and the margin. */
+/* An awaited machine is in state unverified, or is being returned, as its tasks may run until the cloud confirms the
+ * return. scale-in.c returns an unverified machine once it has been unverified for longer than lease_s plus the margin.
+ *
+ * Returns: seconds until an unverified machine is returned; without meaning for one that is being returned */
 static double
 seconds_until_return (const HzbReconciliation *reconciliation, const HzbMachine *machine)
 {
@@ -25,15 +26,17 @@
 
   for (guint i = 0; i < reconciliation->machines->len; i++)
     {
-      const HzbArchivedMachine *archived = &g_array_index (reconciliation->machines, HzbArchivedMachine, i);
+      const HzbArchivedMachine *tracked = &g_array_index (reconciliation->machines, HzbArchivedMachine, i);
+      /* at_s < 0: the machine is not accounted for yet */
       const HzbMachine *machine =
-          archived->at_s < 0 ? hzb_machines_find (reconciliation->dependencies.machines, archived->name) : NULL;
+          tracked->at_s < 0 ? hzb_machines_find (reconciliation->dependencies.machines, tracked->name) : NULL;
       cJSON *item;
       if (!machine)
         continue;
       item = cJSON_CreateObject ();
       cJSON_AddStringToObject (item, "name", machine->name);
       cJSON_AddStringToObject (item, "state", hzb_machine_state_name (machine->state));
+      /* the time left until the return to the cloud, not the time in the state */
       cJSON_AddNumberToObject (item, "forS", seconds_until_return (reconciliation, machine));
       cJSON_AddItemToArray (list, item);
     }
@@ -106,6 +109,7 @@
       cJSON_AddStringToObject (item, "reason", hzb_task_reason_name (entry->reason));
       cJSON_AddItemToArray (list, item);
     }
+  /* counts listings in heartbeats, not tasks: an untracked task counts again with each heartbeat that lists it */
   cJSON_AddNumberToObject (root, "notTracked", hzb_quarantine_overflow (reconciliation->quarantine));
 }
 
--- a/src/reconciliation/reconciliation-admin-codec.h
+++ b/src/reconciliation/reconciliation-admin-codec.h
@@ -2,7 +2,7 @@
  * SECTION: reconciliation-admin-codec
  * @short_description: the administration API's JSON about reconciliations
  *
- * No other module encodes or decodes these requests and responses, except for archives: see archive-codec.h.
+ * All of them are encoded and decoded here, except those about archives, which are in archive-codec.h.
  */
 #pragma once
 #include "reconciliation.h"
--- a/src/reconciliation/reconciliation-admin.c
+++ b/src/reconciliation/reconciliation-admin.c
@@ -99,7 +99,7 @@
 static gboolean
 is_leader (const HzbReconciliation *reconciliation)
 {
-  return hzb_ownership_leader_loaded (reconciliation->dependencies.ownership)
+  return hzb_ownership_is_loaded_leader (reconciliation->dependencies.ownership)
          && hzb_election_is_leader (reconciliation->dependencies.election);
 }
 
--- a/src/records/record-flush.c
+++ b/src/records/record-flush.c
@@ -269,7 +269,7 @@
   const HzbRecordsDependencies *dependencies = &records->dependencies;
   struct timespec now = hzb_clock_now (dependencies->node->clock);
 
-  if (!hzb_ownership_leader_loaded (dependencies->ownership) || !hzb_election_is_leader (dependencies->election))
+  if (!hzb_ownership_is_loaded_leader (dependencies->ownership) || !hzb_election_is_leader (dependencies->election))
     return;
   hzb_completed_job_archive_tick (dependencies->job_archive, now);
   if (hzb_time_before (now, records->next_flush))
--- a/src/scheduling/gang.h
+++ b/src/scheduling/gang.h
@@ -15,9 +15,9 @@
 gboolean hzb_gang_place (HzbDispatch *dispatch, HzbJob *job, struct timespec now);
 
 /**
- * hzb_gang_blocks_machine: whether the machine is kept free for a gang of `scheduling_class` or above that waits for
- * room. Tasks of `scheduling_class` or below then must not start there: they would take the room that becomes free, and
- * there would never be enough for the whole gang.
+ * hzb_gang_blocks_machine: whether tasks of `scheduling_class` must not start on the machine, because a gang of that
+ * class or a higher one waits for room there. Such tasks would take each bit of room that becomes free, and the whole
+ * gang would never fit.
  */
 gboolean
 hzb_gang_blocks_machine (HzbDispatch *dispatch, const HzbMachine *machine, guint scheduling_class, struct timespec now);
--- a/src/scheduling/jobs.h
+++ b/src/scheduling/jobs.h
@@ -156,6 +156,6 @@
  */
 void hzb_jobs_record_run_time (HzbJobs *jobs, HzbJob *job, double seconds);
 
-/** hzb_jobs_mean_s: the expected run time of one task of the job in seconds, with the correction of
+/** hzb_jobs_expected_run_time_s: the expected run time of one task of the job in seconds, with the correction of
  * hzb_jobs_record_run_time(). */
-double hzb_jobs_mean_s (const HzbJobs *jobs, const HzbJob *job);
+double hzb_jobs_expected_run_time_s (const HzbJobs *jobs, const HzbJob *job);
--- a/src/scheduling/owned-jobs.c
+++ b/src/scheduling/owned-jobs.c
@@ -4,18 +4,20 @@
 #include <string.h>
 
 /* Correction of run time estimates, see hzb_jobs_record_run_time(). A bias is the logarithm of run time over estimate.
- * The estimate of a job has the same error for all its tasks, so a whole job has the weight of one observation. A bias
- * below the threshold may be chance and is not applied. */
-#define BIAS_SMOOTHING 0.08     /* weight of one observation in the moving average */
+ * Each task that ends with a known run time gives one observation. All tasks of a job share the error of its estimate,
+ * so each observation is weighted by 1 / n_tasks. A bias whose absolute value is at most the threshold may be chance
+ * and is not applied. */
+#define BIAS_SMOOTHING 0.08     /* weight of an observation in the moving average, for a job with one task */
 #define BIAS_THRESHOLD 0.35     /* run time over estimate of 1.4, or its inverse */
 #define MAX_OBSERVED_BIAS 2.0   /* bound for one observation */
 #define MAX_BIASED_CLASSES 200u /* further classes get no correction, to bound memory */
 
-/* Maximum waiting time, in seconds, that a job is taken to have behind it when this controller activates it. */
+/* When a job is activated, the time since its acceptance counts as waiting time, but at most this many seconds. */
 #define MAX_WAIT_S 86400
 
-/* Attempt numbers begin at the fencing token of the shard, shifted left by this many bits. No two shards share a
- * fencing token, so attempt numbers are not reused either. */
+/* In each shard, the attempt numbers of a job begin after the fencing token shifted left by this many bits. A fencing
+ * token is never used for two shards or two owners, so an attempt number isn't either (unless a job has 2^17 attempts
+ * in one shard). */
 #define ATTEMPT_BITS 17
 
 /* ---- ownership of tasks ---- */
@@ -39,7 +41,7 @@
 }
 
 static void
-clear_owner_state (HzbJob *job)
+stop_tracking_tasks (HzbJob *job)
 {
   hzb_job_clear_owner_state (job);
   if (job->state != HZB_JOB_ACCEPTED)
@@ -50,7 +52,7 @@
 hzb_jobs_end_ownership (HzbJobs *jobs)
 {
   for (guint i = 0; i < jobs->active->len; i++)
-    clear_owner_state (jobs->active->pdata[i]);
+    stop_tracking_tasks (jobs->active->pdata[i]);
   g_ptr_array_set_size (jobs->active, 0);
   jobs->shard = NULL;
   jobs->leaseholder = FALSE;
@@ -67,8 +69,8 @@
   return strcmp (x->uid, y->uid);
 }
 
-/* On the leader, all tasks of a job begin as pending. On a leaseholder, they belong to another owner until they are
- * delegated. */
+/* On the leader, all tasks of a job begin as pending. On a leaseholder, each task belongs to another owner until the
+ * leader delegates it to this leaseholder. */
 static void
 create_tasks (HzbJobs *jobs, HzbJob *job, struct timespec now)
 {
@@ -84,12 +86,15 @@
   if (jobs->leaseholder)
     {
       job->other_owner = job->n_tasks;
+      /* A leaseholder starts only what is delegated to it, so neither the cursor nor the marks may hold anything
+       * back. */
       job->cursor = job->released = job->releasing = job->n_tasks;
     }
   else
     {
       job->pending = job->n_tasks;
-      /* Gangs and services need all their tasks at the same time. */
+      /* Gangs and services need all their tasks at the same time, so request their release at once, without waiting for
+       * capacity. */
       job->release_requested = job->spec->kind == HZB_JOB_GANG || job->spec->kind == HZB_JOB_SERVICE;
     }
 }
@@ -118,7 +123,7 @@
 hzb_jobs_deactivate (HzbJobs *jobs, HzbJob *job)
 {
   g_ptr_array_remove (jobs->active, job);
-  clear_owner_state (job);
+  stop_tracking_tasks (job);
 }
 
 gboolean
@@ -133,7 +138,7 @@
 /* ---- run times ---- */
 
 /* Returns: (transfer none) (nullable): the bias of the job class, an exponential moving average of the logarithm of run
- * time over estimate; NULL: too many classes have one already */
+ * time over estimate; NULL: the class has no bias, and cannot get one because of MAX_BIASED_CLASSES */
 static double *
 find_or_add_bias (HzbJobs *jobs, const char *job_class)
 {
@@ -160,7 +165,7 @@
 }
 
 double
-hzb_jobs_mean_s (const HzbJobs *jobs, const HzbJob *job)
+hzb_jobs_expected_run_time_s (const HzbJobs *jobs, const HzbJob *job)
 {
   const double *bias = g_hash_table_lookup (jobs->estimate_biases, job->spec->job_class);
   return job->spec->estimate_s * (bias && fabs (*bias) > BIAS_THRESHOLD ? exp (*bias) : 1);
--- a/src/scheduling/scale-out.c
+++ b/src/scheduling/scale-out.c
@@ -5,7 +5,9 @@
 #include <math.h>
 
 #define MAX_MACHINES_PER_REQUEST 50u /* the maximum that the cloud accepts in one call */
-#define MAX_REQUESTS 8u              /* calls of one plan; the next plan waits for their responses */
+
+/* Calls for all demands together; the next hzb_autoscaler_scale_out() waits for their responses. */
+#define MAX_REQUESTS 8u
 
 /* If there is any supply, a shortage below this fraction of a machine and below this many units is ignored. */
 #define MIN_SHORTAGE_FRACTION 0.25
@@ -17,9 +19,11 @@
   HzbAutoscaler *autoscaler;
   const HzbDemand *demand;
   struct timespec now;
-  GArray *kinds;       /* HzbMachineKind; not owned */
-  GArray *requests;    /* HzbScaleOutRequest, for all demands so far; not owned */
-  double supply;       /* units that exist or are being requested */
+  GArray *kinds;    /* HzbMachineKind; not owned */
+  GArray *requests; /* HzbScaleOutRequest, for all demands so far; not owned */
+  /* Units that count for this demand: those of machines that are up or booting, those requested, and those of kept
+   * scale-in candidates. */
+  double supply;
   double lowest_price; /* per hour, of a unit, including the cost of booting */
 } Plan;
 
@@ -36,7 +40,7 @@
     }
 }
 
-/* Whether more units are wanted at a price of @price_ratio times the lowest one. */
+/* Whether more units are wanted at a price that is @price_ratio times the lowest price of a unit. */
 static gboolean
 is_supply_short (const Plan *plan, double price_ratio)
 {
@@ -51,18 +55,20 @@
          && hzb_demand_machine_fits (plan->demand, machine);
 }
 
-/* Keeps scale-in candidates that have not been returned yet, before any machine is rented. */
+/* Keeps scale-in candidates whose return to the cloud has not been requested yet: this is preferred to renting
+ * machines. A kept machine has booted already, so its price is compared without the cost of booting. */
 static void
 keep_candidates (Plan *plan)
 {
   GPtrArray *all = plan->autoscaler->machines->all;
-  double lowest = hzb_demand_lowest_price (plan->autoscaler, plan->demand, FALSE);
+  double lowest_without_boot = hzb_demand_lowest_price (plan->autoscaler, plan->demand, FALSE);
 
   for (guint i = 0; i < all->len && is_supply_short (plan, 1); i++)
     {
       HzbMachine *machine = all->pdata[i];
       if (!can_be_kept (plan, machine)
-          || !is_supply_short (plan, hzb_demand_unit_price (plan->demand, machine->type, machine->spot) / lowest))
+          || !is_supply_short (plan, hzb_demand_unit_price (plan->demand, machine->type, machine->spot)
+                                         / lowest_without_boot))
         continue;
       machine->scale_in_candidate = FALSE;
       machine->idle_since = plan->now;
@@ -70,10 +76,10 @@
     }
 }
 
-/* Finds the cheapest kind that was neither requested in this round (@requested) nor refused lately, and its price.
- * Returns: FALSE if there is none */
+/* Finds the cheapest kind that was neither requested in this round (@requested_this_round) nor refused lately, and its
+ * price. Returns: FALSE if there is none */
 static gboolean
-find_cheapest_kind (const Plan *plan, GHashTable *requested, HzbMachineKind *best, double *lowest)
+find_cheapest_kind (const Plan *plan, GHashTable *requested_this_round, HzbMachineKind *best, double *lowest)
 {
   *lowest = INFINITY;
   for (guint i = 0; i < plan->kinds->len; i++)
@@ -82,7 +88,8 @@
       g_autofree char *name = hzb_machine_kind_name (kind->type, kind->zone, kind->spot);
       double price =
           hzb_demand_price_with_boot (kind->type, hzb_demand_unit_price (plan->demand, kind->type, kind->spot));
-      if (!hzb_demand_kind_fits (plan->demand, kind) || !isfinite (price) || g_hash_table_contains (requested, name)
+      if (!hzb_demand_kind_fits (plan->demand, kind) || !isfinite (price)
+          || g_hash_table_contains (requested_this_round, name)
           || hzb_autoscaler_is_refused (plan->autoscaler, name, plan->now))
         continue;
       if (price < *lowest)
@@ -94,7 +101,8 @@
   return isfinite (*lowest);
 }
 
-/* Requests machines of this kind. Returns: the number of machines; 0: no machine is worth its price */
+/* Requests machines of this kind. Returns: the number of machines; 0: no more units of this kind, or too few, are
+ * wanted at this price */
 static guint
 request_kind (Plan *plan, const HzbMachineKind *kind, double price)
 {
@@ -104,6 +112,7 @@
 
   if (shortage < (plan->supply > 0 ? MIN (MIN_SHORTAGE_UNITS, units * MIN_SHORTAGE_FRACTION) : HZB_AMOUNT_TOLERANCE))
     return 0;
+  /* A last machine of which at most this fraction would be used is not requested, unless it is the only one. */
   request.count = (guint) CLAMP (ceil (shortage / units - MIN_SHORTAGE_FRACTION), 1, MAX_MACHINES_PER_REQUEST);
   g_array_append_val (plan->requests, request);
   plan->supply += request.count * units;
@@ -111,33 +120,34 @@
 }
 
 /* Requests machines in rounds, each from the cheapest kind to the most expensive one, until no more units are wanted.
- * If a request reached the maximum of one call, another round follows: otherwise a fleet with few kinds would grow by
- * at most one call per kind and second. The next round begins only after every kind was requested, since the cheapest
- * kind may be the one that takes longest to boot. */
+ * One call can request only MAX_MACHINES_PER_REQUEST machines. If a request was that large, another round follows: with
+ * a single round in each run (at most once a second), a fleet with few kinds would grow too slowly. Every kind that is
+ * not refused is requested once before any is requested again, since the cheapest kind may take longest to boot. */
 static void
 request_machines (Plan *plan)
 {
-  g_autoptr (GHashTable) requested = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  gboolean more_wanted = FALSE;
+  g_autoptr (GHashTable) requested_this_round = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  gboolean maximum_reached = FALSE; /* whether a request of this round reached the maximum of one call */
 
   while (plan->requests->len < MAX_REQUESTS)
     {
       HzbMachineKind kind = { 0 };
       double price;
       guint count;
-      if (!find_cheapest_kind (plan, requested, &kind, &price))
+      if (!find_cheapest_kind (plan, requested_this_round, &kind, &price))
         {
-          if (!more_wanted)
+          /* The round is over. */
+          if (!maximum_reached)
             return;
-          more_wanted = FALSE;
-          g_hash_table_remove_all (requested);
+          maximum_reached = FALSE;
+          g_hash_table_remove_all (requested_this_round);
           continue;
         }
       count = request_kind (plan, &kind, price);
       if (!count)
-        return; /* Even fewer units are wanted of more expensive kinds. */
-      more_wanted = more_wanted || count == MAX_MACHINES_PER_REQUEST;
-      g_hash_table_add (requested, hzb_machine_kind_name (kind.type, kind.zone, kind.spot));
+        return; /* At the higher prices of the remaining kinds, even fewer units are wanted. */
+      maximum_reached = maximum_reached || count == MAX_MACHINES_PER_REQUEST;
+      g_hash_table_add (requested_this_round, hzb_machine_kind_name (kind.type, kind.zone, kind.spot));
     }
 }
 
--- a/src/scheduling/scheduling-class.c
+++ b/src/scheduling/scheduling-class.c
@@ -178,7 +178,7 @@
       HzbSchedulingClass scheduling_class;
       if (job->state != HZB_JOB_ACCEPTED)
         continue;
-      job->mean_s = hzb_jobs_mean_s (jobs, job);
+      job->mean_s = hzb_jobs_expected_run_time_s (jobs, job);
       cpus[job->team] += job->spec->cpus * job->n_tasks;
       gpus[job->team] += job->spec->gpus * job->n_tasks;
       job->guaranteed =
--- a/src/scheduling/start-pacing.c
+++ b/src/scheduling/start-pacing.c
@@ -1,16 +1,17 @@
 #include "start-pacing.h"
 
-/* A full token bucket has the tokens that are refilled in this many seconds. */
+/* The capacity of a token bucket is what its rate adds in this many seconds, but at least one token. */
 #define BURST_S 1.0
 
-/* Timers that fire later than this show a lack of processor time. The bucket for commands (`tokens`, but not
- * `scale_out_tokens`) is then refilled at this fraction of its rate. */
+/* If timers fire late by more than this, the process lacks processor time, and the bucket for commands (`tokens`, but
+ * not `scale_out_tokens`) is refilled at this fraction of its rate, which lowers its capacity too. */
 #define LAGGING_ABOVE_S 0.25
 #define LAGGING_RATE_FRACTION 0.5
 
-/* Fraction of a full bucket that commands of a class have to leave to the classes above that class. */
-#define RESERVE_ABOVE_GUARANTEED_FRACTION 0.2
-#define RESERVE_ABOVE_OTHER_FRACTION 0.5
+/* A command of a class may be sent only if this fraction of a full bucket remains for higher classes, or if the
+ * bucket is full, see hzb_start_pacing_allows(). */
+#define RESERVE_LEFT_BY_GUARANTEED_FRACTION 0.2
+#define RESERVE_LEFT_BY_OTHER_FRACTION 0.5
 
 void
 hzb_start_pacing_begin (HzbStartPacing *pacing, const HzbStartPacingLimits *limits, struct timespec now)
@@ -25,8 +26,8 @@
   pacing->active = FALSE;
 }
 
-/* Returns: the tokens after a refill, at most a full bucket. A bucket can hold at least one token, because a
- * scale-out request takes a whole token, also if the rate is below one per second. */
+/* Returns: the tokens after a refill, at most a full bucket. Even at a rate below one per second, a bucket can hold one
+ * token: otherwise a scale-out request, which needs a whole one, would never be sent. */
 static double
 refill (double tokens, double per_s, double seconds)
 {
@@ -55,29 +56,30 @@
 void
 hzb_start_pacing_begin_response (HzbStartPacing *pacing)
 {
-  pacing->starts_in_response = 0;
+  pacing->commands_in_response = 0;
 }
 
 gboolean
 hzb_start_pacing_response_full (const HzbStartPacing *pacing)
 {
   return pacing->active && pacing->limits.starts_per_response
-         && pacing->starts_in_response >= pacing->limits.starts_per_response;
+         && pacing->commands_in_response >= pacing->limits.starts_per_response;
 }
 
 gboolean
 hzb_start_pacing_allows (const HzbStartPacing *pacing, HzbStartPacingClass class)
 {
   static const double reserve_fractions[HZB_START_PACING_N_CLASSES] = {
-    [HZB_START_PACING_OTHER] = RESERVE_ABOVE_OTHER_FRACTION,
-    [HZB_START_PACING_GUARANTEED] = RESERVE_ABOVE_GUARANTEED_FRACTION,
+    [HZB_START_PACING_OTHER] = RESERVE_LEFT_BY_OTHER_FRACTION,
+    [HZB_START_PACING_GUARANTEED] = RESERVE_LEFT_BY_GUARANTEED_FRACTION,
     [HZB_START_PACING_URGENT] = 0,
   };
-  double bucket = pacing->limits.per_s * BURST_S;
+  double capacity = pacing->limits.per_s * BURST_S;
 
   if (!pacing->active)
     return TRUE;
-  return pacing->tokens >= MIN (1 + reserve_fractions[class] * bucket, bucket);
+  /* A bucket that is full at the rate without lag always suffices, also if it is below the reserve plus one token. */
+  return pacing->tokens >= MIN (1 + reserve_fractions[class] * capacity, capacity);
 }
 
 void
@@ -86,7 +88,7 @@
   if (!pacing->active)
     return;
   pacing->tokens -= 1;
-  pacing->starts_in_response++;
+  pacing->commands_in_response++;
 }
 
 gboolean
--- a/src/scheduling/start-pacing.h
+++ b/src/scheduling/start-pacing.h
@@ -24,7 +24,7 @@
 typedef struct
 {
   double per_s;              /**< Commands per second. */
-  guint starts_per_response; /**< Start commands in one response to a worker; 0: no limit. */
+  guint starts_per_response; /**< Commands after which a response to a worker gets no more starts; 0: no limit. */
   double scale_outs_per_s;   /**< Scale-out requests to the cloud per second. */
   double duration_s;         /**< Seconds after which the limits end. */
 } HzbStartPacingLimits;
@@ -39,7 +39,7 @@
   double tokens;               /**< Commands that may be sent now. */
   double scale_out_tokens;     /**< Scale-out requests that may be sent now. */
   double lag_s;                /**< Lateness of timers in seconds when the buckets were last refilled. */
-  guint starts_in_response;    /**< Start commands in the current response. */
+  guint commands_in_response;  /**< Commands sent since the current response began: starts, delegations and stops. */
 } HzbStartPacing;
 
 /** hzb_start_pacing_begin: applies the limits from `now` on. `limits`: copied */
@@ -52,10 +52,10 @@
  * timers in seconds */
 void hzb_start_pacing_tick (HzbStartPacing *pacing, double lag_s, struct timespec now);
 
-/** hzb_start_pacing_begin_response: resets the count of starts, at the beginning of a response to one worker. */
+/** hzb_start_pacing_begin_response: resets the count of commands, at the beginning of a response to one worker. */
 void hzb_start_pacing_begin_response (HzbStartPacing *pacing);
 
-/** hzb_start_pacing_response_full: whether the current response has reached the limit of starts in one response. */
+/** hzb_start_pacing_response_full: whether the current response has reached the limit of commands in one response. */
 gboolean hzb_start_pacing_response_full (const HzbStartPacing *pacing);
 
 /** hzb_start_pacing_allows: whether one more command of this class may be sent now. */
--- a/src/shards/leaseholder-private.h
+++ b/src/shards/leaseholder-private.h
@@ -22,8 +22,8 @@
   guint64 last_batch_applied; /**< number of the leader's last batch that was applied; 0: none */
   HzbOutbox events;           /**< (element-type HzbShardEvent): the events that the leader has not acknowledged */
   /**
-   * index in HzbJobs.active, modulo its length, of the first job whose task counts the next poll carries; only used if
-   * there are too many active jobs for one poll
+   * if there are too many active jobs for one poll: where in HzbJobs.active the next poll begins, modulo the array's
+   * length. The next poll carries the task counts of the jobs from there on.
    */
   guint next_counted_job;
   struct timespec last_poll;            /**< when the last poll was sent */
@@ -47,8 +47,8 @@
 void hzb_leaseholder_apply_answer (HzbLeaseholder *leaseholder, const HzbShardAnswer *answer);
 
 /**
- * hzb_leaseholder_return_unneeded: returns machines that this node does not need or cannot use to the leader, and tasks
- * that have not started in time or whose job is terminal.
+ * hzb_leaseholder_return_unneeded: returns to the leader the machines that the leader has recalled or that this node
+ * does not need or cannot use, and the unstarted tasks that have waited for too long or whose job is terminal.
  */
 void hzb_leaseholder_return_unneeded (HzbLeaseholder *leaseholder, struct timespec now);
 
--- a/src/shards/shard-leases.c
+++ b/src/shards/shard-leases.c
@@ -115,6 +115,7 @@
   for (guint i = 0; i < jobs->active->len; i++)
     {
       HzbJob *job = jobs->active->pdata[i];
+      /* HzbJob.placed is a number of tasks that includes the delegated ones: once it is 0, none is delegated. */
       for (guint k = 0; job->placed && k < job->n_tasks; k++)
         if (hzb_shards_is_delegated_to (&job->tasks[k], leaseholder))
           {
@@ -141,13 +142,14 @@
   hzb_outbox_clear (&leaseholder->batches);
   leaseholder->fencing_token = leaseholder->last_event_applied = leaseholder->last_batch_acknowledged = 0;
   leaseholder->lease_confirmed = FALSE;
+  /* restarts the wait before the node may get machines again */
   leaseholder->steady_since = hzb_clock_now (shard_leases->dependencies.node->clock);
 }
 
 void
 hzb_shard_leases_tick (HzbShardLeases *shard_leases, struct timespec now)
 {
-  if (!hzb_ownership_leader_loaded (shard_leases->dependencies.ownership))
+  if (!hzb_ownership_is_loaded_leader (shard_leases->dependencies.ownership))
     return;
   for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     {
@@ -215,6 +217,7 @@
 static gboolean
 has_delegated_task (const HzbLeaseholderView *leaseholder, const HzbJob *job)
 {
+  /* HzbJob.placed is a number of tasks that includes the delegated ones: if it is 0, none is delegated. */
   for (guint k = 0; job->placed && k < job->n_tasks; k++)
     if (hzb_shards_is_delegated_to (&job->tasks[k], leaseholder))
       return TRUE;
@@ -227,6 +230,7 @@
   for (guint i = 0; i < shard_leases->leaseholders->len; i++)
     {
       const HzbLeaseholderView *leaseholder = shard_leases->leaseholders->pdata[i];
+      /* A leaseholder without a delegated task of the job need not acknowledge. */
       if (has_unacknowledged_cancellation (leaseholder, job->uid) && has_delegated_task (leaseholder, job))
         return FALSE;
     }
--- a/src/shards/shard-machines.c
+++ b/src/shards/shard-machines.c
@@ -175,7 +175,7 @@
 {
   return *shard_leases->dependencies.leasing_enabled && machine->type && !machine->scale_in_requested
          && !machine->scale_in_candidate && !machine->reserved_for_services && !machine->unreachable
-         && machine->known_to_cloud && hzb_ownership_leader_loaded (shard_leases->dependencies.ownership)
+         && machine->known_to_cloud && hzb_ownership_is_loaded_leader (shard_leases->dependencies.ownership)
          && !shard_leases->gang_waiting && !shard_leases->only_leader_work_waiting;
 }
 
--- a/src/shards/shard-messages.h
+++ b/src/shards/shard-messages.h
@@ -13,9 +13,12 @@
 /** HzbHeldTask: a task that is, or may be, on a machine that moves to another shard. */
 typedef struct
 {
-  char *uid;        /**< (nullable): uid of its job; NULL: the sender named none */
-  int number;       /**< HzbTask.index: number of the task in its job, from 0 on; below 0: the sender named none */
-  guint64 attempt;  /**< HzbTask.attempt: number of the task's current start, unique within the job */
+  char *uid;  /**< (nullable): uid of its job; NULL: the sender named none */
+  int number; /**< HzbTask.index: number of the task in its job, from 0 on; below 0: the sender named none */
+  /**
+   * HzbTask.attempt: identifies the current attempt to run the task; no other attempt in this job has the same number
+   */
+  guint64 attempt;
   gboolean running; /**< a heartbeat has shown that the task runs; FALSE: it may still be fetching its image */
 } HzbHeldTask;
 
@@ -36,8 +39,9 @@
   guint64 agent_epoch; /**< agent epoch of its last heartbeat */
   guint64 sequence;    /**< sequence number of its last heartbeat */
   /**
-   * (nullable) (element-type HzbHeldTask): tasks that may be on it, if the leader hands it over; possibly none. The
-   * leaseholder then treats it as unverified. NULL: it was leased while idle or booting, and is treated as booting.
+   * (nullable) (element-type HzbHeldTask): set (possibly to an empty array) if the machine is leased together with its
+   * tasks: the tasks that may be on it; the leaseholder treats it as unverified. NULL if it was leased while idle or
+   * booting: the leaseholder treats it as booting.
    */
   GArray *held_tasks;
 } HzbMachineLease;
@@ -46,7 +50,7 @@
 void hzb_machine_lease_free (HzbMachineLease *lease);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbMachineLease, hzb_machine_lease_free)
 
-/** hzb_machine_lease_new: Returns: (transfer full): a lease of the machine in its present state, without tasks */
+/** hzb_machine_lease_new: Returns: (transfer full): a lease of the machine in its present state; held_tasks is NULL */
 HzbMachineLease *hzb_machine_lease_new (const HzbMachine *machine);
 
 /** hzb_machine_lease_encode: Returns: (transfer full): the wire format of the lease */
@@ -64,8 +68,9 @@
   char *name;   /**< name of the machine */
   char *reason; /**< (nullable): why the machine is returned, for the leader's log */
   /**
-   * the leader should return the machine to the cloud: HzbMachine.scale_in_requested at the leaseholder, for example of
-   * a faulty machine; FALSE if the leader has recalled the machine
+   * the leader should return the machine to the cloud, for example because it is faulty; copied from the leaseholder's
+   * HzbMachine.scale_in_requested. Always FALSE if the leaseholder has been told that the leader recalls the machine,
+   * or if it returns the machine without having accepted it.
    */
   gboolean scale_in_requested;
   guint64 agent_epoch; /**< agent epoch of its last heartbeat */
@@ -77,7 +82,10 @@
 void hzb_machine_return_free (HzbMachineReturn *returned);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbMachineReturn, hzb_machine_return_free)
 
-/** hzb_machine_return_new: Returns: (transfer full): a return without tasks; name and reason (nullable) are copied */
+/**
+ * hzb_machine_return_new: Returns: (transfer full): a return with empty held_tasks; name and reason (nullable) are
+ * copied
+ */
 HzbMachineReturn *hzb_machine_return_new (const char *name, const char *reason, guint64 agent_epoch, guint64 sequence);
 
 /** hzb_machine_return_encode: Returns: (transfer full): the wire format of the return */
--- a/src/shards/shard-poll-messages.h
+++ b/src/shards/shard-poll-messages.h
@@ -5,8 +5,8 @@
  *
  * A leaseholder polls the leader two to four times a second. The poll carries numbered events, the answer numbered
  * batches; each side repeats them until the other has acknowledged them (outbox.h). shard-messages.h encodes machines,
- * and task-group-messages.h encodes tasks. Polls and answers also carry requests and acknowledgements of cancellations,
- * which cancellation-messages.h encodes.
+ * and task-group-messages.h encodes tasks. A poll can also ask the leader to acknowledge cancellations, and its answer
+ * then names the jobs whose cancellation is acknowledged; cancellation-messages.h encodes both.
  */
 #pragma once
 #include "outbox.h"
@@ -82,7 +82,7 @@
 /** hzb_job_counts_new: Returns: (transfer full) (element-type HzbJobCount): an empty array */
 GArray *hzb_job_counts_new (void);
 
-/** hzb_job_counts_add: appends the number of tasks count of the job uid (copied) to counts. */
+/** hzb_job_counts_add: appends an entry to counts: the job uid (copied) has count tasks. */
 void hzb_job_counts_add (GArray *counts, const char *uid, guint count);
 
 /**
@@ -102,7 +102,10 @@
   double requested_cpus;   /**< total CPUs of the tasks that the sender asks the leader to delegate */
   GArray *recalled_counts; /**< (element-type HzbJobCount): tasks on machines that the leader has recalled */
   GArray *running_counts;  /**< (element-type HzbJobCount): tasks that run in the shard */
-  gboolean partial_counts; /**< jobs that are not named keep their counts; FALSE: their counts are 0 */
+  /**
+   * the poll names only some jobs, and the leader keeps its counts of the others; FALSE: the leader sets those to 0
+   */
+  gboolean partial_counts;
 } HzbShardPoll;
 
 /** hzb_shard_poll_new: Returns: (transfer full): the poll of a node that holds no shard */
@@ -125,8 +128,8 @@
 typedef struct
 {
   /**
-   * (nullable): uids of the jobs whose cancellation the leader acknowledges; NULL: the poll did not ask. Never NULL in
-   * a decoded answer.
+   * (nullable): uids of the jobs whose cancellation the leader acknowledges. When encoding, NULL: the poll did not ask.
+   * Decoding sets an empty array then.
    */
   char **acknowledged_uids;
   GPtrArray *batches;         /**< (nullable) (element-type HzbShardBatch): batches that are not acknowledged */
--- a/src/shards/shard-requests.c
+++ b/src/shards/shard-requests.c
@@ -139,7 +139,7 @@
   if (hzb_election_is_leader (dependencies->election))
     hzb_shards_scan (shard_leases, now);
   if (!leaseholder || !poll->incarnation || !hzb_election_is_leader (dependencies->election)
-      || !hzb_ownership_leader_loaded (dependencies->ownership))
+      || !hzb_ownership_is_loaded_leader (dependencies->ownership))
     {
       hzb_http_request_respond (http_request, 503, hzb_error_response_encode ("no blocks to lease here"), 0);
       return;
--- a/tests/test-jobs.c
+++ b/tests/test-jobs.c
@@ -319,7 +319,7 @@
   for (guint i = 0; i < 200; i++)
     hzb_jobs_record_run_time (b.jobs, job, 20);
   /* The run times of all tasks of a job have the weight of one observation, which is not enough for a correction. */
-  g_assert_cmpfloat (hzb_jobs_mean_s (b.jobs, job), ==, 10);
+  g_assert_cmpfloat (hzb_jobs_expected_run_time_s (b.jobs, job), ==, 10);
   /* The same job stands for 80 jobs: the weight of a run time depends only on the number of tasks of its job. */
   for (guint i = 0; i < 200 * 80; i++)
     hzb_jobs_record_run_time (b.jobs, job, 20);
@@ -328,8 +328,8 @@
   other = bench_add_job (&b, "red", HZB_PRIORITY_NORMAL, 5, 1, 40);
   g_free (other->spec->job_class);
   other->spec->job_class = g_strdup ("another");
-  g_assert_cmpfloat_with_epsilon (hzb_jobs_mean_s (b.jobs, next), 80, 2);
-  g_assert_cmpfloat_with_epsilon (hzb_jobs_mean_s (b.jobs, other), 40, 1e-9);
+  g_assert_cmpfloat_with_epsilon (hzb_jobs_expected_run_time_s (b.jobs, next), 80, 2);
+  g_assert_cmpfloat_with_epsilon (hzb_jobs_expected_run_time_s (b.jobs, other), 40, 1e-9);
   bench_clear (&b);
 }
 
--- a/tests/test-record-flush.c
+++ b/tests/test-record-flush.c
@@ -108,7 +108,7 @@
           int leader;
           sim_run (sim, sim->now + 0.1);
           leader = sim_leader (sim);
-          if (leader >= 0 && hzb_ownership_leader_loaded (sim->nodes[leader].controller->ownership))
+          if (leader >= 0 && hzb_ownership_is_loaded_leader (sim->nodes[leader].controller->ownership))
             done += expect_all_stored (sim, sim->nodes[leader].controller);
         }
       g_assert_cmpuint (done, >, 0); /* otherwise the test has checked no task */
--- a/tests/test-services.c
+++ b/tests/test-services.c
@@ -462,7 +462,8 @@
           SimMachine *machine = sim->machines->pdata[i];
           machine->partitioned = machine->spot;
         }
-      while (sim_leader (sim) < 0 || !hzb_ownership_leader_loaded (sim->nodes[sim_leader (sim)].controller->ownership))
+      while (sim_leader (sim) < 0
+             || !hzb_ownership_is_loaded_leader (sim->nodes[sim_leader (sim)].controller->ownership))
         sim_run (sim, sim->now + 0.1);
       loaded_at = sim->now;
       sim_run (sim,
--- a/tests/test-watermarks.c
+++ b/tests/test-watermarks.c
@@ -57,8 +57,8 @@
   HzbWatermarks watermarks;
 
   hzb_watermarks_init (&watermarks, MIN_AGE_S);
-  hzb_watermarks_raise (&watermarks, 20);
-  hzb_watermarks_raise (&watermarks, 18);
+  hzb_watermarks_raise_fenced_revision (&watermarks, 20);
+  hzb_watermarks_raise_fenced_revision (&watermarks, 18);
   g_assert_cmpuint (watermarks.fenced_revision, ==, 20);
   hzb_watermarks_add (&watermarks, time_at (0), 20);
   g_assert_cmpuint (watermarks.marks.length, ==, 0);
