--- a/src/api/admin-codec.c
+++ b/src/api/admin-codec.c
@@ -11,7 +11,7 @@
 static void
 add_schema_versions (cJSON *root, const GArray *controllers)
 {
-  cJSON *versions = cJSON_AddObjectToObject (root, "formats");
+  cJSON *versions = cJSON_AddObjectToObject (root, "formats"); /* schema version of each controller */
 
   for (guint i = 0; i < controllers->len; i++)
     {
@@ -35,8 +35,9 @@
   else
     cJSON_AddNullToObject (root, "leader");
   hzb_json_add_u64 (root, "term", leadership->term);
+  /* seconds since the key-value store last answered */
   cJSON_AddNumberToObject (root, "stateServiceSilentS", MIN (leadership->kv_unresponsive_s, MAX_UNRESPONSIVE_S));
-  cJSON_AddNumberToObject (root, "format", leadership->schema_version);
+  cJSON_AddNumberToObject (root, "format", leadership->schema_version); /* every controller reads this schema version */
   add_schema_versions (root, leadership->controllers);
   return hzb_json_print (root);
 }
@@ -58,7 +59,7 @@
 /* ---- responses of the leader only ---- */
 
 static cJSON *
-pack_machine (const HzbMachine *machine)
+encode_machine (const HzbMachine *machine)
 {
   cJSON *item = cJSON_CreateObject ();
   cJSON_AddStringToObject (item, "name", machine->name);
@@ -67,7 +68,7 @@
   cJSON_AddBoolToObject (item, "spot", machine->spot);
   cJSON_AddStringToObject (item, "state", hzb_machine_state_name (machine->state));
   cJSON_AddNumberToObject (item, "tasks", machine->tasks->len);
-  cJSON_AddNumberToObject (item, "listed", hzb_machine_count_queued_tasks (machine));
+  cJSON_AddNumberToObject (item, "listed", hzb_machine_count_queued_tasks (machine)); /* in its run queues */
   cJSON_AddNumberToObject (item, "cpusUsed", machine->cpus);
   cJSON_AddBoolToObject (item, "toBeReturned", machine->scale_in_requested);
   return item;
@@ -78,7 +79,7 @@
 {
   cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "machines");
   for (guint i = 0; i < machines->all->len; i++)
-    cJSON_AddItemToArray (list, pack_machine (machines->all->pdata[i]));
+    cJSON_AddItemToArray (list, encode_machine (machines->all->pdata[i]));
   return hzb_json_print (root);
 }
 
@@ -99,7 +100,7 @@
 }
 
 static cJSON *
-pack_team (const HzbTeam *team, double cpus_used, double gpus_used)
+encode_team (const HzbTeam *team, double cpus_used, double gpus_used)
 {
   cJSON *item = cJSON_CreateObject ();
   cJSON_AddStringToObject (item, "name", team->name);
@@ -117,27 +118,28 @@
 {
   cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "teams");
   for (guint i = 0; i < settings->teams->len; i++)
-    cJSON_AddItemToArray (list, pack_team (settings->teams->pdata[i], shard->cpus[i], shard->gpus[i]));
+    cJSON_AddItemToArray (list, encode_team (settings->teams->pdata[i], shard->cpus[i], shard->gpus[i]));
   return hzb_json_print (root);
 }
 
 static cJSON *
-pack_job (const HzbJob *job)
+encode_job (const HzbJob *job)
 {
   cJSON *item = cJSON_CreateObject ();
   cJSON_AddStringToObject (item, "id", job->uid);
   cJSON_AddStringToObject (item, "status", hzb_job_status (job));
   cJSON_AddNumberToObject (item, "tasks", job->n_tasks);
+  /* A controller that owns none of the job's tasks lacks their counts, and may lack the job's spec. */
   if (job->tasks)
     {
       cJSON_AddStringToObject (item, "class", job->spec->job_class);
       cJSON_AddStringToObject (item, "team", job->spec->team);
       cJSON_AddNumberToObject (item, "waiting", job->pending + job->queued);
       cJSON_AddNumberToObject (item, "placed", job->placed);
-      cJSON_AddNumberToObject (item, "unknown", job->unconfirmed);
-      cJSON_AddNumberToObject (item, "finished", job->finished);
-      cJSON_AddNumberToObject (item, "done", job->done);
-      cJSON_AddNumberToObject (item, "servedAs", job->scheduling_class);
+      cJSON_AddNumberToObject (item, "unknown", job->unconfirmed); /* may run on a machine that is not verified yet */
+      cJSON_AddNumberToObject (item, "finished", job->finished);   /* result known, not yet durable */
+      cJSON_AddNumberToObject (item, "done", job->done);           /* result durable */
+      cJSON_AddNumberToObject (item, "servedAs", job->scheduling_class); /* an HzbSchedulingClass */
       cJSON_AddNumberToObject (item, "failuresInARow", job->failures);
     }
   return item;
@@ -146,7 +148,7 @@
 char *
 hzb_admin_job_encode (const HzbJob *job)
 {
-  return hzb_json_print (pack_job (job));
+  return hzb_json_print (encode_job (job));
 }
 
 char *
@@ -155,7 +157,7 @@
   cJSON *root = cJSON_CreateObject (), *list = cJSON_AddArrayToObject (root, "jobs");
   guint listed = MIN (jobs->active->len, MAX_LISTED_JOBS);
   for (guint i = 0; i < listed; i++)
-    cJSON_AddItemToArray (list, pack_job (jobs->active->pdata[i]));
+    cJSON_AddItemToArray (list, encode_job (jobs->active->pdata[i]));
   cJSON_AddNumberToObject (root, "unfinished", jobs->active->len);
   return hzb_json_print (root);
 }
--- a/src/api/user-api-private.h
+++ b/src/api/user-api-private.h
@@ -37,7 +37,8 @@
   char *uid;                    /**< (owned): the job's id */
   HzbPendingRequestKind kind;   /**< what the user requests */
   GError *admission_error;      /**< (owned) (nullable): why the submission is refused unless its job is known */
-  struct timespec deadline;     /**< a cancellation not sent, or later not acknowledged, by then is answered with 503 */
+  struct timespec deadline;     /**< monotonic time: a cancellation that is not sent by then, or, once it is
+                                     recorded, not acknowledged by then, is answered with 503 */
 } HzbPendingRequest;
 
 /** HzbSubmission: a submitted job that waits for its acceptance. */
@@ -152,7 +153,8 @@
 
 /**
  * hzb_job_admission_drop_unknown_types: removes machine types that do not exist from the job's allowed types, since no
- * task could run on them and the job's record need not name them.
+ * task could run on them and the job's record need not name them. If no allowed type exists, the list becomes empty and
+ * allows no machine; a list that is NULL allows all types and stays NULL.
  */
 void hzb_job_admission_drop_unknown_types (const HzbUserApi *api, HzbJobSpec *spec);
 
--- a/src/cluster/cancellation-requests.c
+++ b/src/cluster/cancellation-requests.c
@@ -5,9 +5,9 @@
 #include "record-keys.h"
 
 #define MAX_REQUESTS_PER_MESSAGE 64u
-#define REQUEST_LIFETIME_S 10.0 /* a user that waits for the confirmation has repeated the query by then */
-#define ATTEMPT_INTERVAL_S 1.0
-#define SCHEMA_1_WATCH_RENEWAL_S 4.5 /* a leader of schema version 1 renews its watch within 4 s */
+#define REQUEST_LIFETIME_S 10.0       /* a user that still waits for the confirmation repeats the query sooner */
+#define EVIDENCE_CHECK_INTERVAL_S 1.0 /* see hzb_cancellations_tick() */
+#define SCHEMA_1_WATCH_RENEWAL_S 4.5  /* a leader of schema version 1 renews its watch within 4 s */
 
 typedef struct
 {
@@ -29,7 +29,7 @@
   g_queue_clear_full (&cancellations->requests, pending_request_free);
 }
 
-/* ---- requests of a controller that does not lead ---- */
+/* ---- a controller that does not lead: requests ---- */
 
 static PendingRequest *
 find_request (const HzbCancellations *cancellations, const char *uid)
@@ -53,12 +53,12 @@
 gboolean
 hzb_cancellations_request (HzbCancellations *cancellations, HzbJob *job)
 {
-  const HzbCancellationsDependencies *deps = &cancellations->deps;
+  const HzbCancellationsDependencies *deps = &cancellations->dependencies;
   struct timespec now = hzb_clock_now (deps->node->clock);
   PendingRequest *request;
 
   if (hzb_election_is_leader (deps->election))
-    return hzb_ownership_leader_loaded (deps->ownership);
+    return hzb_ownership_is_loaded_leader (deps->ownership);
   request = find_request (cancellations, job->uid);
   if (!request)
     request = add_request (cancellations, job->uid, now);
@@ -68,19 +68,19 @@
          && !hzb_peers_is_unreachable (deps->peers, hzb_election_leader (deps->election));
 }
 
-/* Requests that this poll carries move to the end of the queue, so that requests that the leader can't acknowledge for
- * a long time do not delay later ones. */
+/* The selected requests move to the end of the queue, so that requests that the leader can't acknowledge for a long
+ * time do not delay later ones. */
 GArray *
 hzb_cancellations_next_requests (HzbCancellations *cancellations)
 {
-  struct timespec now = hzb_clock_now (cancellations->deps.node->clock);
+  struct timespec now = hzb_clock_now (cancellations->dependencies.node->clock);
   GArray *requested = hzb_cancellations_array_new ();
 
   for (guint remaining = cancellations->requests.length; remaining && requested->len < MAX_REQUESTS_PER_MESSAGE;
        remaining--)
     {
       PendingRequest *request = g_queue_pop_head (&cancellations->requests);
-      const HzbJob *job = hzb_jobs_find (cancellations->deps.jobs, request->uid);
+      const HzbJob *job = hzb_jobs_find (cancellations->dependencies.jobs, request->uid);
       if (!job || job->cancel_acknowledged || hzb_time_before (request->expires, now))
         {
           pending_request_free (request);
@@ -93,14 +93,14 @@
   return requested;
 }
 
-/* ---- responses of the leader ---- */
+/* ---- the leader: responses ---- */
 
-/* If the job has no record of its end yet, the leader applies the cancellation from the request: the leader's own
- * replica of the records may lag, or the key-value store may refuse this controller. */
+/* If the leader knows no completion record of the job yet, it applies the cancellation from the request: the leader's
+ * replica of the records may lag, or the key-value store may refuse the leader. */
 static HzbJob *
 find_or_apply (HzbCancellations *cancellations, const HzbCancellation *cancellation)
 {
-  HzbJob *job = hzb_jobs_find (cancellations->deps.jobs, cancellation->uid);
+  HzbJob *job = hzb_jobs_find (cancellations->dependencies.jobs, cancellation->uid);
   return job && job->version ? job : hzb_cancellations_apply (cancellations, cancellation);
 }
 
@@ -118,22 +118,22 @@
   return g_strv_builder_end (acknowledged_uids);
 }
 
-/* ---- acknowledgements of the leader ---- */
+/* ---- a controller that does not lead: acknowledgements that it receives or reads ---- */
 
 static void
 set_acknowledged (HzbCancellations *cancellations, const char *uid)
 {
-  HzbJob *job = hzb_jobs_find (cancellations->deps.jobs, uid);
+  HzbJob *job = hzb_jobs_find (cancellations->dependencies.jobs, uid);
   if (job && job->state == HZB_JOB_CANCELLED && hzb_cancellations_is_replicated (cancellations, job))
     job->cancel_acknowledged = TRUE;
 }
 
-/* An acknowledgement of a leader of this term is valid only if there is no later leader. A controller that leads needs
- * no acknowledgement of another one. */
+/* An acknowledgement from the leader of `term` is valid only if there is no later leader. A controller that leads
+ * needs no acknowledgement from another controller. */
 static gboolean
 is_from_current_leader (const HzbCancellations *cancellations, guint64 term)
 {
-  HzbElection *election = cancellations->deps.election;
+  HzbElection *election = cancellations->dependencies.election;
   return !hzb_election_is_leader (election) && term >= hzb_election_leader_term (election);
 }
 
@@ -156,7 +156,7 @@
   for (GList *l = cancellations->requests.head; l; l = l->next)
     {
       const PendingRequest *request = l->data;
-      const HzbJob *job = hzb_jobs_find (cancellations->deps.jobs, request->uid);
+      const HzbJob *job = hzb_jobs_find (cancellations->dependencies.jobs, request->uid);
       if (job && job->version <= flushed.acknowledged_revision)
         set_acknowledged (cancellations, request->uid);
     }
@@ -175,11 +175,11 @@
   hzb_kv_entry_clear (&entry);
 }
 
-/* Reads the acknowledgements of a leader that this controller can't reach from the leader's flush record. */
+/* If the leader is unreachable, reads its acknowledgements from its flush record in the key-value store. */
 static void
 read_flush_record (HzbCancellations *cancellations)
 {
-  const HzbCancellationsDependencies *deps = &cancellations->deps;
+  const HzbCancellationsDependencies *deps = &cancellations->dependencies;
   const char *leader = hzb_election_leader (deps->election);
 
   if (cancellations->reading_flush_record || !leader || !hzb_peers_is_unreachable (deps->peers, leader)
@@ -195,7 +195,7 @@
 static void
 check_schema_1_leader (HzbCancellations *cancellations)
 {
-  const HzbCancellationsDependencies *deps = &cancellations->deps;
+  const HzbCancellationsDependencies *deps = &cancellations->dependencies;
   const char *leader = hzb_election_leader (deps->election);
   struct timespec served;
 
@@ -214,10 +214,10 @@
 void
 hzb_cancellations_tick (HzbCancellations *cancellations, struct timespec now)
 {
-  if (!cancellations->requests.length || hzb_election_is_leader (cancellations->deps.election)
-      || hzb_time_before (now, cancellations->next_attempt))
+  if (!cancellations->requests.length || hzb_election_is_leader (cancellations->dependencies.election)
+      || hzb_time_before (now, cancellations->next_evidence_check))
     return;
-  cancellations->next_attempt = hzb_time_plus (now, ATTEMPT_INTERVAL_S);
+  cancellations->next_evidence_check = hzb_time_plus (now, EVIDENCE_CHECK_INTERVAL_S);
   check_schema_1_leader (cancellations);
   read_flush_record (cancellations);
 }
--- a/src/cluster/peer-senders.c
+++ b/src/cluster/peer-senders.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #define MAX_REPLACED_INCARNATIONS 64u
-#define START_SLACK_MS 1000u /* the wall clocks of controllers may differ by up to this time */
+#define START_SLACK_MS 1000u /* wall clocks that start times are read from may differ by up to this time */
 
 void
 hzb_peer_senders_init (HzbPeerSenders *senders)
@@ -17,8 +17,8 @@
   g_clear_pointer (&senders->replaced_incarnations, g_hash_table_unref);
 }
 
-/* After the schema version was raised, a process of version 1 would misread newer records, so its requests are refused.
- * */
+/* After the schema version was raised, a process of schema version 1 would misread newer records, so its requests are
+ * refused. */
 static gboolean
 supports_schema (HzbPeerEntry *entry, const HzbPeerEnvelope *envelope, guint min_schema_version)
 {
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -14,7 +14,7 @@
 }
 
 /* During a rolling upgrade a controller of the new version should lead, since those of the old version are about to be
- * replaced. */
+ * replaced. In tests of upgrades a node may state an older schema version than HZB_SCHEMA_VERSION. */
 static gboolean
 is_upgraded_before_peers (const HzbController *controller)
 {
@@ -79,7 +79,7 @@
     hzb_leaseholder_tick (controller->leaseholder, now);
   if (hzb_ownership_is_leaseholder (controller->ownership))
     tick_as_leaseholder (controller, now);
-  if (hzb_ownership_leader_loaded (controller->ownership))
+  if (hzb_ownership_is_loaded_leader (controller->ownership))
     hzb_leader_maintenance_tick (controller, now);
 
   hzb_provisioning_tick (controller->provisioning, now);
--- a/src/http/http-request.h
+++ b/src/http/http-request.h
@@ -12,7 +12,7 @@
 /** HzbHttpRequest: a request whose response is pending, until hzb_http_request_respond() is called once. */
 typedef struct _HzbHttpRequest HzbHttpRequest;
 
-/** HzbHttpRequest: the members of a request. */
+/** HzbHttpRequest: the data of a request, and the functions that are called to respond to it. */
 struct _HzbHttpRequest
 {
   char *method; /**< method, such as GET (owned) */
@@ -22,8 +22,8 @@
 
   /** Sends the response, without taking ownership of an argument. Called once, by hzb_http_request_respond(). */
   void (*reply) (HzbHttpRequest *self, guint status, const char *body, guint retry_after_s);
-  gpointer impl;   /**< data of the reply function */
-  gpointer server; /**< data of the reply function (not owned) */
+  gpointer impl;   /**< data of the reply function; for an HTTP server the SoupMessage, which the function unrefs */
+  gpointer server; /**< data of the reply function (not owned); for an HTTP server the HzbHttpServer */
   /** While the handler runs, points to a flag that the server's reply function sets; otherwise NULL (not owned). */
   gboolean *responded;
 
--- a/src/provisioning/cloud-client.h
+++ b/src/provisioning/cloud-client.h
@@ -2,9 +2,9 @@
  * SECTION: cloud-client
  * @short_description: sends requests to the cloud, limited in rate and ordered by priority
  *
- * A token bucket keeps the client within the cloud's request rate (HzbSettings.cloud_rps). Requests that exceed the
- * rate wait in one queue for each priority. The client does not retry requests: the caller gets the status of each
- * response and decides.
+ * A token bucket keeps the client within the cloud's request rate (HzbSettings.cloud_rps, in requests per second).
+ * Requests that exceed the rate wait in one queue for each priority. The client does not retry requests: the caller
+ * gets the status of each response and decides.
  *
  * All requests are asynchronous. Their callbacks are called exactly once, see HzbReplyFunc, unless the client is freed
  * while the request waits. Strings and arrays that are passed to a request are (transfer none).
@@ -18,7 +18,7 @@
 /** HzbCloudPriority: priorities of requests, highest first. A waiting request of a higher priority is sent first. */
 typedef enum
 {
-  HZB_CLOUD_PRIORITY_SCALE_IN,  /**< returns of machines, each of which costs money until then */
+  HZB_CLOUD_PRIORITY_SCALE_IN,  /**< requests to return machines, which cost money until they are returned */
   HZB_CLOUD_PRIORITY_SCALE_OUT, /**< requests to rent machines */
   HZB_CLOUD_PRIORITY_READ,      /**< requests for machine types and for the inventory */
   HZB_CLOUD_N_PRIORITIES        /**< number of priorities */
@@ -61,16 +61,16 @@
 
 /**
  * hzb_cloud_client_scale_out: requests to rent machines.
- * `request`: name of the request, which makes it idempotent: the cloud answers a repeated request of the same name
- * without renting more machines
+ * `request_name`: makes the request idempotent: the cloud answers a repeated request of the same name without renting
+ * more machines
  * `type`: name of the machine type
  * `zone`: name of the zone
  * `spot`: whether to rent spot instances
  * `count`: number of machines, at most 50
- * `done`: gets the response, see hzb_cloud_names_decode()
+ * `done`: gets the response, see hzb_cloud_rent_decode()
  * `user`: (nullable): passed to `done`
  */
-void hzb_cloud_client_scale_out (HzbCloudClient *cloud, const char *request, const char *type, const char *zone,
+void hzb_cloud_client_scale_out (HzbCloudClient *cloud, const char *request_name, const char *type, const char *zone,
                                  gboolean spot, guint count, HzbReplyFunc done, gpointer user);
 
 /**
--- a/src/reconciliation/reconciliation-admin-codec.c
+++ b/src/reconciliation/reconciliation-admin-codec.c
@@ -3,16 +3,20 @@
 #include "json.h"
 #include "reconciliation-private.h"
 
+#define RETURN_MARGIN_S 2.0 /* equals UNVERIFIED_MARGIN_S of scale-in.c */
+
 /* ---- GET reconciliation and GET metrics ---- */
 
-/* Returns: seconds until the leader returns an awaited machine to the cloud. scale-in.c does so two seconds after the
- * machine's lease; the machine's tasks may run until the cloud confirms the return. */
+/* An awaited machine is in state unverified, or is being returned, as its tasks may run until the cloud confirms the
+ * return. scale-in.c returns an unverified machine once it has been unverified for longer than lease_s plus the margin.
+ *
+ * Returns: seconds until an unverified machine is returned; without meaning for one that is being returned */
 static double
 seconds_until_return (const HzbReconciliation *reconciliation, const HzbMachine *machine)
 {
   const HzbNode *node = reconciliation->dependencies.node;
   double in_state_s = hzb_time_between (machine->since, hzb_clock_now (node->clock));
-  return MAX (0, node->settings->lease_s + 2 - in_state_s);
+  return MAX (0, node->settings->lease_s + RETURN_MARGIN_S - in_state_s);
 }
 
 static void
@@ -22,24 +26,26 @@
 
   for (guint i = 0; i < reconciliation->machines->len; i++)
     {
-      const HzbArchivedMachine *archived = &g_array_index (reconciliation->machines, HzbArchivedMachine, i);
+      const HzbArchivedMachine *tracked = &g_array_index (reconciliation->machines, HzbArchivedMachine, i);
+      /* at_s < 0: the machine is not accounted for yet */
       const HzbMachine *machine =
-          archived->at_s < 0 ? hzb_machines_find (reconciliation->dependencies.machines, archived->name) : NULL;
+          tracked->at_s < 0 ? hzb_machines_find (reconciliation->dependencies.machines, tracked->name) : NULL;
       cJSON *item;
       if (!machine)
         continue;
       item = cJSON_CreateObject ();
       cJSON_AddStringToObject (item, "name", machine->name);
       cJSON_AddStringToObject (item, "state", hzb_machine_state_name (machine->state));
+      /* the time left until the return to the cloud, not the time in the state */
       cJSON_AddNumberToObject (item, "forS", seconds_until_return (reconciliation, machine));
       cJSON_AddItemToArray (list, item);
     }
 }
 
-/* Adds a row that says how often a verdict was given for a reason; no row if it never was.
- * @unit: name of the member that contains @n */
+/* Adds an object with the count of a verdict and its reason; adds nothing if the count is 0.
+ * @count_name: name of the member that contains the count @n */
 static void
-add_verdict_count (cJSON *list, const char *verdict, const char *reason, const char *unit, guint n)
+add_verdict_count (cJSON *list, const char *verdict, const char *reason, const char *count_name, guint n)
 {
   cJSON *item;
 
@@ -48,7 +54,7 @@
   item = cJSON_CreateObject ();
   cJSON_AddStringToObject (item, "verdict", verdict);
   cJSON_AddStringToObject (item, "reason", reason);
-  cJSON_AddNumberToObject (item, unit, n);
+  cJSON_AddNumberToObject (item, count_name, n);
   cJSON_AddItemToArray (list, item);
 }
 
@@ -103,6 +109,7 @@
       cJSON_AddStringToObject (item, "reason", hzb_task_reason_name (entry->reason));
       cJSON_AddItemToArray (list, item);
     }
+  /* counts listings in heartbeats, not tasks: an untracked task counts again with each heartbeat that lists it */
   cJSON_AddNumberToObject (root, "notTracked", hzb_quarantine_overflow (reconciliation->quarantine));
 }
 
@@ -114,7 +121,7 @@
   cJSON_AddStringToObject (root, "state", hzb_reconciliation_state_name (reconciliation->state));
   cJSON_AddStringToObject (root, "reason", hzb_start_reason_name (reconciliation->start_reason));
   hzb_json_add_u64 (root, "id", reconciliation->record.id);
-  cJSON_AddNumberToObject (root, "starts", reconciliation->record.starts);
+  cJSON_AddNumberToObject (root, "starts", reconciliation->record.cold_starts);
   cJSON_AddNumberToObject (root, "undecided", reconciliation->open_jobs);
   cJSON_AddNumberToObject (root, "notDurable", reconciliation->unrecorded_jobs);
   cJSON_AddBoolToObject (root, "paced", reconciliation->pacing.active);
--- a/src/reconciliation/reconciliation-codec.c
+++ b/src/reconciliation/reconciliation-codec.c
@@ -3,7 +3,8 @@
 #include "json.h"
 #include "user-protocol.h"
 
-#define MAX_ENTRY_BYTES 48u /* of a verdict on a page, without the job's id */
+/* Upper bound of the bytes that the JSON of a verdict takes on a page, without the job's uid. */
+#define ENTRY_OVERHEAD_BYTES 48u
 
 /* Positions in the array that encodes a verdict on a page. An array is shorter than an object, so a page holds more
  * verdicts. */
@@ -25,9 +26,9 @@
 
 /* Returns: FALSE, with an error */
 static gboolean
-set_malformed (GError **error, const char *what)
+set_malformed (GError **error, const char *description)
 {
-  g_set_error (error, HZB_RECONCILIATION_ERROR, HZB_RECONCILIATION_ERROR_MALFORMED, "%s", what);
+  g_set_error (error, HZB_RECONCILIATION_ERROR, HZB_RECONCILIATION_ERROR_MALFORMED, "%s", description);
   return FALSE;
 }
 
@@ -61,7 +62,7 @@
   cJSON_AddNumberToObject (value, "format", HZB_RECONCILIATION_FORMAT);
   hzb_json_add_u64 (value, "id", record->id);
   hzb_json_add_u64 (value, "term", record->term);
-  cJSON_AddNumberToObject (value, "starts", record->starts);
+  cJSON_AddNumberToObject (value, "starts", record->cold_starts);
   cJSON_AddNumberToObject (value, "began", record->began);
   return value;
 }
@@ -73,9 +74,9 @@
     return FALSE;
   record->id = hzb_json_u64 (value, "id");
   record->term = hzb_json_u64 (value, "term");
-  record->starts = (guint) CLAMP (hzb_json_number (value, "starts", 0), 0, G_MAXINT32);
+  record->cold_starts = (guint) CLAMP (hzb_json_number (value, "starts", 0), 0, G_MAXINT32);
   record->began = hzb_json_number (value, "began", 0);
-  if (!record->id || record->term < record->id || !record->starts)
+  if (!record->id || record->term < record->id || !record->cold_starts)
     return set_malformed (error, "its id, its term or its number of starts is missing or invalid");
   return TRUE;
 }
@@ -99,7 +100,7 @@
 gsize
 hzb_verdict_entry_bytes (const HzbVerdictEntry *entry)
 {
-  return strlen (entry->uid) + MAX_ENTRY_BYTES;
+  return strlen (entry->uid) + ENTRY_OVERHEAD_BYTES;
 }
 
 static void
--- a/src/reconciliation/recorder.c
+++ b/src/reconciliation/recorder.c
@@ -13,6 +13,9 @@
 #define RETRY_S 0.5            /* after the key-value store refused a transaction or did not respond */
 #define ARCHIVE_RETRY_S 5.0    /* longer than RETRY_S: the archive is not urgent */
 #define PAGE_FILL_FRACTION 0.9 /* of the largest allowed value */
+
+/* A new page is begun only if its first verdict keeps the verdicts of the transaction within this size. The last page
+ * is filled even if the transaction then exceeds the size. */
 #define MAX_TRANSACTION_BYTES 40000u
 
 void
@@ -24,7 +27,7 @@
   g_ptr_array_set_size (reconciliation->in_flight, 0);
   reconciliation->sending = FALSE;
   reconciliation->archive_progress = HZB_ARCHIVE_UNWRITTEN;
-  g_clear_pointer (&reconciliation->archive, g_bytes_unref);
+  g_clear_pointer (&reconciliation->packed_archive, g_bytes_unref);
 }
 
 static gboolean
@@ -123,16 +126,16 @@
   g_autofree HzbEpochCall *epoch_call = user;
   HzbReconciliation *reconciliation = epoch_call->module;
   HzbKvEntry item = { 0 };
-  gboolean known;
+  gboolean value_read;
 
   if (!hzb_epoch_call_is_current (epoch_call))
     return;
-  known = result == HZB_KV_NOT_FOUND || (result == HZB_KV_OK && hzb_kv_entry_decode (body, &item));
+  value_read = result == HZB_KV_NOT_FOUND || (result == HZB_KV_OK && hzb_kv_entry_decode (body, &item));
   /* While the record is not durable, no page is in flight, so the value that was read is the record. The next attempt
    * to write the record is conditional on the version that was read. */
-  if (known && !record_is_durable (reconciliation))
+  if (value_read && !record_is_durable (reconciliation))
     reconciliation->record_version = item.version;
-  if (known && item.value && hzb_reconciliation_value_term (item.value) == reconciliation->record.term)
+  if (value_read && item.value && hzb_reconciliation_value_term (item.value) == reconciliation->record.term)
     mark_written (reconciliation);
   else
     schedule_retry (reconciliation);
@@ -248,7 +251,7 @@
 }
 
 /* Removes the last pages first, and the record together with the first ones: as long as the record exists, the next
- * leader continues the reconciliation. */
+ * leader continues the reconciliation. One change of each transaction is reserved for the removal of the record. */
 void
 hzb_recorder_clean_up (HzbReconciliation *reconciliation, struct timespec now)
 {
@@ -306,7 +309,7 @@
 
   archive->id = record->id;
   archive->term = record->term;
-  archive->starts = record->starts;
+  archive->cold_starts = record->cold_starts;
   archive->began = record->began;
   archive->reason = g_strdup (hzb_start_reason_name (reconciliation->start_reason));
   archive->complete_s = hzb_time_between (reconciliation->began, now);
@@ -328,7 +331,7 @@
 
   reconciliation->archive_progress = done ? HZB_ARCHIVE_WRITTEN : HZB_ARCHIVE_UNWRITTEN;
   if (done)
-    g_clear_pointer (&reconciliation->archive, g_bytes_unref);
+    g_clear_pointer (&reconciliation->packed_archive, g_bytes_unref);
   else
     reconciliation->next_write =
         hzb_time_plus (hzb_clock_now (reconciliation->dependencies.node->clock), ARCHIVE_RETRY_S);
@@ -342,11 +345,11 @@
   if (hzb_time_before (now, reconciliation->next_write) || reconciliation->pacing.active
       || hzb_time_between (reconciliation->began, now) < HZB_ARCHIVE_SECONDS)
     return;
-  if (!reconciliation->archive)
-    reconciliation->archive = build_archive (reconciliation, now);
+  if (!reconciliation->packed_archive)
+    reconciliation->packed_archive = build_archive (reconciliation, now);
   reconciliation->archive_progress = HZB_ARCHIVE_WRITING;
-  hzb_archive_store_write (reconciliation->archives, reconciliation->record.id, reconciliation->archive, on_archived,
-                           reconciliation);
+  hzb_archive_store_write (reconciliation->archive_store, reconciliation->record.id, reconciliation->packed_archive,
+                           on_archived, reconciliation);
 }
 
 void
--- a/src/reconciliation/report.c
+++ b/src/reconciliation/report.c
@@ -2,9 +2,14 @@
 
 #include <time.h>
 
+/* Sizes of a plot, in pixels. A bar with the gap after it is BAR_WIDTH wide. */
 #define PLOT_WIDTH 720
-#define PLOT_HEIGHT 140
+#define PLOT_HEIGHT 140 /* of the highest bar */
 #define BAR_WIDTH (PLOT_WIDTH / (int) HZB_ARCHIVE_SECONDS)
+#define BAR_GAP 2
+#define LABELS_HEIGHT 20   /* of the time labels below the bars */
+#define LABELS_BASELINE 14 /* from the foot of the bars to the baseline of the labels */
+
 #define MAX_TABLE_ROWS 200u /* of the table of jobs; further jobs are in the archive only */
 
 /* ---- contents of both reports ---- */
@@ -34,8 +39,8 @@
   return highest;
 }
 
-/* @first_s, @last_s: (out): when the first and the last verdict became durable, in seconds after the beginning;
- * negative if there is no verdict */
+/* @first_s, @last_s: (out): when the first and the last verdict became durable, in seconds since the last cold start
+ * began; negative if there is no verdict */
 static void
 find_verdict_times (const HzbArchive *archive, double *first_s, double *last_s)
 {
@@ -106,7 +111,7 @@
   find_verdict_times (archive, &first_s, &last_s);
   g_string_append_printf (out, "reconciliation %" G_GUINT64_FORMAT ", %s (%s)\n", archive->id, began, archive->reason);
   g_string_append_printf (out, "cold starts: %u; archived after %.1f s, under term %" G_GUINT64_FORMAT "\n",
-                          archive->starts, archive->complete_s, archive->term);
+                          archive->cold_starts, archive->complete_s, archive->term);
   g_string_append_printf (out, "jobs: %u (%u more are not listed); machines that could hold work: %u (%u more)\n",
                           archive->jobs->len, archive->omitted_jobs, archive->machines->len, archive->omitted_machines);
   if (last_s >= 0)
@@ -142,18 +147,18 @@
 append_plot (GString *out, const char *title, const guint *values, guint highest)
 {
   g_string_append_printf (out, "<h3>%s a second, at most %u</h3>\n<svg width=\"%d\" height=\"%d\" role=\"img\">\n",
-                          title, highest, PLOT_WIDTH, PLOT_HEIGHT + 20);
+                          title, highest, PLOT_WIDTH, PLOT_HEIGHT + LABELS_HEIGHT);
   for (guint second = 0; second < HZB_ARCHIVE_SECONDS; second++)
     {
       int height = highest ? (int) ((guint64) values[second] * PLOT_HEIGHT / highest) : 0;
       g_string_append_printf (out,
                               "<rect x=\"%d\" y=\"%d\" width=\"%d\" height=\"%d\" fill=\"#36c\"><title>second %u: %u"
                               "</title></rect>\n",
-                              (int) second * BAR_WIDTH, PLOT_HEIGHT - height, BAR_WIDTH - 2, height, second,
+                              (int) second * BAR_WIDTH, PLOT_HEIGHT - height, BAR_WIDTH - BAR_GAP, height, second,
                               values[second]);
       if (second % 10 == 0)
         g_string_append_printf (out, "<text x=\"%d\" y=\"%d\" font-size=\"11\">%u s</text>\n", (int) second * BAR_WIDTH,
-                                PLOT_HEIGHT + 14, second);
+                                PLOT_HEIGHT + LABELS_BASELINE, second);
     }
   g_string_append (out, "</svg>\n");
 }
@@ -218,8 +223,8 @@
 
   g_string_append_printf (out, "<h1>Reconciliation %" G_GUINT64_FORMAT "</h1>\n<p>%s, ", archive->id, began);
   append_escaped (out, archive->reason);
-  g_string_append_printf (out, "; %u cold starts, %u jobs, %u machines, archived after %.1f s.</p>\n", archive->starts,
-                          archive->jobs->len + archive->omitted_jobs,
+  g_string_append_printf (out, "; %u cold starts, %u jobs, %u machines, archived after %.1f s.</p>\n",
+                          archive->cold_starts, archive->jobs->len + archive->omitted_jobs,
                           archive->machines->len + archive->omitted_machines, archive->complete_s);
   g_string_append (out, "<h2>Verdicts</h2>\n<table>\n<tr><th>verdict</th><th>reason</th><th>jobs</th></tr>\n");
   append_verdict_counts (archive, append_html_row, out);
--- a/src/reconciliation/roster.h
+++ b/src/reconciliation/roster.h
@@ -13,9 +13,9 @@
 #include <cjson/cJSON.h>
 
 /**
- * HZB_ROSTER_MAX_PROCESSES: maximum number of processes on a roster, so that the flush record fits the smallest
- * allowed value of the key-value store. Larger clusters lose nothing: one survivor among so many processes is evidence
- * enough.
+ * HZB_ROSTER_MAX_PROCESSES: maximum number of processes on a roster. It bounds the size of the flush record, since the
+ * key-value store limits the size of a value. A larger cluster needs no longer roster: one survivor among the
+ * processes on the roster is enough evidence that a start is a failover.
  */
 #define HZB_ROSTER_MAX_PROCESSES 90u
 
@@ -44,12 +44,13 @@
  * roster in flight, or from the recorded roster if none is in flight */
 gboolean hzb_roster_is_due (const HzbRoster *roster);
 
-/** hzb_roster_add_alive: puts the processes that are alive into a flush record that is about to be written. */
-void hzb_roster_add_alive (HzbRoster *roster, cJSON *flush_record);
+/** hzb_roster_add_alive_processes: puts the names of the processes that are alive into a flush record that is about to
+ * be written. */
+void hzb_roster_add_alive_processes (HzbRoster *roster, cJSON *flush_record);
 
-/** hzb_roster_add_recorded: puts the recorded roster, if there is one, into a flush record that is about to be
- * written. */
-void hzb_roster_add_recorded (const HzbRoster *roster, cJSON *flush_record);
+/** hzb_roster_add_recorded_processes: puts the recorded roster, if there is one, into a flush record that is about to
+ * be written. */
+void hzb_roster_add_recorded_processes (const HzbRoster *roster, cJSON *flush_record);
 
 /** hzb_roster_complete_write: ends the write of a flush record. `applied`: whether it is durable; if so, its roster
  * becomes the recorded one; if not, the roster in flight is dropped */
--- a/src/records/record-flush-outcome.c
+++ b/src/records/record-flush-outcome.c
@@ -1,30 +1,32 @@
 /* The outcome of a flush.
  *
- * If the key-value store has carried out the transaction, its contents are durable and are applied in memory. If the
- * store has refused the transaction, the leader writes all of the contents again. If there is no answer, or the answer
- * is a conflict (the flush record has changed meanwhile), the leader reads the flush record: it has the flush's number
- * if and only if the flush was carried out. If the flush was not carried out, the next flush changes the record's
- * version, so the earlier transaction fails even if the store executes it late. */
+ * If the key-value store has carried out the transaction, the contents of the flush are durable, and the leader applies
+ * them in memory. If the store has refused the transaction, the leader writes all of the contents again. If there is
+ * no answer, or the answer is a conflict (the flush record has changed meanwhile), the leader reads the flush record,
+ * which has the flush's number if and only if the flush was carried out. If the flush was not carried out, the next
+ * flush changes the flush record's version, so the earlier transaction fails even if the store executes it late. */
 #include "record-keys.h"
 #include "records-codec.h"
 #include "records-private.h"
 
-#define REFUSED_RETRY_DELAY_S 0.5 /* before the next attempt; an outage may last for minutes */
+/* Pause after a refused flush, and after a failed read of the flush record. It limits the number of requests during an
+ * outage of the store, which may last for minutes. */
+#define RETRY_DELAY_S 0.5
 
 /* ---- applying a durable flush ---- */
 
 static void
-apply_part (HzbRecords *records, const HzbFlushedPart *part)
+apply_chunk (HzbRecords *records, const HzbFlushedChunk *chunk)
 {
-  HzbJobs *jobs = records->modules.jobs;
-  HzbJob *job = hzb_jobs_find (jobs, part->uid);
+  HzbJobs *jobs = records->dependencies.jobs;
+  HzbJob *job = hzb_jobs_find (jobs, chunk->uid);
 
   if (!job || !job->tasks)
     return;
-  job->released = MAX (job->released, part->released_mark);
-  for (guint i = 0; i < part->finished->len; i++)
+  job->released = MAX (job->released, chunk->released_mark);
+  for (guint i = 0; i < chunk->finished->len; i++)
     {
-      HzbTask *task = &job->tasks[g_array_index (part->finished, guint, i)];
+      HzbTask *task = &job->tasks[g_array_index (chunk->finished, guint, i)];
       if (task->state != HZB_TASK_FINISHED)
         continue;
       hzb_task_set_state (jobs, task, HZB_TASK_DONE, NULL);
@@ -35,19 +37,19 @@
 static void
 apply_flush (HzbRecords *records, const HzbFlush *flush)
 {
-  const HzbRecordsDependencies *modules = &records->modules;
+  const HzbRecordsDependencies *dependencies = &records->dependencies;
 
-  hzb_reconciliation_complete_roster_write (modules->reconciliation, TRUE);
-  for (guint i = 0; i < flush->parts->len; i++)
-    apply_part (records, flush->parts->pdata[i]);
+  hzb_reconciliation_complete_roster_write (dependencies->reconciliation, TRUE);
+  for (guint i = 0; i < flush->chunks->len; i++)
+    apply_chunk (records, flush->chunks->pdata[i]);
   for (guint i = 0; i < flush->machines->len; i++)
     {
-      HzbMachine *machine = hzb_machines_find (modules->machines, flush->machines->pdata[i]);
+      HzbMachine *machine = hzb_machines_find (dependencies->machines, flush->machines->pdata[i]);
       if (machine)
         machine->recorded = TRUE;
     }
   for (guint i = 0; i < flush->acceptances->len; i++)
-    hzb_jobs_apply_acceptance (modules->jobs, flush->acceptances->pdata[i], NULL);
+    hzb_jobs_apply_acceptance (dependencies->jobs, flush->acceptances->pdata[i], NULL);
 }
 
 /* ---- reverting a failed flush ---- */
@@ -65,28 +67,29 @@
   records->replacements_pending = records->retiring_pages > 0;
 }
 
-/* Undoes what was noted in memory when the flush was sent. The flush was not carried out and never will be. */
+/* Resets the marks that were set on jobs, machines, acceptances and pages when the flush was sent, so that their
+ * contents are written again. The flush was not carried out and never will be. */
 static void
 revert_flush (HzbRecords *records, const HzbFlush *flush)
 {
-  const HzbRecordsDependencies *modules = &records->modules;
+  const HzbRecordsDependencies *dependencies = &records->dependencies;
 
-  hzb_reconciliation_complete_roster_write (modules->reconciliation, FALSE);
-  for (guint i = 0; i < flush->parts->len; i++)
+  hzb_reconciliation_complete_roster_write (dependencies->reconciliation, FALSE);
+  for (guint i = 0; i < flush->chunks->len; i++)
     {
-      HzbJob *job = hzb_jobs_find (modules->jobs, ((const HzbFlushedPart *) flush->parts->pdata[i])->uid);
+      HzbJob *job = hzb_jobs_find (dependencies->jobs, ((const HzbFlushedChunk *) flush->chunks->pdata[i])->uid);
       if (job)
         job->dirty = TRUE;
     }
   for (guint i = 0; i < flush->machines->len; i++)
     {
-      HzbMachine *machine = hzb_machines_find (modules->machines, flush->machines->pdata[i]);
+      HzbMachine *machine = hzb_machines_find (dependencies->machines, flush->machines->pdata[i]);
       if (machine)
         machine->recording = FALSE;
     }
   for (guint i = 0; i < flush->acceptances->len; i++)
     {
-      HzbAcceptance *acceptance = g_hash_table_lookup (modules->jobs->acceptances, flush->acceptances->pdata[i]);
+      HzbAcceptance *acceptance = g_hash_table_lookup (dependencies->jobs->acceptances, flush->acceptances->pdata[i]);
       if (acceptance)
         acceptance->deleting = FALSE;
     }
@@ -118,7 +121,7 @@
 static void
 pause_flushes (HzbRecords *records)
 {
-  records->next_flush = hzb_time_plus (hzb_clock_now (records->modules.node->clock), REFUSED_RETRY_DELAY_S);
+  records->next_flush = hzb_time_plus (hzb_clock_now (records->dependencies.node->clock), RETRY_DELAY_S);
 }
 
 void
@@ -127,7 +130,8 @@
   g_clear_pointer (&records->unresolved, drop_call);
 }
 
-/* Decodes the flush record and notes its version. Returns: FALSE if the flush record could not be read. */
+/* Decodes the answer to a read of the flush record, and stores the record's version. If there is no flush record, all
+ * numbers of `record` are 0. Returns: FALSE if the flush record could not be read. */
 static gboolean
 decode_flush_record_answer (HzbRecords *records, HzbKvResult result, const char *body, HzbFlushRecord *record)
 {
@@ -166,7 +170,7 @@
 read_flush_record (HzbRecords *records, HzbEpochCall *call)
 {
   hzb_records_set_flush_state (records, HZB_FLUSH_RESOLVING);
-  hzb_kv_client_get (records->modules.kv, HZB_KV_RECORD, HZB_KEY_FLUSH, on_flush_record_read, call);
+  hzb_kv_client_get (records->dependencies.kv, HZB_KV_RECORD, HZB_KEY_FLUSH, on_flush_record_read, call);
 }
 
 void
@@ -190,7 +194,7 @@
       hzb_kv_commit_decode (body, &records->flush_version, NULL);
       end_flush (records, call, TRUE);
       /* Released tasks and recorded machines can be used from now on, so the dispatcher runs at once. */
-      records->modules.dispatch->next_run = (struct timespec){ 0 };
+      records->dependencies.dispatch->next_run = (struct timespec){ 0 };
     }
   else
     {
--- a/src/records/record-flush.c
+++ b/src/records/record-flush.c
@@ -1,29 +1,31 @@
 /* Writes the pages, one transaction at a time.
  *
  * Each transaction raises the number in the flush record, and is conditional on the version that the previous
- * transaction gave that record. So a transaction that is executed late, or twice, fails. Without this condition an
- * older set of results could overwrite a newer one of the same term. record-flush-outcome.c determines the outcome of
- * each transaction. */
+ * transaction gave that record. So a transaction that is executed late, or a second time, fails. Without this condition
+ * the pages of an older transaction could overwrite those of a newer one of the same term. record-flush-outcome.c
+ * determines the outcome of each transaction. */
 #include "job-progress.h"
 #include "record-keys.h"
 #include "records-codec.h"
 #include "records-private.h"
 
-#define FLUSH_INTERVAL_S 0.1 /* minimum time between flushes: records that tasks wait for are written this often */
+#define FLUSH_INTERVAL_S 0.1 /* minimum time between flushes, and so between writings of a page that tasks wait for */
 #define ACCEPTANCE_REMOVAL_INTERVAL_S 3.0 /* minimum time between removals of acceptance records */
-#define TRANSACTION_BYTES 52000u /* of pages; the key-value store takes 64 KiB including the rest of the request */
-#define MIN_RELEASE_STEP 64u     /* tasks */
-#define RELEASE_STEPS 32u        /* number of steps in which a large job is released */
+/* Maximum size of the pages in a transaction of several pages. The key-value store accepts requests of up to 64 KiB,
+ * which include more than the pages. */
+#define TRANSACTION_BYTES 52000u
+#define MIN_RELEASE_STEP 64u /* minimum number of tasks that are released at once */
+#define RELEASE_STEPS 32u    /* number of steps in which a large job is released */
 
 /* ---- the contents of a flush ---- */
 
 static void
-flushed_part_free (gpointer data)
+flushed_chunk_free (gpointer data)
 {
-  HzbFlushedPart *part = data;
-  g_free (part->uid);
-  g_array_unref (part->finished);
-  g_free (part);
+  HzbFlushedChunk *chunk = data;
+  g_free (chunk->uid);
+  g_array_unref (chunk->finished);
+  g_free (chunk);
 }
 
 HzbFlush *
@@ -31,7 +33,7 @@
 {
   HzbFlush *flush = g_new0 (HzbFlush, 1);
   flush->number = number;
-  flush->parts = g_ptr_array_new_with_free_func (flushed_part_free);
+  flush->chunks = g_ptr_array_new_with_free_func (flushed_chunk_free);
   flush->machines = g_ptr_array_new_with_free_func (g_free);
   flush->acceptances = g_ptr_array_new_with_free_func (g_free);
   return flush;
@@ -40,7 +42,7 @@
 void
 hzb_flush_free (HzbFlush *flush)
 {
-  g_ptr_array_unref (flush->parts);
+  g_ptr_array_unref (flush->chunks);
   g_ptr_array_unref (flush->machines);
   g_ptr_array_unref (flush->acceptances);
   g_free (flush);
@@ -74,20 +76,21 @@
              : MAX (MIN_RELEASE_STEP, job->n_tasks / RELEASE_STEPS);
 }
 
+/* Raises the released mark that the flush is about to write, if the job needs it. */
 static void
-extend_release (HzbJob *job)
+raise_releasing_mark (HzbJob *job)
 {
-  if (hzb_records_needs_release (job))
+  if (hzb_records_job_needs_release (job))
     job->releasing = MIN (job->n_tasks, job->releasing + release_step (job));
   job->release_requested = FALSE;
 }
 
-/* Returns: the contents of the part that are applied to the job when the part is durable. */
-static HzbFlushedPart *
-flushed_part_new (const HzbJobs *jobs, const HzbJob *job, guint chunk)
+/* Returns: (transfer full): the contents of the chunk that are applied to the job when the chunk is durable. */
+static HzbFlushedChunk *
+flushed_chunk_new (const HzbJobs *jobs, const HzbJob *job, guint chunk_number)
 {
-  HzbFlushedPart *flushed = g_new0 (HzbFlushedPart, 1);
-  guint first = chunk * jobs->chunk_tasks;
+  HzbFlushedChunk *flushed = g_new0 (HzbFlushedChunk, 1);
+  guint first = chunk_number * jobs->chunk_tasks;
 
   flushed->uid = g_strdup (job->uid);
   flushed->released_mark = job->releasing;
@@ -101,16 +104,16 @@
 static cJSON *
 pack_progress_page (const HzbRecords *records, const HzbPage *page, HzbFlush *flush)
 {
-  const HzbJobs *jobs = records->modules.jobs;
-  g_autoptr (GArray) entries = hzb_progress_parts_new ();
+  const HzbJobs *jobs = records->dependencies.jobs;
+  g_autoptr (GArray) entries = hzb_progress_chunks_new ();
 
-  for (guint i = 0; i < page->parts->len; i++)
+  for (guint i = 0; i < page->chunks->len; i++)
     {
-      const HzbPagePart *part = &g_array_index (page->parts, HzbPagePart, i);
-      HzbProgressPart entry = { .uid = g_strdup (part->job->uid), .chunk = part->chunk };
-      extend_release (part->job);
-      g_ptr_array_add (flush->parts, flushed_part_new (jobs, part->job, part->chunk));
-      hzb_job_pack_progress (jobs, part->job, part->chunk, &entry.progress);
+      const HzbPageChunk *chunk = &g_array_index (page->chunks, HzbPageChunk, i);
+      HzbProgressChunk entry = { .uid = g_strdup (chunk->job->uid), .number = chunk->number };
+      raise_releasing_mark (chunk->job);
+      g_ptr_array_add (flush->chunks, flushed_chunk_new (jobs, chunk->job, chunk->number));
+      hzb_job_pack_progress (jobs, chunk->job, chunk->number, &entry.progress);
       g_array_append_val (entries, entry);
     }
   return hzb_progress_page_encode (entries);
@@ -119,7 +122,7 @@
 static cJSON *
 pack_machine_page (const HzbRecords *records, const HzbPage *page, HzbFlush *flush)
 {
-  double wall_s = (double) hzb_clock_wall (records->modules.node->clock).tv_sec;
+  double wall_s = (double) hzb_clock_wall (records->dependencies.node->clock).tv_sec;
   g_autoptr (GArray) entries = hzb_machine_records_new ();
 
   for (guint i = 0; i < page->machines->len; i++)
@@ -142,7 +145,7 @@
   return hzb_machine_page_encode (entries);
 }
 
-/* Writes the page, or removes it if it is empty. */
+/* Adds the page to the transaction: its current contents, or its removal if it is empty. */
 static void
 put_page (HzbRecords *records, HzbPage *page, HzbKvTransaction *transaction, HzbFlush *flush, struct timespec now)
 {
@@ -150,7 +153,7 @@
 
   page->stale = page->dirty = page->replaces_retired = FALSE;
   page->written = now;
-  page->exists = page->parts->len || page->machines->len;
+  page->exists = page->chunks->len || page->machines->len;
   if (page->exists)
     hzb_kv_transaction_put (
         transaction, key,
@@ -167,7 +170,7 @@
 put_pages (HzbRecords *records, const GPtrArray *due, HzbKvTransaction *transaction, HzbFlush *flush,
            struct timespec now)
 {
-  guint remaining_changes = records->modules.node->settings->kv_txn_ops - 1; /* one change is the flush record */
+  guint remaining_changes = records->dependencies.node->settings->kv_txn_ops - 1; /* one change is the flush record */
   gsize bytes = 0;
 
   for (guint i = 0; i < due->len && remaining_changes; i++, remaining_changes--)
@@ -183,12 +186,13 @@
 
 /* ---- acceptance records ---- */
 
-/* An acceptance record is removed when all of its jobs are terminal, if the pages leave changes for that. */
+/* Returns: whether the next flush may remove acceptance records. An acceptance record is removed after all of its jobs
+ * have become terminal, by a flush whose pages do not use up the changes that a transaction may have. */
 static gboolean
 acceptances_due (const HzbRecords *records, struct timespec now)
 {
   return !hzb_time_before (now, records->next_acceptance_removal)
-         && hzb_jobs_find_deletable_acceptance (records->modules.jobs);
+         && hzb_jobs_find_deletable_acceptance (records->dependencies.jobs);
 }
 
 static void
@@ -197,7 +201,7 @@
 {
   HzbAcceptance *completed;
 
-  for (; remaining_changes && (completed = hzb_jobs_find_deletable_acceptance (records->modules.jobs));
+  for (; remaining_changes && (completed = hzb_jobs_find_deletable_acceptance (records->dependencies.jobs));
        remaining_changes--)
     {
       completed->deleting = TRUE;
@@ -208,22 +212,23 @@
 
 /* ---- the flush ---- */
 
-/* Returns: (transfer full): a transaction with the conditions of a flush, which writes the flush record. */
+/* Returns: (transfer full): a transaction that writes the flush record with the roster of controllers, and is
+ * conditional on this node's leadership and on the flush record's version. */
 static HzbKvTransaction *
 begin_transaction (const HzbRecords *records, const HzbFlush *flush)
 {
-  const HzbRecordsDependencies *modules = &records->modules;
+  const HzbRecordsDependencies *dependencies = &records->dependencies;
   HzbKvTransaction *transaction = hzb_kv_transaction_new ();
   HzbFlushRecord record = {
     .number = flush->number,
-    .term = hzb_election_term (modules->election),
-    .acknowledged_revision = hzb_cancellations_acknowledged_revision (modules->cancellations),
+    .term = hzb_election_term (dependencies->election),
+    .acknowledged_revision = hzb_cancellations_acknowledged_revision (dependencies->cancellations),
   };
   cJSON *value = hzb_flush_record_encode (&record);
 
-  hzb_election_add_condition (modules->election, transaction);
+  hzb_election_add_condition (dependencies->election, transaction);
   hzb_kv_transaction_compare (transaction, HZB_KEY_FLUSH, records->flush_version);
-  hzb_reconciliation_add_roster (modules->reconciliation, value);
+  hzb_reconciliation_add_roster (dependencies->reconciliation, value);
   hzb_kv_transaction_put (transaction, HZB_KEY_FLUSH, value, 0);
   return transaction;
 }
@@ -232,20 +237,20 @@
 commit (HzbRecords *records, HzbKvTransaction *transaction, HzbFlush *flush)
 {
   hzb_records_set_flush_state (records, HZB_FLUSH_COMMITTING);
-  hzb_kv_client_commit (records->modules.kv, HZB_KV_RECORD, transaction, hzb_records_on_flush_answered,
-                        hzb_epoch_call_new (records->modules.ownership, records, flush));
+  hzb_kv_client_commit (records->dependencies.kv, HZB_KV_RECORD, transaction, hzb_records_on_flush_answered,
+                        hzb_epoch_call_new (records->dependencies.ownership, records, flush));
 }
 
 static void
 flush_pages (HzbRecords *records, struct timespec now)
 {
-  g_autoptr (GPtrArray) due = hzb_records_choose_pages (records, now);
+  g_autoptr (GPtrArray) due = hzb_records_select_pages (records, now);
   gboolean remove_acceptances = acceptances_due (records, now);
   HzbKvTransaction *transaction;
   HzbFlush *flush;
   guint remaining_changes;
 
-  if (!due->len && !remove_acceptances && !hzb_reconciliation_is_roster_due (records->modules.reconciliation))
+  if (!due->len && !remove_acceptances && !hzb_reconciliation_is_roster_due (records->dependencies.reconciliation))
     return;
   flush = hzb_flush_new (++records->flush_number);
   transaction = begin_transaction (records, flush);
@@ -261,12 +266,12 @@
 void
 hzb_records_flush_if_due (HzbRecords *records)
 {
-  const HzbRecordsDependencies *modules = &records->modules;
-  struct timespec now = hzb_clock_now (modules->node->clock);
+  const HzbRecordsDependencies *dependencies = &records->dependencies;
+  struct timespec now = hzb_clock_now (dependencies->node->clock);
 
-  if (!hzb_ownership_leader_loaded (modules->ownership) || !hzb_election_is_leader (modules->election))
+  if (!hzb_ownership_is_loaded_leader (dependencies->ownership) || !hzb_election_is_leader (dependencies->election))
     return;
-  hzb_completed_job_archive_tick (modules->job_archive, now);
+  hzb_completed_job_archive_tick (dependencies->job_archive, now);
   if (hzb_time_before (now, records->next_flush))
     return;
   if (records->flush_state == HZB_FLUSH_UNRESOLVED)
--- a/src/records/records-private.h
+++ b/src/records/records-private.h
@@ -10,7 +10,7 @@
 #include "record-pages.h"
 #include "records.h"
 
-/** HzbFlushState: the state of the flush, of which at most one is in flight; see hzb_records_set_flush_state(). */
+/** HzbFlushState: the state of the flush. At most one flush is in flight. Set by hzb_records_set_flush_state(). */
 typedef enum
 {
   HZB_FLUSH_IDLE,       /**< no flush is in flight */
@@ -23,9 +23,9 @@
 /** _HzbRecords: the pages of the leader, and the flush in flight. */
 struct _HzbRecords
 {
-  HzbRecordsDependencies modules; /**< the modules that the records use */
-  HzbRecordsCallbacks callbacks;  /**< functions of the module that created the records */
-  gpointer user;                  /**< (nullable) (not owned): passed to the callbacks */
+  HzbRecordsDependencies dependencies; /**< the modules that the records use */
+  HzbRecordsCallbacks callbacks;       /**< functions of the module that created the records */
+  gpointer user;                       /**< (nullable) (not owned): passed to the callbacks */
 
   HzbPages pages;                /**< all pages that are in the key-value store or will be written to it */
   guint retiring_pages;          /**< number of retiring pages, which are still to be removed */
@@ -34,13 +34,13 @@
   guint64 flush_version;      /**< version of the flush record after the last flush; 0: there is no flush record */
   guint64 flush_number;       /**< number of the last flush that was sent */
   HzbFlushState flush_state;  /**< changed by hzb_records_set_flush_state() only */
-  HzbEpochCall *unresolved;   /**< (nullable): call with the HzbFlush in state %HZB_FLUSH_UNRESOLVED; else NULL */
-  struct timespec next_flush; /**< no flush is sent, and no unresolved flush is resolved, before it */
-  struct timespec next_acceptance_removal; /**< no acceptance records are removed before it */
+  HzbEpochCall *unresolved;   /**< (nullable): call with the unresolved HzbFlush; NULL unless %HZB_FLUSH_UNRESOLVED */
+  struct timespec next_flush; /**< no flush is sent, and no unresolved flush is resolved, before this time */
+  struct timespec next_acceptance_removal; /**< no acceptance records are removed before this time */
 };
 
 /**
- * HzbFlushedPart: the contents of a written part of a job's progress that are applied to the job when the flush is
+ * HzbFlushedChunk: the contents of a written chunk of a job's progress that are applied to the job when the flush is
  * durable.
  */
 typedef struct
@@ -48,21 +48,26 @@
   char *uid;           /**< of the job, which may have been removed meanwhile */
   guint released_mark; /**< the released mark that was written */
   GArray *finished;    /**< (element-type guint): numbers of the finished tasks that are to become done */
-} HzbFlushedPart;
+} HzbFlushedChunk;
 
-/** HzbFlush: one transaction of pages. */
+/** HzbFlush: the contents of one flush that are applied in memory if it is carried out, and reverted otherwise. */
 typedef struct
 {
-  guint64 number;         /**< value of the flush record's number after the transaction was carried out */
-  GPtrArray *parts;       /**< (element-type HzbFlushedPart) */
+  guint64 number;         /**< the number that the flush's transaction writes into the flush record */
+  GPtrArray *chunks;      /**< (element-type HzbFlushedChunk) */
   GPtrArray *machines;    /**< (element-type utf8): names of machines that are recorded for the first time */
   GPtrArray *acceptances; /**< (element-type utf8): keys of the acceptance records that are removed */
 } HzbFlush;
 
-/** hzb_flush_new: `number`: of the flush. Returns: (transfer full): a flush without contents */
+/**
+ * hzb_flush_new: creates the description of a flush.
+ * - `number`: number of the flush
+ *
+ * Returns: (transfer full): a flush without contents
+ */
 HzbFlush *hzb_flush_new (guint64 number);
 
-/** hzb_flush_free: frees the description of the flush. Neither memory nor stored records change otherwise. */
+/** hzb_flush_free: frees the description of the flush. Does not apply or revert the flush. */
 void hzb_flush_free (HzbFlush *flush);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HzbFlush, hzb_flush_free)
 
@@ -74,17 +79,18 @@
 void hzb_records_drop_unresolved (HzbRecords *records);
 
 /**
- * hzb_records_choose_pages: assigns pages to jobs and machines that have none, and selects the pages to write.
+ * hzb_records_select_pages: assigns pages to jobs and machines that have none, and selects the pages to write.
  *
  * Returns: (transfer container) (element-type HzbPage): the pages that are due at `now`, urgent pages first
  */
-GPtrArray *hzb_records_choose_pages (HzbRecords *records, struct timespec now);
+GPtrArray *hzb_records_select_pages (HzbRecords *records, struct timespec now);
 
 /**
- * hzb_records_needs_release: Returns: whether a machine could take tasks of the job beyond its released mark, and the
- * mark has not been raised since that was noted
+ * hzb_records_job_needs_release: Returns: whether the next flush with the job's progress raises the job's released
+ * mark. This is so if the job is accepted, the machines have capacity for tasks beyond the mark
+ * (HzbJob.release_requested, which the flush clears), and the mark is below the number of the job's tasks.
  */
-gboolean hzb_records_needs_release (const HzbJob *job);
+gboolean hzb_records_job_needs_release (const HzbJob *job);
 
 /**
  * hzb_records_on_flush_answered: handles the answer to a flush.
--- a/src/scheduling/start-pacing.c
+++ b/src/scheduling/start-pacing.c
@@ -1,15 +1,17 @@
 #include "start-pacing.h"
 
-#define BURST_S 1.0 /* capacity of a bucket, in seconds of its refill rate */
+/* The capacity of a token bucket is what its rate adds in this many seconds, but at least one token. */
+#define BURST_S 1.0
 
-/* Timers that fire this late show a lack of processor time; the command bucket is then refilled at this fraction of its
- * rate. */
+/* If timers fire late by more than this, the process lacks processor time, and the bucket for commands (`tokens`, but
+ * not `scale_out_tokens`) is refilled at this fraction of its rate, which lowers its capacity too. */
 #define LAGGING_ABOVE_S 0.25
 #define LAGGING_RATE_FRACTION 0.5
 
-/* Fractions of the bucket that are reserved for higher classes. */
-#define GUARANTEED_RESERVE_FRACTION 0.2
-#define OTHER_RESERVE_FRACTION 0.5
+/* A command of a class may be sent only if this fraction of a full bucket remains for higher classes, or if the
+ * bucket is full, see hzb_start_pacing_allows(). */
+#define RESERVE_LEFT_BY_GUARANTEED_FRACTION 0.2
+#define RESERVE_LEFT_BY_OTHER_FRACTION 0.5
 
 void
 hzb_start_pacing_begin (HzbStartPacing *pacing, const HzbStartPacingLimits *limits, struct timespec now)
@@ -24,6 +26,8 @@
   pacing->active = FALSE;
 }
 
+/* Returns: the tokens after a refill, at most a full bucket. Even at a rate below one per second, a bucket can hold one
+ * token: otherwise a scale-out request, which needs a whole one, would never be sent. */
 static double
 refill (double tokens, double per_s, double seconds)
 {
@@ -52,29 +56,30 @@
 void
 hzb_start_pacing_begin_response (HzbStartPacing *pacing)
 {
-  pacing->starts_in_response = 0;
+  pacing->commands_in_response = 0;
 }
 
 gboolean
 hzb_start_pacing_response_full (const HzbStartPacing *pacing)
 {
   return pacing->active && pacing->limits.starts_per_response
-         && pacing->starts_in_response >= pacing->limits.starts_per_response;
+         && pacing->commands_in_response >= pacing->limits.starts_per_response;
 }
 
 gboolean
 hzb_start_pacing_allows (const HzbStartPacing *pacing, HzbStartPacingClass class)
 {
   static const double reserve_fractions[HZB_START_PACING_N_CLASSES] = {
-    [HZB_START_PACING_OTHER] = OTHER_RESERVE_FRACTION,
-    [HZB_START_PACING_GUARANTEED] = GUARANTEED_RESERVE_FRACTION,
+    [HZB_START_PACING_OTHER] = RESERVE_LEFT_BY_OTHER_FRACTION,
+    [HZB_START_PACING_GUARANTEED] = RESERVE_LEFT_BY_GUARANTEED_FRACTION,
     [HZB_START_PACING_URGENT] = 0,
   };
-  double bucket = pacing->limits.per_s * BURST_S;
+  double capacity = pacing->limits.per_s * BURST_S;
 
   if (!pacing->active)
     return TRUE;
-  return pacing->tokens >= MIN (1 + reserve_fractions[class] * bucket, bucket);
+  /* A bucket that is full at the rate without lag always suffices, also if it is below the reserve plus one token. */
+  return pacing->tokens >= MIN (1 + reserve_fractions[class] * capacity, capacity);
 }
 
 void
@@ -83,7 +88,7 @@
   if (!pacing->active)
     return;
   pacing->tokens -= 1;
-  pacing->starts_in_response++;
+  pacing->commands_in_response++;
 }
 
 gboolean
--- a/src/shards/leaseholder-answer.c
+++ b/src/shards/leaseholder-answer.c
@@ -4,10 +4,10 @@
 
 /* ---- machines ---- */
 
-/* Activates the jobs of the tasks that may be on the machine. Returns: whether each of these tasks is known here and
- * is not already in the shard */
+/* Activates the accepted jobs of the tasks that may be on the machine. Returns: whether this node has each of these
+ * tasks, and none of them is in its shard yet */
 static gboolean
-can_accept_held_tasks (HzbJobs *jobs, const HzbMachineLease *lease)
+prepare_held_tasks (HzbJobs *jobs, const HzbMachineLease *lease)
 {
   gboolean acceptable = TRUE;
 
@@ -24,8 +24,9 @@
   return acceptable;
 }
 
-/* Returns the machine to the leader with the tasks that came with it. The machine holds a task of a job that this
- * node's replica of the records does not show yet, or of a terminal job. */
+/* Returns the machine and the tasks that may be on it to the leader. Called if this node does not have one of these
+ * tasks, because its job is terminal or this node's replica of the records does not show the job yet, or if one of the
+ * tasks is already in the shard. */
 static void
 refuse_machine (HzbLeaseholder *leaseholder, const HzbMachineLease *lease)
 {
@@ -48,28 +49,28 @@
   hzb_task_set_state (jobs, task, held->running ? HZB_TASK_RUNNING : HZB_TASK_FETCHING, machine);
 }
 
-/* A machine that was leased with tasks is unverified: this node draws no conclusion about its tasks until it has
- * received a heartbeat of the machine under the shard's fencing token. */
+/* Adds a leased machine to the shard. If the machine was leased with tasks, it starts as unverified: this node draws no
+ * conclusion about its tasks until it has received a heartbeat of the machine under the shard's fencing token. */
 static void
 receive_machine (HzbLeaseholder *leaseholder, const HzbMachineLease *lease)
 {
-  const HzbLeaseholderDependencies *modules = &leaseholder->modules;
+  const HzbLeaseholderDependencies *dependencies = &leaseholder->dependencies;
   HzbMachine *machine;
 
-  if (!can_accept_held_tasks (modules->jobs, lease))
+  if (!prepare_held_tasks (dependencies->jobs, lease))
     {
       refuse_machine (leaseholder, lease);
       return;
     }
-  machine = hzb_machines_add (modules->machines, lease->name, lease->addr, lease->type, lease->zone, lease->spot,
+  machine = hzb_machines_add (dependencies->machines, lease->name, lease->addr, lease->type, lease->zone, lease->spot,
                               lease->held_tasks ? HZB_MACHINE_UNVERIFIED : HZB_MACHINE_BOOTING);
   machine->recorded = machine->known_to_cloud = TRUE;
   hzb_machine_set_fencing_token (machine, leaseholder->fencing_token);
   machine->agent_epoch = lease->agent_epoch;
   machine->sequence = lease->sequence;
-  machine->last_heartbeat = hzb_clock_now (modules->node->clock);
+  machine->last_heartbeat = hzb_clock_now (dependencies->node->clock);
   for (guint i = 0; lease->held_tasks && i < lease->held_tasks->len; i++)
-    place_held_task (modules->jobs, &g_array_index (lease->held_tasks, HzbHeldTask, i), machine);
+    place_held_task (dependencies->jobs, &g_array_index (lease->held_tasks, HzbHeldTask, i), machine);
 }
 
 static void
@@ -78,6 +79,7 @@
   HzbMachine *machine = hzb_machines_find (machines, recall->machine);
   if (!machine)
     return;
+  /* A scale-in candidate gets no new tasks. */
   machine->recall_requested = machine->scale_in_candidate = recall->requested;
   machine->recall_at_once = recall->at_once;
 }
@@ -98,12 +100,12 @@
     hzb_task_set_state (jobs, task, HZB_TASK_DONE, NULL);
 }
 
-/* Accepts delegated tasks, and returns those of jobs that this node's replica of the records does not show yet, and
- * of terminal jobs. */
+/* Adds delegated tasks to the shard. If a job is terminal, or this node's replica of the records does not show it yet,
+ * its tasks are returned to the leader instead. */
 static void
 receive_tasks (HzbLeaseholder *leaseholder, const HzbTaskGroups *groups)
 {
-  HzbJobs *jobs = leaseholder->modules.jobs;
+  HzbJobs *jobs = leaseholder->dependencies.jobs;
   g_autoptr (HzbTaskGroups) rejected = hzb_task_groups_new ();
 
   for (guint i = 0; i < groups->len; i++)
@@ -113,14 +115,14 @@
       if (job && job->state == HZB_JOB_ACCEPTED)
         hzb_jobs_activate (jobs, job);
       if (!job || !job->tasks)
-        hzb_task_groups_add_group (rejected, group);
+        hzb_task_groups_append_group (rejected, group);
     }
   if (rejected->len)
     hzb_leaseholder_push_returned (leaseholder, g_steal_pointer (&rejected));
   hzb_task_groups_foreach (groups, jobs, accept_delegated_task, jobs);
 }
 
-/* Cancels the job here as well, since this node's replica of the records may not show the cancellation yet. */
+/* Sets the job to cancelled on this node, whose replica of the records may not show the cancellation yet. */
 static void
 apply_cancellation (HzbJobs *jobs, const char *uid)
 {
@@ -134,17 +136,17 @@
 static void
 apply_batch (HzbLeaseholder *leaseholder, const HzbShardBatch *batch)
 {
-  const HzbLeaseholderDependencies *modules = &leaseholder->modules;
+  const HzbLeaseholderDependencies *dependencies = &leaseholder->dependencies;
 
   if (batch->cancelled_uid)
-    apply_cancellation (modules->jobs, batch->cancelled_uid);
+    apply_cancellation (dependencies->jobs, batch->cancelled_uid);
   if (batch->delegated)
     receive_tasks (leaseholder, batch->delegated);
-  hzb_task_groups_foreach (batch->durable, modules->jobs, complete_durable_task, modules->jobs);
-  if (batch->lease && !hzb_machines_find (modules->machines, batch->lease->name))
+  hzb_task_groups_foreach (batch->durable, dependencies->jobs, complete_durable_task, dependencies->jobs);
+  if (batch->lease && !hzb_machines_find (dependencies->machines, batch->lease->name))
     receive_machine (leaseholder, batch->lease);
   if (batch->recall)
-    apply_recall (modules->machines, batch->recall);
+    apply_recall (dependencies->machines, batch->recall);
 }
 
 static void
@@ -160,7 +162,7 @@
     }
   if (!batches->len)
     return;
-  hzb_dispatch_run (leaseholder->modules.dispatch, hzb_clock_now (leaseholder->modules.node->clock));
+  hzb_dispatch_run (leaseholder->dependencies.dispatch, hzb_clock_now (leaseholder->dependencies.node->clock));
   hzb_leaseholder_poll_soon (leaseholder);
 }
 
@@ -169,9 +171,9 @@
 static void
 raise_fencing_token (HzbLeaseholder *leaseholder, guint64 fencing_token)
 {
-  const GPtrArray *machines = leaseholder->modules.machines->all;
+  const GPtrArray *machines = leaseholder->dependencies.machines->all;
 
-  leaseholder->fencing_token = leaseholder->modules.jobs->shard->fencing_token = fencing_token;
+  leaseholder->fencing_token = leaseholder->dependencies.jobs->shard->fencing_token = fencing_token;
   for (guint i = 0; i < machines->len; i++)
     hzb_machine_set_fencing_token (machines->pdata[i], fencing_token);
 }
@@ -180,7 +182,7 @@
 static gboolean
 answer_is_current (const HzbLeaseholder *leaseholder, const HzbShardAnswer *answer)
 {
-  HzbElection *election = leaseholder->modules.election;
+  HzbElection *election = leaseholder->dependencies.election;
   /* Guards against an answer to a poll that was sent before this node released its shard. The node would hold the
    * shard again, but without the machines and tasks that it was sent before, while the leader would assume that the
    * node still manages them. */
@@ -192,16 +194,16 @@
 static gboolean
 accept_lease (HzbLeaseholder *leaseholder, guint64 fencing_token)
 {
-  const HzbLeaseholderDependencies *modules = &leaseholder->modules;
+  const HzbLeaseholderDependencies *dependencies = &leaseholder->dependencies;
 
-  if (hzb_ownership_state (modules->ownership) == HZB_OWNERSHIP_NONE
-      && hzb_kv_replica_state (modules->kv_replica) == HZB_KV_REPLICA_FOLLOWING)
+  if (hzb_ownership_state (dependencies->ownership) == HZB_OWNERSHIP_NONE
+      && hzb_kv_replica_state (dependencies->kv_replica) == HZB_KV_REPLICA_FOLLOWING)
     {
       leaseholder->fencing_token = fencing_token;
       leaseholder->callbacks.begin_lease (fencing_token, leaseholder->callbacks.user);
       return TRUE;
     }
-  if (!hzb_ownership_is_leaseholder (modules->ownership))
+  if (!hzb_ownership_is_leaseholder (dependencies->ownership))
     return FALSE;
   if (fencing_token > leaseholder->fencing_token)
     raise_fencing_token (leaseholder, fencing_token);
@@ -211,7 +213,7 @@
 void
 hzb_leaseholder_apply_answer (HzbLeaseholder *leaseholder, const HzbShardAnswer *answer)
 {
-  hzb_cancellations_handle_response (leaseholder->modules.cancellations, answer->term, answer->acknowledged_uids);
+  hzb_cancellations_handle_response (leaseholder->dependencies.cancellations, answer->term, answer->acknowledged_uids);
   if (!answer_is_current (leaseholder, answer))
     return;
   if (answer->reclaimed)
@@ -221,7 +223,7 @@
     }
   if (!answer->fencing_token || !accept_lease (leaseholder, answer->fencing_token))
     return;
-  leaseholder->last_answer = hzb_clock_now (leaseholder->modules.node->clock);
+  leaseholder->last_answer = hzb_clock_now (leaseholder->dependencies.node->clock);
   /* The lease duration counts from when the poll was sent, because the answer may be old if this process was
    * stalled. */
   leaseholder->valid_until = hzb_time_plus (leaseholder->last_poll, answer->lease_s);
--- a/src/shards/shard-delegation.c
+++ b/src/shards/shard-delegation.c
@@ -2,7 +2,8 @@
 #include "scheduling-class.h"
 #include "shard-leases-private.h"
 
-#define MAX_TASKS_PER_ANSWER 640u /* thousands of machines start about this many tasks between two polls */
+/* A shard of thousands of machines starts about this many tasks between two polls. */
+#define MAX_TASKS_PER_ANSWER 640u
 
 /* Jobs whose tasks have to be placed together run only in the leader's shard, and so do services, whose replicas
  * must not wait for another node. */
@@ -32,15 +33,15 @@
   for (guint i = 0; i < leaseholder->machine_kinds->len; i++)
     {
       const HzbMachine *machine = leaseholder->machine_kinds->pdata[i];
-      /* The machine may have been returned since the scan. */
+      /* The machine may have been returned since the scan that collected it. */
       if (hzb_shards_is_leased_to (machine, leaseholder) && hzb_machine_is_eligible (machine, spec))
         return TRUE;
     }
   return FALSE;
 }
 
-/* Takes tasks that are in no run queue first, and then queued tasks from *@next_index on, which it advances.
- * Returns: (nullable): NULL if the job has no task left to delegate */
+/* Prefers a task that is in no run queue. If there is none, removes a queued task from its run queue; the search begins
+ * at *@next_index, which is advanced. Returns: (nullable): the task; NULL if the job has no task left to delegate */
 static HzbTask *
 take_next_task (HzbJobs *jobs, HzbJob *job, guint *next_index, struct timespec now)
 {
@@ -77,7 +78,7 @@
 static gboolean
 can_delegate (const Delegation *delegation, const HzbJob *job)
 {
-  HzbDispatch *dispatch = delegation->leaseholder->shard_leases->modules.dispatch;
+  HzbDispatch *dispatch = delegation->leaseholder->shard_leases->dependencies.dispatch;
   return delegation->n_tasks < MAX_TASKS_PER_ANSWER && job->spec->cpus <= delegation->remaining_cpus
          && hzb_dispatch_pacing_allows (dispatch, job) && hzb_dispatch_team_limit_allows (dispatch, job);
 }
@@ -85,7 +86,7 @@
 static void
 delegate_job_tasks (Delegation *delegation, HzbJob *job)
 {
-  const HzbShardLeasesDependencies *modules = &delegation->leaseholder->shard_leases->modules;
+  const HzbShardLeasesDependencies *dependencies = &delegation->leaseholder->shard_leases->dependencies;
   guint next_index = 0;
 
   if (!shard_has_allowed_machine (delegation->leaseholder, job->spec)
@@ -95,13 +96,13 @@
     job->release_requested = TRUE;
   while (can_delegate (delegation, job))
     {
-      HzbTask *task = take_next_task (modules->jobs, job, &next_index, delegation->now);
+      HzbTask *task = take_next_task (dependencies->jobs, job, &next_index, delegation->now);
       if (!task)
         return;
-      if (!hzb_task_set_state (modules->jobs, task, HZB_TASK_DELEGATED, NULL))
+      if (!hzb_task_set_state (dependencies->jobs, task, HZB_TASK_DELEGATED, NULL))
         continue;
       task->leaseholder = delegation->leaseholder->id;
-      hzb_dispatch_note_started (modules->dispatch, job);
+      hzb_dispatch_note_started (dependencies->dispatch, job);
       hzb_task_groups_add (delegation->tasks, task);
       delegation->remaining_cpus -= MAX (job->spec->cpus, 0.01);
       delegation->n_tasks++;
@@ -110,19 +111,20 @@
     }
 }
 
-/* Unstarted tasks move to a leaseholder with free CPUs as they move from a run queue to an idle machine. */
+/* Queued tasks are delegated as well: a leaseholder with free CPUs can take them from run queues, as an idle machine
+ * can. */
 void
 hzb_shards_delegate (HzbLeaseholderView *leaseholder, double requested_cpus, struct timespec now)
 {
-  const HzbShardLeasesDependencies *modules = &leaseholder->shard_leases->modules;
+  const HzbShardLeasesDependencies *dependencies = &leaseholder->shard_leases->dependencies;
   g_autoptr (GPtrArray) ordered_jobs = NULL;
   g_autoptr (HzbTaskGroups) tasks = NULL;
   Delegation delegation = { leaseholder, now, requested_cpus, 0, NULL };
   HzbShardBatch *batch;
 
-  if (requested_cpus <= 0 || !hzb_election_is_lease_valid (modules->election))
+  if (requested_cpus <= 0 || !hzb_election_is_lease_valid (dependencies->election))
     return;
-  ordered_jobs = jobs_to_delegate (modules->jobs, now);
+  ordered_jobs = jobs_to_delegate (dependencies->jobs, now);
   tasks = delegation.tasks = hzb_task_groups_new ();
   for (guint i = 0; i < ordered_jobs->len && delegation.remaining_cpus > 0 && delegation.n_tasks < MAX_TASKS_PER_ANSWER;
        i++)
@@ -163,7 +165,7 @@
 static gboolean
 service_waits_for_delegated_work (const HzbLeaseholderView *leaseholder)
 {
-  const HzbJobs *jobs = leaseholder->shard_leases->modules.jobs;
+  const HzbJobs *jobs = leaseholder->shard_leases->dependencies.jobs;
 
   for (guint i = 0; i < jobs->active->len; i++)
     {
@@ -182,7 +184,7 @@
 void
 hzb_shards_recall_for_service (const HzbLeaseholderView *leaseholder)
 {
-  const HzbMachines *machines = leaseholder->shard_leases->modules.machines;
+  const HzbMachines *machines = leaseholder->shard_leases->dependencies.machines;
   HzbMachine *candidate = NULL;
 
   if (!service_waits_for_delegated_work (leaseholder))
--- a/src/shards/shard-requests.c
+++ b/src/shards/shard-requests.c
@@ -3,9 +3,10 @@
 #include "shard-leases-private.h"
 #include "user-protocol.h"
 
-#define SHARD_LEASE_S 10.0 /* lease duration from when the poll was sent; the design documentation states it */
+/* Counted from when the poll was sent. The design documentation states this duration as well. */
+#define SHARD_LEASE_S 10.0
 
-/* Returns: (nullable): NULL if node is NULL or no other node has this name */
+/* Returns: (nullable): the view of the node with this name; NULL if node is NULL or no other node has the name */
 static HzbLeaseholderView *
 find_leaseholder (HzbShardLeases *shard_leases, const char *node)
 {
@@ -31,7 +32,8 @@
   leaseholder->steady_since = now;
 }
 
-/* A pause of more than HZB_SHARDS_POLL_TIMEOUT_S interrupts the node's polling. */
+/* Records the time of a poll. After a pause of more than HZB_SHARDS_POLL_TIMEOUT_S, the time for which the node has
+ * polled without interruption is counted from this poll. */
 static void
 update_poll_time (HzbLeaseholderView *leaseholder, struct timespec now)
 {
@@ -109,11 +111,11 @@
 answer_poll (HzbLeaseholderView *leaseholder, HzbHttpRequest *http_request, const HzbShardPoll *poll,
              struct timespec now)
 {
-  const HzbShardLeasesDependencies *modules = &leaseholder->shard_leases->modules;
-  g_auto (HzbShardAnswer) answer = { .term = hzb_election_term (modules->election), .lease_s = SHARD_LEASE_S };
+  const HzbShardLeasesDependencies *dependencies = &leaseholder->shard_leases->dependencies;
+  g_auto (HzbShardAnswer) answer = { .term = hzb_election_term (dependencies->election), .lease_s = SHARD_LEASE_S };
 
   if (poll->cancellations)
-    answer.acknowledged_uids = hzb_cancellations_acknowledge (modules->cancellations, poll->cancellations);
+    answer.acknowledged_uids = hzb_cancellations_acknowledge (dependencies->cancellations, poll->cancellations);
   answer.reclaimed = holds_reclaimed_shard (leaseholder, poll, answer.term);
   if (!answer.reclaimed)
     {
@@ -121,7 +123,7 @@
         apply_poll (leaseholder, poll, now);
       answer.fencing_token = leaseholder->fencing_token;
       answer.last_event_applied = leaseholder->last_event_applied;
-      answer.batches = hzb_outbox_send (&leaseholder->batches);
+      answer.batches = hzb_outbox_prepare_send (&leaseholder->batches);
     }
   respond (http_request, &answer);
 }
@@ -129,15 +131,15 @@
 void
 hzb_shard_leases_handle_poll (HzbShardLeases *shard_leases, HzbHttpRequest *http_request, const cJSON *root)
 {
-  const HzbShardLeasesDependencies *modules = &shard_leases->modules;
+  const HzbShardLeasesDependencies *dependencies = &shard_leases->dependencies;
   g_autoptr (HzbShardPoll) poll = hzb_shard_poll_decode (root);
   HzbLeaseholderView *leaseholder = find_leaseholder (shard_leases, poll->node);
-  struct timespec now = hzb_clock_now (modules->node->clock);
+  struct timespec now = hzb_clock_now (dependencies->node->clock);
 
-  if (hzb_election_is_leader (modules->election))
+  if (hzb_election_is_leader (dependencies->election))
     hzb_shards_scan (shard_leases, now);
-  if (!leaseholder || !poll->incarnation || !hzb_election_is_leader (modules->election)
-      || !hzb_ownership_leader_loaded (modules->ownership))
+  if (!leaseholder || !poll->incarnation || !hzb_election_is_leader (dependencies->election)
+      || !hzb_ownership_is_loaded_leader (dependencies->ownership))
     {
       hzb_http_request_respond (http_request, 503, hzb_error_response_encode ("no blocks to lease here"), 0);
       return;
--- a/tests/test-largest-fleet.c
+++ b/tests/test-largest-fleet.c
@@ -7,11 +7,11 @@
 
 #define MACHINES 4000u
 #define MACHINES_LARGER 6000u
-/* Time from the first job until nearly all machines are up: 8 rental calls a second for 50 machines each, plus the
- * boot. */
+/* Simulated time at which nearly all machines have to be up. The first job is submitted at 1 s. The cloud takes 8
+ * calls a second, and a call rents at most 50 machines, which then boot. */
 #define SCALE_OUT_DEADLINE_S 30.0
 
-/* Returns: the configuration of a deployment whose cloud has 5 % more machines than this */
+/* Returns: the configuration of a deployment whose cloud has 5 % more machines than @machines */
 static SimConfig
 fleet_config (guint machines)
 {
@@ -29,8 +29,8 @@
     sim_add_machine (sim, i % 3 ? "small" : "big", i % 2 ? "za" : "zb", TRUE, g_rand_double_range (sim->rand, 1, 5));
 }
 
-/* Returns: (transfer full): a cluster of this many machines that have been at work for about 20 s, with three jobs for
- * every 40 machines */
+/* Returns: (transfer full): a cluster of @machines rented machines at 30 s, about 20 s after the last job was
+ * submitted. There are three jobs for every 40 machines. @run_s: mean run time of the tasks, in seconds */
 static Sim *
 new_busy_fleet (guint32 seed, guint machines, double run_s)
 {
@@ -54,8 +54,8 @@
   return FALSE;
 }
 
-/* Runs until the leader has verified all machines. Returns: the time that this took, in seconds; at least timeout_s:
- * they are not verified yet */
+/* Runs until the leader has verified all machines. Returns: the seconds until then. If the leader does
+ * not verify them within @timeout_s seconds, the run stops, and the result is at least @timeout_s. */
 static double
 run_until_all_verified (Sim *sim, double timeout_s)
 {
@@ -160,7 +160,7 @@
     }
 }
 
-/* Jobs are submitted while no machine is rented. The cloud has capacity for exactly this many machines, in one zone,
+/* Jobs are submitted while no machine is rented. The cloud has capacity for exactly @machines machines, in one zone,
  * and all jobs need the same machine type. Returns: (transfer full): the cluster, SCALE_OUT_DEADLINE_S after its
  * start */
 static Sim *
@@ -224,7 +224,7 @@
   for (guint i = 0; i < n_jobs; i++)
     sim_add_job (sim, 1 + 0.005 * i, i % 2 ? "red" : "blue", 1, 0.25, 500);
   sim_run (sim, 60);
-  n_running = tasks_running (sim);
+  n_running = count_running_tasks (sim);
   leader = (guint) MAX (sim_leader (sim), 0);
   g_assert_cmpuint (n_running, >, n_jobs * 9 / 10);
   for (guint i = 0; i < SIM_NODES; i++)
@@ -258,9 +258,9 @@
   guint n_requests = sim->kv_requests, n_changes = sim->kv_writes, leader;
   double verified_after_s, began_at = sim->now;
 
-  sim->measures = TRUE;
+  sim->measures_time = TRUE;
   sim_run (sim, began_at + 60);
-  for (guint i = 0; i < SIM_N_PARTS; i++)
+  for (guint i = 0; i < SIM_N_WORK_KINDS; i++)
     g_string_append_printf (text, " %s %.2f", names[i], (double) sim->spent_us[i] / 1e3 / 60);
   leader = (guint) sim_leader (sim);
   n_requests = sim->kv_requests - n_requests;
